--- a/cmd/comethold/command.go
+++ b/cmd/comethold/command.go
@@ -15,7 +15,7 @@
 // version is the version of the sources; a release build sets it.
 var version = "0.1.0-dev"
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "comethold",
 		Short:         "A search front over sharded indexes",
@@ -29,28 +29,28 @@
 			Short: "Run the data plane of this node",
 			Long:  "Run the data plane. The settings file is the one that " + settings.Env + " names.",
 			Args:  cobra.NoArgs,
-			RunE:  func(*cobra.Command, []string) error { return start(runSwitch) },
+			RunE:  func(*cobra.Command, []string) error { return runProgram(runDataPlane) },
 		},
 		&cobra.Command{
 			Use:   "registrar",
 			Short: "Run the control plane of this node",
 			Long:  "Run the control plane. The settings file is the one that " + settings.Env + " names;\nit must name a data directory.",
 			Args:  cobra.NoArgs,
-			RunE:  func(*cobra.Command, []string) error { return start(runRegistrar) },
+			RunE:  func(*cobra.Command, []string) error { return runProgram(runControlPlane) },
 		},
 		&cobra.Command{
 			Use:   "announcer",
 			Short: "Run the shared object cache of this node",
 			Long:  "Run the shared object cache of a content deployment. The settings file is the\none that " + settings.Env + " names.",
 			Args:  cobra.NoArgs,
-			RunE:  func(*cobra.Command, []string) error { return start(runAnnouncer) },
+			RunE:  func(*cobra.Command, []string) error { return runProgram(runObjectCache) },
 		},
 		&cobra.Command{
 			Use:   "check FILE...",
 			Short: "Check settings (.toml) or configurations (.json)",
 			Long:  "Check each file: settings end in .toml, configurations in .json.\nEvery fault is printed with its field; the exit code is 1 if there is any.",
 			Args:  cobra.MinimumNArgs(1),
-			RunE:  check,
+			RunE:  runCheck,
 		},
 		&cobra.Command{
 			Use:   "version",
@@ -63,7 +63,7 @@
 	return root
 }
 
-func check(c *cobra.Command, files []string) error {
+func runCheck(c *cobra.Command, files []string) error {
 	bad := 0
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
@@ -72,7 +72,7 @@
 			case ".toml":
 				_, err = settings.Parse(raw)
 			case ".json":
-				_, err = numbering.Read(raw)
+				_, err = numbering.Parse(raw)
 			default:
 				err = fmt.Errorf("settings end in .toml, configurations in .json")
 			}
--- a/cmd/comethold/main.go
+++ b/cmd/comethold/main.go
@@ -7,7 +7,7 @@
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "comethold:", err)
 		os.Exit(1)
 	}
--- a/cmd/comethold/operate.go
+++ b/cmd/comethold/operate.go
@@ -15,11 +15,11 @@
 	"github.com/spf13/cobra"
 )
 
-const operatorPatience = 5 * time.Second
+const operatorTimeout = 5 * time.Second
 
-// controlAt is the address of a registrar: the one named, or that of this machine's
+// controlPlaneAddress is the address of a registrar: the one named, or that of this machine's
 // settings.
-func controlAt(at string) (string, error) {
+func controlPlaneAddress(at string) (string, error) {
 	if at != "" {
 		return at, nil
 	}
@@ -37,9 +37,9 @@
 	return set.Listen.ControlPlane, nil
 }
 
-// operate makes one call to a registrar and prints the answer.
-func operate(c *cobra.Command, at, method, path string, in any) error {
-	addr, err := controlAt(at)
+// callControlPlane makes one call to a registrar and prints the answer.
+func callControlPlane(c *cobra.Command, at, method, path string, in any) error {
+	addr, err := controlPlaneAddress(at)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := (&http.Client{Timeout: operatorPatience}).Do(req)
+	resp, err := (&http.Client{Timeout: operatorTimeout}).Do(req)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		Short: "Show the outbox's backlog, what is quarantined and what was redriven",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return operate(c, at, http.MethodGet, "/Notices.Read", nil)
+			return callControlPlane(c, at, http.MethodGet, "/Notices.Read", nil)
 		},
 	}
 	duties := &cobra.Command{
@@ -91,7 +91,7 @@
 		Short: "Show who holds which duty, its fence, and how the usage reports stand",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return operate(c, at, http.MethodGet, "/Duties.Read", nil)
+			return callControlPlane(c, at, http.MethodGet, "/Duties.Read", nil)
 		},
 	}
 	var service, class string
@@ -103,7 +103,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if saved {
-				return operate(c, at, http.MethodGet, "/Estimates.Saved", nil)
+				return callControlPlane(c, at, http.MethodGet, "/Estimates.Saved", nil)
 			}
 			q := url.Values{}
 			for k, v := range map[string]string{"service": service, "class": class} {
@@ -114,7 +114,7 @@
 			if seconds > 0 {
 				q.Set("seconds", strconv.Itoa(seconds))
 			}
-			return operate(c, at, http.MethodGet, "/Estimates.Read?"+q.Encode(), nil)
+			return callControlPlane(c, at, http.MethodGet, "/Estimates.Read?"+q.Encode(), nil)
 		},
 	}
 	estimates.Flags().StringVar(&service, "service", "", "of this shard alone")
@@ -134,7 +134,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			order.EventID = args[0]
-			return operate(c, at, http.MethodPost, "/Notices.Redrive", order)
+			return callControlPlane(c, at, http.MethodPost, "/Notices.Redrive", order)
 		},
 	}
 	f := redrive.Flags()
--- a/cmd/comethold/run.go
+++ b/cmd/comethold/run.go
@@ -26,13 +26,13 @@
 
 // Garbage collection: more memory for less processor time, within a bound.
 const (
-	gcPercent   = 200
-	memoryShare = 0.6 // of the limit, at which collection turns eager
-	watchEvery  = 2 * time.Second
+	gcPercent            = 200
+	softMemoryFraction   = 0.6 // of the limit, at which collection turns eager
+	settingsPollInterval = 2 * time.Second
 )
 
-// start loads the settings and runs a program until it ends.
-func start(program func(*settings.Settings, string, *event.Log) error) error {
+// runProgram loads the settings and runs a program until it ends.
+func runProgram(program func(*settings.Settings, string, *event.Logger) error) error {
 	path, err := settings.Path()
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if set.Limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMb<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMb<<20) * softMemoryFraction))
 	}
 	log := event.New(set.NodeName, os.Args[1])
 	log.SetLevel(set.Log.Level)
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// serve adds an HTTP server on an address of our own.
-func serve(g *run.Group, addr string, h http.Handler) error {
+// addServer adds an HTTP server on an address of our own.
+func addServer(g *run.Group, addr string, h http.Handler) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// attend adds the handling of signals and of changes of the settings file.
+// addSignalHandling adds the handling of signals and of changes of the settings file.
 // leave is called on SIGTERM and returns when the program may end.
-func attend(g *run.Group, path string, log *event.Log, reload func(*settings.Settings), leave func()) {
+func addSignalHandling(g *run.Group, path string, log *event.Logger, reload func(*settings.Settings), leave func()) {
 	sig := make(chan os.Signal, 4)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	quit := make(chan struct{})
@@ -96,7 +96,7 @@
 		last = raw
 		set, err := settings.Parse(raw)
 		if err != nil {
-			log.Error(event.SettingsRefused).Err(err).Str("why", why).Msg("the new settings are refused; the old ones stay")
+			log.Error(event.SettingsRejected).Err(err).Str("why", why).Msg("the new settings are refused; the old ones stay")
 			return
 		}
 		reload(set)
@@ -104,7 +104,7 @@
 		log.Info(event.SettingsReloaded).Str("why", why).Msg("settings reloaded")
 	}
 	g.Add(func() error {
-		t := time.NewTicker(watchEvery)
+		t := time.NewTicker(settingsPollInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -125,74 +125,74 @@
 	}, func(error) { close(quit) })
 }
 
-func runRegistrar(set *settings.Settings, path string, log *event.Log) error {
+func runControlPlane(set *settings.Settings, path string, log *event.Logger) error {
 	if set.Listen.ControlPlane == "" || set.DataDirectory == "" {
 		return errors.New("settings: a registrar needs listenAddresses.controlPlane and dataDirectory")
 	}
-	r := registrar.New(set, log, wire.Sockets, vault.Files{})
+	r := registrar.New(set, log, wire.TCPNetwork, vault.LocalDisk{})
 	var g run.Group
 	g.Add(r.Run, func(error) { r.Stop() })
-	udp, err := net.ListenPacket("udp4", registrar.InnerAddress(set))
+	udp, err := net.ListenPacket("udp4", registrar.InternalAddress(set))
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
 	}
-	g.Add(func() error { return r.Cast(udp) }, func(error) { r.Stop() })
-	if err := serve(&g, set.Listen.ControlPlane, r.Operator()); err != nil {
+	g.Add(func() error { return r.ServeDatagrams(udp) }, func(error) { r.Stop() })
+	if err := addServer(&g, set.Listen.ControlPlane, r.OperatorHandler()); err != nil {
 		return err
 	}
-	if err := serve(&g, registrar.InnerAddress(set), r.Inner()); err != nil {
+	if err := addServer(&g, registrar.InternalAddress(set), r.InternalHandler()); err != nil {
 		return err
 	}
-	attend(&g, path, log, r.Reload, func() {})
+	addSignalHandling(&g, path, log, r.Reload, func() {})
 	return g.Run()
 }
 
-func runAnnouncer(set *settings.Settings, path string, log *event.Log) error {
-	a := announce.New(set, log, wire.Sockets)
+func runObjectCache(set *settings.Settings, path string, log *event.Logger) error {
+	a := announce.New(set, log, wire.TCPNetwork)
 	var g run.Group
-	udp, err := net.ListenPacket("udp4", a.InnerAddress())
+	udp, err := net.ListenPacket("udp4", a.InternalAddress())
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
 	}
-	leave := func(error) { a.Leave() }
-	g.Add(a.Feed, leave)
-	g.Add(a.Renew, leave)
-	g.Add(a.Report, leave)
-	g.Add(func() error { return a.Beat(udp) }, leave)
-	if err := serve(&g, a.InnerAddress(), a.Inner()); err != nil {
+	leave := func(error) { a.Shutdown() }
+	g.Add(a.RunUpdates, leave)
+	g.Add(a.RunShareRenewal, leave)
+	g.Add(a.RunStatistics, leave)
+	g.Add(func() error { return a.RunHeartbeats(udp) }, leave)
+	if err := addServer(&g, a.InternalAddress(), a.InternalHandler()); err != nil {
 		return err
 	}
-	attend(&g, path, log, a.Reload, func() {})
+	addSignalHandling(&g, path, log, a.Reload, func() {})
 	return g.Run()
 }
 
-func runSwitch(set *settings.Settings, path string, log *event.Log) error {
+func runDataPlane(set *settings.Settings, path string, log *event.Logger) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
 		return errors.New("settings: a switch needs listenAddresses.frontend and listenAddresses.readiness")
 	}
-	s := switchboard.New(set, log, wire.Sockets)
+	s := switchboard.New(set, log, wire.TCPNetwork)
 	var g run.Group
 	front, err := net.Listen("tcp4", set.Listen.Frontend)
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
 	}
-	udp, err := net.ListenPacket("udp4", s.InnerAddress())
+	udp, err := net.ListenPacket("udp4", s.InternalAddress())
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
 	}
-	leave := func(error) { s.Leave() }
+	leave := func(error) { s.Shutdown() }
 	g.Add(func() error { return s.Serve(front) }, leave)
-	g.Add(s.Feed, leave)
-	g.Add(s.Sweep, leave)
-	g.Add(s.Count, leave)
-	g.Add(s.Follow, leave)
-	g.Add(func() error { return s.Beat(udp) }, leave)
-	if err := serve(&g, set.Listen.Readiness, s.Readiness()); err != nil {
+	g.Add(s.RunUpdates, leave)
+	g.Add(s.RunMaintenance, leave)
+	g.Add(s.ReportUsage, leave)
+	g.Add(s.CollectLatencies, leave)
+	g.Add(func() error { return s.RunHeartbeats(udp) }, leave)
+	if err := addServer(&g, set.Listen.Readiness, s.Readiness()); err != nil {
 		return err
 	}
-	if err := serve(&g, s.InnerAddress(), s.Inner()); err != nil {
+	if err := addServer(&g, s.InternalAddress(), s.InternalHandler()); err != nil {
 		return err
 	}
-	attend(&g, path, log, s.Reload, s.Leave)
+	addSignalHandling(&g, path, log, s.Reload, s.Shutdown)
 	return g.Run()
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -24,19 +24,19 @@
 
 // Pacing of an announcer. Ours; see docs/design.md.
 const (
-	renewEvery   = 800 * time.Millisecond
-	reportEvery  = 5 * time.Second
-	refreshFrom  = 0.8 // of its time, after which a copy that is asked for is renewed
-	queueShare   = 3   // a read waits for its turn at most this part of its time
-	readTries    = 3
-	shortestTry  = 600 * time.Millisecond
-	behindWait   = 400 * time.Millisecond
-	behindAfter  = 100 * time.Millisecond  // after which news are sought elsewhere
-	apartAfter   = 3500 * time.Millisecond // without word of the majority; the share has ended by then
-	pollBehind   = 5 * time.Millisecond
-	memoryShare  = 0.45 // of the process's memory, for recordings
-	fallbackRoom = 64 << 20
-	slotsOver    = 1.6 // reads under way per slot of a leaf, over all announcers
+	shareRenewInterval  = 800 * time.Millisecond
+	statisticsInterval  = 5 * time.Second
+	refreshFraction     = 0.8 // of its time, after which a copy that is asked for is renewed
+	queueTimeDivisor    = 3   // a read waits for its turn at most this part of its time
+	maxReadAttempts     = 3
+	minReadTimeout      = 600 * time.Millisecond
+	maxCatchUpWait      = 400 * time.Millisecond
+	switchSourceAfter   = 100 * time.Millisecond  // after which news are sought elsewhere
+	disconnectedAfter   = 3500 * time.Millisecond // without word of the majority; the share has ended by then
+	catchUpPollInterval = 5 * time.Millisecond
+	cacheMemoryFraction = 0.45 // of the process's memory, for recordings
+	defaultCacheBytes   = 64 << 20
+	slotOvercommit      = 1.6 // reads under way per slot of a leaf, over all announcers
 )
 
 // Headers of objects.
@@ -45,287 +45,287 @@
 	headerLabels = "X-Comethold-Object-Labels"
 )
 
-// Announcer keeps objects for all switches.
-type Announcer struct {
-	*office.Office
-	caller *caller
-	desk   *Desk
-	ration *ration.Ration
-	turns  *turns
-	usual  *usual
-	shelf  *shelf
-	client *wire.Client
+// Server keeps objects for all switches.
+type Server struct {
+	*office.Client
+	peers     *cacheClient
+	fetcher   *Fetcher
+	limiter   *ration.Limiter
+	scheduler *readScheduler
+	latency   *latencyTracker
+	store     *diskStore
+	rpcClient *wire.Client
 }
 
 // New makes an announcer; dir holds its copies on disk, if not empty.
-func New(set *settings.Settings, log *event.Log, n wire.Net) *Announcer {
-	o := office.New(set, log, settings.Announcer, n)
-	room := fallbackRoom
+func New(set *settings.Settings, log *event.Logger, n wire.Network) *Server {
+	o := office.New(set, log, settings.ObjectCache, n)
+	room := defaultCacheBytes
 	if set.Limits.MemoryMb > 0 {
-		room = int(memoryShare * float64(set.Limits.MemoryMb<<20))
+		room = int(cacheMemoryFraction * float64(set.Limits.MemoryMb<<20))
 	}
-	a := &Announcer{Office: o, caller: newCaller(o), ration: ration.New(), usual: newUsual(), client: wire.NewClient(n)}
-	a.turns = newTurns(a.ration, o.Frame.Seize, o.Frame.Release)
+	a := &Server{Client: o, peers: newCacheClient(o), limiter: ration.New(), latency: newLatencyTracker(), rpcClient: wire.NewClient(n)}
+	a.scheduler = newReadScheduler(a.limiter, o.Upstreams.Reserve, o.Upstreams.Release)
 	rec := recorder.New(room)
-	a.desk = NewDesk(rec, o, set.Bounds.StaleSlack(), refreshFrom, a.fill)
-	o.OnRecalls(a.desk.Recalled)
-	o.Frame.SetOver(slotsOver)
+	a.fetcher = NewFetcher(rec, o, set.Bounds.StaleSlack(), refreshFraction, a.fetchObject)
+	o.OnPurges(a.fetcher.ApplyPurges)
+	o.Upstreams.SetSlotOvercommit(slotOvercommit)
 	if set.DataDirectory != "" {
-		s, pos := openShelf(set.DataDirectory, shelfRoom(set.Limits.DiskMb), vault.Files{}, log)
-		a.shelf = s
-		s.start(rec.Put)
-		o.StartAt(pos)
-		a.desk.kept = s.put
-		o.OnRecalls(func(c *feed.Recalls) {
-			a.desk.Recalled(c)
-			s.recalled(c)
+		s, pos := openDiskStore(set.DataDirectory, storeCapacity(set.Limits.DiskMb), vault.LocalDisk{}, log)
+		a.store = s
+		s.load(rec.Put)
+		o.SetInitialPurgeIndex(pos)
+		a.fetcher.onCached = s.put
+		o.OnPurges(func(c *feed.PurgeUpdate) {
+			a.fetcher.ApplyPurges(c)
+			s.applyPurges(c)
 		})
-		log.Info(event.ShelfOpened).Int("copies", rec.Len()).Uint64("pos", pos).Msg("copies found on disk")
+		log.Info(event.DiskCacheOpened).Int("copies", rec.Len()).Uint64("pos", pos).Msg("copies found on disk")
 	}
 	return a
 }
 
-// Renew keeps the node's share of the origins' rates until it ends.
-func (a *Announcer) Renew() error {
-	fair, failures, turn := 0, 0, feed.NewTurn()
+// RunShareRenewal keeps the node's share of the origins' rates until it ends.
+func (a *Server) RunShareRenewal() error {
+	fair, failures, turn := 0, 0, feed.NewRequestNumber()
 	for {
-		next, ok := a.renew(fair, failures, turn.Next())
+		next, ok := a.renewShare(fair, failures, turn.Next())
 		if ok {
 			fair, failures = next, 0
 		} else {
 			failures++
 		}
-		pause := renewEvery
-		if !ok || a.ration.Share(time.Now()) == 0 {
-			pause = renewEvery / 16
+		pause := shareRenewInterval
+		if !ok || a.limiter.Share(time.Now()) == 0 {
+			pause = shareRenewInterval / 16
 		}
 		select {
 		case <-time.After(time.Duration((0.8 + 0.4*rand.Float64()) * float64(pause))):
-		case <-a.Quit():
+		case <-a.Done():
 			return nil
 		}
 	}
 }
 
-// renew claims what was fair at the last renewal; it returns what is fair now.
-func (a *Announcer) renew(fair, skip int, turn feed.Turn) (int, bool) {
+// renewShare claims what was fair at the last renewal; it returns what is fair now.
+func (a *Server) renewShare(fair, skip int, turn feed.RequestNumber) (int, bool) {
 	// What is to be given up is not used any more from before it is said.
-	a.ration.Shrink(fair)
+	a.limiter.Shrink(fair)
 	asked := time.Now()
-	fresh := a.ration.Share(asked) == 0
+	fresh := a.limiter.Share(asked) == 0
 	if fresh {
-		a.ration.Shrink(0)
+		a.limiter.Shrink(0)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), ration.Hold/3)
+	ctx, cancel := context.WithTimeout(context.Background(), ration.LeaseDuration/3)
 	defer cancel()
-	var g feed.Grant
-	addrs := a.Registrars()
-	err := a.client.Call(ctx, addrs[skip%len(addrs)], "/ration", &feed.Claim{Node: a.Set.NodeName, Permille: fair, Fresh: fresh, Turn: turn}, &g)
+	var g feed.ShareGrant
+	addrs := a.ControlPlaneHosts()
+	err := a.rpcClient.Call(ctx, addrs[skip%len(addrs)], "/ration", &feed.ShareRequest{Node: a.Settings.NodeName, Permille: fair, HoldsNone: fresh, Number: turn}, &g)
 	if err != nil || !g.Granted {
 		return fair, false
 	}
-	if g.Permille != a.ration.Share(asked) {
-		a.Log.Info(event.ShareMoved).Int("permille", g.Permille).Int("fair", g.Fair).Msg("the share of the origins' rates moved")
+	if g.Permille != a.limiter.Share(asked) {
+		a.Log.Info(event.RateShareChanged).Int("permille", g.Permille).Int("fair", g.FairPermille).Msg("the share of the origins' rates moved")
 	}
-	a.ration.Renew(g.Permille, asked.Add(ration.Hold))
-	return g.Fair, true
+	a.limiter.Renew(g.Permille, asked.Add(ration.LeaseDuration))
+	return g.FairPermille, true
 }
 
-// Report notes now and then how the reads of origins go.
-func (a *Announcer) Report() error {
-	t := time.NewTicker(reportEvery)
+// RunStatistics notes now and then how the reads of origins go.
+func (a *Server) RunStatistics() error {
+	t := time.NewTicker(statisticsInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-		case <-a.Quit():
+		case <-a.Done():
 			return nil
 		}
-		c := a.usual.report()
-		if c.reads+c.renewed+c.refused > 0 {
-			a.Log.Info(event.ReadsTold).Int("reads", c.reads).Int("renewed", c.renewed).Int("refused", c.refused).
-				Dur("readMs", c.readTime/time.Duration(max(1, c.reads))).Dur("renewMs", c.renewTime/time.Duration(max(1, c.renewed))).
-				Dur("waitMs", c.waited/time.Duration(max(1, c.reads+c.renewed))).Msg("reads of origins")
+		c := a.latency.takeStatistics()
+		if c.reads+c.revalidated+c.rejected > 0 {
+			a.Log.Info(event.OriginReadStatistics).Int("reads", c.reads).Int("renewed", c.revalidated).Int("refused", c.rejected).
+				Dur("readMs", c.readTime/time.Duration(max(1, c.reads))).Dur("renewMs", c.revalidateTime/time.Duration(max(1, c.revalidated))).
+				Dur("waitMs", c.waitTime/time.Duration(max(1, c.reads+c.revalidated))).Msg("reads of origins")
 		}
 	}
 }
 
-// Inner serves other nodes.
-func (a *Announcer) Inner() *echo.Echo {
-	e := a.Office.Inner()
-	e.POST("/object", a.object)
-	e.POST("/errand", a.errand)
+// InternalHandler serves other nodes.
+func (a *Server) InternalHandler() *echo.Echo {
+	e := a.Client.InternalHandler()
+	e.POST("/object", a.handleObject)
+	e.POST("/errand", a.handlePermit)
 	return e
 }
 
-// Leave ends the announcer in order.
-func (a *Announcer) Leave() {
-	a.Office.Close()
-	if a.shelf != nil {
-		a.shelf.close()
+// Shutdown ends the announcer in order.
+func (a *Server) Shutdown() {
+	a.Client.Close()
+	if a.store != nil {
+		a.store.close()
 	}
 }
 
-func (a *Announcer) object(c echo.Context) error {
-	var o order
-	if err := wire.Read(c.Request().Body, &o); err != nil {
+func (a *Server) handleObject(c echo.Context) error {
+	var o objectCall
+	if err := wire.DecodeRequest(c.Request().Body, &o); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	b, err := wire.Marshal(a.serve(&o))
+	b, err := wire.Marshal(a.serveObject(&o))
 	if err != nil {
 		return err
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, wire.Plain(b))
+	return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeUncompressedBody(b))
 }
 
-// current waits until this node knows what the asker knows.
-func (a *Announcer) current(o *order, until time.Time) *numbering.Plan {
+// waitUntilCurrent waits until this node knows what the asker knows.
+func (a *Server) waitUntilCurrent(o *objectCall, until time.Time) *numbering.RouteTable {
 	start, told := time.Now(), false
 	for {
-		p := a.Plan()
-		if p != nil && p.Version >= o.Config && a.Pos() >= o.Pos && a.Ready() && a.Current() {
+		p := a.RouteTable()
+		if p != nil && p.Version >= o.ConfigVersion && a.PurgeIndex() >= o.PurgeIndex && a.Ready() && a.Confirmed() {
 			return p
 		}
 		if !time.Now().Before(until) {
 			return nil
 		}
-		if !told && time.Since(start) > behindAfter && a.Ready() {
+		if !told && time.Since(start) > switchSourceAfter && a.Ready() {
 			told = true
-			a.Behind()
+			a.SwitchSource()
 		}
-		time.Sleep(pollBehind)
+		time.Sleep(catchUpPollInterval)
 	}
 }
 
-func (a *Announcer) serve(o *order) *reply {
+func (a *Server) serveObject(o *objectCall) *objectReply {
 	start := time.Now()
 	deadline := start.Add(time.Duration(o.WaitMs) * time.Millisecond)
-	plan := a.current(o, start.Add(min(behindWait, time.Duration(o.WaitMs)*time.Millisecond/2)))
+	plan := a.waitUntilCurrent(o, start.Add(min(maxCatchUpWait, time.Duration(o.WaitMs)*time.Millisecond/2)))
 	if plan == nil {
-		return &reply{Status: http.StatusServiceUnavailable, Why: "the announcer is behind", RetryMs: 100, Apart: a.OutOfTouch(apartAfter)}
+		return &objectReply{Status: http.StatusServiceUnavailable, Reason: "the announcer is behind", RetryMs: 100, Disconnected: a.Disconnected(disconnectedAfter)}
 	}
 	path, _, _ := strings.Cut(o.Target, "?")
-	line := plan.Find(o.Host, path)
-	if line == nil || line.RouteKind != numbering.Cacheable {
-		return &reply{Status: http.StatusServiceUnavailable, Why: "the route is no more", RetryMs: 100}
+	line := plan.Match(o.Host, path)
+	if line == nil || line.RouteKind != numbering.KindCacheable {
+		return &objectReply{Status: http.StatusServiceUnavailable, Reason: "the route is no more", RetryMs: 100}
 	}
-	w := Want{Host: o.Host, Target: o.Target, TTL: line.TTL(), Deadline: deadline, Final: o.Final, Weight: o.Weight}
-	rec, no := a.desk.Get(w)
+	w := Request{Host: o.Host, Target: o.Target, TTL: line.CacheTTL(), Deadline: deadline, OriginOnly: o.OriginOnly, Waiters: o.Waiters}
+	rec, no := a.fetcher.Get(w)
 	if no != nil {
-		return &reply{Status: no.Status, Why: no.Why, Header: no.Header, Body: no.Body, RetryMs: no.RetryAfter.Milliseconds(), Apart: no.apart}
+		return &objectReply{Status: no.Status, Reason: no.Reason, Header: no.Header, Body: no.Body, RetryMs: no.RetryAfter.Milliseconds(), Disconnected: no.disconnected}
 	}
 	// A purge that came since is known to the asker by this position, or will
 	// be compared with it when it comes.
-	r := &reply{Service: rec.Service, ETag: rec.ETag, Pos: rec.Pos, AgeUs: rec.Age(time.Now()).Microseconds()}
-	if o.Have != "" && o.Have == rec.ETag {
-		r.Same = true
+	r := &objectReply{Service: rec.Service, ETag: rec.ETag, PurgeIndex: rec.PurgeIndex, AgeUs: rec.Age(time.Now()).Microseconds()}
+	if o.ETag != "" && o.ETag == rec.ETag {
+		r.NotModified = true
 		return r
 	}
 	r.Labels, r.Header, r.Body = rec.Labels, rec.Header, rec.Body
 	return r
 }
 
-// fill gets an object from the announcer that is its home, or from the origin.
-func (a *Announcer) fill(w Want, old *recorder.Recording, pos uint64) (*recorder.Recording, *Refusal) {
-	if !w.Final {
-		for i, n := range a.caller.ranked(recorder.Key(w.Host, w.Target), false) {
-			if n.Name == a.Set.NodeName || i == maxAsked {
+// fetchObject gets an object from the announcer that is its home, or from the origin.
+func (a *Server) fetchObject(w Request, old *recorder.Response, pos uint64) (*recorder.Response, *Failure) {
+	if !w.OriginOnly {
+		for i, n := range a.peers.rankedCaches(recorder.Key(w.Host, w.Target), false) {
+			if n.Name == a.Settings.NodeName || i == maxCachesTried {
 				break
 			}
-			rec, no, err := a.caller.ask(n, w, old, pos, true)
+			rec, no, err := a.peers.fetch(n, w, old, pos, true)
 			if err == nil {
 				return rec, no
 			}
-			a.caller.failed(n)
+			a.peers.markFailed(n)
 		}
 	}
-	return a.read(w, old)
+	return a.readOrigin(w, old)
 }
 
-// read reads the origin.
-func (a *Announcer) read(w Want, old *recorder.Recording) (*recorder.Recording, *Refusal) {
-	if a.OutOfTouch(apartAfter) {
-		return nil, &Refusal{Status: http.StatusServiceUnavailable, Why: "the announcer is out of touch", RetryAfter: 300 * time.Millisecond, apart: true}
+// readOrigin reads the origin.
+func (a *Server) readOrigin(w Request, old *recorder.Response) (*recorder.Response, *Failure) {
+	if a.Disconnected(disconnectedAfter) {
+		return nil, &Failure{Status: http.StatusServiceUnavailable, Reason: "the announcer is out of touch", RetryAfter: 300 * time.Millisecond, disconnected: true}
 	}
-	plan := a.Plan()
+	plan := a.RouteTable()
 	path, _, _ := strings.Cut(w.Target, "?")
-	line := plan.Find(w.Host, path)
-	if line == nil || line.RouteKind != numbering.Cacheable {
-		return nil, refusal(http.StatusNotFound, "no route")
+	line := plan.Match(w.Host, path)
+	if line == nil || line.RouteKind != numbering.KindCacheable {
+		return nil, newFailure(http.StatusNotFound, "no route")
 	}
-	service := line.Pick(rand.Float64())
+	service := line.PickService(rand.Float64())
 	rate := 0.0
 	if s := plan.Services[service]; s != nil {
-		rate = s.RatePerS
+		rate = s.RatePerSecond
 	}
 	// The read serves everybody who waits for the object and those to come; it
 	// goes by the route's time, not by that of who asked first.
 	start := time.Now()
 	deadline := start.Add(line.Timeout)
-	last := refusal(http.StatusBadGateway, "the origin's answer was lost")
+	last := newFailure(http.StatusBadGateway, "the origin's answer was lost")
 	ran := false
-	var tried []*trunk.Trunk
-	for try := 0; try < readTries; try++ {
+	var tried []*trunk.Endpoint
+	for try := 0; try < maxReadAttempts; try++ {
 		asked := time.Now()
-		t, back := a.turns.wait(&ticket{service: service, rate: rate, demand: w.demand, tried: tried,
-			until: asked.Add(deadline.Sub(asked) / queueShare)})
+		t, back := a.scheduler.admit(&queuedRead{service: service, rate: rate, waiters: w.demand, tried: tried,
+			deadline: asked.Add(deadline.Sub(asked) / queueTimeDivisor)})
 		waited := time.Since(asked)
-		a.usual.count(func(c *tally) {
-			c.waited += waited
+		a.latency.record(func(c *readStatistics) {
+			c.waitTime += waited
 			if t == nil {
-				c.refused++
+				c.rejected++
 			}
 		})
 		if t == nil {
 			if ran {
 				return nil, last
 			}
-			return nil, &Refusal{Status: http.StatusServiceUnavailable, Why: "the origin takes no more reads now", RetryAfter: back}
+			return nil, &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin takes no more reads now", RetryAfter: back}
 		}
 		// Each read has an id of its own, so that an answer to an earlier one is known.
 		r := &trunk.Request{Method: http.MethodGet, Target: w.Target, Host: w.Host, Header: http.Header{}, ID: newReadID()}
 		if old != nil && old.ETag != "" && old.Service == service {
 			r.Header["If-None-Match"] = []string{old.ETag}
 		}
-		pos, began := a.Pos(), time.Now()
-		r.Deadline = began.Add(min(deadline.Sub(began), max(shortestTry, a.usual.limit(service))))
-		ans, err := a.Frame.Call(t, r)
+		pos, began := a.PurgeIndex(), time.Now()
+		r.Deadline = began.Add(min(deadline.Sub(began), max(minReadTimeout, a.latency.timeout(service))))
+		ans, err := a.Upstreams.Call(t, r)
 		tried = append(tried, t)
 		switch how := trunk.OutcomeOf(ans, err); {
-		case how == trunk.Ran && ans.Status == http.StatusNotModified && old != nil && r.Header["If-None-Match"] != nil:
+		case how == trunk.Executed && ans.Status == http.StatusNotModified && old != nil && r.Header["If-None-Match"] != nil:
 			took := time.Since(began)
-			a.usual.count(func(t *tally) { t.renewed++; t.renewTime += took })
+			a.latency.record(func(t *readStatistics) { t.revalidated++; t.revalidateTime += took })
 			again := *old
-			again.Read, again.Pos = began, pos
+			again.ValidatedAt, again.PurgeIndex = began, pos
 			return &again, nil
-		case how == trunk.Ran && ans.Status == http.StatusOK && ans.Good():
+		case how == trunk.Executed && ans.Status == http.StatusOK && ans.IsSuccess():
 			took := time.Since(began)
-			a.usual.add(service, took)
-			a.usual.count(func(t *tally) { t.reads++; t.readTime += took })
-			return &recorder.Recording{Host: w.Host, Target: w.Target, Service: service, ETag: ans.Header.Get(headerETag),
-				Labels: strings.Fields(ans.Header.Get(headerLabels)), Header: objectHeader(ans.Header), Body: ans.Body, Read: began, Pos: pos}, nil
-		case how == trunk.Refused:
+			a.latency.observe(service, took)
+			a.latency.record(func(t *readStatistics) { t.reads++; t.readTime += took })
+			return &recorder.Response{Host: w.Host, Target: w.Target, Service: service, ETag: ans.Header.Get(headerETag),
+				Labels: strings.Fields(ans.Header.Get(headerLabels)), Header: objectHeader(ans.Header), Body: ans.Body, ValidatedAt: began, PurgeIndex: pos}, nil
+		case how == trunk.Rejected:
 			if ans.Status == http.StatusTooManyRequests {
-				a.Log.Warn(event.RateMet).Str("service", service).Msg("the origin says that its rate is spent")
+				a.Log.Warn(event.OriginRateExceeded).Str("service", service).Msg("the origin says that its rate is spent")
 			}
 			if !ran {
-				last = &Refusal{Status: http.StatusServiceUnavailable, Why: "the origin turns reads away", RetryAfter: 200 * time.Millisecond}
+				last = &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin turns reads away", RetryAfter: 200 * time.Millisecond}
 			}
-		case how == trunk.Ran && ans.Status/100 != 2 && ans.Status/100 != 3:
+		case how == trunk.Executed && ans.Status/100 != 2 && ans.Status/100 != 3:
 			ran = true
-			last = &Refusal{Status: ans.Status, Why: "the origin's own failure", Header: objectHeader(ans.Header), Body: ans.Body}
+			last = &Failure{Status: ans.Status, Reason: "the origin's own failure", Header: objectHeader(ans.Header), Body: ans.Body}
 			if ans.Status/100 == 4 {
 				return nil, last // asking again changes nothing
 			}
-		case how == trunk.Unsent:
+		case how == trunk.NotSent:
 			if !ran {
-				last = &Refusal{Status: http.StatusServiceUnavailable, Why: "the origin cannot be reached", RetryAfter: 200 * time.Millisecond}
+				last = &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin cannot be reached", RetryAfter: 200 * time.Millisecond}
 			}
 		default:
 			ran = true
-			last = refusal(http.StatusBadGateway, "the origin's answer was lost")
+			last = newFailure(http.StatusBadGateway, "the origin's answer was lost")
 		}
-		if time.Until(deadline) < shortestTry {
+		if time.Until(deadline) < minReadTimeout {
 			break
 		}
 	}
@@ -336,7 +336,7 @@
 
 // objectHeader is what a recording keeps of a leaf's header.
 func objectHeader(h http.Header) http.Header {
-	out := trunk.PassedOn(h)
-	delete(out, trunk.HeaderInstance)
+	out := trunk.EndToEndHeaders(h)
+	delete(out, trunk.HeaderInstanceID)
 	return out
 }
--- a/internal/announce/desk.go
+++ b/internal/announce/desk.go
@@ -13,164 +13,164 @@
 	"comethold/internal/recorder"
 )
 
-// Known tells what a node knows of purges.
-type Known interface {
-	Pos() uint64
-	RecalledSince(pos uint64, hit func(feed.Recall) bool) bool
+// PurgeLog tells what a node knows of purges.
+type PurgeLog interface {
+	PurgeIndex() uint64
+	PurgedSince(pos uint64, hit func(feed.Purge) bool) bool
 }
 
-// Want is a request for an object.
-type Want struct {
+// Request is a request for an object.
+type Request struct {
 	Host     string
 	Target   string
 	TTL      time.Duration
 	Deadline time.Time
-	// Final asks for a read of the origin rather than of another announcer.
-	Final bool
-	// Weight is how many requests stand behind this one, itself included.
-	Weight int
+	// OriginOnly asks for a read of the origin rather than of another announcer.
+	OriginOnly bool
+	// Waiters is how many requests stand behind this one, itself included.
+	Waiters int
 
 	demand func() int // of the fetch that this want began
 }
 
-// Refusal says why there is no object. Status, Header and Body are the leaf's
+// Failure says why there is no object. Status, Header and Body are the leaf's
 // own failure, where there is one.
-type Refusal struct {
-	Status     int
-	Header     http.Header
-	Body       []byte
-	Why        string
-	RetryAfter time.Duration // with 503: nothing has run
-	apart      bool          // another announcer may serve
+type Failure struct {
+	Status       int
+	Header       http.Header
+	Body         []byte
+	Reason       string
+	RetryAfter   time.Duration // with 503: nothing has run
+	disconnected bool          // another announcer may serve
 }
 
-func refusal(status int, why string) *Refusal { return &Refusal{Status: status, Why: why} }
+func newFailure(status int, why string) *Failure { return &Failure{Status: status, Reason: why} }
 
-// FillFunc gets an object, given the copy that may be out of date or nil. pos is
+// FetchFunc gets an object, given the copy that may be out of date or nil. pos is
 // the purge position known before.
-type FillFunc func(w Want, old *recorder.Recording, pos uint64) (*recorder.Recording, *Refusal)
-
-type flight struct {
-	pos  uint64
-	wait atomic.Int64 // requests that wait for it
-	done chan struct{}
-	rec  *recorder.Recording
-	no   *Refusal
+type FetchFunc func(w Request, old *recorder.Response, pos uint64) (*recorder.Response, *Failure)
+
+type fetch struct {
+	purgeIndex uint64
+	waiters    atomic.Int64 // requests that wait for it
+	done       chan struct{}
+	object     *recorder.Response
+	failure    *Failure
 }
 
-// Desk hands out objects: from its recorder while they are young enough, else
+// Fetcher hands out objects: from its recorder while they are young enough, else
 // by one fetch for all who want the same object at the time.
-type Desk struct {
-	rec   *recorder.Recorder
-	known Known
-	fill  FillFunc
-	slack time.Duration // past its time, while a fetch is under way
-	early float64       // the share of its time after which a copy is renewed
-	kept  func(*recorder.Recording)
-
-	mu      sync.Mutex
-	flights map[string]*flight
+type Fetcher struct {
+	cache           *recorder.Cache
+	purges          PurgeLog
+	fetch           FetchFunc
+	staleSlack      time.Duration // past its time, while a fetch is under way
+	refreshFraction float64       // the share of its time after which a copy is renewed
+	onCached        func(*recorder.Response)
+
+	mu       sync.Mutex
+	inFlight map[string]*fetch
 }
 
-// NewDesk makes a desk over a recorder.
-func NewDesk(rec *recorder.Recorder, known Known, slack time.Duration, early float64, fill FillFunc) *Desk {
-	return &Desk{rec: rec, known: known, slack: slack, early: early, fill: fill,
-		kept: func(*recorder.Recording) {}, flights: map[string]*flight{}}
+// NewFetcher makes a desk over a recorder.
+func NewFetcher(rec *recorder.Cache, known PurgeLog, slack time.Duration, early float64, fill FetchFunc) *Fetcher {
+	return &Fetcher{cache: rec, purges: known, staleSlack: slack, refreshFraction: early, fetch: fill,
+		onCached: func(*recorder.Response) {}, inFlight: map[string]*fetch{}}
 }
 
-// Recalled drops what purges name, and parts the fetches under way from those
+// ApplyPurges drops what purges name, and parts the fetches under way from those
 // who come later.
-func (d *Desk) Recalled(c *feed.Recalls) {
-	d.rec.Recall(c)
+func (d *Fetcher) ApplyPurges(c *feed.PurgeUpdate) {
+	d.cache.ApplyPurges(c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.flights = map[string]*flight{}
+	d.inFlight = map[string]*fetch{}
 }
 
-const maxRounds = 3
+const maxFetchAttempts = 3
 
 // Get returns an object that is good for a request made now.
-func (d *Desk) Get(w Want) (*recorder.Recording, *Refusal) {
+func (d *Fetcher) Get(w Request) (*recorder.Response, *Failure) {
 	key := recorder.Key(w.Host, w.Target)
 	way := key
-	if w.Final {
+	if w.OriginOnly {
 		// Two announcers that take each other for an object's home must not
 		// wait for one another.
 		way += " final"
 	}
-	for range maxRounds {
+	for range maxFetchAttempts {
 		now := time.Now()
-		pos := d.known.Pos()
-		old := d.rec.Get(key)
+		pos := d.purges.PurgeIndex()
+		old := d.cache.Get(key)
 		if old != nil && w.TTL > 0 {
 			switch age := old.Age(now); {
-			case age < time.Duration(d.early*float64(w.TTL)):
+			case age < time.Duration(d.refreshFraction*float64(w.TTL)):
 				return old, nil
-			case age < w.TTL+d.slack/2:
-				d.start(way, w, old, pos)
+			case age < w.TTL+d.staleSlack/2:
+				d.startOrJoin(way, w, old, pos)
 				return old, nil
 			}
 		}
-		f := d.start(way, w, old, pos)
-		f.wait.Add(int64(max(1, w.Weight)))
+		f := d.startOrJoin(way, w, old, pos)
+		f.waiters.Add(int64(max(1, w.Waiters)))
 		t := time.NewTimer(time.Until(w.Deadline))
 		select {
 		case <-f.done:
 			t.Stop()
 		case <-t.C:
-			return nil, refusal(http.StatusGatewayTimeout, "the object did not come in time")
+			return nil, newFailure(http.StatusGatewayTimeout, "the object did not come in time")
 		}
-		if f.rec == nil {
-			return nil, f.no
+		if f.object == nil {
+			return nil, f.failure
 		}
 		// A purge that was known when this request came, and not yet when the
 		// fetch began, rules its result out.
-		if f.pos >= pos || !d.known.RecalledSince(f.rec.Pos, f.rec.NamedBy) {
-			return f.rec, nil
+		if f.purgeIndex >= pos || !d.purges.PurgedSince(f.object.PurgeIndex, f.object.MatchesPurge) {
+			return f.object, nil
 		}
 	}
-	return nil, &Refusal{Status: http.StatusServiceUnavailable, Why: "the object is being purged", RetryAfter: 100 * time.Millisecond}
+	return nil, &Failure{Status: http.StatusServiceUnavailable, Reason: "the object is being purged", RetryAfter: 100 * time.Millisecond}
 }
 
-// start begins a fetch, or joins the one under way.
-func (d *Desk) start(way string, w Want, old *recorder.Recording, pos uint64) *flight {
+// startOrJoin begins a fetch, or joins the one under way.
+func (d *Fetcher) startOrJoin(way string, w Request, old *recorder.Response, pos uint64) *fetch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.flights[way]; f != nil {
+	if f := d.inFlight[way]; f != nil {
 		return f
 	}
-	f := &flight{pos: pos, done: make(chan struct{})}
-	w.demand = func() int { return int(f.wait.Load()) }
-	d.flights[way] = f
-	go d.fly(f, way, w, old)
+	f := &fetch{purgeIndex: pos, done: make(chan struct{})}
+	w.demand = func() int { return int(f.waiters.Load()) }
+	d.inFlight[way] = f
+	go d.run(f, way, w, old)
 	return f
 }
 
-func (d *Desk) fly(f *flight, way string, w Want, old *recorder.Recording) {
+func (d *Fetcher) run(f *fetch, way string, w Request, old *recorder.Response) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.rec, f.no = nil, refusal(http.StatusBadGateway, "the fetch failed inside")
+			f.object, f.failure = nil, newFailure(http.StatusBadGateway, "the fetch failed inside")
 		}
 		d.mu.Lock()
-		if d.flights[way] == f {
-			delete(d.flights, way)
+		if d.inFlight[way] == f {
+			delete(d.inFlight, way)
 		}
 		d.mu.Unlock()
 		close(f.done)
 	}()
-	f.rec, f.no = d.fill(w, old, f.pos)
-	if f.rec == nil || w.TTL <= 0 || f.rec.Age(time.Now()) >= w.TTL {
+	f.object, f.failure = d.fetch(w, old, f.purgeIndex)
+	if f.object == nil || w.TTL <= 0 || f.object.Age(time.Now()) >= w.TTL {
 		return
 	}
 	// Kept only if no purge since its read names it: looked at before, so that
 	// an old purge never meets it, and after, for one that came meanwhile.
-	if d.known.RecalledSince(f.rec.Pos, f.rec.NamedBy) {
+	if d.purges.PurgedSince(f.object.PurgeIndex, f.object.MatchesPurge) {
 		return
 	}
-	d.rec.Put(f.rec)
-	if d.known.RecalledSince(f.rec.Pos, f.rec.NamedBy) {
-		d.rec.Drop(f.rec)
+	d.cache.Put(f.object)
+	if d.purges.PurgedSince(f.object.PurgeIndex, f.object.MatchesPurge) {
+		d.cache.Remove(f.object)
 		return
 	}
-	d.kept(f.rec)
+	d.onCached(f.object)
 }
--- a/internal/announce/scenario_test.go
+++ b/internal/announce/scenario_test.go
@@ -21,33 +21,33 @@
 	"comethold/internal/settings"
 )
 
-// tier is one announcer in front of a stand-in for an origin, on simulated time.
-type tier struct {
-	a     *Announcer
-	mu    sync.Mutex
-	tags  map[string]string
-	label map[string]string
-	mode  string
-	work  time.Duration
-	reads []time.Time
-	same  int
-	pos   uint64
-	got   map[string]int
-	worst time.Duration
-	conns []net.Conn
-	wg    sync.WaitGroup
+// cacheWorld is one announcer in front of a stand-in for an origin, on simulated time.
+type cacheWorld struct {
+	server     *Server
+	mu         sync.Mutex
+	tags       map[string]string
+	labels     map[string]string
+	mode       string
+	work       time.Duration
+	reads      []time.Time
+	unchanged  int
+	purgeIndex uint64
+	got        map[string]int
+	slowest    time.Duration
+	conns      []net.Conn
+	wg         sync.WaitGroup
 }
 
-func newTier(t *testing.T, dir string) *tier {
-	w := &tier{tags: map[string]string{}, label: map[string]string{}, work: 50 * time.Millisecond, got: map[string]int{}}
+func newCacheWorld(t *testing.T, dir string) *cacheWorld {
+	w := &cacheWorld{tags: map[string]string{}, labels: map[string]string{}, work: 50 * time.Millisecond, got: map[string]int{}}
 	set := &settings.Settings{NodeName: "a1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r", DataDirectory: dir,
 		InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"}, Bounds: settings.Bounds{StaleSlackS: 1}}
 	a := New(set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return w.dial })
-	w.a = a
+	w.server = a
 	return w
 }
 
-func (w *tier) dial(context.Context, string, string) (net.Conn, error) {
+func (w *cacheWorld) dial(context.Context, string, string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	w.mu.Lock()
 	w.conns = append(w.conns, ours)
@@ -56,7 +56,7 @@
 	return ours, nil
 }
 
-func (w *tier) origin(c net.Conn) {
+func (w *cacheWorld) origin(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -66,9 +66,9 @@
 		}
 		w.mu.Lock()
 		w.reads = append(w.reads, time.Now())
-		tag, label, mode, work := w.tags[r.URL.Path], w.label[r.URL.Path], w.mode, w.work
+		tag, label, mode, work := w.tags[r.URL.Path], w.labels[r.URL.Path], w.mode, w.work
 		if tag != "" && r.Header.Get("If-None-Match") == tag {
-			w.same++
+			w.unchanged++
 		}
 		w.mu.Unlock()
 		if mode == "shed" {
@@ -100,13 +100,13 @@
 	}
 }
 
-func (w *tier) get(path string, wait time.Duration) {
+func (w *cacheWorld) get(path string, wait time.Duration) {
 	start := time.Now()
-	r := w.a.serve(&order{Host: "h.example", Target: path, Pos: w.pos, WaitMs: wait.Milliseconds()})
+	r := w.server.serveObject(&objectCall{Host: "h.example", Target: path, PurgeIndex: w.purgeIndex, WaitMs: wait.Milliseconds()})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.worst = max(w.worst, time.Since(start))
-	if r.Apart {
+	w.slowest = max(w.slowest, time.Since(start))
+	if r.Disconnected {
 		w.got["apart"]++
 	} else if r.Status != 0 {
 		w.got[fmt.Sprint(r.Status)]++
@@ -115,7 +115,7 @@
 	}
 }
 
-func (w *tier) Do(c scenario.Command) error {
+func (w *cacheWorld) Do(c scenario.Command) error {
 	switch c.Verb {
 	case "origin": // origin [ttl= rate= work= mode=]
 		w.work = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
@@ -123,30 +123,30 @@
 			"routeKind": "cacheable", "timeoutMs": 3000, "service": "s", "maxAttempts": 2, "cacheTtlS": c.Number("ttl", 10)}},
 			"services": []any{map[string]any{"name": "s", "connectionLimit": 100, "ratePerS": c.Number("rate", 0)}}})
 		cfg, _ := numbering.Decode(raw)
-		w.a.Take(&feed.News{Config: feed.Whole(cfg),
-			List: &feed.List{Stamp: feed.Stamp{Term: 1, Rev: 1}, Leafs: []feed.Leaf{{ID: "l1", Service: "s", Addr: "x", Zone: "a", Slots: 8}, {ID: "l2", Service: "s", Addr: "y", Zone: "a", Slots: 8}}}})
-		w.a.ration.Renew(1000, time.Now().Add(time.Hour))
+		w.server.Apply(&feed.Update{Config: feed.FullConfig(cfg),
+			Endpoints: &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: 1}, Endpoints: []feed.Endpoint{{ID: "l1", Service: "s", Addr: "x", Zone: "a", Slots: 8}, {ID: "l2", Service: "s", Addr: "y", Zone: "a", Slots: 8}}}})
+		w.server.limiter.Renew(1000, time.Now().Add(time.Hour))
 	case "mode":
 		w.mu.Lock()
 		w.mode = c.Word(0)
 		w.mu.Unlock()
 	case "touch": // somebody in touch tells that there is no news
-		w.a.Take(&feed.News{})
+		w.server.Apply(&feed.Update{})
 	case "share": // share PERMILLE MS
-		w.a.ration.Renew(int(c.Millis(0)/time.Millisecond), time.Now().Add(c.Millis(1)))
+		w.server.limiter.Renew(int(c.Milliseconds(0)/time.Millisecond), time.Now().Add(c.Milliseconds(1)))
 	case "object": // object PATH TAG [label=]
 		w.mu.Lock()
-		w.tags[c.Word(0)], w.label[c.Word(0)] = c.Word(1), c.Opts["label"]
+		w.tags[c.Word(0)], w.labels[c.Word(0)] = c.Word(1), c.Options["label"]
 		w.mu.Unlock()
 	case "purge", "purge-label", "forgotten":
-		w.pos++
-		rs := &feed.Recalls{Pos: w.pos, Reset: c.Verb == "forgotten"}
+		w.purgeIndex++
+		rs := &feed.PurgeUpdate{LogIndex: w.purgeIndex, Reset: c.Verb == "forgotten"}
 		if c.Verb == "purge" {
-			rs.All = []feed.Recall{{Pos: w.pos, Host: "h.example", Path: c.Word(0)}}
+			rs.Purges = []feed.Purge{{LogIndex: w.purgeIndex, Host: "h.example", Path: c.Word(0)}}
 		} else if c.Verb == "purge-label" {
-			rs.All = []feed.Recall{{Pos: w.pos, Label: c.Word(0)}}
+			rs.Purges = []feed.Purge{{LogIndex: w.purgeIndex, Label: c.Word(0)}}
 		}
-		w.a.Take(&feed.News{Recalls: rs})
+		w.server.Apply(&feed.Update{Purges: rs})
 	case "get": // get PATH [n= wait=]
 		for range int(c.Number("n", 1)) {
 			w.get(c.Word(0), time.Duration(c.Number("wait", 3000))*time.Millisecond)
@@ -157,15 +157,15 @@
 				w.wg.Go(func() { w.get(p, time.Duration(c.Number("wait", 3000))*time.Millisecond) })
 			}
 		}
-		if c.Opts["later"] == "" {
+		if c.Options["later"] == "" {
 			w.wg.Wait()
 		} else {
 			synctest.Wait()
 		}
 	case "errands": // errands N [wait=]: calls of switches, all at once; those granted count as reads
-		for range int(c.Millis(0) / time.Millisecond) {
+		for range int(c.Milliseconds(0) / time.Millisecond) {
 			w.wg.Go(func() {
-				l := w.a.permit(&errand{Service: "s", WaitMs: int64(c.Number("wait", 3000))})
+				l := w.server.permit(&permitRequest{Service: "s", WaitMs: int64(c.Number("wait", 3000))})
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				if l.Granted {
@@ -176,7 +176,7 @@
 			})
 		}
 	case "spread": // spread N: gets of so many different objects, all at once
-		for i := range int(c.Millis(0) / time.Millisecond) {
+		for i := range int(c.Milliseconds(0) / time.Millisecond) {
 			p := fmt.Sprintf("/many/%d", i)
 			w.mu.Lock()
 			w.tags[p] = "many"
@@ -185,17 +185,17 @@
 		}
 		w.wg.Wait()
 	case "run": // run MS [untold=]: the feed has word each second, unless untold
-		for left := c.Millis(0); left > 0; left -= time.Second {
+		for left := c.Milliseconds(0); left > 0; left -= time.Second {
 			time.Sleep(min(left, time.Second))
-			if c.Opts["untold"] == "" {
-				w.a.Take(&feed.News{})
+			if c.Options["untold"] == "" {
+				w.server.Apply(&feed.Update{})
 			}
 		}
 	case "want": // want BODY-OR-STATUS=N ...; clears the counts
 		w.wg.Wait()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		for k, v := range c.Opts {
+		for k, v := range c.Options {
 			if fmt.Sprint(w.got[k]) != v {
 				return fmt.Errorf("got %v", w.got)
 			}
@@ -204,38 +204,38 @@
 	case "want-reads": // want-reads N [same=]: reads of the origin since the last such line
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if fmt.Sprint(len(w.reads)) != c.Word(0) || c.Opts["same"] != "" && fmt.Sprint(w.same) != c.Opts["same"] {
-			return fmt.Errorf("%d reads, %d of them of the same", len(w.reads), w.same)
+		if fmt.Sprint(len(w.reads)) != c.Word(0) || c.Options["same"] != "" && fmt.Sprint(w.unchanged) != c.Options["same"] {
+			return fmt.Errorf("%d reads, %d of them of the same", len(w.reads), w.unchanged)
 		}
-		w.reads, w.same = nil, 0
+		w.reads, w.unchanged = nil, 0
 	case "want-rate": // want-rate N MS: no more than N reads began within any such span
 		for i := range w.reads {
 			n := 0
 			for _, at := range w.reads[i:] {
-				if at.Sub(w.reads[i]) <= c.Millis(1) {
+				if at.Sub(w.reads[i]) <= c.Milliseconds(1) {
 					n++
 				}
 			}
-			if float64(n) > float64(c.Millis(0)/time.Millisecond) {
+			if float64(n) > float64(c.Milliseconds(0)/time.Millisecond) {
 				return fmt.Errorf("%d reads", n)
 			}
 		}
 	case "want-within":
-		if w.worst > c.Millis(0) {
-			return fmt.Errorf("one took %v", w.worst)
+		if w.slowest > c.Milliseconds(0) {
+			return fmt.Errorf("one took %v", w.slowest)
 		}
-		w.worst = 0
+		w.slowest = 0
 	default:
 		return errors.New("unknown command")
 	}
 	return nil
 }
 
-func TestTier(t *testing.T) {
+func TestObjectCacheScenarios(t *testing.T) {
 	scenario.Play(t, "testdata", func(t *testing.T, run func(*testing.T)) { synctest.Test(t, run) }, func(t *testing.T) scenario.World {
-		w := newTier(t, "")
+		w := newCacheWorld(t, "")
 		t.Cleanup(func() {
-			w.a.Take(&feed.News{List: &feed.List{Stamp: feed.Stamp{Term: 9, Rev: 9}}})
+			w.server.Apply(&feed.Update{Endpoints: &feed.EndpointList{Revision: feed.Revision{Term: 9, Sequence: 9}}})
 			time.Sleep(time.Minute)
 			for _, c := range w.conns {
 				_ = c.Close()
--- a/internal/announce/shelf.go
+++ b/internal/announce/shelf.go
@@ -19,113 +19,113 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// shelf keeps an announcer's copies on disk, written behind. What it holds is
+// diskStore keeps an announcer's copies on disk, written behind. What it holds is
 // only ever a help: a copy found at a start whose age cannot be told is renewed
 // by its tag before it is served, and all of them are dropped unless the purges
 // since the shelf's position can still be told.
-type shelf struct {
+type diskStore struct {
 	dir  string
 	disk vault.Disk
-	log  *event.Log
+	log  *event.Logger
 
 	opened chan *bolt.DB
 
-	mu     sync.Mutex
-	wake   *sync.Cond
-	queue  []shelfJob
-	bytes  int // queued
-	closed bool
-	gone   chan struct{}
+	mu          sync.Mutex
+	wakeWriter  *sync.Cond
+	queue       []storeJob
+	queuedBytes int // queued
+	closed      bool
+	writerDone  chan struct{}
 
-	boot string
+	bootID string
 
 	// Of the writer alone, once it runs.
-	db    *bolt.DB // nil until the disk has opened it
-	drop  bool     // the copies on disk may lack a purge: they go before anything is written
-	index map[string]shelfEntry
-	order []string // oldest first; may name what is gone
-	held  int
-	room  int
+	db          *bolt.DB // nil until the disk has opened it
+	mustClear   bool     // the copies on disk may lack a purge: they go before anything is written
+	index       map[string]storedObject
+	order       []string // oldest first; may name what is gone
+	storedBytes int
+	maxBytes    int
 }
 
-// shelfEntry is what the writer remembers of a copy: enough to know a purge
+// storedObject is what the writer remembers of a copy: enough to know a purge
 // that names it.
-type shelfEntry struct {
-	size int
-	head recorder.Recording // without header and body
+type storedObject struct {
+	size     int
+	metadata recorder.Response // without header and body
 }
 
-type shelfJob struct {
-	rec    *recorder.Recording
-	recall *feed.Recalls
+type storeJob struct {
+	object *recorder.Response
+	purges *feed.PurgeUpdate
 }
 
-// copyRecord is a recording on disk.
-type copyRecord struct {
-	Host    string      `cbor:"1,keyasint"`
-	Target  string      `cbor:"2,keyasint"`
-	Service string      `cbor:"3,keyasint"`
-	ETag    string      `cbor:"4,keyasint"`
-	Labels  []string    `cbor:"5,keyasint,omitempty"`
-	Header  http.Header `cbor:"6,keyasint,omitempty"`
-	Body    []byte      `cbor:"7,keyasint,omitempty"`
-	Pos     uint64      `cbor:"8,keyasint"`
-	Read    moment      `cbor:"9,keyasint"`
+// objectRecord is a recording on disk.
+type objectRecord struct {
+	Host       string      `cbor:"1,keyasint"`
+	Target     string      `cbor:"2,keyasint"`
+	Service    string      `cbor:"3,keyasint"`
+	ETag       string      `cbor:"4,keyasint"`
+	Labels     []string    `cbor:"5,keyasint,omitempty"`
+	Header     http.Header `cbor:"6,keyasint,omitempty"`
+	Body       []byte      `cbor:"7,keyasint,omitempty"`
+	PurgeIndex uint64      `cbor:"8,keyasint"`
+	ReadAt     timestamp   `cbor:"9,keyasint"`
 }
 
 var (
-	copyBucket = []byte("copies")
-	nodeBucket = []byte("node")
-	keyPos     = []byte("pos")
+	objectBucket  = []byte("copies")
+	nodeBucket    = []byte("node")
+	purgeIndexKey = []byte("pos")
 )
 
 const (
-	shelfQueue  = 8 << 20
-	shelfPause  = 300 * time.Millisecond
-	shelfWait   = 2 * time.Second // at a start, for a disk that does not answer
-	shelfRetry  = time.Second
-	shelfClose  = time.Second // at the end, likewise
-	shelfPart   = 0.5         // of the disk: the file keeps room for pages not yet free
-	shelfDefaul = 32 << 20
+	maxQueuedBytes    = 8 << 20
+	writeInterval     = 300 * time.Millisecond
+	openTimeout       = 2 * time.Second // at a start, for a disk that does not answer
+	openRetryInterval = time.Second
+	closeTimeout      = time.Second // at the end, likewise
+	diskFraction      = 0.5         // of the disk: the file keeps room for pages not yet free
+	defaultStoreBytes = 32 << 20
 )
 
-func shelfRoom(diskMb int64) int {
+func storeCapacity(diskMb int64) int {
 	if diskMb <= 0 {
-		return shelfDefaul
+		return defaultStoreBytes
 	}
-	return int(shelfPart * float64(diskMb<<20))
+	return int(diskFraction * float64(diskMb<<20))
 }
 
-// openShelf opens the copies in dir. A file that cannot be read is dropped. A disk in
+// openDiskStore opens the copies in dir. A file that cannot be read is dropped. A disk in
 // trouble keeps no announcer from its start: the shelf is opened later then, and empty.
-func openShelf(dir string, room int, disk vault.Disk, log *event.Log) (*shelf, uint64) {
-	s := &shelf{dir: dir, disk: disk, log: log, room: room, boot: bootID(), index: map[string]shelfEntry{},
-		opened: make(chan *bolt.DB, 1), gone: make(chan struct{})}
-	s.wake = sync.NewCond(&s.mu)
+func openDiskStore(dir string, room int, disk vault.Disk, log *event.Logger) (*diskStore, uint64) {
+	s := &diskStore{dir: dir, disk: disk, log: log, maxBytes: room, bootID: readBootID(), index: map[string]storedObject{},
+		opened: make(chan *bolt.DB, 1), writerDone: make(chan struct{})}
+	s.wakeWriter = sync.NewCond(&s.mu)
 	go s.open()
 	pos := uint64(0)
 	select {
 	case s.db = <-s.opened:
 		_ = s.db.View(func(tx *bolt.Tx) error {
 			if b := tx.Bucket(nodeBucket); b != nil {
-				if v := b.Get(keyPos); len(v) == 8 {
+				if v := b.Get(purgeIndexKey); len(v) == 8 {
 					pos = binary.BigEndian.Uint64(v)
 				}
 			}
 			return nil
 		})
-	case <-time.After(shelfWait):
-		s.drop = true
+	case <-time.After(openTimeout):
+		s.mustClear = true
 	}
 	return s, pos
 }
 
-func (s *shelf) open() {
+func (s *diskStore) open() {
 	path := filepath.Join(s.dir, "copies.db")
-	for ; !s.isClosed(); time.Sleep(shelfRetry) {
+	for ; !s.isClosed(); time.Sleep(openRetryInterval) {
 		db, err := s.disk.Open(path)
-		if errors.Is(err, vault.ErrDamaged) {
-			s.log.Warn(event.ShelfDropped).Err(err).Msg("the copies on disk cannot be read and are dropped")
+		if errors.Is(err, vault.ErrCorrupt) {
+			s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be read and are dropped")
 			if err = s.disk.Remove(path); err == nil {
 				db, err = s.disk.Open(path)
 			}
@@ -134,47 +134,47 @@
 			s.opened <- db
 			return
 		}
-		s.log.Warn(event.ShelfDropped).Err(err).Msg("the copies on disk cannot be opened; trying again")
+		s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be opened; trying again")
 	}
 }
 
-func (s *shelf) isClosed() bool {
+func (s *diskStore) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
-// start calls f with every copy that is whole, then begins to write.
-func (s *shelf) start(f func(*recorder.Recording)) {
-	defer func() { go s.run() }()
+// load calls f with every copy that is whole, then begins to write.
+func (s *diskStore) load(f func(*recorder.Response)) {
+	defer func() { go s.runWriter() }()
 	defer func() { _ = recover() }() // a damaged page: what came before it counts
 	if s.db == nil {
 		return
 	}
-	now, at := present(s.boot), time.Now()
+	now, at := currentTimestamp(s.bootID), time.Now()
 	_ = s.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(copyBucket)
+		b := tx.Bucket(objectBucket)
 		if b == nil {
 			return nil
 		}
 		return b.ForEach(func(k, v []byte) error {
-			rec := decodeCopy(v, now, at)
+			rec := decodeObject(v, now, at)
 			if rec == nil || rec.Key() != string(k) {
-				rec = &recorder.Recording{} // evicted in its turn, never used
+				rec = &recorder.Response{} // evicted in its turn, never used
 			} else {
 				f(rec)
 			}
-			s.note(string(k), len(v), rec)
+			s.track(string(k), len(v), rec)
 			return nil
 		})
 	})
 }
 
-func encodeCopy(rec *recorder.Recording, now moment, at time.Time) []byte {
-	c := copyRecord{Host: rec.Host, Target: rec.Target, Service: rec.Service, ETag: rec.ETag, Labels: rec.Labels,
-		Header: rec.Header, Body: rec.Body, Pos: rec.Pos}
-	if !rec.Read.IsZero() {
-		c.Read = now.before(rec.Age(at))
+func encodeObject(rec *recorder.Response, now timestamp, at time.Time) []byte {
+	c := objectRecord{Host: rec.Host, Target: rec.Target, Service: rec.Service, ETag: rec.ETag, Labels: rec.Labels,
+		Header: rec.Header, Body: rec.Body, PurgeIndex: rec.PurgeIndex}
+	if !rec.ValidatedAt.IsZero() {
+		c.ReadAt = now.minus(rec.Age(at))
 	}
 	b, err := wire.Marshal(c)
 	if err != nil {
@@ -183,49 +183,49 @@
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(b)), b...)
 }
 
-// decodeCopy reads a copy; damage makes it nil.
-func decodeCopy(v []byte, now moment, at time.Time) *recorder.Recording {
+// decodeObject reads a copy; damage makes it nil.
+func decodeObject(v []byte, now timestamp, at time.Time) *recorder.Response {
 	if len(v) < 4 || binary.BigEndian.Uint32(v) != crc32.ChecksumIEEE(v[4:]) {
 		return nil
 	}
-	var c copyRecord
+	var c objectRecord
 	if wire.Unmarshal(v[4:], &c) != nil || c.ETag == "" {
 		return nil
 	}
-	rec := &recorder.Recording{Host: c.Host, Target: c.Target, Service: c.Service, ETag: c.ETag, Labels: c.Labels,
-		Header: c.Header, Body: c.Body, Pos: c.Pos}
-	if age, ok := now.since(c.Read); ok {
-		rec.Read = at.Add(-age)
+	rec := &recorder.Response{Host: c.Host, Target: c.Target, Service: c.Service, ETag: c.ETag, Labels: c.Labels,
+		Header: c.Header, Body: c.Body, PurgeIndex: c.PurgeIndex}
+	if age, ok := now.elapsedSince(c.ReadAt); ok {
+		rec.ValidatedAt = at.Add(-age)
 	}
 	return rec
 }
 
 // put queues a copy; when too much waits it is not written.
-func (s *shelf) put(rec *recorder.Recording) {
+func (s *diskStore) put(rec *recorder.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || rec.ETag == "" || s.bytes+len(rec.Body) > shelfQueue {
+	if s.closed || rec.ETag == "" || s.queuedBytes+len(rec.Body) > maxQueuedBytes {
 		return
 	}
-	s.bytes += len(rec.Body)
-	s.queue = append(s.queue, shelfJob{rec: rec})
-	s.wake.Signal()
+	s.queuedBytes += len(rec.Body)
+	s.queue = append(s.queue, storeJob{object: rec})
+	s.wakeWriter.Signal()
 }
 
-// recalled queues purges; they are never left out.
-func (s *shelf) recalled(c *feed.Recalls) {
+// applyPurges queues purges; they are never left out.
+func (s *diskStore) applyPurges(c *feed.PurgeUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue = append(s.queue, shelfJob{recall: c})
-	s.wake.Signal()
+	s.queue = append(s.queue, storeJob{purges: c})
+	s.wakeWriter.Signal()
 }
 
-func (s *shelf) run() {
-	defer close(s.gone)
+func (s *diskStore) runWriter() {
+	defer close(s.writerDone)
 	for s.db == nil {
 		select {
 		case s.db = <-s.opened:
-		case <-time.After(shelfRetry):
+		case <-time.After(openRetryInterval):
 			if s.isClosed() {
 				return
 			}
@@ -234,80 +234,80 @@
 	for {
 		s.mu.Lock()
 		for len(s.queue) == 0 && !s.closed {
-			s.wake.Wait()
+			s.wakeWriter.Wait()
 		}
 		jobs, closed := s.queue, s.closed
-		s.queue, s.bytes = nil, 0
+		s.queue, s.queuedBytes = nil, 0
 		s.mu.Unlock()
 		if closed {
 			return
 		}
-		err := s.write(jobs)
+		err := s.writeBatch(jobs)
 		if err == nil {
-			s.drop = false
+			s.mustClear = false
 		} else {
 			// The file may lack a purge now: it must not outlive this process.
-			s.log.Warn(event.ShelfDropped).Err(err).Msg("the copies cannot be written; the disk's copies are dropped")
-			s.clear()
-			s.drop = true
+			s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies cannot be written; the disk's copies are dropped")
+			s.untrackAll()
+			s.mustClear = true
 		}
-		time.Sleep(shelfPause)
+		time.Sleep(writeInterval)
 	}
 }
 
-func (s *shelf) note(key string, size int, rec *recorder.Recording) {
+func (s *diskStore) track(key string, size int, rec *recorder.Response) {
 	if old, ok := s.index[key]; ok {
-		s.held -= old.size
+		s.storedBytes -= old.size
 	} else {
 		s.order = append(s.order, key)
 	}
 	head := *rec
 	head.Header, head.Body = nil, nil
-	s.index[key] = shelfEntry{size, head}
-	s.held += size
+	s.index[key] = storedObject{size, head}
+	s.storedBytes += size
 }
 
-func (s *shelf) forget(key string) {
-	s.held -= s.index[key].size
+func (s *diskStore) untrack(key string) {
+	s.storedBytes -= s.index[key].size
 	delete(s.index, key)
 }
 
-func (s *shelf) write(jobs []shelfJob) error {
-	now, at := present(s.boot), time.Now()
+func (s *diskStore) writeBatch(jobs []storeJob) error {
+	now, at := currentTimestamp(s.bootID), time.Now()
 	return s.disk.Update(s.db, func(tx *bolt.Tx) error {
-		if s.drop && tx.Bucket(copyBucket) != nil {
-			if err := tx.DeleteBucket(copyBucket); err != nil {
+		if s.mustClear && tx.Bucket(objectBucket) != nil {
+			if err := tx.DeleteBucket(objectBucket); err != nil {
 				return err
 			}
 		}
-		b, err := tx.CreateBucketIfNotExists(copyBucket)
+		b, err := tx.CreateBucketIfNotExists(objectBucket)
 		if err != nil {
 			return err
 		}
 		for _, j := range jobs {
-			if j.recall != nil {
-				if err := s.recallIn(tx, j.recall); err != nil {
+			if j.purges != nil {
+				if err := s.purgeInTx(tx, j.purges); err != nil {
 					return err
 				}
-				if b = tx.Bucket(copyBucket); b == nil {
+				if b = tx.Bucket(objectBucket); b == nil {
 					return os.ErrInvalid
 				}
 				continue
 			}
-			v := encodeCopy(j.rec, now, at)
+			v := encodeObject(j.object, now, at)
 			if v == nil {
 				continue
 			}
-			if err := b.Put([]byte(j.rec.Key()), v); err != nil {
+			if err := b.Put([]byte(j.object.Key()), v); err != nil {
 				return err
 			}
-			s.note(j.rec.Key(), len(v), j.rec)
+			s.track(j.object.Key(), len(v), j.object)
 		}
-		for s.held > s.room && len(s.order) > 0 {
+		for s.storedBytes > s.maxBytes && len(s.order) > 0 {
 			key := s.order[0]
 			s.order = s.order[1:]
 			if _, ok := s.index[key]; ok {
-				s.forget(key)
+				s.untrack(key)
 				if err := b.Delete([]byte(key)); err != nil {
 					return err
 				}
@@ -317,22 +317,22 @@
 	})
 }
 
-// recallIn drops what purges name and moves the shelf's position.
-func (s *shelf) recallIn(tx *bolt.Tx, c *feed.Recalls) error {
-	b := tx.Bucket(copyBucket)
+// purgeInTx drops what purges name and moves the shelf's position.
+func (s *diskStore) purgeInTx(tx *bolt.Tx, c *feed.PurgeUpdate) error {
+	b := tx.Bucket(objectBucket)
 	if c.Reset {
-		if err := tx.DeleteBucket(copyBucket); err != nil {
+		if err := tx.DeleteBucket(objectBucket); err != nil {
 			return err
 		}
-		if _, err := tx.CreateBucket(copyBucket); err != nil {
+		if _, err := tx.CreateBucket(objectBucket); err != nil {
 			return err
 		}
-		s.clear()
+		s.untrackAll()
 	} else {
 		for k, e := range s.index {
-			for _, one := range c.All {
-				if one.Pos > e.head.Pos && e.head.NamedBy(one) {
-					s.forget(k)
+			for _, one := range c.Purges {
+				if one.LogIndex > e.metadata.PurgeIndex && e.metadata.MatchesPurge(one) {
+					s.untrack(k)
 					if err := b.Delete([]byte(k)); err != nil {
 						return err
 					}
@@ -345,23 +345,23 @@
 	if err != nil {
 		return err
 	}
-	return n.Put(keyPos, binary.BigEndian.AppendUint64(nil, c.Pos))
+	return n.Put(purgeIndexKey, binary.BigEndian.AppendUint64(nil, c.LogIndex))
 }
 
-// clear forgets every copy.
-func (s *shelf) clear() { s.index, s.order, s.held = map[string]shelfEntry{}, nil, 0 }
+// untrackAll forgets every copy.
+func (s *diskStore) untrackAll() { s.index, s.order, s.storedBytes = map[string]storedObject{}, nil, 0 }
 
 // close ends the shelf. A disk that hangs is not waited for.
-func (s *shelf) close() {
+func (s *diskStore) close() {
 	s.mu.Lock()
 	s.closed = true
-	s.wake.Broadcast()
+	s.wakeWriter.Broadcast()
 	s.mu.Unlock()
 	select {
-	case <-s.gone:
+	case <-s.writerDone:
 		if s.db != nil {
 			_ = s.db.Close()
 		}
-	case <-time.After(shelfClose):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/announce/turns.go
+++ b/internal/announce/turns.go
@@ -8,67 +8,67 @@
 	"comethold/internal/trunk"
 )
 
-// turns lets the reads of origins begin one by one: when the node's ration and
+// readScheduler lets the reads of origins begin one by one: when the node's ration and
 // a leaf have room, the read that most requests wait for goes first. A read
 // that can't have its turn in time is refused at once, with when to come back.
-type turns struct {
-	ration *ration.Ration
-	seize  func(service string, tried []*trunk.Trunk, once bool) *trunk.Trunk
-	undo   func(*trunk.Trunk)
+type readScheduler struct {
+	limiter         *ration.Limiter
+	reserveUpstream func(service string, tried []*trunk.Endpoint, once bool) *trunk.Endpoint
+	releaseUpstream func(*trunk.Endpoint)
 
-	mu      sync.Mutex
-	waiting map[string][]*ticket
+	mu     sync.Mutex
+	queues map[string][]*queuedRead
 }
 
-type ticket struct {
-	service string
-	rate    float64
-	demand  func() int // requests that wait for the read
-	tried   []*trunk.Trunk
-	since   time.Time
-	until   time.Time
-	turn    chan turn
-	errand  bool // the call is a switch's, which finds the leaf itself
+type queuedRead struct {
+	service    string
+	rate       float64
+	waiters    func() int // requests that wait for the read
+	tried      []*trunk.Endpoint
+	enqueuedAt time.Time
+	deadline   time.Time
+	result     chan admission
+	permitOnly bool // the call is a switch's, which finds the leaf itself
 }
 
-type turn struct {
-	t    *trunk.Trunk
-	back time.Duration // with no trunk: when to come back
+type admission struct {
+	upstream   *trunk.Endpoint
+	retryAfter time.Duration // with no trunk: when to come back
 }
 
 const (
-	turnsEvery = 4 * time.Millisecond
-	queueLeast = 16
-	backLeast  = 100 * time.Millisecond
-	backMost   = 1500 * time.Millisecond
+	queuePollInterval = 4 * time.Millisecond
+	minQueueLength    = 16
+	minRetryDelay     = 100 * time.Millisecond
+	maxRetryDelay     = 1500 * time.Millisecond
 )
 
-func newTurns(r *ration.Ration, seize func(string, []*trunk.Trunk, bool) *trunk.Trunk, undo func(*trunk.Trunk)) *turns {
-	return &turns{ration: r, seize: seize, undo: undo, waiting: map[string][]*ticket{}}
+func newReadScheduler(r *ration.Limiter, seize func(string, []*trunk.Endpoint, bool) *trunk.Endpoint, undo func(*trunk.Endpoint)) *readScheduler {
+	return &readScheduler{limiter: r, reserveUpstream: seize, releaseUpstream: undo, queues: map[string][]*queuedRead{}}
 }
 
-// wait returns a reserved leaf when the ticket's turn comes.
-func (q *turns) wait(k *ticket) (*trunk.Trunk, time.Duration) {
-	k.since, k.turn = time.Now(), make(chan turn, 1)
+// admit returns a reserved leaf when the ticket's turn comes.
+func (q *readScheduler) admit(k *queuedRead) (*trunk.Endpoint, time.Duration) {
+	k.enqueuedAt, k.result = time.Now(), make(chan admission, 1)
 	q.mu.Lock()
-	q.waiting[k.service] = append(q.waiting[k.service], k)
-	q.serve(k.service, k.since)
-	if len(q.waiting[k.service]) == 1 {
-		go q.run(k.service)
+	q.queues[k.service] = append(q.queues[k.service], k)
+	q.dispatchLocked(k.service, k.enqueuedAt)
+	if len(q.queues[k.service]) == 1 {
+		go q.pollQueue(k.service)
 	}
 	q.mu.Unlock()
-	r := <-k.turn
-	return r.t, r.back
+	r := <-k.result
+	return r.upstream, r.retryAfter
 }
 
-// run serves a service's queue until it is empty.
-func (q *turns) run(service string) {
+// pollQueue serves a service's queue until it is empty.
+func (q *readScheduler) pollQueue(service string) {
 	for {
-		time.Sleep(turnsEvery)
+		time.Sleep(queuePollInterval)
 		q.mu.Lock()
-		q.serve(service, time.Now())
-		if len(q.waiting[service]) == 0 {
-			delete(q.waiting, service)
+		q.dispatchLocked(service, time.Now())
+		if len(q.queues[service]) == 0 {
+			delete(q.queues, service)
 			q.mu.Unlock()
 			return
 		}
@@ -76,34 +76,34 @@
 	}
 }
 
-// before says which of two tickets goes first: more demand, then the younger,
+// goesBefore says which of two tickets goes first: more demand, then the younger,
 // whose clients still have the most time.
-func before(a, b *ticket) bool {
-	if x, y := a.demand(), b.demand(); x != y {
+func goesBefore(a, b *queuedRead) bool {
+	if x, y := a.waiters(), b.waiters(); x != y {
 		return x > y
 	}
-	return a.since.After(b.since)
+	return a.enqueuedAt.After(b.enqueuedAt)
 }
 
 // reserve takes a leaf for a ticket; an errand needs none.
-func (q *turns) reserve(k *ticket) *trunk.Trunk {
-	if k.errand {
-		return &trunk.Trunk{}
+func (q *readScheduler) reserve(k *queuedRead) *trunk.Endpoint {
+	if k.permitOnly {
+		return &trunk.Endpoint{}
 	}
-	t := q.seize(k.service, k.tried, false)
+	t := q.reserveUpstream(k.service, k.tried, false)
 	if t == nil && len(k.tried) > 0 {
-		t = q.seize(k.service, nil, false)
+		t = q.reserveUpstream(k.service, nil, false)
 	}
 	return t
 }
 
-// serve gives out all turns that there are now, and refuses what has no hope.
-func (q *turns) serve(service string, now time.Time) {
-	list := q.waiting[service]
+// dispatchLocked gives out all turns that there are now, and refuses what has no hope.
+func (q *readScheduler) dispatchLocked(service string, now time.Time) {
+	list := q.queues[service]
 	for len(list) > 0 {
 		best := 0
 		for i := range list {
-			if before(list[i], list[best]) {
+			if goesBefore(list[i], list[best]) {
 				best = i
 			}
 		}
@@ -112,19 +112,19 @@
 		if t == nil {
 			break
 		}
-		if ok, _ := q.ration.Take(service, k.rate, now); !ok {
-			if !k.errand {
-				q.undo(t)
+		if ok, _ := q.limiter.Take(service, k.rate, now); !ok {
+			if !k.permitOnly {
+				q.releaseUpstream(t)
 			}
 			break
 		}
 		list = append(list[:best:best], list[best+1:]...)
-		k.turn <- turn{t: t}
+		k.result <- admission{upstream: t}
 	}
 	kept := list[:0:0]
 	for _, k := range list {
-		if now.After(k.until) {
-			k.turn <- turn{back: q.back(k, len(list), now)}
+		if now.After(k.deadline) {
+			k.result <- admission{retryAfter: q.retryDelay(k, len(list), now)}
 		} else {
 			kept = append(kept, k)
 		}
@@ -134,29 +134,29 @@
 	// are told now rather than then.
 	for len(list) > 0 {
 		k := list[len(list)-1]
-		room := queueLeast
+		room := minQueueLength
 		if k.rate > 0 {
-			room = max(room, int(q.ration.PerSecond(k.rate, now)*k.until.Sub(k.since).Seconds()))
+			room = max(room, int(q.limiter.RatePerSecond(k.rate, now)*k.deadline.Sub(k.enqueuedAt).Seconds()))
 		}
 		if len(list) <= room {
 			break
 		}
 		last := 0
 		for i := range list {
-			if before(list[last], list[i]) {
+			if goesBefore(list[last], list[i]) {
 				last = i
 			}
 		}
-		list[last].turn <- turn{back: q.back(list[last], len(list), now)}
+		list[last].result <- admission{retryAfter: q.retryDelay(list[last], len(list), now)}
 		list = append(list[:last:last], list[last+1:]...)
 	}
-	q.waiting[service] = list
+	q.queues[service] = list
 }
 
-func (q *turns) back(k *ticket, queued int, now time.Time) time.Duration {
-	per := q.ration.PerSecond(k.rate, now)
+func (q *readScheduler) retryDelay(k *queuedRead, queued int, now time.Time) time.Duration {
+	per := q.limiter.RatePerSecond(k.rate, now)
 	if k.rate <= 0 || per <= 0 {
-		return 3 * backLeast
+		return 3 * minRetryDelay
 	}
-	return min(backMost, max(backLeast, time.Duration(float64(queued)/per*float64(time.Second))))
+	return min(maxRetryDelay, max(minRetryDelay, time.Duration(float64(queued)/per*float64(time.Second))))
 }
--- a/internal/announce/usual.go
+++ b/internal/announce/usual.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// usual learns how long the reads of a service take, and from that how long one
+// latencyTracker learns how long the reads of a service take, and from that how long one
 // is worth waiting for before another leaf is asked.
-type usual struct {
-	mu    sync.Mutex
-	by    map[string]float64 // seconds, smoothed
-	tally tally
+type latencyTracker struct {
+	mu         sync.Mutex
+	averages   map[string]float64 // seconds, smoothed
+	statistics readStatistics
 }
 
-// tally counts the reads since the last report.
-type tally struct {
-	reads, renewed, refused     int
-	readTime, renewTime, waited time.Duration
+// readStatistics counts the reads since the last report.
+type readStatistics struct {
+	reads, revalidated, rejected       int
+	readTime, revalidateTime, waitTime time.Duration
 }
 
-func (u *usual) count(f func(*tally)) {
+func (u *latencyTracker) record(f func(*readStatistics)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	f(&u.tally)
+	f(&u.statistics)
 }
 
-// report returns the tally and starts another.
-func (u *usual) report() tally {
+// takeStatistics returns the tally and starts another.
+func (u *latencyTracker) takeStatistics() readStatistics {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	t := u.tally
-	u.tally = tally{}
+	t := u.statistics
+	u.statistics = readStatistics{}
 	return t
 }
 
 const (
-	usualWeight = 0.05
-	usualTimes  = 6
-	usualFirst  = 2 * time.Second
+	latencySmoothing = 0.05
+	timeoutFactor    = 6
+	initialTimeout   = 2 * time.Second
 )
 
-func newUsual() *usual { return &usual{by: map[string]float64{}} }
+func newLatencyTracker() *latencyTracker { return &latencyTracker{averages: map[string]float64{}} }
 
-func (u *usual) add(service string, took time.Duration) {
+func (u *latencyTracker) observe(service string, took time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if old, ok := u.by[service]; ok {
-		u.by[service] = old + usualWeight*(took.Seconds()-old)
+	if old, ok := u.averages[service]; ok {
+		u.averages[service] = old + latencySmoothing*(took.Seconds()-old)
 	} else {
-		u.by[service] = took.Seconds()
+		u.averages[service] = took.Seconds()
 	}
 }
 
-func (u *usual) limit(service string) time.Duration {
+func (u *latencyTracker) timeout(service string) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s, ok := u.by[service]
+	s, ok := u.averages[service]
 	if !ok {
-		return usualFirst
+		return initialTimeout
 	}
-	return time.Duration(usualTimes * s * float64(time.Second))
+	return time.Duration(timeoutFactor * s * float64(time.Second))
 }
--- a/internal/cell/chaos_test.go
+++ b/internal/cell/chaos_test.go
@@ -30,7 +30,7 @@
 }
 
 // machineOf returns the machine that a member name stands for.
-func machineOf(id MemberID) string { return string(id)[:1] }
+func machineOf(id ReplicaID) string { return string(id)[:1] }
 
 // order sends a change on top of the newest value known to one proposer.
 func (c *chaos) order(n *simNode) {
@@ -43,7 +43,7 @@
 	}
 	c.made[id] = val
 	c.asked[id] = [2]string{"was/" + val, val}
-	c.orders[id] = &porcupine.Operation{Input: change{c.base[id], val}, Output: unclear, Call: int64(c.now), Return: int64(never)}
+	c.orders[id] = &porcupine.Operation{Input: change{c.base[id], val}, Output: unclear, Call: int64(c.now), Return: int64(unboundedStaleness)}
 	c.propose(n, id, Txn{Conditions: []Condition{cond}, Ops: []Op{
 		{Kind: OpPut, Key: "config", Value: Bytes([]byte(val))}, {Kind: OpPut, Key: "was/" + val, Value: Bytes([]byte(val))}}})
 	if st := c.status[id]; st == "busy" || st == "refused" {
@@ -91,7 +91,7 @@
 
 func (c *chaos) record() {
 	c.outcome = func(_ *simNode, o Outcome) {
-		if op := c.orders[o.ID]; op != nil && !o.Lost && op.Output == unclear {
+		if op := c.orders[o.TxnID]; op != nil && !o.Unknown && op.Output == unclear {
 			op.Return, op.Output = int64(c.now), map[bool]int{true: committed, false: ignored}[o.Committed]
 		}
 	}
@@ -137,7 +137,7 @@
 func (c *chaos) traffic(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		for _, name := range c.names() {
-			if n := c.nodes[name]; n.up && !n.frozen && n.m.Role() == Leading {
+			if n := c.nodes[name]; n.up && !n.frozen && n.m.Role() == Leader {
 				c.order(n)
 				c.order(n)
 				c.ask(n)
@@ -155,13 +155,13 @@
 	if l == nil {
 		return
 	}
-	seats, settled := l.m.Seats()
+	seats, settled := l.m.Voters()
 	if !settled {
 		c.propose(l, "noop", Txn{})
 		return
 	}
-	var next []Seat
-	newcomer := MemberID("")
+	var next []Voter
+	newcomer := ReplicaID("")
 	for _, x := range seats {
 		if n := c.nodes[machineOf(x.ID)]; n.id != x.ID && newcomer == "" {
 			newcomer = n.id
@@ -171,29 +171,29 @@
 	}
 	for _, name := range c.names() {
 		n := c.nodes[name]
-		if newcomer == "" && len(next) < 5 && n.up && !(Membership{Seats: next}).Has(n.id) {
+		if newcomer == "" && len(next) < 5 && n.up && !(Membership{Voters: next}).Contains(n.id) {
 			newcomer = n.id
 		}
 	}
-	if newcomer == "" || l.m.Learnt(newcomer)+l.m.p.Alpha < l.m.Applied() || l.m.Learnt(newcomer) == 0 && l.m.Applied() > 0 {
+	if newcomer == "" || l.m.DurableCommitIndex(newcomer)+l.m.config.Alpha < l.m.AppliedIndex() || l.m.DurableCommitIndex(newcomer) == 0 && l.m.AppliedIndex() > 0 {
 		return
 	}
-	n, _ := l.m.Get(SeatsKey)
-	cond := Condition{Key: SeatsKey, Equals: n, Absent: n.Int == nil}
-	next = append(next, Seat{ID: newcomer, Addr: machineOf(newcomer), Zone: machineOf(newcomer)})
+	n, _ := l.m.Get(MembershipVersionKey)
+	cond := Condition{Key: MembershipVersionKey, Equals: n, Absent: n.Int == nil}
+	next = append(next, Voter{ID: newcomer, Addr: machineOf(newcomer), Zone: machineOf(newcomer)})
 	c.wanted++
-	c.propose(l, fmt.Sprintf("move%d", c.wanted), Txn{Conditions: []Condition{cond}, Ops: []Op{{Kind: OpSeats, Seats: next}}})
+	c.propose(l, fmt.Sprintf("move%d", c.wanted), Txn{Conditions: []Condition{cond}, Ops: []Op{{Kind: OpSetVoters, Voters: next}}})
 }
 
 // whole waits until five seats are held by members that live and have caught up.
 func (c *chaos) whole() {
 	for range 400 {
 		if l := c.leader(); l != nil {
-			seats, settled := l.m.Seats()
+			seats, settled := l.m.Voters()
 			ok := settled && len(seats) == 5
 			for _, x := range seats {
 				n := c.nodes[machineOf(x.ID)]
-				ok = ok && n.id == x.ID && n.up && n.m.Applied()+2 >= l.m.Applied() && len(n.waiting) == 0
+				ok = ok && n.id == x.ID && n.up && n.m.AppliedIndex()+2 >= l.m.AppliedIndex() && len(n.waiting) == 0
 			}
 			if ok {
 				return
@@ -214,7 +214,7 @@
 			id := fmt.Sprintf("o%d", c.wanted)
 			for range 200 {
 				if c.status[id] == "committed" {
-					return l.m.Applied()
+					return l.m.AppliedIndex()
 				}
 				c.run(time.Millisecond)
 			}
@@ -228,7 +228,7 @@
 // holds is 1 if a machine's disk has the position.
 func (c *chaos) holds(name string, slot uint64) int {
 	d := &c.nodes[name].disk
-	if _, ok := d.log[slot]; ok || d.saved.Snap != nil && d.saved.Snap.Applied >= slot {
+	if _, ok := d.log[slot]; ok || d.saved.Snapshot != nil && d.saved.Snapshot.AppliedIndex >= slot {
 		return 1
 	}
 	return 0
@@ -239,7 +239,7 @@
 	n := c.nodes[name]
 	n.up, n.waiting, n.held = false, nil, nil
 	former := n.id
-	n.disk, n.id = disk{}, MemberID(name+"~"+strconv.Itoa(c.lives))
+	n.disk, n.id = disk{}, ReplicaID(name+"~"+strconv.Itoa(c.lives))
 	c.greet(n, former)
 }
 
--- a/internal/cell/patch.go
+++ b/internal/cell/patch.go
@@ -11,9 +11,9 @@
 // changed. The patch is a run of steps, each a count: even, copy so many bytes
 // from an offset of the old array; odd, take so many bytes as they stand.
 
-var errPatch = errors.New("cell: the patch does not fit")
+var errPatchMismatch = errors.New("cell: the patch does not fit")
 
-func pieces(b []byte) [][]byte {
+func splitPieces(b []byte) [][]byte {
 	var out [][]byte
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '}') + 1
@@ -30,7 +30,7 @@
 func MakePatch(old, new []byte) []byte {
 	where := map[string]int{}
 	at := 0
-	for _, p := range pieces(old) {
+	for _, p := range splitPieces(old) {
 		if _, ok := where[string(p)]; !ok {
 			where[string(p)] = at
 		}
@@ -52,7 +52,7 @@
 			lit = nil
 		}
 	}
-	for _, p := range pieces(new) {
+	for _, p := range splitPieces(new) {
 		if n > 0 && from+n+len(p) <= len(old) && bytes.Equal(old[from+n:from+n+len(p)], p) {
 			n += len(p)
 			continue
@@ -76,13 +76,13 @@
 	for len(patch) > 0 {
 		h, k := binary.Uvarint(patch)
 		if k <= 0 {
-			return nil, errPatch
+			return nil, errPatchMismatch
 		}
 		patch = patch[k:]
 		n := h >> 1
 		if h&1 == 1 {
 			if n > uint64(len(patch)) {
-				return nil, errPatch
+				return nil, errPatchMismatch
 			}
 			out = append(out, patch[:n]...)
 			patch = patch[n:]
@@ -90,7 +90,7 @@
 		}
 		from, k := binary.Uvarint(patch)
 		if k <= 0 || from > uint64(len(old)) || n > uint64(len(old))-from {
-			return nil, errPatch
+			return nil, errPatchMismatch
 		}
 		patch = patch[k:]
 		out = append(out, old[from:from+n]...)
--- a/internal/cell/proposer.go
+++ b/internal/cell/proposer.go
@@ -8,110 +8,110 @@
 
 // What a member does that bids or leads; each change of role is one function.
 
-// reserve has the next ballot written down before anybody hears of it: a later life of
+// persistTerm has the next ballot written down before anybody hears of it: a later life of
 // this member, which finds on its disk only what was synced, must not bid under it again.
-func (m *Member) reserve(now time.Duration) {
-	m.role, m.since = Reserving, now
+func (m *Replica) persistTerm(now time.Duration) {
+	m.role, m.roleSince = PersistingTerm, now
 	m.leader = ""
-	m.maxRound++
-	m.ballot = Ballot{Round: m.maxRound, By: m.p.Self}
-	m.out.Writes.Round = m.maxRound
-	m.sendSynced(Message{Kind: Reserved, To: m.p.Self, Ballot: m.ballot})
+	m.maxTerm++
+	m.proposalNumber = ProposalNumber{Term: m.maxTerm, Proposer: m.config.Self}
+	m.ready.Writes.Term = m.maxTerm
+	m.sendAfterSync(Message{Kind: TermPersisted, To: m.config.Self, ProposalNumber: m.proposalNumber})
 }
 
-func (m *Member) bid(now time.Duration) {
-	m.role, m.since = Bidding, now
-	m.promises, m.adopt, m.flights = map[MemberID]bool{}, map[uint64]Entry{}, map[uint64]*flight{}
-	m.deadline = now + m.p.Patience + time.Duration(m.p.Jitter()*float64(m.p.Patience))
-	for slot := m.applied + 1; slot <= m.applied+m.p.Alpha; slot++ {
-		m.sendPrepare(slot)
-	}
-	m.tryLead(now)
+func (m *Replica) campaign(now time.Duration) {
+	m.role, m.roleSince = Candidate, now
+	m.promises, m.adopted, m.inFlight = map[ReplicaID]bool{}, map[uint64]Entry{}, map[uint64]*inFlightProposal{}
+	m.electionDeadline = now + m.config.ElectionTimeout + time.Duration(m.config.Jitter()*float64(m.config.ElectionTimeout))
+	for slot := m.appliedIndex + 1; slot <= m.appliedIndex+m.config.Alpha; slot++ {
+		m.sendPrepares(slot)
+	}
+	m.tryBecomeLeader(now)
 }
 
-// tryLead goes on to lead when a majority of every membership that the open
+// tryBecomeLeader goes on to lead when a majority of every membership that the open
 // positions may need has promised. Our own promise comes last: while others
 // still hear their proposer we stay free to follow it.
-func (m *Member) tryLead(now time.Duration) {
+func (m *Replica) tryBecomeLeader(now time.Duration) {
 	for _, own := range []bool{true, false} {
-		for s := m.applied + 1; s <= m.applied+m.p.Alpha; s++ {
-			if !majority(m.st.at(s), func(id MemberID) bool { return m.promises[id] || (own && id == m.p.Self) }) {
-				m.sendPrepare(s)
+		for s := m.appliedIndex + 1; s <= m.appliedIndex+m.config.Alpha; s++ {
+			if !isQuorum(m.state.membershipAt(s), func(id ReplicaID) bool { return m.promises[id] || (own && id == m.config.Self) }) {
+				m.sendPrepares(s)
 				return
 			}
 		}
-		if _, done := m.promises[m.p.Self]; !done && own {
-			m.promises[m.p.Self] = false
-			m.send(Message{Kind: Prepare, To: m.p.Self, Ballot: m.ballot, Slot: m.applied})
+		if _, done := m.promises[m.config.Self]; !done && own {
+			m.promises[m.config.Self] = false
+			m.send(Message{Kind: Prepare, To: m.config.Self, ProposalNumber: m.proposalNumber, Index: m.appliedIndex})
 		}
 	}
-	m.lead(now)
+	m.becomeLeader(now)
 }
 
-func (m *Member) lead(now time.Duration) {
+func (m *Replica) becomeLeader(now time.Duration) {
 	for id, promised := range m.promises {
 		if promised {
-			m.proven[id] = m.since // they answered what was asked then
+			m.contactProvenAt[id] = m.roleSince // they answered what was asked then
 		}
 	}
-	m.role, m.since = Leading, now
-	m.leader = m.p.Self
-	m.next = m.applied + 1
-	m.firstBeat = m.seq + 1
-	for _, s := range m.st.at(m.next).Seats {
-		m.ackedAt[s.ID] = now // the promises just came in
+	m.role, m.roleSince = Leader, now
+	m.leader = m.config.Self
+	m.nextIndex = m.appliedIndex + 1
+	m.firstHeartbeat = m.heartbeatSequence + 1
+	for _, s := range m.state.membershipAt(m.nextIndex).Voters {
+		m.ackReceivedAt[s.ID] = now // the promises just came in
 	}
-	m.pump(now)
-	m.beat(now)
+	m.fillPipeline(now)
+	m.broadcastHeartbeat(now)
 }
 
 // Propose queues a transaction; its Outcome comes with a later Output.
-func (m *Member) Propose(now time.Duration, t Txn) error {
-	if m.role != Leading {
-		return ErrNotProposer
+func (m *Replica) Propose(now time.Duration, t Txn) error {
+	if m.role != Leader {
+		return ErrNotLeader
 	}
-	if len(m.queue) >= m.p.MaxQueue {
-		return ErrBusy
+	if len(m.queue) >= m.config.MaxQueue {
+		return ErrPipelineFull
 	}
 	m.queue = append(m.queue, t)
-	m.waiting[t.ID] = true
-	m.pump(now)
+	m.awaitingOutcome[t.ID] = true
+	m.fillPipeline(now)
 	return nil
 }
 
 // Read asks for a moment at which the applied state is known to be current:
 // the ticket comes back in Output.Reads once a majority confirms the proposer.
-func (m *Member) Read(now time.Duration, ticket uint64) error {
-	if m.role != Leading || m.next == 0 {
-		return ErrNotProposer
+func (m *Replica) Read(now time.Duration, ticket uint64) error {
+	if m.role != Leader || m.nextIndex == 0 {
+		return ErrNotLeader
 	}
-	if !m.caughtUp() {
-		return ErrBusy
+	if !m.isCaughtUp() {
+		return ErrPipelineFull
 	}
-	m.beat(now)
-	m.reads[m.seq] = append(m.reads[m.seq], ticket)
+	m.broadcastHeartbeat(now)
+	m.pendingReads[m.heartbeatSequence] = append(m.pendingReads[m.heartbeatSequence], ticket)
 	return nil
 }
 
-// caughtUp reports whether a proposer has applied all that earlier ones had chosen: what it
+// isCaughtUp reports whether a proposer has applied all that earlier ones had chosen: what it
 // has adopted, and after that nothing else can be chosen, since a majority of those who vote
 // on the next position has promised. After a change of seats that may be another majority
 // than the one that elected it.
-func (m *Member) caughtUp() bool {
-	return m.applied >= m.maxAdopt() && majority(m.st.at(m.applied+1), func(id MemberID) bool { return m.promises[id] })
+func (m *Replica) isCaughtUp() bool {
+	return m.appliedIndex >= m.maxAdoptedIndex() && isQuorum(m.state.membershipAt(m.appliedIndex+1), func(id ReplicaID) bool { return m.promises[id] })
 }
 
-// settle brings a change of seats to its end: positions without content follow until the
+// continueMembershipChange brings a change of seats to its end: positions without content follow until the
 // new membership is in effect and a majority of it is known to hold all that came before.
-func (m *Member) settle(now time.Duration, due bool) {
-	if due && m.role == Leading && len(m.queue) == 0 && m.next == m.applied+1 && m.settled() != m.st.latest().From {
+func (m *Replica) continueMembershipChange(now time.Duration, due bool) {
+	if due && m.role == Leader && len(m.queue) == 0 && m.nextIndex == m.appliedIndex+1 && m.completedMembershipIndex() != m.state.latestMembership().EffectiveFrom {
 		m.queue = append(m.queue, Txn{})
 	}
 }
 
-func (m *Member) maxAdopt() uint64 {
+func (m *Replica) maxAdoptedIndex() uint64 {
 	var top uint64
-	for s := range m.adopt {
+	for s := range m.adopted {
 		if s > top {
 			top = s
 		}
@@ -119,235 +119,235 @@
 	return top
 }
 
-func (m *Member) sendPrepare(slot uint64) {
-	for _, s := range m.st.at(slot).Seats {
-		if _, done := m.promises[s.ID]; !done && s.ID != m.p.Self {
+func (m *Replica) sendPrepares(slot uint64) {
+	for _, s := range m.state.membershipAt(slot).Voters {
+		if _, done := m.promises[s.ID]; !done && s.ID != m.config.Self {
 			m.promises[s.ID] = false
-			m.send(Message{Kind: Prepare, To: s.ID, Ballot: m.ballot, Slot: m.applied, Over: m.over})
+			m.send(Message{Kind: Prepare, To: s.ID, ProposalNumber: m.proposalNumber, Index: m.appliedIndex, EndedLeadership: m.endedLeadership})
 		}
 	}
 }
 
-// pump proposes while the pipeline of alpha positions has room.
-func (m *Member) pump(now time.Duration) {
-	if m.role != Leading {
+// fillPipeline proposes while the pipeline of alpha positions has room.
+func (m *Replica) fillPipeline(now time.Duration) {
+	if m.role != Leader {
 		return
 	}
-	top := m.maxAdopt()
-	for m.next <= m.applied+m.p.Alpha {
-		ms := m.st.at(m.next)
-		if !ms.Has(m.p.Self) && m.next == m.applied+1 {
-			m.handOver(now, ms)
+	top := m.maxAdoptedIndex()
+	for m.nextIndex <= m.appliedIndex+m.config.Alpha {
+		ms := m.state.membershipAt(m.nextIndex)
+		if !ms.Contains(m.config.Self) && m.nextIndex == m.appliedIndex+1 {
+			m.transferLeadership(now, ms)
 			return
 		}
-		if !majority(ms, func(id MemberID) bool { return m.promises[id] }) {
-			m.sendPrepare(m.next)
+		if !isQuorum(ms, func(id ReplicaID) bool { return m.promises[id] }) {
+			m.sendPrepares(m.nextIndex)
 			return
 		}
-		e := Entry{Slot: m.next, Ballot: m.ballot}
-		if a, ok := m.adopt[m.next]; ok {
+		e := Entry{Index: m.nextIndex, ProposalNumber: m.proposalNumber}
+		if a, ok := m.adopted[m.nextIndex]; ok {
 			e.Txns = a.Txns
-		} else if m.next > top {
+		} else if m.nextIndex > top {
 			if len(m.queue) == 0 {
 				return
 			}
-			n := min(len(m.queue), m.p.MaxBatch)
+			n := min(len(m.queue), m.config.MaxBatch)
 			e.Txns = append([]Txn(nil), m.queue[:n]...)
 			m.queue = m.queue[n:]
 		}
-		m.flights[m.next] = &flight{entry: e, acks: map[MemberID]bool{}, sentAt: now}
-		m.next++
-		m.sendAccept(e, ms, nil)
+		m.inFlight[m.nextIndex] = &inFlightProposal{entry: e, acceptedBy: map[ReplicaID]bool{}, sentAt: now}
+		m.nextIndex++
+		m.sendAccepts(e, ms, nil)
 	}
 }
 
-// handOver ends the lead of a member that was moved out of the cell: the others learn what
+// transferLeadership ends the lead of a member that was moved out of the cell: the others learn what
 // was chosen, and the one that was heard last is told to bid. If that is lost, or comes
 // late, they elect after a patience.
-func (m *Member) handOver(now time.Duration, ms Membership) {
-	m.beat(now)
-	heir := MemberID("")
-	for _, s := range ms.Seats {
-		if heir == "" || m.ackedAt[s.ID] > m.ackedAt[heir] {
+func (m *Replica) transferLeadership(now time.Duration, ms Membership) {
+	m.broadcastHeartbeat(now)
+	heir := ReplicaID("")
+	for _, s := range ms.Voters {
+		if heir == "" || m.ackReceivedAt[s.ID] > m.ackReceivedAt[heir] {
 			heir = s.ID
 		}
 	}
-	m.send(Message{Kind: HandOver, To: heir, Ballot: m.ballot})
+	m.send(Message{Kind: LeadershipTransfer, To: heir, ProposalNumber: m.proposalNumber})
 	m.leader = ""
-	m.listen(now)
+	m.becomeFollower(now)
 }
 
-func (m *Member) sendAccept(e Entry, ms Membership, acked map[MemberID]bool) {
-	msg := Message{Kind: Accept, Ballot: m.ballot, Chosen: m.applied, Entries: []Entry{e}}
-	for _, s := range ms.Seats {
+func (m *Replica) sendAccepts(e Entry, ms Membership, acked map[ReplicaID]bool) {
+	msg := Message{Kind: Accept, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, Entries: []Entry{e}}
+	for _, s := range ms.Voters {
 		if !acked[s.ID] {
 			msg.To = s.ID
 			m.send(msg)
 		}
 	}
 	for _, id := range m.learners {
-		if !ms.Has(id) && !acked[id] {
+		if !ms.Contains(id) && !acked[id] {
 			msg.To = id
 			m.send(msg)
 		}
 	}
 }
 
-func (m *Member) resend(now time.Duration) {
-	for slot := m.applied + 1; slot < m.next; slot++ {
-		if f := m.flights[slot]; f != nil && !f.chosen && now-f.sentAt >= m.p.Beat {
+func (m *Replica) retransmit(now time.Duration) {
+	for slot := m.appliedIndex + 1; slot < m.nextIndex; slot++ {
+		if f := m.inFlight[slot]; f != nil && !f.committed && now-f.sentAt >= m.config.HeartbeatInterval {
 			f.sentAt = now
-			m.sendAccept(f.entry, m.st.at(slot), f.acks)
+			m.sendAccepts(f.entry, m.state.membershipAt(slot), f.acceptedBy)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.promises)) {
 		if !m.promises[id] {
-			m.send(Message{Kind: Prepare, To: id, Ballot: m.ballot, Slot: m.applied, Over: m.over})
+			m.send(Message{Kind: Prepare, To: id, ProposalNumber: m.proposalNumber, Index: m.appliedIndex, EndedLeadership: m.endedLeadership})
 		}
 	}
 }
 
-func (m *Member) beat(now time.Duration) {
-	m.seq++
-	m.beatAt = now
-	m.beatSent[m.seq%keepBeats] = now
-	msg := Message{Kind: Beat, Ballot: m.ballot, Chosen: m.applied, Seq: m.seq, Settled: m.settled(), Age: uint64(m.Fresh(now)/time.Millisecond) + 1}
-	ms := m.st.at(m.applied + 1)
-	seen := map[MemberID]bool{}
-	tell := func(id MemberID) {
-		if !seen[id] && id != m.p.Self {
+func (m *Replica) broadcastHeartbeat(now time.Duration) {
+	m.heartbeatSequence++
+	m.heartbeatSentAt = now
+	m.heartbeatTimes[m.heartbeatSequence%heartbeatHistory] = now
+	msg := Message{Kind: Heartbeat, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, HeartbeatSequence: m.heartbeatSequence, CompletedMembershipIndex: m.completedMembershipIndex(), QuorumContactAgeMillis: uint64(m.Staleness(now)/time.Millisecond) + 1}
+	ms := m.state.membershipAt(m.appliedIndex + 1)
+	seen := map[ReplicaID]bool{}
+	tell := func(id ReplicaID) {
+		if !seen[id] && id != m.config.Self {
 			seen[id] = true
-			msg.To, msg.Echo = id, m.echoes[id]
+			msg.To, msg.EchoTimestamp = id, m.echoTimestamps[id]
 			m.send(msg)
 		}
 	}
-	for _, s := range ms.Seats {
+	for _, s := range ms.Voters {
 		tell(s.ID)
 	}
-	for _, s := range m.st.latest().Seats {
+	for _, s := range m.state.latestMembership().Voters {
 		tell(s.ID)
 	}
 	for _, id := range m.learners {
 		tell(id)
 	}
-	m.ackedBeat(m.p.Self, m.seq, now)
+	m.recordHeartbeatAck(m.config.Self, m.heartbeatSequence, now)
 }
 
-func (m *Member) onBeatAck(now time.Duration, msg Message) {
-	if m.role != Leading || msg.Ballot != m.ballot || msg.Seq < m.firstBeat || msg.Seq > m.seq {
+func (m *Replica) handleHeartbeatAck(now time.Duration, msg Message) {
+	if m.role != Leader || msg.ProposalNumber != m.proposalNumber || msg.HeartbeatSequence < m.firstHeartbeat || msg.HeartbeatSequence > m.heartbeatSequence {
 		return
 	}
-	first := m.acked[msg.From] < m.firstBeat
-	m.echoes[msg.From] = msg.Echo
-	m.ackedBeat(msg.From, msg.Seq, now)
+	first := m.ackedHeartbeats[msg.From] < m.firstHeartbeat
+	m.echoTimestamps[msg.From] = msg.EchoTimestamp
+	m.recordHeartbeatAck(msg.From, msg.HeartbeatSequence, now)
 	if first { // it need not wait for the next beat to know that it is current
-		m.send(Message{Kind: Beat, To: msg.From, Ballot: m.ballot, Chosen: m.applied, Seq: m.seq, Echo: msg.Echo,
-			Settled: m.settled(), Age: uint64(m.Fresh(now)/time.Millisecond) + 1})
+		m.send(Message{Kind: Heartbeat, To: msg.From, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, HeartbeatSequence: m.heartbeatSequence, EchoTimestamp: msg.EchoTimestamp,
+			CompletedMembershipIndex: m.completedMembershipIndex(), QuorumContactAgeMillis: uint64(m.Staleness(now)/time.Millisecond) + 1})
 	}
 }
 
-func (m *Member) ackedBeat(id MemberID, seq uint64, now time.Duration) {
-	if seq > m.acked[id] {
-		m.acked[id] = seq
-		m.ackedAt[id] = now
-		if seq+keepBeats > m.seq {
-			m.proven[id] = max(m.proven[id], m.beatSent[seq%keepBeats])
+func (m *Replica) recordHeartbeatAck(id ReplicaID, seq uint64, now time.Duration) {
+	if seq > m.ackedHeartbeats[id] {
+		m.ackedHeartbeats[id] = seq
+		m.ackReceivedAt[id] = now
+		if seq+heartbeatHistory > m.heartbeatSequence {
+			m.contactProvenAt[id] = max(m.contactProvenAt[id], m.heartbeatTimes[seq%heartbeatHistory])
 		}
 	}
-	if len(m.reads) == 0 {
+	if len(m.pendingReads) == 0 {
 		return
 	}
-	ms := m.st.at(m.applied + 1)
-	for s, tickets := range m.reads {
-		if majority(ms, func(id MemberID) bool { return m.acked[id] >= s }) {
-			m.out.Reads = append(m.out.Reads, tickets...)
-			delete(m.reads, s)
+	ms := m.state.membershipAt(m.appliedIndex + 1)
+	for s, tickets := range m.pendingReads {
+		if isQuorum(ms, func(id ReplicaID) bool { return m.ackedHeartbeats[id] >= s }) {
+			m.ready.ConfirmedReads = append(m.ready.ConfirmedReads, tickets...)
+			delete(m.pendingReads, s)
 		}
 	}
 }
 
-func (m *Member) onPromise(now time.Duration, msg Message) {
-	if m.role < Bidding || msg.Ballot != m.ballot || m.promises[msg.From] {
-		if msg.Snap != nil {
-			m.onTeach(now, msg) // late for the bid, and as true as ever
+func (m *Replica) handlePromise(now time.Duration, msg Message) {
+	if m.role < Candidate || msg.ProposalNumber != m.proposalNumber || m.promises[msg.From] {
+		if msg.Snapshot != nil {
+			m.handleCatchUpResponse(now, msg) // late for the bid, and as true as ever
 		}
 		return
 	}
 	m.learn(now, msg)
-	if m.role < Bidding {
+	if m.role < Candidate {
 		return
 	}
-	m.echoes[msg.From] = msg.Echo
+	m.echoTimestamps[msg.From] = msg.EchoTimestamp
 	for _, e := range msg.Entries {
-		if e.Slot <= m.applied {
+		if e.Index <= m.appliedIndex {
 			continue
 		}
-		if a, ok := m.adopt[e.Slot]; !ok || a.Ballot.Less(e.Ballot) {
-			m.adopt[e.Slot] = e
+		if a, ok := m.adopted[e.Index]; !ok || a.ProposalNumber.Less(e.ProposalNumber) {
+			m.adopted[e.Index] = e
 		}
 	}
-	if msg.Chosen > m.applied {
+	if msg.CommitIndex > m.appliedIndex {
 		return // it could not teach us all it knows: not a promise we can use yet
 	}
 	m.promises[msg.From] = true
-	if m.role == Bidding {
-		m.tryLead(now)
+	if m.role == Candidate {
+		m.tryBecomeLeader(now)
 		return
 	}
-	m.pump(now)
+	m.fillPipeline(now)
 }
 
-func (m *Member) onReject(now time.Duration, msg Message) {
-	if msg.Ballot.Round > m.maxRound {
-		m.maxRound = msg.Ballot.Round
+func (m *Replica) handleReject(now time.Duration, msg Message) {
+	if msg.ProposalNumber.Term > m.maxTerm {
+		m.maxTerm = msg.ProposalNumber.Term
 	}
-	if m.role == Leading && m.ballot.Less(msg.Ballot) {
+	if m.role == Leader && m.proposalNumber.Less(msg.ProposalNumber) {
 		// It may have been replaced; or a member with an old view, that was moved out
 		// and does not know it, has bid in vain. Who has heard a newer proposer turns
 		// this bid down, else nobody need wait out a patience.
 		m.leader = ""
-		m.listen(now)
-		if m.Voter() {
-			m.reserve(now)
+		m.becomeFollower(now)
+		if m.IsVoter() {
+			m.persistTerm(now)
 		}
 	}
 }
 
-func (m *Member) onAccepted(now time.Duration, msg Message) {
-	if m.role != Leading || msg.Ballot != m.ballot {
+func (m *Replica) handleAccepted(now time.Duration, msg Message) {
+	if m.role != Leader || msg.ProposalNumber != m.proposalNumber {
 		return
 	}
-	m.learnt[msg.From] = max(m.learnt[msg.From], msg.Chosen)
-	for _, s := range msg.Slots {
-		f := m.flights[s]
+	m.durableCommitIndexes[msg.From] = max(m.durableCommitIndexes[msg.From], msg.CommitIndex)
+	for _, s := range msg.AcceptedIndexes {
+		f := m.inFlight[s]
 		if f == nil {
 			continue
 		}
-		f.acks[msg.From] = true
-		if majority(m.st.at(s), func(id MemberID) bool { return f.acks[id] }) {
-			f.chosen = true
+		f.acceptedBy[msg.From] = true
+		if isQuorum(m.state.membershipAt(s), func(id ReplicaID) bool { return f.acceptedBy[id] }) {
+			f.committed = true
 		}
 	}
 	moved := false
 	for {
-		f := m.flights[m.applied+1]
-		if f == nil || !f.chosen {
+		f := m.inFlight[m.appliedIndex+1]
+		if f == nil || !f.committed {
 			break
 		}
-		delete(m.flights, m.applied+1)
-		delete(m.adopt, m.applied+1)
-		if own := m.log[f.entry.Slot]; own == nil || own.Ballot != f.entry.Ballot {
-			m.keep(f.entry)
-			m.out.Writes.Entries = append(m.out.Writes.Entries, f.entry)
+		delete(m.inFlight, m.appliedIndex+1)
+		delete(m.adopted, m.appliedIndex+1)
+		if own := m.log[f.entry.Index]; own == nil || own.ProposalNumber != f.entry.ProposalNumber {
+			m.storeEntry(f.entry)
+			m.ready.Writes.Entries = append(m.ready.Writes.Entries, f.entry)
 		}
 		m.applyNext()
 		moved = true
 	}
 	if moved {
-		m.settle(now, m.applied <= m.st.latest().From+1)
-		m.pump(now)
-		if m.role == Leading {
-			m.beat(now) // others learn at once what was chosen
+		m.continueMembershipChange(now, m.appliedIndex <= m.state.latestMembership().EffectiveFrom+1)
+		m.fillPipeline(now)
+		if m.role == Leader {
+			m.broadcastHeartbeat(now) // others learn at once what was chosen
 		}
 	}
 }
--- a/internal/cell/scenario_test.go
+++ b/internal/cell/scenario_test.go
@@ -20,9 +20,9 @@
 // acknowledged is never lost.
 
 type simNode struct {
-	id      MemberID
+	id      ReplicaID
 	up      bool
-	m       *Member
+	m       *Replica
 	disk    disk
 	stalled bool
 	refuses bool
@@ -36,14 +36,14 @@
 // syncing is what a member wants on disk and what may be sent once it is there.
 type syncing struct {
 	at    time.Duration
-	m     *Member
+	m     *Replica
 	w     Writes
 	after []Message
 }
 
 // disk is what survives a loss of power.
 type disk struct {
-	saved Saved
+	saved PersistedState
 	log   map[uint64]Entry
 }
 
@@ -72,7 +72,7 @@
 type greeting struct {
 	at   time.Duration
 	to   *simNode
-	over MemberID
+	over ReplicaID
 }
 
 type sim struct {
@@ -92,7 +92,7 @@
 	acked   map[string]string // key -> value that a client was told is in
 	asked   map[string][2]string
 	status  map[string]string
-	seats   []Seat
+	seats   []Voter
 	reads   map[uint64]bool
 	nextTxn int
 	late    float64 // so many of the messages come a good while later
@@ -115,9 +115,9 @@
 		status: map[string]string{}, reads: map[uint64]bool{}}
 }
 
-func (s *sim) params(id MemberID) Params {
-	return Params{Cell: "c", Self: id, Alpha: 3, MaxQueue: 8, MaxBatch: 4, KeepLog: 16,
-		Beat: 100 * time.Millisecond, Patience: 400 * time.Millisecond, Jitter: s.rng.Float64}
+func (s *sim) params(id ReplicaID) Config {
+	return Config{Cell: "c", Self: id, Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
+		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, Jitter: s.rng.Float64}
 }
 
 func (s *sim) start(n *simNode) {
@@ -126,7 +126,7 @@
 	for _, e := range n.disk.log {
 		sv.Entries = append(sv.Entries, e)
 	}
-	n.m = New(s.params(n.id), sv, s.now)
+	n.m = NewReplica(s.params(n.id), sv, s.now)
 	n.up, n.frozen, n.noted = true, false, 0
 	s.note(n)
 }
@@ -138,38 +138,38 @@
 	if w.Promised != nil {
 		d.saved.Promised = *w.Promised
 	}
-	if w.Round != 0 {
-		d.saved.Round = w.Round
+	if w.Term != 0 {
+		d.saved.Term = w.Term
 	}
 	for _, e := range w.Entries {
-		d.log[e.Slot] = e
+		d.log[e.Index] = e
 	}
-	if w.Snap != nil {
-		d.saved.Snap = w.Snap
+	if w.Snapshot != nil {
+		d.saved.Snapshot = w.Snapshot
 		for slot := range d.log {
-			if slot <= w.DropTo {
+			if slot <= w.TruncateTo {
 				delete(d.log, slot)
 			}
 		}
 	}
 	if !w.Empty() {
-		d.saved.Chosen = w.Chosen
+		d.saved.CommitIndex = w.CommitIndex
 	}
 }
 
 func (s *sim) drain(n *simNode) {
 	for n.up {
-		out := n.m.Take()
-		after := out.SendSynced
-		own := s.post(n, out.Send)
+		out := n.m.Ready()
+		after := out.MessagesAfterSync
+		own := s.post(n, out.Messages)
 		if len(after) > 0 || !out.Writes.Empty() {
 			n.waiting = append(n.waiting, syncing{s.now + s.syncTime() + n.slow, n.m, out.Writes, after})
 			own = append(own, s.flush(n)...)
 		}
-		for _, d := range out.Done {
+		for _, d := range out.Outcomes {
 			s.finish(n, d)
 		}
-		for _, r := range out.Reads {
+		for _, r := range out.ConfirmedReads {
 			s.reads[r] = true
 			if s.read != nil {
 				s.read(n, r)
@@ -258,25 +258,25 @@
 		s.outcome(n, o)
 	}
 	if o.Committed {
-		s.acks = append(s.acks, ack{s.now, n.m.applied})
+		s.acks = append(s.acks, ack{s.now, n.m.appliedIndex})
 	}
-	kv, ok := s.asked[o.ID]
+	kv, ok := s.asked[o.TxnID]
 	switch {
-	case o.Lost:
-		s.status[o.ID] = "lost"
+	case o.Unknown:
+		s.status[o.TxnID] = "lost"
 	case o.Committed:
-		s.status[o.ID] = "committed"
+		s.status[o.TxnID] = "committed"
 		if ok {
 			s.acked[kv[0]] = kv[1]
 		}
 	default:
-		s.status[o.ID] = "ignored"
+		s.status[o.TxnID] = "ignored"
 	}
 }
 
 // note checks agreement on every position that a member has applied.
 func (s *sim) note(n *simNode) {
-	for slot := n.noted + 1; slot <= n.m.applied; slot++ {
+	for slot := n.noted + 1; slot <= n.m.appliedIndex; slot++ {
 		n.noted = slot
 		e := n.m.log[slot]
 		if e == nil {
@@ -302,11 +302,11 @@
 		if !n.up || n.frozen {
 			continue
 		}
-		until := s.now - n.m.Fresh(s.now)
+		until := s.now - n.m.Staleness(s.now)
 		for i := len(s.acks) - 1; i >= 0; i-- {
 			if a := s.acks[i]; a.at < until {
-				if n.m.applied < a.slot {
-					s.t.Fatalf("%s at %v: %s has applied %d and takes itself to be current until %v, when %d was acknowledged", s.name, s.now, n.id, n.m.applied, until, a.slot)
+				if n.m.appliedIndex < a.slot {
+					s.t.Fatalf("%s at %v: %s has applied %d and takes itself to be current until %v, when %d was acknowledged", s.name, s.now, n.id, n.m.appliedIndex, until, a.slot)
 				}
 				break
 			}
@@ -316,7 +316,7 @@
 
 // greet has the others find out, each in its own time, that a member's life has ended. Few
 // take a greeting of the former life that comes late for news of the new one's end.
-func (s *sim) greet(n *simNode, former MemberID) {
+func (s *sim) greet(n *simNode, former ReplicaID) {
 	for _, name := range s.names() {
 		if o := s.nodes[name]; o != n {
 			over := former
@@ -332,7 +332,7 @@
 func (s *sim) hear() {
 	s.greets = slices.DeleteFunc(s.greets, func(g greeting) bool {
 		if g.at <= s.now && g.to.up && !g.to.frozen {
-			g.to.m.Over(s.now, g.over)
+			g.to.m.ReportReplicaLost(s.now, g.over)
 			s.drain(g.to)
 		}
 		return g.at <= s.now
@@ -389,10 +389,10 @@
 func (s *sim) held() {
 	for _, name := range s.names() {
 		l := s.nodes[name]
-		if !l.up || l.m.Role() != Leading {
+		if !l.up || l.m.Role() != Leader {
 			continue
 		}
-		for id, upTo := range l.m.learnt {
+		for id, upTo := range l.m.durableCommitIndexes {
 			n := s.byID(id)
 			if n == nil {
 				continue // its disk was lost
@@ -406,10 +406,10 @@
 
 // found is the position up to which a restart would apply what is on the disk.
 func (d *disk) found() (slot uint64) {
-	if d.saved.Snap != nil {
-		slot = d.saved.Snap.Applied
+	if d.saved.Snapshot != nil {
+		slot = d.saved.Snapshot.AppliedIndex
 	}
-	for ; slot < d.saved.Chosen; slot++ {
+	for ; slot < d.saved.CommitIndex; slot++ {
 		if _, ok := d.log[slot+1]; !ok {
 			break
 		}
@@ -425,7 +425,7 @@
 	return s.sorted
 }
 
-func (s *sim) byID(id MemberID) *simNode {
+func (s *sim) byID(id ReplicaID) *simNode {
 	for _, n := range s.nodes {
 		if n.id == id {
 			return n
@@ -437,7 +437,7 @@
 func (s *sim) leader() *simNode {
 	var best *simNode
 	for _, name := range s.names() {
-		if n := s.nodes[name]; n.up && !n.frozen && n.m.Role() == Leading && (best == nil || best.m.ballot.Less(n.m.ballot)) {
+		if n := s.nodes[name]; n.up && !n.frozen && n.m.Role() == Leader && (best == nil || best.m.proposalNumber.Less(n.m.proposalNumber)) {
 			best = n
 		}
 	}
@@ -454,7 +454,7 @@
 	if name == "follower" {
 		l := s.leader()
 		for _, k := range s.names() {
-			if n := s.nodes[k]; n != l && n.up && n.m.Voter() {
+			if n := s.nodes[k]; n != l && n.up && n.m.IsVoter() {
 				return n
 			}
 		}
@@ -470,7 +470,7 @@
 	t.ID = id
 	err := n.m.Propose(s.now, t)
 	s.status[id] = "pending"
-	if err == ErrBusy {
+	if err == ErrPipelineFull {
 		s.status[id] = "busy"
 	} else if err != nil {
 		s.status[id] = "refused"
@@ -500,9 +500,9 @@
 
 // learners has every member keep those current that are not in the first cell.
 func (s *sim) learners() {
-	var ids []MemberID
+	var ids []ReplicaID
 	for _, name := range s.names() {
-		if n := s.nodes[name]; !(Membership{Seats: s.seats}).Has(n.id) {
+		if n := s.nodes[name]; !(Membership{Voters: s.seats}).Contains(n.id) {
 			ids = append(ids, n.id)
 		}
 	}
@@ -533,11 +533,11 @@
 		s.rng = rand.New(rand.NewSource(int64(num(1))))
 	case "cell":
 		for _, name := range f[1:] {
-			s.seats = append(s.seats, Seat{ID: MemberID(name), Addr: name, Zone: name})
+			s.seats = append(s.seats, Voter{ID: ReplicaID(name), Addr: name, Zone: name})
 		}
 		for _, name := range f[1:] {
-			n := &simNode{id: MemberID(name)}
-			n.disk.write(Writes{Snap: &Snapshot{State: map[string]Value{}, Memberships: []Membership{{From: 1, Seats: s.seats}}}})
+			n := &simNode{id: ReplicaID(name)}
+			n.disk.write(Writes{Snapshot: &Snapshot{State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: s.seats}}}})
 			s.nodes[name] = n
 			s.start(n)
 		}
@@ -601,22 +601,22 @@
 		n := s.pick(arg(1))
 		n.up, n.waiting, n.held = false, nil, nil
 		former := n.id
-		n.disk, n.id = disk{}, MemberID(arg(2))
+		n.disk, n.id = disk{}, ReplicaID(arg(2))
 		s.start(n)
 		s.greet(n, former)
 		s.learners()
 	case "join-new": // join-new NAME: an empty machine appears and is kept current
-		n := &simNode{id: MemberID(arg(1))}
+		n := &simNode{id: ReplicaID(arg(1))}
 		s.nodes[arg(1)] = n
 		s.start(n)
 		s.learners()
 	case "move": // move OUT IN [OUT IN]: a seat changes hands, at once after it another; OUT "-": one is added
 		l := s.pick("leader")
-		seats, _ := l.m.Seats()
+		seats, _ := l.m.Voters()
 		var ids []string
 		for i := 1; i < len(f); i += 2 {
-			var next []Seat
-			out := MemberID(arg(i))
+			var next []Voter
+			out := ReplicaID(arg(i))
 			if out == "leader" {
 				out = l.id
 			}
@@ -625,10 +625,10 @@
 					next = append(next, x)
 				}
 			}
-			seats = append(next, Seat{ID: MemberID(arg(i + 1)), Addr: arg(i + 1), Zone: arg(i + 1)})
+			seats = append(next, Voter{ID: ReplicaID(arg(i + 1)), Addr: arg(i + 1), Zone: arg(i + 1)})
 			s.nextTxn++
 			ids = append(ids, "move"+strconv.Itoa(s.nextTxn))
-			s.propose(l, ids[len(ids)-1], Txn{Ops: []Op{{Kind: OpSeats, Seats: seats}}})
+			s.propose(l, ids[len(ids)-1], Txn{Ops: []Op{{Kind: OpSetVoters, Voters: seats}}})
 		}
 		s.run(200 * time.Millisecond)
 		s.status["move"] = s.status[ids[0]]
@@ -681,26 +681,26 @@
 			s.t.Fatalf("%s at %v: leader: %v", s.name, s.now, l)
 		}
 	case "want-not-leading":
-		if s.pick(arg(1)).m.Role() == Leading {
+		if s.pick(arg(1)).m.Role() == Leader {
 			s.t.Fatalf("%s at %v: %s leads", s.name, s.now, arg(1))
 		}
 	case "want-settled": // the newest change of seats is done, and all of them know
 		for _, name := range s.names() {
 			n := s.nodes[name]
-			if seats, settled := n.m.Seats(); n.up && (Membership{Seats: seats}).Has(n.id) && !settled {
+			if seats, settled := n.m.Voters(); n.up && (Membership{Voters: seats}).Contains(n.id) && !settled {
 				s.t.Fatalf("%s at %v: to %s the change of seats is not done", s.name, s.now, name)
 			}
 		}
 	case "want-voter", "want-no-voter":
-		if s.pick(arg(1)).m.Voter() != (f[0] == "want-voter") {
-			s.t.Fatalf("%s at %v: voter: %v", s.name, s.now, s.pick(arg(1)).m.Voter())
+		if s.pick(arg(1)).m.IsVoter() != (f[0] == "want-voter") {
+			s.t.Fatalf("%s at %v: voter: %v", s.name, s.now, s.pick(arg(1)).m.IsVoter())
 		}
 	case "want-all": // every live voter comes to hold all that was acknowledged
 		s.run(500 * time.Millisecond)
-		seats, _ := s.pick("leader").m.Seats()
+		seats, _ := s.pick("leader").m.Voters()
 		for _, name := range s.names() {
 			n := s.nodes[name]
-			if !n.up || !(Membership{Seats: seats}).Has(n.id) {
+			if !n.up || !(Membership{Voters: seats}).Contains(n.id) {
 				continue
 			}
 			for k, v := range s.acked {
--- a/internal/cell/settled_test.go
+++ b/internal/cell/settled_test.go
@@ -25,7 +25,7 @@
 			c.dup, c.loss, c.delay = 0.8, 0.3, 15*time.Millisecond
 			c.repaired()
 			l := c.leader()
-			from := l.m.st.latest().From
+			from := l.m.state.latestMembership().EffectiveFrom
 			slices.SortStableFunc(names, func(a, b string) int { return c.finds(b, from-1) - c.finds(a, from-1) })
 			for i, name := range names {
 				c.unsend(c.nodes[name].id)
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -6,29 +6,29 @@
 	"sort"
 )
 
-// SeatsKey counts the membership changes of a cell; a move is conditioned on it.
-const SeatsKey = "@seats"
+// MembershipVersionKey counts the membership changes of a cell; a move is conditioned on it.
+const MembershipVersionKey = "@seats"
 
-// state is the replicated key-value map with the memberships that the log made.
-type state struct {
+// stateMachine is the replicated key-value map with the memberships that the log made.
+type stateMachine struct {
 	kv          map[string]Value
 	memberships []Membership
-	touched     Touched
+	changedKeys ChangedKeys
 }
 
-func (s *state) at(slot uint64) Membership {
+func (s *stateMachine) membershipAt(slot uint64) Membership {
 	for i := len(s.memberships) - 1; i >= 0; i-- {
-		if s.memberships[i].From <= slot {
+		if s.memberships[i].EffectiveFrom <= slot {
 			return s.memberships[i]
 		}
 	}
 	return Membership{}
 }
 
-// founded reports whether the first membership is known: it comes with a snapshot.
-func (s *state) founded() bool { return len(s.memberships) > 0 }
+// hasMembership reports whether the first membership is known: it comes with a snapshot.
+func (s *stateMachine) hasMembership() bool { return len(s.memberships) > 0 }
 
-func (s *state) latest() Membership {
+func (s *stateMachine) latestMembership() Membership {
 	if len(s.memberships) == 0 {
 		return Membership{}
 	}
@@ -36,7 +36,7 @@
 }
 
 // apply commits or ignores one transaction at its log position.
-func (s *state) apply(t Txn, slot, alpha uint64) bool {
+func (s *stateMachine) apply(t Txn, slot, alpha uint64) bool {
 	for _, c := range t.Conditions {
 		v, ok := s.kv[c.Key]
 		if c.Absent == ok || (!c.Absent && !v.Equal(c.Equals)) {
@@ -54,7 +54,7 @@
 		v, ok := s.kv[k]
 		return v, ok
 	}
-	var seats []Seat
+	var seats []Voter
 	for _, op := range t.Ops {
 		switch op.Kind {
 		case OpPut:
@@ -82,17 +82,17 @@
 		case OpAppend:
 			v := op.Value
 			staged[AppendedKey(op.Key, slot, t.ID)] = &v
-		case OpSeats:
-			if !s.oneMove(op.Seats, slot) {
+		case OpSetVoters:
+			if !s.isSingleVoterChange(op.Voters, slot) {
 				return false
 			}
-			seats = op.Seats
+			seats = op.Voters
 		default:
 			return false
 		}
 	}
 	for k, v := range staged {
-		s.touched.Keys = append(s.touched.Keys, k)
+		s.changedKeys.Keys = append(s.changedKeys.Keys, k)
 		if v == nil {
 			delete(s.kv, k)
 		} else {
@@ -100,12 +100,12 @@
 		}
 	}
 	if seats != nil {
-		s.memberships = append(s.memberships, Membership{From: slot + alpha, Seats: seats})
+		s.memberships = append(s.memberships, Membership{EffectiveFrom: slot + alpha, Voters: seats})
 		n := big.NewInt(1)
-		if old, ok := s.kv[SeatsKey]; ok && old.Int != nil {
+		if old, ok := s.kv[MembershipVersionKey]; ok && old.Int != nil {
 			n.Add(n, old.Int)
 		}
-		s.kv[SeatsKey] = Value{Int: n}
+		s.kv[MembershipVersionKey] = Value{Int: n}
 	}
 	return true
 }
@@ -115,46 +115,46 @@
 	return fmt.Sprintf("%s%020d/%s", prefix, slot, id)
 }
 
-// oneMove holds a membership change to one node at a time, each only after the
+// isSingleVoterChange holds a membership change to one node at a time, each only after the
 // one before it is in effect.
-func (s *state) oneMove(next []Seat, slot uint64) bool {
-	cur := s.latest()
-	if cur.From > slot || len(next) == 0 {
+func (s *stateMachine) isSingleVoterChange(next []Voter, slot uint64) bool {
+	cur := s.latestMembership()
+	if cur.EffectiveFrom > slot || len(next) == 0 {
 		return false
 	}
 	added, kept := 0, 0
-	seen := map[MemberID]bool{}
+	seen := map[ReplicaID]bool{}
 	for _, n := range next {
 		if seen[n.ID] {
 			return false
 		}
 		seen[n.ID] = true
-		if cur.Has(n.ID) {
+		if cur.Contains(n.ID) {
 			kept++
 		} else {
 			added++
 		}
 	}
-	removed := len(cur.Seats) - kept
+	removed := len(cur.Voters) - kept
 	return added <= 1 && removed <= 1 && added+removed > 0
 }
 
-// prune forgets memberships that no open log position can need.
-func (s *state) prune(applied uint64) {
-	for len(s.memberships) > 1 && s.memberships[1].From <= applied+1 {
+// pruneMemberships forgets memberships that no open log position can need.
+func (s *stateMachine) pruneMemberships(applied uint64) {
+	for len(s.memberships) > 1 && s.memberships[1].EffectiveFrom <= applied+1 {
 		s.memberships = s.memberships[1:]
 	}
 }
 
-func (s *state) snapshot(applied uint64) *Snapshot {
+func (s *stateMachine) snapshot(applied uint64) *Snapshot {
 	kv := make(map[string]Value, len(s.kv))
 	for k, v := range s.kv {
 		kv[k] = v
 	}
-	return &Snapshot{Applied: applied, State: kv, Memberships: append([]Membership(nil), s.memberships...)}
+	return &Snapshot{AppliedIndex: applied, State: kv, Memberships: append([]Membership(nil), s.memberships...)}
 }
 
-func (s *state) size() int {
+func (s *stateMachine) sizeBytes() int {
 	n := 0
 	for k, v := range s.kv {
 		n += len(k) + len(v.Bytes) + 16
@@ -170,7 +170,7 @@
 			n += len(c.Key) + len(c.Equals.Bytes) + 16
 		}
 		for _, o := range t.Ops {
-			n += len(o.Key) + len(o.Value.Bytes) + 48*len(o.Seats) + 16
+			n += len(o.Key) + len(o.Value.Bytes) + 48*len(o.Voters) + 16
 		}
 	}
 	return n
--- a/internal/cell/teach.go
+++ b/internal/cell/teach.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-func (m *Member) segment(from, to uint64) []Entry {
+func (m *Replica) entriesBetween(from, to uint64) []Entry {
 	var out []Entry
 	for slot, e := range m.log {
 		if slot > from && slot <= to {
 			out = append(out, *e)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Slot < out[j].Slot })
+	sort.Slice(out, func(i, j int) bool { return out[i].Index < out[j].Index })
 	return out
 }
 
@@ -22,185 +22,185 @@
 	for i := range msg.Entries {
 		n += entrySize(&msg.Entries[i])
 	}
-	if msg.Snap != nil {
-		st := state{kv: msg.Snap.State}
-		n += st.size()
+	if msg.Snapshot != nil {
+		st := stateMachine{kv: msg.Snapshot.State}
+		n += st.sizeBytes()
 	}
 	return n
 }
 
-// teaching is the last large answer that a member was sent, and where it stood then.
-type teaching struct {
-	slot uint64
-	at   time.Duration
-	wait time.Duration
+// transfer is the last large answer that a member was sent, and where it stood then.
+type transfer struct {
+	index   uint64
+	sentAt  time.Duration
+	backoff time.Duration
 }
 
-// mostWait bounds, in beats, how long a member that has come no further waits until it
+// maxBackoffHeartbeats bounds, in beats, how long a member that has come no further waits until it
 // asks again, or is sent again what is large.
-const mostWait = 16
+const maxBackoffHeartbeats = 16
 
-// smallTeach is for how many bytes of the log nobody need pause: they are sent as often
+// smallTransferBytes is for how many bytes of the log nobody need pause: they are sent as often
 // as they are asked for.
-const smallTeach = 4 << 10
+const smallTransferBytes = 4 << 10
 
-// longer doubles a pause up to the bound.
-func (m *Member) longer(wait time.Duration) time.Duration {
-	return min(2*wait, mostWait*m.p.Beat)
+// nextBackoff doubles a pause up to the bound.
+func (m *Replica) nextBackoff(wait time.Duration) time.Duration {
+	return min(2*wait, maxBackoffHeartbeats*m.config.HeartbeatInterval)
 }
 
-// mayTeach reports whether a member that stands at a position is to be sent something
+// mayTransfer reports whether a member that stands at a position is to be sent something
 // large now: what was sent not long ago may be under way.
-func (m *Member) mayTeach(now time.Duration, to MemberID, slot uint64) bool {
-	t, ok := m.taught[to]
+func (m *Replica) mayTransfer(now time.Duration, to ReplicaID, slot uint64) bool {
+	t, ok := m.transfers[to]
 	switch {
-	case !ok || t.slot != slot:
-		t = teaching{slot: slot, wait: m.p.Beat}
-	case now-t.at < t.wait:
+	case !ok || t.index != slot:
+		t = transfer{index: slot, backoff: m.config.HeartbeatInterval}
+	case now-t.sentAt < t.backoff:
 		return false
 	default:
-		t.wait = m.longer(t.wait)
+		t.backoff = m.nextBackoff(t.backoff)
 	}
-	t.at = now
-	m.taught[to] = t
+	t.sentAt = now
+	m.transfers[to] = t
 	return true
 }
 
 // catchUp applies what the proposer says is chosen as far as we hold it from
 // that very proposer, and asks to be taught the rest. A newcomer applies nothing
 // before it has been taught a snapshot: the first membership stands in no log.
-func (m *Member) catchUp(now time.Duration, b Ballot, chosen uint64) {
-	for m.applied < chosen && m.st.founded() {
-		e := m.log[m.applied+1]
-		if e == nil || e.Ballot != b {
+func (m *Replica) catchUp(now time.Duration, b ProposalNumber, chosen uint64) {
+	for m.appliedIndex < chosen && m.state.hasMembership() {
+		e := m.log[m.appliedIndex+1]
+		if e == nil || e.ProposalNumber != b {
 			break
 		}
 		m.applyNext()
 	}
-	if m.applied >= chosen {
-		m.asked, m.askWait = false, 0
-		m.noteCurrent()
+	if m.appliedIndex >= chosen {
+		m.catchUpPending, m.catchUpBackoff = false, 0
+		m.advanceCurrentUntil()
 		return
 	}
 	// Who lacks no more than what may be under way in the pipeline lost a message or two,
 	// and asks with each beat; who asks for more pauses, since that may be large and slow.
-	few := m.st.founded() && chosen <= m.applied+m.p.Alpha && now-m.askedAt >= m.p.Beat/2
-	if !m.asked || m.askedOf != b.By || few || now-m.askedAt >= m.askWait {
-		if m.askWait = m.longer(m.askWait); m.askWait == 0 || few || m.askedOf != b.By {
-			m.askWait = m.p.Beat
+	few := m.state.hasMembership() && chosen <= m.appliedIndex+m.config.Alpha && now-m.catchUpRequestedAt >= m.config.HeartbeatInterval/2
+	if !m.catchUpPending || m.catchUpRequestedFrom != b.Proposer || few || now-m.catchUpRequestedAt >= m.catchUpBackoff {
+		if m.catchUpBackoff = m.nextBackoff(m.catchUpBackoff); m.catchUpBackoff == 0 || few || m.catchUpRequestedFrom != b.Proposer {
+			m.catchUpBackoff = m.config.HeartbeatInterval
 		}
-		m.asked, m.askedOf, m.askedAt = true, b.By, now
-		m.send(Message{Kind: Ask, To: b.By, Slot: m.applied, Fresh: !m.st.founded()})
+		m.catchUpPending, m.catchUpRequestedFrom, m.catchUpRequestedAt = true, b.Proposer, now
+		m.send(Message{Kind: CatchUpRequest, To: b.Proposer, Index: m.appliedIndex, NeedsSnapshot: !m.state.hasMembership()})
 	}
 }
 
-func (m *Member) onAsk(now time.Duration, msg Message) {
-	if !m.st.founded() || msg.Slot >= m.applied && !msg.Fresh {
+func (m *Replica) handleCatchUpRequest(now time.Duration, msg Message) {
+	if !m.state.hasMembership() || msg.Index >= m.appliedIndex && !msg.NeedsSnapshot {
 		return
 	}
-	r := Message{Kind: Teach, To: msg.From, Chosen: m.applied}
-	if msg.Slot >= m.base && !msg.Fresh {
-		r.Entries = m.segment(msg.Slot, m.applied)
+	r := Message{Kind: CatchUpResponse, To: msg.From, CommitIndex: m.appliedIndex}
+	if msg.Index >= m.compactedIndex && !msg.NeedsSnapshot {
+		r.Entries = m.entriesBetween(msg.Index, m.appliedIndex)
 		n := 0
 		for i := range r.Entries {
 			n += entrySize(&r.Entries[i])
 		}
-		if n <= m.st.size() || len(r.Entries) <= 4 {
-			if n <= smallTeach || m.mayTeach(now, msg.From, msg.Slot) {
+		if n <= m.state.sizeBytes() || len(r.Entries) <= 4 {
+			if n <= smallTransferBytes || m.mayTransfer(now, msg.From, msg.Index) {
 				m.send(r)
 			}
 			return
 		}
 		r.Entries = nil
 	}
-	if m.mayTeach(now, msg.From, msg.Slot) {
-		r.Snap = m.st.snapshot(m.applied)
+	if m.mayTransfer(now, msg.From, msg.Index) {
+		r.Snapshot = m.state.snapshot(m.appliedIndex)
 		m.send(r)
 	}
 }
 
-func (m *Member) onTeach(now time.Duration, msg Message) {
-	before := m.applied
+func (m *Replica) handleCatchUpResponse(now time.Duration, msg Message) {
+	before := m.appliedIndex
 	m.learn(now, msg)
-	if m.asked = false; m.applied > before {
-		m.askWait = 0
+	if m.catchUpPending = false; m.appliedIndex > before {
+		m.catchUpBackoff = 0
 	}
-	m.noteCurrent()
-	m.pump(now)
+	m.advanceCurrentUntil()
+	m.fillPipeline(now)
 }
 
 // learn takes in decided content: a snapshot and entries up to msg.Chosen.
-func (m *Member) learn(now time.Duration, msg Message) {
-	if m.role == Leading && msg.Chosen > m.applied && !m.mayLearn(msg) {
+func (m *Replica) learn(now time.Duration, msg Message) {
+	if m.role == Leader && msg.CommitIndex > m.appliedIndex && !m.mayLearnAsLeader(msg) {
 		m.leader = ""
-		m.listen(now)
+		m.becomeFollower(now)
 	}
-	if msg.Snap != nil && (msg.Snap.Applied > m.applied || !m.st.founded()) {
-		m.load(msg.Snap)
-		m.out.Writes.Snap = msg.Snap
-		m.out.Writes.DropTo = msg.Snap.Applied
-		m.out.Changed = true
+	if msg.Snapshot != nil && (msg.Snapshot.AppliedIndex > m.appliedIndex || !m.state.hasMembership()) {
+		m.loadSnapshot(msg.Snapshot)
+		m.ready.Writes.Snapshot = msg.Snapshot
+		m.ready.Writes.TruncateTo = msg.Snapshot.AppliedIndex
+		m.ready.StateChanged = true
 	}
 	for _, e := range msg.Entries {
-		if e.Slot == m.applied+1 && e.Slot <= msg.Chosen && m.st.founded() {
-			m.keep(e)
-			m.out.Writes.Entries = append(m.out.Writes.Entries, e)
+		if e.Index == m.appliedIndex+1 && e.Index <= msg.CommitIndex && m.state.hasMembership() {
+			m.storeEntry(e)
+			m.ready.Writes.Entries = append(m.ready.Writes.Entries, e)
 			m.applyNext()
-			delete(m.flights, m.applied)
-			delete(m.adopt, m.applied)
+			delete(m.inFlight, m.appliedIndex)
+			delete(m.adopted, m.appliedIndex)
 		}
 	}
-	m.next = max(m.next, m.applied+1)
+	m.nextIndex = max(m.nextIndex, m.appliedIndex+1)
 }
 
-// mayLearn reports whether a proposer that is taught may stay in its place. What
+// mayLearnAsLeader reports whether a proposer that is taught may stay in its place. What
 // was chosen under an older ballot than its own is what it has adopted for that
 // position, so it vouches for nothing else. Anything newer shows that it has been
 // replaced, and a snapshot does not say under which ballots it came about.
-func (m *Member) mayLearn(msg Message) bool {
-	if msg.Snap != nil && msg.Snap.Applied > m.applied {
+func (m *Replica) mayLearnAsLeader(msg Message) bool {
+	if msg.Snapshot != nil && msg.Snapshot.AppliedIndex > m.appliedIndex {
 		return false
 	}
-	upTo := m.applied
+	upTo := m.appliedIndex
 	for _, e := range msg.Entries {
-		if e.Slot == upTo+1 && e.Slot <= msg.Chosen && e.Ballot.Less(m.ballot) {
+		if e.Index == upTo+1 && e.Index <= msg.CommitIndex && e.ProposalNumber.Less(m.proposalNumber) {
 			upTo++
 		}
 	}
-	return upTo >= msg.Chosen
+	return upTo >= msg.CommitIndex
 }
 
-func (m *Member) applyNext() {
-	slot := m.applied + 1
+func (m *Replica) applyNext() {
+	slot := m.appliedIndex + 1
 	e := m.log[slot]
 	for _, t := range e.Txns {
-		ok := m.st.apply(t, slot, m.p.Alpha)
-		m.finish(Outcome{ID: t.ID, Committed: ok})
+		ok := m.state.apply(t, slot, m.config.Alpha)
+		m.reportOutcome(Outcome{TxnID: t.ID, Committed: ok})
 	}
-	m.applied = slot
-	m.out.Changed = true
-	m.st.prune(m.applied)
+	m.appliedIndex = slot
+	m.ready.StateChanged = true
+	m.state.pruneMemberships(m.appliedIndex)
 	m.compact()
 }
 
 // compact replaces a long log by a snapshot.
-func (m *Member) compact() {
-	if m.applied-m.base < 2*m.p.KeepLog && m.logBytes < 1<<20 {
+func (m *Replica) compact() {
+	if m.appliedIndex-m.compactedIndex < 2*m.config.RetainedEntries && m.logBytes < 1<<20 {
 		return
 	}
-	cut := m.applied
+	cut := m.appliedIndex
 	if m.logBytes < 1<<20 {
-		cut = m.applied - m.p.KeepLog
+		cut = m.appliedIndex - m.config.RetainedEntries
 	}
 	// The snapshot is of the newest state; the entries kept below it only
 	// serve to teach.
-	m.out.Writes.Snap = m.st.snapshot(m.applied)
-	m.out.Writes.DropTo = m.applied
+	m.ready.Writes.Snapshot = m.state.snapshot(m.appliedIndex)
+	m.ready.Writes.TruncateTo = m.appliedIndex
 	for slot, e := range m.log {
 		if slot <= cut {
 			m.logBytes -= entrySize(e)
 			delete(m.log, slot)
 		}
 	}
-	m.base = cut
+	m.compactedIndex = cut
 }
--- a/internal/cell/teach_test.go
+++ b/internal/cell/teach_test.go
@@ -9,71 +9,71 @@
 // fewer snapshots; one that comes further is taught at once. A snapshot that comes with a
 // promise for a bid that is over is learnt all the same.
 func TestTeachingPaced(t *testing.T) {
-	seats := []Seat{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+	seats := []Voter{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	snap := func(at uint64) *Snapshot {
-		return &Snapshot{Applied: at, State: map[string]Value{"k": Int(1)}, Memberships: []Membership{{From: 1, Seats: seats}}}
+		return &Snapshot{AppliedIndex: at, State: map[string]Value{"k": Int(1)}, Memberships: []Membership{{EffectiveFrom: 1, Voters: seats}}}
 	}
-	p := Params{Cell: "c", Self: "a", Alpha: 3, KeepLog: 16, Beat: 100 * time.Millisecond, Patience: time.Hour, Jitter: func() float64 { return 0 }}
-	count := func(m *Member, kind Kind) (n int) {
-		for _, msg := range m.Take().Send {
+	p := Config{Cell: "c", Self: "a", Alpha: 3, RetainedEntries: 16, HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: time.Hour, Jitter: func() float64 { return 0 }}
+	count := func(m *Replica, kind MessageKind) (n int) {
+		for _, msg := range m.Ready().Messages {
 			if msg.Kind == kind {
 				n++
 			}
 		}
 		return n
 	}
-	teacher, learner := New(p, Saved{Snap: snap(100)}, 0), New(p, Saved{Snap: snap(5)}, 0)
+	teacher, learner := NewReplica(p, PersistedState{Snapshot: snap(100)}, 0), NewReplica(p, PersistedState{Snapshot: snap(5)}, 0)
 	taught, asked := 0, 0
 	const beats = 100
 	for i := range beats {
-		now := time.Duration(i) * p.Beat
-		teacher.Step(now, Message{Cell: "c", Kind: Ask, From: "b", To: "a", Slot: 5})
-		taught += count(teacher, Teach)
-		learner.Step(now, Message{Cell: "c", Kind: Beat, From: "b", To: "a", Ballot: Ballot{Round: 1, By: "b"}, Chosen: 100})
-		asked += count(learner, Ask)
+		now := time.Duration(i) * p.HeartbeatInterval
+		teacher.Step(now, Message{Cell: "c", Kind: CatchUpRequest, From: "b", To: "a", Index: 5})
+		taught += count(teacher, CatchUpResponse)
+		learner.Step(now, Message{Cell: "c", Kind: Heartbeat, From: "b", To: "a", ProposalNumber: ProposalNumber{Term: 1, Proposer: "b"}, CommitIndex: 100})
+		asked += count(learner, CatchUpRequest)
 	}
 	for what, n := range map[string]int{"taught": taught, "asked": asked} {
-		if least, most := beats/mostWait, beats/mostWait+6; n < least || n > most {
+		if least, most := beats/maxBackoffHeartbeats, beats/maxBackoffHeartbeats+6; n < least || n > most {
 			t.Errorf("%s %d times in %d beats, not %d to %d", what, n, beats, least, most)
 		}
 	}
-	now := beats * p.Beat
-	teacher.Step(now, Message{Cell: "c", Kind: Ask, From: "b", To: "a", Slot: 6})
-	if count(teacher, Teach) != 1 {
+	now := beats * p.HeartbeatInterval
+	teacher.Step(now, Message{Cell: "c", Kind: CatchUpRequest, From: "b", To: "a", Index: 6})
+	if count(teacher, CatchUpResponse) != 1 {
 		t.Error("a member that has come further is not taught")
 	}
-	bidder := New(p, Saved{Snap: snap(5)}, 0)
-	bidder.bid(now)
-	bidder.Step(now, Message{Cell: "c", Kind: Promise, From: "b", To: "a", Ballot: Ballot{Round: 0, By: "a"}, Chosen: 100, Snap: snap(100)})
-	if bidder.Applied() != 100 {
-		t.Errorf("a late snapshot is not learnt: at %d", bidder.Applied())
+	bidder := NewReplica(p, PersistedState{Snapshot: snap(5)}, 0)
+	bidder.campaign(now)
+	bidder.Step(now, Message{Cell: "c", Kind: Promise, From: "b", To: "a", ProposalNumber: ProposalNumber{Term: 0, Proposer: "a"}, CommitIndex: 100, Snapshot: snap(100)})
+	if bidder.AppliedIndex() != 100 {
+		t.Errorf("a late snapshot is not learnt: at %d", bidder.AppliedIndex())
 	}
 }
 
 // TestFewLacking: a member that lacks no more than the pipeline holds asks with each beat,
 // and is taught each time if that is small; what is large is paced by who sends it.
 func TestFewLacking(t *testing.T) {
-	seats := []Seat{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-	p := Params{Cell: "c", Self: "a", Alpha: 3, KeepLog: 16, Beat: 100 * time.Millisecond, Patience: time.Hour, Jitter: func() float64 { return 0 }}
+	seats := []Voter{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+	p := Config{Cell: "c", Self: "a", Alpha: 3, RetainedEntries: 16, HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: time.Hour, Jitter: func() float64 { return 0 }}
 	const beats = 100
-	for what, c := range map[string]struct{ bytes, least, most int }{"small": {100, beats, beats}, "large": {2 * smallTeach, beats / mostWait, beats/mostWait + 6}} {
-		saved := Saved{Snap: &Snapshot{Applied: 5, State: map[string]Value{}, Memberships: []Membership{{From: 1, Seats: seats}}}}
-		learner := New(p, saved, 0)
+	for what, c := range map[string]struct{ bytes, least, most int }{"small": {100, beats, beats}, "large": {2 * smallTransferBytes, beats / maxBackoffHeartbeats, beats/maxBackoffHeartbeats + 6}} {
+		saved := PersistedState{Snapshot: &Snapshot{AppliedIndex: 5, State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: seats}}}}
+		learner := NewReplica(p, saved, 0)
 		put := Txn{ID: "t", Ops: []Op{{Kind: OpPut, Key: "k", Value: Bytes(make([]byte, c.bytes))}}}
-		saved.Entries, saved.Chosen = []Entry{{Slot: 6, Txns: []Txn{put}}, {Slot: 7}, {Slot: 8}}, 8
-		teacher := New(p, saved, 0)
+		saved.Entries, saved.CommitIndex = []Entry{{Index: 6, Txns: []Txn{put}}, {Index: 7}, {Index: 8}}, 8
+		teacher := NewReplica(p, saved, 0)
 		asked, taught := 0, 0
 		for i := range beats {
-			now := time.Duration(i) * p.Beat
-			learner.Step(now, Message{Cell: "c", Kind: Beat, From: "b", To: "a", Ballot: Ballot{Round: 1, By: "b"}, Chosen: 8})
-			for _, msg := range learner.Take().Send {
-				if msg.Kind == Ask {
+			now := time.Duration(i) * p.HeartbeatInterval
+			learner.Step(now, Message{Cell: "c", Kind: Heartbeat, From: "b", To: "a", ProposalNumber: ProposalNumber{Term: 1, Proposer: "b"}, CommitIndex: 8})
+			for _, msg := range learner.Ready().Messages {
+				if msg.Kind == CatchUpRequest {
 					asked++
-					teacher.Step(now, Message{Cell: "c", Kind: Ask, From: "b", To: "a", Slot: msg.Slot})
+					teacher.Step(now, Message{Cell: "c", Kind: CatchUpRequest, From: "b", To: "a", Index: msg.Index})
 				}
 			}
-			for _, msg := range teacher.Take().Send {
-				if msg.Kind == Teach {
+			for _, msg := range teacher.Ready().Messages {
+				if msg.Kind == CatchUpResponse {
 					taught++
 				}
 			}
--- a/internal/cell/touched_test.go
+++ b/internal/cell/touched_test.go
@@ -8,25 +8,25 @@
 // TestTouched: the owner of a member learns which keys a change touched, and
 // that all may have been where a snapshot was taken in.
 func TestTouched(t *testing.T) {
-	seats := []Seat{{ID: "a", Addr: "a"}}
-	m := New(Params{Cell: "c", Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, KeepLog: 16,
-		Beat: 100 * time.Millisecond, Patience: 400 * time.Millisecond, Jitter: func() float64 { return 0.5 }},
-		Saved{Snap: &Snapshot{State: map[string]Value{"x": Int(1)}, Memberships: []Membership{{From: 1, Seats: seats}}}}, 0)
+	seats := []Voter{{ID: "a", Addr: "a"}}
+	m := NewReplica(Config{Cell: "c", Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
+		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, Jitter: func() float64 { return 0.5 }},
+		PersistedState{Snapshot: &Snapshot{State: map[string]Value{"x": Int(1)}, Memberships: []Membership{{EffectiveFrom: 1, Voters: seats}}}}, 0)
 	now := time.Duration(0)
-	run := func() (what Touched) {
+	run := func() (what ChangedKeys) {
 		for range 20 {
 			now += 50 * time.Millisecond
 			m.Tick(now)
-			out := m.Take()
-			what.All = what.All || out.Touched.All
-			what.Keys = append(what.Keys, out.Touched.Keys...)
-			for _, msg := range append(out.Send, out.SendSynced...) {
+			out := m.Ready()
+			what.All = what.All || out.ChangedKeys.All
+			what.Keys = append(what.Keys, out.ChangedKeys.Keys...)
+			for _, msg := range append(out.Messages, out.MessagesAfterSync...) {
 				m.Step(now, msg)
 			}
 		}
 		return what
 	}
-	if what := run(); !what.Any("anything") {
+	if what := run(); !what.AnyWithPrefix("anything") {
 		t.Error("a start does not touch all")
 	}
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 		}
 		what := run()
 		for prefix, want := range c.want {
-			if what.Any(prefix) != want {
+			if what.AnyWithPrefix(prefix) != want {
 				t.Errorf("%s: Any(%q) is %v", c.why, prefix, !want)
 			}
 		}
--- a/internal/cell/types.go
+++ b/internal/cell/types.go
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// MemberID names one life of one disk. A machine whose disk was lost comes
+// ReplicaID names one life of one disk. A machine whose disk was lost comes
 // back under another MemberID and never votes under the old one.
-type MemberID string
+type ReplicaID string
 
-// Ballot orders proposers.
-type Ballot struct {
-	Round uint64   `cbor:"1,keyasint,omitempty"`
-	By    MemberID `cbor:"2,keyasint,omitempty"`
+// ProposalNumber orders proposers.
+type ProposalNumber struct {
+	Term     uint64    `cbor:"1,keyasint,omitempty"`
+	Proposer ReplicaID `cbor:"2,keyasint,omitempty"`
 }
 
 // Less reports whether b is older than o.
-func (b Ballot) Less(o Ballot) bool {
-	if b.Round != o.Round {
-		return b.Round < o.Round
+func (b ProposalNumber) Less(o ProposalNumber) bool {
+	if b.Term != o.Term {
+		return b.Term < o.Term
 	}
-	return b.By < o.By
+	return b.Proposer < o.Proposer
 }
 
-// Seat is one place in a cell's membership.
-type Seat struct {
-	ID   MemberID `cbor:"1,keyasint"`
-	Addr string   `cbor:"2,keyasint"`
-	Zone string   `cbor:"3,keyasint"`
+// Voter is one place in a cell's membership.
+type Voter struct {
+	ID   ReplicaID `cbor:"1,keyasint"`
+	Addr string    `cbor:"2,keyasint"`
+	Zone string    `cbor:"3,keyasint"`
 }
 
 // Membership is the set of voters from one log position on.
 type Membership struct {
-	From  uint64 `cbor:"1,keyasint"`
-	Seats []Seat `cbor:"2,keyasint"`
+	EffectiveFrom uint64  `cbor:"1,keyasint"`
+	Voters        []Voter `cbor:"2,keyasint"`
 }
 
-// Has reports whether id votes in this membership.
-func (m Membership) Has(id MemberID) bool {
-	for _, s := range m.Seats {
+// Contains reports whether id votes in this membership.
+func (m Membership) Contains(id ReplicaID) bool {
+	for _, s := range m.Voters {
 		if s.ID == id {
 			return true
 		}
@@ -94,7 +94,7 @@
 	OpDelete
 	OpAdd
 	OpPatch
-	OpSeats
+	OpSetVoters
 	OpAppend
 )
 
@@ -102,10 +102,10 @@
 // OpAppend puts its value under Key followed by the log position: entries then
 // stand in the order in which they were chosen.
 type Op struct {
-	Kind  OpKind `cbor:"1,keyasint"`
-	Key   string `cbor:"2,keyasint,omitempty"`
-	Value Value  `cbor:"3,keyasint,omitempty"`
-	Seats []Seat `cbor:"4,keyasint,omitempty"`
+	Kind   OpKind  `cbor:"1,keyasint"`
+	Key    string  `cbor:"2,keyasint,omitempty"`
+	Value  Value   `cbor:"3,keyasint,omitempty"`
+	Voters []Voter `cbor:"4,keyasint,omitempty"`
 }
 
 // Txn lists every key it touches and every condition it needs, so that it can
@@ -118,106 +118,106 @@
 
 // Entry is the content of one log position. No transactions make a no-op.
 type Entry struct {
-	Slot   uint64 `cbor:"1,keyasint"`
-	Ballot Ballot `cbor:"2,keyasint"`
-	Txns   []Txn  `cbor:"3,keyasint,omitempty"`
+	Index          uint64         `cbor:"1,keyasint"`
+	ProposalNumber ProposalNumber `cbor:"2,keyasint"`
+	Txns           []Txn          `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot is the state after the log position Applied.
 type Snapshot struct {
-	Applied     uint64           `cbor:"1,keyasint"`
-	State       map[string]Value `cbor:"2,keyasint"`
-	Memberships []Membership     `cbor:"3,keyasint"`
+	AppliedIndex uint64           `cbor:"1,keyasint"`
+	State        map[string]Value `cbor:"2,keyasint"`
+	Memberships  []Membership     `cbor:"3,keyasint"`
 }
 
-// Kind says what a Message is.
-type Kind uint8
+// MessageKind says what a Message is.
+type MessageKind uint8
 
 // The messages of a cell.
 const (
-	Prepare Kind = iota + 1
+	Prepare MessageKind = iota + 1
 	Promise
 	Reject
 	Accept
 	Accepted
-	Beat
-	BeatAck
-	Ask
-	Teach
-	Reserved
-	Held
-	HandOver // a proposer that loses its seat: bid, nobody leads under this ballot any more
+	Heartbeat
+	HeartbeatAck
+	CatchUpRequest
+	CatchUpResponse
+	TermPersisted
+	CommitPersisted
+	LeadershipTransfer // a proposer that loses its seat: bid, nobody leads under this ballot any more
 )
 
 // Message goes from one member to another; any may be lost, doubled or late.
 type Message struct {
-	Cell    string    `cbor:"1,keyasint"`
-	Kind    Kind      `cbor:"2,keyasint"`
-	From    MemberID  `cbor:"3,keyasint"`
-	To      MemberID  `cbor:"4,keyasint"`
-	Ballot  Ballot    `cbor:"5,keyasint,omitempty"`
-	Slot    uint64    `cbor:"6,keyasint,omitempty"`
-	Chosen  uint64    `cbor:"7,keyasint,omitempty"`
-	Seq     uint64    `cbor:"8,keyasint,omitempty"`
-	Slots   []uint64  `cbor:"9,keyasint,omitempty"`
-	Entries []Entry   `cbor:"10,keyasint,omitempty"`
-	Snap    *Snapshot `cbor:"11,keyasint,omitempty"`
-	// Fresh: the asker knows no membership yet and needs a snapshot.
-	Fresh bool `cbor:"12,keyasint,omitempty"`
-	// Echo is a stamp of a member's own clock, in what it answers a proposer; a beat
+	Cell              string         `cbor:"1,keyasint"`
+	Kind              MessageKind    `cbor:"2,keyasint"`
+	From              ReplicaID      `cbor:"3,keyasint"`
+	To                ReplicaID      `cbor:"4,keyasint"`
+	ProposalNumber    ProposalNumber `cbor:"5,keyasint,omitempty"`
+	Index             uint64         `cbor:"6,keyasint,omitempty"`
+	CommitIndex       uint64         `cbor:"7,keyasint,omitempty"`
+	HeartbeatSequence uint64         `cbor:"8,keyasint,omitempty"`
+	AcceptedIndexes   []uint64       `cbor:"9,keyasint,omitempty"`
+	Entries           []Entry        `cbor:"10,keyasint,omitempty"`
+	Snapshot          *Snapshot      `cbor:"11,keyasint,omitempty"`
+	// NeedsSnapshot: the asker knows no membership yet and needs a snapshot.
+	NeedsSnapshot bool `cbor:"12,keyasint,omitempty"`
+	// EchoTimestamp is a stamp of a member's own clock, in what it answers a proposer; a beat
 	// brings back the newest that the proposer has had from it.
-	Echo uint64 `cbor:"13,keyasint,omitempty"`
-	// Age of a beat: how long ago, in milliseconds, a majority surely followed the proposer.
-	Age uint64 `cbor:"14,keyasint,omitempty"`
-	// Settled is where the newest membership begins whose change the proposer knows is done.
-	Settled uint64 `cbor:"15,keyasint,omitempty"`
-	// Over, of a bid: the newest ballot that the bidder knows nobody leads under any more.
-	Over Ballot `cbor:"16,keyasint,omitempty"`
+	EchoTimestamp uint64 `cbor:"13,keyasint,omitempty"`
+	// QuorumContactAgeMillis of a beat: how long ago, in milliseconds, a majority surely followed the proposer.
+	QuorumContactAgeMillis uint64 `cbor:"14,keyasint,omitempty"`
+	// CompletedMembershipIndex is where the newest membership begins whose change the proposer knows is done.
+	CompletedMembershipIndex uint64 `cbor:"15,keyasint,omitempty"`
+	// EndedLeadership, of a bid: the newest ballot that the bidder knows nobody leads under any more.
+	EndedLeadership ProposalNumber `cbor:"16,keyasint,omitempty"`
 }
 
 // Writes must be synced before what the same Output has in SendSynced may leave.
 type Writes struct {
-	Promised *Ballot
-	// Round is one that this member is about to bid under; no later life may use it.
-	Round   uint64
-	Chosen  uint64
-	Entries []Entry
-	Snap    *Snapshot
-	DropTo  uint64
-	// Note: Chosen is worth a write of its own.
-	Note bool
+	Promised *ProposalNumber
+	// Term is one that this member is about to bid under; no later life may use it.
+	Term        uint64
+	CommitIndex uint64
+	Entries     []Entry
+	Snapshot    *Snapshot
+	TruncateTo  uint64
+	// PersistCommitIndex: Chosen is worth a write of its own.
+	PersistCommitIndex bool
 }
 
 // Empty reports whether there is nothing to sync.
 func (w *Writes) Empty() bool {
-	return w.Promised == nil && w.Round == 0 && len(w.Entries) == 0 && w.Snap == nil && !w.Note
+	return w.Promised == nil && w.Term == 0 && len(w.Entries) == 0 && w.Snapshot == nil && !w.PersistCommitIndex
 }
 
-// Saved is what a member finds on its disk when it starts.
-type Saved struct {
-	Promised Ballot
-	Round    uint64
-	Chosen   uint64
-	Entries  []Entry
-	Snap     *Snapshot
+// PersistedState is what a member finds on its disk when it starts.
+type PersistedState struct {
+	Promised    ProposalNumber
+	Term        uint64
+	CommitIndex uint64
+	Entries     []Entry
+	Snapshot    *Snapshot
 }
 
 // Outcome tells a proposer what became of its transaction. Lost means that
 // this member cannot tell: it may or may not be applied.
 type Outcome struct {
-	ID        string
+	TxnID     string
 	Committed bool
-	Lost      bool
+	Unknown   bool
 }
 
-// Touched names the keys that were changed, or says that all may have been.
-type Touched struct {
+// ChangedKeys names the keys that were changed, or says that all may have been.
+type ChangedKeys struct {
 	All  bool
 	Keys []string
 }
 
-// Any reports whether a key that begins with the prefix was changed.
-func (t Touched) Any(prefix string) bool {
+// AnyWithPrefix reports whether a key that begins with the prefix was changed.
+func (t ChangedKeys) AnyWithPrefix(prefix string) bool {
 	if t.All {
 		return true
 	}
@@ -229,35 +229,35 @@
 	return false
 }
 
-// Output is what a member wants done. SendSynced waits for the sync of Writes and
+// Ready is what a member wants done. SendSynced waits for the sync of Writes and
 // of all Writes before them; Send may leave at once.
-type Output struct {
-	Writes     Writes
-	Send       []Message
-	SendSynced []Message
-	Done       []Outcome
-	Reads      []uint64
-	Changed    bool
-	Touched    Touched
+type Ready struct {
+	Writes            Writes
+	Messages          []Message
+	MessagesAfterSync []Message
+	Outcomes          []Outcome
+	ConfirmedReads    []uint64
+	StateChanged      bool
+	ChangedKeys       ChangedKeys
 }
 
-// Params are fixed for the life of a member.
-type Params struct {
+// Config are fixed for the life of a member.
+type Config struct {
 	Cell     string
-	Self     MemberID
+	Self     ReplicaID
 	Alpha    uint64
 	MaxQueue int
 	MaxBatch int
-	// KeepLog is how many applied entries stay for teaching by segment.
-	KeepLog  uint64
-	Beat     time.Duration
-	Patience time.Duration
+	// RetainedEntries is how many applied entries stay for teaching by segment.
+	RetainedEntries   uint64
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration
 	// Jitter gives a number in [0,1).
 	Jitter func() float64
 }
 
 // Errors of this layer.
 var (
-	ErrNotProposer = errors.New("cell: this member is not the proposer")
-	ErrBusy        = errors.New("cell: the pipeline is full")
+	ErrNotLeader    = errors.New("cell: this member is not the proposer")
+	ErrPipelineFull = errors.New("cell: the pipeline is full")
 )
--- a/internal/cell/worst_test.go
+++ b/internal/cell/worst_test.go
@@ -19,7 +19,7 @@
 // playSeeds plays a few seeds, or as many as COMETHOLD_SEEDS says, several at once.
 func playSeeds(t *testing.T, few int, play func(t *testing.T, seed int64)) {
 	const parts = 8
-	n := int64(scenario.Seeds(few))
+	n := int64(scenario.SeedCount(few))
 	for part := range int64(parts) {
 		t.Run(strconv.FormatInt(part, 10), func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +42,7 @@
 }
 
 // unsend takes off the wire what a machine has sent and nobody has got.
-func (c *chaos) unsend(id MemberID) {
+func (c *chaos) unsend(id ReplicaID) {
 	c.wire = slices.DeleteFunc(c.wire, func(f flying) bool { return f.msg.From == id })
 	heap.Init(&c.wire)
 }
@@ -50,8 +50,8 @@
 // elect has a member bid until it leads, or for a while in vain.
 func (c *chaos) elect(name string) {
 	n := c.nodes[name]
-	n.m.deadline = c.now
-	for k := 0; k < 400 && n.m.Role() != Leading; k++ {
+	n.m.electionDeadline = c.now
+	for k := 0; k < 400 && n.m.Role() != Leader; k++ {
 		c.run(time.Millisecond)
 	}
 }
@@ -60,7 +60,7 @@
 func (c *chaos) sparse(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		for _, name := range c.names() {
-			if n := c.nodes[name]; n.up && !n.frozen && n.m.Role() == Leading {
+			if n := c.nodes[name]; n.up && !n.frozen && n.m.Role() == Leader {
 				c.order(n)
 				c.ask(n)
 			}
@@ -75,7 +75,7 @@
 func (c *chaos) repaired() {
 	for range 20000 {
 		if l := c.leader(); l != nil {
-			seats, settled := l.m.Seats()
+			seats, settled := l.m.Voters()
 			ok := settled && len(seats) == 5
 			for _, x := range seats {
 				ok = ok && c.nodes[machineOf(x.ID)].id == x.ID
@@ -95,7 +95,7 @@
 	before := -1
 	for range 4000 {
 		if l := c.leader(); l != nil {
-			n, _ := l.m.Get(SeatsKey)
+			n, _ := l.m.Get(MembershipVersionKey)
 			now := 0
 			if n.Int != nil {
 				now = int(n.Int.Int64())
@@ -172,7 +172,7 @@
 		if l := c.leading(names[0]); l != names[0] || c.rng.Intn(2) == 0 {
 			names = append([]string{l}, slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == l })...)
 		}
-		at := c.nodes[names[0]].m.Applied()
+		at := c.nodes[names[0]].m.AppliedIndex()
 		slices.SortStableFunc(names[1:], func(a, b string) int { return c.holds(b, at) - c.holds(a, at) })
 		for _, name := range names[:2] {
 			c.unsend(c.nodes[name].id)
@@ -276,14 +276,14 @@
 // the one that was away belongs to the only majority, and it is made to lead.
 func (c *chaos) away() (led bool) {
 	l := c.leader()
-	seats, _ := l.m.Seats()
-	to := l.m.Applied() + 300 + uint64(c.rng.Intn(100))
+	seats, _ := l.m.Voters()
+	to := l.m.AppliedIndex() + 300 + uint64(c.rng.Intn(100))
 	c.rng.Shuffle(len(seats), func(i, j int) { seats[i], seats[j] = seats[j], seats[i] })
 	late := machineOf(seats[0].ID)
 	c.kill(c.nodes[late])
 	for range 20000 {
 		l := c.leader()
-		if l != nil && l.m.Applied() >= to {
+		if l != nil && l.m.AppliedIndex() >= to {
 			break
 		}
 		if l != nil && c.status[fmt.Sprintf("o%d", c.wanted)] != "pending" {
@@ -305,7 +305,7 @@
 		if name == lead {
 			return 1 << 30
 		}
-		return int(c.nodes[name].m.Applied())
+		return int(c.nodes[name].m.AppliedIndex())
 	}
 	slices.SortStableFunc(others, func(a, b string) int { return know(b) - know(a) })
 	for _, name := range others[:2] {
@@ -318,13 +318,13 @@
 	}
 	for range 20 {
 		for _, name := range others[2:] { // one that was quicker starts anew
-			if n := c.nodes[name]; n.m.Role() == Leading {
+			if n := c.nodes[name]; n.m.Role() == Leader {
 				c.kill(n)
 				c.start(n)
 				c.learners()
 			}
 		}
-		if c.elect(late); c.nodes[late].m.Role() == Leading {
+		if c.elect(late); c.nodes[late].m.Role() == Leader {
 			led = true
 			break
 		}
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -55,7 +55,7 @@
 type control struct {
 	t        *testing.T
 	set      *settings.Settings
-	process  *registrar.Registrar
+	process  *registrar.Server
 	operator *httptest.Server
 	inner    *httptest.Server
 	cast     net.PacketConn
@@ -67,11 +67,11 @@
 	set := &settings.Settings{NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", RegionName: "r", HeartbeatMs: 1200,
 		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"}, FirstStart: first, DataDirectory: dir,
 		Bounds: settings.Bounds{DrainMs: 3000, GracePeriodS: 6, QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaSlack: 20}}
-	var dial wire.Net = func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
+	var dial wire.Network = func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
 		return func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 	}
 	if platform != nil {
-		set.Platform = settings.Platform{Address: "10.200.0.1:80", RatePerS: 50, Duties: []string{settings.DutyUsage}, DutiesPerS: 50}
+		set.Platform = settings.Platform{Address: "10.200.0.1:80", RatePerS: 50, Duties: []string{settings.UsageReportingDuty}, DutiesPerS: 50}
 		set.Bounds.LeaseMs, set.Bounds.UsageWindowS, set.Bounds.UsageDelayS = 3000, 1, 4
 		dial = func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
 			return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -82,14 +82,14 @@
 			}
 		}
 	}
-	c := &control{t: t, set: set, process: registrar.New(set, event.Nop(), dial, vault.Files{})}
-	c.operator, c.inner = httptest.NewServer(c.process.Operator()), httptest.NewServer(c.process.Inner())
+	c := &control{t: t, set: set, process: registrar.New(set, event.Nop(), dial, vault.LocalDisk{})}
+	c.operator, c.inner = httptest.NewServer(c.process.OperatorHandler()), httptest.NewServer(c.process.InternalHandler())
 	var err error
 	if c.cast, err = net.ListenPacket("udp4", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = c.process.Run() }()
-	go func() { _ = c.process.Cast(c.cast) }()
+	go func() { _ = c.process.ServeDatagrams(c.cast) }()
 	return c
 }
 
@@ -141,9 +141,9 @@
 }
 
 // news is what the control plane tells a node that holds nothing.
-func (c *control) news(call feed.Call) feed.News {
+func (c *control) news(call feed.UpdateRequest) feed.Update {
 	c.t.Helper()
-	body, err := wire.Encode(&call)
+	body, err := wire.EncodeRequest(&call)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -152,19 +152,19 @@
 		c.t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var out feed.News
-	if err := wire.Read(resp.Body, &out); err != nil {
+	var out feed.Update
+	if err := wire.DecodeRequest(resp.Body, &out); err != nil {
 		c.t.Fatalf("%d %v", resp.StatusCode, err)
 	}
 	return out
 }
 
 // until waits for news that fit.
-func (c *control) until(what string, fits func(feed.News) bool) feed.News {
+func (c *control) until(what string, fits func(feed.Update) bool) feed.Update {
 	c.t.Helper()
-	var n feed.News
+	var n feed.Update
 	for range 600 {
-		if n = c.news(feed.Call{Node: feed.Node{Zone: "z1"}, Now: true}); fits(n) {
+		if n = c.news(feed.UpdateRequest{Node: feed.Node{Zone: "z1"}, Immediate: true}); fits(n) {
 			return n
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -173,8 +173,8 @@
 	return n
 }
 
-func marked(n feed.News) bool {
-	return slices.ContainsFunc(n.Marks, func(m feed.Marks) bool { return len(m.Drained) > 0 })
+func marked(n feed.Update) bool {
+	return slices.ContainsFunc(n.EjectionMarks, func(m feed.EjectionMarks) bool { return len(m.Ejected) > 0 })
 }
 
 // writeData makes a data directory with something of everything that is stored.
@@ -192,25 +192,25 @@
 	c.want(http.StatusPreconditionFailed, "/Configuration.Replace", "0", strings.Replace(firstConfiguration, "1000", "2000", 1))
 	c.want(http.StatusOK, "/purge", "", `{"hostname":"h.example","path":"/old"}`)
 	c.want(http.StatusOK, "/purge", "", `{"label":"l1"}`)
-	c.until("list", func(n feed.News) bool { return n.List != nil && len(n.List.Leafs) == 1 })
+	c.until("list", func(n feed.Update) bool { return n.Endpoints != nil && len(n.Endpoints.Endpoints) == 1 })
 	for _, name := range []string{"n1/switch", "n2/switch"} {
-		c.news(feed.Call{Node: feed.Node{Name: name, Addr: address, Zone: "z1"}, Now: true, Reports: []feed.Report{{Leaf: "i1", Service: "s1"}}})
+		c.news(feed.UpdateRequest{Node: feed.Node{Name: name, Addr: address, Zone: "z1"}, Immediate: true, Reports: []feed.HealthReport{{EndpointID: "i1", Service: "s1"}}})
 	}
-	c.claim(feed.SharesOfRates, 1)
-	c.claim(feed.SharesOfQuotas, 1)
+	c.claim(feed.RateShares, 1)
+	c.claim(feed.QuotaShares, 1)
 	c.until("marks", marked)
 	c.want(http.StatusOK, "/Notices.Redrive", "", `{"eventId":"configuration/5","operator":"o","correlationId":"c","action":"resend"}`)
 	c.count()
 	for i := range uint64(120) { // so that the log is cut and a snapshot is written
-		c.claim(feed.SharesOfRates, i+2)
+		c.claim(feed.RateShares, i+2)
 	}
 	time.Sleep(time.Second)
 }
 
 // claim renews the share of a node.
-func (c *control) claim(of feed.Shares, turn uint64) {
+func (c *control) claim(of feed.ShareTable, turn uint64) {
 	c.t.Helper()
-	body, err := wire.Encode(&feed.Claim{Node: "n2", Fresh: true, Of: of, Turn: feed.Turn{Life: 9, N: turn}})
+	body, err := wire.EncodeRequest(&feed.ShareRequest{Node: "n2", HoldsNone: true, Table: of, Number: feed.RequestNumber{Incarnation: 9, Sequence: turn}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -233,8 +233,8 @@
 	}
 	defer func() { _ = conn.Close() }()
 	for seq := range uint64(20) {
-		window := usage.WindowOf(time.Now(), c.set.Bounds.UsageWindow())
-		msg, err := wire.Marshal(&feed.Datagram{Tally: &usage.Tally{Life: 9, Seq: seq + 1, Parts: usage.Windows{window: usage.Counts{"t": seq + 1}}}})
+		window := usage.WindowAt(time.Now(), c.set.Bounds.UsageWindow())
+		msg, err := wire.Marshal(&feed.Datagram{UsageReport: &usage.CountReport{Incarnation: 9, Sequence: seq + 1, Windows: usage.Windows{window: usage.Counts{"t": seq + 1}}}})
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -261,18 +261,18 @@
 		}
 	}
 	decode(c.want(http.StatusOK, "/Configuration.Read", "", ""), &r.Configuration)
-	n := c.until("state", func(n feed.News) bool {
-		cut := !slices.ContainsFunc(n.Marks, func(m feed.Marks) bool { return len(m.Cut) == 0 })
-		return marked(n) && cut && len(n.Marks) == 2 && n.Config != nil && n.Recalls != nil && n.Nodes != nil && n.List != nil
+	n := c.until("state", func(n feed.Update) bool {
+		cut := !slices.ContainsFunc(n.EjectionMarks, func(m feed.EjectionMarks) bool { return len(m.Services) == 0 })
+		return marked(n) && cut && len(n.EjectionMarks) == 2 && n.Config != nil && n.Purges != nil && n.Nodes != nil && n.Endpoints != nil
 	})
-	slices.SortFunc(n.Marks, func(a, b feed.Marks) int { return strings.Compare(a.Index, b.Index) })
-	slices.SortFunc(n.Nodes.All, func(a, b feed.Node) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(n.EjectionMarks, func(a, b feed.EjectionMarks) int { return strings.Compare(a.IndexName, b.IndexName) })
+	slices.SortFunc(n.Nodes.Nodes, func(a, b feed.Node) int { return strings.Compare(a.Name, b.Name) })
 	decode(c.want(http.StatusOK, "/Notices.Read", "", ""), &notices)
 	r.Quarantine, r.Redrives, r.Decided = notices.Quarantine, notices.Redrives, notices.Decided
 	// Positions of the log go on with every start.
-	n.Nodes.Slot = 0
-	for i := range n.Marks {
-		n.Marks[i].Slot = 0
+	n.Nodes.LogIndex = 0
+	for i := range n.EjectionMarks {
+		n.EjectionMarks[i].LogIndex = 0
 	}
 	part := func(v any) any {
 		raw, err := wire.Marshal(v)
@@ -281,7 +281,7 @@
 		}
 		return compat.Readable(c.t, raw)
 	}
-	r.Purges, r.Marks, r.Leafs, r.Nodes = part(n.Recalls.All), part(n.Marks), part(n.List.Leafs), part(n.Nodes.All)
+	r.Purges, r.Marks, r.Leafs, r.Nodes = part(n.Purges.Purges), part(n.EjectionMarks), part(n.Endpoints.Endpoints), part(n.Nodes.Nodes)
 	return r
 }
 
@@ -301,7 +301,7 @@
 		}
 		on := 0
 		for _, d := range v.Duties {
-			if d.Fence > 1 && d.Duty != settings.DutyUsage {
+			if d.Fence > 1 && d.Duty != settings.UsageReportingDuty {
 				on++
 			}
 		}
@@ -326,7 +326,7 @@
 // keys, and cells by their names.
 func stored(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
-	v, err := vault.Open(dir, vault.Files{}, func(err error) { t.Error(err) })
+	v, err := vault.Open(dir, vault.LocalDisk{}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -340,7 +340,7 @@
 	}
 	node, byName := map[string]any{}, map[string]storedCell{}
 	for _, k := range keys {
-		if raw := v.Node(k); k == "identity" {
+		if raw := v.NodeValue(k); k == "identity" {
 			node[k] = compat.Text(raw)
 		} else if raw == nil {
 			t.Errorf("the node has no %s", k)
@@ -349,11 +349,11 @@
 		}
 	}
 	for _, name := range cells {
-		s, found, err := v.Load(name)
+		s, found, err := v.LoadReplica(name)
 		if err != nil || !found {
 			t.Fatalf("cell %s: %v %v", name, found, err)
 		}
-		c := storedCell{Promised: part(s.Promised), Round: s.Round, Chosen: s.Chosen, Snapshot: part(s.Snap)}
+		c := storedCell{Promised: part(s.Promised), Round: s.Term, Chosen: s.CommitIndex, Snapshot: part(s.Snapshot)}
 		for i := range s.Entries {
 			c.Entries = append(c.Entries, part(s.Entries[i]))
 		}
@@ -442,7 +442,7 @@
 		t.Errorf("after the next start the configuration is %+v", now)
 	}
 	n := c.until("marks", marked)
-	if last := n.Recalls.All[len(n.Recalls.All)-1]; last.Label != "new" {
+	if last := n.Purges.Purges[len(n.Purges.Purges)-1]; last.Label != "new" {
 		t.Errorf("after the next start the newest purge is %+v", last)
 	}
 }
--- a/internal/compat/paths_test.go
+++ b/internal/compat/paths_test.go
@@ -21,20 +21,20 @@
 func TestPaths(t *testing.T) {
 	set := &settings.Settings{NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", DataDirectory: t.TempDir(),
 		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"}}
-	control := registrar.New(set, event.Nop(), wire.Sockets, vault.Files{})
-	proxy := switchboard.New(set, event.Nop(), wire.Sockets)
+	control := registrar.New(set, event.Nop(), wire.TCPNetwork, vault.LocalDisk{})
+	proxy := switchboard.New(set, event.Nop(), wire.TCPNetwork)
 	defer proxy.Close()
-	cache := announce.New(set, event.Nop(), wire.Sockets)
+	cache := announce.New(set, event.Nop(), wire.TCPNetwork)
 	defer cache.Close()
 	for _, c := range []struct {
 		who    string
 		serves *echo.Echo
 		paths  string
 	}{
-		{"control plane, to operators", control.Operator(), "/Configuration.Amend /Configuration.Read /Configuration.Replace /Duties.Read /Estimates.Read /Estimates.Saved /Notices.Read /Notices.Redrive /purge"},
-		{"control plane, inside", control.Inner(), "/cells /claim /confirm /feed /list /list/read /move /notices /propose /ration /usage"},
-		{"data plane, inside", proxy.Inner(), "/estimates /feed /here"},
-		{"object cache, inside", cache.Inner(), "/errand /feed /here /object"},
+		{"control plane, to operators", control.OperatorHandler(), "/Configuration.Amend /Configuration.Read /Configuration.Replace /Duties.Read /Estimates.Read /Estimates.Saved /Notices.Read /Notices.Redrive /purge"},
+		{"control plane, inside", control.InternalHandler(), "/cells /claim /confirm /feed /list /list/read /move /notices /propose /ration /usage"},
+		{"data plane, inside", proxy.InternalHandler(), "/estimates /feed /here"},
+		{"object cache, inside", cache.InternalHandler(), "/errand /feed /here /object"},
 	} {
 		got := map[string]bool{}
 		for _, r := range c.serves.Routes() {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,18 +21,18 @@
 
 // Errors of this layer.
 var (
-	ErrPlatform = errors.New("directory: the platform does not answer")
-	ErrTooFast  = errors.New("directory: the platform refuses more calls")
-	ErrGarbled  = errors.New("directory: the list cannot be read")
+	ErrUnavailable = errors.New("directory: the platform does not answer")
+	ErrRateLimited = errors.New("directory: the platform refuses more calls")
+	ErrMalformed   = errors.New("directory: the list cannot be read")
 )
 
 const (
-	callTimeout = 900 * time.Millisecond
-	maxPages    = 400
-	rateShare   = 0.6  // of the platform's rate that one lister uses; another may follow it
-	tooFastMost = 20   // refusals in a row of one page
-	tooFastRest = 0.25 // of a second, after a refusal
-	maxPage     = 8 << 20
+	callTimeout         = 900 * time.Millisecond
+	maxPages            = 400
+	rateFraction        = 0.6  // of the platform's rate that one lister uses; another may follow it
+	maxRateLimitRetries = 20   // refusals in a row of one page
+	rateLimitDelayS     = 0.25 // of a second, after a refusal
+	maxPageBytes        = 8 << 20
 )
 
 type instance struct {
@@ -45,44 +45,44 @@
 	WarmupLeftMs     int64  `json:"warmupLeftMs"`
 }
 
-type page struct {
+type instancePage struct {
 	Instances     []instance `json:"instances" validate:"dive"`
 	NextPageToken *string    `json:"nextPageToken"`
 }
 
-var check = validator.New(validator.WithRequiredStructEnabled())
+var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Platform calls the platform's list. It is not for use by several at a time.
-type Platform struct {
-	addr   string
-	http   *http.Client
-	recent []time.Time // calls of the last second, as many as its share of the rate
-	next   int
+// Client calls the platform's list. It is not for use by several at a time.
+type Client struct {
+	address     string
+	httpClient  *http.Client
+	recentCalls []time.Time // calls of the last second, as many as its share of the rate
+	oldestCall  int
 }
 
-// NewPlatform makes a caller of the list at addr, which takes so many calls a second from
+// NewClient makes a caller of the list at addr, which takes so many calls a second from
 // all nodes; 0 if that is not known.
-func NewPlatform(n wire.Net, addr string, ratePerS float64) *Platform {
+func NewClient(n wire.Network, addr string, ratePerS float64) *Client {
 	most := 0
 	if ratePerS > 0 {
-		most = max(1, int(ratePerS*rateShare))
+		most = max(1, int(ratePerS*rateFraction))
 	}
-	return &Platform{addr: addr, recent: make([]time.Time, most), http: &http.Client{Timeout: callTimeout,
+	return &Client{address: addr, recentCalls: make([]time.Time, most), httpClient: &http.Client{Timeout: callTimeout,
 		Transport: &http.Transport{DialContext: n(600*time.Millisecond, 1500*time.Millisecond), DisableCompression: true, MaxIdleConnsPerHost: 1}}}
 }
 
 // List reads the whole list, page by page. It is all or an error.
-func (p *Platform) List(ctx context.Context) ([]feed.Leaf, error) {
-	var out []feed.Leaf
+func (p *Client) List(ctx context.Context) ([]feed.Endpoint, error) {
+	var out []feed.Endpoint
 	token := ""
 	for range maxPages {
-		pg, err := p.turn(ctx, token)
+		pg, err := p.fetchPageAtRate(ctx, token)
 		if err != nil {
 			return nil, err
 		}
 		for _, i := range pg.Instances {
-			out = append(out, feed.Leaf{ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.AvailabilityZone,
-				Slots: max(1, i.CapacitySlots), Draining: i.State != "ready", Cold: i.WarmupLeftMs > 0})
+			out = append(out, feed.Endpoint{ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.AvailabilityZone,
+				Slots: max(1, i.CapacitySlots), Draining: i.State != "ready", WarmingUp: i.WarmupLeftMs > 0})
 		}
 		if pg.NextPageToken == nil || *pg.NextPageToken == "" {
 			sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
@@ -90,24 +90,24 @@
 		}
 		token = *pg.NextPageToken
 	}
-	return nil, fmt.Errorf("%w: no last page", ErrGarbled)
+	return nil, fmt.Errorf("%w: no last page", ErrMalformed)
 }
 
-// turn reads a page when the rate allows it. One that is refused all the same is asked
+// fetchPageAtRate reads a page when the rate allows it. One that is refused all the same is asked
 // for again: to begin the list anew would only add calls.
-func (p *Platform) turn(ctx context.Context, token string) (pg *page, err error) {
-	for range tooFastMost {
-		if len(p.recent) > 0 {
-			if err := sleep(ctx, time.Until(p.recent[p.next].Add(time.Second))); err != nil {
+func (p *Client) fetchPageAtRate(ctx context.Context, token string) (pg *instancePage, err error) {
+	for range maxRateLimitRetries {
+		if len(p.recentCalls) > 0 {
+			if err := sleep(ctx, time.Until(p.recentCalls[p.oldestCall].Add(time.Second))); err != nil {
 				return nil, err
 			}
-			p.recent[p.next] = time.Now()
-			p.next = (p.next + 1) % len(p.recent)
+			p.recentCalls[p.oldestCall] = time.Now()
+			p.oldestCall = (p.oldestCall + 1) % len(p.recentCalls)
 		}
-		if pg, err = p.page(ctx, token); !errors.Is(err, ErrTooFast) {
+		if pg, err = p.fetchPage(ctx, token); !errors.Is(err, ErrRateLimited) {
 			return pg, err
 		}
-		rest := time.Duration((0.5 + rand.Float64()) * tooFastRest * float64(time.Second))
+		rest := time.Duration((0.5 + rand.Float64()) * rateLimitDelayS * float64(time.Second))
 		if ended := sleep(ctx, rest); ended != nil {
 			return nil, err
 		}
@@ -123,41 +123,41 @@
 	case <-time.After(d):
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %v", ErrPlatform, ctx.Err())
+		return fmt.Errorf("%w: %v", ErrUnavailable, ctx.Err())
 	}
 }
 
-func (p *Platform) page(ctx context.Context, token string) (*page, error) {
-	u := "http://" + p.addr + "/instances"
+func (p *Client) fetchPage(ctx context.Context, token string) (*instancePage, error) {
+	u := "http://" + p.address + "/instances"
 	if token != "" {
 		u += "?pageToken=" + url.QueryEscape(token)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrPlatform, err)
+		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	req.Header["User-Agent"] = nil
-	resp, err := p.http.Do(req)
+	resp, err := p.httpClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrPlatform, err)
+		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return nil, ErrTooFast
+		return nil, ErrRateLimited
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: status %d", ErrPlatform, resp.StatusCode)
+		return nil, fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPage))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrPlatform, err)
+		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	var pg page
+	var pg instancePage
 	if err := json.Unmarshal(body, &pg); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrGarbled, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	if err := check.Struct(&pg); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrGarbled, err)
+	if err := validate.Struct(&pg); err != nil {
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return &pg, nil
 }
--- a/internal/directory/platform_test.go
+++ b/internal/directory/platform_test.go
@@ -15,28 +15,28 @@
 	"comethold/internal/wire"
 )
 
-// pipes is a listener whose connections are made by dial.
-type pipes chan net.Conn
+// pipeListener is a listener whose connections are made by dial.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestListOverTheRate: a list of more pages than the platform takes calls in a second is
+// TestListRespectsRateLimit: a list of more pages than the platform takes calls in a second is
 // read whole without a refusal, and also while another node calls as well.
-func TestListOverTheRate(t *testing.T) {
+func TestListRespectsRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, pages = 20, 50
 		var mu sync.Mutex
 		var calls []time.Time
 		refused := 0
-		in := make(pipes)
+		in := make(pipeListener)
 		platform := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -59,7 +59,7 @@
 		})}
 		go func() { _ = platform.Serve(in) }()
 		var made []net.Conn
-		dial := wire.Net(func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
+		dial := wire.Network(func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
 			return func(context.Context, string, string) (net.Conn, error) {
 				a, b := net.Pipe()
 				mu.Lock()
@@ -72,7 +72,7 @@
 		list := func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			if list, err := NewPlatform(dial, "10.200.0.1:80", rate).List(ctx); err != nil || len(list) != pages {
+			if list, err := NewClient(dial, "10.200.0.1:80", rate).List(ctx); err != nil || len(list) != pages {
 				t.Errorf("%d leafs, %v", len(list), err)
 			}
 		}
--- a/internal/estimate/collector.go
+++ b/internal/estimate/collector.go
@@ -9,108 +9,108 @@
 // Bounds of a collector. Nothing that comes in ever waits: what does not fit is dropped
 // and counted.
 const (
-	queueLength = 512
-	mostPerS    = 1000 // samples taken in; its share of the processor
-	turn        = 20 * time.Millisecond
-	perTurn     = mostPerS / int(time.Second/turn)
-	usualEvery  = 64   // samples of a key after which its usual time is worked out anew
-	mostKeys    = 1024 // sketches of one generation
-	mostSlow    = 256  // slow lookups remembered
-	generation  = time.Minute
-	slowFactor  = 3 // times the usual at this copy from which a lookup is slow
-	mostPart    = 256 << 10
+	maxQueuedSamples    = 512
+	maxSamplesPerSecond = 1000 // samples taken in; its share of the processor
+	workInterval        = 20 * time.Millisecond
+	samplesPerInterval  = maxSamplesPerSecond / int(time.Second/workInterval)
+	thresholdLifetime   = 64   // samples of a key after which its usual time is worked out anew
+	maxKeys             = 1024 // sketches of one generation
+	maxSlowLookups      = 256  // slow lookups remembered
+	generationLength    = time.Minute
+	slowFactor          = 3 // times the usual at this copy from which a lookup is slow
+	maxPartBytes        = 256 << 10
 )
 
-// Pair is two answers of copies to one lookup.
-type Pair struct {
-	A, B         Sample
-	PartA, PartB []byte
+// AnswerPair is two answers of copies to one lookup.
+type AnswerPair struct {
+	First, Second         Sample
+	FirstPart, SecondPart []byte
 }
 
-// Other is what another copy would have taken, as estimated, and did take, if it was
+// ReplicaEstimate is what another copy would have taken, as estimated, and did take, if it was
 // asked too.
-type Other struct {
-	Leaf     string        `json:"leaf" cbor:"1,keyasint"`
-	Estimate Estimate      `json:"estimate" cbor:"2,keyasint"`
-	Real     time.Duration `json:"real,omitempty" cbor:"3,keyasint,omitempty"`
-	Part     string        `json:"part,omitempty" cbor:"4,keyasint,omitempty"`
+type ReplicaEstimate struct {
+	Endpoint   string        `json:"leaf" cbor:"1,keyasint"`
+	Estimate   Estimate      `json:"estimate" cbor:"2,keyasint"`
+	Actual     time.Duration `json:"real,omitempty" cbor:"3,keyasint,omitempty"`
+	Difference string        `json:"part,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Slow is a lookup that was slow or stalled.
-type Slow struct {
-	At     time.Time     `json:"at" cbor:"1,keyasint"`
-	Key    Key           `json:"lookup" cbor:"2,keyasint"`
-	Took   time.Duration `json:"took" cbor:"3,keyasint"`
-	Cut    bool          `json:"givenUp,omitempty" cbor:"4,keyasint,omitempty"`
-	Others []Other       `json:"others" cbor:"5,keyasint"`
+// SlowLookup is a lookup that was slow or stalled.
+type SlowLookup struct {
+	At       time.Time         `json:"at" cbor:"1,keyasint"`
+	Key      Key               `json:"lookup" cbor:"2,keyasint"`
+	Duration time.Duration     `json:"took" cbor:"3,keyasint"`
+	Censored bool              `json:"givenUp,omitempty" cbor:"4,keyasint,omitempty"`
+	Replicas []ReplicaEstimate `json:"others" cbor:"5,keyasint"`
 }
 
-// Tally counts pairs whose real time was compared with its estimate, and differences.
-type Tally struct {
-	Compared uint64            `json:"compared" cbor:"1,keyasint"`
-	Covered  uint64            `json:"covered" cbor:"2,keyasint"`
-	Parts    map[string]uint64 `json:"parts" cbor:"3,keyasint"` // "leaf kind": how often
-	Dropped  uint64            `json:"dropped" cbor:"4,keyasint"`
+// Counters counts pairs whose real time was compared with its estimate, and differences.
+type Counters struct {
+	Compared    uint64            `json:"compared" cbor:"1,keyasint"`
+	Covered     uint64            `json:"covered" cbor:"2,keyasint"`
+	Differences map[string]uint64 `json:"parts" cbor:"3,keyasint"` // "leaf kind": how often
+	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"`
 }
 
-// View is all that one node, or several merged, know.
-type View struct {
-	Sketches []Keyed `cbor:"1,keyasint"`
-	Slow     []Slow  `cbor:"2,keyasint"`
-	Tally    Tally   `cbor:"3,keyasint"`
+// Snapshot is all that one node, or several merged, know.
+type Snapshot struct {
+	Sketches    []KeyedSketch `cbor:"1,keyasint"`
+	SlowLookups []SlowLookup  `cbor:"2,keyasint"`
+	Counters    Counters      `cbor:"3,keyasint"`
 }
 
-// Keyed is a sketch with its key.
-type Keyed struct {
+// KeyedSketch is a sketch with its key.
+type KeyedSketch struct {
 	Key    Key     `cbor:"1,keyasint"`
 	Sketch *Sketch `cbor:"2,keyasint"`
 }
 
 // Collector takes samples of requests without ever holding one up.
 type Collector struct {
-	queue   chan Pair // a sample alone has no B
-	dropped atomic.Uint64
-	room    atomic.Int32 // samples that this turn takes in
+	queue          chan AnswerPair // a sample alone has no B
+	dropped        atomic.Uint64
+	intervalBudget atomic.Int32 // samples that this turn takes in
 
-	mu      sync.Mutex
-	now, at map[Key]*Sketch // this generation and the one before
-	turned  time.Time
-	usual   map[Key]*usual
-	slow    []Slow
-	tally   Tally
+	mu                sync.Mutex
+	current, previous map[Key]*Sketch // this generation and the one before
+	rotatedAt         time.Time
+	thresholds        map[Key]*slowThreshold
+	slowLookups       []SlowLookup
+	counters          Counters
 }
 
-// usual is from when on a lookup is slow, and for how many samples that stands.
-type usual struct {
-	slow time.Duration // 0: not known
-	left int
+// slowThreshold is from when on a lookup is slow, and for how many samples that stands.
+type slowThreshold struct {
+	duration    time.Duration // 0: not known
+	samplesLeft int
 }
 
 // NewCollector makes a collector; Run has to work for it.
 func NewCollector(now time.Time) *Collector {
-	c := &Collector{queue: make(chan Pair, queueLength), now: map[Key]*Sketch{}, at: map[Key]*Sketch{}, turned: now, usual: map[Key]*usual{},
-		tally: Tally{Parts: map[string]uint64{}}}
-	c.room.Store(int32(perTurn))
+	c := &Collector{queue: make(chan AnswerPair, maxQueuedSamples), current: map[Key]*Sketch{}, previous: map[Key]*Sketch{}, rotatedAt: now, thresholds: map[Key]*slowThreshold{},
+		counters: Counters{Differences: map[string]uint64{}}}
+	c.intervalBudget.Store(int32(samplesPerInterval))
 	return c
 }
 
-// Note hands a sample in. Beyond what a turn takes it costs one addition.
-func (c *Collector) Note(s Sample) {
-	if c.room.Add(-1) < 0 {
+// Submit hands a sample in. Beyond what a turn takes it costs one addition.
+func (c *Collector) Submit(s Sample) {
+	if c.intervalBudget.Add(-1) < 0 {
 		c.dropped.Add(1)
 		return
 	}
-	c.hand(Pair{A: s})
+	c.enqueue(AnswerPair{First: s})
 }
 
-// NotePair hands in two answers to one lookup, whose samples were noted before.
-func (c *Collector) NotePair(p Pair) {
-	if len(p.PartA) <= mostPart && len(p.PartB) <= mostPart {
-		c.hand(p)
+// SubmitPair hands in two answers to one lookup, whose samples were noted before.
+func (c *Collector) SubmitPair(p AnswerPair) {
+	if len(p.FirstPart) <= maxPartBytes && len(p.SecondPart) <= maxPartBytes {
+		c.enqueue(p)
 	}
 }
 
-func (c *Collector) hand(p Pair) {
+func (c *Collector) enqueue(p AnswerPair) {
 	select {
 	case c.queue <- p:
 	default:
@@ -120,26 +120,26 @@
 
 // Run works off what comes in until quit, within its share of the processor.
 func (c *Collector) Run(quit <-chan struct{}) {
-	t := time.NewTicker(turn)
+	t := time.NewTicker(workInterval)
 	defer t.Stop()
 	for {
 		select {
 		case now := <-t.C:
-			c.room.Store(int32(perTurn))
-			c.work(now, perTurn)
+			c.intervalBudget.Store(int32(samplesPerInterval))
+			c.processQueue(now, samplesPerInterval)
 		case <-quit:
 			return
 		}
 	}
 }
 
-// work takes in so much of what waits.
-func (c *Collector) work(now time.Time, most int) {
+// processQueue takes in so much of what waits.
+func (c *Collector) processQueue(now time.Time, most int) {
 	for range most {
 		select {
 		case p := <-c.queue:
-			if p.B.Key.Leaf == "" {
-				c.Add(p.A, now)
+			if p.Second.Key.Endpoint == "" {
+				c.Add(p.First, now)
 			} else {
 				c.AddPair(p)
 			}
@@ -149,13 +149,13 @@
 	}
 }
 
-func (c *Collector) turnLocked(now time.Time) {
-	if now.Sub(c.turned) >= generation {
-		if now.Sub(c.turned) >= 2*generation {
-			c.now = map[Key]*Sketch{}
+func (c *Collector) rotateLocked(now time.Time) {
+	if now.Sub(c.rotatedAt) >= generationLength {
+		if now.Sub(c.rotatedAt) >= 2*generationLength {
+			c.current = map[Key]*Sketch{}
 		}
-		c.at, c.now, c.turned = c.now, map[Key]*Sketch{}, now
-		clear(c.usual)
+		c.previous, c.current, c.rotatedAt = c.current, map[Key]*Sketch{}, now
+		clear(c.thresholds)
 	}
 }
 
@@ -163,40 +163,40 @@
 func (c *Collector) Add(s Sample, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turnLocked(now)
-	u := c.usual[s.Key]
+	c.rotateLocked(now)
+	u := c.thresholds[s.Key]
 	if u == nil {
-		u = &usual{}
-		if len(c.usual) < mostKeys {
-			c.usual[s.Key] = u
+		u = &slowThreshold{}
+		if len(c.thresholds) < maxKeys {
+			c.thresholds[s.Key] = u
 		}
 	}
-	if u.left--; u.left < 0 {
-		u.slow, u.left = 0, leastSamples
+	if u.samplesLeft--; u.samplesLeft < 0 {
+		u.duration, u.samplesLeft = 0, minSamples
 		if e := c.estimateLocked(s.Key); e.Known() {
-			u.slow, u.left = slowFactor*e.Median, usualEvery
+			u.duration, u.samplesLeft = slowFactor*e.Median, thresholdLifetime
 		}
 	}
-	if s.Cut || u.slow > 0 && s.Took > u.slow {
-		c.slowLocked(s, now)
+	if s.Censored || u.duration > 0 && s.Duration > u.duration {
+		c.recordSlowLocked(s, now)
 	}
-	k := c.now[s.Key]
+	k := c.current[s.Key]
 	if k == nil {
-		if len(c.now) >= mostKeys {
+		if len(c.current) >= maxKeys {
 			c.dropped.Add(1)
 			return
 		}
 		k = NewSketch()
-		c.now[s.Key] = k
+		c.current[s.Key] = k
 	}
-	k.Add(s.Took, s.Cut)
+	k.Add(s.Duration, s.Censored)
 }
 
 func (c *Collector) estimateLocked(k Key) Estimate {
-	a, b := c.now[k], c.at[k]
+	a, b := c.current[k], c.previous[k]
 	switch {
 	case a == nil && b == nil:
-		return Estimate{Unknown: "never asked"}
+		return Estimate{UnknownReason: "never asked"}
 	case a == nil:
 		return b.Estimate()
 	case b == nil:
@@ -208,72 +208,72 @@
 	return both.Estimate()
 }
 
-// slowLocked remembers a slow lookup with the estimates for the other copies as of now.
-func (c *Collector) slowLocked(s Sample, now time.Time) {
-	one := Slow{At: now, Key: s.Key, Took: s.Took, Cut: s.Cut, Others: []Other{}}
-	seen := map[string]bool{s.Key.Leaf: true}
-	for _, gen := range []map[Key]*Sketch{c.now, c.at} {
+// recordSlowLocked remembers a slow lookup with the estimates for the other copies as of now.
+func (c *Collector) recordSlowLocked(s Sample, now time.Time) {
+	one := SlowLookup{At: now, Key: s.Key, Duration: s.Duration, Censored: s.Censored, Replicas: []ReplicaEstimate{}}
+	seen := map[string]bool{s.Key.Endpoint: true}
+	for _, gen := range []map[Key]*Sketch{c.current, c.previous} {
 		for k := range gen {
-			if k.Service == s.Key.Service && k.Class == s.Key.Class && k.Load == s.Key.Load && !seen[k.Leaf] {
-				seen[k.Leaf] = true
-				one.Others = append(one.Others, Other{Leaf: k.Leaf, Estimate: c.estimateLocked(k)})
+			if k.Service == s.Key.Service && k.Class == s.Key.Class && k.Load == s.Key.Load && !seen[k.Endpoint] {
+				seen[k.Endpoint] = true
+				one.Replicas = append(one.Replicas, ReplicaEstimate{Endpoint: k.Endpoint, Estimate: c.estimateLocked(k)})
 			}
 		}
 	}
-	if c.slow = append(c.slow, one); len(c.slow) > mostSlow {
-		c.slow = append([]Slow(nil), c.slow[len(c.slow)-mostSlow:]...)
+	if c.slowLookups = append(c.slowLookups, one); len(c.slowLookups) > maxSlowLookups {
+		c.slowLookups = append([]SlowLookup(nil), c.slowLookups[len(c.slowLookups)-maxSlowLookups:]...)
 	}
 }
 
 // AddPair compares two answers to one lookup: what the second copy took with what was
 // estimated of it, and their parts.
-func (c *Collector) AddPair(p Pair) {
-	ofA, ofB := Compare(p.PartA, p.PartB)
+func (c *Collector) AddPair(p AnswerPair) {
+	ofA, ofB := CompareParts(p.FirstPart, p.SecondPart)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !p.B.Cut {
-		if e := c.estimateLocked(p.B.Key); e.Known() {
-			c.tally.Compared++
-			if e.Covers(p.B.Took) {
-				c.tally.Covered++
+	if !p.Second.Censored {
+		if e := c.estimateLocked(p.Second.Key); e.Known() {
+			c.counters.Compared++
+			if e.Covers(p.Second.Duration) {
+				c.counters.Covered++
 			}
 		}
 	}
 	for _, d := range []struct {
 		leaf string
 		d    Difference
-	}{{p.A.Key.Leaf, ofA}, {p.B.Key.Leaf, ofB}} {
-		if d.d != Same && len(c.tally.Parts) < mostKeys {
-			c.tally.Parts[d.leaf+" "+d.d.String()]++
+	}{{p.First.Key.Endpoint, ofA}, {p.Second.Key.Endpoint, ofB}} {
+		if d.d != Same && len(c.counters.Differences) < maxKeys {
+			c.counters.Differences[d.leaf+" "+d.d.String()]++
 		}
 	}
-	for i := len(c.slow) - 1; i >= 0; i-- { // the slow lookup that this was the second try of
-		s := &c.slow[i]
-		if s.Key != p.A.Key || s.Took != p.A.Took {
+	for i := len(c.slowLookups) - 1; i >= 0; i-- { // the slow lookup that this was the second try of
+		s := &c.slowLookups[i]
+		if s.Key != p.First.Key || s.Duration != p.First.Duration {
 			continue
 		}
-		for j := range s.Others {
-			if o := &s.Others[j]; o.Leaf == p.B.Key.Leaf {
-				o.Real, o.Part = p.B.Took, ofB.String()
+		for j := range s.Replicas {
+			if o := &s.Replicas[j]; o.Endpoint == p.Second.Key.Endpoint {
+				o.Actual, o.Difference = p.Second.Duration, ofB.String()
 			}
 		}
 		return
 	}
 }
 
-// View returns all that is known, for one service and class, or all if empty.
-func (c *Collector) View(service, class string) View {
+// Snapshot returns all that is known, for one service and class, or all if empty.
+func (c *Collector) Snapshot(service, class string) Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fits := func(k Key) bool {
 		return (service == "" || k.Service == service) && (class == "" || k.Class == class)
 	}
-	v := View{Tally: Tally{Compared: c.tally.Compared, Covered: c.tally.Covered, Dropped: c.dropped.Load(), Parts: map[string]uint64{}}}
-	for k, n := range c.tally.Parts {
-		v.Tally.Parts[k] = n
+	v := Snapshot{Counters: Counters{Compared: c.counters.Compared, Covered: c.counters.Covered, Dropped: c.dropped.Load(), Differences: map[string]uint64{}}}
+	for k, n := range c.counters.Differences {
+		v.Counters.Differences[k] = n
 	}
 	both := map[Key]*Sketch{}
-	for _, gen := range []map[Key]*Sketch{c.now, c.at} {
+	for _, gen := range []map[Key]*Sketch{c.current, c.previous} {
 		for k, s := range gen {
 			if fits(k) {
 				if both[k] == nil {
@@ -284,20 +284,20 @@
 		}
 	}
 	for k, s := range both {
-		v.Sketches = append(v.Sketches, Keyed{k, s})
+		v.Sketches = append(v.Sketches, KeyedSketch{k, s})
 	}
-	for _, s := range c.slow {
+	for _, s := range c.slowLookups {
 		if fits(s.Key) {
-			s.Others = append([]Other(nil), s.Others...)
-			v.Slow = append(v.Slow, s)
+			s.Replicas = append([]ReplicaEstimate(nil), s.Replicas...)
+			v.SlowLookups = append(v.SlowLookups, s)
 		}
 	}
 	return v
 }
 
-// Merge joins what several nodes know.
-func Merge(views ...View) View {
-	out := View{Tally: Tally{Parts: map[string]uint64{}}}
+// MergeSnapshots joins what several nodes know.
+func MergeSnapshots(views ...Snapshot) Snapshot {
+	out := Snapshot{Counters: Counters{Differences: map[string]uint64{}}}
 	by := map[Key]*Sketch{}
 	for _, v := range views {
 		for _, k := range v.Sketches {
@@ -306,16 +306,16 @@
 			}
 			by[k.Key].Merge(k.Sketch)
 		}
-		out.Slow = append(out.Slow, v.Slow...)
-		out.Tally.Compared += v.Tally.Compared
-		out.Tally.Covered += v.Tally.Covered
-		out.Tally.Dropped += v.Tally.Dropped
-		for k, n := range v.Tally.Parts {
-			out.Tally.Parts[k] += n
+		out.SlowLookups = append(out.SlowLookups, v.SlowLookups...)
+		out.Counters.Compared += v.Counters.Compared
+		out.Counters.Covered += v.Counters.Covered
+		out.Counters.Dropped += v.Counters.Dropped
+		for k, n := range v.Counters.Differences {
+			out.Counters.Differences[k] += n
 		}
 	}
 	for k, s := range by {
-		out.Sketches = append(out.Sketches, Keyed{k, s})
+		out.Sketches = append(out.Sketches, KeyedSketch{k, s})
 	}
 	return out
 }
--- a/internal/estimate/compat_test.go
+++ b/internal/estimate/compat_test.go
@@ -11,7 +11,7 @@
 // TestCompatibleRecords: a sketch decodes from the bytes of an earlier version.
 func TestCompatibleRecords(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
-		{Name: "sketch", Value: encoded{Done: []byte{1, 2, 3}, Cut: []byte{4, 5}}},
+		{Name: "sketch", Value: encodedSketch{Completed: []byte{1, 2, 3}, Censored: []byte{4, 5}}},
 	})
 }
 
@@ -29,7 +29,7 @@
 	if err := wire.Unmarshal(raw, &s); err != nil {
 		t.Fatal(err)
 	}
-	want := Estimate{Median: 26000000, Low: 12999999, High: 39000001, Open: false, Samples: 0x1f, Cut: 0x2, Unknown: ""}
+	want := Estimate{Median: 26000000, Low: 12999999, High: 39000001, HighOpen: false, Samples: 0x1f, Censored: 0x2, UnknownReason: ""}
 	if got := s.Estimate(); got != want {
 		t.Errorf("the estimate is %+v, not %+v", got, want)
 	}
--- a/internal/estimate/differ.go
+++ b/internal/estimate/differ.go
@@ -15,7 +15,7 @@
 const (
 	Same Difference = iota
 	Empty
-	Doubled
+	Duplicated
 	Stale
 	Conflicting
 )
@@ -26,8 +26,8 @@
 
 const recordSize = 16
 
-// records cuts a part into its records, sorted.
-func records(body []byte) [][]byte {
+// sortedRecords cuts a part into its records, sorted.
+func sortedRecords(body []byte) [][]byte {
 	out := make([][]byte, 0, len(body)/recordSize)
 	for i := 0; i+recordSize <= len(body); i += recordSize {
 		out = append(out, body[i:i+recordSize])
@@ -36,9 +36,9 @@
 	return out
 }
 
-// Compare says how each of two parts stands to the other.
-func Compare(a, b []byte) (ofA, ofB Difference) {
-	x, y := records(a), records(b)
+// CompareParts says how each of two parts stands to the other.
+func CompareParts(a, b []byte) (ofA, ofB Difference) {
+	x, y := sortedRecords(a), sortedRecords(b)
 	onlyX, onlyY, doubledX, doubledY := 0, 0, 0, 0
 	for len(x) > 0 || len(y) > 0 {
 		switch {
@@ -50,7 +50,7 @@
 			y = y[1:]
 		default: // the same record: how often it stands in each
 			r := x[0]
-			nx, ny := run(x, r), run(y, r)
+			nx, ny := leadingCount(x, r), leadingCount(y, r)
 			doubledX += max(0, nx-ny)
 			doubledY += max(0, ny-nx)
 			x, y = x[nx:], y[ny:]
@@ -68,20 +68,20 @@
 	}
 	ofA, ofB = Same, Same
 	if doubledX > 0 {
-		ofA = Doubled
+		ofA = Duplicated
 	} else if onlyY > 0 {
 		ofA = Stale
 	}
 	if doubledY > 0 {
-		ofB = Doubled
+		ofB = Duplicated
 	} else if onlyX > 0 {
 		ofB = Stale
 	}
 	return ofA, ofB
 }
 
-// run is how often a record stands at the head of sorted records.
-func run(sorted [][]byte, r []byte) int {
+// leadingCount is how often a record stands at the head of sorted records.
+func leadingCount(sorted [][]byte, r []byte) int {
 	n := 0
 	for n < len(sorted) && bytes.Equal(sorted[n], r) {
 		n++
