--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -18,14 +18,14 @@
 	"github.com/caio/go-tdigest/v4"
 )
 
-// ErrSketch is the error of this layer.
-var ErrSketch = errors.New("estimate: the sketch cannot be read")
+// ErrInvalidSketch is the error of this layer.
+var ErrInvalidSketch = errors.New("estimate: the sketch cannot be read")
 
 // The classes of lookups, apart from one another.
 const (
-	Urgent  = "urgent"
-	Bulk    = "bulk"
-	Archive = "archive"
+	ClassUrgent  = "urgent"
+	ClassBulk    = "bulk"
+	ClassArchive = "archive"
 )
 
 // Load is how busy a copy was as it was asked.
@@ -39,43 +39,43 @@
 
 // Key names what samples belong together.
 type Key struct {
-	Service string `cbor:"1,keyasint" json:"service"`
-	Leaf    string `cbor:"2,keyasint" json:"leaf"`
-	Class   string `cbor:"3,keyasint" json:"class"`
-	Load    Load   `cbor:"4,keyasint,omitempty" json:"busy"`
+	Service  string `cbor:"1,keyasint" json:"service"`
+	Endpoint string `cbor:"2,keyasint" json:"leaf"`
+	Class    string `cbor:"3,keyasint" json:"class"`
+	Load     Load   `cbor:"4,keyasint,omitempty" json:"busy"`
 }
 
 // Sample is one lookup at one copy. One that was given up on after Took is Cut: it would
 // have taken longer, nobody knows how long.
 type Sample struct {
-	Key  Key
-	Took time.Duration
-	Cut  bool
+	Key      Key
+	Duration time.Duration
+	Censored bool
 }
 
 const (
 	compression  = 20
-	leastSamples = 20 // below that an estimate says "unknown"
-	lowShare     = 0.1
-	highShare    = 0.9 // of lookups lie between the ends of an interval: it claims 80 in 100
+	minSamples   = 20 // below that an estimate says "unknown"
+	lowQuantile  = 0.1
+	highQuantile = 0.9 // of lookups lie between the ends of an interval: it claims 80 in 100
 )
 
-// Claim is the share of lookups that an interval claims to cover.
-const Claim = highShare - lowShare
+// NominalCoverage is the share of lookups that an interval claims to cover.
+const NominalCoverage = highQuantile - lowQuantile
 
 // Sketch holds the samples of one key, mergeable with others of its kind.
 type Sketch struct {
-	done, cut *tdigest.TDigest // nil: none
+	completed, censored *tdigest.TDigest // nil: none
 }
 
-// luck is one source for all digests: one of its own takes 5 KB and is slow to make.
-type luck struct{}
+// sharedRandom is one source for all digests: one of its own takes 5 KB and is slow to make.
+type sharedRandom struct{}
 
-func (luck) Float32() float32 { return rand.Float32() }
-func (luck) Intn(n int) int   { return rand.IntN(n) }
+func (sharedRandom) Float32() float32 { return rand.Float32() }
+func (sharedRandom) Intn(n int) int   { return rand.IntN(n) }
 
 func newDigest() *tdigest.TDigest {
-	d, err := tdigest.New(tdigest.Compression(compression), tdigest.RandomNumberGenerator(luck{}))
+	d, err := tdigest.New(tdigest.Compression(compression), tdigest.RandomNumberGenerator(sharedRandom{}))
 	if err != nil {
 		panic(err) // the compression is ours
 	}
@@ -85,14 +85,14 @@
 // NewSketch makes an empty sketch.
 func NewSketch() *Sketch { return &Sketch{} }
 
-func count(d *tdigest.TDigest) uint64 {
+func sampleCount(d *tdigest.TDigest) uint64 {
 	if d == nil {
 		return 0
 	}
 	return d.Count()
 }
 
-func into(d, o *tdigest.TDigest) *tdigest.TDigest {
+func mergeDigests(d, o *tdigest.TDigest) *tdigest.TDigest {
 	switch {
 	case o == nil:
 		return d
@@ -105,9 +105,9 @@
 
 // Add takes a sample in.
 func (s *Sketch) Add(took time.Duration, cut bool) {
-	d := &s.done
+	d := &s.completed
 	if cut {
-		d = &s.cut
+		d = &s.censored
 	}
 	if *d == nil {
 		*d = newDigest()
@@ -117,13 +117,13 @@
 
 // Merge takes all samples of another sketch in.
 func (s *Sketch) Merge(o *Sketch) {
-	s.done, s.cut = into(s.done, o.done), into(s.cut, o.cut)
+	s.completed, s.censored = mergeDigests(s.completed, o.completed), mergeDigests(s.censored, o.censored)
 }
 
-// encoded is a sketch between processes.
-type encoded struct {
-	Done []byte `cbor:"1,keyasint"`
-	Cut  []byte `cbor:"2,keyasint"`
+// encodedSketch is a sketch between processes.
+type encodedSketch struct {
+	Completed []byte `cbor:"1,keyasint"`
+	Censored  []byte `cbor:"2,keyasint"`
 }
 
 // MarshalCBOR and UnmarshalCBOR carry a sketch between processes.
@@ -134,35 +134,35 @@
 		}
 		return d.AsBytes()
 	}
-	done, err := write(s.done)
-	cut, err2 := write(s.cut)
+	done, err := write(s.completed)
+	cut, err2 := write(s.censored)
 	if err := errors.Join(err, err2); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrSketch, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidSketch, err)
 	}
-	return wire.Marshal(encoded{done, cut})
+	return wire.Marshal(encodedSketch{done, cut})
 }
 
 // UnmarshalCBOR reads a sketch.
 func (s *Sketch) UnmarshalCBOR(raw []byte) error {
-	var e encoded
+	var e encodedSketch
 	if err := wire.Unmarshal(raw, &e); err != nil {
-		return fmt.Errorf("%w: %v", ErrSketch, err)
+		return fmt.Errorf("%w: %v", ErrInvalidSketch, err)
 	}
 	read := func(b []byte) (*tdigest.TDigest, error) {
 		if len(b) == 0 {
 			return nil, nil
 		}
 		if len(b) > 64<<10 {
-			return nil, ErrSketch
+			return nil, ErrInvalidSketch
 		}
-		return tdigest.FromBytes(bytes.NewReader(b), tdigest.Compression(compression), tdigest.RandomNumberGenerator(luck{}))
+		return tdigest.FromBytes(bytes.NewReader(b), tdigest.Compression(compression), tdigest.RandomNumberGenerator(sharedRandom{}))
 	}
-	done, err := read(e.Done)
-	cut, err2 := read(e.Cut)
+	done, err := read(e.Completed)
+	cut, err2 := read(e.Censored)
 	if err := errors.Join(err, err2); err != nil {
-		return fmt.Errorf("%w: %v", ErrSketch, err)
+		return fmt.Errorf("%w: %v", ErrInvalidSketch, err)
 	}
-	s.done, s.cut = done, cut
+	s.completed, s.censored = done, cut
 	return nil
 }
 
@@ -170,30 +170,30 @@
 // between Low and High. Where so many were given up on that High can't be told, it is
 // Open. Unknown says why there is no estimate.
 type Estimate struct {
-	Median  time.Duration `json:"median"`
-	Low     time.Duration `json:"low"`
-	High    time.Duration `json:"high"`
-	Open    bool          `json:"highOpen,omitempty"`
-	Samples uint64        `json:"samples"`
-	Cut     uint64        `json:"givenUp"`
-	Unknown string        `json:"unknown,omitempty"`
+	Median        time.Duration `json:"median"`
+	Low           time.Duration `json:"low"`
+	High          time.Duration `json:"high"`
+	HighOpen      bool          `json:"highOpen,omitempty"`
+	Samples       uint64        `json:"samples"`
+	Censored      uint64        `json:"givenUp"`
+	UnknownReason string        `json:"unknown,omitempty"`
 }
 
 // Known reports whether there is an estimate.
-func (e Estimate) Known() bool { return e.Unknown == "" }
+func (e Estimate) Known() bool { return e.UnknownReason == "" }
 
 // Covers reports whether a time lies in the interval.
 func (e Estimate) Covers(took time.Duration) bool {
-	return e.Known() && took >= e.Low && (e.Open || took <= e.High)
+	return e.Known() && took >= e.Low && (e.HighOpen || took <= e.High)
 }
 
 // Estimate works the estimate out. A lookup that was given up on counts among those that
 // took longer, for as long as it was followed (the product-limit method): leaving it out
 // would make a copy that stalls look quick.
 func (s *Sketch) Estimate() Estimate {
-	e := Estimate{Samples: count(s.done), Cut: count(s.cut)}
-	if e.Samples+e.Cut < leastSamples {
-		e.Unknown = "too few samples"
+	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
+	if e.Samples+e.Censored < minSamples {
+		e.UnknownReason = "too few samples"
 		return e
 	}
 	type point struct {
@@ -205,7 +205,7 @@
 	for _, d := range []struct {
 		t    *tdigest.TDigest
 		done bool
-	}{{s.done, true}, {s.cut, false}} {
+	}{{s.completed, true}, {s.censored, false}} {
 		if d.t == nil {
 			continue
 		}
@@ -227,12 +227,12 @@
 		}
 		return 1
 	})
-	left, alive, before := float64(e.Samples+e.Cut), 1.0, 0.0
+	left, alive, before := float64(e.Samples+e.Censored), 1.0, 0.0
 	quantile := map[float64]float64{}
 	for _, p := range all {
 		if p.done {
 			next := alive * (1 - p.n/left)
-			for _, q := range []float64{lowShare, 0.5, highShare} {
+			for _, q := range []float64{lowQuantile, 0.5, highQuantile} {
 				if _, ok := quantile[q]; !ok && next <= 1-q+1e-12 {
 					// Within a centroid times are spread evenly from the one before.
 					part := 1.0
@@ -251,12 +251,12 @@
 		return time.Duration(v * float64(time.Second)), ok
 	}
 	var known, high bool
-	e.Low, _ = at(lowShare)
+	e.Low, _ = at(lowQuantile)
 	e.Median, known = at(0.5)
-	e.High, high = at(highShare)
-	e.Open = !high
+	e.High, high = at(highQuantile)
+	e.HighOpen = !high
 	if !known {
-		e.Unknown = "more than half were given up on"
+		e.UnknownReason = "more than half were given up on"
 	}
 	return e
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -47,12 +47,12 @@
 	return float64(hits) / float64(all), median
 }
 
-// TestCoverage: an interval covers the truth about as often as it claims, also where the
+// TestIntervalCoverage: an interval covers the truth about as often as it claims, also where the
 // slow lookups were given up on; a spoilt estimator does not.
-func TestCoverage(t *testing.T) {
+func TestIntervalCoverage(t *testing.T) {
 	for _, limit := range []time.Duration{time.Hour, 45 * time.Millisecond, 30 * time.Millisecond} {
 		share, median := coverage(t, limit, nil)
-		least, most := Claim-0.06, Claim+0.06
+		least, most := NominalCoverage-0.06, NominalCoverage+0.06
 		if limit < 38*time.Millisecond {
 			most = 1 // the high end is open: it covers more
 		}
@@ -60,13 +60,13 @@
 			t.Errorf("given up on after %v: covers %.2f, median %.2f of the truth", limit, share, median)
 		}
 	}
-	if share, _ := coverage(t, time.Hour, func(e *Estimate) { e.Low, e.High = e.Low*2, e.High*2 }); share > Claim-0.06 {
+	if share, _ := coverage(t, time.Hour, func(e *Estimate) { e.Low, e.High = e.Low*2, e.High*2 }); share > NominalCoverage-0.06 {
 		t.Errorf("spoilt on purpose, it covers %.2f", share)
 	}
 }
 
-// TestCutSamples: lookups that are given up on make a copy slower, not quicker.
-func TestCutSamples(t *testing.T) {
+// TestCensoredSamples: lookups that are given up on make a copy slower, not quicker.
+func TestCensoredSamples(t *testing.T) {
 	s, rng := NewSketch(), rand.New(rand.NewSource(1))
 	for i := range 200 {
 		if i%5 < 3 {
@@ -75,7 +75,7 @@
 			s.Add(draw(rng, 10*time.Millisecond), false)
 		}
 	}
-	if e := s.Estimate(); e.Known() || e.Cut != 120 {
+	if e := s.Estimate(); e.Known() || e.Censored != 120 {
 		t.Errorf("of a copy that stalls three times in five: %+v", e)
 	}
 	few := NewSketch()
@@ -86,7 +86,7 @@
 }
 
 func lookup(c *Collector, leaf, class string, took time.Duration, cut bool, now time.Time) Sample {
-	s := Sample{Key: Key{Service: "s", Leaf: leaf, Class: class}, Took: took, Cut: cut}
+	s := Sample{Key: Key{Service: "s", Endpoint: leaf, Class: class}, Duration: took, Censored: cut}
 	c.Add(s, now)
 	return s
 }
@@ -99,10 +99,10 @@
 	feed := func(b time.Duration) {
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
-			lookup(c, "a", Urgent, draw(rng, 10*time.Millisecond), false, now)
-			lookup(c, "b", Urgent, draw(rng, b), false, now)
-			lookup(c, "b", Archive, draw(rng, 500*time.Millisecond), false, now)
-			busy := Sample{Key: Key{"s", "b", Urgent, Busy}, Took: draw(rng, 80*time.Millisecond)}
+			lookup(c, "a", ClassUrgent, draw(rng, 10*time.Millisecond), false, now)
+			lookup(c, "b", ClassUrgent, draw(rng, b), false, now)
+			lookup(c, "b", ClassArchive, draw(rng, 500*time.Millisecond), false, now)
+			busy := Sample{Key: Key{"s", "b", ClassUrgent, Busy}, Duration: draw(rng, 80*time.Millisecond)}
 			c.Add(busy, now)
 		}
 	}
@@ -113,36 +113,36 @@
 		}
 	}
 	feed(20 * time.Millisecond)
-	slow := lookup(c, "a", Urgent, 900*time.Millisecond, true, now)
-	v := c.View("s", Urgent)
-	last := v.Slow[len(v.Slow)-1]
-	if last.Key != slow.Key || !last.Cut || len(last.Others) != 1 {
+	slow := lookup(c, "a", ClassUrgent, 900*time.Millisecond, true, now)
+	v := c.Snapshot("s", ClassUrgent)
+	last := v.SlowLookups[len(v.SlowLookups)-1]
+	if last.Key != slow.Key || !last.Censored || len(last.Replicas) != 1 {
 		t.Fatalf("the slow lookup: %+v", last)
 	}
-	near("the other copy", last.Others[0].Estimate, 20*time.Millisecond)
-	c.AddPair(Pair{A: slow, B: Sample{Key: Key{Service: "s", Leaf: "b", Class: Urgent}, Took: 21 * time.Millisecond},
-		PartA: []byte("0123456789abcdef"), PartB: nil})
-	v = c.View("", "")
-	last = v.Slow[len(v.Slow)-1]
-	if o := last.Others[0]; o.Real != 21*time.Millisecond || o.Part != "empty" || v.Tally.Parts["b empty"] != 1 || v.Tally.Compared != 1 || v.Tally.Covered != 1 {
-		t.Errorf("the real time beside it: %+v, %+v", o, v.Tally)
+	near("the other copy", last.Replicas[0].Estimate, 20*time.Millisecond)
+	c.AddPair(AnswerPair{First: slow, Second: Sample{Key: Key{Service: "s", Endpoint: "b", Class: ClassUrgent}, Duration: 21 * time.Millisecond},
+		FirstPart: []byte("0123456789abcdef"), SecondPart: nil})
+	v = c.Snapshot("", "")
+	last = v.SlowLookups[len(v.SlowLookups)-1]
+	if o := last.Replicas[0]; o.Actual != 21*time.Millisecond || o.Difference != "empty" || v.Counters.Differences["b empty"] != 1 || v.Counters.Compared != 1 || v.Counters.Covered != 1 {
+		t.Errorf("the real time beside it: %+v, %+v", o, v.Counters)
 	}
-	now = now.Add(3 * generation)
+	now = now.Add(3 * generationLength)
 	feed(60 * time.Millisecond)
-	lookup(c, "a", Urgent, time.Second, true, now)
-	v = c.View("s", Urgent)
-	near("after its speed shifted", v.Slow[len(v.Slow)-1].Others[0].Estimate, 60*time.Millisecond)
+	lookup(c, "a", ClassUrgent, time.Second, true, now)
+	v = c.Snapshot("s", ClassUrgent)
+	near("after its speed shifted", v.SlowLookups[len(v.SlowLookups)-1].Replicas[0].Estimate, 60*time.Millisecond)
 	// Fleet-wide: what two nodes know goes through the wire and is one.
 	raw, err := wire.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back View
+	var back Snapshot
 	if err := wire.Unmarshal(raw, &back); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range Merge(v, back).Sketches {
-		if k.Key == (Key{"s", "b", Urgent, Idle}) {
+	for _, k := range MergeSnapshots(v, back).Sketches {
+		if k.Key == (Key{"s", "b", ClassUrgent, Idle}) {
 			if e := k.Sketch.Estimate(); e.Samples != 200 {
 				t.Errorf("merged: %+v", e)
 			}
@@ -159,29 +159,29 @@
 func TestBounds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCollector(now)
-	for i := range perTurn + 7 {
-		c.Note(Sample{Key: Key{Service: "s", Leaf: fmt.Sprint(i), Class: Bulk}, Took: time.Millisecond})
+	for i := range samplesPerInterval + 7 {
+		c.Submit(Sample{Key: Key{Service: "s", Endpoint: fmt.Sprint(i), Class: ClassBulk}, Duration: time.Millisecond})
 	}
-	if got := c.View("", "").Tally.Dropped; got != 7 {
+	if got := c.Snapshot("", "").Counters.Dropped; got != 7 {
 		t.Errorf("%d were dropped", got)
 	}
-	for range 2 * queueLength {
-		c.NotePair(Pair{A: Sample{Key: Key{Leaf: "a"}}, B: Sample{Key: Key{Leaf: "b"}}})
+	for range 2 * maxQueuedSamples {
+		c.SubmitPair(AnswerPair{First: Sample{Key: Key{Endpoint: "a"}}, Second: Sample{Key: Key{Endpoint: "b"}}})
 	}
-	if got := c.View("", "").Tally.Dropped; got != uint64(7+queueLength+perTurn) {
+	if got := c.Snapshot("", "").Counters.Dropped; got != uint64(7+maxQueuedSamples+samplesPerInterval) {
 		t.Errorf("%d were dropped, with the pairs", got)
 	}
-	for i := range 3 * mostKeys {
-		c.Add(Sample{Key: Key{Service: "s", Leaf: fmt.Sprint(i), Class: Bulk}, Took: time.Millisecond, Cut: true}, now)
+	for i := range 3 * maxKeys {
+		c.Add(Sample{Key: Key{Service: "s", Endpoint: fmt.Sprint(i), Class: ClassBulk}, Duration: time.Millisecond, Censored: true}, now)
 	}
-	if len(c.now) > mostKeys || len(c.slow) > mostSlow {
-		t.Errorf("%d sketches, %d slow lookups", len(c.now), len(c.slow))
+	if len(c.current) > maxKeys || len(c.slowLookups) > maxSlowLookups {
+		t.Errorf("%d sketches, %d slow lookups", len(c.current), len(c.slowLookups))
 	}
 }
 
-// TestCompare: each way in which a copy's part may be wrong is told apart, and parts in
+// TestCompareParts: each way in which a copy's part may be wrong is told apart, and parts in
 // another order are the same.
-func TestCompare(t *testing.T) {
+func TestCompareParts(t *testing.T) {
 	rec := func(ids ...int) []byte {
 		var b bytes.Buffer
 		for _, id := range ids {
@@ -199,12 +199,12 @@
 		{append(rec(1), 'x'), rec(1), Same, Same, "a remainder is no record"},
 		{rec(1, 2, 3), rec(1, 3), Same, Stale, "the second lacks a record"},
 		{rec(1), rec(1, 9), Stale, Same, "the first lacks a record"},
-		{rec(1, 2), rec(1, 2, 2), Same, Doubled, "a record twice"},
+		{rec(1, 2), rec(1, 2, 2), Same, Duplicated, "a record twice"},
 		{rec(1, 2), nil, Same, Empty, "nothing"},
 		{nil, nil, Same, Same, "nothing in both"},
 		{rec(1, 2), rec(1, 3), Conflicting, Conflicting, "each has what the other lacks"},
 	} {
-		if ofA, ofB := Compare(c.a, c.b); ofA != c.ofA || ofB != c.ofB {
+		if ofA, ofB := CompareParts(c.a, c.b); ofA != c.ofA || ofB != c.ofB {
 			t.Errorf("%s: %v, %v", c.understood, ofA, ofB)
 		}
 	}
--- a/internal/feed/config.go
+++ b/internal/feed/config.go
@@ -7,19 +7,19 @@
 	"comethold/internal/numbering"
 )
 
-// Config is a configuration as nodes get it: read and checked where it was taken,
+// ConfigUpdate is a configuration as nodes get it: read and checked where it was taken,
 // whole or as what changed since the version Base. To read the operator's text again
 // on every node would hold up the requests of each for as long.
-type Config struct {
-	Version      uint64              `cbor:"1,keyasint"`
-	Base         uint64              `cbor:"2,keyasint,omitempty"`
-	Routes       []numbering.Route   `cbor:"3,keyasint,omitempty"`
-	Services     []numbering.Service `cbor:"4,keyasint,omitempty"`
-	Limits       numbering.Limits    `cbor:"5,keyasint"`
-	GoneRoutes   []string            `cbor:"6,keyasint,omitempty"`
-	GoneServices []string            `cbor:"7,keyasint,omitempty"`
-	Tenants      []numbering.Tenant  `cbor:"8,keyasint,omitempty"`
-	GoneTenants  []string            `cbor:"9,keyasint,omitempty"`
+type ConfigUpdate struct {
+	Version         uint64              `cbor:"1,keyasint"`
+	BaseVersion     uint64              `cbor:"2,keyasint,omitempty"`
+	Routes          []numbering.Route   `cbor:"3,keyasint,omitempty"`
+	Services        []numbering.Service `cbor:"4,keyasint,omitempty"`
+	Limits          numbering.Limits    `cbor:"5,keyasint"`
+	RemovedRoutes   []string            `cbor:"6,keyasint,omitempty"`
+	RemovedServices []string            `cbor:"7,keyasint,omitempty"`
+	Tenants         []numbering.Tenant  `cbor:"8,keyasint,omitempty"`
+	RemovedTenants  []string            `cbor:"9,keyasint,omitempty"`
 }
 
 // routeKey is what no two routes share.
@@ -29,21 +29,21 @@
 
 func tenantKey(t *numbering.Tenant) string { return t.Name }
 
-// Whole tells all of a configuration.
-func Whole(c *numbering.Configuration) *Config {
-	return &Config{Version: c.Version, Routes: c.Routes, Services: c.Services, Tenants: c.Tenants, Limits: c.Limits}
+// FullConfig tells all of a configuration.
+func FullConfig(c *numbering.Configuration) *ConfigUpdate {
+	return &ConfigUpdate{Version: c.Version, Routes: c.Routes, Services: c.Services, Tenants: c.Tenants, Limits: c.Limits}
 }
 
-// Between tells what makes next of old.
-func Between(old, next *numbering.Configuration) *Config {
-	c := &Config{Version: next.Version, Base: old.Version, Limits: next.Limits}
-	c.Routes, c.GoneRoutes = between(old.Routes, next.Routes, routeKey)
-	c.Services, c.GoneServices = between(old.Services, next.Services, serviceKey)
-	c.Tenants, c.GoneTenants = between(old.Tenants, next.Tenants, tenantKey)
+// ConfigDelta tells what makes next of old.
+func ConfigDelta(old, next *numbering.Configuration) *ConfigUpdate {
+	c := &ConfigUpdate{Version: next.Version, BaseVersion: old.Version, Limits: next.Limits}
+	c.Routes, c.RemovedRoutes = changesBetween(old.Routes, next.Routes, routeKey)
+	c.Services, c.RemovedServices = changesBetween(old.Services, next.Services, serviceKey)
+	c.Tenants, c.RemovedTenants = changesBetween(old.Tenants, next.Tenants, tenantKey)
 	return c
 }
 
-func between[V any](old, next []V, key func(*V) string) (changed []V, gone []string) {
+func changesBetween[V any](old, next []V, key func(*V) string) (changed []V, gone []string) {
 	had := make(map[string]*V, len(old))
 	for i := range old {
 		had[key(&old[i])] = &old[i]
@@ -63,22 +63,22 @@
 	return changed, gone
 }
 
-// On makes the configuration out of the one that a holder has, which may be nil. It
+// ApplyTo makes the configuration out of the one that a holder has, which may be nil. It
 // reports false where that is not the one that this builds on, or is not older.
-func (c *Config) On(old *numbering.Configuration) (*numbering.Configuration, bool) {
-	if old != nil && old.Version >= c.Version || c.Base != 0 && (old == nil || old.Version != c.Base) {
+func (c *ConfigUpdate) ApplyTo(old *numbering.Configuration) (*numbering.Configuration, bool) {
+	if old != nil && old.Version >= c.Version || c.BaseVersion != 0 && (old == nil || old.Version != c.BaseVersion) {
 		return nil, false
 	}
 	next := &numbering.Configuration{Version: c.Version, Routes: c.Routes, Services: c.Services, Tenants: c.Tenants, Limits: c.Limits}
-	if c.Base != 0 {
-		next.Routes = onto(old.Routes, c.Routes, c.GoneRoutes, routeKey)
-		next.Services = onto(old.Services, c.Services, c.GoneServices, serviceKey)
-		next.Tenants = onto(old.Tenants, c.Tenants, c.GoneTenants, tenantKey)
+	if c.BaseVersion != 0 {
+		next.Routes = withChanges(old.Routes, c.Routes, c.RemovedRoutes, routeKey)
+		next.Services = withChanges(old.Services, c.Services, c.RemovedServices, serviceKey)
+		next.Tenants = withChanges(old.Tenants, c.Tenants, c.RemovedTenants, tenantKey)
 	}
 	return next, true
 }
 
-func onto[V any](old, changed []V, gone []string, key func(*V) string) []V {
+func withChanges[V any](old, changed []V, gone []string, key func(*V) string) []V {
 	out := make([]V, 0, len(old)+len(changed))
 	left := make(map[string]bool, len(changed)+len(gone))
 	for i := range changed {
--- a/internal/feed/config_test.go
+++ b/internal/feed/config_test.go
@@ -23,12 +23,12 @@
 				if rng.Intn(2) == 0 {
 					r.FanoutServices = []string{"a", "b"}
 				} else {
-					r.WeightedServices = []numbering.Weighted{{Service: "a", Weight: int64(rng.Intn(2))}}
+					r.WeightedServices = []numbering.WeightedService{{Service: "a", Weight: int64(rng.Intn(2))}}
 				}
 				c.Routes = append(c.Routes, r)
 			}
 			if rng.Intn(2) == 0 {
-				c.Tenants = append(c.Tenants, numbering.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("k", rng.Intn(2))}, RatePerS: float64(rng.Intn(2))})
+				c.Tenants = append(c.Tenants, numbering.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("k", rng.Intn(2))}, RatePerSecond: float64(rng.Intn(2))})
 			}
 			if rng.Intn(2) == 0 {
 				c.Services = append(c.Services, numbering.Service{Name: fmt.Sprint("s", i), ConnectionLimit: rng.Intn(2)})
@@ -44,16 +44,16 @@
 	}
 	for range 300 {
 		old, next := draw(3), draw(7)
-		for _, msg := range []*Config{Between(old, next), Whole(next)} {
+		for _, msg := range []*ConfigUpdate{ConfigDelta(old, next), FullConfig(next)} {
 			raw, err := wire.Marshal(msg)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var got Config
+			var got ConfigUpdate
 			if err := wire.Unmarshal(raw, &got); err != nil {
 				t.Fatal(err)
 			}
-			made, ok := got.On(old)
+			made, ok := got.ApplyTo(old)
 			if !ok || len(made.Routes) != len(next.Routes) || len(made.Services) != len(next.Services) || len(made.Tenants) != len(next.Tenants) {
 				t.Fatalf("%v: %+v of %+v, not %+v", ok, made, old, next)
 			}
@@ -71,13 +71,13 @@
 			}
 		}
 	}
-	delta := Between(draw(3), draw(7))
+	delta := ConfigDelta(draw(3), draw(7))
 	for _, held := range []*numbering.Configuration{nil, draw(2), draw(4), draw(7), draw(8)} {
-		if _, ok := delta.On(held); ok {
+		if _, ok := delta.ApplyTo(held); ok {
 			t.Errorf("a delta on 3 is taken on %v", held)
 		}
 	}
-	if _, ok := Whole(draw(7)).On(draw(8)); ok {
+	if _, ok := FullConfig(draw(7)).ApplyTo(draw(8)); ok {
 		t.Error("a configuration goes back")
 	}
 }
--- a/internal/feed/ledger.go
+++ b/internal/feed/ledger.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Ledger keeps a keyed table of which holders are told only what changed. Each
+// DeltaTable keeps a keyed table of which holders are told only what changed. Each
 // entry bears the stamp at which this ledger saw it change; entries that are
 // gone leave a note.
 //
@@ -10,91 +10,91 @@
 // has held. So changes are told to those alone whose stamp is one of these: who
 // holds a table in between, which another source told, may hold entries that came
 // and went unseen here, and is told the whole.
-type Ledger[V comparable] struct {
-	at    Stamp
-	known map[Stamp]bool
-	order []Stamp // of known, oldest first
-	items map[string]entry[V]
-	gone  map[string]Stamp
+type DeltaTable[V comparable] struct {
+	revision       Revision
+	knownRevisions map[Revision]bool
+	revisionOrder  []Revision // of known, oldest first
+	entries        map[string]entry[V]
+	removed        map[string]Revision
 }
 
 type entry[V comparable] struct {
-	v  V
-	at Stamp
+	value     V
+	changedAt Revision
 }
 
-// keepStamps is how many former tables a holder may still have and be told
+// maxKnownRevisions is how many former tables a holder may still have and be told
 // changes.
-const keepStamps = 128
+const maxKnownRevisions = 128
 
 // Set takes the whole table as of a stamp; it reports whether anything moved. A
 // table that moved nothing keeps its stamp, unless another source vouches for it.
-func (l *Ledger[V]) Set(at Stamp, all map[string]V) bool {
-	first := l.items == nil
+func (l *DeltaTable[V]) Set(at Revision, all map[string]V) bool {
+	first := l.entries == nil
 	if first {
-		l.items, l.gone, l.known = map[string]entry[V]{}, map[string]Stamp{}, map[Stamp]bool{}
+		l.entries, l.removed, l.knownRevisions = map[string]entry[V]{}, map[string]Revision{}, map[Revision]bool{}
 	}
 	moved := false
 	for k, v := range all {
-		if old, ok := l.items[k]; !ok || old.v != v {
-			l.items[k] = entry[V]{v, at}
-			delete(l.gone, k)
+		if old, ok := l.entries[k]; !ok || old.value != v {
+			l.entries[k] = entry[V]{v, at}
+			delete(l.removed, k)
 			moved = true
 		}
 	}
-	for k := range l.items {
+	for k := range l.entries {
 		if _, ok := all[k]; !ok {
-			delete(l.items, k)
-			l.gone[k] = at
+			delete(l.entries, k)
+			l.removed[k] = at
 			moved = true
 		}
 	}
-	if moved || first || at.Term != l.at.Term {
-		l.note(at)
+	if moved || first || at.Term != l.revision.Term {
+		l.addRevision(at)
 	}
 	return moved
 }
 
-// note makes a stamp known, and forgets the oldest with what only its holders
+// addRevision makes a stamp known, and forgets the oldest with what only its holders
 // need.
-func (l *Ledger[V]) note(at Stamp) {
-	l.at = at
-	l.known[at] = true
-	l.order = append(l.order, at)
-	if len(l.order) <= keepStamps {
+func (l *DeltaTable[V]) addRevision(at Revision) {
+	l.revision = at
+	l.knownRevisions[at] = true
+	l.revisionOrder = append(l.revisionOrder, at)
+	if len(l.revisionOrder) <= maxKnownRevisions {
 		return
 	}
-	delete(l.known, l.order[0])
-	l.order = append([]Stamp(nil), l.order[1:]...)
-	for k, gone := range l.gone {
-		if !l.order[0].Less(gone) {
-			delete(l.gone, k)
+	delete(l.knownRevisions, l.revisionOrder[0])
+	l.revisionOrder = append([]Revision(nil), l.revisionOrder[1:]...)
+	for k, gone := range l.removed {
+		if !l.revisionOrder[0].Less(gone) {
+			delete(l.removed, k)
 		}
 	}
 }
 
-// At is the stamp of the table.
-func (l *Ledger[V]) At() Stamp { return l.at }
+// Revision is the stamp of the table.
+func (l *DeltaTable[V]) Revision() Revision { return l.revision }
 
 // Len is the number of entries.
-func (l *Ledger[V]) Len() int { return len(l.items) }
+func (l *DeltaTable[V]) Len() int { return len(l.entries) }
 
-// Since lists what a holder of the table at have lacks. Unless delta, it is
+// ChangesSince lists what a holder of the table at have lacks. Unless delta, it is
 // everything.
-func (l *Ledger[V]) Since(have Stamp, keep func(V) bool) (changed []V, gone []string, delta bool) {
-	delta = l.known[have]
+func (l *DeltaTable[V]) ChangesSince(have Revision, keep func(V) bool) (changed []V, gone []string, delta bool) {
+	delta = l.knownRevisions[have]
 	keys := make([]string, 0, 8)
-	for k, e := range l.items {
-		if (!delta || have.Less(e.at)) && keep(e.v) {
+	for k, e := range l.entries {
+		if (!delta || have.Less(e.changedAt)) && keep(e.value) {
 			keys = append(keys, k)
 		}
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		changed = append(changed, l.items[k].v)
+		changed = append(changed, l.entries[k].value)
 	}
 	if delta {
-		for k, at := range l.gone {
+		for k, at := range l.removed {
 			if have.Less(at) {
 				gone = append(gone, k)
 			}
@@ -104,8 +104,8 @@
 	return changed, gone, delta
 }
 
-// Merge brings a holder's table up to what Since told.
-func Merge[V any](table map[string]V, changed []V, gone []string, delta bool, key func(V) string) map[string]V {
+// ApplyChanges brings a holder's table up to what Since told.
+func ApplyChanges[V any](table map[string]V, changed []V, gone []string, delta bool, key func(V) string) map[string]V {
 	out := make(map[string]V, len(table)+len(changed))
 	if delta {
 		for k, v := range table {
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -17,65 +17,65 @@
 
 // Headers of gathered answers.
 const (
-	HeaderParts   = "X-Comethold-Part-Stamps"
-	HeaderMissing = "X-Comethold-Missing-Parts"
+	HeaderPartStamps   = "X-Comethold-Part-Stamps"
+	HeaderMissingParts = "X-Comethold-Missing-Parts"
 )
 
 // Pacing of tries. Ours; see docs/design.md.
 const (
-	hedgeFrom   = 0.95                  // the share of answers that come before a second leaf is asked
-	shadowKeep  = 0.8                   // of the budget stays when a copy is asked only to compare
-	hedgeKeep   = 0.6                   // of the budget stays for tries after a failure
-	cutMargin   = 12 * time.Millisecond // before the target, to get the answer to the client
-	freeTries   = 3                     // tries that never left this node
-	comeBackMin = 50 * time.Millisecond
-
-	fullPauseMin = 6 * time.Millisecond
-	fullPauseMax = 40 * time.Millisecond
+	hedgeQuantile       = 0.95                  // the share of answers that come before a second leaf is asked
+	shadowBudgetReserve = 0.8                   // of the budget stays when a copy is asked only to compare
+	hedgeBudgetReserve  = 0.6                   // of the budget stays for tries after a failure
+	deliveryMargin      = 12 * time.Millisecond // before the target, to get the answer to the client
+	maxUnsentAttempts   = 3                     // tries that never left this node
+	minRetryAfter       = 50 * time.Millisecond
+
+	minRejectionBackoff = 6 * time.Millisecond
+	maxRejectionBackoff = 40 * time.Millisecond
 )
 
-// Asker carries requests to leafs.
-type Asker struct {
-	frame *trunk.Frame
-	toll  *toll.Toll
-	// Permit, if set, waits until a call may be made to a service whose rate is
+// Dispatcher carries requests to leafs.
+type Dispatcher struct {
+	clusters *trunk.ClusterManager
+	budget   *toll.Budget
+	// AwaitRate, if set, waits until a call may be made to a service whose rate is
 	// bounded; if it may not, it says when to come back.
-	Permit func(service string, until time.Time) (ok bool, back time.Duration)
+	AwaitRate func(service string, until time.Time) (ok bool, back time.Duration)
 
-	// Watch, if set, gets what lookups of routes with a class took; Shadow is the share of
+	// Latencies, if set, gets what lookups of routes with a class took; Shadow is the share of
 	// them for which another copy is asked too.
-	Watch  *estimate.Collector
-	Shadow float64
+	Latencies   *estimate.Collector
+	ShadowShare float64
 
-	mu    sync.Mutex
-	paces map[string]*pace
+	mu         sync.Mutex
+	histograms map[string]*latencyHistogram
 }
 
-// NewAsker makes an asker over a frame of trunks and a retry budget.
-func NewAsker(f *trunk.Frame, t *toll.Toll) *Asker {
-	return &Asker{frame: f, toll: t, paces: map[string]*pace{}}
+// NewDispatcher makes an asker over a frame of trunks and a retry budget.
+func NewDispatcher(f *trunk.ClusterManager, t *toll.Budget) *Dispatcher {
+	return &Dispatcher{clusters: f, budget: t, histograms: map[string]*latencyHistogram{}}
 }
 
-// Forget drops what was learnt of routes that are no more.
-func (a *Asker) Forget(p *numbering.Plan) {
+// RetainRoutes drops what was learnt of routes that are no more.
+func (a *Dispatcher) RetainRoutes(p *numbering.RouteTable) {
 	live := map[string]bool{}
-	p.Lines(func(l *numbering.Line) { live[l.Name] = true })
+	p.ForEachRoute(func(l *numbering.CompiledRoute) { live[l.Name] = true })
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name := range a.paces {
+	for name := range a.histograms {
 		if !live[name] {
-			delete(a.paces, name)
+			delete(a.histograms, name)
 		}
 	}
 }
 
-func (a *Asker) pace(route string) *pace {
+func (a *Dispatcher) histogram(route string) *latencyHistogram {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	p := a.paces[route]
+	p := a.histograms[route]
 	if p == nil {
-		p = &pace{}
-		a.paces[route] = p
+		p = &latencyHistogram{}
+		a.histograms[route] = p
 	}
 	return p
 }
@@ -86,246 +86,246 @@
 	Header     http.Header
 	Body       []byte
 	RetryAfter time.Duration // with 503: the request has not run
-	Why        string
+	Reason     string
 }
 
 type shard struct {
-	service string
-	pair    *pairing // of the answers, where they are watched
-	tried   []*trunk.Trunk
-	sent    int // arrivals at leafs
-	free    int // tries that did not leave
-	pending int
-	worst   trunk.Outcome // of the tries that ended
-	part    *trunk.Answer
-	last    *trunk.Answer
-	failed  bool
-	late    bool
-	since   time.Time // of the newest try
-	hedgeAt time.Time
-	againAt time.Time // when a leaf that was full is followed by another
-	newest  *trunk.Trunk
+	service         string
+	pair            *replicaPair // of the answers, where they are watched
+	triedEndpoints  []*trunk.Endpoint
+	sentAttempts    int // arrivals at leafs
+	unsentAttempts  int // tries that did not leave
+	pendingAttempts int
+	worstOutcome    trunk.Outcome // of the tries that ended
+	response        *trunk.Response
+	lastFailure     *trunk.Response
+	failed          bool
+	timedOut        bool
+	newestSentAt    time.Time // of the newest try
+	hedgeAt         time.Time
+	retryAt         time.Time // when a leaf that was full is followed by another
+	newestEndpoint  *trunk.Endpoint
 }
 
-type outcome struct {
-	shard int
-	back  time.Duration // with errNoTurn
-	a     *trunk.Answer
-	err   error
-	took  time.Duration
+type attemptResult struct {
+	shard      int
+	retryAfter time.Duration // with errNoTurn
+	response   *trunk.Response
+	err        error
+	duration   time.Duration
 }
 
-// asking is one request on its way.
-type asking struct {
-	*Asker
-	line   *numbering.Line
-	req    *trunk.Request
-	pace   *pace
-	shards []shard
-	ch     chan outcome
-	usual  time.Duration
-	in     int           // shards whose part is in
-	open   int           // shards that may still answer
-	back   time.Duration // when a service's rate allows more, if that was in the way
-	began  func(at time.Time)
-	maybe  time.Time // when a leaf was asked that may have run it
-	due    time.Time // not after the next moment at which an open shard needs something done
+// fanOut is one request on its way.
+type fanOut struct {
+	*Dispatcher
+	route           *numbering.CompiledRoute
+	request         *trunk.Request
+	latency         *latencyHistogram
+	shards          []shard
+	results         chan attemptResult
+	hedgeDelay      time.Duration
+	completeShards  int           // shards whose part is in
+	openShards      int           // shards that may still answer
+	retryAfter      time.Duration // when a service's rate allows more, if that was in the way
+	onExecuted      func(at time.Time)
+	maybeExecutedAt time.Time // when a leaf was asked that may have run it
+	nextDue         time.Time // not after the next moment at which an open shard needs something done
 }
 
-var errNoTurn = errors.New("gather: the service's rate is spent")
+var errRateLimited = errors.New("gather: the service's rate is spent")
 
-func failure(status int, why string) *Reply { return &Reply{Status: status, Why: why} }
+func failureReply(status int, why string) *Reply { return &Reply{Status: status, Reason: why} }
 
-func comeBack(why string) *Reply {
-	return &Reply{Status: http.StatusServiceUnavailable, Why: why,
-		RetryAfter: comeBackMin + time.Duration(rand.Int64N(int64(2*comeBackMin)))}
+func retryLaterReply(why string) *Reply {
+	return &Reply{Status: http.StatusServiceUnavailable, Reason: why,
+		RetryAfter: minRetryAfter + time.Duration(rand.Int64N(int64(2*minRetryAfter)))}
 }
 
-// comeBack says so not before a rate that was in the way allows more.
-func (k *asking) comeBack(why string) *Reply {
-	r := comeBack(why)
-	r.RetryAfter = max(r.RetryAfter, k.back)
+// retryLater says so not before a rate that was in the way allows more.
+func (k *fanOut) retryLater(why string) *Reply {
+	r := retryLaterReply(why)
+	r.RetryAfter = max(r.RetryAfter, k.retryAfter)
 	return r
 }
 
-// Ask carries a request to the leafs of its line and returns the answer. ran, if given, is
+// Dispatch carries a request to the leafs of its line and returns the answer. ran, if given, is
 // called once if a leaf began to run it, or may have, with the moment at which that leaf
 // was asked.
-func (a *Asker) Ask(l *numbering.Line, r *trunk.Request, start time.Time, ran func(at time.Time)) *Reply {
+func (a *Dispatcher) Dispatch(l *numbering.CompiledRoute, r *trunk.Request, start time.Time, ran func(at time.Time)) *Reply {
 	services := l.FanoutServices
 	gathered := len(services) > 0
 	if !gathered {
-		services = []string{l.Pick(rand.Float64())}
+		services = []string{l.PickService(rand.Float64())}
 	}
 	for _, s := range services {
-		a.toll.Earn(s, start)
+		a.budget.Deposit(s, start)
 	}
 	least := 1
 	if gathered {
-		least = l.Least
+		least = l.RequiredShards
 	}
-	up, shares := a.frame.Survey(services)
+	up, shares := a.clusters.Availability(services)
 	if gathered && up < least {
-		return comeBack("too few shards have a leaf")
+		return retryLaterReply("too few shards have a leaf")
 	}
-	if !admitted(shares, least) {
-		return comeBack("the leafs are full")
+	if !admitRequest(shares, least) {
+		return retryLaterReply("the leafs are full")
 	}
-	k := &asking{Asker: a, line: l, req: r, pace: a.pace(l.Name), shards: make([]shard, len(services)),
-		ch: make(chan outcome, len(services)*(l.Tries+freeTries))}
-	k.began = ran
-	k.usual = k.pace.hedgeAfter(l.Target)
-	k.open = len(services)
-	r.Once, r.Part = !l.Repeatable(), gathered
+	k := &fanOut{Dispatcher: a, route: l, request: r, latency: a.histogram(l.Name), shards: make([]shard, len(services)),
+		results: make(chan attemptResult, len(services)*(l.AttemptLimit+maxUnsentAttempts))}
+	k.onExecuted = ran
+	k.hedgeDelay = k.latency.hedgeDelay(l.TargetLatency)
+	k.openShards = len(services)
+	r.NonIdempotent, r.FanOut = !l.Idempotent(), gathered
 	for i, s := range services {
 		k.shards[i].service = s
-		if a.watches(l) {
-			k.shards[i].pair = &pairing{}
+		if a.samplesLatency(l) {
+			k.shards[i].pair = &replicaPair{}
 		}
-		k.launch(i, start)
+		k.startAttempt(i, start)
 	}
-	k.wait(start, least, gathered)
-	k.unclear()
+	k.run(start, least, gathered)
+	k.markPossiblyExecuted()
 	if gathered {
-		return k.joined(least)
+		return k.mergedReply(least)
 	}
-	return k.single()
+	return k.singleReply()
 }
 
-// admitted decides whether a request is begun. Where leafs turn calls away, what
+// admitRequest decides whether a request is begun. Where leafs turn calls away, what
 // is begun beyond their means takes slots and is lost all the same, so a share
 // of the requests is told to come back before anything of them runs.
-func admitted(shares []float64, least int) bool {
+func admitRequest(shares []float64, least int) bool {
 	slices.Sort(shares)
 	share := shares[len(shares)-least]
 	return share >= 1 || rand.Float64() < share
 }
 
-// ran reports whether a leaf may have run the shard's request, as far as tries ended.
-func (s *shard) ran() bool { return s.worst > trunk.Refused }
+// mayHaveExecuted reports whether a leaf may have run the shard's request, as far as tries ended.
+func (s *shard) mayHaveExecuted() bool { return s.worstOutcome > trunk.Rejected }
 
-// seize reserves a leaf for one more try. Every try comes by here: what may not be
+// reserve reserves a leaf for one more try. Every try comes by here: what may not be
 // repeated gets a leaf only while no other has it or may have run it.
-func (k *asking) seize(s *shard) *trunk.Trunk {
-	if !k.req.Retriable(s.worst) || k.req.Once && s.pending > 0 {
+func (k *fanOut) reserve(s *shard) *trunk.Endpoint {
+	if !k.request.Retryable(s.worstOutcome) || k.request.NonIdempotent && s.pendingAttempts > 0 {
 		return nil
 	}
-	return k.frame.Seize(s.service, s.tried, k.req.Once)
+	return k.clusters.Reserve(s.service, s.triedEndpoints, k.request.NonIdempotent)
 }
 
-// launch sends the shard's request to one more leaf, if one takes it.
-func (k *asking) launch(i int, now time.Time) bool {
-	t := k.seize(&k.shards[i])
+// startAttempt sends the shard's request to one more leaf, if one takes it.
+func (k *fanOut) startAttempt(i int, now time.Time) bool {
+	t := k.reserve(&k.shards[i])
 	if t == nil {
-		k.settle(&k.shards[i])
+		k.failIfExhausted(&k.shards[i])
 		return false
 	}
-	k.send(i, t, now)
+	k.sendAttempt(i, t, now)
 	return true
 }
 
-func (k *asking) send(i int, t *trunk.Trunk, now time.Time) {
+func (k *fanOut) sendAttempt(i int, t *trunk.Endpoint, now time.Time) {
 	s := &k.shards[i]
-	s.tried = append(s.tried, t)
-	s.sent++
-	s.pending++
-	s.since, s.newest = now, t
-	s.hedgeAt = now.Add(k.usual)
-	k.dueBy(s.hedgeAt)
+	s.triedEndpoints = append(s.triedEndpoints, t)
+	s.sentAttempts++
+	s.pendingAttempts++
+	s.newestSentAt, s.newestEndpoint = now, t
+	s.hedgeAt = now.Add(k.hedgeDelay)
+	k.scheduleBy(s.hedgeAt)
 	pair := s.pair
 	go func() {
-		if k.Permit != nil {
-			if ok, back := k.Permit(t.Leaf().Service, k.req.Deadline); !ok {
-				k.frame.Release(t)
-				k.ch <- outcome{shard: i, back: back, err: errNoTurn}
+		if k.AwaitRate != nil {
+			if ok, back := k.AwaitRate(t.Info().Service, k.request.Deadline); !ok {
+				k.clusters.Release(t)
+				k.results <- attemptResult{shard: i, retryAfter: back, err: errRateLimited}
 				return
 			}
 		}
 		began := time.Now()
-		busy := pair != nil && k.frame.Shared(t)
-		a, err := k.frame.Call(t, k.req)
-		k.ch <- outcome{shard: i, a: a, err: err, took: time.Since(began)}
+		busy := pair != nil && k.clusters.Contended(t)
+		a, err := k.clusters.Call(t, k.request)
+		k.results <- attemptResult{shard: i, response: a, err: err, duration: time.Since(began)}
 		if pair != nil {
-			k.watch(pair, t, busy, time.Since(began), a, err)
+			k.recordSample(pair, t, busy, time.Since(began), a, err)
 		}
 	}()
 }
 
 // Changes of a shard's state: it is open, then its part is in, or it has failed.
 
-func (k *asking) settle(s *shard) {
-	if s.pending == 0 && s.part == nil && !s.failed {
+func (k *fanOut) failIfExhausted(s *shard) {
+	if s.pendingAttempts == 0 && s.response == nil && !s.failed {
 		s.failed = true
-		k.open--
+		k.openShards--
 	}
 }
 
-func (k *asking) fill(s *shard, a *trunk.Answer) {
-	if s.part != nil {
+func (k *fanOut) completeShard(s *shard, a *trunk.Response) {
+	if s.response != nil {
 		return
 	}
-	s.part = a
-	k.in++
+	s.response = a
+	k.completeShards++
 	if !s.failed {
-		k.open--
+		k.openShards--
 	}
 }
 
-func (k *asking) dueBy(at time.Time) {
-	if k.due.IsZero() || at.Before(k.due) {
-		k.due = at
+func (k *fanOut) scheduleBy(at time.Time) {
+	if k.nextDue.IsZero() || at.Before(k.nextDue) {
+		k.nextDue = at
 	}
 }
 
-// fullPause is how long to wait after a leaf was full.
-func fullPause(mean time.Duration) time.Duration {
-	d := min(max(mean, fullPauseMin), fullPauseMax)
+// rejectionBackoff is how long to wait after a leaf was full.
+func rejectionBackoff(mean time.Duration) time.Duration {
+	d := min(max(mean, minRejectionBackoff), maxRejectionBackoff)
 	return d/2 + rand.N(d)
 }
 
-// again sends to another leaf if the route and the budget allow it.
-func (k *asking) again(i int, keep float64, now time.Time) bool {
+// retry sends to another leaf if the route and the budget allow it.
+func (k *fanOut) retry(i int, keep float64, now time.Time) bool {
 	s := &k.shards[i]
-	if s.sent >= k.line.Tries || !k.req.Deadline.After(now) {
+	if s.sentAttempts >= k.route.AttemptLimit || !k.request.Deadline.After(now) {
 		return false
 	}
-	t := k.seize(s)
+	t := k.reserve(s)
 	if t == nil {
 		return false
 	}
-	if !k.toll.Pay(s.service, now, keep) {
-		k.frame.Release(t)
+	if !k.budget.TryWithdraw(s.service, now, keep) {
+		k.clusters.Release(t)
 		return false
 	}
-	k.send(i, t, now)
+	k.sendAttempt(i, t, now)
 	return true
 }
 
-// wait follows the tries until the answer is settled. What comes in concerns one
+// run follows the tries until the answer is settled. What comes in concerns one
 // shard; all of them are looked at only when one is due.
-func (k *asking) wait(start time.Time, least int, gathered bool) {
-	cut := start.Add(k.line.Target - cutMargin)
+func (k *fanOut) run(start time.Time, least int, gathered bool) {
+	cut := start.Add(k.route.TargetLatency - deliveryMargin)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var armed time.Time
 	for {
 		now := time.Now()
-		if !k.due.After(now) {
-			k.look(now)
+		if !k.nextDue.After(now) {
+			k.handleDue(now)
 		}
-		if k.open == 0 || k.in+k.open < least || !k.req.Deadline.After(now) {
+		if k.openShards == 0 || k.completeShards+k.openShards < least || !k.request.Deadline.After(now) {
 			return
 		}
-		next := k.req.Deadline
-		if !k.due.IsZero() && k.due.Before(next) {
-			next = k.due
+		next := k.request.Deadline
+		if !k.nextDue.IsZero() && k.nextDue.Before(next) {
+			next = k.nextDue
 		}
-		if gathered && k.in >= least && k.line.Target > 0 {
+		if gathered && k.completeShards >= least && k.route.TargetLatency > 0 {
 			if !cut.After(now) {
-				if now.Sub(cut) < cutMargin || !start.Add(3*k.line.Target).After(now) {
+				if now.Sub(cut) < deliveryMargin || !start.Add(3*k.route.TargetLatency).After(now) {
 					return // what is in earns more now than all of it later
 				}
-				cut = start.Add(3 * k.line.Target)
+				cut = start.Add(3 * k.route.TargetLatency)
 			}
 			if cut.Before(next) {
 				next = cut
@@ -336,12 +336,12 @@
 			armed = next
 		}
 		select {
-		case o := <-k.ch:
-			k.take(o)
+		case o := <-k.results:
+			k.handleResult(o)
 			for more := true; more; {
 				select {
-				case o := <-k.ch:
-					k.take(o)
+				case o := <-k.results:
+					k.handleResult(o)
 				default:
 					more = false
 				}
@@ -352,143 +352,143 @@
 	}
 }
 
-// look does what is due, and finds out what is due next.
-func (k *asking) look(now time.Time) {
-	k.due = time.Time{}
+// handleDue does what is due, and finds out what is due next.
+func (k *fanOut) handleDue(now time.Time) {
+	k.nextDue = time.Time{}
 	for i := range k.shards {
 		s := &k.shards[i]
-		if s.part != nil || s.failed {
+		if s.response != nil || s.failed {
 			continue
 		}
-		if !s.againAt.IsZero() && !s.againAt.After(now) {
-			s.againAt = time.Time{}
-			if !k.again(i, 0, now) {
-				k.settle(s)
+		if !s.retryAt.IsZero() && !s.retryAt.After(now) {
+			s.retryAt = time.Time{}
+			if !k.retry(i, 0, now) {
+				k.failIfExhausted(s)
 				continue
 			}
 		}
-		if s.pending == 0 {
-			k.dueBy(s.againAt)
+		if s.pendingAttempts == 0 {
+			k.scheduleBy(s.retryAt)
 			continue
 		}
 		if !s.hedgeAt.After(now) {
-			k.overdue(i, now)
+			k.handleOverdue(i, now)
 		}
-		k.dueBy(s.hedgeAt)
+		k.scheduleBy(s.hedgeAt)
 	}
 }
 
-// overdue deals with a shard whose newest try takes longer than usual.
-func (k *asking) overdue(i int, now time.Time) {
+// handleOverdue deals with a shard whose newest try takes longer than usual.
+func (k *fanOut) handleOverdue(i int, now time.Time) {
 	s := &k.shards[i]
-	k.frame.Overdue(s.newest, s.since, k.usual)
-	s.hedgeAt = now.Add(k.usual)
+	k.clusters.ReportOverdue(s.newestEndpoint, s.newestSentAt, k.hedgeDelay)
+	s.hedgeAt = now.Add(k.hedgeDelay)
 	// Where leafs are full a second one only makes all of them slower.
-	if !k.frame.Crowded(s.service) {
-		k.again(i, hedgeKeep, now)
+	if !k.clusters.Overloaded(s.service) {
+		k.retry(i, hedgeBudgetReserve, now)
 	}
 }
 
-// take notes the outcome of a try.
-func (k *asking) take(o outcome) {
+// handleResult notes the outcome of a try.
+func (k *fanOut) handleResult(o attemptResult) {
 	s := &k.shards[o.shard]
-	s.pending--
+	s.pendingAttempts--
 	now := time.Now()
-	how := trunk.OutcomeOf(o.a, o.err)
-	if !errors.Is(o.err, errNoTurn) {
-		s.worst = max(s.worst, how)
+	how := trunk.OutcomeOf(o.response, o.err)
+	if !errors.Is(o.err, errRateLimited) {
+		s.worstOutcome = max(s.worstOutcome, how)
 	}
 	switch {
-	case how == trunk.Ran && o.a.Good():
-		k.ran(now.Add(-o.took))
-		first := s.part == nil
-		k.fill(s, o.a)
-		k.pace.add(o.took)
-		if first && s.pair != nil && len(s.tried) == 1 && rand.Float64() < k.Shadow && !k.frame.Crowded(s.service) {
-			k.again(o.shard, shadowKeep, now)
+	case how == trunk.Executed && o.response.IsSuccess():
+		k.markExecuted(now.Add(-o.duration))
+		first := s.response == nil
+		k.completeShard(s, o.response)
+		k.latency.record(o.duration)
+		if first && s.pair != nil && len(s.triedEndpoints) == 1 && rand.Float64() < k.ShadowShare && !k.clusters.Overloaded(s.service) {
+			k.retry(o.shard, shadowBudgetReserve, now)
 		}
 		return
-	case errors.Is(o.err, errNoTurn):
-		s.sent--
-		k.back = max(k.back, o.back)
-	case how == trunk.Unsent:
-		s.sent--
-		if s.free++; s.part == nil && s.pending == 0 && s.free <= freeTries && k.req.Deadline.After(now) && k.launch(o.shard, now) {
+	case errors.Is(o.err, errRateLimited):
+		s.sentAttempts--
+		k.retryAfter = max(k.retryAfter, o.retryAfter)
+	case how == trunk.NotSent:
+		s.sentAttempts--
+		if s.unsentAttempts++; s.response == nil && s.pendingAttempts == 0 && s.unsentAttempts <= maxUnsentAttempts && k.request.Deadline.After(now) && k.startAttempt(o.shard, now) {
 			return
 		}
-	case how == trunk.Refused:
-		s.last = o.a
-		if s.part == nil && s.pending == 0 {
-			if o.a.Status == http.StatusMisdirectedRequest {
-				if k.again(o.shard, 0, now) {
+	case how == trunk.Rejected:
+		s.lastFailure = o.response
+		if s.response == nil && s.pendingAttempts == 0 {
+			if o.response.Status == http.StatusMisdirectedRequest {
+				if k.retry(o.shard, 0, now) {
 					return
 				}
-			} else if s.sent < k.line.Tries {
+			} else if s.sentAttempts < k.route.AttemptLimit {
 				// A full leaf has its next slot free in a moment, and so
 				// have its fellows.
-				s.againAt = now.Add(fullPause(k.frame.Mean(s.service)))
-				k.dueBy(s.againAt)
+				s.retryAt = now.Add(rejectionBackoff(k.clusters.MeanLatency(s.service)))
+				k.scheduleBy(s.retryAt)
 				return
 			}
 		}
 	default:
-		s.last = o.a
-		if how == trunk.Ran {
-			k.ran(now.Add(-o.took))
-		} else if k.maybe.IsZero() {
-			k.maybe = now.Add(-o.took)
+		s.lastFailure = o.response
+		if how == trunk.Executed {
+			k.markExecuted(now.Add(-o.duration))
+		} else if k.maybeExecutedAt.IsZero() {
+			k.maybeExecutedAt = now.Add(-o.duration)
 		}
-		s.late = s.late || errors.Is(o.err, trunk.ErrLate)
-		if s.part == nil && s.pending == 0 && k.again(o.shard, 0, now) {
+		s.timedOut = s.timedOut || errors.Is(o.err, trunk.ErrTimeout)
+		if s.response == nil && s.pendingAttempts == 0 && k.retry(o.shard, 0, now) {
 			return
 		}
 	}
-	k.settle(s)
+	k.failIfExhausted(s)
 }
 
-// ran notes, once, that a leaf has run the request.
-func (k *asking) ran(at time.Time) {
-	if k.began != nil {
-		k.began(at)
-		k.began = nil
+// markExecuted notes, once, that a leaf has run the request.
+func (k *fanOut) markExecuted(at time.Time) {
+	if k.onExecuted != nil {
+		k.onExecuted(at)
+		k.onExecuted = nil
 	}
 }
 
-// unclear counts a request of which no leaf said that it has run or not as one that has:
+// markPossiblyExecuted counts a request of which no leaf said that it has run or not as one that has:
 // a leaf that was asked and breaks off, or is slow, was mostly at work.
-func (k *asking) unclear() {
+func (k *fanOut) markPossiblyExecuted() {
 	for i := range k.shards {
-		if s := &k.shards[i]; s.pending > 0 && k.maybe.IsZero() {
-			k.maybe = s.since
+		if s := &k.shards[i]; s.pendingAttempts > 0 && k.maybeExecutedAt.IsZero() {
+			k.maybeExecutedAt = s.newestSentAt
 		}
 	}
-	if !k.maybe.IsZero() {
-		k.ran(k.maybe)
+	if !k.maybeExecutedAt.IsZero() {
+		k.markExecuted(k.maybeExecutedAt)
 	}
 }
 
-// single makes the reply of a line with one leaf.
-func (k *asking) single() *Reply {
+// singleReply makes the reply of a line with one leaf.
+func (k *fanOut) singleReply() *Reply {
 	s := &k.shards[0]
 	switch {
-	case s.part != nil:
-		return &Reply{Status: s.part.Status, Header: s.part.Header, Body: s.part.Body}
-	case s.pending > 0 || s.late:
-		return failure(http.StatusGatewayTimeout, "the leaf did not answer in time")
-	case s.ran():
-		if a := s.last; a != nil && a.Status/100 != 2 && !a.NotRun() && !promises(a.Status) {
+	case s.response != nil:
+		return &Reply{Status: s.response.Status, Header: s.response.Header, Body: s.response.Body}
+	case s.pendingAttempts > 0 || s.timedOut:
+		return failureReply(http.StatusGatewayTimeout, "the leaf did not answer in time")
+	case s.mayHaveExecuted():
+		if a := s.lastFailure; a != nil && a.Status/100 != 2 && !a.NotExecuted() && !impliesNotExecuted(a.Status) {
 			return &Reply{Status: a.Status, Header: a.Header, Body: a.Body} // the leaf's own failure
 		}
-		return failure(http.StatusBadGateway, "the leaf's answer was lost")
-	case s.last != nil && s.last.Status == http.StatusBadRequest:
-		return &Reply{Status: http.StatusBadRequest, Header: s.last.Header, Body: s.last.Body}
+		return failureReply(http.StatusBadGateway, "the leaf's answer was lost")
+	case s.lastFailure != nil && s.lastFailure.Status == http.StatusBadRequest:
+		return &Reply{Status: http.StatusBadRequest, Header: s.lastFailure.Header, Body: s.lastFailure.Body}
 	}
-	return k.comeBack("no leaf takes the request now")
+	return k.retryLater("no leaf takes the request now")
 }
 
-// promises reports whether clients take a status as word that the request has
+// impliesNotExecuted reports whether clients take a status as word that the request has
 // not run.
-func promises(status int) bool {
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -496,37 +496,37 @@
 	return false
 }
 
-// joined makes the reply of a gathered line.
-func (k *asking) joined(least int) *Reply {
+// mergedReply makes the reply of a gathered line.
+func (k *fanOut) mergedReply(least int) *Reply {
 	h := http.Header{}
 	var bodies [][]byte
 	ran, pending := false, false
 	var stamps []byte
 	for i := range k.shards {
 		s := &k.shards[i]
-		ran = ran || s.ran() || s.pending > 0
-		pending = pending || (s.part == nil && (s.pending > 0 || s.late))
-		if s.part == nil {
+		ran = ran || s.mayHaveExecuted() || s.pendingAttempts > 0
+		pending = pending || (s.response == nil && (s.pendingAttempts > 0 || s.timedOut))
+		if s.response == nil {
 			continue
 		}
 		ran = true
 		if len(stamps) > 0 {
 			stamps = append(stamps, ", "...)
 		}
-		stamps = append(stamps, s.part.Header.Get(trunk.HeaderStamp)...)
-		bodies = append(bodies, s.part.Body)
+		stamps = append(stamps, s.response.Header.Get(trunk.HeaderServerStamp)...)
+		bodies = append(bodies, s.response.Body)
 	}
 	switch {
 	case len(bodies) >= least:
-	case pending && !k.req.Deadline.After(time.Now()):
-		return failure(http.StatusGatewayTimeout, "too few shards answered in time")
+	case pending && !k.request.Deadline.After(time.Now()):
+		return failureReply(http.StatusGatewayTimeout, "too few shards answered in time")
 	case ran:
-		return failure(http.StatusBadGateway, "too few shards answered")
+		return failureReply(http.StatusBadGateway, "too few shards answered")
 	default:
-		return k.comeBack("too few shards take the request now")
+		return k.retryLater("too few shards take the request now")
 	}
-	h.Set(HeaderParts, string(stamps))
-	h.Set(HeaderMissing, strconv.Itoa(len(k.shards)-len(bodies)))
+	h.Set(HeaderPartStamps, string(stamps))
+	h.Set(HeaderMissingParts, strconv.Itoa(len(k.shards)-len(bodies)))
 	h.Set("Content-Type", "application/octet-stream")
-	return &Reply{Status: http.StatusOK, Header: h, Body: Merge(bodies, int(k.line.ResultCount))}
+	return &Reply{Status: http.StatusOK, Header: h, Body: Merge(bodies, int(k.route.ResultCount))}
 }
--- a/internal/gather/merge.go
+++ b/internal/gather/merge.go
@@ -24,10 +24,10 @@
 			case n <= 0:
 			case len(heap) < n:
 				heap = append(heap, rec)
-				up(heap)
+				siftUp(heap)
 			case bytes.Compare(rec, heap[0]) > 0:
 				heap[0] = rec
-				down(heap)
+				siftDown(heap)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 	return out
 }
 
-func up(h [][]byte) {
+func siftUp(h [][]byte) {
 	for i := len(h) - 1; i > 0; {
 		p := (i - 1) / 2
 		if bytes.Compare(h[i], h[p]) >= 0 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func down(h [][]byte) {
+func siftDown(h [][]byte) {
 	for i := 0; ; {
 		c := 2*i + 1
 		if c >= len(h) {
--- a/internal/gather/pace.go
+++ b/internal/gather/pace.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// pace learns how long the answers of a route take, in buckets whose bounds
+// latencyHistogram learns how long the answers of a route take, in buckets whose bounds
 // grow by a fifth; old answers fade.
-type pace struct {
-	mu    sync.Mutex
-	count [80]float64
-	total float64
-	seen  int
-	high  time.Duration
-	mid   time.Duration
+type latencyHistogram struct {
+	mu           sync.Mutex
+	buckets      [80]float64
+	total        float64
+	samples      int
+	hedgeLatency time.Duration
+	mid          time.Duration
 }
 
 const (
-	paceFirst = float64(500 * time.Microsecond)
-	paceGrow  = 1.2
-	paceFade  = 600
-	paceLeast = 40
+	firstBucketBound    = float64(500 * time.Microsecond)
+	bucketGrowth        = 1.2
+	maxHistogramWeight  = 600
+	minHistogramSamples = 40
 )
 
-func (p *pace) add(d time.Duration) {
+func (p *latencyHistogram) record(d time.Duration) {
 	i := 0
-	if f := float64(d); f > paceFirst {
-		i = min(len(p.count)-1, 1+int(math.Log(f/paceFirst)/math.Log(paceGrow)))
+	if f := float64(d); f > firstBucketBound {
+		i = min(len(p.buckets)-1, 1+int(math.Log(f/firstBucketBound)/math.Log(bucketGrowth)))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count[i]++
+	p.buckets[i]++
 	p.total++
-	p.seen++
-	if p.total > paceFade {
+	p.samples++
+	if p.total > maxHistogramWeight {
 		p.total = 0
-		for k := range p.count {
-			p.count[k] /= 2
-			p.total += p.count[k]
+		for k := range p.buckets {
+			p.buckets[k] /= 2
+			p.total += p.buckets[k]
 		}
 	}
-	if p.seen%16 == 0 {
-		p.high, p.mid = p.quantile(hedgeFrom), p.quantile(0.5)
+	if p.samples%16 == 0 {
+		p.hedgeLatency, p.mid = p.quantile(hedgeQuantile), p.quantile(0.5)
 	}
 }
 
-func (p *pace) quantile(q float64) time.Duration {
+func (p *latencyHistogram) quantile(q float64) time.Duration {
 	left := q * p.total
-	for i, c := range p.count {
+	for i, c := range p.buckets {
 		if left -= c; left <= 0 {
-			return time.Duration(paceFirst * math.Pow(paceGrow, float64(i)))
+			return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(i)))
 		}
 	}
-	return time.Duration(paceFirst * math.Pow(paceGrow, float64(len(p.count))))
+	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(len(p.buckets))))
 }
 
-// hedgeAfter is how long an answer may take before a second leaf is asked.
-func (p *pace) hedgeAfter(target time.Duration) time.Duration {
+// hedgeDelay is how long an answer may take before a second leaf is asked.
+func (p *latencyHistogram) hedgeDelay(target time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.seen < paceLeast || p.high == 0 {
+	if p.samples < minHistogramSamples || p.hedgeLatency == 0 {
 		return max(target/2, 10*time.Millisecond)
 	}
-	return max(p.high, 5*time.Millisecond)
+	return max(p.hedgeLatency, 5*time.Millisecond)
 }
--- a/internal/gather/watch.go
+++ b/internal/gather/watch.go
@@ -10,43 +10,45 @@
 	"comethold/internal/trunk"
 )
 
-// pairing joins the answers of two copies to one lookup.
-type pairing struct {
-	mu    sync.Mutex
-	first *estimate.Sample
-	part  []byte
-	done  bool
+// replicaPair joins the answers of two copies to one lookup.
+type replicaPair struct {
+	mu        sync.Mutex
+	first     *estimate.Sample
+	firstBody []byte
+	done      bool
 }
 
-// watches reports whether lookups of the line are followed.
-func (a *Asker) watches(l *numbering.Line) bool { return a.Watch != nil && l.LookupClass != "" }
+// samplesLatency reports whether lookups of the line are followed.
+func (a *Dispatcher) samplesLatency(l *numbering.CompiledRoute) bool {
+	return a.Latencies != nil && l.LookupClass != ""
+}
 
-// watch hands on what a call took. It runs in the call's own goroutine, after its outcome
+// recordSample hands on what a call took. It runs in the call's own goroutine, after its outcome
 // was told, and never waits.
-func (k *asking) watch(p *pairing, t *trunk.Trunk, busy bool, took time.Duration, a *trunk.Answer, err error) {
-	late := errors.Is(err, trunk.ErrLate)
-	if !late && (err != nil || !a.Good()) {
+func (k *fanOut) recordSample(p *replicaPair, t *trunk.Endpoint, busy bool, took time.Duration, a *trunk.Response, err error) {
+	late := errors.Is(err, trunk.ErrTimeout)
+	if !late && (err != nil || !a.IsSuccess()) {
 		return // it says nothing of how long a lookup takes
 	}
-	s := estimate.Sample{Key: estimate.Key{Service: t.Leaf().Service, Leaf: t.Leaf().ID, Class: k.line.LookupClass}, Took: took, Cut: late}
+	s := estimate.Sample{Key: estimate.Key{Service: t.Info().Service, Endpoint: t.Info().ID, Class: k.route.LookupClass}, Duration: took, Censored: late}
 	if busy {
 		s.Key.Load = estimate.Busy
 	}
-	k.Watch.Note(s)
+	k.Latencies.Submit(s)
 	if late {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.first == nil {
-		p.first, p.part = &s, a.Body
-	} else if !p.done && p.first.Key.Leaf != s.Key.Leaf {
+		p.first, p.firstBody = &s, a.Body
+	} else if !p.done && p.first.Key.Endpoint != s.Key.Endpoint {
 		p.done = true
 		// The slower one is the lookup, the other what a copy really took.
-		pair := estimate.Pair{A: *p.first, B: s, PartA: p.part, PartB: a.Body}
-		if s.Took > p.first.Took {
-			pair = estimate.Pair{A: s, B: *p.first, PartA: a.Body, PartB: p.part}
+		pair := estimate.AnswerPair{First: *p.first, Second: s, FirstPart: p.firstBody, SecondPart: a.Body}
+		if s.Duration > p.first.Duration {
+			pair = estimate.AnswerPair{First: s, Second: *p.first, FirstPart: a.Body, SecondPart: p.firstBody}
 		}
-		k.Watch.NotePair(pair)
+		k.Latencies.SubmitPair(pair)
 	}
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -16,61 +16,61 @@
 
 // Errors of this layer.
 var (
-	ErrContract = errors.New("notice: the notice breaks its contract")
-	ErrState    = errors.New("notice: the row is not in a state that allows this")
-	ErrOwner    = errors.New("notice: the row is claimed by another")
-	ErrConflict = errors.New("notice: the event id is known with other content")
+	ErrInvalidNotification = errors.New("notice: the notice breaks its contract")
+	ErrInvalidState        = errors.New("notice: the row is not in a state that allows this")
+	ErrNotOwner            = errors.New("notice: the row is claimed by another")
+	ErrContentMismatch     = errors.New("notice: the event id is known with other content")
 )
 
 // The aggregates whose versions notices carry. None begins anew when an index is cut
 // into other shards: they go by the operator's versions, by positions of the exchange
 // cell's log, and by time.
 const (
-	Configuration = "configuration"
-	Purges        = "purges"
-	Usage         = "usage" // by windows of true time; sent to the platform alone
+	AggregateConfiguration = "configuration"
+	AggregatePurges        = "purges"
+	AggregateUsage         = "usage" // by windows of true time; sent to the platform alone
 )
 
-// Notice tells that a change was committed. It never changes.
-type Notice struct {
-	EventID   string `cbor:"1,keyasint"`
-	TenantID  string `cbor:"2,keyasint,omitempty"` // "" concerns all of them
-	Aggregate string `cbor:"3,keyasint"`
-	Version   uint64 `cbor:"4,keyasint"` // of the aggregate, after the change
-	After     uint64 `cbor:"5,keyasint"` // of the aggregate, before it
-	Payload   []byte `cbor:"6,keyasint,omitempty"`
-	Digest    []byte `cbor:"7,keyasint"` // of the payload
+// Notification tells that a change was committed. It never changes.
+type Notification struct {
+	EventID         string `cbor:"1,keyasint"`
+	TenantID        string `cbor:"2,keyasint,omitempty"` // "" concerns all of them
+	Aggregate       string `cbor:"3,keyasint"`
+	Version         uint64 `cbor:"4,keyasint"` // of the aggregate, after the change
+	PreviousVersion uint64 `cbor:"5,keyasint"` // of the aggregate, before it
+	Payload         []byte `cbor:"6,keyasint,omitempty"`
+	Digest          []byte `cbor:"7,keyasint"` // of the payload
 }
 
-// Changed is the payload of a notice of a configuration: the tenants whose keys or
+// ConfigurationChange is the payload of a notice of a configuration: the tenants whose keys or
 // limits it changes.
-type Changed struct {
+type ConfigurationChange struct {
 	Tenants []string `cbor:"1,keyasint,omitempty"`
 }
 
-// New makes a notice.
-func New(id, aggregate string, version, after uint64, payload any) (Notice, error) {
+// NewNotification makes a notice.
+func NewNotification(id, aggregate string, version, after uint64, payload any) (Notification, error) {
 	raw, err := wire.Marshal(payload)
 	if err != nil {
-		return Notice{}, fmt.Errorf("%w: %v", ErrContract, err)
+		return Notification{}, fmt.Errorf("%w: %v", ErrInvalidNotification, err)
 	}
-	return Notice{EventID: id, Aggregate: aggregate, Version: version, After: after, Payload: raw, Digest: Digest(raw)}, nil
+	return Notification{EventID: id, Aggregate: aggregate, Version: version, PreviousVersion: after, Payload: raw, Digest: Digest(raw)}, nil
 }
 
 // Digest is what payloads and orders are compared by.
 func Digest(raw []byte) []byte { s := sha256.Sum256(raw); return s[:16] }
 
-// Check says what is wrong with a notice that came in.
-func (n *Notice) Check() error {
+// Validate says what is wrong with a notice that came in.
+func (n *Notification) Validate() error {
 	switch {
 	case n.EventID == "":
-		return fmt.Errorf("%w: no event id", ErrContract)
-	case n.Aggregate != Configuration && n.Aggregate != Purges:
-		return fmt.Errorf("%w: unknown aggregate %q", ErrContract, n.Aggregate)
-	case n.Version <= n.After:
-		return fmt.Errorf("%w: version %d after %d", ErrContract, n.Version, n.After)
+		return fmt.Errorf("%w: no event id", ErrInvalidNotification)
+	case n.Aggregate != AggregateConfiguration && n.Aggregate != AggregatePurges:
+		return fmt.Errorf("%w: unknown aggregate %q", ErrInvalidNotification, n.Aggregate)
+	case n.Version <= n.PreviousVersion:
+		return fmt.Errorf("%w: version %d after %d", ErrInvalidNotification, n.Version, n.PreviousVersion)
 	case !bytes.Equal(n.Digest, Digest(n.Payload)):
-		return fmt.Errorf("%w: the payload has another digest", ErrContract)
+		return fmt.Errorf("%w: the payload has another digest", ErrInvalidNotification)
 	}
 	return nil
 }
@@ -82,23 +82,23 @@
 	Version     uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Replay is what a receipt says of an order with its key.
-type Replay uint8
+// KeyUse is what a receipt says of an order with its key.
+type KeyUse uint8
 
 // The order is new, was taken before, or contradicts the one that was.
 const (
-	Fresh Replay = iota
-	Repeated
-	Conflicting
+	KeyUnused KeyUse = iota
+	KeyRepeated
+	KeyConflicting
 )
 
-// Look compares an order with the receipt under its key, which may be nil.
-func (r *Receipt) Look(fingerprint []byte) Replay {
+// Compare compares an order with the receipt under its key, which may be nil.
+func (r *Receipt) Compare(fingerprint []byte) KeyUse {
 	switch {
 	case r == nil:
-		return Fresh
+		return KeyUnused
 	case bytes.Equal(r.Fingerprint, fingerprint):
-		return Repeated
+		return KeyRepeated
 	}
-	return Conflicting
+	return KeyConflicting
 }
--- a/internal/notice/outbox.go
+++ b/internal/notice/outbox.go
@@ -20,53 +20,53 @@
 
 // Row is a notice in the outbox, with what became of it.
 type Row struct {
-	Notice Notice `cbor:"1,keyasint"`
-	State  State  `cbor:"2,keyasint,omitempty"`
-	Owner  string `cbor:"3,keyasint,omitempty"` // the token of the claim
-	Tries  int    `cbor:"4,keyasint,omitempty"`
+	Notification Notification `cbor:"1,keyasint"`
+	State        State        `cbor:"2,keyasint,omitempty"`
+	Owner        string       `cbor:"3,keyasint,omitempty"` // the token of the claim
+	Attempts     int          `cbor:"4,keyasint,omitempty"`
 }
 
 // Pacing of the outbox. The source's lease of 30 s would leave a row of a publisher that
 // was lost unsent for longer than a change may take to be in force.
 const (
-	ClaimLease = 5 * time.Second // by the clock of who sees the row unchanged
-	RetryFirst = time.Second
-	RetryMost  = time.Minute
+	ClaimLease        = 5 * time.Second // by the clock of who sees the row unchanged
+	InitialRetryDelay = time.Second
+	MaxRetryDelay     = time.Minute
 )
 
-// Wait is how long a row has to lie unchanged before it may be claimed.
-func (r Row) Wait() time.Duration {
+// ClaimDelay is how long a row has to lie unchanged before it may be claimed.
+func (r Row) ClaimDelay() time.Duration {
 	switch r.State {
 	case Claimed:
 		return ClaimLease
 	case RetryWait:
-		return min(RetryMost, RetryFirst<<min(max(r.Tries-1, 0), 10))
+		return min(MaxRetryDelay, InitialRetryDelay<<min(max(r.Attempts-1, 0), 10))
 	}
 	return 0
 }
 
 // Claim takes a row to send it. lain is how long it has been seen unchanged.
 func (r Row) Claim(owner string, lain time.Duration) (Row, error) {
-	if r.State == Published || lain < r.Wait() {
-		return r, ErrState
+	if r.State == Published || lain < r.ClaimDelay() {
+		return r, ErrInvalidState
 	}
 	r.State, r.Owner = Claimed, owner
-	r.Tries++
+	r.Attempts++
 	return r, nil
 }
 
-// Publish notes that the row was sent.
-func (r Row) Publish(owner string) (Row, error) {
-	if err := r.claimedBy(owner); err != nil {
+// MarkPublished notes that the row was sent.
+func (r Row) MarkPublished(owner string) (Row, error) {
+	if err := r.checkClaim(owner); err != nil {
 		return r, err
 	}
 	r.State, r.Owner = Published, ""
 	return r, nil
 }
 
-// Retry notes that the row could not be sent.
-func (r Row) Retry(owner string) (Row, error) {
-	if err := r.claimedBy(owner); err != nil {
+// ScheduleRetry notes that the row could not be sent.
+func (r Row) ScheduleRetry(owner string) (Row, error) {
+	if err := r.checkClaim(owner); err != nil {
 		return r, err
 	}
 	r.State, r.Owner = RetryWait, ""
@@ -75,15 +75,15 @@
 
 // Redrive has the row sent once more; its notice stays as it is.
 func (r Row) Redrive() Row {
-	return Row{Notice: r.Notice, State: Pending, Tries: r.Tries}
+	return Row{Notification: r.Notification, State: Pending, Attempts: r.Attempts}
 }
 
-func (r Row) claimedBy(owner string) error {
+func (r Row) checkClaim(owner string) error {
 	switch {
 	case r.State != Claimed:
-		return ErrState
+		return ErrInvalidState
 	case r.Owner != owner:
-		return ErrOwner
+		return ErrNotOwner
 	}
 	return nil
 }
--- a/internal/numbering/amend.go
+++ b/internal/numbering/amend.go
@@ -13,18 +13,18 @@
 	Remove  map[string][]string          `json:"remove" validate:"dive,keys,oneof=routes services tenants,endkeys"`
 }
 
-// ReadAmendment decodes and checks an amendment by itself.
-func ReadAmendment(raw []byte) (*Amendment, error) {
+// ParseAmendment decodes and checks an amendment by itself.
+func ParseAmendment(raw []byte) (*Amendment, error) {
 	a := &Amendment{}
 	if err := json.Unmarshal(raw, a); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	if err := check.Struct(a); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalid, Faults(err))
+	if err := structValidator.Struct(a); err != nil {
+		return nil, fmt.Errorf("%w: %v", ErrInvalid, Violations(err))
 	}
 	for list, items := range a.Upsert {
 		for i, item := range items {
-			if nameOf(item) == "" {
+			if itemName(item) == "" {
 				return nil, fmt.Errorf("%w: upsert.%s[%d] has no name", ErrInvalid, list, i)
 			}
 		}
@@ -32,7 +32,7 @@
 	return a, nil
 }
 
-func nameOf(item json.RawMessage) string {
+func itemName(item json.RawMessage) string {
 	var n struct {
 		Name string `json:"name"`
 	}
@@ -49,7 +49,7 @@
 	whole := map[string]json.RawMessage{}
 	if len(current) > 0 {
 		if err := json.Unmarshal(current, &whole); err != nil {
-			return nil, nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+			return nil, nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
 	whole["version"] = json.RawMessage(strconv.FormatUint(a.Version, 10))
@@ -57,27 +57,27 @@
 		if len(a.Upsert[list]) == 0 && len(a.Remove[list]) == 0 {
 			continue
 		}
-		items, err := amendList(whole[list], a.Upsert[list], a.Remove[list])
+		items, err := amendItems(whole[list], a.Upsert[list], a.Remove[list])
 		if err != nil {
 			return nil, nil, err
 		}
 		if whole[list], err = json.Marshal(items); err != nil {
-			return nil, nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+			return nil, nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
 	raw, err := json.Marshal(whole)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	cfg, err := Read(raw)
+	cfg, err := Parse(raw)
 	return cfg, raw, err
 }
 
-func amendList(old json.RawMessage, upsert []json.RawMessage, remove []string) ([]json.RawMessage, error) {
+func amendItems(old json.RawMessage, upsert []json.RawMessage, remove []string) ([]json.RawMessage, error) {
 	var items []json.RawMessage
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &items); err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+			return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
 	}
 	gone := map[string]bool{}
@@ -87,13 +87,13 @@
 	kept := make([]json.RawMessage, 0, len(items)+len(upsert))
 	at := map[string]int{}
 	for _, item := range items {
-		if n := nameOf(item); !gone[n] {
+		if n := itemName(item); !gone[n] {
 			at[n] = len(kept)
 			kept = append(kept, item)
 		}
 	}
 	for _, item := range upsert {
-		n := nameOf(item)
+		n := itemName(item)
 		if i, ok := at[n]; ok {
 			kept[i] = item
 		} else {
--- a/internal/numbering/amend_test.go
+++ b/internal/numbering/amend_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const whole = `{"version":3,"extra":{"kept":1},"limits":{},"services":[{"name":"s1"},{"name":"s2"}],
+const baseConfiguration = `{"version":3,"extra":{"kept":1},"limits":{},"services":[{"name":"s1"},{"name":"s2"}],
 "routes":[{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,"service":"s1"},
 {"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"cacheable","timeoutMs":9,"service":"s2","cacheTtlS":2.5,"later":true}]}`
 
@@ -24,9 +24,9 @@
 		{"cut short", `{"version":5,"upsert":`, "unread"},
 	} {
 		got := ""
-		if a, err := ReadAmendment([]byte(c.amend)); err != nil {
+		if a, err := ParseAmendment([]byte(c.amend)); err != nil {
 			got = "unread"
-		} else if cfg, raw, err := a.Apply([]byte(whole)); errors.Is(err, ErrInvalid) {
+		} else if cfg, raw, err := a.Apply([]byte(baseConfiguration)); errors.Is(err, ErrInvalid) {
 			got = "invalid"
 		} else if err != nil {
 			got = err.Error()
--- a/internal/numbering/config.go
+++ b/internal/numbering/config.go
@@ -15,15 +15,15 @@
 
 // Errors of this layer.
 var (
-	ErrUnreadable = errors.New("numbering: the configuration cannot be read")
-	ErrInvalid    = errors.New("numbering: the configuration is invalid")
+	ErrMalformed = errors.New("numbering: the configuration cannot be read")
+	ErrInvalid   = errors.New("numbering: the configuration is invalid")
 )
 
 // The kinds of route.
 const (
-	Safe      = "safe"
-	Unsafe    = "unsafe"
-	Cacheable = "cacheable"
+	KindSafe      = "safe"
+	KindUnsafe    = "unsafe"
+	KindCacheable = "cacheable"
 )
 
 // Configuration is one whole configuration of the operator.
@@ -36,28 +36,28 @@
 	Limits  Limits   `json:"limits"`
 }
 
-// Weighted is one service of a split route.
-type Weighted struct {
+// WeightedService is one service of a split route.
+type WeightedService struct {
 	Service string `json:"service" validate:"required"`
 	Weight  int64  `json:"weight" validate:"min=0,max=1000000000"`
 }
 
 // Route sends the requests of a host and path prefix to services.
 type Route struct {
-	Name              string     `json:"name" validate:"required"`
-	Hostname          string     `json:"hostname" validate:"required"`
-	PathPrefix        string     `json:"pathPrefix" validate:"required,startswith=/,endswith=/"`
-	RouteKind         string     `json:"routeKind" validate:"oneof=safe unsafe cacheable"`
-	TimeoutMs         int64      `json:"timeoutMs" validate:"min=1,max=86400000"`
-	TargetLatencyMs   int64      `json:"targetLatencyMs" validate:"min=0"`
-	Priority          int64      `json:"priority" validate:"min=0"`
-	MaxAttempts       int64      `json:"maxAttempts" validate:"min=0"`
-	CacheTtlS         float64    `json:"cacheTtlS,omitempty" validate:"min=0,max=31536000"`
-	Service           string     `json:"service,omitempty"`
-	WeightedServices  []Weighted `json:"weightedServices,omitempty" validate:"dive"`
-	FanoutServices    []string   `json:"fanoutServices,omitempty" validate:"unique,dive,required"`
-	ResultCount       int64      `json:"resultCount,omitempty" validate:"min=0,max=10000000"`
-	MinimumShardShare float64    `json:"minimumShardShare,omitempty" validate:"min=0,max=1"`
+	Name              string            `json:"name" validate:"required"`
+	Hostname          string            `json:"hostname" validate:"required"`
+	PathPrefix        string            `json:"pathPrefix" validate:"required,startswith=/,endswith=/"`
+	RouteKind         string            `json:"routeKind" validate:"oneof=safe unsafe cacheable"`
+	TimeoutMs         int64             `json:"timeoutMs" validate:"min=1,max=86400000"`
+	TargetLatencyMs   int64             `json:"targetLatencyMs" validate:"min=0"`
+	Priority          int64             `json:"priority" validate:"min=0"`
+	MaxAttempts       int64             `json:"maxAttempts" validate:"min=0"`
+	CacheTTLSeconds   float64           `json:"cacheTtlS,omitempty" validate:"min=0,max=31536000"`
+	Service           string            `json:"service,omitempty"`
+	WeightedServices  []WeightedService `json:"weightedServices,omitempty" validate:"dive"`
+	FanoutServices    []string          `json:"fanoutServices,omitempty" validate:"unique,dive,required"`
+	ResultCount       int64             `json:"resultCount,omitempty" validate:"min=0,max=10000000"`
+	MinimumShardShare float64           `json:"minimumShardShare,omitempty" validate:"min=0,max=1"`
 	// LookupClass, if given, is what kind of lookups estimates keep apart.
 	LookupClass string `json:"lookupClass,omitempty" validate:"omitempty,oneof=urgent bulk archive"`
 	// Public: requests need no key.
@@ -67,30 +67,32 @@
 // Tenant is one who may send requests, known by any of its keys. Its rate and burst
 // bound what all nodes together pass on for it; a rate of 0 sets no bound.
 type Tenant struct {
-	Name      string   `json:"name" validate:"required"`
-	APIKeys   []string `json:"apiKeys"`
-	RatePerS  float64  `json:"ratePerS,omitempty" validate:"min=0,max=1000000000"`
-	BurstSize float64  `json:"burstSize,omitempty" validate:"min=0,max=1000000000"`
+	Name          string   `json:"name" validate:"required"`
+	APIKeys       []string `json:"apiKeys"`
+	RatePerSecond float64  `json:"ratePerS,omitempty" validate:"min=0,max=1000000000"`
+	BurstSize     float64  `json:"burstSize,omitempty" validate:"min=0,max=1000000000"`
 	// Priority, if given, stands before that of the route.
 	Priority *int64 `json:"priority,omitempty" validate:"omitempty,min=0"`
 }
 
-// TTL is how long an answer on the route may stay kept.
-func (r *Route) TTL() time.Duration { return time.Duration(r.CacheTtlS * float64(time.Second)) }
+// CacheTTL is how long an answer on the route may stay kept.
+func (r *Route) CacheTTL() time.Duration {
+	return time.Duration(r.CacheTTLSeconds * float64(time.Second))
+}
 
-// Repeatable reports whether a request on the route may run more than once.
-func (r *Route) Repeatable() bool { return r.RouteKind != Unsafe }
+// Idempotent reports whether a request on the route may run more than once.
+func (r *Route) Idempotent() bool { return r.RouteKind != KindUnsafe }
 
 // Service is a set of leafs that answer alike.
 type Service struct {
 	Name            string `json:"name" validate:"required"`
 	HealthPath      string `json:"healthPath" validate:"omitempty,startswith=/"`
 	ConnectionLimit int    `json:"connectionLimit" validate:"min=0"`
-	// RatePerS bounds the requests that all leafs of the service together get;
+	// RatePerSecond bounds the requests that all leafs of the service together get;
 	// 0 sets no bound.
-	RatePerS   float64 `json:"ratePerS,omitempty" validate:"min=0"`
-	Protocol   string  `json:"protocol" validate:"omitempty,oneof=h1"`
-	TLSEnabled bool    `json:"tlsEnabled" validate:"eq=false"`
+	RatePerSecond float64 `json:"ratePerS,omitempty" validate:"min=0"`
+	Protocol      string  `json:"protocol" validate:"omitempty,oneof=h1"`
+	TLSEnabled    bool    `json:"tlsEnabled" validate:"eq=false"`
 }
 
 // Limits bound what a client may send and how long it may take.
@@ -101,7 +103,7 @@
 	IdleTimeoutMs   int64 `json:"idleTimeoutMs" validate:"min=0"`
 }
 
-var check = func() *validator.Validate {
+var structValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		return strings.SplitN(f.Tag.Get("json"), ",", 2)[0]
@@ -113,27 +115,27 @@
 func Decode(raw []byte) (*Configuration, error) {
 	c := &Configuration{}
 	if err := json.Unmarshal(raw, c); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return c, nil
 }
 
-// Read decodes and checks a configuration. The error names every fault found.
-func Read(raw []byte) (*Configuration, error) {
+// Parse decodes and checks a configuration. The error names every fault found.
+func Parse(raw []byte) (*Configuration, error) {
 	c, err := Decode(raw)
 	if err != nil {
 		return nil, err
 	}
-	if faults := c.faults(); len(faults) > 0 {
+	if faults := c.violations(); len(faults) > 0 {
 		return nil, fmt.Errorf("%w: %s", ErrInvalid, strings.Join(faults, "; "))
 	}
 	return c, nil
 }
 
-const maxFaults = 50
+const maxViolations = 50
 
-// Faults says in words what struct tags found, a line a field.
-func Faults(err error) []string {
+// Violations says in words what struct tags found, a line a field.
+func Violations(err error) []string {
 	var ve validator.ValidationErrors
 	if !errors.As(err, &ve) {
 		return []string{err.Error()}
@@ -153,10 +155,10 @@
 	return out
 }
 
-func (c *Configuration) faults() []string {
+func (c *Configuration) violations() []string {
 	var out []string
-	if err := check.Struct(c); err != nil {
-		out = Faults(err)
+	if err := structValidator.Struct(c); err != nil {
+		out = Violations(err)
 	}
 	known := make(map[string]bool, len(c.Services))
 	for _, s := range c.Services {
@@ -191,22 +193,22 @@
 		}
 		if len(r.FanoutServices) > 0 {
 			targets++
-			if r.RouteKind != Safe {
+			if r.RouteKind != KindSafe {
 				out = append(out, fmt.Sprintf("%s.routeKind: a gathered route must be safe", at))
 			}
 		}
 		if targets != 1 {
 			out = append(out, fmt.Sprintf("%s: needs exactly one of service, weightedServices and fanoutServices", at))
 		}
-		if len(out) > maxFaults {
+		if len(out) > maxViolations {
 			break
 		}
 	}
-	return append(out, tenantFaults(c.Tenants)...)
+	return append(out, tenantViolations(c.Tenants)...)
 }
 
-// tenantFaults never shows a key: faults are logged.
-func tenantFaults(tenants []Tenant) (out []string) {
+// tenantViolations never shows a key: faults are logged.
+func tenantViolations(tenants []Tenant) (out []string) {
 	names, holders := map[string]bool{}, map[string]string{}
 	for i, t := range tenants {
 		if names[t.Name] {
@@ -219,7 +221,7 @@
 			}
 			holders[k] = t.Name
 		}
-		if len(out) > maxFaults {
+		if len(out) > maxViolations {
 			break
 		}
 	}
--- a/internal/numbering/read_test.go
+++ b/internal/numbering/read_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestRead: what can't be read whole or breaks a rule is refused, whatever its
+// TestParse: what can't be read whole or breaks a rule is refused, whatever its
 // shape, and says what is wrong.
-func TestRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	route := func(fields string) string {
 		return `{"version":3,"services":[{"name":"s"}],"routes":[{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
 	}
@@ -19,16 +19,16 @@
 		says     string
 	}{
 		{"well", route(`"service":"s"`), nil, ""},
-		{"a brace too many", route(`"service":"s"`) + "}", ErrUnreadable, ""},
-		{"two in a row", route(`"service":"s"`) + route(`"service":"s"`), ErrUnreadable, ""},
-		{"cut short", route(`"service":"s"`)[:80], ErrUnreadable, ""},
-		{"nothing", "", ErrUnreadable, ""},
-		{"a list", "[]", ErrUnreadable, ""},
-		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrUnreadable, ""},
-		{"nested deeply", `{"version":3,"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + "}", ErrUnreadable, ""},
-		{"bytes that are no text", "{\"version\":\xff\xfe}", ErrUnreadable, ""},
-		{"a version that is a text", `{"version":"3"}`, ErrUnreadable, ""},
-		{"a version below 0", `{"version":-3}`, ErrUnreadable, ""},
+		{"a brace too many", route(`"service":"s"`) + "}", ErrMalformed, ""},
+		{"two in a row", route(`"service":"s"`) + route(`"service":"s"`), ErrMalformed, ""},
+		{"cut short", route(`"service":"s"`)[:80], ErrMalformed, ""},
+		{"nothing", "", ErrMalformed, ""},
+		{"a list", "[]", ErrMalformed, ""},
+		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
+		{"nested deeply", `{"version":3,"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + "}", ErrMalformed, ""},
+		{"bytes that are no text", "{\"version\":\xff\xfe}", ErrMalformed, ""},
+		{"a version that is a text", `{"version":"3"}`, ErrMalformed, ""},
+		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
 		{"no version", `{"routes":[]}`, ErrInvalid, "version"},
 		{"a version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
 		{"an unknown service", route(`"service":"z"`), ErrInvalid, `unknown service "z"`},
@@ -47,7 +47,7 @@
 			strings.Repeat(`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,"service":"s"},`, 5000) +
 			`{"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"safe","timeoutMs":9,"service":"s"}]}`, ErrInvalid, "host and prefix"},
 	} {
-		_, err := Read([]byte(c.raw))
+		_, err := Parse([]byte(c.raw))
 		if !errors.Is(err, c.want) || err != nil && (!strings.Contains(err.Error(), c.says) || len(err.Error()) > 16<<10) {
 			t.Errorf("%s: %.300v", c.why, err)
 		}
--- a/internal/office/feeder.go
+++ b/internal/office/feeder.go
@@ -18,89 +18,89 @@
 
 // Timing of the feed. Ours; see docs/design.md.
 const (
-	feedTimeout  = 1800 * time.Millisecond // a registrar answers within a second
-	avoidFor     = 3 * time.Second         // a registrar that failed or is stale
-	feedPause    = 60 * time.Millisecond
-	firstLimit   = 800 * time.Millisecond
-	firstStagger = 60 * time.Millisecond
-	firstPause   = 400 * time.Millisecond
-	reportPause  = 30 * time.Millisecond // trouble seldom comes to one leaf alone
-	maxReports   = 64
-	leavePause   = 600 * time.Millisecond
-	tryPeers     = 4 // failures in a row after which other switches are asked
+	pollTimeout         = 1800 * time.Millisecond // a registrar answers within a second
+	avoidDuration       = 3 * time.Second         // a registrar that failed or is stale
+	retryPause          = 60 * time.Millisecond
+	firstPollTimeout    = 800 * time.Millisecond
+	firstStagger        = 60 * time.Millisecond
+	firstPollPause      = 400 * time.Millisecond
+	reportDelay         = 30 * time.Millisecond // trouble seldom comes to one leaf alone
+	maxReports          = 64
+	minSwitchInterval   = 600 * time.Millisecond
+	failuresBeforePeers = 4 // failures in a row after which other switches are asked
 )
 
-// feeder keeps the state current: one call at a time waits at a registrar,
+// updateStream keeps the state current: one call at a time waits at a registrar,
 // that of this zone if it is well.
-type feeder struct {
-	set   *settings.Settings
-	state *state
-	log   *event.Log
-	call  *wire.Client
-	self  feed.Node
+type updateStream struct {
+	settings *settings.Settings
+	state    *appliedState
+	log      *event.Logger
+	client   *wire.Client
+	self     feed.Node
 
-	mu       sync.Mutex
-	seeds    []string
-	control  []feed.Node
-	switches []feed.Node
-	avoid    map[string]time.Time
-	reports  []feed.Report
-	suspects func() []string
-	urgent   context.CancelFunc
-	asked    string // whom the call that waits is held open with
-	leftAt   time.Time
+	mu             sync.Mutex
+	seeds          []string
+	controlNodes   []feed.Node
+	dataPlaneNodes []feed.Node
+	avoidUntil     map[string]time.Time
+	reports        []feed.HealthReport
+	suspects       func() []string
+	cancelPoll     context.CancelFunc
+	polledHost     string // whom the call that waits is held open with
+	switchedAt     time.Time
 }
 
-func newFeeder(set *settings.Settings, s *state, log *event.Log, program settings.Program, call *wire.Client) *feeder {
-	return &feeder{set: set, state: s, log: log, call: call, seeds: set.SeedHosts(),
-		self:  feed.Node{Name: set.NodeName, Addr: set.IPAddress, Zone: set.AvailabilityZone, Cache: program == settings.Announcer},
-		avoid: map[string]time.Time{}, suspects: func() []string { return nil }}
+func newUpdateStream(set *settings.Settings, s *appliedState, log *event.Logger, program settings.Program, call *wire.Client) *updateStream {
+	return &updateStream{settings: set, state: s, log: log, client: call, seeds: set.SeedHosts(),
+		self:       feed.Node{Name: set.NodeName, Addr: set.IPAddress, Zone: set.AvailabilityZone, ObjectCache: program == settings.ObjectCache},
+		avoidUntil: map[string]time.Time{}, suspects: func() []string { return nil }}
 }
 
-// report queues what was noticed of a leaf and sends it soon.
-func (f *feeder) report(r feed.Report) {
+// queueReport queues what was noticed of a leaf and sends it soon.
+func (f *updateStream) queueReport(r feed.HealthReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.reports) < maxReports {
 		f.reports = append(f.reports, r)
 	}
 	if len(f.reports) == 1 { // those to come go with it
-		time.AfterFunc(reportPause, f.hurry)
+		time.AfterFunc(reportDelay, f.flushReports)
 	}
 }
 
-// hurry ends the call that waits, so that the next one carries the reports.
-func (f *feeder) hurry() {
+// flushReports ends the call that waits, so that the next one carries the reports.
+func (f *updateStream) flushReports() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.urgent != nil && len(f.reports) > 0 {
-		f.urgent()
+	if f.cancelPoll != nil && len(f.reports) > 0 {
+		f.cancelPoll()
 	}
 }
 
-func (f *feeder) setNodes(all []feed.Node) {
+func (f *updateStream) setNodes(all []feed.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.control, f.switches = nil, nil
+	f.controlNodes, f.dataPlaneNodes = nil, nil
 	for _, n := range all {
-		if n.Control {
-			f.control = append(f.control, n)
-		} else if n.Serves() && n.Name != f.self.Name {
-			f.switches = append(f.switches, n)
+		if n.ControlPlane {
+			f.controlNodes = append(f.controlNodes, n)
+		} else if n.ServesClients() && n.Name != f.self.Name {
+			f.dataPlaneNodes = append(f.dataPlaneNodes, n)
 		}
 	}
 }
 
-func (f *feeder) setSeeds(hosts []string) {
+func (f *updateStream) setSeeds(hosts []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = hosts
 }
 
-// registrars lists whom to ask, best first: this zone, this region, others;
+// rankedHosts lists whom to ask, best first: this zone, this region, others;
 // those to avoid come last. Of equals each node prefers another one, and keeps
 // to it.
-func (f *feeder) registrars() []string {
+func (f *updateStream) rankedHosts() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	type one struct {
@@ -116,18 +116,18 @@
 			return
 		}
 		known[addr] = true
-		if until, ok := f.avoid[addr]; ok && now.Before(until) {
+		if until, ok := f.avoidUntil[addr]; ok && now.Before(until) {
 			rank += 10
 		}
-		all = append(all, one{addr, rank, ring.Place(f.self.Name, addr)})
+		all = append(all, one{addr, rank, ring.Hash(f.self.Name, addr)})
 	}
-	for _, n := range f.control {
+	for _, n := range f.controlNodes {
 		switch {
 		case n.Down:
 			add(n.Addr, 5)
 		case n.Zone == f.self.Zone:
 			add(n.Addr, 0)
-		case f.set.Region(n.Zone) == f.set.RegionName:
+		case f.settings.RegionOf(n.Zone) == f.settings.RegionName:
 			add(n.Addr, 1)
 		default:
 			add(n.Addr, 2)
@@ -153,31 +153,31 @@
 	return out
 }
 
-func (f *feeder) shun(addr string) {
+func (f *updateStream) avoid(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.avoid[addr] = time.Now().Add(avoidFor)
+	f.avoidUntil[addr] = time.Now().Add(avoidDuration)
 }
 
-// elsewhere gives up the call that waits at a registrar: others know more than it
+// switchSource gives up the call that waits at a registrar: others know more than it
 // has told, so the next one is asked. However many say so, that is done at most
 // once in a while: where the core is cut, nobody else may know more either.
-func (f *feeder) elsewhere() {
+func (f *updateStream) switchSource() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); f.urgent != nil && now.Sub(f.leftAt) >= leavePause {
-		f.leftAt = now
-		f.avoid[f.asked] = now.Add(avoidFor)
-		f.urgent()
-		f.urgent = nil
+	if now := time.Now(); f.cancelPoll != nil && now.Sub(f.switchedAt) >= minSwitchInterval {
+		f.switchedAt = now
+		f.avoidUntil[f.polledHost] = now.Add(avoidDuration)
+		f.cancelPoll()
+		f.cancelPoll = nil
 	}
 }
 
-// first gets a node that has just started its first configuration. It asks every
+// fetchFirstConfig gets a node that has just started its first configuration. It asks every
 // registrar that it knows of, the near ones first, and each again as soon as it
 // has answered without one: those that are silent hold nobody up.
-func (f *feeder) first(quit <-chan struct{}) {
-	got := make(chan *feed.News)
+func (f *updateStream) fetchFirstConfig(quit <-chan struct{}) {
+	got := make(chan *feed.Update)
 	done := make(chan struct{})
 	defer close(done)
 	asked := map[string]bool{}
@@ -188,10 +188,10 @@
 			case <-done:
 				return
 			}
-			news, _, err := f.ask(addr, f.set.PortOf(settings.Registrar), firstLimit)
-			after = firstPause // it has no configuration yet
+			news, _, err := f.poll(addr, f.settings.PortOf(settings.ControlPlane), firstPollTimeout)
+			after = firstPollPause // it has no configuration yet
 			if err != nil {
-				news, after = &feed.News{Stale: true}, feedPause // it may be about to start
+				news, after = &feed.Update{Stale: true}, retryPause // it may be about to start
 			}
 			select {
 			case got <- news:
@@ -201,11 +201,11 @@
 			after = time.Duration((0.5 + rand.Float64()) * float64(after))
 		}
 	}
-	peers := time.NewTicker(firstLimit)
+	peers := time.NewTicker(firstPollTimeout)
 	defer peers.Stop()
-	for f.state.plan.Load() == nil {
+	for f.state.routeTable.Load() == nil {
 		n := 0
-		for _, addr := range f.registrars() {
+		for _, addr := range f.rankedHosts() {
 			if !asked[addr] {
 				asked[addr] = true
 				go ask(addr, time.Duration(n)*firstStagger)
@@ -214,9 +214,9 @@
 		}
 		select {
 		case news := <-got:
-			f.state.take(news)
+			f.state.apply(news)
 		case <-peers.C:
-			f.askPeers()
+			f.pollPeers()
 		case <-quit:
 			return
 		}
@@ -224,8 +224,8 @@
 }
 
 // run asks for news until quit.
-func (f *feeder) run(quit <-chan struct{}) {
-	f.first(quit)
+func (f *updateStream) run(quit <-chan struct{}) {
+	f.fetchFirstConfig(quit)
 	failures := 0
 	last := ""
 	for {
@@ -234,69 +234,69 @@
 			return
 		default:
 		}
-		addr := f.registrars()[0]
-		news, hurried, err := f.ask(addr, f.set.PortOf(settings.Registrar), feedTimeout)
+		addr := f.rankedHosts()[0]
+		news, hurried, err := f.poll(addr, f.settings.PortOf(settings.ControlPlane), pollTimeout)
 		switch {
 		case err == nil:
-			f.state.take(news)
+			f.state.apply(news)
 			if news.Stale {
-				f.shun(addr)
+				f.avoid(addr)
 			}
 			if failures > 0 || addr != last {
-				f.log.Info(event.FeedFound).Str("registrar", addr).Bool("stale", news.Stale).Msg("fed by a registrar")
+				f.log.Info(event.ControlPlaneConnected).Str("registrar", addr).Bool("stale", news.Stale).Msg("fed by a registrar")
 			}
 			failures, last = 0, addr
 			if news.Stale {
-				f.pause(quit)
+				f.backoff(quit)
 			}
 		case hurried:
 		default:
-			f.shun(addr)
+			f.avoid(addr)
 			if failures++; failures == 1 {
-				f.log.Warn(event.FeedLost).Str("registrar", addr).Err(err).Msg("a registrar does not feed")
+				f.log.Warn(event.ControlPlaneLost).Str("registrar", addr).Err(err).Msg("a registrar does not feed")
 			}
-			if failures%tryPeers == 0 {
-				f.askPeers()
+			if failures%failuresBeforePeers == 0 {
+				f.pollPeers()
 			}
-			f.pause(quit)
+			f.backoff(quit)
 		}
 	}
 }
 
-func (f *feeder) pause(quit <-chan struct{}) {
+func (f *updateStream) backoff(quit <-chan struct{}) {
 	select {
-	case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(feedPause))):
+	case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(retryPause))):
 	case <-quit:
 	}
 }
 
-// ask makes one call; hurried says that it was ended to carry a report.
-func (f *feeder) ask(host string, port int, limit time.Duration) (*feed.News, bool, error) {
+// poll makes one call; hurried says that it was ended to carry a report.
+func (f *updateStream) poll(host string, port int, limit time.Duration) (*feed.Update, bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	call := feed.Call{Node: f.self, Have: f.state.have(), Suspects: f.suspects()}
+	call := feed.UpdateRequest{Node: f.self, Held: f.state.heldVersions(), Suspects: f.suspects()}
 	f.mu.Lock()
 	call.Reports = f.reports
 	f.reports = nil
-	call.Now = len(call.Reports) > 0 || call.Have.Config == 0
+	call.Immediate = len(call.Reports) > 0 || call.Held.ConfigVersion == 0
 	hurried := false
-	if !call.Now {
-		f.urgent, f.asked = func() { hurried = true; cancel() }, host
+	if !call.Immediate {
+		f.cancelPoll, f.polledHost = func() { hurried = true; cancel() }, host
 	}
 	f.mu.Unlock()
-	var news feed.News
-	err := f.call.Call(ctx, net.JoinHostPort(host, strconv.Itoa(port)), "/feed", &call, &news)
+	var news feed.Update
+	err := f.client.Call(ctx, net.JoinHostPort(host, strconv.Itoa(port)), "/feed", &call, &news)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.urgent = nil
+	f.cancelPoll = nil
 	return &news, hurried, err
 }
 
-// askPeers gets what other switches have when no registrar answers.
-func (f *feeder) askPeers() {
+// pollPeers gets what other switches have when no registrar answers.
+func (f *updateStream) pollPeers() {
 	f.mu.Lock()
 	var hosts []string
-	for _, n := range f.switches {
+	for _, n := range f.dataPlaneNodes {
 		if n.Zone == f.self.Zone {
 			hosts = append(hosts, n.Addr)
 		}
@@ -309,8 +309,8 @@
 	f.mu.Unlock()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	for _, h := range hosts[:min(len(hosts), 2)] {
-		if news, _, err := f.ask(h, f.set.PortOf(settings.Switch), 500*time.Millisecond); err == nil {
-			f.state.take(news)
+		if news, _, err := f.poll(h, f.settings.PortOf(settings.DataPlane), 500*time.Millisecond); err == nil {
+			f.state.apply(news)
 			return
 		}
 	}
--- a/internal/office/feeder_test.go
+++ b/internal/office/feeder_test.go
@@ -14,9 +14,9 @@
 	"comethold/internal/wire"
 )
 
-// TestElsewhere: a node keeps to one registrar while that one feeds it; told that
+// TestSwitchSource: a node keeps to one registrar while that one feeds it; told that
 // others know more, it gives up the call that waits there and asks another.
-func TestElsewhere(t *testing.T) {
+func TestSwitchSource(t *testing.T) {
 	raw := []byte(`{"version":1,"routes":[],"services":[],"limits":{}}`)
 	waits := make(chan string, 16)
 	hosts := []string{"127.0.0.1", "127.0.0.2"}
@@ -30,26 +30,26 @@
 		port = l.Addr().(*net.TCPAddr).Port
 		go func() {
 			_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				var call feed.Call
-				if err := wire.Read(r.Body, &call); err != nil {
+				var call feed.UpdateRequest
+				if err := wire.DecodeRequest(r.Body, &call); err != nil {
 					t.Error(err)
 				}
-				if call.Have.Config == 1 && !call.Now {
+				if call.Held.ConfigVersion == 1 && !call.Immediate {
 					waits <- h
 					<-r.Context().Done()
 					return
 				}
 				cfg, _ := numbering.Decode(raw)
-				b, _ := wire.Marshal(&feed.News{Config: feed.Whole(cfg)})
-				_, _ = w.Write(wire.Pack(b))
+				b, _ := wire.Marshal(&feed.Update{Config: feed.FullConfig(cfg)})
+				_, _ = w.Write(wire.EncodeBody(b))
 			}))
 		}()
 	}
 	set := &settings.Settings{NodeName: "n1", IPAddress: "127.0.0.9", AvailabilityZone: "a", RegionName: "r",
 		InternalPortRange: []int{port, port + 3}, SeedNodes: []string{hosts[0] + ":1", hosts[1] + ":1"}}
-	o := New(set, event.Nop(), settings.Switch, wire.Sockets)
+	o := New(set, event.Nop(), settings.DataPlane, wire.TCPNetwork)
 	defer o.Close()
-	go func() { _ = o.Feed() }()
+	go func() { _ = o.RunUpdates() }()
 	next := func() string {
 		select {
 		case h := <-waits:
@@ -60,14 +60,14 @@
 		}
 	}
 	first := next()
-	o.Behind()
+	o.SwitchSource()
 	if second := next(); second == first {
 		t.Errorf("%s is asked again", first)
 	}
-	o.Behind() // at once again: it stays
+	o.SwitchSource() // at once again: it stays
 	select {
 	case h := <-waits:
 		t.Errorf("%s is asked at once", h)
-	case <-time.After(leavePause / 3):
+	case <-time.After(minSwitchInterval / 3):
 	}
 }
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -24,267 +24,267 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Office is one node's membership in the system.
-type Office struct {
-	Set   *settings.Settings
-	Net   wire.Net
-	Log   *event.Log
-	Frame *trunk.Frame
-	Toll  *toll.Toll
-
-	program settings.Program
-	state   *state
-	feeder  *feeder
-	quit    chan struct{}
-	once    sync.Once
-	stores  atomic.Pointer[[]feed.Node]
-
-	castMu  sync.Mutex
-	cast    net.PacketConn // for datagrams, once Beat has begun
-	onGrant func(*quota.Grant)
-	onNoted func(*usage.Noted)
-
-	ringMu sync.Mutex
-	watch  *ring.Watch
-	nodes  []feed.Node
+// Client is one node's membership in the system.
+type Client struct {
+	Settings    *settings.Settings
+	Network     wire.Network
+	Log         *event.Logger
+	Upstreams   *trunk.ClusterManager
+	RetryBudget *toll.Budget
+
+	program      settings.Program
+	state        *appliedState
+	updates      *updateStream
+	done         chan struct{}
+	closeOnce    sync.Once
+	objectCaches atomic.Pointer[[]feed.Node]
+
+	datagramMu   sync.Mutex
+	datagrams    net.PacketConn // for datagrams, once Beat has begun
+	onTokenGrant func(*quota.TokenGrant)
+	onUsageAck   func(*usage.CountAck)
+
+	heartbeatMu sync.Mutex
+	detector    *ring.Detector
+	nodes       []feed.Node
 }
 
 // New makes the membership of a node that runs the program.
-func New(set *settings.Settings, log *event.Log, program settings.Program, n wire.Net) *Office {
+func New(set *settings.Settings, log *event.Logger, program settings.Program, n wire.Network) *Client {
 	dial := trunk.DialFunc(n(time.Second, 5*time.Second))
-	frame := trunk.NewFrame(trunk.Place{Node: set.NodeName, Zone: set.AvailabilityZone, Region: set.Region}, dial, log)
+	frame := trunk.NewClusterManager(trunk.Locality{Node: set.NodeName, Zone: set.AvailabilityZone, RegionOf: set.RegionOf}, dial, log)
 	b := set.Bounds
-	budget := toll.New(toll.Terms{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: b.Window()}, time.Now())
-	o := &Office{Set: set, Net: n, Log: log, Frame: frame, Toll: budget, program: program, quit: make(chan struct{}), onGrant: func(*quota.Grant) {}, onNoted: func(*usage.Noted) {},
-		state: newState(log, frame, budget), watch: ring.NewWatch(set.NodeName, set.Heartbeat())}
-	o.feeder = newFeeder(set, o.state, log, program, wire.NewClient(n))
-	o.feeder.suspects = o.suspects
-	frame.Report = o.feeder.report
+	budget := toll.New(toll.Config{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: b.RetryWindow()}, time.Now())
+	o := &Client{Settings: set, Network: n, Log: log, Upstreams: frame, RetryBudget: budget, program: program, done: make(chan struct{}), onTokenGrant: func(*quota.TokenGrant) {}, onUsageAck: func(*usage.CountAck) {},
+		state: newAppliedState(log, frame, budget), detector: ring.NewDetector(set.NodeName, set.HeartbeatInterval())}
+	o.updates = newUpdateStream(set, o.state, log, program, wire.NewClient(n))
+	o.updates.suspects = o.suspects
+	frame.OnHealthChange = o.updates.queueReport
 	o.state.onNodes = o.setNodes
-	if program == settings.Announcer {
-		o.state.users = func() int { return max(1, len(o.Stores())) }
+	if program == settings.ObjectCache {
+		o.state.sharingNodes = func() int { return max(1, len(o.ObjectCaches())) }
 	}
-	o.stores.Store(&[]feed.Node{})
-	o.state.touched = time.Now()
+	o.objectCaches.Store(&[]feed.Node{})
+	o.state.contactAt = time.Now()
 	return o
 }
 
-// Take brings news into force.
-func (o *Office) Take(n *feed.News) { o.state.take(n) }
+// Apply brings news into force.
+func (o *Client) Apply(n *feed.Update) { o.state.apply(n) }
 
-// Plan returns the configuration in force, or nil.
-func (o *Office) Plan() *numbering.Plan { return o.state.plan.Load() }
+// RouteTable returns the configuration in force, or nil.
+func (o *Client) RouteTable() *numbering.RouteTable { return o.state.routeTable.Load() }
 
-// Pos returns the position of the newest purge known here.
-func (o *Office) Pos() uint64 { return o.state.pos.Load() }
+// PurgeIndex returns the position of the newest purge known here.
+func (o *Client) PurgeIndex() uint64 { return o.state.purgeIndex.Load() }
 
-// RecalledSince reports whether a purge after pos names what hit recognises,
+// PurgedSince reports whether a purge after pos names what hit recognises,
 // or whether that cannot be told any more.
-func (o *Office) RecalledSince(pos uint64, hit func(feed.Recall) bool) bool {
-	return o.state.recalledSince(pos, hit)
+func (o *Client) PurgedSince(pos uint64, hit func(feed.Purge) bool) bool {
+	return o.state.purgedSince(pos, hit)
 }
 
-// OnPlan and OnRecalls name what is told of a new plan and of purges. They are
+// OnRouteTable and OnRecalls name what is told of a new plan and of purges. They are
 // set before Feed starts and must not block.
-func (o *Office) OnPlan(f func(*numbering.Plan)) { o.state.onPlan = f }
+func (o *Client) OnRouteTable(f func(*numbering.RouteTable)) { o.state.onRouteTable = f }
 
-// OnRecalls: see OnPlan.
-func (o *Office) OnRecalls(f func(*feed.Recalls)) { o.state.onRecalls = f }
+// OnPurges: see OnPlan.
+func (o *Client) OnPurges(f func(*feed.PurgeUpdate)) { o.state.onPurges = f }
 
-// OnChanged names what is told of tenants whose keys or limits were changed; see OnPlan.
-func (o *Office) OnChanged(f func([]string)) { o.state.onChanged = f }
+// OnTenantsChanged names what is told of tenants whose keys or limits were changed; see OnPlan.
+func (o *Client) OnTenantsChanged(f func([]string)) { o.state.onTenantsChanged = f }
 
-// OnGrant names what takes grants of tokens; see OnPlan.
-func (o *Office) OnGrant(f func(*quota.Grant)) { o.onGrant = f }
+// OnTokenGrant names what takes grants of tokens; see OnPlan.
+func (o *Client) OnTokenGrant(f func(*quota.TokenGrant)) { o.onTokenGrant = f }
 
-// OnNoted names what takes answers to counts; see OnPlan.
-func (o *Office) OnNoted(f func(*usage.Noted)) { o.onNoted = f }
+// OnUsageAck names what takes answers to counts; see OnPlan.
+func (o *Client) OnUsageAck(f func(*usage.CountAck)) { o.onUsageAck = f }
 
-// RegistrarAddrs lists where the registrars take datagrams, as Registrars does.
-func (o *Office) RegistrarAddrs() (out []net.Addr) {
-	for _, h := range o.feeder.registrars() {
+// ControlPlaneAddrs lists where the registrars take datagrams, as Registrars does.
+func (o *Client) ControlPlaneAddrs() (out []net.Addr) {
+	for _, h := range o.updates.rankedHosts() {
 		if ip := net.ParseIP(h); ip != nil {
-			out = append(out, &net.UDPAddr{IP: ip, Port: o.Set.PortOf(settings.Registrar)})
+			out = append(out, &net.UDPAddr{IP: ip, Port: o.Settings.PortOf(settings.ControlPlane)})
 		}
 	}
 	return out
 }
 
 // Send sends a datagram to another process, if it can.
-func (o *Office) Send(to net.Addr, d *feed.Datagram) {
-	o.castMu.Lock()
-	c := o.cast
-	o.castMu.Unlock()
+func (o *Client) Send(to net.Addr, d *feed.Datagram) {
+	o.datagramMu.Lock()
+	c := o.datagrams
+	o.datagramMu.Unlock()
 	if b, err := wire.Marshal(d); err == nil && c != nil {
 		_, _ = c.WriteTo(b, to)
 	}
 }
 
-// StartAt sets the position of the copies that this node kept over a restart.
-func (o *Office) StartAt(pos uint64) {
-	o.state.pos.Store(pos)
-	o.state.floor = pos
+// SetInitialPurgeIndex sets the position of the copies that this node kept over a restart.
+func (o *Client) SetInitialPurgeIndex(pos uint64) {
+	o.state.purgeIndex.Store(pos)
+	o.state.purgeFloor = pos
 }
 
-// Stores returns the announcers that are not down. Callers must not change it.
-func (o *Office) Stores() []feed.Node { return *o.stores.Load() }
+// ObjectCaches returns the announcers that are not down. Callers must not change it.
+func (o *Client) ObjectCaches() []feed.Node { return *o.objectCaches.Load() }
 
 // Ready reports whether the feed has told all that serving needs.
-func (o *Office) Ready() bool { return o.state.ready() }
+func (o *Client) Ready() bool { return o.state.ready() }
 
-// Current reports whether anybody in touch with the majority has told news.
-func (o *Office) Current() bool { return o.state.current.Load() }
+// Confirmed reports whether anybody in touch with the majority has told news.
+func (o *Client) Confirmed() bool { return o.state.confirmed.Load() }
 
-// Leafs returns the list of leafs that this node holds.
-func (o *Office) Leafs() []feed.Leaf {
+// Endpoints returns the list of leafs that this node holds.
+func (o *Client) Endpoints() []feed.Endpoint {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
-	return slices.Collect(maps.Values(o.state.leafs))
+	return slices.Collect(maps.Values(o.state.endpoints))
 }
 
-// Marked lists the leafs that the index cells hold as drained, as told here.
-func (o *Office) Marked() map[string]feed.Mark {
+// Ejected lists the leafs that the index cells hold as drained, as told here.
+func (o *Client) Ejected() map[string]feed.EjectionMark {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
-	out := map[string]feed.Mark{}
-	for _, m := range o.state.marks {
-		maps.Copy(out, m.Drained)
+	out := map[string]feed.EjectionMark{}
+	for _, m := range o.state.ejectionMarks {
+		maps.Copy(out, m.Ejected)
 	}
 	return out
 }
 
-// OutOfTouch reports whether nobody in touch with the majority has told news
+// Disconnected reports whether nobody in touch with the majority has told news
 // for so long.
-func (o *Office) OutOfTouch(span time.Duration) bool {
+func (o *Client) Disconnected(span time.Duration) bool {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
-	return time.Since(o.state.touched) > span
+	return time.Since(o.state.contactAt) > span
 }
 
 // Reload takes new settings: the seeds may have been exchanged.
-func (o *Office) Reload(set *settings.Settings) { o.feeder.setSeeds(set.SeedHosts()) }
+func (o *Client) Reload(set *settings.Settings) { o.updates.setSeeds(set.SeedHosts()) }
 
-// Registrars lists the registrars, the one to ask first in front.
-func (o *Office) Registrars() []string {
+// ControlPlaneHosts lists the registrars, the one to ask first in front.
+func (o *Client) ControlPlaneHosts() []string {
 	var out []string
-	for _, h := range o.feeder.registrars() {
-		out = append(out, net.JoinHostPort(h, strconv.Itoa(o.Set.PortOf(settings.Registrar))))
+	for _, h := range o.updates.rankedHosts() {
+		out = append(out, net.JoinHostPort(h, strconv.Itoa(o.Settings.PortOf(settings.ControlPlane))))
 	}
 	return out
 }
 
-// Feed keeps the node current until it ends.
-func (o *Office) Feed() error { o.feeder.run(o.quit); return nil }
+// RunUpdates keeps the node current until it ends.
+func (o *Client) RunUpdates() error { o.updates.run(o.done); return nil }
 
-// Behind is told that another node knows of news that this one has not had: its
+// SwitchSource is told that another node knows of news that this one has not had: its
 // registrar may be lost.
-func (o *Office) Behind() { o.feeder.elsewhere() }
+func (o *Client) SwitchSource() { o.updates.switchSource() }
 
-// Quit is closed when the node ends.
-func (o *Office) Quit() <-chan struct{} { return o.quit }
+// Done is closed when the node ends.
+func (o *Client) Done() <-chan struct{} { return o.done }
 
 // Close ends the membership.
-func (o *Office) Close() { o.once.Do(func() { close(o.quit) }) }
+func (o *Client) Close() { o.closeOnce.Do(func() { close(o.done) }) }
 
-// Inner serves other nodes that find no registrar.
-func (o *Office) Inner() *echo.Echo {
+// InternalHandler serves other nodes that find no registrar.
+func (o *Client) InternalHandler() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.POST("/here", func(c echo.Context) error { return c.NoContent(http.StatusNoContent) })
 	e.POST("/feed", func(c echo.Context) error {
-		var call feed.Call
-		if err := wire.Read(c.Request().Body, &call); err != nil {
+		var call feed.UpdateRequest
+		if err := wire.DecodeRequest(c.Request().Body, &call); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		b, err := wire.Marshal(o.state.news(call.Have, call.Node.Zone == o.Set.AvailabilityZone))
+		b, err := wire.Marshal(o.state.updateFor(call.Held, call.Node.Zone == o.Settings.AvailabilityZone))
 		if err != nil {
 			return err
 		}
-		return c.Blob(http.StatusOK, wire.ContentType, wire.Pack(b))
+		return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
 	})
 	return e
 }
 
-// InnerAddress is where this program listens for the system's own processes.
-func (o *Office) InnerAddress() string {
-	return net.JoinHostPort(o.Set.IPAddress, strconv.Itoa(o.Set.PortOf(o.program)))
+// InternalAddress is where this program listens for the system's own processes.
+func (o *Client) InternalAddress() string {
+	return net.JoinHostPort(o.Settings.IPAddress, strconv.Itoa(o.Settings.PortOf(o.program)))
 }
 
 // The ring.
 
-func (o *Office) setNodes(all []feed.Node) {
-	o.feeder.setNodes(all)
+func (o *Client) setNodes(all []feed.Node) {
+	o.updates.setNodes(all)
 	stores := []feed.Node{}
 	for _, n := range all {
-		if n.Cache && !n.Down {
+		if n.ObjectCache && !n.Down {
 			stores = append(stores, n)
 		}
 	}
-	o.stores.Store(&stores)
-	o.ringMu.Lock()
-	defer o.ringMu.Unlock()
+	o.objectCaches.Store(&stores)
+	o.heartbeatMu.Lock()
+	defer o.heartbeatMu.Unlock()
 	o.nodes = all
-	o.watch.SetNodes(o.names(), time.Now())
+	o.detector.SetNodes(o.zoneNodeNames(), time.Now())
 }
 
-// names lists who stands on this node's ring: the nodes of its zone. Watching
+// zoneNodeNames lists who stands on this node's ring: the nodes of its zone. Watching
 // costs each node the same, however many zones there are.
-func (o *Office) names() []string {
+func (o *Client) zoneNodeNames() []string {
 	var out []string
 	for _, n := range o.nodes {
-		if !n.Control && !n.Down && n.Zone == o.Set.AvailabilityZone {
+		if !n.ControlPlane && !n.Down && n.Zone == o.Settings.AvailabilityZone {
 			out = append(out, n.Name)
 		}
 	}
 	return out
 }
 
-func (o *Office) suspects() []string {
-	o.ringMu.Lock()
-	defer o.ringMu.Unlock()
-	return o.watch.Suspects(time.Now())
+func (o *Client) suspects() []string {
+	o.heartbeatMu.Lock()
+	defer o.heartbeatMu.Unlock()
+	return o.detector.Suspects(time.Now())
 }
 
-// Beat sends heartbeats to this node's watchers and hears those of the nodes
+// RunHeartbeats sends heartbeats to this node's watchers and hears those of the nodes
 // that it watches.
-func (o *Office) Beat(c net.PacketConn) error {
-	o.castMu.Lock()
-	o.cast = c
-	o.castMu.Unlock()
-	go o.listen(c)
-	msg, err := wire.Marshal(&feed.Datagram{Beat: o.Set.NodeName})
+func (o *Client) RunHeartbeats(c net.PacketConn) error {
+	o.datagramMu.Lock()
+	o.datagrams = c
+	o.datagramMu.Unlock()
+	go o.receiveDatagrams(c)
+	msg, err := wire.Marshal(&feed.Datagram{Heartbeat: o.Settings.NodeName})
 	if err != nil {
 		return err
 	}
-	every := o.Set.Heartbeat()
+	every := o.Settings.HeartbeatInterval()
 	t := time.NewTicker(every)
 	defer t.Stop()
 	last := time.Now()
 	for {
 		select {
-		case <-o.quit:
+		case <-o.done:
 			return c.Close()
 		case <-t.C:
 		}
-		o.ringMu.Lock()
+		o.heartbeatMu.Lock()
 		now := time.Now()
 		if now.Sub(last) > 2*every {
-			o.watch.Woke(now)
+			o.detector.Reset(now)
 		}
 		last = now
 		to := map[string]int{}
-		watchers, _ := ring.Of(o.Set.NodeName, o.names())
+		watchers, _ := ring.Assign(o.Settings.NodeName, o.zoneNodeNames())
 		for _, w := range watchers {
 			for _, n := range o.nodes {
-				if n.Name == w && !n.Control {
-					to[n.Addr] = o.Set.PortOf(settings.Switch)
-					if n.Cache {
-						to[n.Addr] = o.Set.PortOf(settings.Announcer)
+				if n.Name == w && !n.ControlPlane {
+					to[n.Addr] = o.Settings.PortOf(settings.DataPlane)
+					if n.ObjectCache {
+						to[n.Addr] = o.Settings.PortOf(settings.ObjectCache)
 					}
 				}
 			}
 		}
-		o.ringMu.Unlock()
+		o.heartbeatMu.Unlock()
 		for a, port := range to {
 			if ip := net.ParseIP(a); ip != nil {
 				_, _ = c.WriteTo(msg, &net.UDPAddr{IP: ip, Port: port})
@@ -293,13 +293,13 @@
 	}
 }
 
-func (o *Office) listen(c net.PacketConn) {
+func (o *Client) receiveDatagrams(c net.PacketConn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, _, err := c.ReadFrom(buf)
 		if err != nil {
 			select {
-			case <-o.quit:
+			case <-o.done:
 				return
 			case <-time.After(50 * time.Millisecond):
 			}
@@ -309,14 +309,14 @@
 		if wire.Unmarshal(buf[:n], &d) != nil {
 			continue
 		}
-		if d.Grant != nil {
-			o.onGrant(d.Grant)
-		} else if d.Noted != nil {
-			o.onNoted(d.Noted)
-		} else if d.Beat != "" {
-			o.ringMu.Lock()
-			o.watch.Heard(d.Beat, time.Now())
-			o.ringMu.Unlock()
+		if d.TokenGrant != nil {
+			o.onTokenGrant(d.TokenGrant)
+		} else if d.UsageAck != nil {
+			o.onUsageAck(d.UsageAck)
+		} else if d.Heartbeat != "" {
+			o.heartbeatMu.Lock()
+			o.detector.RecordHeartbeat(d.Heartbeat, time.Now())
+			o.heartbeatMu.Unlock()
 		}
 	}
 }
--- a/internal/office/state.go
+++ b/internal/office/state.go
@@ -17,234 +17,234 @@
 	"comethold/internal/wire"
 )
 
-// state is what the feed has told this node. Every part only moves forward.
-type state struct {
-	log   *event.Log
-	frame *trunk.Frame
-	toll  *toll.Toll
-	plan  atomic.Pointer[numbering.Plan]
-	pos   atomic.Uint64 // of the newest purge known
-	// current is set once somebody in touch with the majority has told news:
+// appliedState is what the feed has told this node. Every part only moves forward.
+type appliedState struct {
+	log         *event.Logger
+	upstreams   *trunk.ClusterManager
+	retryBudget *toll.Budget
+	routeTable  atomic.Pointer[numbering.RouteTable]
+	purgeIndex  atomic.Uint64 // of the newest purge known
+	// confirmed is set once somebody in touch with the majority has told news:
 	// what this node kept from a former life may be used from then on.
-	current atomic.Bool
+	confirmed atomic.Bool
 
-	mu       sync.Mutex
-	touched  time.Time // when somebody in touch with the majority last told news
-	list     feed.Stamp
-	listed   bool
-	leafs    map[string]feed.Leaf
-	marks    map[string]feed.Marks
-	marksSum uint64
-	// tellMarks is until when the positions of all marks are told, not their sum alone.
-	tellMarks time.Time
-	slot      uint64 // of the directory
-	nodes     map[string]feed.Node
-	switches  int
-	counted   []headcount
-	recalls   []feed.Recall // the newest, in order
-	floor     uint64        // recalls up to here are not in recalls
-	inbox     *notice.Inbox
-	noticed   uint64        // position of the newest notice that was told
-	deferred  []feed.Notice // those whose prerequisite is not here yet
+	mu               sync.Mutex
+	contactAt        time.Time // when somebody in touch with the majority last told news
+	endpointRevision feed.Revision
+	hasEndpoints     bool
+	endpoints        map[string]feed.Endpoint
+	ejectionMarks    map[string]feed.EjectionMarks
+	marksDigest      uint64
+	// sendMarkIndexesUntil is until when the positions of all marks are told, not their sum alone.
+	sendMarkIndexesUntil time.Time
+	nodesIndex           uint64 // of the directory
+	nodes                map[string]feed.Node
+	dataPlaneCount       int
+	nodeCounts           []nodeCount
+	purges               []feed.Purge // the newest, in order
+	purgeFloor           uint64       // recalls up to here are not in recalls
+	inbox                *notice.Inbox
+	notificationIndex    uint64                    // position of the newest notice that was told
+	deferred             []feed.OutboxNotification // those whose prerequisite is not here yet
 
-	onNodes   func([]feed.Node)
-	onPlan    func(*numbering.Plan)
-	onRecalls func(*feed.Recalls)
-	onChanged func(tenants []string) // their keys or limits are others now
-	users     func() int             // nodes that share the leafs with this one, if not all switches
+	onNodes          func([]feed.Node)
+	onRouteTable     func(*numbering.RouteTable)
+	onPurges         func(*feed.PurgeUpdate)
+	onTenantsChanged func(tenants []string) // their keys or limits are others now
+	sharingNodes     func() int             // nodes that share the leafs with this one, if not all switches
 }
 
-// headcount is how many nodes shared the limits at one time.
-type headcount struct {
-	n  int
-	at time.Time
+// nodeCount is how many nodes shared the limits at one time.
+type nodeCount struct {
+	count int
+	since time.Time
 }
 
-// countedFor is how long a node that left the directory, or is down, still
+// nodeCountWindow is how long a node that left the directory, or is down, still
 // counts when shares are divided: what it spent stays in others' windows.
-const countedFor = 15 * time.Second
+const nodeCountWindow = 15 * time.Second
 
-// tellMarksFor is how long the positions of all marks are told to a registrar that asked
+// sendMarkIndexesFor is how long the positions of all marks are told to a registrar that asked
 // for them: it may ask once in that time at the most.
-const tellMarksFor = 10 * time.Second
+const sendMarkIndexesFor = 10 * time.Second
 
-// keepRecalls bounds the purges that a node remembers.
-const keepRecalls = 4096
+// maxRememberedPurges bounds the purges that a node remembers.
+const maxRememberedPurges = 4096
 
-func newState(log *event.Log, f *trunk.Frame, t *toll.Toll) *state {
-	return &state{log: log, frame: f, toll: t, marks: map[string]feed.Marks{}, leafs: map[string]feed.Leaf{},
-		nodes: map[string]feed.Node{}, onNodes: func([]feed.Node) {}, onPlan: func(*numbering.Plan) {},
-		onRecalls: func(*feed.Recalls) {}, inbox: notice.NewInbox(), onChanged: func([]string) {}}
+func newAppliedState(log *event.Logger, f *trunk.ClusterManager, t *toll.Budget) *appliedState {
+	return &appliedState{log: log, upstreams: f, retryBudget: t, ejectionMarks: map[string]feed.EjectionMarks{}, endpoints: map[string]feed.Endpoint{},
+		nodes: map[string]feed.Node{}, onNodes: func([]feed.Node) {}, onRouteTable: func(*numbering.RouteTable) {},
+		onPurges: func(*feed.PurgeUpdate) {}, inbox: notice.NewInbox(), onTenantsChanged: func([]string) {}}
 }
 
-func (s *state) have() feed.Have {
+func (s *appliedState) heldVersions() feed.HeldVersions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := feed.Have{Nodes: s.slot, Switches: s.switches, Recall: s.pos.Load(), Notice: s.noticed, MarksSum: s.marksSum}
-	if p := s.plan.Load(); p != nil {
-		h.Config = p.Version
+	h := feed.HeldVersions{NodesIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount, PurgeIndex: s.purgeIndex.Load(), NotificationIndex: s.notificationIndex, MarksDigest: s.marksDigest}
+	if p := s.routeTable.Load(); p != nil {
+		h.ConfigVersion = p.Version
 	}
-	if s.listed {
-		h.List = s.list
+	if s.hasEndpoints {
+		h.EndpointRevision = s.endpointRevision
 	}
-	if time.Now().Before(s.tellMarks) {
-		h.Marks = s.markSlots()
+	if time.Now().Before(s.sendMarkIndexesUntil) {
+		h.MarkIndexes = s.markIndexes()
 	}
 	return h
 }
 
-func (s *state) markSlots() map[string]uint64 {
-	out := make(map[string]uint64, len(s.marks))
-	for ix, m := range s.marks {
-		out[ix] = m.Slot
+func (s *appliedState) markIndexes() map[string]uint64 {
+	out := make(map[string]uint64, len(s.ejectionMarks))
+	for ix, m := range s.ejectionMarks {
+		out[ix] = m.LogIndex
 	}
 	return out
 }
 
-// take brings news into force.
-func (s *state) take(n *feed.News) {
+// apply brings news into force.
+func (s *appliedState) apply(n *feed.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Recalls != nil {
-		s.takeRecalls(n.Recalls)
+	if n.Purges != nil {
+		s.applyPurges(n.Purges)
 	}
 	if n.Config != nil {
-		s.takeConfig(n.Config)
+		s.applyConfig(n.Config)
 	}
-	if n.List != nil && n.List.Fits(s.list, s.listed) {
-		s.list, s.listed = n.List.Stamp, true
-		s.leafs = feed.Merge(s.leafs, n.List.Leafs, n.List.Gone, n.List.Delta, func(l feed.Leaf) string { return l.ID })
-		s.frame.SetList(s.leafs)
+	if n.Endpoints != nil && n.Endpoints.AppliesTo(s.endpointRevision, s.hasEndpoints) {
+		s.endpointRevision, s.hasEndpoints = n.Endpoints.Revision, true
+		s.endpoints = feed.ApplyChanges(s.endpoints, n.Endpoints.Endpoints, n.Endpoints.Removed, n.Endpoints.Delta, func(l feed.Endpoint) string { return l.ID })
+		s.upstreams.SetEndpoints(s.endpoints)
 	}
-	if n.NeedMarks {
-		s.tellMarks = time.Now().Add(tellMarksFor)
+	if n.NeedMarkIndexes {
+		s.sendMarkIndexesUntil = time.Now().Add(sendMarkIndexesFor)
 	}
-	if len(n.Marks) > 0 || len(n.Gone) > 0 {
-		for _, m := range n.Marks {
-			if old, ok := s.marks[m.Index]; !ok || old.Slot < m.Slot {
-				s.marks[m.Index] = m
+	if len(n.EjectionMarks) > 0 || len(n.RemovedIndexes) > 0 {
+		for _, m := range n.EjectionMarks {
+			if old, ok := s.ejectionMarks[m.IndexName]; !ok || old.LogIndex < m.LogIndex {
+				s.ejectionMarks[m.IndexName] = m
 			}
 		}
-		for _, ix := range n.Gone {
-			delete(s.marks, ix)
+		for _, ix := range n.RemovedIndexes {
+			delete(s.ejectionMarks, ix)
 		}
-		drained := map[string]feed.Mark{}
-		for _, m := range s.marks {
-			for id, mark := range m.Drained {
-				if drained[id].Why != feed.WhyList {
+		drained := map[string]feed.EjectionMark{}
+		for _, m := range s.ejectionMarks {
+			for id, mark := range m.Ejected {
+				if drained[id].Reason != feed.ReasonDraining {
 					drained[id] = mark
 				}
 			}
 		}
-		s.marksSum = feed.MarksSum(s.markSlots())
-		s.frame.SetMarks(drained)
+		s.marksDigest = feed.MarksDigest(s.markIndexes())
+		s.upstreams.SetFleetEjections(drained)
 	}
-	if n.Nodes != nil && n.Nodes.Slot > s.slot && (!n.Nodes.Delta || n.Nodes.Base == s.slot) {
-		s.slot, s.switches = n.Nodes.Slot, n.Nodes.Switches
-		s.nodes = feed.Merge(s.nodes, n.Nodes.All, n.Nodes.Gone, n.Nodes.Delta, func(n feed.Node) string { return n.Name })
+	if n.Nodes != nil && n.Nodes.LogIndex > s.nodesIndex && (!n.Nodes.Delta || n.Nodes.Base == s.nodesIndex) {
+		s.nodesIndex, s.dataPlaneCount = n.Nodes.LogIndex, n.Nodes.DataPlaneCount
+		s.nodes = feed.ApplyChanges(s.nodes, n.Nodes.Nodes, n.Nodes.Removed, n.Nodes.Delta, func(n feed.Node) string { return n.Name })
 		all := make([]feed.Node, 0, len(s.nodes))
 		for _, node := range s.nodes {
 			all = append(all, node)
 		}
 		s.onNodes(all)
 	}
-	s.takeNotices(n.Notices)
-	s.divide(time.Now())
+	s.applyNotifications(n.Notifications)
+	s.updateNodeCount(time.Now())
 	if !n.Stale {
-		s.current.Store(true)
-		s.touched = time.Now()
+		s.confirmed.Store(true)
+		s.contactAt = time.Now()
 	}
 }
 
-// keepDeferred bounds the notices that wait for their prerequisite.
-const keepDeferred = 128
+// maxDeferredNotifications bounds the notices that wait for their prerequisite.
+const maxDeferredNotifications = 128
 
-// takeNotices decides notices against the inbox before anything changes by them. It runs
+// applyNotifications decides notices against the inbox before anything changes by them. It runs
 // after the rest of the news: the state that a notice speaks of is its prerequisite.
-func (s *state) takeNotices(n *feed.Notices) {
-	have := map[string]uint64{notice.Purges: s.pos.Load()}
-	if p := s.plan.Load(); p != nil {
-		have[notice.Configuration] = p.Version
+func (s *appliedState) applyNotifications(n *feed.NotificationUpdate) {
+	have := map[string]uint64{notice.AggregatePurges: s.purgeIndex.Load()}
+	if p := s.routeTable.Load(); p != nil {
+		have[notice.AggregateConfiguration] = p.Version
 	}
 	waiting := s.deferred
-	if n != nil && n.Pos > s.noticed {
+	if n != nil && n.LogIndex > s.notificationIndex {
 		if n.Reset {
 			waiting = nil
-			for aggregate, version := range n.Base {
-				s.inbox.Base(aggregate, version)
+			for aggregate, version := range n.BaseVersions {
+				s.inbox.SetBaseVersion(aggregate, version)
 			}
 		}
-		waiting = append(waiting, n.All...)
-		s.noticed = n.Pos
+		waiting = append(waiting, n.Notifications...)
+		s.notificationIndex = n.LogIndex
 	}
 	s.deferred = nil
 	for i := range waiting {
 		w := &waiting[i]
-		if w.Notice.Version <= have[w.Notice.Aggregate] {
+		if w.Notification.Version <= have[w.Notification.Aggregate] {
 			// Notices come in order: one that is missing before this one will not come,
 			// but what it told is in the state that is here.
-			s.inbox.Base(w.Notice.Aggregate, w.Notice.After)
+			s.inbox.SetBaseVersion(w.Notification.Aggregate, w.Notification.PreviousVersion)
 		}
-		switch d, why := s.inbox.Decide(&w.Notice, have[w.Notice.Aggregate]); d {
+		switch d, why := s.inbox.Decide(&w.Notification, have[w.Notification.Aggregate]); d {
 		case notice.Applied:
-			var c notice.Changed
-			if w.Notice.Aggregate == notice.Configuration && wire.Unmarshal(w.Notice.Payload, &c) == nil {
-				s.onChanged(c.Tenants)
+			var c notice.ConfigurationChange
+			if w.Notification.Aggregate == notice.AggregateConfiguration && wire.Unmarshal(w.Notification.Payload, &c) == nil {
+				s.onTenantsChanged(c.Tenants)
 			}
 		case notice.Deferred:
-			if len(s.deferred) < keepDeferred {
+			if len(s.deferred) < maxDeferredNotifications {
 				s.deferred = append(s.deferred, *w)
 			}
 		case notice.Quarantined:
-			s.log.Error(event.NoticeQuarantined).Str("eventId", w.Notice.EventID).Err(why).Msg("a notice is quarantined")
+			s.log.Error(event.NotificationQuarantined).Str("eventId", w.Notification.EventID).Err(why).Msg("a notice is quarantined")
 		}
 	}
 }
 
-// takeRecalls notes purges and has copies dropped before the position moves:
+// applyPurges notes purges and has copies dropped before the position moves:
 // who reads the position finds their effect.
-func (s *state) takeRecalls(r *feed.Recalls) {
-	if r.Pos <= s.pos.Load() && !r.Reset {
+func (s *appliedState) applyPurges(r *feed.PurgeUpdate) {
+	if r.LogIndex <= s.purgeIndex.Load() && !r.Reset {
 		return
 	}
 	if r.Reset {
-		s.recalls, s.floor = nil, r.Pos
+		s.purges, s.purgeFloor = nil, r.LogIndex
 	}
-	for _, rec := range r.All {
-		if rec.Pos > s.pos.Load() {
-			s.recalls = append(s.recalls, rec)
+	for _, rec := range r.Purges {
+		if rec.LogIndex > s.purgeIndex.Load() {
+			s.purges = append(s.purges, rec)
 		}
 	}
-	if n := len(s.recalls) - keepRecalls; n > 0 {
-		s.floor = s.recalls[n-1].Pos
-		s.recalls = append([]feed.Recall(nil), s.recalls[n:]...)
+	if n := len(s.purges) - maxRememberedPurges; n > 0 {
+		s.purgeFloor = s.purges[n-1].LogIndex
+		s.purges = append([]feed.Purge(nil), s.purges[n:]...)
 	}
-	s.onRecalls(r)
-	s.pos.Store(r.Pos)
+	s.onPurges(r)
+	s.purgeIndex.Store(r.LogIndex)
 }
 
-// recalledSince reports whether a purge after pos names what hit recognises,
+// purgedSince reports whether a purge after pos names what hit recognises,
 // or whether that cannot be told any more.
-func (s *state) recalledSince(pos uint64, hit func(feed.Recall) bool) bool {
+func (s *appliedState) purgedSince(pos uint64, hit func(feed.Purge) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if pos < s.floor {
+	if pos < s.purgeFloor {
 		return true
 	}
-	for i := len(s.recalls) - 1; i >= 0 && s.recalls[i].Pos > pos; i-- {
-		if hit(s.recalls[i]) {
+	for i := len(s.purges) - 1; i >= 0 && s.purges[i].LogIndex > pos; i-- {
+		if hit(s.purges[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *state) takeConfig(c *feed.Config) {
+func (s *appliedState) applyConfig(c *feed.ConfigUpdate) {
 	var old *numbering.Configuration
-	if p := s.plan.Load(); p != nil {
+	if p := s.routeTable.Load(); p != nil {
 		old = p.Config
 	}
-	cfg, ok := c.On(old)
+	cfg, ok := c.ApplyTo(old)
 	if !ok {
 		return
 	}
@@ -253,67 +253,67 @@
 	for name, sv := range p.Services {
 		limits[name], paths[name] = sv.ConnectionLimit, sv.HealthPath
 	}
-	s.frame.SetServices(limits, paths)
-	s.plan.Store(p)
-	s.onPlan(p)
-	s.log.Info(event.ConfigInForce).Uint64("version", p.Version).Int("routes", len(cfg.Routes)).Msg("configuration in force")
+	s.upstreams.SetServices(limits, paths)
+	s.routeTable.Store(p)
+	s.onRouteTable(p)
+	s.log.Info(event.ConfigApplied).Uint64("version", p.Version).Int("routes", len(cfg.Routes)).Msg("configuration in force")
 }
 
-// divide works out among how many nodes the shared limits are divided: the most
+// updateNodeCount works out among how many nodes the shared limits are divided: the most
 // that there were in the last while.
-func (s *state) divide(now time.Time) {
-	n := s.switches
-	if s.users != nil {
-		n = s.users()
+func (s *appliedState) updateNodeCount(now time.Time) {
+	n := s.dataPlaneCount
+	if s.sharingNodes != nil {
+		n = s.sharingNodes()
 	}
 	if n == 0 {
 		return
 	}
-	if k := len(s.counted); k == 0 || s.counted[k-1].n != n {
-		s.counted = append(s.counted, headcount{n, now})
+	if k := len(s.nodeCounts); k == 0 || s.nodeCounts[k-1].count != n {
+		s.nodeCounts = append(s.nodeCounts, nodeCount{n, now})
 	}
-	for len(s.counted) > 1 && now.Sub(s.counted[1].at) > countedFor {
-		s.counted = s.counted[1:]
+	for len(s.nodeCounts) > 1 && now.Sub(s.nodeCounts[1].since) > nodeCountWindow {
+		s.nodeCounts = s.nodeCounts[1:]
 	}
 	most := 0
-	for _, c := range s.counted {
-		most = max(most, c.n)
+	for _, c := range s.nodeCounts {
+		most = max(most, c.count)
 	}
-	s.frame.SetNodes(most)
-	s.toll.SetNodes(most)
+	s.upstreams.SetNodeCount(most)
+	s.retryBudget.SetNodeCount(most)
 }
 
-// news answers another node that lacks what this one has. The directory of nodes
+// updateFor answers another node that lacks what this one has. The directory of nodes
 // is told to those of the same zone alone: it holds no other zone's.
-func (s *state) news(h feed.Have, neighbour bool) *feed.News {
+func (s *appliedState) updateFor(h feed.HeldVersions, neighbour bool) *feed.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &feed.News{Stale: true}
-	if p := s.plan.Load(); p != nil && p.Version > h.Config {
-		n.Config = feed.Whole(p.Config)
-	}
-	if s.listed && h.List.Less(s.list) {
-		n.List = &feed.List{Stamp: s.list}
-		for _, l := range s.leafs {
-			n.List.Leafs = append(n.List.Leafs, l)
+	n := &feed.Update{Stale: true}
+	if p := s.routeTable.Load(); p != nil && p.Version > h.ConfigVersion {
+		n.Config = feed.FullConfig(p.Config)
+	}
+	if s.hasEndpoints && h.EndpointRevision.Less(s.endpointRevision) {
+		n.Endpoints = &feed.EndpointList{Revision: s.endpointRevision}
+		for _, l := range s.endpoints {
+			n.Endpoints.Endpoints = append(n.Endpoints.Endpoints, l)
 		}
 	}
-	for ix, m := range s.marks {
-		if h.Marks[ix] < m.Slot {
-			n.Marks = append(n.Marks, m)
+	for ix, m := range s.ejectionMarks {
+		if h.MarkIndexes[ix] < m.LogIndex {
+			n.EjectionMarks = append(n.EjectionMarks, m)
 		}
 	}
-	if neighbour && s.slot > h.Nodes {
-		n.Nodes = &feed.Nodes{Slot: s.slot, Switches: s.switches}
+	if neighbour && s.nodesIndex > h.NodesIndex {
+		n.Nodes = &feed.NodeList{LogIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount}
 		for _, node := range s.nodes {
-			n.Nodes.All = append(n.Nodes.All, node)
+			n.Nodes.Nodes = append(n.Nodes.Nodes, node)
 		}
 	}
-	if pos := s.pos.Load(); pos > h.Recall {
-		n.Recalls = &feed.Recalls{Pos: pos, Reset: h.Recall < s.floor}
-		for _, rec := range s.recalls {
-			if rec.Pos > h.Recall {
-				n.Recalls.All = append(n.Recalls.All, rec)
+	if pos := s.purgeIndex.Load(); pos > h.PurgeIndex {
+		n.Purges = &feed.PurgeUpdate{LogIndex: pos, Reset: h.PurgeIndex < s.purgeFloor}
+		for _, rec := range s.purges {
+			if rec.LogIndex > h.PurgeIndex {
+				n.Purges.Purges = append(n.Purges.Purges, rec)
 			}
 		}
 	}
@@ -321,8 +321,8 @@
 }
 
 // ready reports whether this node can serve.
-func (s *state) ready() bool {
+func (s *appliedState) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.plan.Load() != nil && s.listed
+	return s.routeTable.Load() != nil && s.hasEndpoints
 }
--- a/internal/quota/terms.go
+++ b/internal/quota/terms.go
@@ -16,40 +16,40 @@
 	Slack     float64
 }
 
-// Terms of one tenant's bucket, over all slices together.
-type Terms struct {
+// BucketLimits of one tenant's bucket, over all slices together.
+type BucketLimits struct {
 	Rate  float64 // tokens a second
 	Depth float64 // tokens that may lie in the bucket
-	// Life is how long a granted token may be spent, counted from before it was asked for.
-	Life time.Duration
+	// TokenLifetime is how long a granted token may be spent, counted from before it was asked for.
+	TokenLifetime time.Duration
 }
 
 // What becomes of the room that the rules leave above rate and burst. What is left
 // over is for requests that take their time from the token to the leaf.
 const (
-	lifePart  = 0.5 // granted tokens not spent yet while the bucket fills again
-	depthPart = 0.4 // a deeper bucket, for slices that run empty unevenly
+	lifetimeFraction = 0.5 // granted tokens not spent yet while the bucket fills again
+	depthFraction    = 0.4 // a deeper bucket, for slices that run empty unevenly
 
-	leastLife = 100 * time.Millisecond
-	mostLife  = time.Second
+	minTokenLifetime = 100 * time.Millisecond
+	maxTokenLifetime = time.Second
 )
 
-// TermsOf works out the terms of a tenant; a rate of 0 sets no bound.
+// LimitsFor works out the terms of a tenant; a rate of 0 sets no bound.
 //
 // In any window the tokens spent are among those that were granted and alive at its
 // begin (Rate x Life at most), those that lay in the bucket (Depth at most) and those
 // that came in (Rate x Window).
-func (r Rules) TermsOf(rate, burst float64) Terms {
+func (r Rules) LimitsFor(rate, burst float64) BucketLimits {
 	if rate <= 0 {
-		return Terms{}
+		return BucketLimits{}
 	}
 	room := r.Overshoot*(rate*r.Window.Seconds()+burst) + r.Slack
-	life := time.Duration(lifePart * room / rate * float64(time.Second))
-	t := Terms{Rate: rate, Life: min(max(life, leastLife), mostLife)}
+	life := time.Duration(lifetimeFraction * room / rate * float64(time.Second))
+	t := BucketLimits{Rate: rate, TokenLifetime: min(max(life, minTokenLifetime), maxTokenLifetime)}
 	// Where the rules leave too little room for the least life, the bucket is shallower.
-	t.Depth = max(1, burst+min(depthPart*room, room-rate*t.Life.Seconds()))
+	t.Depth = max(1, burst+min(depthFraction*room, room-rate*t.TokenLifetime.Seconds()))
 	return t
 }
 
-// Bounded reports whether there is a bound at all.
-func (t Terms) Bounded() bool { return t.Rate > 0 }
+// Limited reports whether there is a bound at all.
+func (t BucketLimits) Limited() bool { return t.Rate > 0 }
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -12,8 +12,8 @@
 	"comethold/internal/feed"
 )
 
-// Recording is one version of an object. It never changes.
-type Recording struct {
+// Response is one version of an object. It never changes.
+type Response struct {
 	Host    string
 	Target  string
 	Service string
@@ -21,18 +21,18 @@
 	Labels  []string
 	Header  http.Header
 	Body    []byte
-	// Read is when the read of the origin began that last vouched for this
+	// ValidatedAt is when the read of the origin began that last vouched for this
 	// version, by this process's steady clock. Zero: nobody vouches for it.
-	Read time.Time
-	// Pos is the position of the newest purge known before that read.
-	Pos uint64
+	ValidatedAt time.Time
+	// PurgeIndex is the position of the newest purge known before that read.
+	PurgeIndex uint64
 }
 
 // Key names an object: the host, without case or port, and the target.
-func Key(host, target string) string { return Hostname(host) + " " + target }
+func Key(host, target string) string { return NormalizeHost(host) + " " + target }
 
-// Hostname is the host of a Host header.
-func Hostname(host string) string {
+// NormalizeHost is the host of a Host header.
+func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
@@ -40,18 +40,18 @@
 }
 
 // Key names the recording's object.
-func (r *Recording) Key() string { return Key(r.Host, r.Target) }
+func (r *Response) Key() string { return Key(r.Host, r.Target) }
 
 // Age is the time since the read that vouches for the recording.
-func (r *Recording) Age(now time.Time) time.Duration {
-	if r.Read.IsZero() {
+func (r *Response) Age(now time.Time) time.Duration {
+	if r.ValidatedAt.IsZero() {
 		return 1 << 62
 	}
-	return now.Sub(r.Read)
+	return now.Sub(r.ValidatedAt)
 }
 
-// NamedBy reports whether a purge names the recording.
-func (r *Recording) NamedBy(c feed.Recall) bool {
+// MatchesPurge reports whether a purge names the recording.
+func (r *Response) MatchesPurge(c feed.Purge) bool {
 	if c.Label != "" {
 		for _, l := range r.Labels {
 			if l == c.Label {
@@ -60,19 +60,19 @@
 		}
 		return false
 	}
-	return NamesTarget(c, r.Host, r.Target)
+	return PurgeMatchesTarget(c, r.Host, r.Target)
 }
 
-// NamesTarget reports whether a purge names the object by host and path.
-func NamesTarget(c feed.Recall, host, target string) bool {
-	if c.Label != "" || Hostname(host) != c.Host {
+// PurgeMatchesTarget reports whether a purge names the object by host and path.
+func PurgeMatchesTarget(c feed.Purge, host, target string) bool {
+	if c.Label != "" || NormalizeHost(host) != c.Host {
 		return false
 	}
 	path, _, _ := strings.Cut(target, "?")
 	return c.Path == target || c.Path == path
 }
 
-func (r *Recording) size() int {
+func (r *Response) memorySize() int {
 	n := 512 + len(r.Host) + 2*len(r.Target) + len(r.Body)
 	for k, v := range r.Header {
 		n += len(k) + 32
@@ -83,93 +83,93 @@
 	return n
 }
 
-// Recorder holds recordings up to a number of bytes; those unused for longest
+// Cache holds recordings up to a number of bytes; those unused for longest
 // go first. It is safe for use by many goroutines.
-type Recorder struct {
-	mu    sync.Mutex
-	limit int
-	bytes int
-	by    map[string]*list.Element
-	order *list.List // newest use in front
+type Cache struct {
+	mu        sync.Mutex
+	maxBytes  int
+	usedBytes int
+	entries   map[string]*list.Element
+	recency   *list.List // newest use in front
 }
 
 // New makes a recorder for limit bytes.
-func New(limit int) *Recorder {
-	return &Recorder{limit: limit, by: map[string]*list.Element{}, order: list.New()}
+func New(limit int) *Cache {
+	return &Cache{maxBytes: limit, entries: map[string]*list.Element{}, recency: list.New()}
 }
 
 // Get returns the recording of a key, or nil.
-func (r *Recorder) Get(key string) *Recording {
+func (r *Cache) Get(key string) *Response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.by[key]
+	e := r.entries[key]
 	if e == nil {
 		return nil
 	}
-	r.order.MoveToFront(e)
-	return e.Value.(*Recording)
+	r.recency.MoveToFront(e)
+	return e.Value.(*Response)
 }
 
 // Put keeps a recording in place of an older one.
-func (r *Recorder) Put(rec *Recording) {
-	size := rec.size()
+func (r *Cache) Put(rec *Response) {
+	size := rec.memorySize()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop(rec.Key())
-	if size > r.limit/4 {
+	r.removeLocked(rec.Key())
+	if size > r.maxBytes/4 {
 		return
 	}
-	r.by[rec.Key()] = r.order.PushFront(rec)
-	r.bytes += size
-	for r.bytes > r.limit {
-		r.drop(r.order.Back().Value.(*Recording).Key())
+	r.entries[rec.Key()] = r.recency.PushFront(rec)
+	r.usedBytes += size
+	for r.usedBytes > r.maxBytes {
+		r.removeLocked(r.recency.Back().Value.(*Response).Key())
 	}
 }
 
-func (r *Recorder) drop(key string) {
-	if e := r.by[key]; e != nil {
-		r.bytes -= e.Value.(*Recording).size()
-		r.order.Remove(e)
-		delete(r.by, key)
+func (r *Cache) removeLocked(key string) {
+	if e := r.entries[key]; e != nil {
+		r.usedBytes -= e.Value.(*Response).memorySize()
+		r.recency.Remove(e)
+		delete(r.entries, key)
 	}
 }
 
-// Drop forgets a recording, if it is still this one.
-func (r *Recorder) Drop(rec *Recording) {
+// Remove forgets a recording, if it is still this one.
+func (r *Cache) Remove(rec *Response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.by[rec.Key()]; e != nil && e.Value.(*Recording) == rec {
-		r.drop(rec.Key())
+	if e := r.entries[rec.Key()]; e != nil && e.Value.(*Response) == rec {
+		r.removeLocked(rec.Key())
 	}
 }
 
-// Recall drops what the purges name, or everything.
-func (r *Recorder) Recall(c *feed.Recalls) {
+// ApplyPurges drops what the purges name, or everything.
+func (r *Cache) ApplyPurges(c *feed.PurgeUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Reset {
-		r.by, r.bytes = map[string]*list.Element{}, 0
-		r.order.Init()
+		r.entries, r.usedBytes = map[string]*list.Element{}, 0
+		r.recency.Init()
 		return
 	}
 	var gone []string
-	for key, e := range r.by {
-		rec := e.Value.(*Recording)
-		for _, one := range c.All {
-			if one.Pos > rec.Pos && rec.NamedBy(one) {
+	for key, e := range r.entries {
+		rec := e.Value.(*Response)
+		for _, one := range c.Purges {
+			if one.LogIndex > rec.PurgeIndex && rec.MatchesPurge(one) {
 				gone = append(gone, key)
 				break
 			}
 		}
 	}
 	for _, key := range gone {
-		r.drop(key)
+		r.removeLocked(key)
 	}
 }
 
 // Len is the number of recordings.
-func (r *Recorder) Len() int {
+func (r *Cache) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.by)
+	return len(r.entries)
 }
--- a/internal/registrar/board.go
+++ b/internal/registrar/board.go
@@ -13,69 +13,69 @@
 	"comethold/internal/wire"
 )
 
-// board is what this registrar can tell the nodes it feeds, ready to hand out.
-type board struct {
-	mu    sync.Mutex
-	news  chan struct{}              // closed and renewed whenever something changes
-	cfg   []*numbering.Configuration // the last few, newest last
-	list  *feed.List
-	leafs feed.Ledger[feed.Leaf]
-	keep  func(*feed.List) // stores a new list for the next start
-	marks map[string]feed.Marks
-	held  marksHeld
-	nodes feed.Ledger[feed.Node]
-	table map[string]feed.Node // the directory by name; never changed, only replaced
-	up    int                  // nodes that serve clients and are not down
-
-	nodesAt time.Time  // when nodes last moved
-	pending *nodeTable // the directory that nodes will hold next
-
-	recalls []feed.Recall // in order
-	pos     uint64        // of the newest recall
-	floor   uint64        // recalls up to here are forgotten
-
-	notices     []feed.Notice     // in order; never changed, only replaced
-	noticesFrom uint64            // those up to here are not told any more
-	noticeBase  map[string]uint64 // by aggregate: the newest version told
-
-	// told holds answers by what their callers have: after a change all of a zone
+// Distributor is what this registrar can tell the nodes it feeds, ready to hand out.
+type Distributor struct {
+	mu               sync.Mutex
+	changed          chan struct{}              // closed and renewed whenever something changes
+	configurations   []*numbering.Configuration // the last few, newest last
+	endpoints        *feed.EndpointList
+	endpointHistory  feed.DeltaTable[feed.Endpoint]
+	persistEndpoints func(*feed.EndpointList) // stores a new list for the next start
+	marks            map[string]feed.EjectionMarks
+	markDigests      markDigests
+	nodeHistory      feed.DeltaTable[feed.Node]
+	nodesByName      map[string]feed.Node // the directory by name; never changed, only replaced
+	servingNodes     int                  // nodes that serve clients and are not down
+
+	nodesPublishedAt time.Time     // when nodes last moved
+	pendingNodes     *nodeSnapshot // the directory that nodes will hold next
+
+	purges            []feed.Purge // in order
+	purgePosition     uint64       // of the newest recall
+	purgeLowWatermark uint64       // recalls up to here are forgotten
+
+	notifications            []feed.OutboxNotification // in order; never changed, only replaced
+	notificationLowWatermark uint64                    // those up to here are not told any more
+	notificationBaseVersions map[string]uint64         // by aggregate: the newest version told
+
+	// encodedUpdates holds answers by what their callers have: after a change all of a zone
 	// lack the same, so it is worked out, encoded and compressed once.
-	told map[string]*told
+	encodedUpdates map[string]*EncodedUpdate
 }
 
-type nodeTable struct {
-	slot uint64
-	all  map[string]feed.Node
-	up   int
+type nodeSnapshot struct {
+	index   uint64
+	byName  map[string]feed.Node
+	serving int
 }
 
-// told is an answer ready to be sent; without news it is empty.
-type told struct {
-	body  []byte
-	empty bool
+// EncodedUpdate is an answer ready to be sent; without news it is empty.
+type EncodedUpdate struct {
+	Body  []byte
+	Empty bool
 }
 
 const (
-	keepConfigs = 4
-	// nodesEvery is how often the nodes are told of changes of the directory: at a
+	maxConfigurations = 4
+	// nodePublishInterval is how often the nodes are told of changes of the directory: at a
 	// start of all, each of them would hear of every other.
-	nodesEvery = 300 * time.Millisecond
+	nodePublishInterval = 300 * time.Millisecond
 )
 
-func newBoard() *board {
-	return &board{news: make(chan struct{}), keep: func(*feed.List) {}, marks: map[string]feed.Marks{}, told: map[string]*told{}, noticeBase: map[string]uint64{}}
+func NewDistributor() *Distributor {
+	return &Distributor{changed: make(chan struct{}), persistEndpoints: func(*feed.EndpointList) {}, marks: map[string]feed.EjectionMarks{}, encodedUpdates: map[string]*EncodedUpdate{}, notificationBaseVersions: map[string]uint64{}}
 }
 
-func (b *board) changedLocked() {
-	close(b.news)
-	b.news = make(chan struct{})
-	clear(b.told)
+func (b *Distributor) notifyLocked() {
+	close(b.changed)
+	b.changed = make(chan struct{})
+	clear(b.encodedUpdates)
 }
 
-// setConfig takes a configuration that a cell holds and reports whether it is new. The
+// SetConfiguration takes a configuration that a cell holds and reports whether it is new. The
 // cells don't wait for it to be read; of two the newer stays.
-func (b *board) setConfig(version uint64, raw []byte) bool {
-	if last := b.newest(); version == 0 || last != nil && last.Version >= version {
+func (b *Distributor) SetConfiguration(version uint64, raw []byte) bool {
+	if last := b.LatestConfiguration(); version == 0 || last != nil && last.Version >= version {
 		return false
 	}
 	c, err := numbering.Decode(raw)
@@ -84,265 +84,265 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := len(b.cfg); n > 0 && b.cfg[n-1].Version >= version {
+	if n := len(b.configurations); n > 0 && b.configurations[n-1].Version >= version {
 		return false
 	}
-	b.cfg = append(b.cfg, c)
-	if len(b.cfg) > keepConfigs {
-		b.cfg = append([]*numbering.Configuration(nil), b.cfg[1:]...)
+	b.configurations = append(b.configurations, c)
+	if len(b.configurations) > maxConfigurations {
+		b.configurations = append([]*numbering.Configuration(nil), b.configurations[1:]...)
 	}
-	b.changedLocked()
+	b.notifyLocked()
 	return true
 }
 
-// newest returns the newest configuration held, or nil.
-func (b *board) newest() *numbering.Configuration {
+// LatestConfiguration returns the newest configuration held, or nil.
+func (b *Distributor) LatestConfiguration() *numbering.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := len(b.cfg); n > 0 {
-		return b.cfg[n-1]
+	if n := len(b.configurations); n > 0 {
+		return b.configurations[n-1]
 	}
 	return nil
 }
 
-// setList takes a list if it is newer and reports which stamp is held now.
-func (b *board) setList(l *feed.List) feed.Stamp {
+// SetEndpoints takes a list if it is newer and reports which stamp is held now.
+func (b *Distributor) SetEndpoints(l *feed.EndpointList) feed.Revision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.list == nil || b.list.Stamp.Less(l.Stamp) {
-		b.list = l
-		all := make(map[string]feed.Leaf, len(l.Leafs))
-		for _, leaf := range l.Leafs {
+	if b.endpoints == nil || b.endpoints.Revision.Less(l.Revision) {
+		b.endpoints = l
+		all := make(map[string]feed.Endpoint, len(l.Endpoints))
+		for _, leaf := range l.Endpoints {
 			all[leaf.ID] = leaf
 		}
-		b.leafs.Set(l.Stamp, all)
-		b.keep(l)
-		b.changedLocked()
+		b.endpointHistory.Set(l.Revision, all)
+		b.persistEndpoints(l)
+		b.notifyLocked()
 	}
-	return b.list.Stamp
+	return b.endpoints.Revision
 }
 
-// stamp is that of the list held, or zero.
-func (b *board) stamp() feed.Stamp {
-	if l := b.getList(); l != nil {
-		return l.Stamp
+// EndpointsVersion is that of the list held, or zero.
+func (b *Distributor) EndpointsVersion() feed.Revision {
+	if l := b.Endpoints(); l != nil {
+		return l.Revision
 	}
-	return feed.Stamp{}
+	return feed.Revision{}
 }
 
-func (b *board) getList() *feed.List {
+func (b *Distributor) Endpoints() *feed.EndpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.list
+	return b.endpoints
 }
 
-// marksHeld knows what the sums of marks stand for that callers name: those of this
+// markDigests knows what the sums of marks stand for that callers name: those of this
 // board's own last states, and of what callers have told.
-type marksHeld struct {
-	sum  uint64
-	by   map[uint64]map[string]uint64
-	line []uint64 // oldest first
+type markDigests struct {
+	current  uint64
+	versions map[uint64]map[string]uint64
+	order    []uint64 // oldest first
 }
 
-// keepSums bounds the sums that are known.
-const keepSums = 64
+// maxMarkDigests bounds the sums that are known.
+const maxMarkDigests = 64
 
-func (m *marksHeld) know(sum uint64, slots map[string]uint64) {
-	if m.by == nil {
-		m.by = map[uint64]map[string]uint64{}
+func (m *markDigests) remember(sum uint64, slots map[string]uint64) {
+	if m.versions == nil {
+		m.versions = map[uint64]map[string]uint64{}
 	}
-	if _, ok := m.by[sum]; ok {
+	if _, ok := m.versions[sum]; ok {
 		return
 	}
-	m.by[sum] = slots
-	if m.line = append(m.line, sum); len(m.line) > keepSums {
-		delete(m.by, m.line[0])
-		m.line = m.line[1:]
+	m.versions[sum] = slots
+	if m.order = append(m.order, sum); len(m.order) > maxMarkDigests {
+		delete(m.versions, m.order[0])
+		m.order = m.order[1:]
 	}
 }
 
-// marksMovedLocked notes what this board holds now.
-func (b *board) marksMovedLocked() {
+// marksChangedLocked notes what this board holds now.
+func (b *Distributor) marksChangedLocked() {
 	slots := make(map[string]uint64, len(b.marks))
 	for ix, m := range b.marks {
-		slots[ix] = m.Slot
+		slots[ix] = m.LogIndex
 	}
-	b.held.sum = feed.MarksSum(slots)
-	b.held.know(b.held.sum, slots)
-	b.changedLocked()
+	b.markDigests.current = feed.MarksDigest(slots)
+	b.markDigests.remember(b.markDigests.current, slots)
+	b.notifyLocked()
 }
 
-func (b *board) setMarks(m feed.Marks) {
+func (b *Distributor) SetMarks(m feed.EjectionMarks) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	old, ok := b.marks[m.Index]
+	old, ok := b.marks[m.IndexName]
 	if ok {
-		slot := m.Slot
-		m.Slot = old.Slot
-		if same(old, m) {
+		slot := m.LogIndex
+		m.LogIndex = old.LogIndex
+		if EqualEncoding(old, m) {
 			return
 		}
-		m.Slot = slot
+		m.LogIndex = slot
 	}
-	b.marks[m.Index] = m
-	b.marksMovedLocked()
+	b.marks[m.IndexName] = m
+	b.marksChangedLocked()
 }
 
-func (b *board) dropMarks(index string) {
+func (b *Distributor) DropMarks(index string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, ok := b.marks[index]; ok {
 		delete(b.marks, index)
-		b.marksMovedLocked()
+		b.marksChangedLocked()
 	}
 }
 
-func (b *board) setNodes(slot uint64, all []feed.Node) {
-	next := &nodeTable{slot: slot, all: make(map[string]feed.Node, len(all))}
+func (b *Distributor) SetNodes(slot uint64, all []feed.Node) {
+	next := &nodeSnapshot{index: slot, byName: make(map[string]feed.Node, len(all))}
 	for _, n := range all {
-		next.all[n.Name] = n
-		if n.Serves() && !n.Down {
-			next.up++
+		next.byName[n.Name] = n
+		if n.ServesClients() && !n.Down {
+			next.serving++
 		}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.table = next.all
-	waits := b.pending != nil
-	b.pending = next
-	if wait := nodesEvery - time.Since(b.nodesAt); wait > 0 {
+	b.nodesByName = next.byName
+	waits := b.pendingNodes != nil
+	b.pendingNodes = next
+	if wait := nodePublishInterval - time.Since(b.nodesPublishedAt); wait > 0 {
 		if !waits {
 			time.AfterFunc(wait, func() {
 				b.mu.Lock()
 				defer b.mu.Unlock()
-				b.tellNodesLocked()
+				b.publishNodesLocked()
 			})
 		}
 		return
 	}
-	b.tellNodesLocked()
+	b.publishNodesLocked()
 }
 
-// tellNodesLocked lets the nodes have the newest directory.
-func (b *board) tellNodesLocked() {
-	next := b.pending
+// publishNodesLocked lets the nodes have the newest directory.
+func (b *Distributor) publishNodesLocked() {
+	next := b.pendingNodes
 	if next == nil {
 		return
 	}
-	b.pending = nil
-	if b.nodes.Set(feed.Stamp{Rev: next.slot}, next.all) {
-		b.up, b.nodesAt = next.up, time.Now()
-		b.changedLocked()
+	b.pendingNodes = nil
+	if b.nodeHistory.Set(feed.Revision{Sequence: next.index}, next.byName) {
+		b.servingNodes, b.nodesPublishedAt = next.serving, time.Now()
+		b.notifyLocked()
 	}
 }
 
-func same(a, b any) bool {
+func EqualEncoding(a, b any) bool {
 	x, err1 := wire.Marshal(a)
 	y, err2 := wire.Marshal(b)
 	return err1 == nil && err2 == nil && bytes.Equal(x, y)
 }
 
-// directory returns the directory of nodes by name. Callers must not change it.
-func (b *board) directory() map[string]feed.Node {
+// Nodes returns the directory of nodes by name. Callers must not change it.
+func (b *Distributor) Nodes() map[string]feed.Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.table
+	return b.nodesByName
 }
 
-// registrars lists the addresses of those in the directory, down or not.
-func (b *board) registrars() (out []string) {
-	for _, n := range b.directory() {
-		if n.Control {
+// ControlAddresses lists the addresses of those in the directory, down or not.
+func (b *Distributor) ControlAddresses() (out []string) {
+	for _, n := range b.Nodes() {
+		if n.ControlPlane {
 			out = append(out, n.Addr)
 		}
 	}
 	return out
 }
 
-// answer returns, ready to be sent, what the caller lacks, and a channel that
+// Update returns, ready to be sent, what the caller lacks, and a channel that
 // closes at the next change.
-func (b *board) answer(call *feed.Call, stale bool) (*told, <-chan struct{}) {
+func (b *Distributor) Update(call *feed.UpdateRequest, stale bool) (*EncodedUpdate, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	key := callerKey(call, stale)
-	t := b.told[key]
+	key := updateKey(call, stale)
+	t := b.encodedUpdates[key]
 	if t == nil {
-		news := b.newerLocked(call)
-		t = &told{empty: news.Empty()}
+		news := b.updateLocked(call)
+		t = &EncodedUpdate{Empty: news.Empty()}
 		news.Stale = stale
 		if raw, err := wire.Marshal(&news); err == nil {
-			t.body = wire.Pack(raw)
+			t.Body = wire.EncodeBody(raw)
 		}
-		b.told[key] = t
+		b.encodedUpdates[key] = t
 	}
-	return t, b.news
+	return t, b.changed
 }
 
-// callerKey is the same for callers that lack the same.
-func callerKey(call *feed.Call, stale bool) string {
-	h := &call.Have
-	k := fmt.Sprint(stale, call.Node.Zone, h.Config, h.List, h.Nodes, h.Switches, h.Recall, h.Notice, h.MarksSum, h.Marks != nil)
-	for _, ix := range slices.Sorted(maps.Keys(h.Marks)) {
-		k += fmt.Sprint(" ", ix, "=", h.Marks[ix])
+// updateKey is the same for callers that lack the same.
+func updateKey(call *feed.UpdateRequest, stale bool) string {
+	h := &call.Held
+	k := fmt.Sprint(stale, call.Node.Zone, h.ConfigVersion, h.EndpointRevision, h.NodesIndex, h.DataPlaneCount, h.PurgeIndex, h.NotificationIndex, h.MarksDigest, h.MarkIndexes != nil)
+	for _, ix := range slices.Sorted(maps.Keys(h.MarkIndexes)) {
+		k += fmt.Sprint(" ", ix, "=", h.MarkIndexes[ix])
 	}
 	return k
 }
 
-// markNews adds the marks that the caller lacks.
-func (b *board) markNews(h feed.Have, n *feed.News) {
-	held, known := h.Marks, h.Marks != nil || h.MarksSum == 0
+// addMarksLocked adds the marks that the caller lacks.
+func (b *Distributor) addMarksLocked(h feed.HeldVersions, n *feed.Update) {
+	held, known := h.MarkIndexes, h.MarkIndexes != nil || h.MarksDigest == 0
 	switch {
-	case h.Marks != nil:
-		b.held.know(h.MarksSum, h.Marks)
-	case h.MarksSum == b.held.sum:
+	case h.MarkIndexes != nil:
+		b.markDigests.remember(h.MarksDigest, h.MarkIndexes)
+	case h.MarksDigest == b.markDigests.current:
 		return
 	case !known:
-		if held, known = b.held.by[h.MarksSum]; !known {
-			n.NeedMarks = true
+		if held, known = b.markDigests.versions[h.MarksDigest]; !known {
+			n.NeedMarkIndexes = true
 			return
 		}
 	}
 	for ix, m := range b.marks {
-		if slot, ok := held[ix]; !ok || slot < m.Slot {
-			n.Marks = append(n.Marks, m)
+		if slot, ok := held[ix]; !ok || slot < m.LogIndex {
+			n.EjectionMarks = append(n.EjectionMarks, m)
 		}
 	}
 	for ix := range held {
 		if _, ok := b.marks[ix]; !ok && len(b.marks) > 0 {
-			n.Gone = append(n.Gone, ix)
+			n.RemovedIndexes = append(n.RemovedIndexes, ix)
 		}
 	}
 }
 
-// newerLocked collects what the caller lacks.
-func (b *board) newerLocked(call *feed.Call) feed.News {
-	h := call.Have
-	var n feed.News
-	if k := len(b.cfg); k > 0 && b.cfg[k-1].Version > h.Config {
-		last := b.cfg[k-1]
-		n.Config = feed.Whole(last)
-		for _, c := range b.cfg[:k-1] {
-			if c.Version == h.Config {
-				n.Config = feed.Between(c, last)
+// updateLocked collects what the caller lacks.
+func (b *Distributor) updateLocked(call *feed.UpdateRequest) feed.Update {
+	h := call.Held
+	var n feed.Update
+	if k := len(b.configurations); k > 0 && b.configurations[k-1].Version > h.ConfigVersion {
+		last := b.configurations[k-1]
+		n.Config = feed.FullConfig(last)
+		for _, c := range b.configurations[:k-1] {
+			if c.Version == h.ConfigVersion {
+				n.Config = feed.ConfigDelta(c, last)
 			}
 		}
 	}
-	if b.list != nil && h.List.Less(b.list.Stamp) {
-		l := &feed.List{Stamp: b.list.Stamp, Base: h.List}
-		l.Leafs, l.Gone, l.Delta = b.leafs.Since(h.List, func(feed.Leaf) bool { return true })
-		n.List = l
+	if b.endpoints != nil && h.EndpointRevision.Less(b.endpoints.Revision) {
+		l := &feed.EndpointList{Revision: b.endpoints.Revision, Base: h.EndpointRevision}
+		l.Endpoints, l.Removed, l.Delta = b.endpointHistory.ChangesSince(h.EndpointRevision, func(feed.Endpoint) bool { return true })
+		n.Endpoints = l
 	}
-	b.markNews(h, &n)
-	if at := b.nodes.At().Rev; b.nodes.Len() > 0 && at > h.Nodes {
-		ns := &feed.Nodes{Slot: at, Switches: b.up, Base: h.Nodes}
-		ns.All, ns.Gone, ns.Delta = b.nodes.Since(feed.Stamp{Rev: h.Nodes}, func(n feed.Node) bool {
-			return !n.Serves() || n.Zone == call.Node.Zone
+	b.addMarksLocked(h, &n)
+	if at := b.nodeHistory.Revision().Sequence; b.nodeHistory.Len() > 0 && at > h.NodesIndex {
+		ns := &feed.NodeList{LogIndex: at, DataPlaneCount: b.servingNodes, Base: h.NodesIndex}
+		ns.Nodes, ns.Removed, ns.Delta = b.nodeHistory.ChangesSince(feed.Revision{Sequence: h.NodesIndex}, func(n feed.Node) bool {
+			return !n.ServesClients() || n.Zone == call.Node.Zone
 		})
-		if !ns.Delta || len(ns.All)+len(ns.Gone) > 0 || ns.Switches != h.Switches {
+		if !ns.Delta || len(ns.Nodes)+len(ns.Removed) > 0 || ns.DataPlaneCount != h.DataPlaneCount {
 			n.Nodes = ns
 		}
 	}
-	b.recallNews(h, &n)
+	b.addPurgesLocked(h, &n)
 	b.noticeNews(h, &n)
 	return n
 }
--- a/internal/registrar/calls_test.go
+++ b/internal/registrar/calls_test.go
@@ -19,17 +19,17 @@
 	"comethold/internal/wire"
 )
 
-// strangePlatform takes calls of a duty and ends them in the ways that platforms do.
-type strangePlatform struct {
-	door net.Listener
-	mu   sync.Mutex
-	rng  *rand.Rand
-	came int
-	last time.Time
-	took bool // the status of the newest call was good
+// faultyPlatform takes calls of a duty and ends them in the ways that platforms do.
+type faultyPlatform struct {
+	listener     net.Listener
+	mu           sync.Mutex
+	rng          *rand.Rand
+	received     int
+	lastReceived time.Time
+	accepted     bool // the status of the newest call was good
 }
 
-func (p *strangePlatform) serve(c net.Conn) {
+func (p *faultyPlatform) serve(c net.Conn) {
 	defer c.Close()
 	p.mu.Lock()
 	late := time.Duration(p.rng.Intn(20)) * time.Millisecond
@@ -44,10 +44,10 @@
 		raw, err := io.ReadAll(r.Body)
 		p.mu.Lock()
 		way := p.rng.Intn(10)
-		p.took = way < 3 || way == 9
+		p.accepted = way < 3 || way == 9
 		if err == nil && len(raw) > 0 || r.Method != http.MethodPost {
-			p.came++
-			p.last = time.Now()
+			p.received++
+			p.lastReceived = time.Now()
 		}
 		p.mu.Unlock()
 		switch way {
@@ -67,7 +67,7 @@
 			fmt.Fprint(c, "HTTP/1.1 200 O")
 			return
 		case 6, 7:
-			fmt.Fprintf(c, "HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/elsewhere\r\nContent-Length: 0\r\n\r\n", 301+6*(way-6), p.door.Addr())
+			fmt.Fprintf(c, "HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/elsewhere\r\nContent-Length: 0\r\n\r\n", 301+6*(way-6), p.listener.Addr())
 		case 8: // silence
 			_, _ = c.Read(make([]byte, 1))
 			return
@@ -78,16 +78,16 @@
 	}
 }
 
-// TestPlatformCalls: one call of a duty reaches the platform once at the most, is over
+// TestReportCalls: one call of a duty reaches the platform once at the most, is over
 // before the lease is, went well only if the platform said so, and leaves nothing in
 // the socket, be the process killed.
-func TestPlatformCalls(t *testing.T) {
-	for seed := range scenario.Seeds(2) {
+func TestReportCalls(t *testing.T) {
+	for seed := range scenario.SeedCount(2) {
 		door, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &strangePlatform{door: door, rng: rand.New(rand.NewSource(int64(seed)))}
+		p := &faultyPlatform{listener: door, rng: rand.New(rand.NewSource(int64(seed)))}
 		go func() {
 			for {
 				c, err := door.Accept()
@@ -99,33 +99,33 @@
 		}()
 		set := &settings.Settings{NodeName: "n1"}
 		set.Platform.Address = door.Addr().String()
-		r := &Registrar{set: set, usages: newUsages(wire.Sockets), reporter: &duty{}}
-		r.usages.born = time.Now().Add(-time.Hour)
+		r := &Server{settings: set, usages: NewCollector(wire.TCPNetwork), usageLease: &Lease{}}
+		r.usages.startedAt = time.Now().Add(-time.Hour)
 		for i := range 40 {
 			p.mu.Lock()
-			p.came = 0
+			p.received = 0
 			p.mu.Unlock()
-			until := time.Now().Add(callMargin + 60*time.Millisecond)
-			r.reporter.mu.Lock()
-			r.reporter.term, r.reporter.until = uint64(i+1), until
-			r.reporter.mu.Unlock()
-			err := r.callPlatform([]byte("{}"), uint64(i+1))
+			until := time.Now().Add(leaseSafetyMargin + 60*time.Millisecond)
+			r.usageLease.mu.Lock()
+			r.usageLease.term, r.usageLease.expiresAt = uint64(i+1), until
+			r.usageLease.mu.Unlock()
+			err := r.postReport([]byte("{}"), uint64(i+1))
 			if time.Now().After(until) {
 				t.Errorf("seed %d: a call ended after its lease", seed)
 			}
 			time.Sleep(2 * time.Millisecond)
 			p.mu.Lock()
-			if p.came > 1 || p.came == 1 && p.last.After(until) {
-				t.Errorf("seed %d: a call came %d times, %v before the lease's end", seed, p.came, until.Sub(p.last))
+			if p.received > 1 || p.received == 1 && p.lastReceived.After(until) {
+				t.Errorf("seed %d: a call came %d times, %v before the lease's end", seed, p.received, until.Sub(p.lastReceived))
 			}
-			if u := r.usages; p.came > 0 && (u.mayCall(uint64(i+2), time.Second, p.last.Add(time.Second)) || !u.mayCall(uint64(i+1), 0, p.last.Add(time.Second))) {
+			if u := r.usages; p.received > 0 && (u.mayCall(uint64(i+2), time.Second, p.lastReceived.Add(time.Second)) || !u.mayCall(uint64(i+1), 0, p.lastReceived.Add(time.Second))) {
 				t.Errorf("seed %d: another term may call a second after it was written, not after it came", seed)
 			}
-			if err == nil && !(p.came == 1 && p.took) {
+			if err == nil && !(p.received == 1 && p.accepted) {
 				t.Errorf("seed %d: a call went well that was not taken", seed)
 			}
 			p.mu.Unlock()
-			if err := r.callPlatform([]byte("{}"), uint64(i)); !errors.Is(err, errNotHeld) {
+			if err := r.postReport([]byte("{}"), uint64(i)); !errors.Is(err, ErrLeaseExpired) {
 				t.Errorf("a call under a former term: %v", err)
 			}
 		}
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c = leased(c, func() bool { return true }).Conn
+	c = newLeasedConn(c, func() bool { return true }).Conn
 	defer c.Close()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/registrar/compat_test.go
+++ b/internal/registrar/compat_test.go
@@ -14,26 +14,26 @@
 // registrars ask one another, decodes from the bytes of an earlier version.
 func TestCompatibleRecords(t *testing.T) {
 	yes := true
-	seat := cell.Seat{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
-	n := notice.Notice{EventID: "configuration/8", TenantID: "t", Aggregate: notice.Configuration, Version: 8, After: 7, Payload: []byte{1, 2}, Digest: []byte{3, 4}}
+	seat := cell.Voter{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
+	n := notice.Notification{EventID: "configuration/8", TenantID: "t", Aggregate: notice.AggregateConfiguration, Version: 8, PreviousVersion: 7, Payload: []byte{1, 2}, Digest: []byte{3, 4}}
 	compat.CheckMessages(t, []compat.Message{
-		{Name: "index", Value: indexRecord{Seats: []cell.Seat{seat}, Routes: []string{"r1", "r2"}, Cut: []string{"s1"}}},
-		{Name: "index-cut", Value: cutRecord{Version: 8, Cut: []string{"s1"}, Routes: []string{"r1"}}},
-		{Name: "receipt-archive", Value: []archived{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
-		{Name: "duty-lease", Value: dutyRecord{Holder: "10.0.0.1~f", Term: 3, Beat: 44}},
-		{Name: "quarantine", Value: quarantined{Notice: n, Why: "no event id", By: "n1"}},
-		{Name: "redrive", Value: redrive{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: actionResend}},
-		{Name: "redrive-close", Value: redrive{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: actionClose}},
+		{Name: "index", Value: IndexRecord{Voters: []cell.Voter{seat}, Routes: []string{"r1", "r2"}, Services: []string{"s1"}}},
+		{Name: "index-cut", Value: ShardSetRecord{Version: 8, Services: []string{"s1"}, Routes: []string{"r1"}}},
+		{Name: "receipt-archive", Value: []archivedReceipt{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
+		{Name: "duty-lease", Value: LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
+		{Name: "quarantine", Value: QuarantineRecord{Notification: n, Reason: "no event id", ReportedBy: "n1"}},
+		{Name: "redrive", Value: RedriveRequest{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: RedriveResend}},
+		{Name: "redrive-close", Value: RedriveRequest{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: RedriveClose}},
 		{Name: "quota-floors", Value: map[string]float64{"t": 12.5}},
-		{Name: "kept-usage", Value: keptBook{Window: 1234, Lives: usage.Lives{6: usage.Counts{"t": 56}}}},
-		{Name: "usage-request", Value: usageAsk{Window: 1234}},
-		{Name: "proposal", Value: proposal{Cell: "exchange", Txn: cell.Txn{ID: "a.1",
+		{Name: "kept-usage", Value: persistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
+		{Name: "usage-request", Value: WindowRequest{Window: 1234}},
+		{Name: "proposal", Value: ProposeRequest{Cell: "exchange", Txn: cell.Txn{ID: "a.1",
 			Conditions: []cell.Condition{{Key: "k", Equals: cell.Int(1)}, {Key: "l", Absent: true}},
 			Ops: []cell.Op{{Kind: cell.OpPut, Key: "k", Value: cell.Bytes([]byte("v"))}, {Kind: cell.OpPut, Key: "b", Value: cell.Value{Bool: &yes}},
-				{Kind: cell.OpSeats, Seats: []cell.Seat{seat}}}}}},
-		{Name: "verdict", Value: verdict{Committed: true, Busy: true, Unclear: true, NoLeader: true, Slot: 12,
-			Grant: feed.Grant{Permille: 251, Fair: 333, Granted: true, Kept: true}}},
-		{Name: "move", Value: moveOrder{Cell: "x1", Out: "10.0.0.9", In: seat}},
+				{Kind: cell.OpSetVoters, Voters: []cell.Voter{seat}}}}}},
+		{Name: "verdict", Value: ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
+			Grant: feed.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
+		{Name: "move", Value: MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
 	})
 }
 
@@ -41,15 +41,15 @@
 // what data directories hold.
 func TestStoredNames(t *testing.T) {
 	for name, want := range map[string]string{
-		ExchangeCell: "exchange", exportName: "estimates.jsonl",
-		keyVersion: "config/version", keyRaw: "config/raw", keyReceipt: "receipt/", keyArchive: "receipt-archive/",
-		keyForgotten: "receipt-forgotten", keyNode: "node/", keyIndex: "index/", keyNextID: "index-next", keyDuty: "duty/",
-		keyRecall: "recall/", keyFloor: "recall-floor", keyShares: "shares", keyQuotas: "quota-shares", keyUsage: "usage/",
-		keyOutbox: "outbox/", keyQuarantine: "quarantine/", keyRedrive: "redrive/", keyCut: "cut", keyMark: "mark/",
-		identityNote: "identity", inboxNote: "inbox", floorNote: "quota-floors", keptKey(keptWindows + 3): "usage/3",
-		receiptKey(5, 3): "receipt/configuration/00000000000000000005/3", archiveKey(7): "receipt-archive/00000000000000000007",
-		usageKey(9):                             "usage/00000000000000000009",
-		cell.AppendedKey(keyRecall, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
+		MetaCell: "exchange", exportFileName: "estimates.jsonl",
+		ConfigVersionKey: "config/version", ConfigDataKey: "config/raw", ReceiptKeyPrefix: "receipt/", ReceiptArchiveKeyPrefix: "receipt-archive/",
+		ReceiptsForgottenKey: "receipt-forgotten", NodeKeyPrefix: "node/", IndexKeyPrefix: "index/", NextIndexIDKey: "index-next", LeaseKeyPrefix: "duty/",
+		PurgeKeyPrefix: "recall/", PurgeCompactedKey: "recall-floor", RateSharesKey: "shares", QuotaSharesKey: "quota-shares", UsageReportKeyPrefix: "usage/",
+		OutboxKeyPrefix: "outbox/", QuarantineKeyPrefix: "quarantine/", RedriveKeyPrefix: "redrive/", ShardSetKey: "cut", EjectionKeyPrefix: "mark/",
+		identityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
+		ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", receiptArchiveKey(7): "receipt-archive/00000000000000000007",
+		UsageReportKey(9): "usage/00000000000000000009",
+		cell.AppendedKey(PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
 	} {
 		if name != want {
 			t.Errorf("stored under %q, and before under %q", name, want)
--- a/internal/registrar/cut.go
+++ b/internal/registrar/cut.go
@@ -8,87 +8,87 @@
 	"comethold/internal/wire"
 )
 
-// config reads the configuration in force, or nil.
-func (r *Registrar) config() *numbering.Configuration {
+// committedConfiguration reads the configuration in force, or nil.
+func (r *Server) committedConfiguration() *numbering.Configuration {
 	var raw []byte
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			_, raw = configOf(m)
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			_, raw = ReadConfig(m)
 		}
 	})
 	if raw == nil {
 		return nil
 	}
-	cfg, err := numbering.Read(raw)
+	cfg, err := numbering.Parse(raw)
 	if err != nil {
 		return nil
 	}
 	return cfg
 }
 
-// cutDesk makes the index cells follow the committed configuration.
-func (r *Registrar) cutDesk(done *uint64) {
+// reconcileShardSets makes the index cells follow the committed configuration.
+func (r *Server) reconcileShardSets(done *uint64) {
 	var version uint64
 	var raw []byte
-	var old map[string]indexRecord
+	var old map[string]IndexRecord
 	var next cell.Value
-	var seats []cell.Seat
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			version, raw = configOf(m)
-			old = indexesOf(m)
-			next, _ = m.Get(keyNextID)
-			seats, _ = m.Seats()
+	var seats []cell.Voter
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			version, raw = ReadConfig(m)
+			old = ReadIndexes(m)
+			next, _ = m.Get(NextIndexIDKey)
+			seats, _ = m.Voters()
 		}
 	})
 	if version == 0 || version == *done {
 		return
 	}
-	cfg, err := numbering.Read(raw)
+	cfg, err := numbering.Parse(raw)
 	if err != nil {
 		return
 	}
-	groups := cutOf(cfg)
-	kept, fresh, gone := recut(old, groups)
+	groups := GroupRoutesByServices(cfg)
+	kept, fresh, gone := AssignIndexes(old, groups)
 	var t cell.Txn
-	t.Conditions = []cell.Condition{{Key: keyVersion, Equals: uintValue(version)}}
+	t.Conditions = []cell.Condition{{Key: ConfigVersionKey, Equals: UintValue(version)}}
 	cut := func(group string) []string { return strings.Split(group, "\x00") }
-	records := map[string]indexRecord{}
+	records := map[string]IndexRecord{}
 	for ix, g := range kept {
-		rec := indexRecord{Seats: old[ix].Seats, Routes: groups[g], Cut: cut(g)}
+		rec := IndexRecord{Voters: old[ix].Voters, Routes: groups[g], Services: cut(g)}
 		records[ix] = rec
-		if !same(rec, old[ix]) {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyIndex + ix, Value: encode(rec)})
+		if !EqualEncoding(rec, old[ix]) {
+			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(rec)})
 		}
 	}
 	n := int64(0)
 	if next.Int != nil {
 		n = next.Int.Int64()
-		t.Conditions = append(t.Conditions, cell.Condition{Key: keyNextID, Equals: next})
+		t.Conditions = append(t.Conditions, cell.Condition{Key: NextIndexIDKey, Equals: next})
 	} else {
-		t.Conditions = append(t.Conditions, cell.Condition{Key: keyNextID, Absent: true})
+		t.Conditions = append(t.Conditions, cell.Condition{Key: NextIndexIDKey, Absent: true})
 	}
 	for _, g := range fresh {
 		n++
-		ix := indexName(n)
-		records[ix] = indexRecord{Seats: seats, Routes: groups[g], Cut: cut(g)}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyIndex + ix, Value: encode(records[ix])})
+		ix := IndexCellName(n)
+		records[ix] = IndexRecord{Voters: seats, Routes: groups[g], Services: cut(g)}
+		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(records[ix])})
 	}
 	for _, ix := range gone {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: keyIndex + ix})
+		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: IndexKeyPrefix + ix})
 	}
 	if len(t.Ops) > 0 {
 		if len(fresh) > 0 {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyNextID, Value: cell.Int(n)})
+			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NextIndexIDKey, Value: cell.Int(n)})
 		}
-		if !r.propose(ExchangeCell, t) {
+		if !r.propose(MetaCell, t) {
 			return
 		}
 	}
 	for ix, rec := range records {
-		want := cutRecord{Version: version, Cut: rec.Cut, Routes: rec.Routes}
-		v, known := r.host.Get(ix, keyCut)
-		t, due := cutTxn(v, known, want)
+		want := ShardSetRecord{Version: version, Services: rec.Services, Routes: rec.Routes}
+		v, known := r.host.Get(ix, ShardSetKey)
+		t, due := ShardSetTxn(v, known, want)
 		if due && !r.propose(ix, t) {
 			return // the cell lags; the configuration is in force all the same
 		}
@@ -96,22 +96,22 @@
 	*done = version
 }
 
-// cutTxn puts a cut in the place of the one that an index cell holds. One that is late
+// ShardSetTxn puts a cut in the place of the one that an index cell holds. One that is late
 // finds another there, and does nothing.
-func cutTxn(held cell.Value, known bool, want cutRecord) (t cell.Txn, due bool) {
-	cond := cell.Condition{Key: keyCut, Absent: true}
+func ShardSetTxn(held cell.Value, known bool, want ShardSetRecord) (t cell.Txn, due bool) {
+	cond := cell.Condition{Key: ShardSetKey, Absent: true}
 	if known {
-		cond = cell.Condition{Key: keyCut, Equals: held}
-		var have cutRecord
+		cond = cell.Condition{Key: ShardSetKey, Equals: held}
+		var have ShardSetRecord
 		if wire.Unmarshal(held.Bytes, &have) == nil {
 			if have.Version > want.Version {
 				return t, false
 			}
 			have.Version = want.Version
-			if same(have, want) {
+			if EqualEncoding(have, want) {
 				return t, false
 			}
 		}
 	}
-	return cell.Txn{Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpPut, Key: keyCut, Value: encode(want)}}}, true
+	return cell.Txn{Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpPut, Key: ShardSetKey, Value: MustEncode(want)}}}, true
 }
--- a/internal/registrar/desk.go
+++ b/internal/registrar/desk.go
@@ -13,156 +13,156 @@
 
 // Pacing of the desk's work. Ours; see docs/design.md.
 const (
-	pollHold     = 1200 * time.Millisecond
-	moveHold     = 1200 * time.Millisecond
-	pollLeast    = 800 * time.Millisecond
-	listLimit    = 10 * time.Second // for all pages of a list; each has a limit of its own
-	pollShare    = 0.3              // of the time in which a leaving must be heeded
-	deskEvery    = 400 * time.Millisecond
-	moveAgain    = deskEvery / 4 // while seats are to move
-	digestEvery  = time.Second
-	suspectSpan  = 4 * time.Second
-	reportSpan   = 2 * time.Second
-	markTries    = 3
-	silentMost   = 30 * time.Second // after which a mark for silence must be made anew
-	seenSpan     = 3 * time.Second
-	forgetAfter  = 2 * time.Minute
-	deskWork     = 1200 * time.Millisecond
-	seatSilence  = 5 * time.Second
-	listPatience = 300 * time.Millisecond
-	reachLimit   = 700 * time.Millisecond
-	watchersAgr  = 2 // watchers, or reporters of a leaf, that must agree
+	PollerLeaseDuration = 1200 * time.Millisecond
+	MoverLeaseDuration  = 1200 * time.Millisecond
+	minPollInterval     = 800 * time.Millisecond
+	listTimeout         = 10 * time.Second // for all pages of a list; each has a limit of its own
+	pollDrainFraction   = 0.3              // of the time in which a leaving must be heeded
+	ReconcileInterval   = 400 * time.Millisecond
+	moveRetryInterval   = ReconcileInterval / 4 // while seats are to move
+	digestInterval      = time.Second
+	suspicionLifetime   = 4 * time.Second
+	reportLifetime      = 2 * time.Second
+	maxMarkAttempts     = 3
+	maxEjectionTime     = 30 * time.Second // after which a mark for silence must be made anew
+	contactLifetime     = 3 * time.Second
+	downNodeRetention   = 2 * time.Minute
+	ProposalTimeout     = 1200 * time.Millisecond
+	replicaTimeout      = 5 * time.Second
+	endpointFetchDelay  = 300 * time.Millisecond
+	probeTimeout        = 700 * time.Millisecond
+	witnessesRequired   = 2 // watchers, or reporters of a leaf, that must agree
 )
 
-func (r *Registrar) wakeDesk() {
+func (r *Server) wakeReconciler() {
 	select {
-	case r.deskWake <- struct{}{}:
+	case r.reconcileWake <- struct{}{}:
 	default:
 	}
 }
 
-// deskLoop brings the cells up to date with what this node knows.
-func (r *Registrar) deskLoop() {
+// reconcileLoop brings the cells up to date with what this node knows.
+func (r *Server) reconcileLoop() {
 	var cutFor uint64
 	recalls, aged, silent := map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	for {
 		select {
-		case <-r.deskWake:
+		case <-r.reconcileWake:
 			select {
 			case <-time.After(30 * time.Millisecond): // let more come in
 			case <-r.quit:
 				return
 			}
-		case <-time.After(deskEvery):
+		case <-time.After(ReconcileInterval):
 		case <-r.quit:
 			return
 		}
-		if r.fresh() > staleFrom {
+		if r.quorumContactAge() > StaleAfter {
 			continue
 		}
-		r.hear(&feed.Call{Node: feed.Node{Name: r.set.NodeName + "/registrar", Addr: r.set.IPAddress, Zone: r.set.AvailabilityZone, Control: true}})
-		r.hearUnlisted()
-		r.nodesDesk()
-		r.reportsDesk()
-		if term, ok := r.poller.held(); ok && r.board.stamp().Term == term {
-			r.marksDesk(silent) // by a list of this term: the one of a former life is old
+		r.recordNodeCall(&feed.UpdateRequest{Node: feed.Node{Name: r.settings.NodeName + "/registrar", Addr: r.settings.IPAddress, Zone: r.settings.AvailabilityZone, ControlPlane: true}})
+		r.observeUnlistedReplicas()
+		r.reconcileNodes()
+		r.applyReports()
+		if term, ok := r.discoveryLease.Held(); ok && r.board.EndpointsVersion().Term == term {
+			r.reconcileListedMarks(silent) // by a list of this term: the one of a former life is old
 		}
-		if _, ok := r.mover.held(); ok {
-			r.cutDesk(&cutFor)
-			r.recallDesk(recalls)
-			r.agedDesk(aged)
+		if _, ok := r.placementLease.Held(); ok {
+			r.reconcileShardSets(&cutFor)
+			r.sweepPurges(recalls)
+			r.expireNodes(aged)
 		}
 	}
 }
 
-func (r *Registrar) propose(name string, t cell.Txn) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), deskWork)
+func (r *Server) propose(name string, t cell.Txn) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), ProposalTimeout)
 	defer cancel()
 	ok, err := r.host.Propose(ctx, name, t)
 	return ok && err == nil
 }
 
-// hearUnlisted has registrars listed that this one hears and that can't list themselves,
+// observeUnlistedReplicas has registrars listed that this one hears and that can't list themselves,
 // since nobody who could teach them knows of them.
-func (r *Registrar) hearUnlisted() {
-	held := r.board.directory()
-	for _, h := range r.host.live(seenSpan) {
-		n := feed.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, Control: true}
+func (r *Server) observeUnlistedReplicas() {
+	held := r.board.Nodes()
+	for _, h := range r.host.LivePeers(contactLifetime) {
+		n := feed.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, ControlPlane: true}
 		if _, known := held[n.Name]; !known {
-			r.hear(&feed.Call{Node: n})
+			r.recordNodeCall(&feed.UpdateRequest{Node: n})
 		}
 	}
 }
 
-// nodesDesk writes nodes that called, and those that their watchers miss, into
+// reconcileNodes writes nodes that called, and those that their watchers miss, into
 // the directory.
-func (r *Registrar) nodesDesk() {
-	held := r.board.directory()
+func (r *Server) reconcileNodes() {
+	held := r.board.Nodes()
 	now := time.Now()
 	var t cell.Txn
 	var doubted []feed.Node
 	put := func(old feed.Node, known bool, n feed.Node) {
-		cond := cell.Condition{Key: keyNode + n.Name, Absent: !known}
+		cond := cell.Condition{Key: NodeKeyPrefix + n.Name, Absent: !known}
 		if known {
-			cond.Equals = encode(old)
+			cond.Equals = MustEncode(old)
 		}
 		t.Conditions = append(t.Conditions, cond)
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyNode + n.Name, Value: encode(n)})
+		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NodeKeyPrefix + n.Name, Value: MustEncode(n)})
 	}
 	r.mu.Lock()
-	for name, s := range r.seen {
-		if now.Sub(s.at) > seenSpan {
-			delete(r.seen, name)
+	for name, s := range r.recentNodes {
+		if now.Sub(s.lastCall) > contactLifetime {
+			delete(r.recentNodes, name)
 			continue
 		}
 		if old, known := held[name]; !known || old != s.node {
 			put(old, known, s.node)
 		}
 	}
-	for name, by := range r.suspects {
+	for name, by := range r.suspectedBy {
 		n := 0
 		for w, at := range by {
-			if now.Sub(at) > suspectSpan {
+			if now.Sub(at) > suspicionLifetime {
 				delete(by, w)
 			} else {
 				n++
 			}
 		}
 		if len(by) == 0 {
-			delete(r.suspects, name)
+			delete(r.suspectedBy, name)
 		}
-		_, calls := r.seen[name]
-		if old, known := held[name]; known && !old.Down && !calls && n >= min(watchersAgr, len(held)-1) {
+		_, calls := r.recentNodes[name]
+		if old, known := held[name]; known && !old.Down && !calls && n >= min(witnessesRequired, len(held)-1) {
 			doubted = append(doubted, old)
 		}
 	}
 	r.mu.Unlock()
-	for _, old := range r.unreached(doubted) {
+	for _, old := range r.probeUnreachable(doubted) {
 		down := old
 		down.Down = true
 		put(old, true, down)
 		r.log.Warn(event.NodeDown).Str("peer", old.Name).Msg("a node is missed by its watchers")
 	}
 	if len(t.Ops) > 0 {
-		r.propose(ExchangeCell, t)
+		r.propose(MetaCell, t)
 	}
 }
 
-// unreached returns those of the nodes that do not answer this registrar either.
+// probeUnreachable returns those of the nodes that do not answer this registrar either.
 // A node may be fed by another registrar, and a full link loses its heartbeats:
 // those that answer are not suspected any more.
-func (r *Registrar) unreached(doubted []feed.Node) []feed.Node {
+func (r *Server) probeUnreachable(doubted []feed.Node) []feed.Node {
 	answers := make([]bool, len(doubted))
 	var wg sync.WaitGroup
 	for i, n := range doubted {
-		port := r.set.PortOf(settings.Switch)
-		if n.Cache {
-			port = r.set.PortOf(settings.Announcer)
+		port := r.settings.PortOf(settings.DataPlane)
+		if n.ObjectCache {
+			port = r.settings.PortOf(settings.ObjectCache)
 		}
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), reachLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 			defer cancel()
-			answers[i] = r.host.call.Call(ctx, innerAddr(n.Addr, port), "/here", feed.Call{}, nil) == nil
+			answers[i] = r.host.Client.Call(ctx, internalAddress(n.Addr, port), "/here", feed.UpdateRequest{}, nil) == nil
 		})
 	}
 	wg.Wait()
@@ -171,7 +171,7 @@
 	defer r.mu.Unlock()
 	for i, n := range doubted {
 		if answers[i] {
-			delete(r.suspects, n.Name)
+			delete(r.suspectedBy, n.Name)
 		} else {
 			out = append(out, n)
 		}
@@ -179,37 +179,37 @@
 	return out
 }
 
-// agedDesk marks registrars that nobody hears as down, and forgets nodes that
+// expireNodes marks registrars that nobody hears as down, and forgets nodes that
 // have been down for long.
-func (r *Registrar) agedDesk(since map[string]time.Time) {
+func (r *Server) expireNodes(since map[string]time.Time) {
 	now := time.Now()
 	var t cell.Txn
-	table := r.board.directory()
+	table := r.board.Nodes()
 	silent := map[string]bool{}
-	r.host.ask(func() { // how long others were silent belongs to the host's loop
+	r.host.Do(func() { // how long others were silent belongs to the host's loop
 		for name, n := range table {
-			silent[name] = n.Control && !n.Down && r.host.unheard(n.Addr) > seatSilence
+			silent[name] = n.ControlPlane && !n.Down && r.host.SilenceOf(n.Addr) > replicaTimeout
 		}
 	})
 	for name, n := range table {
-		cond := cell.Condition{Key: keyNode + name, Equals: encode(n)}
+		cond := cell.Condition{Key: NodeKeyPrefix + name, Equals: MustEncode(n)}
 		switch {
 		case !n.Down:
 			delete(since, name)
 			if silent[name] {
 				n.Down = true
 				t.Conditions = append(t.Conditions, cond)
-				t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyNode + name, Value: encode(n)})
+				t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NodeKeyPrefix + name, Value: MustEncode(n)})
 			}
 		case since[name].IsZero():
 			since[name] = now
-		case now.Sub(since[name]) > forgetAfter:
+		case now.Sub(since[name]) > downNodeRetention:
 			delete(since, name)
 			t.Conditions = append(t.Conditions, cond)
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: keyNode + name})
+			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: NodeKeyPrefix + name})
 		}
 	}
 	if len(t.Ops) > 0 {
-		r.propose(ExchangeCell, t)
+		r.propose(MetaCell, t)
 	}
 }
