--- a/internal/registrar/estimates.go
+++ b/internal/registrar/estimates.go
@@ -22,51 +22,51 @@
 
 // Bounds of the estimates' collection and export.
 const (
-	askersAtOnce = 16
-	askerLimit   = 800 * time.Millisecond
-	exportEvery  = 2 * time.Minute // sketches are of the last one to two minutes
-	exportMost   = 4 << 20         // bytes of a file; the one before is kept
-	exportName   = "estimates.jsonl"
+	maxConcurrentQueries = 16
+	queryTimeout         = 800 * time.Millisecond
+	exportInterval       = 2 * time.Minute // sketches are of the last one to two minutes
+	maxExportFileSize    = 4 << 20         // bytes of a file; the one before is kept
+	exportFileName       = "estimates.jsonl"
 )
 
 // EstimatesView is what an operator sees of lookups.
 type EstimatesView struct {
-	At     time.Time       `json:"at"`
-	Nodes  int             `json:"nodes"`      // switches that answered
-	Silent int             `json:"unanswered"` // switches that did not
-	Copies []CopyView      `json:"copies"`
-	Slow   []estimate.Slow `json:"slow"` // oldest first
-	Tally  estimate.Tally  `json:"tally"`
+	At         time.Time             `json:"at"`
+	Nodes      int                   `json:"nodes"`      // switches that answered
+	Unanswered int                   `json:"unanswered"` // switches that did not
+	Replicas   []ReplicaEstimate     `json:"copies"`
+	Slow       []estimate.SlowLookup `json:"slow"` // oldest first
+	Counters   estimate.Counters     `json:"tally"`
 }
 
-// CopyView is the estimate for one copy.
-type CopyView struct {
+// ReplicaEstimate is the estimate for one copy.
+type ReplicaEstimate struct {
 	estimate.Key
 	Estimate estimate.Estimate `json:"estimate"`
 }
 
 // collectEstimates asks the switches that fit and joins what they know.
-func (r *Registrar) collectEstimates(ctx context.Context, ask feed.EstimatesAsk, fits func(feed.Node) bool) EstimatesView {
-	v := EstimatesView{At: time.Now().UTC(), Copies: []CopyView{}, Slow: []estimate.Slow{}}
+func (r *Server) collectEstimates(ctx context.Context, ask feed.EstimatesRequest, fits func(feed.Node) bool) EstimatesView {
+	v := EstimatesView{At: time.Now().UTC(), Replicas: []ReplicaEstimate{}, Slow: []estimate.SlowLookup{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var views []estimate.View
-	gate := make(chan struct{}, askersAtOnce)
-	for _, n := range r.board.directory() {
-		if !n.Serves() || n.Down || !fits(n) {
+	var views []estimate.Snapshot
+	gate := make(chan struct{}, maxConcurrentQueries)
+	for _, n := range r.board.Nodes() {
+		if !n.ServesClients() || n.Down || !fits(n) {
 			continue
 		}
 		gate <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-gate }()
-			ctx, cancel := context.WithTimeout(ctx, askerLimit)
+			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
-			var one estimate.View
-			err := r.host.call.Call(ctx, innerAddr(n.Addr, r.set.PortOf(settings.Switch)), "/estimates", ask, &one)
+			var one estimate.Snapshot
+			err := r.host.Client.Call(ctx, internalAddress(n.Addr, r.settings.PortOf(settings.DataPlane)), "/estimates", ask, &one)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				v.Silent++
+				v.Unanswered++
 				return
 			}
 			v.Nodes++
@@ -74,32 +74,32 @@
 		})
 	}
 	wg.Wait()
-	all := estimate.Merge(views...)
+	all := estimate.MergeSnapshots(views...)
 	for _, k := range all.Sketches {
-		v.Copies = append(v.Copies, CopyView{k.Key, k.Sketch.Estimate()})
+		v.Replicas = append(v.Replicas, ReplicaEstimate{k.Key, k.Sketch.Estimate()})
 	}
-	sort.Slice(v.Copies, func(i, j int) bool {
-		a, b := v.Copies[i].Key, v.Copies[j].Key
+	sort.Slice(v.Replicas, func(i, j int) bool {
+		a, b := v.Replicas[i].Key, v.Replicas[j].Key
 		switch {
 		case a.Service != b.Service:
 			return a.Service < b.Service
 		case a.Class != b.Class:
 			return a.Class < b.Class
-		case a.Leaf != b.Leaf:
-			return a.Leaf < b.Leaf
+		case a.Endpoint != b.Endpoint:
+			return a.Endpoint < b.Endpoint
 		}
 		return a.Load < b.Load
 	})
-	v.Slow = append(v.Slow, all.Slow...)
+	v.Slow = append(v.Slow, all.SlowLookups...)
 	sort.Slice(v.Slow, func(i, j int) bool { return v.Slow[i].At.Before(v.Slow[j].At) })
-	v.Tally = all.Tally
+	v.Counters = all.Counters
 	return v
 }
 
 // readEstimates answers with what all switches know: of ?service= and ?class=, and of the
 // last ?seconds= of slow lookups, where they are given.
-func (r *Registrar) readEstimates(c echo.Context) error {
-	ask := feed.EstimatesAsk{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
+func (r *Server) readEstimates(c echo.Context) error {
+	ask := feed.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 4*time.Second)
 	defer cancel()
 	v := r.collectEstimates(ctx, ask, func(feed.Node) bool { return true })
@@ -111,11 +111,11 @@
 	return c.JSON(http.StatusOK, v)
 }
 
-// savedEstimates answers with what this registrar has written, oldest first.
-func (r *Registrar) savedEstimates(c echo.Context) error {
+// readSavedEstimates answers with what this registrar has written, oldest first.
+func (r *Server) readSavedEstimates(c echo.Context) error {
 	out := []json.RawMessage{}
-	for _, name := range []string{exportName + ".1", exportName} {
-		raw, err := os.ReadFile(filepath.Join(r.set.DataDirectory, name))
+	for _, name := range []string{exportFileName + ".1", exportFileName} {
+		raw, err := os.ReadFile(filepath.Join(r.settings.DataDirectory, name))
 		if err != nil {
 			continue
 		}
@@ -130,35 +130,35 @@
 
 // exportLoop writes down, now and then, what the switches of this zone know, for those
 // who read it in the morning.
-func (r *Registrar) exportLoop() {
-	if !r.set.Estimates.Enabled {
+func (r *Server) exportLoop() {
+	if !r.settings.Estimates.Enabled {
 		return
 	}
 	var last time.Time
 	for {
 		select {
-		case <-time.After(exportEvery):
+		case <-time.After(exportInterval):
 		case <-r.quit:
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		v := r.collectEstimates(ctx, feed.EstimatesAsk{}, func(n feed.Node) bool { return n.Zone == r.set.AvailabilityZone })
+		v := r.collectEstimates(ctx, feed.EstimatesRequest{}, func(n feed.Node) bool { return n.Zone == r.settings.AvailabilityZone })
 		cancel()
 		at := sort.Search(len(v.Slow), func(i int) bool { return v.Slow[i].At.After(last) })
 		v.Slow, last = v.Slow[at:], v.At
-		if err := r.saveEstimates(v); err != nil {
-			r.log.Warn(event.ExportFailed).Err(err).Msg("the estimates could not be written")
+		if err := r.appendEstimates(v); err != nil {
+			r.log.Warn(event.EstimateExportFailed).Err(err).Msg("the estimates could not be written")
 		}
 	}
 }
 
-// saveEstimates adds a line to the file, which is put aside when it is large. A line that
+// appendEstimates adds a line to the file, which is put aside when it is large. A line that
 // was torn stays, and the next begins anew. Names are synced before what they hold counts.
-func (r *Registrar) saveEstimates(v EstimatesView) error {
-	dir := r.set.DataDirectory
-	path := filepath.Join(dir, exportName)
+func (r *Server) appendEstimates(v EstimatesView) error {
+	dir := r.settings.DataDirectory
+	path := filepath.Join(dir, exportFileName)
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > exportMost {
+	if err == nil && info.Size() > maxExportFileSize {
 		if err := r.disk.Rename(path, path+".1"); err != nil {
 			return err
 		}
--- a/internal/registrar/host_test.go
+++ b/internal/registrar/host_test.go
@@ -9,16 +9,16 @@
 	"comethold/internal/event"
 )
 
-// TestAsk: as the node ends, what was asked of the loop has run whole or never will.
-func TestAsk(t *testing.T) {
+// TestDoRunsWholeOrNeverAtStop: as the node ends, what was asked of the loop has run whole or never will.
+func TestDoRunsWholeOrNeverAtStop(t *testing.T) {
 	nowhere := func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) { return nil }
-	h := NewHost(Hello{}, 0, nil, nil, nowhere, event.Nop())
+	h := NewHost(PeerInfo{}, 0, nil, nil, nowhere, event.Nop())
 	ended := make(chan error)
 	go func() { ended <- h.Run() }()
 	begun, goOn, back := make(chan struct{}), make(chan struct{}), make(chan bool)
 	go func() {
 		whole := false
-		h.ask(func() {
+		h.Do(func() {
 			close(begun)
 			<-goOn
 			whole = true
@@ -39,5 +39,5 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	h.ask(func() { t.Error("it runs after the end") })
+	h.Do(func() { t.Error("it runs after the end") })
 }
--- a/internal/registrar/marks.go
+++ b/internal/registrar/marks.go
@@ -11,12 +11,12 @@
 )
 
 // indexesByService names, for each service, the index cells whose cut holds it.
-func (r *Registrar) indexesByService() map[string][]string {
+func (r *Server) indexesByService() map[string][]string {
 	out := map[string][]string{}
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			for ix, rec := range indexesOf(m) {
-				for _, s := range rec.Cut {
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			for ix, rec := range ReadIndexes(m) {
+				for _, s := range rec.Services {
 					out[s] = append(out[s], ix)
 				}
 			}
@@ -28,39 +28,39 @@
 	return out
 }
 
-func (r *Registrar) marksIn(ix string) map[string]feed.Mark {
-	var out map[string]feed.Mark
-	r.host.ask(func() {
-		if m := r.host.cells[ix]; m != nil {
-			out = marksOf(ix, m).Drained
+func (r *Server) marksOfIndex(ix string) map[string]feed.EjectionMark {
+	var out map[string]feed.EjectionMark
+	r.host.Do(func() {
+		if m := r.host.Replicas[ix]; m != nil {
+			out = ReadEjections(ix, m).Ejected
 		}
 	})
 	return out
 }
 
-// reportsDesk turns what several switches noticed into marks.
-func (r *Registrar) reportsDesk() {
+// applyReports turns what several switches noticed into marks.
+func (r *Server) applyReports() {
 	now := time.Now()
 	r.mu.Lock()
-	var bad, well []feed.Report
-	for leaf, by := range r.reports {
+	var bad, well []feed.HealthReport
+	for leaf, by := range r.faultReports {
 		for w, at := range by {
-			if now.Sub(at) > reportSpan {
+			if now.Sub(at) > reportLifetime {
 				delete(by, w)
 			}
 		}
 		if len(by) == 0 {
-			delete(r.reports, leaf)
-			delete(r.bad, leaf)
-		} else if len(by) >= watchersAgr {
-			bad = append(bad, r.bad[leaf])
+			delete(r.faultReports, leaf)
+			delete(r.lastFaultReport, leaf)
+		} else if len(by) >= witnessesRequired {
+			bad = append(bad, r.lastFaultReport[leaf])
 		}
 	}
-	for leaf, w := range r.wells {
-		if now.Sub(w.at) > reportSpan {
-			delete(r.wells, leaf)
+	for leaf, w := range r.recoveryReports {
+		if now.Sub(w.reportedAt) > reportLifetime {
+			delete(r.recoveryReports, leaf)
 		} else {
-			well = append(well, w.rep)
+			well = append(well, w.report)
 		}
 	}
 	r.mu.Unlock()
@@ -70,9 +70,9 @@
 	// Other registrars hear the same: where one was first, what is left is worked
 	// out again.
 	done := false
-	for try := 0; try < markTries && !done; try++ {
+	for try := 0; try < maxMarkAttempts && !done; try++ {
 		done = true
-		for ix, t := range r.markChanges(bad, well) {
+		for ix, t := range r.reportedMarkTxns(bad, well) {
 			done = r.propose(ix, *t) && done
 		}
 	}
@@ -82,94 +82,94 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rep := range bad {
-		delete(r.reports, rep.Leaf)
+		delete(r.faultReports, rep.EndpointID)
 	}
 	for _, rep := range well {
-		delete(r.wells, rep.Leaf)
+		delete(r.recoveryReports, rep.EndpointID)
 	}
 }
 
-// markChanges makes one transaction for each index whose marks are to change.
-func (r *Registrar) markChanges(bad, well []feed.Report) map[string]*cell.Txn {
+// reportedMarkTxns makes one transaction for each index whose marks are to change.
+func (r *Server) reportedMarkTxns(bad, well []feed.HealthReport) map[string]*cell.Txn {
 	where := r.indexesByService()
-	marks := map[string]map[string]feed.Mark{}
+	marks := map[string]map[string]feed.EjectionMark{}
 	todo := map[string]*cell.Txn{}
-	held := func(ix, leaf string) feed.Mark {
+	held := func(ix, leaf string) feed.EjectionMark {
 		if marks[ix] == nil {
-			marks[ix] = r.marksIn(ix)
+			marks[ix] = r.marksOfIndex(ix)
 		}
 		return marks[ix][leaf]
 	}
 	for _, rep := range bad {
 		for _, ix := range where[rep.Service] {
-			if mk := held(ix, rep.Leaf); mk.Why == "" {
-				changeMark(todo, ix, rep.Leaf, mk, &feed.Mark{Why: feed.WhySilent, By: r.host.self.Name})
+			if mk := held(ix, rep.EndpointID); mk.Reason == "" {
+				AddMarkChange(todo, ix, rep.EndpointID, mk, &feed.EjectionMark{Reason: feed.ReasonUnresponsive, Reporter: r.host.Self.Name})
 			}
 		}
 	}
 	for _, rep := range well {
 		for _, ix := range where[rep.Service] {
-			if mk := held(ix, rep.Leaf); mk.Why == feed.WhySilent {
-				changeMark(todo, ix, rep.Leaf, mk, nil)
+			if mk := held(ix, rep.EndpointID); mk.Reason == feed.ReasonUnresponsive {
+				AddMarkChange(todo, ix, rep.EndpointID, mk, nil)
 			}
 		}
 	}
 	return todo
 }
 
-// changeMark adds to an index's transaction that the mark of a leaf, held as it was seen,
+// AddMarkChange adds to an index's transaction that the mark of a leaf, held as it was seen,
 // becomes next, or goes. One that is late finds another there, and does nothing.
-func changeMark(todo map[string]*cell.Txn, ix, leaf string, held feed.Mark, next *feed.Mark) {
+func AddMarkChange(todo map[string]*cell.Txn, ix, leaf string, held feed.EjectionMark, next *feed.EjectionMark) {
 	t := todo[ix]
 	if t == nil {
 		t = &cell.Txn{}
 		todo[ix] = t
 	}
-	key := keyMark + leaf
-	cond, op := cell.Condition{Key: key, Absent: held.Why == ""}, cell.Op{Kind: cell.OpDelete, Key: key}
+	key := EjectionKeyPrefix + leaf
+	cond, op := cell.Condition{Key: key, Absent: held.Reason == ""}, cell.Op{Kind: cell.OpDelete, Key: key}
 	if !cond.Absent {
-		cond.Equals = encode(held)
+		cond.Equals = MustEncode(held)
 	}
 	if next != nil {
-		op.Kind, op.Value = cell.OpPut, encode(*next)
+		op.Kind, op.Value = cell.OpPut, MustEncode(*next)
 	}
 	t.Conditions, t.Ops = append(t.Conditions, cond), append(t.Ops, op)
 }
 
-// marksDesk writes what the platform's list says of leaving leafs, and drops
+// reconcileListedMarks writes what the platform's list says of leaving leafs, and drops
 // the marks of leafs that are no more, and those for silence that have stood for
 // long: word that a leaf is well may have been lost.
-func (r *Registrar) marksDesk(since map[string]time.Time) {
-	for try, beaten := 0, true; try < markTries && beaten; try++ {
-		beaten = r.listMarks(since)
+func (r *Server) reconcileListedMarks(since map[string]time.Time) {
+	for try, beaten := 0, true; try < maxMarkAttempts && beaten; try++ {
+		beaten = r.tryListedMarks(since)
 	}
 }
 
-// listMarks is one try; beaten says that marks had changed meanwhile.
-func (r *Registrar) listMarks(since map[string]time.Time) (beaten bool) {
-	l := r.board.getList()
+// tryListedMarks is one try; beaten says that marks had changed meanwhile.
+func (r *Server) tryListedMarks(since map[string]time.Time) (beaten bool) {
+	l := r.board.Endpoints()
 	if l == nil {
 		return false
 	}
 	where := r.indexesByService()
 	todo := map[string]*cell.Txn{}
 	listed := map[string]bool{}
-	marks := map[string]map[string]feed.Mark{}
+	marks := map[string]map[string]feed.EjectionMark{}
 	for _, list := range where {
 		for _, ix := range list {
 			if marks[ix] == nil {
-				marks[ix] = r.marksIn(ix)
+				marks[ix] = r.marksOfIndex(ix)
 			}
 		}
 	}
-	for _, leaf := range l.Leafs {
+	for _, leaf := range l.Endpoints {
 		listed[leaf.ID] = true
 		if !leaf.Draining {
 			continue
 		}
 		for _, ix := range where[leaf.Service] {
-			if mk := marks[ix][leaf.ID]; mk.Why != feed.WhyList {
-				changeMark(todo, ix, leaf.ID, mk, &feed.Mark{Why: feed.WhyList})
+			if mk := marks[ix][leaf.ID]; mk.Reason != feed.ReasonDraining {
+				AddMarkChange(todo, ix, leaf.ID, mk, &feed.EjectionMark{Reason: feed.ReasonDraining})
 			}
 		}
 	}
@@ -179,19 +179,19 @@
 		for leaf, mk := range held {
 			key := ix + "/" + leaf
 			standing[key] = true
-			if mk.Why != feed.WhySilent {
+			if mk.Reason != feed.ReasonUnresponsive {
 				delete(since, key)
 			} else if since[key].IsZero() {
 				since[key] = now
 			}
-			if !listed[leaf] || mk.Why == feed.WhySilent && now.Sub(since[key]) > silentMost {
-				changeMark(todo, ix, leaf, mk, nil)
+			if !listed[leaf] || mk.Reason == feed.ReasonUnresponsive && now.Sub(since[key]) > maxEjectionTime {
+				AddMarkChange(todo, ix, leaf, mk, nil)
 			}
 		}
 	}
 	maps.DeleteFunc(since, func(key string, _ time.Time) bool { return !standing[key] })
 	for ix, t := range todo {
-		ctx, cancel := context.WithTimeout(context.Background(), deskWork)
+		ctx, cancel := context.WithTimeout(context.Background(), ProposalTimeout)
 		ok, err := r.host.Propose(ctx, ix, *t)
 		cancel()
 		beaten = beaten || err == nil && !ok
--- a/internal/registrar/move.go
+++ b/internal/registrar/move.go
@@ -11,65 +11,65 @@
 	"comethold/internal/event"
 )
 
-func indexName(n int64) string { return "i" + strconv.FormatInt(n, 10) }
+func IndexCellName(n int64) string { return "i" + strconv.FormatInt(n, 10) }
 
-// moveOrder asks a cell's proposer to give a seat to another member. Out is
+// MoveRequest asks a cell's proposer to give a seat to another member. Out is
 // empty where a seat is added.
-type moveOrder struct {
-	Cell string        `cbor:"1,keyasint"`
-	Out  cell.MemberID `cbor:"2,keyasint"`
-	In   cell.Seat     `cbor:"3,keyasint"`
+type MoveRequest struct {
+	Cell   string         `cbor:"1,keyasint"`
+	Remove cell.ReplicaID `cbor:"2,keyasint"`
+	Add    cell.Voter     `cbor:"3,keyasint"`
 }
 
-// seatsFor is how many voters bear the loss of so many machines.
-func seatsFor(losses int) int { return 2*losses + 1 }
+// VotersFor is how many voters bear the loss of so many machines.
+func VotersFor(losses int) int { return 2*losses + 1 }
 
-// moveHere moves a cell by one node at its proposer, once the newcomer has
+// moveLocal moves a cell by one node at its proposer, once the newcomer has
 // caught up and the move before it is done; the proposer brings it to its end.
-func (r *Registrar) moveHere(ctx context.Context, o *moveOrder) verdict {
+func (r *Server) moveLocal(ctx context.Context, o *MoveRequest) ProposeResult {
 	var t cell.Txn
-	v := verdict{NoLeader: true}
-	r.host.ask(func() {
-		m := r.host.cells[o.Cell]
-		if m == nil || m.Role() != cell.Leading {
+	v := ProposeResult{NoLeader: true}
+	r.host.Do(func() {
+		m := r.host.Replicas[o.Cell]
+		if m == nil || m.Role() != cell.Leader {
 			return
 		}
-		v = verdict{Busy: true}
-		seats, settled := m.Seats()
-		if !settled || m.Learnt(o.In.ID)+alpha < m.Applied() || m.Learnt(o.In.ID) == 0 && m.Applied() > 0 {
+		v = ProposeResult{Busy: true}
+		seats, settled := m.Voters()
+		if !settled || m.DurableCommitIndex(o.Add.ID)+Alpha < m.AppliedIndex() || m.DurableCommitIndex(o.Add.ID) == 0 && m.AppliedIndex() > 0 {
 			return
 		}
-		var next []cell.Seat
+		var next []cell.Voter
 		for _, s := range seats {
-			if s.ID != o.Out {
+			if s.ID != o.Remove {
 				next = append(next, s)
 			}
 		}
-		next = append(next, o.In)
-		if o.Out != "" && len(next) > len(seats) || o.Out == "" && len(next) > seatsFor(r.set.Tolerance.MachineLosses) {
+		next = append(next, o.Add)
+		if o.Remove != "" && len(next) > len(seats) || o.Remove == "" && len(next) > VotersFor(r.settings.Tolerance.MachineLosses) {
 			return
 		}
-		if !placed(next) && placed(seats) {
+		if !survivesZoneLoss(next) && survivesZoneLoss(seats) {
 			return
 		}
-		cond := cell.Condition{Key: cell.SeatsKey, Absent: true}
-		if c, ok := m.Get(cell.SeatsKey); ok {
-			cond = cell.Condition{Key: cell.SeatsKey, Equals: c}
+		cond := cell.Condition{Key: cell.MembershipVersionKey, Absent: true}
+		if c, ok := m.Get(cell.MembershipVersionKey); ok {
+			cond = cell.Condition{Key: cell.MembershipVersionKey, Equals: c}
 		}
-		t = cell.Txn{ID: newID(), Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpSeats, Seats: next}}}
+		t = cell.Txn{ID: NewTransactionID(), Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpSetVoters, Voters: next}}}
 	})
 	if t.Ops == nil {
 		return v
 	}
-	v = r.host.proposeHere(ctx, o.Cell, t)
+	v = r.host.ProposeLocal(ctx, o.Cell, t)
 	if v.Committed {
-		r.log.Info(event.SeatsChanged).Str("cell", o.Cell).Str("out", string(o.Out)).Str("in", string(o.In.ID)).Msg("a seat changed hands")
+		r.log.Info(event.VotersChanged).Str("cell", o.Cell).Str("out", string(o.Remove)).Str("in", string(o.Add.ID)).Msg("a seat changed hands")
 	}
 	return v
 }
 
-// placed reports whether no zone holds a majority of the seats.
-func placed(seats []cell.Seat) bool {
+// survivesZoneLoss reports whether no zone holds a majority of the seats.
+func survivesZoneLoss(seats []cell.Voter) bool {
 	n := map[string]int{}
 	for _, s := range seats {
 		if s.Zone != "" {
@@ -84,18 +84,18 @@
 	return true
 }
 
-// nextMove decides the one move that a cell needs most, if any: a machine that
+// planMove decides the one move that a cell needs most, if any: a machine that
 // came back with an empty disk takes over its former seat; a seat unheard for
 // long goes to a registrar that has none; a cell with too few seats gets one
 // more. Newcomers come from the zone, then the region, with the fewest seats.
-func nextMove(seats []cell.Seat, live map[string]Hello, silent func(addr string) bool, want int, region func(zone string) string) (out cell.MemberID, in cell.Seat, ok bool) {
+func planMove(seats []cell.Voter, live map[string]PeerInfo, silent func(addr string) bool, want int, region func(zone string) string) (out cell.ReplicaID, in cell.Voter, ok bool) {
 	for _, s := range seats {
 		if h, here := live[s.Addr]; here && h.ID != s.ID {
-			return s.ID, cell.Seat{ID: h.ID, Addr: h.Addr, Zone: h.Zone}, true
+			return s.ID, cell.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}, true
 		}
 	}
 	zones, regions, seated := map[string]int{}, map[string]int{}, map[string]bool{}
-	var lost *cell.Seat
+	var lost *cell.Voter
 	for i, s := range seats {
 		seated[s.Addr] = true
 		if silent(s.Addr) {
@@ -124,7 +124,7 @@
 			better = a < b || a == b && h.ID < in.ID
 		}
 		if better {
-			in = cell.Seat{ID: h.ID, Addr: h.Addr, Zone: h.Zone}
+			in = cell.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}
 		}
 	}
 	if in.ID == "" {
@@ -136,64 +136,64 @@
 	return lost.ID, in, true
 }
 
-// moveLoop moves seats while this node holds the duty. It has a loop of its own: the
+// placementLoop moves seats while this node holds the duty. It has a loop of its own: the
 // desk's work on a cell without a majority must not delay the repair of the others.
-func (r *Registrar) moveLoop() {
-	pause := deskEvery
+func (r *Server) placementLoop() {
+	pause := ReconcileInterval
 	for {
 		select {
 		case <-time.After(pause):
 		case <-r.quit:
 			return
 		}
-		pause = deskEvery
-		if _, ok := r.mover.held(); ok && r.fresh() <= staleFrom && r.moveDesk() {
-			pause = moveAgain
+		pause = ReconcileInterval
+		if _, ok := r.placementLease.Held(); ok && r.quorumContactAge() <= StaleAfter && r.placeVoters() {
+			pause = moveRetryInterval
 		}
 	}
 }
 
-// moveDesk carries out the moves that the cells need, of each cell one, and reports
+// placeVoters carries out the moves that the cells need, of each cell one, and reports
 // whether there were any: until all are done a further loss may be one too many.
-func (r *Registrar) moveDesk() bool {
+func (r *Server) placeVoters() bool {
 	type job struct {
-		o    moveOrder
+		o    MoveRequest
 		addr string
 		here bool
 	}
 	var jobs []job
-	want := seatsFor(r.set.Tolerance.MachineLosses)
-	r.host.ask(func() {
-		now := r.host.now()
-		live := r.host.live(candidateSpan)
-		silent := func(addr string) bool { return r.host.unheard(addr) > seatSilence }
-		for name, m := range r.host.cells {
-			seats, settled := m.Seats()
+	want := VotersFor(r.settings.Tolerance.MachineLosses)
+	r.host.Do(func() {
+		now := r.host.Now()
+		live := r.host.LivePeers(CandidateTimeout)
+		silent := func(addr string) bool { return r.host.SilenceOf(addr) > replicaTimeout }
+		for name, m := range r.host.Replicas {
+			seats, settled := m.Voters()
 			if !settled {
 				continue
 			}
-			if now-r.host.openedAt[name] < settleFirst {
+			if now-r.host.OpenedAt[name] < MinReplicaAge {
 				continue
 			}
-			if out, in, ok := nextMove(seats, live, silent, want, r.set.Region); ok {
+			if out, in, ok := planMove(seats, live, silent, want, r.settings.RegionOf); ok {
 				addr := ""
 				if l := m.Leader(); l != "" {
-					addr = r.host.ids[l]
+					addr = r.host.Addresses[l]
 				}
-				jobs = append(jobs, job{moveOrder{Cell: name, Out: out, In: in}, addr, m.Role() == cell.Leading})
+				jobs = append(jobs, job{MoveRequest{Cell: name, Remove: out, Add: in}, addr, m.Role() == cell.Leader})
 			}
 		}
 	})
 	var wg sync.WaitGroup
 	for _, j := range jobs {
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), deskWork)
+			ctx, cancel := context.WithTimeout(context.Background(), ProposalTimeout)
 			defer cancel()
 			if j.here {
-				r.moveHere(ctx, &j.o)
+				r.moveLocal(ctx, &j.o)
 			} else if j.addr != "" {
-				var v verdict
-				_ = r.host.call.Call(ctx, net.JoinHostPort(j.addr, strconv.Itoa(r.host.port)), "/move", &j.o, &v)
+				var v ProposeResult
+				_ = r.host.Client.Call(ctx, net.JoinHostPort(j.addr, strconv.Itoa(r.host.Port)), "/move", &j.o, &v)
 			}
 		})
 	}
--- a/internal/registrar/notices.go
+++ b/internal/registrar/notices.go
@@ -24,70 +24,70 @@
 
 // Bounds of the tables. Ours; see docs/design.md.
 const (
-	keepRedrives   = 256
-	keepPublished  = 128                             // rows that were sent
-	keepUnsent     = 128                             // and that were not; what those before speak of is in the state
-	mostRows       = keepPublished + keepUnsent + 64 // in any state
-	keepQuarantine = 64
-	publishEvery   = 500 * time.Millisecond
-	publishWork    = 1500 * time.Millisecond
-	inboxNote      = "inbox" // in the vault
+	maxRedriveRecords = 256
+	MaxPublishedRows  = 128                                   // rows that were sent
+	MaxUnsentRows     = 128                                   // and that were not; what those before speak of is in the state
+	MaxOutboxRows     = MaxPublishedRows + MaxUnsentRows + 64 // in any state
+	maxQuarantined    = 64
+	publishInterval   = 500 * time.Millisecond
+	deliveryTimeout   = 1500 * time.Millisecond
+	InboxStorageKey   = "inbox" // in the vault
 )
 
-// noticeBox is this registrar as a receiver of notices: the rows of the outbox reach it
+// Consumer is this registrar as a receiver of notices: the rows of the outbox reach it
 // with the cell's log.
-type noticeBox struct {
-	mu    sync.Mutex
-	inbox *notice.Inbox
-	told  map[string]bool // rows whose quarantine was logged
-	wake  chan struct{}
+type Consumer struct {
+	mu                sync.Mutex
+	inbox             *notice.Inbox
+	loggedQuarantines map[string]bool // rows whose quarantine was logged
+	wakeup            chan struct{}
 }
 
-func newNoticeBox(saved []byte) *noticeBox {
-	b := &noticeBox{inbox: notice.NewInbox(), told: map[string]bool{}, wake: make(chan struct{}, 1)}
+func NewConsumer(saved []byte) *Consumer {
+	b := &Consumer{inbox: notice.NewInbox(), loggedQuarantines: map[string]bool{}, wakeup: make(chan struct{}, 1)}
 	if saved != nil {
 		in := notice.NewInbox()
-		if wire.Unmarshal(saved, in) == nil && in.Done != nil {
+		if wire.Unmarshal(saved, in) == nil && in.AppliedVersions != nil {
 			b.inbox = in
 		}
 	}
 	return b
 }
 
-// keyedRow is a row of the outbox under its key.
-type keyedRow struct {
-	key string
-	raw []byte
-	row notice.Row
+// StoredRow is a row of the outbox under its key.
+type StoredRow struct {
+	Key string
+	Raw []byte
+	Row notice.Row
 }
 
-// rowAt reads a row. What is appended at a log position gets its version and its event
+// DecodeRow reads a row. What is appended at a log position gets its version and its event
 // id from there.
-func rowAt(key string, raw []byte) (keyedRow, bool) {
-	k := keyedRow{key: key, raw: raw}
-	if wire.Unmarshal(raw, &k.row) != nil {
+func DecodeRow(key string, raw []byte) (StoredRow, bool) {
+	k := StoredRow{Key: key, Raw: raw}
+	if wire.Unmarshal(raw, &k.Row) != nil {
 		return k, false
 	}
-	if n := &k.row.Notice; n.Aggregate == notice.Purges {
-		n.Version, n.EventID = slotOf(key, keyOutbox), notice.Purges+"/"+strings.TrimPrefix(key, keyOutbox)
+	if n := &k.Row.Notification; n.Aggregate == notice.AggregatePurges {
+		n.Version, n.EventID = LogIndexOfKey(key, OutboxKeyPrefix), notice.AggregatePurges+"/"+strings.TrimPrefix(key, OutboxKeyPrefix)
 	}
 	return k, true
 }
 
-func outboxOf(m *cell.Member) (rows []keyedRow) {
-	for _, k := range m.KeysFrom(keyOutbox, keyOutbox) {
+func OutboxRows(m *cell.Replica) (rows []StoredRow) {
+	for _, k := range m.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix) {
 		v, _ := m.Get(k)
-		if r, ok := rowAt(k, v.Bytes); ok {
+		if r, ok := DecodeRow(k, v.Bytes); ok {
 			rows = append(rows, r)
 		}
 	}
 	return rows
 }
 
-func (r *Registrar) outbox() (rows []keyedRow) {
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			rows = outboxOf(m)
+func (r *Server) outboxRows() (rows []StoredRow) {
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			rows = OutboxRows(m)
 		}
 	})
 	return rows
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, t := range next.Tenants {
-		if o, ok := had[t.Name]; !ok || !same(o, t) {
+		if o, ok := had[t.Name]; !ok || !EqualEncoding(o, t) {
 			out = append(out, t.Name)
 		}
 		delete(had, t.Name)
@@ -114,227 +114,227 @@
 	return out
 }
 
-// decideNotices decides what the outbox holds before it brings anything into force here,
+// applyNotifications decides what the outbox holds before it brings anything into force here,
 // and passes it on to the nodes that this registrar feeds.
-func (r *Registrar) decideNotices() {
-	rows := r.outbox()
+func (r *Server) applyNotifications() {
+	rows := r.outboxRows()
 	b := r.notices
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	cfg := r.board.newest()
-	have := map[string]uint64{notice.Purges: r.board.recallPos()}
+	cfg := r.board.LatestConfiguration()
+	have := map[string]uint64{notice.AggregatePurges: r.board.recallPos()}
 	if cfg != nil {
-		have[notice.Configuration] = cfg.Version
+		have[notice.AggregateConfiguration] = cfg.Version
 	}
 	changed := false
 	// Nodes go by the newest position that they were told of: what comes after a notice
 	// that waits, or at its position, is told after it.
-	told, waits := []feed.Notice(nil), uint64(math.MaxUint64)
+	told, waits := []feed.OutboxNotification(nil), uint64(math.MaxUint64)
 	for i := range rows {
-		n, slot := &rows[i].row.Notice, slotOf(rows[i].key, keyOutbox)
-		if n.Version <= have[n.Aggregate] && n.After > b.inbox.Done[n.Aggregate] {
+		n, slot := &rows[i].Row.Notification, LogIndexOfKey(rows[i].Key, OutboxKeyPrefix)
+		if n.Version <= have[n.Aggregate] && n.PreviousVersion > b.inbox.AppliedVersions[n.Aggregate] {
 			// What was between is in the state that is held here; its rows are swept.
-			b.inbox.Base(n.Aggregate, n.After)
+			b.inbox.SetBaseVersion(n.Aggregate, n.PreviousVersion)
 		}
 		switch d, why := b.inbox.Decide(n, have[n.Aggregate]); d {
 		case notice.Applied:
 			changed = true
-			told = append(told, feed.Notice{Pos: slot, Notice: *n})
+			told = append(told, feed.OutboxNotification{LogIndex: slot, Notification: *n})
 		case notice.Duplicate: // it may be new to a board that has just started
-			told = append(told, feed.Notice{Pos: slot, Notice: *n})
+			told = append(told, feed.OutboxNotification{LogIndex: slot, Notification: *n})
 		case notice.Deferred:
 			waits = min(waits, slot)
 		case notice.Quarantined:
-			if !b.told[n.EventID] {
-				b.told[n.EventID] = true
-				r.log.Error(event.NoticeQuarantined).Str("eventId", n.EventID).Err(why).Msg("a notice is quarantined")
+			if !b.loggedQuarantines[n.EventID] {
+				b.loggedQuarantines[n.EventID] = true
+				r.log.Error(event.NotificationQuarantined).Str("eventId", n.EventID).Err(why).Msg("a notice is quarantined")
 				go r.quarantine(n, why.Error())
 			}
 		}
 	}
-	r.board.addNotices(slices.DeleteFunc(told, func(n feed.Notice) bool { return n.Pos >= waits }))
+	r.board.addNotices(slices.DeleteFunc(told, func(n feed.OutboxNotification) bool { return n.LogIndex >= waits }))
 	if cfg == nil {
 		return
 	}
-	if b.inbox.Done[notice.Configuration] < cfg.Version && !waitsFor(rows, b.inbox, cfg.Version) {
-		b.inbox.Base(notice.Configuration, cfg.Version) // a state that came without notices
+	if b.inbox.AppliedVersions[notice.AggregateConfiguration] < cfg.Version && !hasUndecidedConfiguration(rows, b.inbox, cfg.Version) {
+		b.inbox.SetBaseVersion(notice.AggregateConfiguration, cfg.Version) // a state that came without notices
 		changed = true
 	}
-	if b.inbox.Done[notice.Configuration] >= cfg.Version {
-		r.quotas.setTenants(cfg)
+	if b.inbox.AppliedVersions[notice.AggregateConfiguration] >= cfg.Version {
+		r.quotas.SetTenants(cfg)
 	}
 	if changed {
 		if raw, err := wire.Marshal(b.inbox); err == nil {
-			r.host.vault.NoteNode(inboxNote, raw)
+			r.host.Storage.QueueNodeValue(InboxStorageKey, raw)
 		}
 	}
 }
 
-// waitsFor reports whether the outbox holds a notice up to the version that is not done.
-func waitsFor(rows []keyedRow, in *notice.Inbox, version uint64) bool {
+// hasUndecidedConfiguration reports whether the outbox holds a notice up to the version that is not done.
+func hasUndecidedConfiguration(rows []StoredRow, in *notice.Inbox, version uint64) bool {
 	for _, k := range rows {
-		if n := &k.row.Notice; n.Aggregate == notice.Configuration && n.Version <= version && n.Version > in.Done[n.Aggregate] {
+		if n := &k.Row.Notification; n.Aggregate == notice.AggregateConfiguration && n.Version <= version && n.Version > in.AppliedVersions[n.Aggregate] {
 			return true
 		}
 	}
 	return false
 }
 
-// noticeLoop decides as the outbox moves.
-func (r *Registrar) noticeLoop() {
+// consumeLoop decides as the outbox moves.
+func (r *Server) consumeLoop() {
 	for {
 		select {
-		case <-r.notices.wake:
-			r.decideNotices()
+		case <-r.notices.wakeup:
+			r.applyNotifications()
 		case <-r.quit:
 			return
 		}
 	}
 }
 
-func (r *Registrar) wakeNotices() {
+func (r *Server) wakeConsumer() {
 	select {
-	case r.notices.wake <- struct{}{}:
+	case r.notices.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// noticesHeard is where a publisher sends notices. It says which of them this registrar
+// receiveNotifications is where a publisher sends notices. It says which of them this registrar
 // has decided, here or before.
-func (r *Registrar) noticesHeard(list []notice.Notice) (done []bool) {
-	r.decideNotices() // what the cell has told already
+func (r *Server) receiveNotifications(list []notice.Notification) (done []bool) {
+	r.applyNotifications() // what the cell has told already
 	r.notices.mu.Lock()
 	defer r.notices.mu.Unlock()
 	for i := range list {
 		n := &list[i]
 		// Only what the cell tells is applied: the log has the order. What it has not
 		// told yet is deferred, and the publisher comes again.
-		done = append(done, n.Check() != nil || r.notices.inbox.Done[n.Aggregate] >= n.Version)
+		done = append(done, n.Validate() != nil || r.notices.inbox.AppliedVersions[n.Aggregate] >= n.Version)
 	}
 	return done
 }
 
 // publishLoop sends what the outbox holds, at the holder of the mover's duty. Nobody
 // who waits for an acknowledgement waits for it.
-func (r *Registrar) publishLoop() {
-	seen := map[string]rowSeen{}
+func (r *Server) publishLoop() {
+	seen := map[string]observedRow{}
 	for {
 		select {
-		case <-time.After(publishEvery):
+		case <-time.After(publishInterval):
 		case <-r.quit:
 			return
 		}
-		if term, ok := r.mover.held(); ok {
-			r.publish(fmt.Sprintf("%s/%d", r.host.self.ID, term), seen)
+		if term, ok := r.placementLease.Held(); ok {
+			r.publish(fmt.Sprintf("%s/%d", r.host.Self.ID, term), seen)
 		} else {
 			clear(seen)
 		}
 	}
 }
 
-// rowSeen is since when a row is seen as it is.
-type rowSeen struct {
-	raw string
-	at  time.Time
+// observedRow is since when a row is seen as it is.
+type observedRow struct {
+	raw   string
+	since time.Time
 }
 
 // publish claims what is due, sends it and notes what became of it.
-func (r *Registrar) publish(owner string, seen map[string]rowSeen) {
-	t, rows, dropped := sweepRows(r.outbox())
-	if len(t.Ops) > 0 && r.propose(ExchangeCell, t) {
+func (r *Server) publish(owner string, seen map[string]observedRow) {
+	t, rows, dropped := SweepRows(r.outboxRows())
+	if len(t.Ops) > 0 && r.propose(MetaCell, t) {
 		for _, id := range dropped {
-			r.log.Warn(event.NoticeDropped).Str("eventId", id).Msg("a notice that not every registrar has taken is dropped for newer ones")
+			r.log.Warn(event.NotificationDropped).Str("eventId", id).Msg("a notice that not every registrar has taken is dropped for newer ones")
 		}
 	}
 	t, claimed := claimRows(rows, owner, seen, time.Now())
-	if len(t.Ops) == 0 || !r.propose(ExchangeCell, t) || len(claimed) == 0 {
+	if len(t.Ops) == 0 || !r.propose(MetaCell, t) || len(claimed) == 0 {
 		return
 	}
-	sent := r.sendNotices(claimed)
+	sent := r.deliverToAll(claimed)
 	t = cell.Txn{}
 	for i, k := range claimed {
-		next, err := k.row.Publish(owner)
+		next, err := k.Row.MarkPublished(owner)
 		if !sent[i] {
-			next, err = k.row.Retry(owner)
-			r.log.Warn(event.NoticeRetry).Str("eventId", k.row.Notice.EventID).Int("tries", k.row.Tries).Msg("a notice was not taken by every registrar; it is sent again")
+			next, err = k.Row.ScheduleRetry(owner)
+			r.log.Warn(event.NotificationRetry).Str("eventId", k.Row.Notification.EventID).Int("tries", k.Row.Attempts).Msg("a notice was not taken by every registrar; it is sent again")
 		}
 		if err != nil {
 			continue
 		}
-		t.Conditions = append(t.Conditions, cell.Condition{Key: k.key, Equals: cell.Bytes(k.raw)})
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.key, Value: encode(next)})
+		t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
+		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)})
 	}
-	r.propose(ExchangeCell, t)
+	r.propose(MetaCell, t)
 }
 
 // claimRows makes the transaction that claims what is due; it holds only for rows that are
 // as they were seen.
-func claimRows(rows []keyedRow, owner string, seen map[string]rowSeen, now time.Time) (t cell.Txn, claimed []keyedRow) {
+func claimRows(rows []StoredRow, owner string, seen map[string]observedRow, now time.Time) (t cell.Txn, claimed []StoredRow) {
 	known := map[string]bool{}
 	for _, k := range rows {
-		known[k.key] = true
-		if s, ok := seen[k.key]; !ok || s.raw != string(k.raw) {
-			seen[k.key] = rowSeen{string(k.raw), now}
+		known[k.Key] = true
+		if s, ok := seen[k.Key]; !ok || s.raw != string(k.Raw) {
+			seen[k.Key] = observedRow{string(k.Raw), now}
 		}
-		if k.row.State == notice.Published {
+		if k.Row.State == notice.Published {
 			continue
 		}
-		next, err := k.row.Claim(owner, now.Sub(seen[k.key].at))
+		next, err := k.Row.Claim(owner, now.Sub(seen[k.Key].since))
 		if err != nil {
 			continue
 		}
-		t.Conditions = append(t.Conditions, cell.Condition{Key: k.key, Equals: cell.Bytes(k.raw)})
-		put := cell.Op{Kind: cell.OpPut, Key: k.key, Value: encode(next)}
+		t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
+		put := cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)}
 		t.Ops = append(t.Ops, put)
-		claimed = append(claimed, keyedRow{key: k.key, raw: put.Value.Bytes, row: next})
+		claimed = append(claimed, StoredRow{Key: k.Key, Raw: put.Value.Bytes, Row: next})
 	}
-	maps.DeleteFunc(seen, func(key string, _ rowSeen) bool { return !known[key] })
+	maps.DeleteFunc(seen, func(key string, _ observedRow) bool { return !known[key] })
 	return t, claimed
 }
 
-// sweepRows makes the transaction that forgets the oldest rows, by themselves: what
+// SweepRows makes the transaction that forgets the oldest rows, by themselves: what
 // registrars claim of the others must not hold it up. Those that stay are handed back.
-func sweepRows(rows []keyedRow) (t cell.Txn, stay []keyedRow, dropped []string) {
+func SweepRows(rows []StoredRow) (t cell.Txn, stay []StoredRow, dropped []string) {
 	published, unsent := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
 		k := rows[i]
-		n, most := &unsent, keepUnsent
-		if k.row.State == notice.Published {
-			n, most = &published, keepPublished
+		n, most := &unsent, MaxUnsentRows
+		if k.Row.State == notice.Published {
+			n, most = &published, MaxPublishedRows
 		}
 		if *n++; *n <= most {
 			stay = append(stay, k)
 			continue
 		}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: k.key})
+		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: k.Key})
 		if n == &published {
-			t.Conditions = append(t.Conditions, cell.Condition{Key: k.key, Equals: cell.Bytes(k.raw)}) // it may be redriven
+			t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)}) // it may be redriven
 		} else { // whatever has become of it: no row comes back under its key
-			dropped = append(dropped, k.row.Notice.EventID)
+			dropped = append(dropped, k.Row.Notification.EventID)
 		}
 	}
 	return t, stay, dropped
 }
 
-// sendNotices tells every registrar that is live; a notice is sent where each of them
+// deliverToAll tells every registrar that is live; a notice is sent where each of them
 // has decided it.
-func (r *Registrar) sendNotices(rows []keyedRow) []bool {
-	list := make([]notice.Notice, len(rows))
+func (r *Server) deliverToAll(rows []StoredRow) []bool {
+	list := make([]notice.Notification, len(rows))
 	all := make([]bool, len(rows))
 	for i := range rows {
-		list[i], all[i] = rows[i].row.Notice, true
+		list[i], all[i] = rows[i].Row.Notification, true
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for addr := range r.host.live(learnerSpan) {
+	for addr := range r.host.LivePeers(LearnerTimeout) {
 		wg.Go(func() {
 			var done []bool
-			if addr == r.set.IPAddress {
-				done = r.noticesHeard(list)
+			if addr == r.settings.IPAddress {
+				done = r.receiveNotifications(list)
 			} else {
-				ctx, cancel := context.WithTimeout(context.Background(), publishWork)
+				ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 				defer cancel()
-				if r.host.call.Call(ctx, innerAddr(addr, r.host.port), "/notices", list, &done) != nil {
+				if r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/notices", list, &done) != nil {
 					done = nil
 				}
 			}
@@ -349,32 +349,32 @@
 	return all
 }
 
-// quarantined is what is known of a notice, or an order, that contradicts what was.
-type quarantined struct {
-	Notice notice.Notice `cbor:"1,keyasint"`
-	Why    string        `cbor:"2,keyasint"`
-	By     string        `cbor:"3,keyasint"`
+// QuarantineRecord is what is known of a notice, or an order, that contradicts what was.
+type QuarantineRecord struct {
+	Notification notice.Notification `cbor:"1,keyasint"`
+	Reason       string              `cbor:"2,keyasint"`
+	ReportedBy   string              `cbor:"3,keyasint"`
 }
 
 // quarantine notes a notice for the operator, apart from the healthy ones.
-func (r *Registrar) quarantine(n *notice.Notice, why string) {
-	key := keyQuarantine + n.EventID
+func (r *Server) quarantine(n *notice.Notification, why string) {
+	key := QuarantineKeyPrefix + n.EventID
 	t := cell.Txn{Conditions: []cell.Condition{{Key: key, Absent: true}},
-		Ops: []cell.Op{{Kind: cell.OpPut, Key: key, Value: encode(quarantined{*n, why, r.set.NodeName})}}}
+		Ops: []cell.Op{{Kind: cell.OpPut, Key: key, Value: MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
 	var keys []string
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			keys = m.KeysFrom(keyQuarantine, keyQuarantine)
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			keys = m.KeysWithPrefix(QuarantineKeyPrefix, QuarantineKeyPrefix)
 		}
 	})
-	for i := 0; i+keepQuarantine <= len(keys); i++ {
+	for i := 0; i+maxQuarantined <= len(keys); i++ {
 		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: keys[i]})
 	}
-	r.propose(ExchangeCell, t)
+	r.propose(MetaCell, t)
 }
 
-// redrive is the operator's order to send a notice once more, or to close its case.
-type redrive struct {
+// RedriveRequest is the operator's order to send a notice once more, or to close its case.
+type RedriveRequest struct {
 	EventID       string `json:"eventId" cbor:"1,keyasint"`
 	Operator      string `json:"operator" cbor:"2,keyasint"`
 	CorrelationID string `json:"correlationId" cbor:"3,keyasint"`
@@ -383,110 +383,110 @@
 
 // Actions of a redrive.
 const (
-	actionResend = "resend"
-	actionClose  = "close"
+	RedriveResend = "resend"
+	RedriveClose  = "close"
 )
 
-var errRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
+var ErrInvalidRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
 
-func (d *redrive) check() error {
-	if d.EventID == "" || d.Operator == "" || d.CorrelationID == "" || d.Action != actionResend && d.Action != actionClose {
-		return errRedrive
+func (d *RedriveRequest) Validate() error {
+	if d.EventID == "" || d.Operator == "" || d.CorrelationID == "" || d.Action != RedriveResend && d.Action != RedriveClose {
+		return ErrInvalidRedrive
 	}
 	return nil
 }
 
-// redriveTxn makes the transaction of a redrive: the record of who had it done, and the
+// RedriveTransaction makes the transaction of a redrive: the record of who had it done, and the
 // row, whose notice is not touched, back in line. known is false where no row and no
 // case has this event id. done: this very redrive is on record. One that is late finds
 // the place of its record taken, and does nothing.
-func redriveTxn(m *cell.Member, d *redrive) (t cell.Txn, known, done bool) {
-	raw, old := encode(d), m.KeysFrom(keyRedrive, keyRedrive)
+func RedriveTransaction(m *cell.Replica, d *RedriveRequest) (t cell.Txn, known, done bool) {
+	raw, old := MustEncode(d), m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
 	last := uint64(0)
 	for _, k := range old {
 		if v, _ := m.Get(k); v.Equal(raw) {
 			return t, true, true
 		}
-		last = slotOf(k, keyRedrive)
+		last = LogIndexOfKey(k, RedriveKeyPrefix)
 	}
-	key := cell.AppendedKey(keyRedrive, last+1, "")
+	key := cell.AppendedKey(RedriveKeyPrefix, last+1, "")
 	t.Conditions = []cell.Condition{{Key: key, Absent: true}}
 	t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: key, Value: raw})
-	if _, ok := m.Get(keyQuarantine + d.EventID); ok {
+	if _, ok := m.Get(QuarantineKeyPrefix + d.EventID); ok {
 		known = true
-		if d.Action == actionClose {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: keyQuarantine + d.EventID})
+		if d.Action == RedriveClose {
+			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: QuarantineKeyPrefix + d.EventID})
 		}
 	}
-	for _, k := range outboxOf(m) {
-		if k.row.Notice.EventID != d.EventID {
+	for _, k := range OutboxRows(m) {
+		if k.Row.Notification.EventID != d.EventID {
 			continue
 		}
 		known = true
-		if d.Action == actionResend {
-			t.Conditions = append(t.Conditions, cell.Condition{Key: k.key, Equals: cell.Bytes(k.raw)})
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.key, Value: encode(k.row.Redrive())})
+		if d.Action == RedriveResend {
+			t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
+			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(k.Row.Redrive())})
 		}
 	}
-	for i := 0; i+keepRedrives <= len(old); i++ {
+	for i := 0; i+maxRedriveRecords <= len(old); i++ {
 		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: old[i]})
 	}
 	return t, known, false
 }
 
-// slotOf reads the log position out of the key of an appended value.
-func slotOf(key, prefix string) uint64 {
+// LogIndexOfKey reads the log position out of the key of an appended value.
+func LogIndexOfKey(key, prefix string) uint64 {
 	at, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	n, _ := strconv.ParseUint(at, 10, 64)
 	return n
 }
 
 // addNotices puts those that are new on the board, in order of position, all at once.
-func (b *board) addNotices(list []feed.Notice) {
+func (b *Distributor) addNotices(list []feed.OutboxNotification) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]bool{}
-	for i := range b.notices {
-		known[b.notices[i].Notice.EventID] = true
+	for i := range b.notifications {
+		known[b.notifications[i].Notification.EventID] = true
 	}
-	next := slices.Clone(b.notices)
+	next := slices.Clone(b.notifications)
 	for _, n := range list {
-		if id := n.Notice.EventID; n.Pos > b.noticesFrom && !known[id] {
+		if id := n.Notification.EventID; n.LogIndex > b.notificationLowWatermark && !known[id] {
 			known[id] = true
 			next = append(next, n)
-			b.noticeBase[n.Notice.Aggregate] = max(b.noticeBase[n.Notice.Aggregate], n.Notice.Version)
+			b.notificationBaseVersions[n.Notification.Aggregate] = max(b.notificationBaseVersions[n.Notification.Aggregate], n.Notification.Version)
 		}
 	}
-	if len(next) == len(b.notices) {
+	if len(next) == len(b.notifications) {
 		return
 	}
-	slices.SortStableFunc(next, func(a, b feed.Notice) int { return cmp.Compare(a.Pos, b.Pos) })
-	if over := len(next) - keepPublished; over > 0 {
-		b.noticesFrom = next[over-1].Pos
+	slices.SortStableFunc(next, func(a, b feed.OutboxNotification) int { return cmp.Compare(a.LogIndex, b.LogIndex) })
+	if over := len(next) - MaxPublishedRows; over > 0 {
+		b.notificationLowWatermark = next[over-1].LogIndex
 		next = next[over:]
 	}
-	b.notices = next
-	b.changedLocked()
+	b.notifications = next
+	b.notifyLocked()
 }
 
 // noticeNews adds the notices that the caller lacks.
-func (b *board) noticeNews(h feed.Have, n *feed.News) {
-	k := len(b.notices)
-	if k == 0 || b.notices[k-1].Pos <= h.Notice {
+func (b *Distributor) noticeNews(h feed.HeldVersions, n *feed.Update) {
+	k := len(b.notifications)
+	if k == 0 || b.notifications[k-1].LogIndex <= h.NotificationIndex {
 		return
 	}
-	ns := &feed.Notices{Pos: b.notices[k-1].Pos, Reset: h.Notice == 0 || h.Notice < b.noticesFrom}
-	at := sort.Search(k, func(i int) bool { return b.notices[i].Pos > h.Notice })
+	ns := &feed.NotificationUpdate{LogIndex: b.notifications[k-1].LogIndex, Reset: h.NotificationIndex == 0 || h.NotificationIndex < b.notificationLowWatermark}
+	at := sort.Search(k, func(i int) bool { return b.notifications[i].LogIndex > h.NotificationIndex })
 	if ns.Reset {
-		at, ns.Base = k, maps.Clone(b.noticeBase) // the state that it is given tells all that came before
+		at, ns.BaseVersions = k, maps.Clone(b.notificationBaseVersions) // the state that it is given tells all that came before
 	}
-	ns.All = b.notices[at:k:k]
-	n.Notices = ns
+	ns.Notifications = b.notifications[at:k:k]
+	n.Notifications = ns
 }
 
 // recallPos is the position up to which purges are held here.
-func (b *board) recallPos() uint64 {
+func (b *Distributor) recallPos() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.pos
+	return b.purgePosition
 }
--- a/internal/registrar/operate.go
+++ b/internal/registrar/operate.go
@@ -14,53 +14,53 @@
 	"github.com/labstack/echo/v4"
 )
 
-// NoticesView is what an operator sees of the outbox and of what was quarantined.
-type NoticesView struct {
+// OutboxView is what an operator sees of the outbox and of what was quarantined.
+type OutboxView struct {
 	Backlog    int               `json:"backlog"` // rows that are not published
-	Rows       []RowView         `json:"rows"`    // those of the backlog, oldest first
+	Rows       []OutboxRowView   `json:"rows"`    // those of the backlog, oldest first
 	Quarantine []QuarantinedView `json:"quarantine"`
-	Redrives   []redrive         `json:"redrives"` // oldest first
-	// Decided is up to which version this registrar has applied each aggregate.
-	Decided map[string]uint64 `json:"decided"`
+	Redrives   []RedriveRequest  `json:"redrives"` // oldest first
+	// AppliedVersions is up to which version this registrar has applied each aggregate.
+	AppliedVersions map[string]uint64 `json:"decided"`
 }
 
-// RowView is a row of the outbox.
-type RowView struct {
+// OutboxRowView is a row of the outbox.
+type OutboxRowView struct {
 	EventID   string `json:"eventId"`
 	Aggregate string `json:"aggregate"`
 	Version   uint64 `json:"version"`
 	State     string `json:"state"`
-	Tries     int    `json:"tries"`
+	Attempts  int    `json:"tries"`
 	Owner     string `json:"owner,omitempty"`
 }
 
 // QuarantinedView is a notice or order that contradicts what was.
 type QuarantinedView struct {
-	EventID string `json:"eventId"`
-	Version uint64 `json:"version"`
-	Why     string `json:"why"`
-	By      string `json:"by"`
+	EventID    string `json:"eventId"`
+	Version    uint64 `json:"version"`
+	Reason     string `json:"why"`
+	ReportedBy string `json:"by"`
 }
 
-// viewNotices reads the tables of the exchange cell.
-func viewNotices(m *cell.Member) NoticesView {
-	v := NoticesView{Rows: []RowView{}, Quarantine: []QuarantinedView{}, Redrives: []redrive{}, Decided: map[string]uint64{}}
-	for _, k := range outboxOf(m) {
-		if k.row.State == notice.Published {
+// outboxView reads the tables of the exchange cell.
+func outboxView(m *cell.Replica) OutboxView {
+	v := OutboxView{Rows: []OutboxRowView{}, Quarantine: []QuarantinedView{}, Redrives: []RedriveRequest{}, AppliedVersions: map[string]uint64{}}
+	for _, k := range OutboxRows(m) {
+		if k.Row.State == notice.Published {
 			continue
 		}
-		n := &k.row.Notice
-		v.Rows = append(v.Rows, RowView{n.EventID, n.Aggregate, n.Version, k.row.State.String(), k.row.Tries, k.row.Owner})
+		n := &k.Row.Notification
+		v.Rows = append(v.Rows, OutboxRowView{n.EventID, n.Aggregate, n.Version, k.Row.State.String(), k.Row.Attempts, k.Row.Owner})
 	}
 	v.Backlog = len(v.Rows)
-	for _, k := range m.KeysFrom(keyQuarantine, keyQuarantine) {
-		var q quarantined
+	for _, k := range m.KeysWithPrefix(QuarantineKeyPrefix, QuarantineKeyPrefix) {
+		var q QuarantineRecord
 		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &q) == nil {
-			v.Quarantine = append(v.Quarantine, QuarantinedView{q.Notice.EventID, q.Notice.Version, q.Why, q.By})
+			v.Quarantine = append(v.Quarantine, QuarantinedView{q.Notification.EventID, q.Notification.Version, q.Reason, q.ReportedBy})
 		}
 	}
-	for _, k := range m.KeysFrom(keyRedrive, keyRedrive) {
-		var d redrive
+	for _, k := range m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix) {
+		var d RedriveRequest
 		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &d) == nil {
 			v.Redrives = append(v.Redrives, d)
 		}
@@ -70,141 +70,141 @@
 
 // CellView is how a cell stands at this registrar.
 type CellView struct {
-	Seats   []cell.Seat
+	Voters  []cell.Voter
 	Settled bool // the newest seats are in effect
 	Voter   bool // this registrar has one
 	Applied uint64
 	Role    cell.Role
-	Leader  cell.MemberID // as far as is known here
+	Leader  cell.ReplicaID // as far as is known here
 }
 
 // Cells tells how the cells stand here.
-func (r *Registrar) Cells() map[string]CellView {
+func (r *Server) Cells() map[string]CellView {
 	out := map[string]CellView{}
 	if !r.isReady() {
 		return out
 	}
-	r.host.ask(func() {
-		for name, m := range r.host.cells {
-			seats, settled := m.Seats()
-			out[name] = CellView{seats, settled, m.Voter(), m.Applied(), m.Role(), m.Leader()}
+	r.host.Do(func() {
+		for name, m := range r.host.Replicas {
+			seats, settled := m.Voters()
+			out[name] = CellView{seats, settled, m.IsVoter(), m.AppliedIndex(), m.Role(), m.Leader()}
 		}
 	})
 	return out
 }
 
-// DutyView is who holds a duty.
-type DutyView struct {
-	Duty   string `json:"duty"`
-	Holder string `json:"holder"` // the member that holds it; empty: nobody
-	Fence  uint64 `json:"fence"`
+// LeaseView is who holds a duty.
+type LeaseView struct {
+	Role         string `json:"duty"`
+	Holder       string `json:"holder"` // the member that holds it; empty: nobody
+	FencingToken uint64 `json:"fence"`
 }
 
-// DutiesView is what an operator sees of the duties.
-type DutiesView struct {
-	Duties []DutyView `json:"duties"`
+// LeasesView is what an operator sees of the duties.
+type LeasesView struct {
+	Leases []LeaseView `json:"duties"`
 	// Of the usage reports: how many are committed and not taken yet, the oldest of them,
 	// and the newest that is committed.
-	ReportBacklog int    `json:"reportBacklog"`
-	OldestUnsent  uint64 `json:"oldestUnsentWindow,omitempty"`
-	NewestMade    uint64 `json:"newestWindow,omitempty"`
+	ReportBacklog      int    `json:"reportBacklog"`
+	OldestUnsentWindow uint64 `json:"oldestUnsentWindow,omitempty"`
+	NewestWindow       uint64 `json:"newestWindow,omitempty"`
 }
 
-// viewDuties reads the duties of the exchange cell.
-func viewDuties(m *cell.Member) DutiesView {
-	v := DutiesView{Duties: []DutyView{}}
-	for _, k := range m.KeysFrom(keyDuty, keyDuty) {
-		var rec dutyRecord
+// leasesView reads the duties of the exchange cell.
+func leasesView(m *cell.Replica) LeasesView {
+	v := LeasesView{Leases: []LeaseView{}}
+	for _, k := range m.KeysWithPrefix(LeaseKeyPrefix, LeaseKeyPrefix) {
+		var rec LeaseRecord
 		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &rec) == nil {
-			v.Duties = append(v.Duties, DutyView{strings.TrimPrefix(k, keyDuty), string(rec.Holder), rec.Term})
+			v.Leases = append(v.Leases, LeaseView{strings.TrimPrefix(k, LeaseKeyPrefix), string(rec.Holder), rec.Term})
 		}
 	}
-	for _, k := range reportsOf(m) {
-		v.NewestMade = k.row.Notice.Version
-		if k.row.State != notice.Published {
+	for _, k := range UsageReportRows(m) {
+		v.NewestWindow = k.Row.Notification.Version
+		if k.Row.State != notice.Published {
 			if v.ReportBacklog++; v.ReportBacklog == 1 {
-				v.OldestUnsent = k.row.Notice.Version
+				v.OldestUnsentWindow = k.Row.Notification.Version
 			}
 		}
 	}
 	return v
 }
 
-// readDuties answers with who holds which duty, and how the reports stand.
-func (r *Registrar) readDuties(c echo.Context) error {
-	var v DutiesView
+// handleReadLeases answers with who holds which duty, and how the reports stand.
+func (r *Server) handleReadLeases(c echo.Context) error {
+	var v LeasesView
 	found := false
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			v, found = viewDuties(m), true
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			v, found = leasesView(m), true
 		}
 	})
 	if !found {
-		return refuse(c, http.StatusServiceUnavailable, translate(ErrNoProposer))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 	}
 	return c.JSON(http.StatusOK, v)
 }
 
-// readNotices answers with the outbox's backlog, the quarantine and the redrives.
-func (r *Registrar) readNotices(c echo.Context) error {
-	var v NoticesView
+// handleReadOutbox answers with the outbox's backlog, the quarantine and the redrives.
+func (r *Server) handleReadOutbox(c echo.Context) error {
+	var v OutboxView
 	found := false
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			v, found = viewNotices(m), true
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			v, found = outboxView(m), true
 		}
 	})
 	if !found {
-		return refuse(c, http.StatusServiceUnavailable, translate(ErrNoProposer))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 	}
 	r.notices.mu.Lock()
-	for a, at := range r.notices.inbox.Done {
-		v.Decided[a] = at
+	for a, at := range r.notices.inbox.AppliedVersions {
+		v.AppliedVersions[a] = at
 	}
 	r.notices.mu.Unlock()
 	return c.JSON(http.StatusOK, v)
 }
 
-// redriveNotice has a notice sent once more, or closes its case.
-func (r *Registrar) redriveNotice(c echo.Context) error {
-	raw, status, why := readBody(c, maxRecallBytes)
+// handleRedrive has a notice sent once more, or closes its case.
+func (r *Server) handleRedrive(c echo.Context) error {
+	raw, status, why := readBody(c, maxPurgeBytes)
 	if status != 0 {
-		return refuse(c, status, why)
+		return writeError(c, status, why)
 	}
-	var d redrive
+	var d RedriveRequest
 	err := json.Unmarshal(raw, &d)
 	if err == nil {
-		err = d.check()
+		err = d.Validate()
 	}
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, err.Error())
+		return writeError(c, http.StatusBadRequest, err.Error())
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), orderPatience)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 	defer cancel()
 	for range 3 {
-		if err := r.host.Sync(ctx, ExchangeCell); err != nil {
-			return refuse(c, http.StatusServiceUnavailable, translate(err))
+		if err := r.host.WaitLinearizable(ctx, MetaCell); err != nil {
+			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
 		var t cell.Txn
 		var known, done bool
-		if !r.exchange(func(m *cell.Member) { t, known, done = redriveTxn(m, &d) }) {
-			return refuse(c, http.StatusServiceUnavailable, translate(ErrNoProposer))
+		if !r.viewMetaCell(func(m *cell.Replica) { t, known, done = RedriveTransaction(m, &d) }) {
+			return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 		}
 		if done {
 			return c.JSON(http.StatusOK, d)
 		}
 		if !known {
-			return refuse(c, http.StatusNotFound, "no notice and no case has this eventId")
+			return writeError(c, http.StatusNotFound, "no notice and no case has this eventId")
 		}
-		ok, err := r.host.Propose(ctx, ExchangeCell, t)
+		ok, err := r.host.Propose(ctx, MetaCell, t)
 		if err != nil {
-			return refuse(c, http.StatusServiceUnavailable, translate(err))
+			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
 		if ok {
-			r.log.Info(event.NoticeRedriven).Str("eventId", d.EventID).Str("operator", d.Operator).Str("correlationId", d.CorrelationID).Str("action", d.Action).Msg("a notice was redriven")
+			r.log.Info(event.NotificationRedriven).Str("eventId", d.EventID).Str("operator", d.Operator).Str("correlationId", d.CorrelationID).Str("action", d.Action).Msg("a notice was redriven")
 			return c.JSON(http.StatusOK, d)
 		}
 		// The row moved meanwhile, or another redrive came first.
 	}
-	return refuse(c, http.StatusServiceUnavailable, translate(ErrBusy))
+	return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrBusy))
 }
--- a/internal/registrar/peers.go
+++ b/internal/registrar/peers.go
@@ -11,91 +11,91 @@
 	"comethold/internal/wire"
 )
 
-// Hello introduces a registrar to the others.
-type Hello struct {
-	ID   cell.MemberID `cbor:"1,keyasint"`
-	Addr string        `cbor:"2,keyasint"`
-	Zone string        `cbor:"3,keyasint"`
-	Name string        `cbor:"4,keyasint"`
+// PeerInfo introduces a registrar to the others.
+type PeerInfo struct {
+	ID   cell.ReplicaID `cbor:"1,keyasint"`
+	Addr string         `cbor:"2,keyasint"`
+	Zone string         `cbor:"3,keyasint"`
+	Name string         `cbor:"4,keyasint"`
 }
 
 // Batch is what one registrar sends another.
 type Batch struct {
-	Hello    Hello          `cbor:"1,keyasint"`
-	Messages []cell.Message `cbor:"2,keyasint,omitempty"`
-	List     feed.Stamp     `cbor:"3,keyasint"` // of the leaf list that the sender holds
+	Sender       PeerInfo       `cbor:"1,keyasint"`
+	Messages     []cell.Message `cbor:"2,keyasint,omitempty"`
+	EndpointList feed.Revision  `cbor:"3,keyasint"` // of the leaf list that the sender holds
 	// The sender's time of day and the time that it agrees on, where that matters.
-	Wall   int64 `cbor:"4,keyasint,omitempty"`
-	Agreed int64 `cbor:"5,keyasint,omitempty"`
+	WallTime   int64 `cbor:"4,keyasint,omitempty"`
+	AgreedTime int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Sending. Ours; see docs/design.md.
 const (
-	sendBase     = 1500 * time.Millisecond // a batch may take so long, and
-	sendRate     = 16 << 10                // a second more for so many bytes
-	bulkRate     = 4 << 10                 // of a large message; a peer that is dead is noticed sooner
-	sendMost     = time.Minute
-	bulkFrom     = 32 << 10 // a message of this size goes by itself
-	batchBytes   = 64 << 10
-	queueBytes   = 1 << 20 // that wait for a peer
-	timesUpTo    = 4 << 10 // bytes of a batch that tells times
-	maxBulkQueue = 64
-	bulkWater    = 32 << 10 // bytes of it that wait in this machine
-	bulkSilent   = 6 * time.Second
+	sendTimeoutBase    = 1500 * time.Millisecond // a batch may take so long, and
+	minSendRate        = 16 << 10                // a second more for so many bytes
+	minBulkSendRate    = 4 << 10                 // of a large message; a peer that is dead is noticed sooner
+	maxSendTimeout     = time.Minute
+	bulkThresholdBytes = 32 << 10 // a message of this size goes by itself
+	maxBatchBytes      = 64 << 10
+	maxQueueBytes      = 1 << 20 // that wait for a peer
+	maxClockBatchBytes = 4 << 10 // bytes of a batch that tells times
+	maxBulkMessages    = 64
+	bulkUnsentBytes    = 32 << 10 // bytes of it that wait in this machine
+	bulkSilenceTimeout = 6 * time.Second
 )
 
-// sendLimit is how long a body of so many bytes may be under way.
-func sendLimit(bytes int, rate float64) time.Duration {
-	return min(sendMost, sendBase+time.Duration(float64(bytes)/rate*float64(time.Second)))
+// sendTimeout is how long a body of so many bytes may be under way.
+func sendTimeout(bytes int, rate float64) time.Duration {
+	return min(maxSendTimeout, sendTimeoutBase+time.Duration(float64(bytes)/rate*float64(time.Second)))
 }
 
 type peer struct {
-	hello Hello
-	heard time.Duration
-	queue []cell.Message
-	bytes int // of the queue
-	wake  chan struct{}
-	bulk  lane
+	info        PeerInfo
+	lastHeard   time.Duration
+	queue       []cell.Message
+	queuedBytes int // of the queue
+	wake        chan struct{}
+	bulk        bulkQueue
 }
 
-// lane holds the large messages to one peer, which go one at a time, so that greetings and
+// bulkQueue holds the large messages to one peer, which go one at a time, so that greetings and
 // beats need not wait behind them.
-type lane struct {
-	queue []cell.Message
-	away  *cell.Message // the one that is under way
-	wake  chan struct{}
+type bulkQueue struct {
+	messages []cell.Message
+	inFlight *cell.Message // the one that is under way
+	wake     chan struct{}
 }
 
-// put queues a large message. What is under way, or waits, is not sent a second time: a
+// enqueue queues a large message. What is under way, or waits, is not sent a second time: a
 // snapshot of a cell, or the same message. What is left of one that went without its
 // snapshot is handed back.
-func (l *lane) put(msg cell.Message) *cell.Message {
+func (l *bulkQueue) enqueue(msg cell.Message) *cell.Message {
 	has := func(f func(*cell.Message) bool) bool {
-		if l.away != nil && f(l.away) {
+		if l.inFlight != nil && f(l.inFlight) {
 			return true
 		}
-		for i := range l.queue {
-			if f(&l.queue[i]) {
+		for i := range l.messages {
+			if f(&l.messages[i]) {
 				return true
 			}
 		}
 		return false
 	}
-	if msg.Snap != nil && has(func(o *cell.Message) bool { return o.Cell == msg.Cell && o.Snap != nil }) {
-		if msg.Kind == cell.Teach {
+	if msg.Snapshot != nil && has(func(o *cell.Message) bool { return o.Cell == msg.Cell && o.Snapshot != nil }) {
+		if msg.Kind == cell.CatchUpResponse {
 			return nil
 		}
-		msg.Snap = nil // a promise that cannot be counted yet still tells how far its sender is
-		if msg.Size() < bulkFrom {
+		msg.Snapshot = nil // a promise that cannot be counted yet still tells how far its sender is
+		if msg.Size() < bulkThresholdBytes {
 			return &msg
 		}
 	}
-	if len(l.queue) >= maxBulkQueue || has(func(o *cell.Message) bool {
-		return o.Cell == msg.Cell && o.Kind == msg.Kind && o.Ballot == msg.Ballot && (msg.Kind != cell.Accept || o.Entries[0].Slot == msg.Entries[0].Slot)
+	if len(l.messages) >= maxBulkMessages || has(func(o *cell.Message) bool {
+		return o.Cell == msg.Cell && o.Kind == msg.Kind && o.ProposalNumber == msg.ProposalNumber && (msg.Kind != cell.Accept || o.Entries[0].Index == msg.Entries[0].Index)
 	}) {
 		return nil
 	}
-	l.queue = append(l.queue, msg)
+	l.messages = append(l.messages, msg)
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -103,56 +103,56 @@
 	return nil
 }
 
-// take hands out the next message; what was under way is no more.
-func (l *lane) take() *cell.Message {
-	l.away = nil
-	if len(l.queue) > 0 {
-		msg := l.queue[0]
-		l.queue, l.away = l.queue[1:], &msg
+// next hands out the next message; what was under way is no more.
+func (l *bulkQueue) next() *cell.Message {
+	l.inFlight = nil
+	if len(l.messages) > 0 {
+		msg := l.messages[0]
+		l.messages, l.inFlight = l.messages[1:], &msg
 	}
-	return l.away
+	return l.inFlight
 }
 
-// live lists the registrars heard in the last while, this one among them.
-func (h *Host) live(within time.Duration) map[string]Hello {
-	now := h.now()
-	out := map[string]Hello{h.self.Addr: h.self}
+// LivePeers lists the registrars heard in the last while, this one among them.
+func (h *Host) LivePeers(within time.Duration) map[string]PeerInfo {
+	now := h.Now()
+	out := map[string]PeerInfo{h.Self.Addr: h.Self}
 	h.peersMu.Lock()
 	defer h.peersMu.Unlock()
 	for a, p := range h.peers {
-		if p.hello.ID != "" && now-p.heard < within {
-			out[a] = p.hello
+		if p.info.ID != "" && now-p.lastHeard < within {
+			out[a] = p.info
 		}
 	}
 	return out
 }
 
-// unheard is how long a registrar has been silent, as far as this node was in
+// SilenceOf is how long a registrar has been silent, as far as this node was in
 // a state to hear it.
-func (h *Host) unheard(addr string) time.Duration {
-	if addr == h.self.Addr {
+func (h *Host) SilenceOf(addr string) time.Duration {
+	if addr == h.Self.Addr {
 		return 0
 	}
-	since := h.wokeAt
+	since := h.resumedAt
 	h.peersMu.Lock()
 	defer h.peersMu.Unlock()
 	if p := h.peers[addr]; p != nil {
-		since = max(since, p.heard)
+		since = max(since, p.lastHeard)
 	}
-	return h.now() - since
+	return h.Now() - since
 }
 
-// over reports whether a member's life has ended: its machine is live under another
+// IncarnationEnded reports whether a member's life has ended: its machine is live under another
 // name, so its disk was lost. This node may have started since and never have heard
 // the former name; then its seat tells where it lived.
-func (h *Host) over(id cell.MemberID) (yes bool) {
-	live := h.live(learnerSpan)
+func (h *Host) IncarnationEnded(id cell.ReplicaID) (yes bool) {
+	live := h.LivePeers(LearnerTimeout)
 	h.peersMu.Lock()
-	yes = h.former[id]
+	yes = h.replacedReplicas[id]
 	h.peersMu.Unlock()
-	h.ask(func() {
-		if ex := h.cells[ExchangeCell]; ex != nil {
-			seats, _ := ex.Seats()
+	h.Do(func() {
+		if ex := h.Replicas[MetaCell]; ex != nil {
+			seats, _ := ex.Voters()
 			for _, s := range seats {
 				if now, ok := live[s.Addr]; ok && s.ID == id && now.ID != id {
 					yes = true
@@ -163,12 +163,12 @@
 	return yes
 }
 
-// addresses lists where other registrars may be. One that comes back knows seats of long
+// PeerAddresses lists where other registrars may be. One that comes back knows seats of long
 // ago, and those who have the seats now need not be among the seeds: those in the directory
 // are greeted as well, also while they are down, and all who are heard, or nobody might
 // teach it.
-func (h *Host) addresses() []string {
-	seen := map[string]bool{h.self.Addr: true}
+func (h *Host) PeerAddresses() []string {
+	seen := map[string]bool{h.Self.Addr: true}
 	var out []string
 	add := func(a string) {
 		if a != "" && !seen[a] {
@@ -176,19 +176,19 @@
 			out = append(out, a)
 		}
 	}
-	if ex := h.cells[ExchangeCell]; ex != nil {
-		seats, _ := ex.Seats()
+	if ex := h.Replicas[MetaCell]; ex != nil {
+		seats, _ := ex.Voters()
 		for _, s := range seats {
 			add(s.Addr)
 		}
 	}
-	for _, a := range h.seeds {
+	for _, a := range h.Seeds {
 		add(a)
 	}
-	for _, a := range h.listing() {
+	for _, a := range h.RegisteredAddresses() {
 		add(a)
 	}
-	for a := range h.live(learnerSpan) {
+	for a := range h.LivePeers(LearnerTimeout) {
 		add(a)
 	}
 	return out
@@ -196,12 +196,12 @@
 
 // refreshLearners keeps registrars without a vote current.
 func (h *Host) refreshLearners() {
-	live := h.live(learnerSpan)
-	for _, m := range h.cells {
-		seats, _ := m.Seats()
-		var out []cell.MemberID
+	live := h.LivePeers(LearnerTimeout)
+	for _, m := range h.Replicas {
+		seats, _ := m.Voters()
+		var out []cell.ReplicaID
 		for _, p := range live {
-			if p.ID != h.self.ID && !(cell.Membership{Seats: seats}).Has(p.ID) {
+			if p.ID != h.Self.ID && !(cell.Membership{Voters: seats}).Contains(p.ID) {
 				out = append(out, p.ID)
 			}
 		}
@@ -209,53 +209,53 @@
 	}
 }
 
-// route sends messages and hands back those to this node itself.
-func (h *Host) route(msgs []cell.Message) []cell.Message {
+// sendToPeers sends messages and hands back those to this node itself.
+func (h *Host) sendToPeers(msgs []cell.Message) []cell.Message {
 	var own []cell.Message
 	byAddr := map[string][]cell.Message{}
 	for _, msg := range msgs {
-		if msg.To == h.self.ID {
+		if msg.To == h.Self.ID {
 			own = append(own, msg)
-		} else if a := h.ids[msg.To]; a != "" && a != h.self.Addr {
+		} else if a := h.Addresses[msg.To]; a != "" && a != h.Self.Addr {
 			byAddr[a] = append(byAddr[a], msg)
 		}
 	}
 	for a, list := range byAddr {
-		h.push(a, list)
+		h.enqueueForPeer(a, list)
 	}
 	return own
 }
 
-func (h *Host) push(addr string, msgs []cell.Message) {
+func (h *Host) enqueueForPeer(addr string, msgs []cell.Message) {
 	h.peersMu.Lock()
 	p := h.peers[addr]
 	if p == nil {
-		p = &peer{wake: make(chan struct{}, senders), bulk: lane{wake: make(chan struct{}, 1)}}
+		p = &peer{wake: make(chan struct{}, sendersPerPeer), bulk: bulkQueue{wake: make(chan struct{}, 1)}}
 		h.peers[addr] = p
-		for range senders {
+		for range sendersPerPeer {
 			go h.sendLoop(addr, p)
 		}
 		go h.bulkLoop(addr, p)
 	}
 	for i := range msgs {
 		small := &msgs[i]
-		if small.Size() >= bulkFrom {
-			small = p.bulk.put(*small)
+		if small.Size() >= bulkThresholdBytes {
+			small = p.bulk.enqueue(*small)
 		}
 		if small != nil {
 			p.queue = append(p.queue, *small)
-			p.bytes += small.Size()
+			p.queuedBytes += small.Size()
 		}
 	}
-	for p.bytes > queueBytes {
-		p.bytes -= p.queue[0].Size() // what is newer counts more
+	for p.queuedBytes > maxQueueBytes {
+		p.queuedBytes -= p.queue[0].Size() // what is newer counts more
 		p.queue = p.queue[1:]
 	}
 	h.peersMu.Unlock()
-	p.wakeOne()
+	p.wakeSender()
 }
 
-func (p *peer) wakeOne() {
+func (p *peer) wakeSender() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -271,27 +271,27 @@
 		}
 		h.peersMu.Lock()
 		n, bytes := 0, 0
-		for n < len(p.queue) && (n == 0 || bytes < batchBytes) {
+		for n < len(p.queue) && (n == 0 || bytes < maxBatchBytes) {
 			bytes += p.queue[n].Size()
 			n++
 		}
 		msgs := p.queue[:n:n]
-		p.queue, p.bytes = p.queue[n:], p.bytes-bytes
+		p.queue, p.queuedBytes = p.queue[n:], p.queuedBytes-bytes
 		if len(p.queue) > 0 {
-			p.wakeOne()
+			p.wakeSender()
 		}
 		h.peersMu.Unlock()
-		h.sendBatch(h.call, sendRate, addr, msgs)
+		h.sendBatch(h.Client, minSendRate, addr, msgs)
 	}
 }
 
 func (h *Host) bulkLoop(addr string, p *peer) {
 	for {
 		h.peersMu.Lock()
-		msg := p.bulk.take()
+		msg := p.bulk.next()
 		h.peersMu.Unlock()
 		if msg != nil {
-			h.sendBatch(h.bulk, bulkRate, addr, []cell.Message{*msg})
+			h.sendBatch(h.bulkClient, minBulkSendRate, addr, []cell.Message{*msg})
 			continue
 		}
 		select {
@@ -303,80 +303,80 @@
 }
 
 func (h *Host) sendBatch(by *wire.Client, rate float64, addr string, msgs []cell.Message) {
-	body, err := wire.Encode(h.batch(msgs))
+	body, err := wire.EncodeRequest(h.newBatch(msgs))
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), sendLimit(len(body), rate))
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout(len(body), rate))
 	defer cancel()
-	_ = by.Post(ctx, net.JoinHostPort(addr, strconv.Itoa(h.port)), "/cells", body, nil)
+	_ = by.CallEncoded(ctx, net.JoinHostPort(addr, strconv.Itoa(h.Port)), "/cells", body, nil)
 }
 
-// batch makes what goes to a peer. What may be long under way tells no times: by its
+// newBatch makes what goes to a peer. What may be long under way tells no times: by its
 // arrival they are wrong.
-func (h *Host) batch(msgs []cell.Message) *Batch {
-	b := &Batch{Hello: h.self, Messages: msgs, List: h.listed()}
+func (h *Host) newBatch(msgs []cell.Message) *Batch {
+	b := &Batch{Sender: h.Self, Messages: msgs, EndpointList: h.EndpointListVersion()}
 	bytes := 0
 	for i := range msgs {
 		bytes += msgs[i].Size()
 	}
-	if bytes <= timesUpTo {
-		b.Wall, b.Agreed = h.times()
+	if bytes <= maxClockBatchBytes {
+		b.WallTime, b.AgreedTime = h.ReadClocks()
 	}
 	return b
 }
 
 // Receive takes in what another registrar sent.
 func (h *Host) Receive(b *Batch) {
-	h.do(func() {
-		now := h.now()
-		if b.Hello.Addr == "" || b.Hello.ID == "" {
+	h.Enqueue(func() {
+		now := h.Now()
+		if b.Sender.Addr == "" || b.Sender.ID == "" {
 			return
 		}
-		h.ids[b.Hello.ID] = b.Hello.Addr
+		h.Addresses[b.Sender.ID] = b.Sender.Addr
 		h.peersMu.Lock()
-		p := h.peers[b.Hello.Addr]
+		p := h.peers[b.Sender.Addr]
 		h.peersMu.Unlock()
 		if p == nil {
-			h.push(b.Hello.Addr, nil)
+			h.enqueueForPeer(b.Sender.Addr, nil)
 			h.peersMu.Lock()
-			p = h.peers[b.Hello.Addr]
+			p = h.peers[b.Sender.Addr]
 			h.peersMu.Unlock()
 		}
 		h.peersMu.Lock()
-		delete(h.former, b.Hello.ID)
-		fresh := p.hello.ID != b.Hello.ID
-		former := p.hello.ID
+		delete(h.replacedReplicas, b.Sender.ID)
+		fresh := p.info.ID != b.Sender.ID
+		former := p.info.ID
 		if former != "" && fresh {
-			h.former[former] = true
+			h.replacedReplicas[former] = true
 		}
-		if fresh || now-p.heard > candidateSpan {
-			h.stirredAt = now
+		if fresh || now-p.lastHeard > CandidateTimeout {
+			h.DisturbedAt = now
 		}
-		p.hello, p.heard = b.Hello, now
+		p.info, p.lastHeard = b.Sender, now
 		h.peersMu.Unlock()
 		if fresh {
 			h.refreshLearners() // a newcomer is taught from now on, not from the next round of greetings
 		}
 		if fresh && former != "" {
-			for name, m := range h.cells {
-				m.Over(now, former)
-				h.drain(name, m)
+			for name, m := range h.Replicas {
+				m.ReportReplicaLost(now, former)
+				h.processReady(name, m)
 			}
 		}
-		h.seen(b.Hello.Addr, b.List)
-		if b.Wall != 0 {
-			h.timeSeen(b.Hello.Addr, b.Wall, b.Agreed)
+		h.OnPeerEndpointList(b.Sender.Addr, b.EndpointList)
+		if b.WallTime != 0 {
+			h.OnPeerClocks(b.Sender.Addr, b.WallTime, b.AgreedTime)
 		}
-		touched := map[string]*cell.Member{}
+		touched := map[string]*cell.Replica{}
 		for _, msg := range b.Messages {
-			if m := h.cells[msg.Cell]; m != nil {
+			if m := h.Replicas[msg.Cell]; m != nil {
 				m.Step(now, msg)
 				touched[msg.Cell] = m
 			}
 		}
 		for name, m := range touched {
-			h.drain(name, m)
+			h.processReady(name, m)
 		}
 	})
 }
--- a/internal/registrar/poll.go
+++ b/internal/registrar/poll.go
@@ -10,14 +10,14 @@
 	"comethold/internal/feed"
 )
 
-// pollLoop keeps the list of leafs while this node holds the duty.
-func (r *Registrar) pollLoop() {
-	if r.plat == nil {
+// discoveryLoop keeps the list of leafs while this node holds the duty.
+func (r *Server) discoveryLoop() {
+	if r.platform == nil {
 		return
 	}
 	var lastDigest time.Time
 	failures := 0
-	every := max(pollLeast, time.Duration(pollShare*float64(r.set.Bounds.Drain())))
+	every := max(minPollInterval, time.Duration(pollDrainFraction*float64(r.settings.Bounds.DrainTimeout())))
 	pause := every
 	for {
 		select {
@@ -26,60 +26,60 @@
 			return
 		}
 		pause = every
-		term, ok := r.poller.held()
+		term, ok := r.discoveryLease.Held()
 		if !ok {
 			failures = 0
-			pause = pollLeast / 4
+			pause = minPollInterval / 4
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), listLimit)
-		leafs, err := r.plat.List(ctx)
+		ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
+		leafs, err := r.platform.List(ctx)
 		cancel()
 		if err != nil {
 			failures++
 			pause = every / 2
-			r.log.Warn(event.ListFailed).Err(err).Int("failures", failures).Msg("the platform's list cannot be had")
-			if failures >= 3 && !errors.Is(err, directory.ErrTooFast) {
-				r.poller.yield() // another may reach the platform
+			r.log.Warn(event.EndpointListFailed).Err(err).Int("failures", failures).Msg("the platform's list cannot be had")
+			if failures >= 3 && !errors.Is(err, directory.ErrRateLimited) {
+				r.discoveryLease.Yield() // another may reach the platform
 				failures = 0
 			}
 			continue
 		}
 		failures = 0
-		if now, ok := r.poller.held(); !ok || now != term {
+		if now, ok := r.discoveryLease.Held(); !ok || now != term {
 			continue // too late: the lease ended while the platform answered
 		}
-		next := &feed.List{Stamp: feed.Stamp{Term: term, Rev: 1}, Leafs: leafs}
+		next := &feed.EndpointList{Revision: feed.Revision{Term: term, Sequence: 1}, Endpoints: leafs}
 		if leafs == nil {
-			next.Leafs = []feed.Leaf{}
+			next.Endpoints = []feed.Endpoint{}
 		}
-		cur := r.board.getList()
-		changed := cur == nil || cur.Stamp.Term != term || !same(cur.Leafs, next.Leafs)
+		cur := r.board.Endpoints()
+		changed := cur == nil || cur.Revision.Term != term || !EqualEncoding(cur.Endpoints, next.Endpoints)
 		if changed {
-			if cur != nil && cur.Stamp.Term == term {
-				next.Stamp.Rev = cur.Stamp.Rev + 1
+			if cur != nil && cur.Revision.Term == term {
+				next.Revision.Sequence = cur.Revision.Sequence + 1
 			}
-			r.board.setList(next)
-			r.log.Debug(event.ListChanged).Int("leafs", len(leafs)).Uint64("term", term).Uint64("rev", next.Stamp.Rev).Msg("the list changed")
-			r.wakeDesk()
+			r.board.SetEndpoints(next)
+			r.log.Debug(event.EndpointListChanged).Int("leafs", len(leafs)).Uint64("term", term).Uint64("rev", next.Revision.Sequence).Msg("the list changed")
+			r.wakeReconciler()
 		}
-		if changed || time.Since(lastDigest) >= digestEvery {
+		if changed || time.Since(lastDigest) >= digestInterval {
 			lastDigest = time.Now()
-			go r.spread(r.board.getList(), changed)
+			go r.broadcastEndpoints(r.board.Endpoints(), changed)
 		}
 	}
 }
 
-// spread hands the list to the other registrars: whole when it changed, else
+// broadcastEndpoints hands the list to the other registrars: whole when it changed, else
 // its stamp, followed by the whole where the stamp shows an old copy.
-func (r *Registrar) spread(l *feed.List, whole bool) {
+func (r *Server) broadcastEndpoints(l *feed.EndpointList, whole bool) {
 	addrs := map[string]bool{}
-	r.host.ask(func() {
-		for _, a := range r.host.addresses() {
+	r.host.Do(func() {
+		for _, a := range r.host.PeerAddresses() {
 			addrs[a] = true
 		}
-		for a := range r.host.live(learnerSpan) {
-			addrs[a] = a != r.host.self.Addr
+		for a := range r.host.LivePeers(LearnerTimeout) {
+			addrs[a] = a != r.host.Self.Addr
 		}
 	})
 	for a, other := range addrs {
@@ -89,40 +89,40 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			to := innerAddr(a, r.host.port)
-			var have feed.Stamp
+			to := internalAddress(a, r.host.Port)
+			var have feed.Revision
 			msg := l
 			if !whole {
-				msg = &feed.List{Stamp: l.Stamp}
+				msg = &feed.EndpointList{Revision: l.Revision}
 			}
-			if err := r.host.call.Call(ctx, to, "/list", msg, &have); err == nil && !whole && have.Less(l.Stamp) {
-				_ = r.host.call.Call(ctx, to, "/list", l, &have)
+			if err := r.host.Client.Call(ctx, to, "/list", msg, &have); err == nil && !whole && have.Less(l.Revision) {
+				_ = r.host.Client.Call(ctx, to, "/list", l, &have)
 			}
 		}()
 	}
 }
 
-// listSeen is told of the list that another registrar holds. A newer one is
+// onPeerEndpoints is told of the list that another registrar holds. A newer one is
 // fetched from there: the poller may not reach this node.
-func (r *Registrar) listSeen(addr string, at feed.Stamp) {
-	if !r.board.stamp().Less(at) || !r.reading.CompareAndSwap(false, true) {
+func (r *Server) onPeerEndpoints(addr string, at feed.Revision) {
+	if !r.board.EndpointsVersion().Less(at) || !r.fetchingList.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer r.reading.Store(false)
+		defer r.fetchingList.Store(false)
 		select {
-		case <-time.After(listPatience): // the poller is handing it round as well
+		case <-time.After(endpointFetchDelay): // the poller is handing it round as well
 		case <-r.quit:
 			return
 		}
-		if !r.board.stamp().Less(at) {
+		if !r.board.EndpointsVersion().Less(at) {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		var l feed.List
-		if err := r.host.call.Call(ctx, innerAddr(addr, r.host.port), "/list/read", feed.Call{}, &l); err == nil && l.Leafs != nil {
-			r.board.setList(&l)
+		var l feed.EndpointList
+		if err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/list/read", feed.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
+			r.board.SetEndpoints(&l)
 		}
 	}()
 }
--- a/internal/registrar/propose.go
+++ b/internal/registrar/propose.go
@@ -13,137 +13,137 @@
 	"comethold/internal/feed"
 )
 
-type proposal struct {
+type ProposeRequest struct {
 	Cell string   `cbor:"1,keyasint"`
 	Txn  cell.Txn `cbor:"2,keyasint"`
 }
 
-type verdict struct {
+type ProposeResult struct {
 	Committed bool   `cbor:"1,keyasint,omitempty"`
 	Busy      bool   `cbor:"2,keyasint,omitempty"`
-	Unclear   bool   `cbor:"3,keyasint,omitempty"`
+	Unknown   bool   `cbor:"3,keyasint,omitempty"`
 	NoLeader  bool   `cbor:"4,keyasint,omitempty"`
-	Slot      uint64 `cbor:"5,keyasint,omitempty"`
+	Index     uint64 `cbor:"5,keyasint,omitempty"`
 	// Grant answers a claim.
-	Grant feed.Grant `cbor:"6,keyasint,omitempty"`
+	Grant feed.ShareGrant `cbor:"6,keyasint,omitempty"`
 }
 
-// refusedBy is the verdict where a member takes nothing.
-func refusedBy(err error) verdict {
-	if errors.Is(err, cell.ErrBusy) {
-		return verdict{Busy: true}
+// resultOfRefusal is the verdict where a member takes nothing.
+func resultOfRefusal(err error) ProposeResult {
+	if errors.Is(err, cell.ErrPipelineFull) {
+		return ProposeResult{Busy: true}
 	}
-	return verdict{NoLeader: true}
+	return ProposeResult{NoLeader: true}
 }
 
-// proposeHere proposes at this node, which must be the proposer.
-func (h *Host) proposeHere(ctx context.Context, name string, t cell.Txn) verdict {
+// ProposeLocal proposes at this node, which must be the proposer.
+func (h *Host) ProposeLocal(ctx context.Context, name string, t cell.Txn) ProposeResult {
 	w := make(chan cell.Outcome, 1)
 	var err error
-	h.ask(func() {
-		m := h.cells[name]
+	h.Do(func() {
+		m := h.Replicas[name]
 		if m == nil {
-			err = cell.ErrNotProposer
+			err = cell.ErrNotLeader
 			return
 		}
-		h.waiters[t.ID] = w
-		if err = m.Propose(h.now(), t); err != nil {
-			delete(h.waiters, t.ID)
+		h.proposalWaiters[t.ID] = w
+		if err = m.Propose(h.Now(), t); err != nil {
+			delete(h.proposalWaiters, t.ID)
 		}
-		h.drain(name, m)
+		h.processReady(name, m)
 	})
 	if err != nil {
-		return refusedBy(err)
+		return resultOfRefusal(err)
 	}
 	select {
 	case o := <-w:
-		return verdict{Committed: o.Committed, Unclear: o.Lost}
+		return ProposeResult{Committed: o.Committed, Unknown: o.Unknown}
 	case <-ctx.Done():
 	case <-h.quit:
 	}
-	h.do(func() {
-		delete(h.waiters, t.ID)
-		if m := h.cells[name]; m != nil {
-			m.Forget(t.ID)
+	h.Enqueue(func() {
+		delete(h.proposalWaiters, t.ID)
+		if m := h.Replicas[name]; m != nil {
+			m.ForgetOutcome(t.ID)
 		}
 	})
-	return verdict{Unclear: true}
+	return ProposeResult{Unknown: true}
 }
 
-// readHere confirms at the proposer that its state is current.
-func (h *Host) readHere(ctx context.Context, name string) verdict {
+// ReadIndexLocal confirms at the proposer that its state is current.
+func (h *Host) ReadIndexLocal(ctx context.Context, name string) ProposeResult {
 	w := make(chan uint64, 1)
 	var err error
 	var ticket uint64
-	h.ask(func() {
-		m := h.cells[name]
+	h.Do(func() {
+		m := h.Replicas[name]
 		if m == nil {
-			err = cell.ErrNotProposer
+			err = cell.ErrNotLeader
 			return
 		}
-		h.ticket++
-		ticket = h.ticket
-		h.reads[ticket] = w
-		if err = m.Read(h.now(), ticket); err != nil {
-			delete(h.reads, ticket)
+		h.lastReadID++
+		ticket = h.lastReadID
+		h.readWaiters[ticket] = w
+		if err = m.Read(h.Now(), ticket); err != nil {
+			delete(h.readWaiters, ticket)
 		}
-		h.drain(name, m)
+		h.processReady(name, m)
 	})
 	if err != nil {
-		return refusedBy(err)
+		return resultOfRefusal(err)
 	}
 	select {
 	case slot := <-w:
-		return verdict{Committed: true, Slot: slot}
+		return ProposeResult{Committed: true, Index: slot}
 	case <-ctx.Done():
 	case <-h.quit:
 	}
-	h.do(func() { delete(h.reads, ticket) })
-	return verdict{NoLeader: true}
+	h.Enqueue(func() { delete(h.readWaiters, ticket) })
+	return ProposeResult{NoLeader: true}
 }
 
-// leaderOf returns where the proposer is; here says that it is this node.
-func (h *Host) leaderOf(name string) (addr string, here bool) {
-	h.ask(func() {
-		if m := h.cells[name]; m != nil {
-			here = m.Role() == cell.Leading
+// leaderAddress returns where the proposer is; here says that it is this node.
+func (h *Host) leaderAddress(name string) (addr string, here bool) {
+	h.Do(func() {
+		if m := h.Replicas[name]; m != nil {
+			here = m.Role() == cell.Leader
 			if l := m.Leader(); l != "" {
-				addr = h.ids[l]
+				addr = h.Addresses[l]
 			}
 		}
 	})
 	return addr, here
 }
 
-// attempt runs f at the proposer, here or by a call, and backs off
+// CallLeader runs f at the proposer, here or by a call, and backs off
 // exponentially with jitter while there is none or it refuses.
-func (h *Host) attempt(ctx context.Context, name, path string, in any, f func(context.Context) verdict) (verdict, error) {
+func (h *Host) CallLeader(ctx context.Context, name, path string, in any, f func(context.Context) ProposeResult) (ProposeResult, error) {
 	pause := 20 * time.Millisecond
-	last := ErrNoProposer
+	last := ErrNoQuorum
 	for {
-		addr, here := h.leaderOf(name)
-		v := verdict{NoLeader: true}
+		addr, here := h.leaderAddress(name)
+		v := ProposeResult{NoLeader: true}
 		if here {
 			v = f(ctx)
-		} else if addr != "" && addr != h.self.Addr {
+		} else if addr != "" && addr != h.Self.Addr {
 			// Into a fresh verdict: what is absent on the wire stays as it was.
-			v = verdict{}
-			if err := h.call.Call(ctx, net.JoinHostPort(addr, strconv.Itoa(h.port)), path, in, &v); err != nil {
-				v = verdict{Unclear: true}
+			v = ProposeResult{}
+			if err := h.Client.Call(ctx, net.JoinHostPort(addr, strconv.Itoa(h.Port)), path, in, &v); err != nil {
+				v = ProposeResult{Unknown: true}
 			}
 		}
 		switch {
-		case v.Unclear:
-			return v, ErrUnclear
+		case v.Unknown:
+			return v, ErrOutcomeUnknown
 		case v.Busy:
 			last = ErrBusy
 		case !v.NoLeader:
 			return v, nil
 		}
 		wait := time.Duration((0.5 + mrand.Float64()) * float64(pause))
-		most := longestPause
+		most := maxRetryBackoff
 		if v.NoLeader {
-			most = noLeaderPause // looked up here: it costs nobody else anything
+			most = noLeaderBackoff // looked up here: it costs nobody else anything
 		}
 		pause = min(2*pause, most)
 		select {
@@ -156,32 +156,32 @@
 	}
 }
 
-func newID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
+func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
 
 // Propose has a transaction decided and tells whether it was committed.
 func (h *Host) Propose(ctx context.Context, name string, t cell.Txn) (bool, error) {
-	t.ID = newID()
-	v, err := h.attempt(ctx, name, "/propose", &proposal{Cell: name, Txn: t},
-		func(ctx context.Context) verdict { return h.proposeHere(ctx, name, t) })
+	t.ID = NewTransactionID()
+	v, err := h.CallLeader(ctx, name, "/propose", &ProposeRequest{Cell: name, Txn: t},
+		func(ctx context.Context) ProposeResult { return h.ProposeLocal(ctx, name, t) })
 	return v.Committed, err
 }
 
-// Sync waits until this node's copy of the cell is current.
-func (h *Host) Sync(ctx context.Context, name string) error {
-	v, err := verdict{}, ErrUnclear
-	for errors.Is(err, ErrUnclear) { // to ask again does no harm
-		v, err = h.attempt(ctx, name, "/confirm", &proposal{Cell: name},
-			func(ctx context.Context) verdict { return h.readHere(ctx, name) })
+// WaitLinearizable waits until this node's copy of the cell is current.
+func (h *Host) WaitLinearizable(ctx context.Context, name string) error {
+	v, err := ProposeResult{}, ErrOutcomeUnknown
+	for errors.Is(err, ErrOutcomeUnknown) { // to ask again does no harm
+		v, err = h.CallLeader(ctx, name, "/confirm", &ProposeRequest{Cell: name},
+			func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, name) })
 		if err == nil && !v.Committed {
-			err = ErrUnclear // an answer without content confirms nothing
+			err = ErrOutcomeUnknown // an answer without content confirms nothing
 		}
-		if errors.Is(err, ErrUnclear) {
+		if errors.Is(err, ErrOutcomeUnknown) {
 			select {
-			case <-time.After(noLeaderPause):
+			case <-time.After(noLeaderBackoff):
 			case <-ctx.Done():
-				return ErrNoProposer
+				return ErrNoQuorum
 			case <-h.quit:
-				return ErrNoProposer
+				return ErrNoQuorum
 			}
 		}
 	}
@@ -190,20 +190,20 @@
 	}
 	for {
 		var applied uint64
-		h.ask(func() {
-			if m := h.cells[name]; m != nil {
-				applied = m.Applied()
+		h.Do(func() {
+			if m := h.Replicas[name]; m != nil {
+				applied = m.AppliedIndex()
 			}
 		})
-		if applied >= v.Slot {
+		if applied >= v.Index {
 			return nil
 		}
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("%w: behind its cell", ErrNoProposer)
+			return fmt.Errorf("%w: behind its cell", ErrNoQuorum)
 		case <-h.quit:
-			return ErrNoProposer
+			return ErrNoQuorum
 		}
 	}
 }
--- a/internal/registrar/quota.go
+++ b/internal/registrar/quota.go
@@ -18,89 +18,89 @@
 
 // Pacing of quotas. Ours; see docs/design.md.
 const (
-	quotaRenew  = ration.QuotaHold / 5
-	quotaFirst  = 150 * time.Millisecond // between claims while there is no share
-	lendNear    = 8 * time.Millisecond   // how long to wait for a lender of the own region
-	lendFar     = 45 * time.Millisecond  // and for the others
-	lenderEmpty = 150 * time.Millisecond // how long one that had nothing is not asked again
-	floorEvery  = 250 * time.Millisecond
-	floorPause  = 40 * time.Millisecond // between two writes
-	floorNote   = "quota-floors"        // in the vault
-	quotaReads  = 2                     // goroutines that read datagrams
+	quotaRenewInterval   = ration.QuotaLeaseDuration / 5
+	quotaAcquireInterval = 150 * time.Millisecond // between claims while there is no share
+	regionalLendTimeout  = 8 * time.Millisecond   // how long to wait for a lender of the own region
+	remoteLendTimeout    = 45 * time.Millisecond  // and for the others
+	emptyLenderBackoff   = 150 * time.Millisecond // how long one that had nothing is not asked again
+	watermarkInterval    = 250 * time.Millisecond
+	watermarkWritePause  = 40 * time.Millisecond // between two writes
+	WatermarkStorageKey  = "quota-floors"        // in the vault
+	datagramReaders      = 2                     // goroutines that read datagrams
 )
 
-// quotas is this registrar's part of the tenants' quotas: its slice of their buckets,
+// QuotaServer is this registrar's part of the tenants' quotas: its slice of their buckets,
 // and what it lends to and borrows from the others.
-type quotas struct {
-	rules quota.Rules
-	bank  *quota.Bank
-	conn  net.PacketConn
-	left  map[string]float64 // floors that the former life left, until a share is held
-	wake  chan struct{}      // tokens were taken: floors may have to move
+type QuotaServer struct {
+	rules              quota.Rules
+	allocator          *quota.Allocator
+	conn               net.PacketConn
+	restoredWatermarks map[string]float64 // floors that the former life left, until a share is held
+	tokensTaken        chan struct{}      // tokens were taken: floors may have to move
 
-	mu      sync.Mutex
-	at      uint64 // the version whose tenants are in force
-	limited bool   // some of them have limits
-	nextID  uint64
-	asked   map[uint64]loan
-	empty   map[lender]time.Time // who had nothing for a tenant a moment ago
+	mu            sync.Mutex
+	version       uint64 // the version whose tenants are in force
+	limited       bool   // some of them have limits
+	nextRequestID uint64
+	pendingLoans  map[uint64]pendingLoan
+	emptyLenders  map[lenderKey]time.Time // who had nothing for a tenant a moment ago
 }
 
-// loan is a question to a lender. Who asked has gone on once got is nil: what is lent
+// pendingLoan is a question to a lender. Who asked has gone on once got is nil: what is lent
 // until then still fills the own slice.
-type loan struct {
-	tenant string
-	until  time.Time
-	got    chan quota.Part
+type pendingLoan struct {
+	tenant   string
+	deadline time.Time
+	reply    chan quota.TenantGrant
 }
 
-type lender struct{ addr, tenant string }
+type lenderKey struct{ addr, tenant string }
 
-func newQuotas(rules quota.Rules, saved []byte) *quotas {
+func NewQuotaServer(rules quota.Rules, saved []byte) *QuotaServer {
 	left := map[string]float64{}
 	if saved != nil && wire.Unmarshal(saved, &left) != nil {
 		left = nil
 	}
-	return &quotas{rules: rules, bank: quota.NewBank(), left: left, wake: make(chan struct{}, 1), nextID: rand.Uint64(), asked: map[uint64]loan{}, empty: map[lender]time.Time{}}
+	return &QuotaServer{rules: rules, allocator: quota.NewAllocator(), restoredWatermarks: left, tokensTaken: make(chan struct{}, 1), nextRequestID: rand.Uint64(), pendingLoans: map[uint64]pendingLoan{}, emptyLenders: map[lenderKey]time.Time{}}
 }
 
-// setTenants takes the tenants of a configuration that is in force.
-func (q *quotas) setTenants(c *numbering.Configuration) {
-	terms := map[string]quota.Terms{}
+// SetTenants takes the tenants of a configuration that is in force.
+func (q *QuotaServer) SetTenants(c *numbering.Configuration) {
+	terms := map[string]quota.BucketLimits{}
 	for _, t := range c.Tenants {
-		if at := q.rules.TermsOf(t.RatePerS, t.BurstSize); at.Bounded() {
+		if at := q.rules.LimitsFor(t.RatePerSecond, t.BurstSize); at.Limited() {
 			terms[t.Name] = at
 		}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if c.Version > q.at {
-		q.at, q.limited = c.Version, len(terms) > 0
-		q.bank.SetTenants(terms, time.Now())
+	if c.Version > q.version {
+		q.version, q.limited = c.Version, len(terms) > 0
+		q.allocator.SetTenants(terms, time.Now())
 	}
 }
 
-// wanted reports whether there are tenants with limits.
-func (q *quotas) wanted() bool {
+// enabled reports whether there are tenants with limits.
+func (q *QuotaServer) enabled() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.limited
 }
 
-// quotaLoop keeps the lease on this registrar's share, once there are tenants.
-func (r *Registrar) quotaLoop() {
-	fair, turn := 0, feed.NewTurn()
+// renewQuotaLoop keeps the lease on this registrar's share, once there are tenants.
+func (r *Server) renewQuotaLoop() {
+	fair, turn := 0, feed.NewRequestNumber()
 	for {
-		pause := quotaRenew
-		if !r.quotas.wanted() {
-			pause = quotaFirst
-		} else if next, ok := r.renewQuota(fair, turn.Next()); ok {
+		pause := quotaRenewInterval
+		if !r.quotas.enabled() {
+			pause = quotaAcquireInterval
+		} else if next, ok := r.renewQuotaShare(fair, turn.Next()); ok {
 			fair = next
-			if share, _ := r.quotas.bank.Share(time.Now()); share == 0 || int(share*ration.Whole+0.5) != fair {
-				pause = quotaFirst
+			if share, _ := r.quotas.allocator.Share(time.Now()); share == 0 || int(share*ration.FullShare+0.5) != fair {
+				pause = quotaAcquireInterval
 			}
 		} else {
-			pause = quotaFirst
+			pause = quotaAcquireInterval
 		}
 		select {
 		case <-time.After(time.Duration((0.8 + 0.4*rand.Float64()) * float64(pause))):
@@ -110,51 +110,51 @@
 	}
 }
 
-// renewQuota claims what was fair at the last renewal; it returns what is fair now.
+// renewQuotaShare claims what was fair at the last renewal; it returns what is fair now.
 // What is to be given up is not used any more from before it is said.
-func (r *Registrar) renewQuota(fair int, turn feed.Turn) (int, bool) {
+func (r *Server) renewQuotaShare(fair int, turn feed.RequestNumber) (int, bool) {
 	asked := time.Now()
-	b := r.quotas.bank
-	b.Shrink(float64(fair)/ration.Whole, asked)
+	b := r.quotas.allocator
+	b.Shrink(float64(fair)/ration.FullShare, asked)
 	share, leased := b.Share(asked)
-	ctx, cancel := context.WithTimeout(context.Background(), ration.QuotaHold/5)
+	ctx, cancel := context.WithTimeout(context.Background(), ration.QuotaLeaseDuration/5)
 	defer cancel()
-	claim := feed.Claim{Of: feed.SharesOfQuotas, Node: r.set.NodeName, Permille: fair, Fresh: !leased, Turn: turn}
-	v, err := r.host.attempt(ctx, ExchangeCell, "/claim", &claim, func(ctx context.Context) verdict { return r.claimHere(ctx, claim) })
+	claim := feed.ShareRequest{Table: feed.QuotaShares, Node: r.settings.NodeName, Permille: fair, HoldsNone: !leased, Number: turn}
+	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil || !v.Grant.Granted {
 		return fair, false
 	}
-	if now := float64(v.Grant.Permille) / ration.Whole; now != share {
-		r.log.Info(event.QuotaShare).Int("permille", v.Grant.Permille).Int("fair", v.Grant.Fair).Msg("the share of the tenants' quotas moved")
+	if now := float64(v.Grant.Permille) / ration.FullShare; now != share {
+		r.log.Info(event.QuotaShareChanged).Int("permille", v.Grant.Permille).Int("fair", v.Grant.FairPermille).Msg("the share of the tenants' quotas moved")
 	}
 	now := time.Now()
-	b.Renew(float64(v.Grant.Permille)/ration.Whole, asked.Add(ration.QuotaHold), now)
-	if q := r.quotas; q.left != nil {
-		b.Restore(q.left, v.Grant.Kept, now)
-		q.left = nil
+	b.Renew(float64(v.Grant.Permille)/ration.FullShare, asked.Add(ration.QuotaLeaseDuration), now)
+	if q := r.quotas; q.restoredWatermarks != nil {
+		b.Restore(q.restoredWatermarks, v.Grant.Uninterrupted, now)
+		q.restoredWatermarks = nil
 	}
-	return v.Grant.Fair, true
+	return v.Grant.FairPermille, true
 }
 
-// floorLoop keeps on the disk what every slice holds at least, so that a life that
+// persistWatermarksLoop keeps on the disk what every slice holds at least, so that a life that
 // begins need not begin with empty ones. While load is usual nothing is written.
-func (r *Registrar) floorLoop() {
+func (r *Server) persistWatermarksLoop() {
 	for {
 		select {
-		case <-r.quotas.wake:
-		case <-time.After(floorEvery):
+		case <-r.quotas.tokensTaken:
+		case <-time.After(watermarkInterval):
 		case <-r.quit:
 			return
 		}
-		floors, due := r.quotas.bank.Floors(time.Now())
+		floors, due := r.quotas.allocator.LowWatermarks(time.Now())
 		if !due {
 			continue
 		}
-		pause := floorPause
-		if raw, err := wire.Marshal(floors); err == nil && r.host.vault.SetNode(floorNote, raw) == nil {
-			r.quotas.bank.FloorsKept(floors)
+		pause := watermarkWritePause
+		if raw, err := wire.Marshal(floors); err == nil && r.host.Storage.SetNodeValue(WatermarkStorageKey, raw) == nil {
+			r.quotas.allocator.LowWatermarksStored(floors)
 		} else {
-			pause = floorEvery // the disk refuses; the old floors hold
+			pause = watermarkInterval // the disk refuses; the old floors hold
 		}
 		select {
 		case <-time.After(pause):
@@ -164,22 +164,22 @@
 	}
 }
 
-// Cast answers and sends datagrams until the node ends.
-func (r *Registrar) Cast(c net.PacketConn) error {
+// ServeDatagrams answers and sends datagrams until the node ends.
+func (r *Server) ServeDatagrams(c net.PacketConn) error {
 	select {
 	case <-r.ready:
 	case <-r.quit:
 		return c.Close()
 	}
 	r.quotas.conn = c
-	for range quotaReads {
-		go r.listen(c)
+	for range datagramReaders {
+		go r.readDatagrams(c)
 	}
 	<-r.quit
 	return c.Close()
 }
 
-func (r *Registrar) listen(c net.PacketConn) {
+func (r *Server) readDatagrams(c net.PacketConn) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := c.ReadFrom(buf)
@@ -196,60 +196,60 @@
 			continue
 		}
 		switch {
-		case d.Grant != nil:
-			r.quotas.hear(d.Grant)
-		case d.Tally != nil:
-			r.hearTally(d.Tally, from)
-		case d.Ask != nil && len(d.Ask.Wants) <= quota.MostWants:
-			r.answerAsk(d.Ask, from)
+		case d.TokenGrant != nil:
+			r.quotas.receiveGrant(d.TokenGrant)
+		case d.UsageReport != nil:
+			r.receiveCounts(d.UsageReport, from)
+		case d.TokenRequest != nil && len(d.TokenRequest.Demands) <= quota.MaxDemands:
+			r.answerTokenRequest(d.TokenRequest, from)
 		}
 	}
 }
 
-func (q *quotas) send(to net.Addr, d *feed.Datagram) {
+func (q *QuotaServer) sendDatagram(to net.Addr, d *feed.Datagram) {
 	if b, err := wire.Marshal(d); err == nil {
 		_, _ = q.conn.WriteTo(b, to)
 	}
 }
 
-// answerAsk grants out of this registrar's slice, and borrows what is missing.
-func (r *Registrar) answerAsk(a *quota.Ask, from net.Addr) {
+// answerTokenRequest grants out of this registrar's slice, and borrows what is missing.
+func (r *Server) answerTokenRequest(a *quota.TokenRequest, from net.Addr) {
 	q := r.quotas
 	now := time.Now()
-	g := &quota.Grant{ID: a.ID, Parts: make([]quota.Part, len(a.Wants))}
-	_, leased := q.bank.Share(now)
+	g := &quota.TokenGrant{ID: a.ID, Results: make([]quota.TenantGrant, len(a.Demands))}
+	_, leased := q.allocator.Share(now)
 	var short []int
-	for i, w := range a.Wants {
-		p := &g.Parts[i]
+	for i, w := range a.Demands {
+		p := &g.Results[i]
 		if !leased {
-			p.Unable = true
+			p.NoShare = true
 			continue
 		}
-		if a.Lend {
-			p.Milli = int64(1000 * q.bank.Draw(w.Tenant, float64(min(w.Milli, 1000*quota.MostTokens))/1000, now))
+		if a.Loan {
+			p.MilliTokens = int64(1000 * q.allocator.Withdraw(w.Tenant, float64(min(w.MilliTokens, 1000*quota.MaxTokensPerDemand))/1000, now))
 			continue
 		}
-		need, more := min(w.Need, quota.MostTokens), min(w.More, quota.MostTokens)
+		need, more := min(w.Required, quota.MaxTokensPerDemand), min(w.Prefetch, quota.MaxTokensPerDemand)
 		var back time.Duration
-		p.Granted, back = q.bank.Take(w.Tenant, max(0, need)+max(0, more), now)
+		p.Granted, back = q.allocator.Take(w.Tenant, max(0, need)+max(0, more), now)
 		if p.Granted < need+more {
 			select {
-			case q.wake <- struct{}{}:
+			case q.tokensTaken <- struct{}{}:
 			default:
 			}
 		}
 		if p.Granted < need {
-			p.BackMs = max(1, back.Milliseconds())
+			p.RetryAfterMs = max(1, back.Milliseconds())
 			short = append(short, i)
 		}
 	}
-	reply := func() { q.send(from, &feed.Datagram{Grant: g}) }
+	reply := func() { q.sendDatagram(from, &feed.Datagram{TokenGrant: g}) }
 	if len(short) > 0 {
 		lenders := r.lenders()
 		go func() {
 			var wg sync.WaitGroup
 			for _, i := range short {
-				wg.Go(func() { r.borrow(a.Wants[i], &g.Parts[i], lenders) })
+				wg.Go(func() { r.borrow(a.Demands[i], &g.Results[i], lenders) })
 			}
 			wg.Wait()
 			reply()
@@ -260,13 +260,13 @@
 }
 
 // lenders lists the other registrars, those of the own region first.
-func (r *Registrar) lenders() (groups [2][]string) {
-	for addr, h := range r.host.live(learnerSpan) {
-		if addr == r.set.IPAddress {
+func (r *Server) lenders() (groups [2][]string) {
+	for addr, h := range r.host.LivePeers(LearnerTimeout) {
+		if addr == r.settings.IPAddress {
 			continue
 		}
 		g := 1
-		if r.set.Region(h.Zone) == r.set.RegionName {
+		if r.settings.RegionOf(h.Zone) == r.settings.RegionName {
 			g = 0
 		}
 		groups[g] = append(groups[g], addr)
@@ -276,45 +276,45 @@
 
 // borrow asks the others for what is missing of a tenant's tokens. What they lend
 // beyond that fills this registrar's own slice, as far as it has room.
-func (r *Registrar) borrow(w quota.Want, p *quota.Part, groups [2][]string) {
+func (r *Server) borrow(w quota.TenantDemand, p *quota.TenantGrant, groups [2][]string) {
 	q := r.quotas
-	missing := float64(w.Need - p.Granted)
-	have := q.bank.Draw(w.Tenant, missing, time.Now()) // the part of a token that lies here
-	for i, patience := range []time.Duration{lendNear, lendFar} {
+	missing := float64(w.Required - p.Granted)
+	have := q.allocator.Withdraw(w.Tenant, missing, time.Now()) // the part of a token that lies here
+	for i, patience := range []time.Duration{regionalLendTimeout, remoteLendTimeout} {
 		if have < missing-1e-6 {
-			have += q.borrowFrom(groups[i], r.set.PortOf(settings.Registrar), w.Tenant, missing-have, patience)
+			have += q.borrowFrom(groups[i], r.settings.PortOf(settings.ControlPlane), w.Tenant, missing-have, patience)
 		}
 	}
-	n := min(int(have+1e-6), w.Need-p.Granted)
-	q.bank.Put(w.Tenant, max(0, have-float64(n)), time.Now())
-	if p.Granted += n; p.Granted >= w.Need {
-		p.BackMs = 0
+	n := min(int(have+1e-6), w.Required-p.Granted)
+	q.allocator.Deposit(w.Tenant, max(0, have-float64(n)), time.Now())
+	if p.Granted += n; p.Granted >= w.Required {
+		p.RetryAfterMs = 0
 	}
 }
 
 // borrowFrom asks all of these at once.
-func (q *quotas) borrowFrom(addrs []string, port int, tenant string, x float64, patience time.Duration) (got float64) {
-	ch := make(chan quota.Part, len(addrs))
+func (q *QuotaServer) borrowFrom(addrs []string, port int, tenant string, x float64, patience time.Duration) (got float64) {
+	ch := make(chan quota.TenantGrant, len(addrs))
 	now := time.Now()
 	sent := map[uint64]string{}
 	q.mu.Lock()
-	for id, l := range q.asked {
-		if now.After(l.until) {
-			delete(q.asked, id)
+	for id, l := range q.pendingLoans {
+		if now.After(l.deadline) {
+			delete(q.pendingLoans, id)
 		}
 	}
 	for _, a := range addrs {
-		if now.Before(q.empty[lender{a, tenant}]) {
+		if now.Before(q.emptyLenders[lenderKey{a, tenant}]) {
 			continue
 		}
-		q.nextID++
-		q.asked[q.nextID] = loan{tenant, now.Add(lendFar), ch}
-		sent[q.nextID] = a
+		q.nextRequestID++
+		q.pendingLoans[q.nextRequestID] = pendingLoan{tenant, now.Add(remoteLendTimeout), ch}
+		sent[q.nextRequestID] = a
 	}
 	q.mu.Unlock()
 	for id, a := range sent {
-		q.send(&net.UDPAddr{IP: net.ParseIP(a), Port: port},
-			&feed.Datagram{Ask: &quota.Ask{ID: id, Lend: true, Wants: []quota.Want{{Tenant: tenant, Milli: int64(x*1000 + 0.999)}}}})
+		q.sendDatagram(&net.UDPAddr{IP: net.ParseIP(a), Port: port},
+			&feed.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Loan: true, Demands: []quota.TenantDemand{{Tenant: tenant, MilliTokens: int64(x*1000 + 0.999)}}}})
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -322,7 +322,7 @@
 	for range sent {
 		select {
 		case p := <-ch:
-			if got += float64(p.Milli) / 1000; got >= x {
+			if got += float64(p.MilliTokens) / 1000; got >= x {
 				break wait
 			}
 		case <-timer.C:
@@ -333,44 +333,44 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for id := range sent {
-		if l, ok := q.asked[id]; ok {
-			l.got = nil
-			q.asked[id] = l
+		if l, ok := q.pendingLoans[id]; ok {
+			l.reply = nil
+			q.pendingLoans[id] = l
 		}
 	}
 	for more := true; more; { // what came in meanwhile
 		select {
 		case p := <-ch:
-			got += float64(p.Milli) / 1000
+			got += float64(p.MilliTokens) / 1000
 		default:
 			more = false
 		}
 	}
 	if got < x {
 		for _, a := range sent {
-			q.empty[lender{a, tenant}] = time.Now().Add(lenderEmpty)
+			q.emptyLenders[lenderKey{a, tenant}] = time.Now().Add(emptyLenderBackoff)
 		}
-		if len(q.empty) > 4096 {
-			clear(q.empty)
+		if len(q.emptyLenders) > 4096 {
+			clear(q.emptyLenders)
 		}
 	}
 	return got
 }
 
-func (q *quotas) hear(g *quota.Grant) {
-	if len(g.Parts) != 1 {
+func (q *QuotaServer) receiveGrant(g *quota.TokenGrant) {
+	if len(g.Results) != 1 {
 		return
 	}
-	now, p := time.Now(), g.Parts[0]
+	now, p := time.Now(), g.Results[0]
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l, ok := q.asked[g.ID]
-	delete(q.asked, g.ID)
+	l, ok := q.pendingLoans[g.ID]
+	delete(q.pendingLoans, g.ID)
 	switch {
-	case !ok || now.After(l.until): // too late to count on
-	case l.got != nil:
-		l.got <- p // it has room for all that were asked
+	case !ok || now.After(l.deadline): // too late to count on
+	case l.reply != nil:
+		l.reply <- p // it has room for all that were asked
 	default:
-		q.bank.Put(l.tenant, float64(p.Milli)/1000, now)
+		q.allocator.Deposit(l.tenant, float64(p.MilliTokens)/1000, now)
 	}
 }
--- a/internal/registrar/ration.go
+++ b/internal/registrar/ration.go
@@ -14,41 +14,41 @@
 	"github.com/labstack/echo/v4"
 )
 
-// shareKeeper is what a registrar knows of the leased shares. It never grants
+// ShareAllocator is what a registrar knows of the leased shares. It never grants
 // more than what is left of the whole, and lets a share lapse only after it
 // has itself seen it unrenewed for clockSpread times as long as it is held.
-type shareKeeper struct {
-	key  string        // of the table
-	hold time.Duration // how long a share is held
+type ShareAllocator struct {
+	key           string        // of the table
+	leaseDuration time.Duration // how long a share is held
 
-	mu   sync.Mutex
-	seen map[string]seenShare
+	mu       sync.Mutex
+	observed map[string]observedShare
 }
 
-func newShareKeepers() map[feed.Shares]*shareKeeper {
-	return map[feed.Shares]*shareKeeper{
-		feed.SharesOfRates:  {key: keyShares, hold: ration.Hold, seen: map[string]seenShare{}},
-		feed.SharesOfQuotas: {key: keyQuotas, hold: ration.QuotaHold, seen: map[string]seenShare{}},
+func NewShareAllocators() map[feed.ShareTable]*ShareAllocator {
+	return map[feed.ShareTable]*ShareAllocator{
+		feed.RateShares:  {key: RateSharesKey, leaseDuration: ration.LeaseDuration, observed: map[string]observedShare{}},
+		feed.QuotaShares: {key: QuotaSharesKey, leaseDuration: ration.QuotaLeaseDuration, observed: map[string]observedShare{}},
 	}
 }
 
-type seenShare struct {
-	share feed.Share
-	at    time.Time
+type observedShare struct {
+	share feed.ShareLease
+	since time.Time
 }
 
-// settle is the pure part: it notes which records moved, drops those
+// allocate is the pure part: it notes which records moved, drops those
 // that lapsed and works out what the claimant may have.
-func (k *shareKeeper) settle(table map[string]feed.Share, c feed.Claim, now time.Time) (next map[string]feed.Share, g feed.Grant) {
+func (k *ShareAllocator) allocate(table map[string]feed.ShareLease, c feed.ShareRequest, now time.Time) (next map[string]feed.ShareLease, g feed.ShareGrant) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next = map[string]feed.Share{}
+	next = map[string]feed.ShareLease{}
 	others := 0
 	for node, s := range table {
-		if old, ok := k.seen[node]; !ok || old.share != s { // renewed, be it in this very batch
-			k.seen[node] = seenShare{s, now}
+		if old, ok := k.observed[node]; !ok || old.share != s { // renewed, be it in this very batch
+			k.observed[node] = observedShare{s, now}
 		}
-		if node != c.Node && now.Sub(k.seen[node].at) > clockSpread*k.hold {
+		if node != c.Node && now.Sub(k.observed[node].since) > ClockSkewFactor*k.leaseDuration {
 			continue
 		}
 		next[node] = s
@@ -56,104 +56,104 @@
 			others += s.Permille
 		}
 	}
-	for node := range k.seen {
+	for node := range k.observed {
 		if _, ok := table[node]; !ok {
-			delete(k.seen, node)
+			delete(k.observed, node)
 		}
 	}
-	if old, ok := next[c.Node]; ok && c.Turn.Late(old.Turn) {
+	if old, ok := next[c.Node]; ok && c.Number.IsStale(old.Request) {
 		return next, g // its node has moved on, and uses what it was granted since
 	}
 	holders := len(next)
 	if _, ok := next[c.Node]; !ok {
 		holders++
 	}
-	g.Kept = table[c.Node].Permille > 0
-	g.Fair = ration.Whole / holders
+	g.Uninterrupted = table[c.Node].Permille > 0
+	g.FairPermille = ration.FullShare / holders
 	want := c.Permille
-	if c.Fresh {
-		want = g.Fair
+	if c.HoldsNone {
+		want = g.FairPermille
 	}
-	g.Permille = max(0, min(want, ration.Whole-others))
+	g.Permille = max(0, min(want, ration.FullShare-others))
 	g.Granted = true
-	next[c.Node] = feed.Share{Permille: g.Permille, Beat: table[c.Node].Beat + 1, Turn: c.Turn}
+	next[c.Node] = feed.ShareLease{Permille: g.Permille, Renewals: table[c.Node].Renewals + 1, Request: c.Number}
 	return next, g
 }
 
-type pendingClaim struct {
-	claim feed.Claim
-	done  chan verdict
+type pendingShareRequest struct {
+	request feed.ShareRequest
+	result  chan ProposeResult
 }
 
-// ration renews a node's share: the exchange cell's proposer settles claims,
+// renewRateShare renews a node's share: the exchange cell's proposer settles claims,
 // so that they need not contend.
-func (r *Registrar) ration(c echo.Context) error {
-	var claim feed.Claim
-	if err := wire.Read(c.Request().Body, &claim); err != nil || claim.Node == "" || claim.Permille < 0 || claim.Permille > ration.Whole || r.shares[claim.Of] == nil {
+func (r *Server) renewRateShare(c echo.Context) error {
+	var claim feed.ShareRequest
+	if err := wire.DecodeRequest(c.Request().Body, &claim); err != nil || claim.Node == "" || claim.Permille < 0 || claim.Permille > ration.FullShare || r.shares[claim.Table] == nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), ration.Hold/3)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), ration.LeaseDuration/3)
 	defer cancel()
-	v, err := r.host.attempt(ctx, ExchangeCell, "/claim", &claim, func(ctx context.Context) verdict { return r.claimHere(ctx, claim) })
+	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil {
-		return answer(c, feed.Grant{})
+		return writeCBOR(c, feed.ShareGrant{})
 	}
-	return answer(c, v.Grant)
+	return writeCBOR(c, v.Grant)
 }
 
-// claimHere has a claim settled at this node, which must be the proposer.
-func (r *Registrar) claimHere(ctx context.Context, claim feed.Claim) verdict {
-	p := &pendingClaim{claim, make(chan verdict, 1)}
+// allocateShareLocally has a claim settled at this node, which must be the proposer.
+func (r *Server) allocateShareLocally(ctx context.Context, claim feed.ShareRequest) ProposeResult {
+	p := &pendingShareRequest{claim, make(chan ProposeResult, 1)}
 	select {
-	case r.claims <- p:
+	case r.shareClaims <- p:
 	default:
-		return verdict{Busy: true}
+		return ProposeResult{Busy: true}
 	}
 	select {
-	case v := <-p.done:
+	case v := <-p.result:
 		return v
 	case <-ctx.Done():
 	case <-r.quit:
 	}
-	return verdict{Unclear: true}
+	return ProposeResult{Unknown: true}
 }
 
-// claimLoop settles claims, all that wait for one table in one transaction.
-func (r *Registrar) claimLoop() {
+// allocateSharesLoop settles claims, all that wait for one table in one transaction.
+func (r *Server) allocateSharesLoop() {
 	for {
-		var batch []*pendingClaim
+		var batch []*pendingShareRequest
 		select {
-		case p := <-r.claims:
+		case p := <-r.shareClaims:
 			batch = append(batch, p)
 		case <-r.quit:
 			return
 		}
-		batch = drain(r.claims, batch, cap(r.claims))
-		for _, of := range []feed.Shares{feed.SharesOfRates, feed.SharesOfQuotas} {
-			var mine []*pendingClaim
+		batch = drainChannel(r.shareClaims, batch, cap(r.shareClaims))
+		for _, of := range []feed.ShareTable{feed.RateShares, feed.QuotaShares} {
+			var mine []*pendingShareRequest
 			for _, p := range batch {
-				if p.claim.Of == of {
+				if p.request.Table == of {
 					mine = append(mine, p)
 				}
 			}
 			if len(mine) == 0 {
 				continue
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), ration.Hold/3)
-			v, grants := r.settleClaims(ctx, r.shares[of], mine)
+			ctx, cancel := context.WithTimeout(context.Background(), ration.LeaseDuration/3)
+			v, grants := r.commitShares(ctx, r.shares[of], mine)
 			cancel()
 			for i, p := range mine {
 				if v.Committed {
 					v.Grant = grants[i]
 				}
-				p.done <- v
+				p.result <- v
 			}
 		}
 	}
 }
 
-// drain takes what else waits in a channel.
-func drain[T any](ch chan T, batch []T, most int) []T {
+// drainChannel takes what else waits in a channel.
+func drainChannel[T any](ch chan T, batch []T, most int) []T {
 	for len(batch) < most {
 		select {
 		case p := <-ch:
@@ -165,27 +165,27 @@
 	return batch
 }
 
-func (r *Registrar) settleClaims(ctx context.Context, k *shareKeeper, batch []*pendingClaim) (verdict, []feed.Grant) {
+func (r *Server) commitShares(ctx context.Context, k *ShareAllocator, batch []*pendingShareRequest) (ProposeResult, []feed.ShareGrant) {
 	for range 3 {
-		table := map[string]feed.Share{}
+		table := map[string]feed.ShareLease{}
 		cond := cell.Condition{Key: k.key, Absent: true}
-		r.host.ask(func() {
-			if m := r.host.cells[ExchangeCell]; m != nil {
+		r.host.Do(func() {
+			if m := r.host.Replicas[MetaCell]; m != nil {
 				if old, held := m.Get(k.key); held && wire.Unmarshal(old.Bytes, &table) == nil {
 					cond = cell.Condition{Key: k.key, Equals: old}
 				}
 			}
 		})
-		grants := make([]feed.Grant, len(batch))
+		grants := make([]feed.ShareGrant, len(batch))
 		now := time.Now()
 		for i, p := range batch {
-			table, grants[i] = k.settle(table, p.claim, now)
+			table, grants[i] = k.allocate(table, p.request, now)
 		}
-		v := r.host.proposeHere(ctx, ExchangeCell, cell.Txn{ID: newID(), Conditions: []cell.Condition{cond},
-			Ops: []cell.Op{{Kind: cell.OpPut, Key: k.key, Value: encode(table)}}})
-		if v.Committed || v.Busy || v.Unclear || v.NoLeader {
+		v := r.host.ProposeLocal(ctx, MetaCell, cell.Txn{ID: NewTransactionID(), Conditions: []cell.Condition{cond},
+			Ops: []cell.Op{{Kind: cell.OpPut, Key: k.key, Value: MustEncode(table)}}})
+		if v.Committed || v.Busy || v.Unknown || v.NoLeader {
 			return v, grants
 		}
 	}
-	return verdict{Busy: true}, nil
+	return ProposeResult{Busy: true}, nil
 }
--- a/internal/registrar/recall.go
+++ b/internal/registrar/recall.go
@@ -20,93 +20,93 @@
 
 // Pacing of recalls. Ours; see docs/design.md.
 const (
-	maxRecallBytes  = 64 << 10
-	maxRecallBatch  = 512
-	recallQueue     = 4096
-	minRecallMemory = 60 * time.Second // recalls are kept for this long at least
+	maxPurgeBytes     = 64 << 10
+	maxPurgeBatch     = 512
+	purgeQueueLength  = 4096
+	minPurgeRetention = 60 * time.Second // recalls are kept for this long at least
 )
 
-// purgeOrder is the operator's purge: a host and path, or a label.
-type purgeOrder struct {
+// purgeRequest is the operator's purge: a host and path, or a label.
+type purgeRequest struct {
 	Hostname string `json:"hostname"`
 	Path     string `json:"path"`
 	Label    string `json:"label"`
 }
 
-var errPurge = errors.New("a purge names hostname and path, or label, and not both")
+var errInvalidPurge = errors.New("a purge names hostname and path, or label, and not both")
 
-func readPurge(raw []byte) (feed.Recall, error) {
-	var o purgeOrder
+func parsePurge(raw []byte) (feed.Purge, error) {
+	var o purgeRequest
 	if err := json.Unmarshal(raw, &o); err != nil {
-		return feed.Recall{}, err
+		return feed.Purge{}, err
 	}
 	byPath := o.Hostname != "" && strings.HasPrefix(o.Path, "/")
 	switch {
 	case o.Label != "" && o.Hostname == "" && o.Path == "" && !strings.ContainsAny(o.Label, " \t"):
-		return feed.Recall{Label: o.Label}, nil
+		return feed.Purge{Label: o.Label}, nil
 	case o.Label == "" && byPath:
-		return feed.Recall{Host: strings.ToLower(o.Hostname), Path: o.Path}, nil
+		return feed.Purge{Host: strings.ToLower(o.Hostname), Path: o.Path}, nil
 	}
-	return feed.Recall{}, errPurge
+	return feed.Purge{}, errInvalidPurge
 }
 
-type pendingRecall struct {
-	recall feed.Recall
-	done   chan error
+type pendingPurge struct {
+	purge feed.Purge
+	done  chan error
 }
 
-// purge takes a purge order and answers once a majority keeps it.
-func (r *Registrar) purge(c echo.Context) error {
-	raw, status, why := readBody(c, maxRecallBytes)
+// handlePurge takes a purge order and answers once a majority keeps it.
+func (r *Server) handlePurge(c echo.Context) error {
+	raw, status, why := readBody(c, maxPurgeBytes)
 	if status != 0 {
-		return refuse(c, status, why)
+		return writeError(c, status, why)
 	}
-	rec, err := readPurge(raw)
+	rec, err := parsePurge(raw)
 	if err != nil {
-		r.log.Warn(event.PurgeRefused).Err(err).Msg("purge refused")
-		return refuse(c, http.StatusBadRequest, err.Error())
+		r.log.Warn(event.PurgeRejected).Err(err).Msg("purge refused")
+		return writeError(c, http.StatusBadRequest, err.Error())
 	}
-	p := &pendingRecall{rec, make(chan error, 1)}
+	p := &pendingPurge{rec, make(chan error, 1)}
 	select {
-	case r.recalls <- p:
+	case r.purgeRequests <- p:
 	default:
-		return refuse(c, http.StatusServiceUnavailable, translate(ErrBusy))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrBusy))
 	}
 	select {
 	case err = <-p.done:
 	case <-c.Request().Context().Done():
-		err = ErrUnclear
+		err = ErrOutcomeUnknown
 	case <-r.quit:
-		err = ErrUnclear
+		err = ErrOutcomeUnknown
 	}
 	if err != nil {
-		return refuse(c, http.StatusServiceUnavailable, translate(err))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 	}
 	return c.JSON(http.StatusOK, struct{}{})
 }
 
-// recallLoop puts purges into the exchange cell. Those that come while a batch
+// purgeLoop puts purges into the exchange cell. Those that come while a batch
 // is being decided make up the next one, so that a storm costs few positions.
-func (r *Registrar) recallLoop() {
+func (r *Server) purgeLoop() {
 	for {
-		var batch []*pendingRecall
+		var batch []*pendingPurge
 		select {
-		case p := <-r.recalls:
+		case p := <-r.purgeRequests:
 			batch = append(batch, p)
 		case <-r.quit:
 			return
 		}
-		batch = drain(r.recalls, batch, maxRecallBatch)
-		seen := map[feed.Recall]bool{}
-		var list []feed.Recall
+		batch = drainChannel(r.purgeRequests, batch, maxPurgeBatch)
+		seen := map[feed.Purge]bool{}
+		var list []feed.Purge
 		for _, p := range batch {
-			if !seen[p.recall] {
-				seen[p.recall] = true
-				list = append(list, p.recall)
+			if !seen[p.purge] {
+				seen[p.purge] = true
+				list = append(list, p.purge)
 			}
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), orderPatience)
-		err := r.commitRecalls(ctx, list)
+		ctx, cancel := context.WithTimeout(context.Background(), RequestTimeout)
+		err := r.commitPurges(ctx, list)
 		cancel()
 		for _, p := range batch {
 			p.done <- err
@@ -114,20 +114,20 @@
 	}
 }
 
-// commitRecalls has purges decided. One decided twice does no harm, so what is
+// commitPurges has purges decided. One decided twice does no harm, so what is
 // unclear is simply proposed again.
-func (r *Registrar) commitRecalls(ctx context.Context, list []feed.Recall) error {
+func (r *Server) commitPurges(ctx context.Context, list []feed.Purge) error {
 	// Its version and event id are those of its position; see rowAt.
-	n, err := notice.New("", notice.Purges, 0, 0, len(list))
+	n, err := notice.NewNotification("", notice.AggregatePurges, 0, 0, len(list))
 	if err != nil {
 		return err
 	}
 	for {
-		ok, err := r.host.Propose(ctx, ExchangeCell, cell.Txn{Ops: []cell.Op{
-			{Kind: cell.OpAppend, Key: keyRecall, Value: encode(list)},
-			{Kind: cell.OpAppend, Key: keyOutbox, Value: encode(notice.Row{Notice: n})}}})
+		ok, err := r.host.Propose(ctx, MetaCell, cell.Txn{Ops: []cell.Op{
+			{Kind: cell.OpAppend, Key: PurgeKeyPrefix, Value: MustEncode(list)},
+			{Kind: cell.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(notice.Row{Notification: n})}}})
 		if ok && err == nil {
-			r.log.Info(event.PurgeTaken).Int("recalls", len(list)).Msg("purges taken")
+			r.log.Info(event.PurgeCommitted).Int("recalls", len(list)).Msg("purges taken")
 			return nil
 		}
 		select {
@@ -141,73 +141,73 @@
 	}
 }
 
-// setRecalls takes the recalls of the exchange cell. Those already held are
+// SetPurges takes the recalls of the exchange cell. Those already held are
 // not decoded again.
-func (b *board) setRecalls(m *cell.Member) {
+func (b *Distributor) SetPurges(m *cell.Replica) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	floor := uint64(0)
-	if v, ok := m.Get(keyFloor); ok && v.Int != nil {
+	if v, ok := m.Get(PurgeCompactedKey); ok && v.Int != nil {
 		floor = v.Int.Uint64()
 	}
 	moved := false
-	if floor > b.floor {
-		b.floor = floor
-		b.pos = max(b.pos, floor)
-		at := sort.Search(len(b.recalls), func(i int) bool { return b.recalls[i].Pos > floor })
-		b.recalls = append([]feed.Recall(nil), b.recalls[at:]...)
-	}
-	held := b.pos
-	for _, k := range m.KeysFrom(keyRecall, recallKeyAfter(held)) {
-		var list []feed.Recall
+	if floor > b.purgeLowWatermark {
+		b.purgeLowWatermark = floor
+		b.purgePosition = max(b.purgePosition, floor)
+		at := sort.Search(len(b.purges), func(i int) bool { return b.purges[i].LogIndex > floor })
+		b.purges = append([]feed.Purge(nil), b.purges[at:]...)
+	}
+	held := b.purgePosition
+	for _, k := range m.KeysWithPrefix(PurgeKeyPrefix, purgeKeyAfter(held)) {
+		var list []feed.Purge
 		v, _ := m.Get(k)
 		if wire.Unmarshal(v.Bytes, &list) != nil {
 			continue
 		}
-		pos := slotOf(k, keyRecall)
+		pos := LogIndexOfKey(k, PurgeKeyPrefix)
 		for _, rec := range list {
-			rec.Pos = pos
-			b.recalls = append(b.recalls, rec)
+			rec.LogIndex = pos
+			b.purges = append(b.purges, rec)
 		}
-		b.pos = max(b.pos, pos)
+		b.purgePosition = max(b.purgePosition, pos)
 		moved = true
 	}
 	if moved {
-		b.changedLocked()
+		b.notifyLocked()
 	}
 }
 
-func recallKeyAfter(pos uint64) string { return cell.AppendedKey(keyRecall, pos+1, "") }
+func purgeKeyAfter(pos uint64) string { return cell.AppendedKey(PurgeKeyPrefix, pos+1, "") }
 
-// recallNews adds the recalls that the caller lacks.
-func (b *board) recallNews(h feed.Have, n *feed.News) {
-	if b.pos <= h.Recall {
+// addPurgesLocked adds the recalls that the caller lacks.
+func (b *Distributor) addPurgesLocked(h feed.HeldVersions, n *feed.Update) {
+	if b.purgePosition <= h.PurgeIndex {
 		return
 	}
-	rs := &feed.Recalls{Pos: b.pos, Reset: h.Recall < b.floor}
-	at := sort.Search(len(b.recalls), func(i int) bool { return b.recalls[i].Pos > h.Recall })
-	rs.All = b.recalls[at:len(b.recalls):len(b.recalls)]
-	n.Recalls = rs
+	rs := &feed.PurgeUpdate{LogIndex: b.purgePosition, Reset: h.PurgeIndex < b.purgeLowWatermark}
+	at := sort.Search(len(b.purges), func(i int) bool { return b.purges[i].LogIndex > h.PurgeIndex })
+	rs.Purges = b.purges[at:len(b.purges):len(b.purges)]
+	n.Purges = rs
 }
 
-// recallDesk forgets recalls that no copy can predate any more: this node's own
+// sweepPurges forgets recalls that no copy can predate any more: this node's own
 // steady clock saw each of them for longer than any copy may be kept.
-func (r *Registrar) recallDesk(first map[string]time.Time) {
-	keep := minRecallMemory
+func (r *Server) sweepPurges(first map[string]time.Time) {
+	keep := minPurgeRetention
 	var keys []string
 	var held cell.Value
 	var known bool
-	if !r.exchange(func(m *cell.Member) {
-		keys = m.KeysFrom(keyRecall, keyRecall)
-		held, known = m.Get(keyFloor)
+	if !r.viewMetaCell(func(m *cell.Replica) {
+		keys = m.KeysWithPrefix(PurgeKeyPrefix, PurgeKeyPrefix)
+		held, known = m.Get(PurgeCompactedKey)
 	}) {
 		return
 	}
 	now := time.Now()
 	if len(keys) > 0 && now.Sub(first[keys[0]]) > keep && !first[keys[0]].IsZero() {
-		if cfg := r.config(); cfg != nil {
+		if cfg := r.committedConfiguration(); cfg != nil {
 			for i := range cfg.Routes {
-				keep = max(keep, 2*cfg.Routes[i].TTL()+minRecallMemory)
+				keep = max(keep, 2*cfg.Routes[i].CacheTTL()+minPurgeRetention)
 			}
 		}
 	}
@@ -228,22 +228,22 @@
 		}
 	}
 	if len(old) > 0 {
-		r.propose(ExchangeCell, forgetTxn(held, known, old))
+		r.propose(MetaCell, ForgetPurgesTxn(held, known, old))
 	}
 }
 
-// forgetTxn forgets recalls, in order of position, and raises the floor from where it is
+// ForgetPurgesTxn forgets recalls, in order of position, and raises the floor from where it is
 // held: one that is late would lower it, and a node that lacks what was forgotten would
 // not be told.
-func forgetTxn(held cell.Value, known bool, old []string) (t cell.Txn) {
-	cond := cell.Condition{Key: keyFloor, Absent: true}
+func ForgetPurgesTxn(held cell.Value, known bool, old []string) (t cell.Txn) {
+	cond := cell.Condition{Key: PurgeCompactedKey, Absent: true}
 	if known {
-		cond = cell.Condition{Key: keyFloor, Equals: held}
+		cond = cell.Condition{Key: PurgeCompactedKey, Equals: held}
 	}
 	t.Conditions = []cell.Condition{cond}
 	for _, k := range old {
 		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: k})
 	}
-	t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: keyFloor, Value: uintValue(slotOf(old[len(old)-1], keyRecall))})
+	t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: PurgeCompactedKey, Value: UintValue(LogIndexOfKey(old[len(old)-1], PurgeKeyPrefix))})
 	return t
 }
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -23,94 +23,94 @@
 )
 
 const (
-	feedHold  = time.Second     // an answer without news comes after this
-	staleFrom = 2 * time.Second // since a majority surely followed the proposer; others know it a beat or two later
+	longPollTimeout = time.Second     // an answer without news comes after this
+	StaleAfter      = 2 * time.Second // since a majority surely followed the proposer; others know it a beat or two later
 )
 
-var errEnded = errors.New("registrar: told to end")
+var errStopped = errors.New("registrar: told to end")
 
-// Registrar is the control plane of one node.
-type Registrar struct {
-	set   *settings.Settings
-	log   *event.Log
-	disk  vault.Disk
-	net   wire.Net
-	ready chan struct{} // closed once the vault is open: what follows is there
-	host  *Host
-	board *board
-	plat  *directory.Platform
+// Server is the control plane of one node.
+type Server struct {
+	settings *settings.Settings
+	log      *event.Logger
+	disk     vault.Disk
+	network  wire.Network
+	ready    chan struct{} // closed once the vault is open: what follows is there
+	host     *Host
+	board    *Distributor
+	platform *directory.Client
 
-	poller   *duty
-	mover    *duty
-	reporter *duty
-	recalls  chan *pendingRecall
-	claims   chan *pendingClaim
-	shares   map[feed.Shares]*shareKeeper
-	quotas   *quotas
-	notices  *noticeBox
-	usages   *usages
+	discoveryLease *Lease
+	placementLease *Lease
+	usageLease     *Lease
+	purgeRequests  chan *pendingPurge
+	shareClaims    chan *pendingShareRequest
+	shares         map[feed.ShareTable]*ShareAllocator
+	quotas         *QuotaServer
+	notices        *Consumer
+	usages         *Collector
 
-	large chan struct{} // room for one large order that is read
-	quit  chan struct{}
-	once  sync.Once
-	wg    sync.WaitGroup
+	largeBodySlot chan struct{} // room for one large order that is read
+	quit          chan struct{}
+	stopOnce      sync.Once
+	wg            sync.WaitGroup
 
-	reading  atomic.Bool // a list that another registrar holds is being fetched
-	mu       sync.Mutex
-	newSet   *settings.Settings // the last that was reloaded
-	ended    bool
-	seen     map[string]seenNode
-	suspects map[string]map[string]time.Time
-	reports  map[string]map[string]time.Time
-	wells    map[string]wellReport
-	bad      map[string]feed.Report
-	deskWake chan struct{}
+	fetchingList     atomic.Bool // a list that another registrar holds is being fetched
+	mu               sync.Mutex
+	reloadedSettings *settings.Settings // the last that was reloaded
+	stopped          bool
+	recentNodes      map[string]recentNode
+	suspectedBy      map[string]map[string]time.Time
+	faultReports     map[string]map[string]time.Time
+	recoveryReports  map[string]recoveryReport
+	lastFaultReport  map[string]feed.HealthReport
+	reconcileWake    chan struct{}
 }
 
-// wellReport is kept for a while, should the mark not be lifted at once.
-type wellReport struct {
-	rep feed.Report
-	at  time.Time
+// recoveryReport is kept for a while, should the mark not be lifted at once.
+type recoveryReport struct {
+	report     feed.HealthReport
+	reportedAt time.Time
 }
 
-type seenNode struct {
-	node feed.Node
-	at   time.Time
+type recentNode struct {
+	node     feed.Node
+	lastCall time.Time
 }
 
 // New makes a registrar. It asks nothing of the disk; Run does.
-func New(set *settings.Settings, log *event.Log, n wire.Net, disk vault.Disk) *Registrar {
-	r := &Registrar{set: set, log: log, disk: disk, net: n, ready: make(chan struct{}), board: newBoard(), quit: make(chan struct{}), large: make(chan struct{}, 1),
-		seen: map[string]seenNode{}, suspects: map[string]map[string]time.Time{},
-		reports: map[string]map[string]time.Time{}, wells: map[string]wellReport{}, bad: map[string]feed.Report{},
-		deskWake: make(chan struct{}, 1), recalls: make(chan *pendingRecall, recallQueue),
-		claims: make(chan *pendingClaim, 256), shares: newShareKeepers(), usages: newUsages(n)}
+func New(set *settings.Settings, log *event.Logger, n wire.Network, disk vault.Disk) *Server {
+	r := &Server{settings: set, log: log, disk: disk, network: n, ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
+		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
+		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]feed.HealthReport{},
+		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
+		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
 	if set.Platform.Address != "" {
-		r.plat = directory.NewPlatform(n, set.Platform.Address, set.Platform.RatePerS)
+		r.platform = directory.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
 	return r
 }
 
-// open opens the vault, as often as it takes: a disk in trouble is no reason to end.
+// openStorage opens the vault, as often as it takes: a disk in trouble is no reason to end.
 // Until then this registrar says nothing to the others and turns callers away.
-func (r *Registrar) open() {
+func (r *Server) openStorage() {
 	failed := func(err error) {
-		if errors.Is(err, vault.ErrDamaged) {
-			r.log.Error(event.DiskDamaged).Err(err).Msg("the file of the cells is damaged and was put aside")
+		if errors.Is(err, vault.ErrCorrupt) {
+			r.log.Error(event.StorageCorrupt).Err(err).Msg("the file of the cells is damaged and was put aside")
 			return
 		}
-		r.log.Warn(event.DiskRefused).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+		r.log.Warn(event.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
 	}
-	for ; ; time.Sleep(vault.RetryPause) {
+	for ; ; time.Sleep(vault.RetryDelay) {
 		select {
 		case <-r.quit:
 			return
 		default:
 		}
-		late := time.AfterFunc(vault.SilentAfter, func() { failed(vault.ErrSilent) })
-		v, err := vault.Open(r.set.DataDirectory, r.disk, failed)
+		late := time.AfterFunc(vault.UnresponsiveAfter, func() { failed(vault.ErrUnresponsive) })
+		v, err := vault.Open(r.settings.DataDirectory, r.disk, failed)
 		if err == nil {
-			if err = r.begin(v); err != nil {
+			if err = r.startReplicas(v); err != nil {
 				_ = v.Close()
 			}
 		}
@@ -122,69 +122,69 @@
 	}
 }
 
-// begin opens the cells of this node. The vault's name is on the disk by now.
-func (r *Registrar) begin(v *vault.Vault) error {
-	set, log := r.set, r.log
-	var founders []cell.Seat
+// startReplicas opens the cells of this node. The vault's name is on the disk by now.
+func (r *Server) startReplicas(v *vault.Store) error {
+	set, log := r.settings, r.log
+	var founders []cell.Voter
 	if set.FirstStart {
 		for _, a := range set.SeedHosts() {
-			founders = append(founders, cell.Seat{ID: cell.MemberID(a), Addr: a})
+			founders = append(founders, cell.Voter{ID: cell.ReplicaID(a), Addr: a})
 		}
 	}
-	id, empty, err := Identity(v, set.IPAddress, set.FirstStart, vault.SetAside(set.DataDirectory), founders)
+	id, empty, err := LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, vault.HasCorruptFile(set.DataDirectory), founders)
 	if err != nil {
 		return err
 	}
 	if empty && !set.FirstStart {
 		log.Warn(event.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
-	self := Hello{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas, r.notices = newQuotas(set.Bounds.Quota(), v.Node(floorNote)), newNoticeBox(v.Node(inboxNote))
+	self := PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
+	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
-	if raw := v.Node("list"); raw != nil {
-		var l feed.List
+	if raw := v.NodeValue("list"); raw != nil {
+		var l feed.EndpointList
 		if wire.Unmarshal(raw, &l) == nil {
-			r.board.setList(&l)
+			r.board.SetEndpoints(&l)
 		}
 	}
-	r.board.keep = func(l *feed.List) {
+	r.board.persistEndpoints = func(l *feed.EndpointList) {
 		if raw, err := wire.Marshal(l); err == nil {
-			v.NoteNode("list", raw)
+			v.QueueNodeValue("list", raw)
 		}
 	}
-	r.host = NewHost(self, set.PortOf(settings.Registrar), set.SeedHosts(), v, r.net, log)
-	r.host.changed = r.cellChanged
-	r.host.listed, r.host.seen = r.board.stamp, r.listSeen
-	r.host.listing = r.board.registrars
-	r.poller = newDuty(r.host, "directory", pollHold, fencedSpread)
-	r.mover = newDuty(r.host, "mover", moveHold, fencedSpread)
-	r.reporter = newDuty(r.host, "usage", usageHold, clockSpread)
+	r.host = NewHost(self, set.PortOf(settings.ControlPlane), set.SeedHosts(), v, r.network, log)
+	r.host.OnApply = r.onApply
+	r.host.EndpointListVersion, r.host.OnPeerEndpointList = r.board.EndpointsVersion, r.onPeerEndpoints
+	r.host.RegisteredAddresses = r.board.ControlAddresses
+	r.discoveryLease = NewLease(r.host, "directory", PollerLeaseDuration, FencedClockSkewFactor)
+	r.placementLease = NewLease(r.host, "mover", MoverLeaseDuration, FencedClockSkewFactor)
+	r.usageLease = NewLease(r.host, "usage", ReporterLeaseDuration, ClockSkewFactor)
 	if set.ReportsUsage() {
-		r.usages.restore(v)
-		r.host.times, r.host.timeSeen = r.usages.times, func(peer string, wall, agreed int64) {
-			r.usages.clock.Heard(peer, wall, agreed, time.Now())
+		r.usages.Restore(v)
+		r.host.ReadClocks, r.host.OnPeerClocks = r.usages.Times, func(peer string, wall, agreed int64) {
+			r.usages.clock.Observe(peer, wall, agreed, time.Now())
 		}
 	}
 	for _, name := range set.UnknownDuties() {
-		log.Warn(event.DutyUnknown).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
+		log.Warn(event.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
-	r.host.Open(ExchangeCell, founders)
+	r.host.Open(MetaCell, founders)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended {
-		return errEnded
+	if r.stopped {
+		return errStopped
 	}
-	if r.newSet != nil {
-		r.host.seeds = r.newSet.SeedHosts()
+	if r.reloadedSettings != nil {
+		r.host.Seeds = r.reloadedSettings.SeedHosts()
 	}
 	close(r.ready)
 	return nil
 }
 
 // Run does the work until Stop.
-func (r *Registrar) Run() error {
-	go r.open()
+func (r *Server) Run() error {
+	go r.openStorage()
 	select {
 	case <-r.ready:
 	case <-r.quit:
@@ -193,9 +193,9 @@
 		}
 	}
 	for _, f := range []func(){
-		func() { r.poller.run(r.quit) },
-		func() { r.mover.run(r.quit) },
-		r.pollLoop, r.deskLoop, r.moveLoop, r.recallLoop, r.claimLoop, r.quotaLoop, r.floorLoop, r.noticeLoop, r.publishLoop, r.usageLoop, r.exportLoop,
+		func() { r.discoveryLease.Run(r.quit) },
+		func() { r.placementLease.Run(r.quit) },
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -204,10 +204,10 @@
 }
 
 // Stop ends the duties, then the cells.
-func (r *Registrar) Stop() {
-	r.once.Do(func() {
+func (r *Server) Stop() {
+	r.stopOnce.Do(func() {
 		r.mu.Lock()
-		r.ended = true
+		r.stopped = true
 		close(r.quit)
 		opened := r.isReady()
 		r.mu.Unlock()
@@ -221,21 +221,21 @@
 		case <-time.After(time.Second):
 		}
 		r.host.Stop()
-		_ = r.host.vault.Close()
+		_ = r.host.Storage.Close()
 	})
 }
 
 // Reload takes new settings: the seeds may have been exchanged.
-func (r *Registrar) Reload(set *settings.Settings) {
+func (r *Server) Reload(set *settings.Settings) {
 	r.mu.Lock()
-	r.newSet = set
+	r.reloadedSettings = set
 	r.mu.Unlock()
 	if r.isReady() {
-		r.host.do(func() { r.host.seeds = set.SeedHosts() })
+		r.host.Enqueue(func() { r.host.Seeds = set.SeedHosts() })
 	}
 }
 
-func (r *Registrar) isReady() bool {
+func (r *Server) isReady() bool {
 	select {
 	case <-r.ready:
 		return true
@@ -244,178 +244,178 @@
 	}
 }
 
-// untilReady turns callers away until the vault is open.
-func (r *Registrar) untilReady(next echo.HandlerFunc) echo.HandlerFunc {
+// requireReady turns callers away until the vault is open.
+func (r *Server) requireReady(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !r.isReady() {
-			return refuse(c, http.StatusServiceUnavailable, "the disk of this node does not answer yet")
+			return writeError(c, http.StatusServiceUnavailable, "the disk of this node does not answer yet")
 		}
 		return next(c)
 	}
 }
 
-// cellChanged runs on the host's loop. Leases are renewed several times a second:
+// onApply runs on the host's loop. Leases are renewed several times a second:
 // what a change does not touch is not read again.
-func (r *Registrar) cellChanged(name string, what cell.Touched) {
-	m := r.host.cells[name]
+func (r *Server) onApply(name string, what cell.ChangedKeys) {
+	m := r.host.Replicas[name]
 	if m == nil {
 		return
 	}
-	if name != ExchangeCell {
-		r.board.setMarks(marksOf(name, m))
+	if name != MetaCell {
+		r.board.SetMarks(ReadEjections(name, m))
 		return
 	}
 	wake := false
-	if what.Any(keyVersion) {
-		version, raw := configOf(m)
+	if what.AnyWithPrefix(ConfigVersionKey) {
+		version, raw := ReadConfig(m)
 		go func() {
-			if r.board.setConfig(version, raw) {
-				r.wakeNotices()
+			if r.board.SetConfiguration(version, raw) {
+				r.wakeConsumer()
 			}
-			r.wakeDesk()
+			r.wakeReconciler()
 		}()
 	}
-	if what.Any(keyRecall) || what.Any(keyFloor) {
-		r.board.setRecalls(m)
+	if what.AnyWithPrefix(PurgeKeyPrefix) || what.AnyWithPrefix(PurgeCompactedKey) {
+		r.board.SetPurges(m)
 	}
-	if what.Any(keyOutbox) {
-		r.wakeNotices()
+	if what.AnyWithPrefix(OutboxKeyPrefix) {
+		r.wakeConsumer()
 	}
-	if what.Any(keyNode) {
-		r.board.setNodes(m.Applied(), nodesOf(m))
+	if what.AnyWithPrefix(NodeKeyPrefix) {
+		r.board.SetNodes(m.AppliedIndex(), ReadNodes(m))
 		wake = true
 	}
-	if what.Any(keyIndex) {
-		r.openIndexes(indexesOf(m))
+	if what.AnyWithPrefix(IndexKeyPrefix) {
+		r.syncIndexReplicas(ReadIndexes(m))
 		wake = true
 	}
 	if wake {
-		r.wakeDesk()
+		r.wakeReconciler()
 	}
 }
 
-// openIndexes opens and closes index cells as the exchange cell lists them.
-func (r *Registrar) openIndexes(have map[string]indexRecord) {
+// syncIndexReplicas opens and closes index cells as the exchange cell lists them.
+func (r *Server) syncIndexReplicas(have map[string]IndexRecord) {
 	for ix, rec := range have {
-		if r.host.cells[ix] == nil {
-			r.host.Open(ix, rec.Seats)
+		if r.host.Replicas[ix] == nil {
+			r.host.Open(ix, rec.Voters)
 		}
 	}
-	for ix := range r.host.cells {
-		if _, ok := have[ix]; !ok && ix != ExchangeCell {
+	for ix := range r.host.Replicas {
+		if _, ok := have[ix]; !ok && ix != MetaCell {
 			r.host.Close(ix)
-			r.board.dropMarks(ix)
+			r.board.DropMarks(ix)
 		}
 	}
 }
 
-// Operator serves what the operator calls.
-func (r *Registrar) Operator() *echo.Echo {
-	e := newEcho(r.log)
-	e.Use(r.untilReady)
-	e.POST("/Configuration.Replace", r.replace)
-	e.POST("/Configuration.Amend", r.amend)
-	e.POST("/purge", r.purge)
-	e.GET("/Configuration.Read", r.read)
-	e.GET("/Notices.Read", r.readNotices)
-	e.GET("/Duties.Read", r.readDuties)
+// OperatorHandler serves what the operator calls.
+func (r *Server) OperatorHandler() *echo.Echo {
+	e := newRouter(r.log)
+	e.Use(r.requireReady)
+	e.POST("/Configuration.Replace", r.handleReplace)
+	e.POST("/Configuration.Amend", r.handleAmend)
+	e.POST("/purge", r.handlePurge)
+	e.GET("/Configuration.Read", r.handleRead)
+	e.GET("/Notices.Read", r.handleReadOutbox)
+	e.GET("/Duties.Read", r.handleReadLeases)
 	e.GET("/Estimates.Read", r.readEstimates)
-	e.GET("/Estimates.Saved", r.savedEstimates)
-	e.POST("/Notices.Redrive", r.redriveNotice)
+	e.GET("/Estimates.Saved", r.readSavedEstimates)
+	e.POST("/Notices.Redrive", r.handleRedrive)
 	return e
 }
 
-// Inner serves what the system's own processes call.
-func (r *Registrar) Inner() *echo.Echo {
-	e := newEcho(r.log)
-	e.Use(r.untilReady)
+// InternalHandler serves what the system's own processes call.
+func (r *Server) InternalHandler() *echo.Echo {
+	e := newRouter(r.log)
+	e.Use(r.requireReady)
 	e.POST("/cells", func(c echo.Context) error {
 		var b Batch
-		if err := wire.Read(c.Request().Body, &b); err != nil {
+		if err := wire.DecodeRequest(c.Request().Body, &b); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		r.host.Receive(&b)
 		return c.NoContent(http.StatusNoContent)
 	})
-	decide := func(f func(context.Context, *proposal) verdict) echo.HandlerFunc {
+	decide := func(f func(context.Context, *ProposeRequest) ProposeResult) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			var p proposal
-			if err := wire.Read(c.Request().Body, &p); err != nil {
+			var p ProposeRequest
+			if err := wire.DecodeRequest(c.Request().Body, &p); err != nil {
 				return c.NoContent(http.StatusBadRequest)
 			}
-			ctx, cancel := context.WithTimeout(c.Request().Context(), orderPatience)
+			ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 			defer cancel()
-			return answer(c, f(ctx, &p))
+			return writeCBOR(c, f(ctx, &p))
 		}
 	}
-	e.POST("/propose", decide(func(ctx context.Context, p *proposal) verdict {
-		return r.host.proposeHere(ctx, p.Cell, p.Txn)
+	e.POST("/propose", decide(func(ctx context.Context, p *ProposeRequest) ProposeResult {
+		return r.host.ProposeLocal(ctx, p.Cell, p.Txn)
 	}))
-	e.POST("/confirm", decide(func(ctx context.Context, p *proposal) verdict {
-		return r.host.readHere(ctx, p.Cell)
+	e.POST("/confirm", decide(func(ctx context.Context, p *ProposeRequest) ProposeResult {
+		return r.host.ReadIndexLocal(ctx, p.Cell)
 	}))
 	e.POST("/claim", func(c echo.Context) error {
-		var claim feed.Claim
-		if err := wire.Read(c.Request().Body, &claim); err != nil || r.shares[claim.Of] == nil {
+		var claim feed.ShareRequest
+		if err := wire.DecodeRequest(c.Request().Body, &claim); err != nil || r.shares[claim.Table] == nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), orderPatience)
+		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 		defer cancel()
-		return answer(c, r.claimHere(ctx, claim))
+		return writeCBOR(c, r.allocateShareLocally(ctx, claim))
 	})
 	e.POST("/move", func(c echo.Context) error {
-		var o moveOrder
-		if err := wire.Read(c.Request().Body, &o); err != nil {
+		var o MoveRequest
+		if err := wire.DecodeRequest(c.Request().Body, &o); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), orderPatience)
+		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 		defer cancel()
-		return answer(c, r.moveHere(ctx, &o))
+		return writeCBOR(c, r.moveLocal(ctx, &o))
 	})
 	e.POST("/list", func(c echo.Context) error {
-		var l feed.List
-		if err := wire.Read(c.Request().Body, &l); err != nil {
+		var l feed.EndpointList
+		if err := wire.DecodeRequest(c.Request().Body, &l); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		if l.Leafs != nil {
-			return answer(c, r.board.setList(&l))
+		if l.Endpoints != nil {
+			return writeCBOR(c, r.board.SetEndpoints(&l))
 		}
-		return answer(c, r.board.stamp())
+		return writeCBOR(c, r.board.EndpointsVersion())
 	})
 	e.POST("/list/read", func(c echo.Context) error {
-		if l := r.board.getList(); l != nil {
-			return answer(c, l)
+		if l := r.board.Endpoints(); l != nil {
+			return writeCBOR(c, l)
 		}
 		return c.NoContent(http.StatusNotFound)
 	})
 	e.POST("/usage", func(c echo.Context) error {
-		var a usageAsk
-		if err := wire.Read(c.Request().Body, &a); err != nil {
+		var a WindowRequest
+		if err := wire.DecodeRequest(c.Request().Body, &a); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return answer(c, r.usages.book.Of(a.Window))
+		return writeCBOR(c, r.usages.store.Window(a.Window))
 	})
 	e.POST("/notices", func(c echo.Context) error {
-		var list []notice.Notice
-		if err := wire.Read(c.Request().Body, &list); err != nil {
+		var list []notice.Notification
+		if err := wire.DecodeRequest(c.Request().Body, &list); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return answer(c, r.noticesHeard(list))
+		return writeCBOR(c, r.receiveNotifications(list))
 	})
-	e.POST("/feed", r.feed)
-	e.POST("/ration", r.ration)
+	e.POST("/feed", r.handleUpdates)
+	e.POST("/ration", r.renewRateShare)
 	return e
 }
 
-func answer(c echo.Context, v any) error {
+func writeCBOR(c echo.Context, v any) error {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, wire.Pack(b))
+	return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
 }
 
-func newEcho(log *event.Log) *echo.Echo {
+func newRouter(log *event.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.Use(func(next echo.HandlerFunc) echo.HandlerFunc {
@@ -432,36 +432,36 @@
 	return e
 }
 
-func (r *Registrar) fresh() time.Duration {
+func (r *Server) quorumContactAge() time.Duration {
 	var f time.Duration
-	r.host.ask(func() {
-		if m := r.host.cells[ExchangeCell]; m != nil {
-			f = m.Fresh(r.host.now())
+	r.host.Do(func() {
+		if m := r.host.Replicas[MetaCell]; m != nil {
+			f = m.Staleness(r.host.Now())
 		}
 	})
 	return f
 }
 
-// feed answers a switch as soon as there is news.
-func (r *Registrar) feed(c echo.Context) error {
-	var call feed.Call
-	if err := wire.Read(c.Request().Body, &call); err != nil {
+// handleUpdates answers a switch as soon as there is news.
+func (r *Server) handleUpdates(c echo.Context) error {
+	var call feed.UpdateRequest
+	if err := wire.DecodeRequest(c.Request().Body, &call); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	r.hear(&call)
-	hold := time.NewTimer(feedHold)
+	r.recordNodeCall(&call)
+	hold := time.NewTimer(longPollTimeout)
 	defer hold.Stop()
 	for {
-		stale := r.fresh() > staleFrom
-		news, change := r.board.answer(&call, stale)
-		if stale || call.Now || !news.empty {
-			return c.Blob(http.StatusOK, wire.ContentType, news.body)
+		stale := r.quorumContactAge() > StaleAfter
+		news, change := r.board.Update(&call, stale)
+		if stale || call.Immediate || !news.Empty {
+			return c.Blob(http.StatusOK, wire.ContentType, news.Body)
 		}
 		select {
 		case <-change:
 		case <-hold.C:
-			news, _ = r.board.answer(&call, r.fresh() > staleFrom)
-			return c.Blob(http.StatusOK, wire.ContentType, news.body)
+			news, _ = r.board.Update(&call, r.quorumContactAge() > StaleAfter)
+			return c.Blob(http.StatusOK, wire.ContentType, news.Body)
 		case <-c.Request().Context().Done():
 			return nil
 		case <-r.quit:
@@ -470,45 +470,45 @@
 	}
 }
 
-// hear notes who calls and what they report.
-func (r *Registrar) hear(call *feed.Call) {
+// recordNodeCall notes who calls and what they report.
+func (r *Server) recordNodeCall(call *feed.UpdateRequest) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wake := false
 	if call.Node.Name != "" {
-		_, known := r.seen[call.Node.Name]
-		r.seen[call.Node.Name] = seenNode{call.Node, now}
+		_, known := r.recentNodes[call.Node.Name]
+		r.recentNodes[call.Node.Name] = recentNode{call.Node, now}
 		wake = !known
 	}
 	for _, name := range call.Suspects {
-		if r.suspects[name] == nil {
-			r.suspects[name] = map[string]time.Time{}
+		if r.suspectedBy[name] == nil {
+			r.suspectedBy[name] = map[string]time.Time{}
 		}
-		r.suspects[name][call.Node.Name] = now
+		r.suspectedBy[name][call.Node.Name] = now
 	}
 	for _, rep := range call.Reports {
 		wake = true
-		if rep.Well {
-			r.wells[rep.Leaf] = wellReport{rep, now}
-			delete(r.reports, rep.Leaf)
+		if rep.Healthy {
+			r.recoveryReports[rep.EndpointID] = recoveryReport{rep, now}
+			delete(r.faultReports, rep.EndpointID)
 			continue
 		}
-		delete(r.wells, rep.Leaf)
-		if r.reports[rep.Leaf] == nil {
-			r.reports[rep.Leaf] = map[string]time.Time{}
+		delete(r.recoveryReports, rep.EndpointID)
+		if r.faultReports[rep.EndpointID] == nil {
+			r.faultReports[rep.EndpointID] = map[string]time.Time{}
 		}
-		r.reports[rep.Leaf][call.Node.Name] = now
-		r.bad[rep.Leaf] = rep
+		r.faultReports[rep.EndpointID][call.Node.Name] = now
+		r.lastFaultReport[rep.EndpointID] = rep
 	}
 	if wake {
-		r.wakeDesk()
+		r.wakeReconciler()
 	}
 }
 
-func innerAddr(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func internalAddress(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// InnerAddress is where this program listens for the system's own processes.
-func InnerAddress(set *settings.Settings) string {
-	return innerAddr(set.IPAddress, set.PortOf(settings.Registrar))
+// InternalAddress is where this program listens for the system's own processes.
+func InternalAddress(set *settings.Settings) string {
+	return internalAddress(set.IPAddress, set.PortOf(settings.ControlPlane))
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Watchers is how many nodes watch each node.
-const Watchers = 3
+// WatchersPerNode is how many nodes watch each node.
+const WatchersPerNode = 3
 
-// missedBeats is how many heartbeats in a row must be missed: datagrams are
+// missedHeartbeats is how many heartbeats in a row must be missed: datagrams are
 // lost now and then.
-const missedBeats = 3
+const missedHeartbeats = 3
 
-// Place hashes names to a place that is spread well, however little they differ.
-func Place(names ...string) uint64 {
+// Hash hashes names to a place that is spread well, however little they differ.
+func Hash(names ...string) uint64 {
 	h := fnv.New64a()
 	for i, n := range names {
 		if i > 0 {
@@ -31,8 +31,8 @@
 	return v ^ v>>33
 }
 
-// Of returns the watchers of a node among all nodes, and those that it watches.
-func Of(name string, all []string) (watchers, watched []string) {
+// Assign returns the watchers of a node among all nodes, and those that it watches.
+func Assign(name string, all []string) (watchers, watched []string) {
 	type spot struct {
 		name  string
 		place uint64
@@ -40,64 +40,64 @@
 	ring := make([]spot, 0, len(all))
 	for _, n := range all {
 		if n != name {
-			ring = append(ring, spot{n, Place(n)})
+			ring = append(ring, spot{n, Hash(n)})
 		}
 	}
 	sort.Slice(ring, func(i, j int) bool { return ring[i].place < ring[j].place })
-	own := Place(name)
+	own := Hash(name)
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].place > own })
-	for k := range min(Watchers, len(ring)) {
+	for k := range min(WatchersPerNode, len(ring)) {
 		watchers = append(watchers, ring[(at+k)%len(ring)].name)
 		watched = append(watched, ring[(at-1-k+len(ring))%len(ring)].name)
 	}
 	return watchers, watched
 }
 
-// Watch is what one node knows of those it watches.
-type Watch struct {
-	self  string
-	every time.Duration
-	heard map[string]time.Time
-	ours  map[string]bool
+// Detector is what one node knows of those it watches.
+type Detector struct {
+	self          string
+	interval      time.Duration
+	lastHeartbeat map[string]time.Time
+	watched       map[string]bool
 }
 
-// NewWatch starts with nobody to watch.
-func NewWatch(self string, every time.Duration) *Watch {
-	return &Watch{self: self, every: every, heard: map[string]time.Time{}, ours: map[string]bool{}}
+// NewDetector starts with nobody to watch.
+func NewDetector(self string, every time.Duration) *Detector {
+	return &Detector{self: self, interval: every, lastHeartbeat: map[string]time.Time{}, watched: map[string]bool{}}
 }
 
 // SetNodes takes the directory; a node new to us has until now to be heard.
-func (w *Watch) SetNodes(all []string, now time.Time) {
+func (w *Detector) SetNodes(all []string, now time.Time) {
 	ours := map[string]bool{}
-	_, watched := Of(w.self, all)
+	_, watched := Assign(w.self, all)
 	for _, n := range watched {
 		ours[n] = true
 	}
 	for n := range ours {
-		if !w.ours[n] {
-			w.heard[n] = now
+		if !w.watched[n] {
+			w.lastHeartbeat[n] = now
 		}
 	}
-	for n := range w.heard {
+	for n := range w.lastHeartbeat {
 		if !ours[n] {
-			delete(w.heard, n)
+			delete(w.lastHeartbeat, n)
 		}
 	}
-	w.ours = ours
+	w.watched = ours
 }
 
-// Heard takes in a heartbeat.
-func (w *Watch) Heard(name string, now time.Time) {
-	if w.ours[name] {
-		w.heard[name] = now
+// RecordHeartbeat takes in a heartbeat.
+func (w *Detector) RecordHeartbeat(name string, now time.Time) {
+	if w.watched[name] {
+		w.lastHeartbeat[name] = now
 	}
 }
 
 // Suspects names the watched nodes whose heartbeats stay away.
-func (w *Watch) Suspects(now time.Time) []string {
+func (w *Detector) Suspects(now time.Time) []string {
 	var out []string
-	for n, at := range w.heard {
-		if now.Sub(at) > missedBeats*w.every+w.every/2 {
+	for n, at := range w.lastHeartbeat {
+		if now.Sub(at) > missedHeartbeats*w.interval+w.interval/2 {
 			out = append(out, n)
 		}
 	}
@@ -105,9 +105,9 @@
 	return out
 }
 
-// Woke forgives everybody: this node itself stood still.
-func (w *Watch) Woke(now time.Time) {
-	for n := range w.heard {
-		w.heard[n] = now
+// Reset forgives everybody: this node itself stood still.
+func (w *Detector) Reset(now time.Time) {
+	for n := range w.lastHeartbeat {
+		w.lastHeartbeat[n] = now
 	}
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestOf: who watches a node is who says that it watches that node, on rings of
+// TestAssign: who watches a node is who says that it watches that node, on rings of
 // any size.
-func TestOf(t *testing.T) {
+func TestAssign(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 5, 50} {
 		var all []string
 		for i := range size {
@@ -16,8 +16,8 @@
 		}
 		pairs, watched := map[string]int{}, 0
 		for _, n := range all {
-			by, whom := Of(n, all)
-			if want := min(Watchers, size-1); len(by) != want || len(whom) != want || slices.Contains(by, n) {
+			by, whom := Assign(n, all)
+			if want := min(WatchersPerNode, size-1); len(by) != want || len(whom) != want || slices.Contains(by, n) {
 				t.Fatalf("%d nodes: %s is watched by %v and watches %v", size, n, by, whom)
 			}
 			for _, w := range by {
--- a/internal/scale/gather.go
+++ b/internal/scale/gather.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// GatherReport is what queries over many shards cost one switch.
-type GatherReport struct {
+// ScatterReport is what queries over many shards cost one switch.
+type ScatterReport struct {
 	Shards, Leafs int
 	PerS          float64 // queries that were answered
 	Missing       float64 // parts left out of an answer, mean
@@ -23,8 +23,8 @@
 	PerShardCall  time.Duration // processor time of the switch
 }
 
-// leaf is the stand-in for all leafs: it answers at once with records of its own.
-func leaf(w http.ResponseWriter, r *http.Request) {
+// serveShard is the stand-in for all leafs: it answers at once with records of its own.
+func serveShard(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Comethold-Request-Id")
 	who := r.Header.Get("X-Comethold-Expected-Instance")
 	w.Header().Set("X-Comethold-Server-Stamp", who+"."+id)
@@ -32,29 +32,29 @@
 	_, _ = w.Write([]byte(fmt.Sprintf("%-64.64s", who)))
 }
 
-// Gather measures one real switch that asks all shards for each of perS queries a
+// MeasureScatter measures one real switch that asks all shards for each of perS queries a
 // second. The leafs are stand-ins of this process, which answer at once.
-func (r *Run) Gather(ctx context.Context, perS float64) (*GatherReport, error) {
+func (r *Cluster) MeasureScatter(ctx context.Context, perS float64) (*ScatterReport, error) {
 	s := r.size
-	at := fmt.Sprintf("127.8.0.1:%d", r.base+24)
-	if err := r.listen(at, http.HandlerFunc(leaf)); err != nil {
+	at := fmt.Sprintf("127.8.0.1:%d", r.basePort+24)
+	if err := r.listen(at, http.HandlerFunc(serveShard)); err != nil {
 		return nil, err
 	}
 	for i := range s.Leafs {
-		r.leafs = append(r.leafs, map[string]any{"instanceId": fmt.Sprintf("i-%08x", i), "service": fmt.Sprintf("shard-%d", i%max(1, s.Leafs/6)),
+		r.endpoints = append(r.endpoints, map[string]any{"instanceId": fmt.Sprintf("i-%08x", i), "service": fmt.Sprintf("shard-%d", i%max(1, s.Leafs/6)),
 			"address": at, "availabilityZone": zoneOf(0, s.Zones), "version": "v1", "capacitySlots": 64, "state": "ready", "warmupLeftMs": 0})
 	}
-	if err := r.listen(fmt.Sprintf("127.9.0.1:%d", r.base+23), http.HandlerFunc(r.platform)); err != nil {
+	if err := r.listen(fmt.Sprintf("127.9.0.1:%d", r.basePort+23), http.HandlerFunc(r.servePlatform)); err != nil {
 		return nil, err
 	}
-	r.seeds = []string{fmt.Sprintf("127.1.0.1:%d", r.base+20)}
-	if err := r.process("registrar", "registrar-0", "127.1.0.1", zoneOf(0, s.Zones), true); err != nil {
+	r.seedNodes = []string{fmt.Sprintf("127.1.0.1:%d", r.basePort+20)}
+	if err := r.startProcess("registrar", "registrar-0", "127.1.0.1", zoneOf(0, s.Zones), true); err != nil {
 		return nil, err
 	}
-	if err := r.process("switch", "real-0", "127.2.0.1", zoneOf(0, s.Zones), false); err != nil {
+	if err := r.startProcess("switch", "real-0", "127.2.0.1", zoneOf(0, s.Zones), false); err != nil {
 		return nil, err
 	}
-	if _, err := r.change(ctx); err != nil {
+	if _, err := r.replaceConfiguration(ctx); err != nil {
 		return nil, err
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
@@ -64,7 +64,7 @@
 		ok      bool
 	}
 	ask := func() (a answer) {
-		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://127.2.0.1:%d/all/x", r.base+21), nil)
+		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://127.2.0.1:%d/all/x", r.basePort+21), nil)
 		req.Host = "h.example"
 		req.Header.Set("X-Comethold-Request-Id", strconv.FormatUint(rand.Uint64(), 36))
 		req.Header.Set("X-Comethold-Deadline-Remaining", "1000")
@@ -100,13 +100,13 @@
 	load(s.Rest / 2) // lines are opened
 	wg.Wait()
 	all = nil
-	pid := r.procs[1].Process.Pid
-	from, began := cpu(pid), time.Now()
+	pid := r.processes[1].Process.Pid
+	from, began := processorSeconds(pid), time.Now()
 	load(s.Rest)
 	wg.Wait()
 	took := time.Since(began).Seconds()
-	rep := &GatherReport{Shards: max(1, s.Leafs/6), Leafs: s.Leafs, Switch: memory(pid)}
-	rep.Switch.CPU = (cpu(pid) - from) / took
+	rep := &ScatterReport{Shards: max(1, s.Leafs/6), Leafs: s.Leafs, Switch: memoryUsage(pid)}
+	rep.Switch.CPU = (processorSeconds(pid) - from) / took
 	var times []time.Duration
 	for _, a := range all {
 		if a.ok {
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -67,75 +67,75 @@
 	HollowMb    float64         // memory of this process for each hollow node
 }
 
-// meter counts the bytes of one hollow node.
-type meter struct{ in, out atomic.Int64 }
+// byteMeter counts the bytes of one hollow node.
+type byteMeter struct{ received, sent atomic.Int64 }
 
-func (m *meter) both() int64 { return m.in.Load() + m.out.Load() }
+func (m *byteMeter) total() int64 { return m.received.Load() + m.sent.Load() }
 
 type meteredConn struct {
 	net.Conn
-	m *meter
+	meter *byteMeter
 }
 
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.in.Add(int64(n))
+	c.meter.received.Add(int64(n))
 	return n, err
 }
 
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.out.Add(int64(n))
+	c.meter.sent.Add(int64(n))
 	return n, err
 }
 
-type meteredCast struct {
+type meteredPacketConn struct {
 	net.PacketConn
-	m *meter
+	meter *byteMeter
 }
 
-const datagramHead = 28 // of IP and UDP
+const datagramHeaderBytes = 28 // of IP and UDP
 
-func (c meteredCast) ReadFrom(b []byte) (int, net.Addr, error) {
+func (c meteredPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, a, err := c.PacketConn.ReadFrom(b)
-	c.m.in.Add(int64(n + datagramHead))
+	c.meter.received.Add(int64(n + datagramHeaderBytes))
 	return n, a, err
 }
 
-func (c meteredCast) WriteTo(b []byte, a net.Addr) (int, error) {
-	c.m.out.Add(int64(len(b) + datagramHead))
+func (c meteredPacketConn) WriteTo(b []byte, a net.Addr) (int, error) {
+	c.meter.sent.Add(int64(len(b) + datagramHeaderBytes))
 	return c.PacketConn.WriteTo(b, a)
 }
 
-// Run is one system.
-type Run struct {
-	size    Size
-	dir     string
-	binary  string
-	base    int // of the ports
-	seeds   []string
-	procs   []*exec.Cmd // registrars first, then real switches
-	hollow  []*node
-	stop    []func()
-	version uint64
-
-	mu    sync.Mutex
-	leafs []map[string]any
+// Cluster is one system.
+type Cluster struct {
+	size        Size
+	dir         string
+	binary      string
+	basePort    int // of the ports
+	seedNodes   []string
+	processes   []*exec.Cmd // registrars first, then real switches
+	hollowNodes []*hollowNode
+	stops       []func()
+	version     uint64
+
+	mu        sync.Mutex
+	endpoints []map[string]any
 }
 
-type node struct {
-	sw    *switchboard.Switch
-	meter meter
+type hollowNode struct {
+	proxy *switchboard.Server
+	meter byteMeter
 }
 
 // New prepares a run of the binary.
-func New(s Size, binary, dir string) *Run {
-	return &Run{size: s, binary: binary, dir: dir, base: 20000 + rand.IntN(20)*500}
+func New(s Size, binary, dir string) *Cluster {
+	return &Cluster{size: s, binary: binary, dir: dir, basePort: 20000 + rand.IntN(20)*500}
 }
 
 func zoneOf(i, zones int) string { return fmt.Sprintf("zone-%d", i%zones) }
 
-func (r *Run) settings(name, ip, zone string, disk bool) string {
+func (r *Cluster) settings(name, ip, zone string, disk bool) string {
 	var zones strings.Builder
 	for i := range r.size.Zones {
 		fmt.Fprintf(&zones, "%q = %q\n", zoneOf(i, r.size.Zones), fmt.Sprintf("region-%d", i%2))
@@ -143,7 +143,7 @@
 	data, control := "", ""
 	if disk {
 		data = fmt.Sprintf("dataDirectory = %q\n", filepath.Join(r.dir, name))
-		control = fmt.Sprintf("controlPlane = \"%s:%d\"\n", ip, r.base+20)
+		control = fmt.Sprintf("controlPlane = \"%s:%d\"\n", ip, r.basePort+20)
 	}
 	return fmt.Sprintf(`nodeName = %q
 ipAddress = %q
@@ -179,11 +179,11 @@
 level = "error"
 [estimates]
 enabled = %t
-`, name, ip, zone, "region-"+zone[len(zone)-1:], r.base, r.base+15, strings.Join(r.seeds, `","`), data, zones.String(),
-		ip, r.base+21, ip, r.base+22, control, r.base+23, r.size.Estimates)
+`, name, ip, zone, "region-"+zone[len(zone)-1:], r.basePort, r.basePort+15, strings.Join(r.seedNodes, `","`), data, zones.String(),
+		ip, r.basePort+21, ip, r.basePort+22, control, r.basePort+23, r.size.Estimates)
 }
 
-func (r *Run) process(program, name, ip, zone string, disk bool) error {
+func (r *Cluster) startProcess(program, name, ip, zone string, disk bool) error {
 	raw := r.settings(name, ip, zone, disk)
 	if disk {
 		if err := os.MkdirAll(filepath.Join(r.dir, name), 0o755); err != nil {
@@ -200,36 +200,36 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	r.procs = append(r.procs, cmd)
+	r.processes = append(r.processes, cmd)
 	return nil
 }
 
-// platform is the stand-in for the list of leafs.
-func (r *Run) platform(w http.ResponseWriter, q *http.Request) {
+// servePlatform is the stand-in for the list of leafs.
+func (r *Cluster) servePlatform(w http.ResponseWriter, q *http.Request) {
 	const page = 50
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, _ := strconv.Atoi(q.URL.Query().Get("pageToken"))
-	to := min(at+page, len(r.leafs))
+	to := min(at+page, len(r.endpoints))
 	var next any
-	if to < len(r.leafs) {
+	if to < len(r.endpoints) {
 		next = strconv.Itoa(to)
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"instances": r.leafs[min(at, to):to], "nextPageToken": next})
+	_ = json.NewEncoder(w).Encode(map[string]any{"instances": r.endpoints[min(at, to):to], "nextPageToken": next})
 }
 
-func (r *Run) listen(addr string, h http.Handler) error {
+func (r *Cluster) listen(addr string, h http.Handler) error {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return err
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.Serve(l) }()
-	r.stop = append(r.stop, func() { _ = s.Close() })
+	r.stops = append(r.stops, func() { _ = s.Close() })
 	return nil
 }
 
-func (r *Run) configuration() []byte {
+func (r *Cluster) configuration() []byte {
 	services := []map[string]any{}
 	var shards []string
 	for i := range max(1, r.size.Leafs/6) {
@@ -246,7 +246,7 @@
 	}
 	tenants := []map[string]any{}
 	for i := range r.size.Tenants {
-		rate := r.rate(i)
+		rate := r.tenantRate(i)
 		tenants = append(tenants, map[string]any{"name": fmt.Sprint("t", i), "apiKeys": []string{fmt.Sprint("k", i)}, "ratePerS": 1.6 * rate, "burstSize": 1.6 * rate})
 	}
 	raw, err := json.Marshal(map[string]any{"version": r.version, "routes": routes, "services": services, "tenants": tenants, "limits": map[string]any{}})
@@ -256,8 +256,8 @@
 	return raw
 }
 
-// rate is the usual load of a tenant: a few of them are large.
-func (r *Run) rate(i int) float64 {
+// tenantRate is the usual load of a tenant: a few of them are large.
+func (r *Cluster) tenantRate(i int) float64 {
 	sum := 0.0
 	for k := range r.size.Tenants {
 		sum += 1 / float64(k+2)
@@ -265,13 +265,13 @@
 	return r.size.PerNode * float64(max(1, r.size.Hollow)) / float64(i+2) / sum
 }
 
-// change sends the next configuration and returns when it was acknowledged.
-func (r *Run) change(ctx context.Context) (time.Time, error) {
+// replaceConfiguration sends the next configuration and returns when it was acknowledged.
+func (r *Cluster) replaceConfiguration(ctx context.Context) (time.Time, error) {
 	base := r.version
 	r.version++
 	raw := r.configuration()
 	for ctx.Err() == nil {
-		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.seeds[0]+"/Configuration.Replace", bytes.NewReader(raw))
+		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.seedNodes[0]+"/Configuration.Replace", bytes.NewReader(raw))
 		req.Header.Set("X-Comethold-Base-Version", strconv.FormatUint(base, 10))
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
@@ -290,86 +290,88 @@
 }
 
 // Close ends all that was started.
-func (r *Run) Close() {
-	for _, n := range r.hollow {
-		n.sw.Close()
+func (r *Cluster) Close() {
+	for _, n := range r.hollowNodes {
+		n.proxy.Close()
 	}
-	for _, f := range r.stop {
+	for _, f := range r.stops {
 		f()
 	}
-	for _, p := range r.procs {
+	for _, p := range r.processes {
 		_ = p.Process.Kill()
 		_ = p.Wait()
 	}
 }
 
 // Measure plays the run.
-func (r *Run) Measure(ctx context.Context) (*Report, error) {
+func (r *Cluster) Measure(ctx context.Context) (*Report, error) {
 	s := r.size
 	rep := &Report{Size: s}
 	for i := range s.Leafs {
-		r.leafs = append(r.leafs, map[string]any{"instanceId": fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), "service": fmt.Sprintf("shard-%d", i%max(1, s.Leafs/6)),
-			"address": fmt.Sprintf("127.8.%d.%d:%d", i/250, i%250+1, r.base+24), "availabilityZone": zoneOf(i/7, s.Zones), "version": "v1", "capacitySlots": 2, "state": "ready", "warmupLeftMs": 0})
+		r.endpoints = append(r.endpoints, map[string]any{"instanceId": fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), "service": fmt.Sprintf("shard-%d", i%max(1, s.Leafs/6)),
+			"address": fmt.Sprintf("127.8.%d.%d:%d", i/250, i%250+1, r.basePort+24), "availabilityZone": zoneOf(i/7, s.Zones), "version": "v1", "capacitySlots": 2, "state": "ready", "warmupLeftMs": 0})
 	}
-	if err := r.listen(fmt.Sprintf("127.9.0.1:%d", r.base+23), http.HandlerFunc(r.platform)); err != nil {
+	if err := r.listen(fmt.Sprintf("127.9.0.1:%d", r.basePort+23), http.HandlerFunc(r.servePlatform)); err != nil {
 		return nil, err
 	}
 	for i := range min(3, s.Registrars) {
-		r.seeds = append(r.seeds, fmt.Sprintf("127.1.0.%d:%d", i+1, r.base+20))
+		r.seedNodes = append(r.seedNodes, fmt.Sprintf("127.1.0.%d:%d", i+1, r.basePort+20))
 	}
 	for i := range s.Registrars {
-		if err := r.process("registrar", fmt.Sprint("registrar-", i), fmt.Sprintf("127.1.0.%d", i+1), zoneOf(i, s.Zones), true); err != nil {
+		if err := r.startProcess("registrar", fmt.Sprint("registrar-", i), fmt.Sprintf("127.1.0.%d", i+1), zoneOf(i, s.Zones), true); err != nil {
 			return nil, err
 		}
 	}
 	for i := range s.Real {
-		if err := r.process("switch", fmt.Sprint("real-", i), fmt.Sprintf("127.2.0.%d", i+1), zoneOf(i, s.Zones), false); err != nil {
+		if err := r.startProcess("switch", fmt.Sprint("real-", i), fmt.Sprintf("127.2.0.%d", i+1), zoneOf(i, s.Zones), false); err != nil {
 			return nil, err
 		}
 	}
-	if _, err := r.change(ctx); err != nil {
+	if _, err := r.replaceConfiguration(ctx); err != nil {
 		return nil, err
 	}
 	time.Sleep(3 * time.Second) // seats, shares and the list settle
-	before := memory(os.Getpid()).RSSMb
+	before := memoryUsage(os.Getpid()).RSSMb
 	began := time.Now()
-	if err := r.startHollow(); err != nil {
+	if err := r.startHollowNodes(); err != nil {
 		return nil, err
 	}
-	if err := r.until(ctx, func(n *node) bool { return n.sw.Ready() && len(n.sw.Leafs()) == s.Leafs }); err != nil {
+	if err := r.waitForAll(ctx, func(n *hollowNode) bool { return n.proxy.Ready() && len(n.proxy.Endpoints()) == s.Leafs }); err != nil {
 		return nil, err
 	}
 	rep.Start = time.Since(began)
-	rep.StartBytes = r.bytes() / float64(len(r.hollow))
+	rep.StartBytes = r.transferredBytes() / float64(len(r.hollowNodes))
 	time.Sleep(s.Rest / 2)
-	rep.HollowMb = (memory(os.Getpid()).RSSMb - before) / float64(len(r.hollow))
-	rep.Registrars, rep.IdleBytes = r.watch(s.Rest)
+	rep.HollowMb = (memoryUsage(os.Getpid()).RSSMb - before) / float64(len(r.hollowNodes))
+	rep.Registrars, rep.IdleBytes = r.measureUsage(s.Rest)
 	if s.Real > 0 {
 		rep.Switch = rep.Registrars[s.Registrars]
 		rep.Registrars = rep.Registrars[:s.Registrars]
 	}
-	from := r.bytes()
+	from := r.transferredBytes()
 	for range s.Changes {
-		at, err := r.change(ctx)
+		at, err := r.replaceConfiguration(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if err := r.until(ctx, func(n *node) bool { return n.sw.Plan() != nil && n.sw.Plan().Version == r.version }); err != nil {
+		if err := r.waitForAll(ctx, func(n *hollowNode) bool {
+			return n.proxy.RouteTable() != nil && n.proxy.RouteTable().Version == r.version
+		}); err != nil {
 			return nil, err
 		}
 		rep.InForce = append(rep.InForce, time.Since(at))
 		time.Sleep(300 * time.Millisecond)
 	}
 	if s.Changes > 0 {
-		rep.ChangeBytes = (r.bytes() - from) / float64(len(r.hollow)*s.Changes)
+		rep.ChangeBytes = (r.transferredBytes() - from) / float64(len(r.hollowNodes)*s.Changes)
 	}
 	r.mu.Lock()
-	r.leafs[0]["state"] = "draining"
-	id := r.leafs[0]["instanceId"]
+	r.endpoints[0]["state"] = "draining"
+	id := r.endpoints[0]["instanceId"]
 	r.mu.Unlock()
 	at := time.Now()
-	if err := r.until(ctx, func(n *node) bool {
-		for _, l := range n.sw.Leafs() {
+	if err := r.waitForAll(ctx, func(n *hollowNode) bool {
+		for _, l := range n.proxy.Endpoints() {
 			if l.ID == id {
 				return l.Draining
 			}
@@ -382,13 +384,13 @@
 	if s.PerNode > 0 && s.Tenants > 0 {
 		load, cancel := context.WithCancel(ctx)
 		var asked, refused atomic.Int64
-		for _, n := range r.hollow {
-			go r.load(load, n, &asked, &refused)
+		for _, n := range r.hollowNodes {
+			go r.generateTenantLoad(load, n, &asked, &refused)
 		}
 		time.Sleep(s.Rest / 2)
 		asked.Store(0)
 		refused.Store(0)
-		rep.Loaded, rep.LoadBytes = r.watch(s.Rest)
+		rep.Loaded, rep.LoadBytes = r.measureUsage(s.Rest)
 		rep.Loaded = rep.Loaded[:s.Registrars]
 		rep.Refused = float64(refused.Load()) / float64(max(1, asked.Load()))
 		cancel()
@@ -396,8 +398,8 @@
 	return rep, nil
 }
 
-// load sends a hollow node requests of tenants, on a route that no leaf serves.
-func (r *Run) load(ctx context.Context, n *node, asked, refused *atomic.Int64) {
+// generateTenantLoad sends a hollow node requests of tenants, on a route that no leaf serves.
+func (r *Cluster) generateTenantLoad(ctx context.Context, n *hollowNode, asked, refused *atomic.Int64) {
 	weights := make([]float64, r.size.Tenants)
 	sum := 0.0
 	for i := range weights {
@@ -412,8 +414,8 @@
 			req.RequestURI = "/metered/a"
 			req.Header.Set("X-Comethold-Request-Id", strconv.FormatUint(rand.Uint64(), 36))
 			req.Header.Set("Authorization", fmt.Sprint("Token k", min(who, r.size.Tenants-1)))
-			w := &answer{}
-			n.sw.Handler().ServeHTTP(w, req)
+			w := &responseRecorder{}
+			n.proxy.Handler().ServeHTTP(w, req)
 			asked.Add(1)
 			if !strings.Contains(w.body.String(), "leaf") { // which it would have asked next
 				refused.Add(1)
@@ -422,30 +424,30 @@
 	}
 }
 
-type answer struct {
+type responseRecorder struct {
 	header http.Header
 	body   bytes.Buffer
 }
 
-func (a *answer) Header() http.Header {
+func (a *responseRecorder) Header() http.Header {
 	if a.header == nil {
 		a.header = http.Header{}
 	}
 	return a.header
 }
-func (a *answer) WriteHeader(int)             {}
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *responseRecorder) WriteHeader(int)             {}
+func (a *responseRecorder) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-func (r *Run) startHollow() error {
+func (r *Cluster) startHollowNodes() error {
 	for i := range r.size.Hollow {
 		ip := fmt.Sprintf("127.3.%d.%d", i/250, i%250+1)
 		set, err := settings.Parse([]byte(r.settings(fmt.Sprint("hollow-", i), ip, zoneOf(i, r.size.Zones), false)))
 		if err != nil {
 			return err
 		}
-		n := &node{}
-		n.sw = switchboard.New(set, event.Nop(), func(limit, silent time.Duration) func(context.Context, string, string) (net.Conn, error) {
-			dial := wire.Sockets(limit, silent)
+		n := &hollowNode{}
+		n.proxy = switchboard.New(set, event.Nop(), func(limit, silent time.Duration) func(context.Context, string, string) (net.Conn, error) {
+			dial := wire.TCPNetwork(limit, silent)
 			return func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
 				if err != nil {
@@ -454,22 +456,22 @@
 				return meteredConn{c, &n.meter}, nil
 			}
 		})
-		udp, err := net.ListenPacket("udp4", n.sw.InnerAddress())
+		udp, err := net.ListenPacket("udp4", n.proxy.InternalAddress())
 		if err != nil {
 			return err
 		}
-		if err := r.listen(n.sw.InnerAddress(), n.sw.Inner()); err != nil {
+		if err := r.listen(n.proxy.InternalAddress(), n.proxy.InternalHandler()); err != nil {
 			return err
 		}
-		go func() { _ = n.sw.Feed() }()
-		go func() { _ = n.sw.Beat(meteredCast{udp, &n.meter}) }()
-		r.hollow = append(r.hollow, n)
+		go func() { _ = n.proxy.RunUpdates() }()
+		go func() { _ = n.proxy.RunHeartbeats(meteredPacketConn{udp, &n.meter}) }()
+		r.hollowNodes = append(r.hollowNodes, n)
 	}
 	return nil
 }
 
-func (r *Run) until(ctx context.Context, ok func(*node) bool) error {
-	for _, n := range r.hollow {
+func (r *Cluster) waitForAll(ctx context.Context, ok func(*hollowNode) bool) error {
+	for _, n := range r.hollowNodes {
 		for !ok(n) {
 			select {
 			case <-ctx.Done():
@@ -481,34 +483,34 @@
 	return nil
 }
 
-func (r *Run) bytes() (sum float64) {
-	for _, n := range r.hollow {
-		sum += float64(n.meter.both())
+func (r *Cluster) transferredBytes() (sum float64) {
+	for _, n := range r.hollowNodes {
+		sum += float64(n.meter.total())
 	}
 	return sum
 }
 
-// watch measures the processes for a while, and the bytes a second of a hollow node.
-func (r *Run) watch(span time.Duration) (out []Usage, perS float64) {
-	from, began := r.bytes(), time.Now()
-	ticks := make([]float64, len(r.procs))
-	for i, p := range r.procs {
-		ticks[i] = cpu(p.Process.Pid)
+// measureUsage measures the processes for a while, and the bytes a second of a hollow node.
+func (r *Cluster) measureUsage(span time.Duration) (out []Usage, perS float64) {
+	from, began := r.transferredBytes(), time.Now()
+	ticks := make([]float64, len(r.processes))
+	for i, p := range r.processes {
+		ticks[i] = processorSeconds(p.Process.Pid)
 	}
 	time.Sleep(span)
 	took := time.Since(began).Seconds()
-	for i, p := range r.procs {
-		u := memory(p.Process.Pid)
-		u.CPU = (cpu(p.Process.Pid) - ticks[i]) / took
+	for i, p := range r.processes {
+		u := memoryUsage(p.Process.Pid)
+		u.CPU = (processorSeconds(p.Process.Pid) - ticks[i]) / took
 		out = append(out, u)
 	}
-	return out, (r.bytes() - from) / took / float64(max(1, len(r.hollow)))
+	return out, (r.transferredBytes() - from) / took / float64(max(1, len(r.hollowNodes)))
 }
 
-const ticksPerS = 100
+const ticksPerSecond = 100
 
-// cpu is the processor time of a process, in seconds.
-func cpu(pid int) float64 {
+// processorSeconds is the processor time of a process, in seconds.
+func processorSeconds(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -516,10 +518,10 @@
 	f := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	u, _ := strconv.ParseFloat(f[11], 64)
 	s, _ := strconv.ParseFloat(f[12], 64)
-	return (u + s) / ticksPerS
+	return (u + s) / ticksPerSecond
 }
 
-func memory(pid int) (u Usage) {
+func memoryUsage(pid int) (u Usage) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(raw)) {
 		f := strings.Fields(line)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestSmallRun plays the scale run at a small size: everything that it measures is
+// TestSmallCluster plays the scale run at a small size: everything that it measures is
 // measured, and within bounds that a system of this size keeps by far.
-func TestSmallRun(t *testing.T) {
+func TestSmallCluster(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "comethold")
 	if out, err := exec.Command("go", "build", "-o", binary, "comethold/cmd/comethold").CombinedOutput(); err != nil {
--- a/internal/scale/scalerun/main.go
+++ b/internal/scale/scalerun/main.go
@@ -47,7 +47,7 @@
 	defer r.Close()
 	var rep any
 	if gather > 0 {
-		rep, err = r.Gather(ctx, gather)
+		rep, err = r.MeasureScatter(ctx, gather)
 	} else {
 		rep, err = r.Measure(ctx)
 	}
--- a/internal/scenario/disk.go
+++ b/internal/scenario/disk.go
@@ -11,108 +11,108 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Disk is a folder's disk in trouble: it refuses, hangs, and at a loss of power forgets
+// FaultyDisk is a folder's disk in trouble: it refuses, hangs, and at a loss of power forgets
 // names that were not synced. What it does for real it has Under do.
-type Disk struct {
-	Under interface {
+type FaultyDisk struct {
+	Base interface {
 		Open(path string) (*bolt.DB, error)
 		Update(db *bolt.DB, f func(*bolt.Tx) error) error
 		Rename(from, to string) error
 		Remove(path string) error
 		SyncDir(dir string) error
 	}
-	Luck func() float64
-	// SyncFails is the share of syncs of the folder that are refused.
-	SyncFails float64
-
-	mu      sync.Mutex
-	full    bool
-	hangs   bool
-	life    int // a process that was ended does nothing more
-	stopAt  int // the step at which the power fails, counted down; 0: never
-	unsure  map[string]string
-	kept    int
-	dropped bool
+	Random func() float64
+	// SyncFailureRate is the share of syncs of the folder that are refused.
+	SyncFailureRate float64
+
+	mu               sync.Mutex
+	full             bool
+	hanging          bool
+	incarnation      int // a process that was ended does nothing more
+	stepsToPowerLoss int // the step at which the power fails, counted down; 0: never
+	unsynced         map[string]string
+	backups          int
+	powerLost        bool
 }
 
 // Errors of a disk in trouble.
 var (
-	ErrFull  = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
-	ErrPower = errors.New("disk: no power")
+	ErrDiskFull  = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
+	ErrPowerLost = errors.New("disk: no power")
 )
 
-// Set makes the disk full, or hang, or neither.
-func (d *Disk) Set(full, hangs bool) {
+// SetFault makes the disk full, or hang, or neither.
+func (d *FaultyDisk) SetFault(full, hangs bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full, d.hangs = full, hangs
+	d.full, d.hanging = full, hangs
 }
 
-// StopAt has the power fail before the n-th step from now.
-func (d *Disk) StopAt(n int) {
+// LosePowerAfter has the power fail before the n-th step from now.
+func (d *FaultyDisk) LosePowerAfter(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopAt = n
+	d.stepsToPowerLoss = n
 }
 
-// End ends the process that uses the disk: what hangs is never done.
-func (d *Disk) End() {
+// EndProcess ends the process that uses the disk: what hangs is never done.
+func (d *FaultyDisk) EndProcess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
-	d.stopAt, d.dropped = 0, false
+	d.incarnation++
+	d.stepsToPowerLoss, d.powerLost = 0, false
 }
 
-// step waits until the disk does what it is asked, or says why it does not.
-func (d *Disk) step() error {
+// beforeStep waits until the disk does what it is asked, or says why it does not.
+func (d *FaultyDisk) beforeStep() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	life := d.life
-	for d.hangs && d.life == life {
+	life := d.incarnation
+	for d.hanging && d.incarnation == life {
 		d.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
 		d.mu.Lock()
 	}
-	if d.stopAt > 0 {
-		if d.stopAt--; d.stopAt == 0 {
-			d.dropped = true
+	if d.stepsToPowerLoss > 0 {
+		if d.stepsToPowerLoss--; d.stepsToPowerLoss == 0 {
+			d.powerLost = true
 		}
 	}
 	switch {
-	case d.dropped || d.life != life:
-		return ErrPower
+	case d.powerLost || d.incarnation != life:
+		return ErrPowerLost
 	case d.full:
-		return ErrFull
+		return ErrDiskFull
 	}
 	return nil
 }
 
-// touch remembers what a name stood for at the last sync of the folder.
-func (d *Disk) touch(path string) {
+// rememberName remembers what a name stood for at the last sync of the folder.
+func (d *FaultyDisk) rememberName(path string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.unsure == nil {
-		d.unsure = map[string]string{}
+	if d.unsynced == nil {
+		d.unsynced = map[string]string{}
 	}
-	if _, ok := d.unsure[path]; ok {
+	if _, ok := d.unsynced[path]; ok {
 		return
 	}
-	d.kept++
-	side := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.kept%26))+filepath.Base(path))
+	d.backups++
+	side := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.backups%26))+filepath.Base(path))
 	_ = os.Remove(side)
 	if os.Link(path, side) != nil {
 		side = ""
 	}
-	d.unsure[path] = side
+	d.unsynced[path] = side
 }
 
-// Lose is a loss of power: each name that was not synced is as it is, or as it was.
+// LosePower is a loss of power: each name that was not synced is as it is, or as it was.
 // It returns the names that went back.
-func (d *Disk) Lose() (back []string) {
+func (d *FaultyDisk) LosePower() (back []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for path, side := range d.unsure {
-		if d.Luck() < 0.5 {
+	for path, side := range d.unsynced {
+		if d.Random() < 0.5 {
 			_ = os.Remove(path)
 			if side != "" {
 				_ = os.Link(side, path)
@@ -120,73 +120,73 @@
 			back = append(back, filepath.Base(path))
 		}
 	}
-	d.settle()
+	d.forgetBackups()
 	return back
 }
 
-func (d *Disk) settle() {
-	for _, side := range d.unsure {
+func (d *FaultyDisk) forgetBackups() {
+	for _, side := range d.unsynced {
 		if side != "" {
 			_ = os.Remove(side)
 		}
 	}
-	clear(d.unsure)
+	clear(d.unsynced)
 }
 
 // Open opens a bbolt file; it writes only where it makes one.
-func (d *Disk) Open(path string) (*bolt.DB, error) {
+func (d *FaultyDisk) Open(path string) (*bolt.DB, error) {
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 {
-		d.touch(path)
-		if err := d.step(); err != nil {
-			if errors.Is(err, ErrFull) { // the name may be made all the same
+		d.rememberName(path)
+		if err := d.beforeStep(); err != nil {
+			if errors.Is(err, ErrDiskFull) { // the name may be made all the same
 				_ = os.WriteFile(path, nil, 0o600)
 			}
 			return nil, err
 		}
 	}
-	return d.Under.Open(path)
+	return d.Base.Open(path)
 }
 
 // Update writes and syncs a file.
-func (d *Disk) Update(db *bolt.DB, f func(*bolt.Tx) error) error {
-	if err := d.step(); err != nil {
+func (d *FaultyDisk) Update(db *bolt.DB, f func(*bolt.Tx) error) error {
+	if err := d.beforeStep(); err != nil {
 		return err
 	}
-	return d.Under.Update(db, f)
+	return d.Base.Update(db, f)
 }
 
 // Rename renames a file.
-func (d *Disk) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+func (d *FaultyDisk) Rename(from, to string) error {
+	if err := d.beforeStep(); err != nil {
 		return err
 	}
-	d.touch(from)
-	d.touch(to)
-	return d.Under.Rename(from, to)
+	d.rememberName(from)
+	d.rememberName(to)
+	return d.Base.Rename(from, to)
 }
 
 // Remove removes a file.
-func (d *Disk) Remove(path string) error {
-	if err := d.step(); err != nil {
+func (d *FaultyDisk) Remove(path string) error {
+	if err := d.beforeStep(); err != nil {
 		return err
 	}
-	d.touch(path)
-	return d.Under.Remove(path)
+	d.rememberName(path)
+	return d.Base.Remove(path)
 }
 
 // SyncDir makes the names in the folder sure.
-func (d *Disk) SyncDir(dir string) error {
-	if err := d.step(); err != nil {
+func (d *FaultyDisk) SyncDir(dir string) error {
+	if err := d.beforeStep(); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.Luck() < d.SyncFails {
-		return ErrFull
+	if d.Random() < d.SyncFailureRate {
+		return ErrDiskFull
 	}
-	if err := d.Under.SyncDir(dir); err != nil {
+	if err := d.Base.SyncDir(dir); err != nil {
 		return err
 	}
-	d.settle()
+	d.forgetBackups()
 	return nil
 }
