--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -35,49 +35,49 @@
 // fleet is a whole system of registrars and switches on simulated time: every
 // program as it is, on a network and a platform of the test's own.
 type fleet struct {
-	t        *testing.T
-	dir      string
-	mesh     *mesh
-	machines map[string]*machine
-	losses   int
-	seed     int64
-	routes   int // more of them in the configurations from now on
-	seeds    []string
-	started  bool
+	t             *testing.T
+	dir           string
+	network       *network
+	machines      map[string]*machine
+	machineLosses int
+	seed          int64
+	extraRoutes   int // more of them in the configurations from now on
+	seedNodes     []string
+	started       bool
 
-	mu      sync.Mutex
-	listed  map[string]string // leaf -> state
-	statusL map[string]int    // of the newest orders
-	acked   map[uint64]string // version -> body that was acknowledged
-	heirs   map[uint64]uint64 // base -> version acknowledged on top of it
-	newest  uint64
-	history *history
-	alias   map[string]*machine // names given to machines by what they were
+	mu              sync.Mutex
+	leafStates      map[string]string // leaf -> state
+	replaceStatuses map[string]int    // of the newest orders
+	acknowledged    map[uint64]string // version -> body that was acknowledged
+	successors      map[uint64]uint64 // base -> version acknowledged on top of it
+	newest          uint64
+	history         *history
+	aliases         map[string]*machine // names given to machines by what they were
 
-	tenants map[string]*fleetTenant
-	asked   int
-	indexes int
+	tenants      map[string]*fleetTenant
+	requestCount int
+	extraIndexes int
 
-	duties  bool
-	follow  bool              // lookups, for estimates
-	plat    string            // how the platform takes calls of a duty: "" well, busy, silent, reset
-	reports map[uint64]string // by window: what was taken
-	taken   map[uint64]time.Time
-	loads   sync.WaitGroup
-	judged  uint64      // the windows up to here were looked at
-	fences  []fenceCall // in the order in which they came
+	reportUsage   bool
+	estimate      bool              // lookups, for estimates
+	platformFault string            // how the platform takes calls of a duty: "" well, busy, silent, reset
+	reports       map[uint64]string // by window: what was taken
+	accepted      map[uint64]time.Time
+	loads         sync.WaitGroup
+	checkedWindow uint64       // the windows up to here were looked at
+	fencedCalls   []fencedCall // in the order in which they came
 }
 
-// fenceCall is a call of a duty that reached the platform.
-type fenceCall struct {
+// fencedCall is a call of a duty that reached the platform.
+type fencedCall struct {
 	holder string
-	fence  uint64
+	token  uint64
 	at     time.Time
 }
 
-// usage is the platform's side of the reports; it checks what must hold of them. Calls
+// serveUsage is the platform's side of the reports; it checks what must hold of them. Calls
 // that come while the platform is in trouble don't count.
-func (f *fleet) usage(w http.ResponseWriter, r *http.Request) {
+func (f *fleet) serveUsage(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	fence, err2 := strconv.ParseUint(r.Header.Get("X-Comethold-Fence-Number"), 10, 64)
 	var rep struct {
@@ -86,7 +86,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	switch f.plat {
+	switch f.platformFault {
 	case "busy":
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
@@ -96,13 +96,13 @@
 	if err != nil || err2 != nil || json.Unmarshal(raw, &rep) != nil {
 		f.t.Errorf("a report that can't be read: %s", raw)
 	}
-	call := fenceCall{r.Header.Get("X-Comethold-Duty-Holder"), fence, time.Now()}
-	lease := time.Duration(f.settings(f.sorted()[0]).Bounds.LeaseMs) * time.Millisecond
+	call := fencedCall{r.Header.Get("X-Comethold-Duty-Holder"), fence, time.Now()}
+	lease := time.Duration(f.settingsOf(f.sortedMachines()[0]).Bounds.LeaseMs) * time.Millisecond
 	other := false
-	for i := len(f.fences) - 1; i >= 0; i-- {
-		o := f.fences[i]
-		if o.fence > fence || o.fence == fence && o.holder != call.holder {
-			f.t.Errorf("%s calls with %d after %s with %d", call.holder, fence, o.holder, o.fence)
+	for i := len(f.fencedCalls) - 1; i >= 0; i-- {
+		o := f.fencedCalls[i]
+		if o.token > fence || o.token == fence && o.holder != call.holder {
+			f.t.Errorf("%s calls with %d after %s with %d", call.holder, fence, o.holder, o.token)
 			break
 		}
 		if call.at.Sub(o.at) > lease {
@@ -114,15 +114,15 @@
 			break
 		}
 	}
-	f.fences = append(f.fences, call)
+	f.fencedCalls = append(f.fencedCalls, call)
 	if old, ok := f.reports[rep.WindowNumber]; ok && old != string(raw) {
 		f.t.Errorf("two reports of window %d: %s and %s", rep.WindowNumber, old, raw)
 	}
 	f.reports[rep.WindowNumber] = string(raw)
-	if f.taken[rep.WindowNumber].IsZero() {
-		f.taken[rep.WindowNumber] = call.at
+	if f.accepted[rep.WindowNumber].IsZero() {
+		f.accepted[rep.WindowNumber] = call.at
 	}
-	if f.plat == "lost" { // taken, and nobody is told
+	if f.platformFault == "lost" { // taken, and nobody is told
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -130,22 +130,22 @@
 type machine struct {
 	name, zone, addr string
 	disk             bool
-	data             *scenario.Disk
-	born             bool // it has run before
-	reg              *registrar.Registrar
-	sw               *switchboard.Switch
+	diskState        *scenario.FaultyDisk
+	startedBefore    bool // it has run before
+	controlPlane     *registrar.Server
+	proxy            *switchboard.Server
 	stop             func()
 }
 
 // fleetTenant is a tenant as the test knows it.
 type fleetTenant struct {
-	Name  string   `json:"name"`
-	Keys  []string `json:"apiKeys"`
-	Rate  float64  `json:"ratePerS"`
-	Burst float64  `json:"burstSize"`
-	ran   []time.Time
-	got   map[int]int // statuses since the last look
-	slow  time.Duration
+	Name     string   `json:"name"`
+	Keys     []string `json:"apiKeys"`
+	Rate     float64  `json:"ratePerS"`
+	Burst    float64  `json:"burstSize"`
+	ranAt    []time.Time
+	statuses map[int]int // statuses since the last look
+	latency  time.Duration
 }
 
 const (
@@ -155,45 +155,45 @@
 
 func newFleet(t *testing.T) *fleet {
 	rng := rand.New(rand.NewSource(1))
-	f := &fleet{t: t, dir: t.TempDir(), mesh: newMesh(rng.Float64), machines: map[string]*machine{}, losses: 1,
-		listed: map[string]string{}, statusL: map[string]int{}, acked: map[uint64]string{}, heirs: map[uint64]uint64{}, history: &history{}, alias: map[string]*machine{}, tenants: map[string]*fleetTenant{}, reports: map[uint64]string{}, taken: map[uint64]time.Time{}}
+	f := &fleet{t: t, dir: t.TempDir(), network: newNetwork(rng.Float64), machines: map[string]*machine{}, machineLosses: 1,
+		leafStates: map[string]string{}, replaceStatuses: map[string]int{}, acknowledged: map[uint64]string{}, successors: map[uint64]uint64{}, history: &history{}, aliases: map[string]*machine{}, tenants: map[string]*fleetTenant{}, reports: map[uint64]string{}, accepted: map[uint64]time.Time{}}
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(f.platform)}).Serve(f.mesh.listen("10.200.0.1:80"))
+		_ = (&http.Server{Handler: http.HandlerFunc(f.servePlatform)}).Serve(f.network.listen("10.200.0.1:80"))
 	}()
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(f.leaf)}).Serve(f.mesh.listen("10.9.0.1:80"))
+		_ = (&http.Server{Handler: http.HandlerFunc(f.serveLeaf)}).Serve(f.network.listen("10.9.0.1:80"))
 	}()
 	return f
 }
 
-// platform is the stand-in for the list of leafs.
-func (f *fleet) platform(w http.ResponseWriter, r *http.Request) {
+// servePlatform is the stand-in for the list of leafs.
+func (f *fleet) servePlatform(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/usage" {
-		f.usage(w, r)
+		f.serveUsage(w, r)
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := []map[string]any{}
-	for _, id := range slices.Sorted(maps.Keys(f.listed)) {
-		all = append(all, map[string]any{"instanceId": id, "service": "s", "address": "10.9.0.1:80", "availabilityZone": "a", "capacitySlots": 2, "state": f.listed[id]})
+	for _, id := range slices.Sorted(maps.Keys(f.leafStates)) {
+		all = append(all, map[string]any{"instanceId": id, "service": "s", "address": "10.9.0.1:80", "availabilityZone": "a", "capacitySlots": 2, "state": f.leafStates[id]})
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"instances": all, "nextPageToken": nil})
 }
 
-// leaf is the stand-in for every leaf: it notes whose requests run.
-func (f *fleet) leaf(w http.ResponseWriter, r *http.Request) {
+// serveLeaf is the stand-in for every leaf: it notes whose requests run.
+func (f *fleet) serveLeaf(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	if t := f.tenants[r.Header.Get("X-Comethold-Tenant")]; t != nil {
-		t.ran = append(t.ran, time.Now())
+		t.ranAt = append(t.ranAt, time.Now())
 	}
 	f.mu.Unlock()
 	w.Header().Set("X-Comethold-Server-Stamp", "s")
 	w.Header().Set("X-Comethold-Request-Id", r.Header.Get("X-Comethold-Request-Id"))
 }
 
-// load sends so many requests of a tenant a second to these machines in turn.
-func (f *fleet) load(at []*machine, t *fleetTenant, perS float64, span time.Duration) {
+// generateLoad sends so many requests of a tenant a second to these machines in turn.
+func (f *fleet) generateLoad(at []*machine, t *fleetTenant, perS float64, span time.Duration) {
 	gap := time.Duration(float64(time.Second) / perS)
 	var wg sync.WaitGroup
 	i := 0
@@ -201,16 +201,16 @@
 		m := at[i%len(at)]
 		i++
 		f.mu.Lock()
-		sw := m.sw
+		sw := m.proxy
 		f.mu.Unlock()
 		if sw == nil {
 			continue
 		}
 		h := sw.Handler()
-		f.asked++
+		f.requestCount++
 		r := httptest.NewRequest(http.MethodGet, "/a", nil)
 		r.Host, r.RequestURI = "h.example", "/a"
-		r.Header.Set("X-Comethold-Request-Id", fmt.Sprint("q", f.asked))
+		r.Header.Set("X-Comethold-Request-Id", fmt.Sprint("q", f.requestCount))
 		r.Header.Set("X-Comethold-Deadline-Remaining", "1000")
 		r.Header.Set("Authorization", "Token "+t.Keys[0])
 		wg.Go(func() {
@@ -219,9 +219,9 @@
 			h.ServeHTTP(w, r)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			t.got[w.Code]++
+			t.statuses[w.Code]++
 			if w.Code == http.StatusOK {
-				t.slow = max(t.slow, time.Since(from))
+				t.latency = max(t.latency, time.Since(from))
 			}
 			if (w.Code == 429 || w.Code == 503) && w.Header().Get("Retry-After") == "" {
 				f.t.Errorf("%d without word of when to come back", w.Code)
@@ -231,20 +231,20 @@
 	wg.Wait()
 }
 
-// timely looks at the windows in which requests of a tenant ran and that have fallen due.
-func (f *fleet) timely(t *fleetTenant, off float64, missed int) error {
+// checkWindows looks at the windows in which requests of a tenant ran and that have fallen due.
+func (f *fleet) checkWindows(t *fleetTenant, off float64, missed int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b := f.settings(f.sorted()[0]).Bounds
+	b := f.settingsOf(f.sortedMachines()[0]).Bounds
 	ran := map[uint64]float64{}
-	for _, at := range t.ran {
-		ran[usage.WindowOf(at, b.UsageWindow())]++
+	for _, at := range t.ranAt {
+		ran[usage.WindowAt(at, b.UsageWindow())]++
 	}
 	var wrong []string
-	last := f.judged
+	last := f.checkedWindow
 	for _, w := range slices.Sorted(maps.Keys(ran)) {
-		due := usage.EndOf(w, b.UsageWindow()).Add(b.UsageDelay())
-		if w <= f.judged || time.Now().Before(due) {
+		due := usage.WindowEnd(w, b.UsageWindow()).Add(b.UsageReportDelay())
+		if w <= f.checkedWindow || time.Now().Before(due) {
 			continue
 		}
 		last = w
@@ -252,28 +252,28 @@
 			InstanceCounts map[string]float64 `json:"instanceCounts"`
 		}
 		_ = json.Unmarshal([]byte(f.reports[w]), &rep)
-		if n := rep.InstanceCounts[t.Name]; f.taken[w].IsZero() || f.taken[w].After(due) {
-			wrong = append(wrong, fmt.Sprintf("%d came %v late", w, f.taken[w].Sub(due)))
+		if n := rep.InstanceCounts[t.Name]; f.accepted[w].IsZero() || f.accepted[w].After(due) {
+			wrong = append(wrong, fmt.Sprintf("%d came %v late", w, f.accepted[w].Sub(due)))
 		} else if d := (n - ran[w]) / ran[w] * 100; d > off || d < -off {
 			wrong = append(wrong, fmt.Sprintf("%d names %v of %v", w, n, ran[w]))
 		}
 	}
-	f.judged = last
+	f.checkedWindow = last
 	if len(wrong) > missed {
 		return errors.New(strings.Join(wrong, "; "))
 	}
 	return nil
 }
 
-// windows checks the rule of quotas, for the limit as it is in force.
-func (f *fleet) windows(t *fleetTenant, since time.Time) error {
+// waitForWindows checks the rule of quotas, for the limit as it is in force.
+func (f *fleet) waitForWindows(t *fleetTenant, since time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b := f.settings(f.sorted()[0]).Bounds
+	b := f.settingsOf(f.sortedMachines()[0]).Bounds
 	most := (t.Rate*b.QuotaWindowS+t.Burst)*(1+b.QuotaOvershoot) + b.QuotaSlack
-	for i, from := range t.ran {
+	for i, from := range t.ranAt {
 		n := 0
-		for _, at := range t.ran[i:] {
+		for _, at := range t.ranAt[i:] {
 			if at.Sub(from) <= time.Duration(b.QuotaWindowS*float64(time.Second)) {
 				n++
 			}
@@ -285,16 +285,16 @@
 	return nil
 }
 
-func (f *fleet) settings(m *machine) *settings.Settings {
+func (f *fleet) settingsOf(m *machine) *settings.Settings {
 	set := &settings.Settings{NodeName: m.name, IPAddress: m.addr, AvailabilityZone: m.zone, RegionName: "r", HeartbeatMs: 1200,
-		InternalPortRange: []int{7120, 7135}, SeedNodes: f.seeds, FirstStart: !m.born,
+		InternalPortRange: []int{7120, 7135}, SeedNodes: f.seedNodes, FirstStart: !m.startedBefore,
 		Zones: map[string]string{}, Platform: settings.Platform{Address: "10.200.0.1:80", RatePerS: 50},
-		Tolerance: settings.Tolerance{MachineLosses: f.losses},
+		Tolerance: settings.Tolerance{MachineLosses: f.machineLosses},
 		Bounds: settings.Bounds{DrainMs: 3000, GracePeriodS: 6, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetryBudgetSlack: 20,
 			QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaSlack: 20}}
-	set.Estimates.Enabled = f.follow
-	if f.duties {
-		set.Platform.Duties, set.Platform.DutiesPerS = []string{settings.DutyUsage, "dance"}, 50
+	set.Estimates.Enabled = f.estimate
+	if f.reportUsage {
+		set.Platform.Duties, set.Platform.DutiesPerS = []string{settings.UsageReportingDuty, "dance"}, 50
 		set.Bounds.LeaseMs, set.Bounds.UsageWindowS, set.Bounds.UsageDelayS = 3000, 5, 10
 	}
 	if f.started {
@@ -306,23 +306,23 @@
 	return set
 }
 
-// disk is a machine's disk, with luck of its own.
-func (f *fleet) disk(m *machine) *scenario.Disk {
-	if m.data == nil {
-		m.data = &scenario.Disk{Under: vault.Files{}, Luck: rand.New(rand.NewSource(f.seed*100 + int64(m.name[1]))).Float64}
+// diskOf is a machine's disk, with luck of its own.
+func (f *fleet) diskOf(m *machine) *scenario.FaultyDisk {
+	if m.diskState == nil {
+		m.diskState = &scenario.FaultyDisk{Base: vault.LocalDisk{}, Random: rand.New(rand.NewSource(f.seed*100 + int64(m.name[1]))).Float64}
 	}
-	return m.data
+	return m.diskState
 }
 
 // start runs the programs of a machine.
 func (f *fleet) start(m *machine) {
-	set := f.settings(m)
-	n := f.mesh.of(m.addr)
+	set := f.settingsOf(m)
+	n := f.network.netOf(m.addr)
 	var servers []*http.Server
 	serve := func(addr string, h http.Handler) {
 		s := &http.Server{Handler: h}
 		servers = append(servers, s)
-		l := f.mesh.listen(addr)
+		l := f.network.listen(addr)
 		go func() { _ = s.Serve(l) }()
 	}
 	inner := func(p settings.Program) string { return net.JoinHostPort(m.addr, strconv.Itoa(set.PortOf(p))) }
@@ -330,40 +330,40 @@
 		if err := os.MkdirAll(set.DataDirectory, 0o755); err != nil {
 			f.t.Fatal(err)
 		}
-		f.disk(m)
-		reg := registrar.New(set, event.Nop(), n, m.data)
-		m.reg = reg
+		f.diskOf(m)
+		reg := registrar.New(set, event.Nop(), n, m.diskState)
+		m.controlPlane = reg
 		go func() { _ = reg.Run() }()
-		go func() { _ = reg.Cast(f.mesh.cast(inner(settings.Registrar))) }()
-		serve(net.JoinHostPort(m.addr, controlPort), reg.Operator())
-		serve(inner(settings.Registrar), reg.Inner())
+		go func() { _ = reg.ServeDatagrams(f.network.listenPacket(inner(settings.ControlPlane))) }()
+		serve(net.JoinHostPort(m.addr, controlPort), reg.OperatorHandler())
+		serve(inner(settings.ControlPlane), reg.InternalHandler())
 	}
 	sw := switchboard.New(set, event.Nop(), n)
 	f.mu.Lock()
-	m.sw, m.born = sw, true
+	m.proxy, m.startedBefore = sw, true
 	f.mu.Unlock()
-	go func() { _ = sw.Feed() }()
-	go func() { _ = sw.Count() }()
-	go func() { _ = sw.Follow() }()
-	go func() { _ = sw.Beat(f.mesh.cast(inner(settings.Switch))) }()
-	serve(inner(settings.Switch), sw.Inner())
+	go func() { _ = sw.RunUpdates() }()
+	go func() { _ = sw.ReportUsage() }()
+	go func() { _ = sw.CollectLatencies() }()
+	go func() { _ = sw.RunHeartbeats(f.network.listenPacket(inner(settings.DataPlane))) }()
+	serve(inner(settings.DataPlane), sw.InternalHandler())
 	m.stop = func() {
-		f.mesh.down(m.addr, "")
+		f.network.closeListener(m.addr, "")
 		sw.Close()
-		if m.reg != nil {
-			m.data.End()
-			m.reg.Stop()
+		if m.controlPlane != nil {
+			m.diskState.EndProcess()
+			m.controlPlane.Stop()
 		}
 		for _, s := range servers {
 			_ = s.Close()
 		}
 		f.mu.Lock()
-		m.reg, m.sw, m.stop = nil, nil, nil
+		m.controlPlane, m.proxy, m.stop = nil, nil, nil
 		f.mu.Unlock()
 	}
 }
 
-func (f *fleet) sorted() []*machine {
+func (f *fleet) sortedMachines() []*machine {
 	var out []*machine
 	for _, name := range slices.Sorted(maps.Keys(f.machines)) {
 		out = append(out, f.machines[name])
@@ -371,19 +371,19 @@
 	return out
 }
 
-// pick names machines: one, several by commas, all, or core: registrars that run.
-func (f *fleet) pick(names string) []*machine {
+// machinesNamed names machines: one, several by commas, all, or core: registrars that run.
+func (f *fleet) machinesNamed(names string) []*machine {
 	if names == "all" {
-		return f.sorted()
+		return f.sortedMachines()
 	}
 	if names == "core" {
-		return slices.DeleteFunc(f.sorted(), func(m *machine) bool { return m.reg == nil })
+		return slices.DeleteFunc(f.sortedMachines(), func(m *machine) bool { return m.controlPlane == nil })
 	}
 	var out []*machine
 	for _, n := range strings.Split(names, ",") {
 		m := f.machines[n]
 		if m == nil {
-			m = f.alias[n]
+			m = f.aliases[n]
 		}
 		if m == nil {
 			f.t.Fatalf("no machine %q", n)
@@ -393,35 +393,35 @@
 	return out
 }
 
-func (f *fleet) body(version uint64, mark string) string {
+func (f *fleet) configurationBody(version uint64, mark string) string {
 	tenants := ""
 	if len(f.tenants) > 0 {
 		raw, _ := json.Marshal(slices.Collect(maps.Values(f.tenants)))
 		tenants = `"tenants":` + string(raw) + `,`
 	}
 	more, services := &strings.Builder{}, &strings.Builder{}
-	for i := range f.routes { // they differ, so that they don't compress to nothing
+	for i := range f.extraRoutes { // they differ, so that they don't compress to nothing
 		rng := rand.New(rand.NewSource(int64(i)))
-		if i == int(version)%f.routes {
+		if i == int(version)%f.extraRoutes {
 			rng.Seed(int64(version * 1000))
 		}
 		long := make([]byte, 400)
 		_, _ = rng.Read(long)
 		fmt.Fprintf(more, `{"name":"m%d","hostname":"h.example","pathPrefix":"/m%d/%x/","routeKind":"safe","timeoutMs":1000,"service":"s","maxAttempts":2,"lookupClass":"urgent"},`, i, i, long)
 	}
-	for i := range f.indexes {
+	for i := range f.extraIndexes {
 		fmt.Fprintf(more, `{"name":"x%d","hostname":"h.example","pathPrefix":"/x%d/","routeKind":"safe","timeoutMs":1000,"service":"x%d","maxAttempts":2},`, i, i, i)
 		fmt.Fprintf(services, `,{"name":"x%d","connectionLimit":40}`, i)
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[%s{"name":"r%s","hostname":"h.example","pathPrefix":"/","routeKind":"safe","timeoutMs":1000,"service":"s","maxAttempts":2,"lookupClass":"urgent"}],"services":[{"name":"s","connectionLimit":40}%s],%s"limits":{}}`, version, more, mark, services, tenants)
 }
 
-// order sends a configuration to a machine, again and again on 503 if patient.
-func (f *fleet) order(m *machine, version, base uint64, mark string, patience time.Duration) int {
-	return f.send(m, base, version, f.body(version, mark), patience)
+// replaceAt sends a configuration to a machine, again and again on 503 if patient.
+func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, patience time.Duration) int {
+	return f.replaceUntilAnswered(m, base, version, f.configurationBody(version, mark), patience)
 }
 
-func (f *fleet) send(m *machine, base, version uint64, raw string, patience time.Duration) int {
+func (f *fleet) replaceUntilAnswered(m *machine, base, version uint64, raw string, patience time.Duration) int {
 	status := 0
 	for end := time.Now().Add(patience); ; time.Sleep(150 * time.Millisecond) {
 		status = f.post(m, "/Configuration.Replace", base, raw)
@@ -431,12 +431,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.statusL[strconv.Itoa(status)]++
+	f.replaceStatuses[strconv.Itoa(status)]++
 	if status == http.StatusOK {
-		if old, ok := f.heirs[base]; ok && old != version {
+		if old, ok := f.successors[base]; ok && old != version {
 			f.t.Errorf("%d and %d were both acknowledged on top of %d", old, version, base)
 		}
-		f.heirs[base], f.acked[version] = version, raw
+		f.successors[base], f.acknowledged[version] = version, raw
 		f.newest = max(f.newest, version)
 	}
 	return status
@@ -448,12 +448,12 @@
 		from := f.history.tick()
 		defer func() {
 			c := operatorCall{read: path == "/Configuration.Read", base: base, body: raw}
-			f.history.note(from, c, operatorAnswer{status, answer})
+			f.history.record(from, c, operatorAnswer{status, answer})
 		}()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	t := &http.Transport{DialContext: f.mesh.of(operatorAddr)(time.Second, time.Second), DisableKeepAlives: true}
+	t := &http.Transport{DialContext: f.network.netOf(operatorAddr)(time.Second, time.Second), DisableKeepAlives: true}
 	r, _ := http.NewRequestWithContext(ctx, method, "http://"+net.JoinHostPort(m.addr, controlPort)+path, strings.NewReader(raw))
 	r.Header.Set("X-Comethold-Base-Version", strconv.FormatUint(base, 10))
 	resp, err := t.RoundTrip(r)
@@ -468,23 +468,23 @@
 	return resp.StatusCode, string(b)
 }
 
-// garble sends what can't be understood; each of it is to be turned away.
-func (f *fleet) garble(m *machine) error {
+// sendGarbage sends what can't be understood; each of it is to be turned away.
+func (f *fleet) sendGarbage(m *machine) error {
 	doors := []string{}
-	if m.reg != nil {
+	if m.controlPlane != nil {
 		for _, path := range []string{"/cells", "/propose", "/confirm", "/claim", "/move", "/list", "/feed", "/ration", "/notices"} {
-			doors = append(doors, net.JoinHostPort(m.addr, strconv.Itoa(f.settings(m).PortOf(settings.Registrar)))+path)
+			doors = append(doors, net.JoinHostPort(m.addr, strconv.Itoa(f.settingsOf(m).PortOf(settings.ControlPlane)))+path)
 		}
 		for _, path := range []string{"/Configuration.Replace", "/Configuration.Amend", "/purge", "/Notices.Redrive"} {
 			doors = append(doors, net.JoinHostPort(m.addr, controlPort)+path)
 		}
 	}
-	doors = append(doors, net.JoinHostPort(m.addr, strconv.Itoa(f.settings(m).PortOf(settings.Switch)))+"/feed")
+	doors = append(doors, net.JoinHostPort(m.addr, strconv.Itoa(f.settingsOf(m).PortOf(settings.DataPlane)))+"/feed")
 	nested := "\x00" + strings.Repeat("\x81", 5000)
 	for _, door := range doors {
 		for _, raw := range []string{"", "\x00", "\x01", "\x01\xff\xff\xff", "\x00\xa1\x01", "\x00\xbb\xff\xff\xff\xff\xff\xff\xff\xff", "\x00\x9b\x7f\xff\xff\xff\xff\xff\xff\xff",
 			nested, "\x00\xf6\xf6", strings.Repeat("[", 5000), "{\"version\":1e999}"} {
-			t := &http.Transport{DialContext: f.mesh.of(operatorAddr)(time.Second, time.Second), DisableKeepAlives: true}
+			t := &http.Transport{DialContext: f.network.netOf(operatorAddr)(time.Second, time.Second), DisableKeepAlives: true}
 			r, _ := http.NewRequest(http.MethodPost, "http://"+door, strings.NewReader(raw))
 			r.Header.Set("X-Comethold-Base-Version", "0")
 			resp, err := t.RoundTrip(r)
@@ -515,19 +515,19 @@
 	return nil
 }
 
-// holder is the machine that holds a duty, as any registrar that runs tells.
-func (f *fleet) holder(duty string) (*machine, error) {
-	for _, m := range f.sorted() {
-		var v registrar.DutiesView
-		if m.reg == nil {
+// leaseHolder is the machine that holds a duty, as any registrar that runs tells.
+func (f *fleet) leaseHolder(duty string) (*machine, error) {
+	for _, m := range f.sortedMachines() {
+		var v registrar.LeasesView
+		if m.controlPlane == nil {
 			continue
 		}
 		_, raw := f.call(m, http.MethodGet, "/Duties.Read", 0, "")
 		_ = json.Unmarshal([]byte(raw), &v)
-		for _, d := range v.Duties {
+		for _, d := range v.Leases {
 			addr, _, _ := strings.Cut(d.Holder, "~")
 			for _, h := range f.machines {
-				if d.Duty == duty && h.addr == addr && h.reg != nil {
+				if d.Role == duty && h.addr == addr && h.controlPlane != nil {
 					return h, nil
 				}
 			}
@@ -536,34 +536,34 @@
 	return nil, fmt.Errorf("nobody holds %s", duty)
 }
 
-// whole says what a cell lacks to bear the losses that it must bear.
-func (f *fleet) whole(lost int) error {
+// checkReplicas says what a cell lacks to bear the losses that it must bear.
+func (f *fleet) checkReplicas(lost int) error {
 	live := map[string]map[string]registrar.CellView{}
 	last := map[string]uint64{}
-	for _, m := range f.sorted() {
-		if m.reg == nil {
+	for _, m := range f.sortedMachines() {
+		if m.controlPlane == nil {
 			continue
 		}
-		live[m.addr] = m.reg.Cells()
+		live[m.addr] = m.controlPlane.Cells()
 		for name, c := range live[m.addr] {
 			last[name] = max(last[name], c.Applied)
 		}
 	}
-	if n := len(last); n < 2+f.indexes {
+	if n := len(last); n < 2+f.extraIndexes {
 		return fmt.Errorf("%d cells", n)
 	}
 	for addr, cells := range live {
 		for name := range last {
 			c := cells[name]
-			if len(c.Seats) != 2*f.losses+1 || !c.Settled || c.Applied+3 < last[name] {
-				return fmt.Errorf("at %s: %s has %d seats, settled %v, applied %d of %d%s", addr, name, len(c.Seats), c.Settled, c.Applied, last[name], views(live, name))
+			if len(c.Voters) != 2*f.machineLosses+1 || !c.Settled || c.Applied+3 < last[name] {
+				return fmt.Errorf("at %s: %s has %d seats, settled %v, applied %d of %d%s", addr, name, len(c.Voters), c.Settled, c.Applied, last[name], replicaViews(live, name))
 			}
 			away := 0
-			for _, s := range c.Seats {
+			for _, s := range c.Voters {
 				if live[s.Addr] == nil && away < lost {
 					away++
 				} else if !live[s.Addr][name].Voter {
-					return fmt.Errorf("at %s: %s has a seat %s that doesn't vote%s", addr, name, s.ID, views(live, name))
+					return fmt.Errorf("at %s: %s has a seat %s that doesn't vote%s", addr, name, s.ID, replicaViews(live, name))
 				}
 			}
 		}
@@ -571,34 +571,34 @@
 	return nil
 }
 
-// views tells how a cell stands at each registrar.
-func views(live map[string]map[string]registrar.CellView, name string) (out string) {
+// replicaViews tells how a cell stands at each registrar.
+func replicaViews(live map[string]map[string]registrar.CellView, name string) (out string) {
 	for _, addr := range slices.Sorted(maps.Keys(live)) {
 		c := live[addr][name]
-		out += fmt.Sprintf("\n  %s: %v, leader %q, voter %v, applied %d, settled %v, seats %v", addr, c.Role, c.Leader, c.Voter, c.Applied, c.Settled, c.Seats)
+		out += fmt.Sprintf("\n  %s: %v, leader %q, voter %v, applied %d, settled %v, seats %v", addr, c.Role, c.Leader, c.Voter, c.Applied, c.Settled, c.Voters)
 	}
 	return out
 }
 
 func (f *fleet) versionAt(m *machine) uint64 {
-	if m.sw == nil || m.sw.Plan() == nil {
+	if m.proxy == nil || m.proxy.RouteTable() == nil {
 		return 0
 	}
-	return m.sw.Plan().Version
+	return m.proxy.RouteTable().Version
 }
 
 func (f *fleet) Do(c scenario.Command) error {
 	uintOf := func(i int) uint64 { n, _ := strconv.ParseUint(c.Word(i), 10, 64); return n }
 	switch c.Verb {
 	case "losses":
-		f.losses = int(uintOf(0))
+		f.machineLosses = int(uintOf(0))
 	case "core", "switches": // core ZONE...: a machine with a disk in each; switches ZONE N
 		if c.Verb == "core" {
 			for i, z := range c.Words {
 				m := &machine{name: "c" + strconv.Itoa(i+1), zone: z, addr: fmt.Sprintf("10.1.0.%d", i+1), disk: true}
 				f.machines[m.name] = m
 				if i < 3 {
-					f.seeds = append(f.seeds, net.JoinHostPort(m.addr, controlPort))
+					f.seedNodes = append(f.seedNodes, net.JoinHostPort(m.addr, controlPort))
 				}
 			}
 			break
@@ -612,37 +612,37 @@
 			}
 		}
 	case "begin":
-		for _, m := range f.sorted() {
+		for _, m := range f.sortedMachines() {
 			if m.stop == nil { // start may have come before
 				f.start(m)
 			}
 		}
 		f.started = true
 	case "run":
-		time.Sleep(c.Millis(0))
+		time.Sleep(c.Milliseconds(0))
 	case "kill": // kill NAMES|all
 		var wg sync.WaitGroup
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			if m.stop != nil {
-				f.mesh.dead(m.addr)
+				f.network.killMachine(m.addr)
 				wg.Go(m.stop)
 			}
 		}
 		wg.Wait()
 	case "start":
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			if m.stop == nil {
 				f.start(m)
 			}
 		}
 	case "wipe": // of machines that are down
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			if err := os.RemoveAll(filepath.Join(f.dir, m.name)); err != nil {
 				return err
 			}
 		}
 	case "wipe-dead": // of all machines that are down
-		for _, m := range f.sorted() {
+		for _, m := range f.sortedMachines() {
 			if m.disk && m.stop == nil {
 				if err := f.Do(scenario.Command{Verb: "wipe", Words: []string{m.name}}); err != nil {
 					return err
@@ -650,67 +650,67 @@
 			}
 		}
 	case "roll": // roll NAMES gap=: each is ended and started again in turn
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			m.stop()
 			time.Sleep(time.Duration(c.Number("gap", 300)) * time.Millisecond)
 			f.start(m)
 		}
 	case "cut", "mute", "deaf": // NAMES: they and the other machines are cut from each other; others don't hear them; they don't hear others
-		f.part(f.pick(c.Word(0)), c.Verb != "deaf", c.Verb != "mute")
+		f.cutOff(f.machinesNamed(c.Word(0)), c.Verb != "deaf", c.Verb != "mute")
 	case "silence": // silence NAMES: nobody hears them, nor they anybody, until join
-		f.mesh.mu.Lock()
-		for _, a := range f.pick(c.Word(0)) {
+		f.network.mu.Lock()
+		for _, a := range f.machinesNamed(c.Word(0)) {
 			for _, b := range f.machines {
-				f.mesh.cut[[2]string{a.addr, b.addr}] = a != b
-				f.mesh.cut[[2]string{b.addr, a.addr}] = a != b
+				f.network.blocked[[2]string{a.addr, b.addr}] = a != b
+				f.network.blocked[[2]string{b.addr, a.addr}] = a != b
 			}
 		}
-		f.mesh.mu.Unlock()
+		f.network.mu.Unlock()
 	case "no-platform": // no-platform DUTY: whoever holds it is cut off from the platform alone, until join
-		m, err := f.holder(c.Word(0))
+		m, err := f.leaseHolder(c.Word(0))
 		if err != nil {
 			return err
 		}
-		f.mesh.mu.Lock()
-		f.mesh.cut[[2]string{m.addr, "10.200.0.1"}] = true
-		f.mesh.cut[[2]string{"10.200.0.1", m.addr}] = true
-		f.mesh.mu.Unlock()
+		f.network.mu.Lock()
+		f.network.blocked[[2]string{m.addr, "10.200.0.1"}] = true
+		f.network.blocked[[2]string{"10.200.0.1", m.addr}] = true
+		f.network.mu.Unlock()
 	case "join": // join [after=MS]
 		if ms := c.Number("after", 0); ms > 0 {
-			time.AfterFunc(time.Duration(ms)*time.Millisecond, f.join)
+			time.AfterFunc(time.Duration(ms)*time.Millisecond, f.heal)
 			break
 		}
-		f.join()
+		f.heal()
 	case "lossy":
-		f.mesh.mu.Lock()
-		f.mesh.lossy, _ = strconv.ParseFloat(c.Word(0), 64)
-		f.mesh.mu.Unlock()
+		f.network.mu.Lock()
+		f.network.lossRate, _ = strconv.ParseFloat(c.Word(0), 64)
+		f.network.mu.Unlock()
 	case "slow": // slow NAMES KBPS: the links of these machines take so many kilobits a second each way; 0: no bound
-		f.mesh.mu.Lock()
-		for _, m := range f.pick(c.Word(0)) {
-			f.mesh.rates[m.addr] = float64(uintOf(1)) * 1000 / 8
+		f.network.mu.Lock()
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			f.network.bytesPerSecond[m.addr] = float64(uintOf(1)) * 1000 / 8
 		}
-		f.mesh.mu.Unlock()
+		f.network.mu.Unlock()
 	case "disk": // disk NAMES ok|full|hangs
-		for _, m := range f.pick(c.Word(0)) {
-			f.disk(m).Set(c.Word(1) == "full", c.Word(1) == "hangs")
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			f.diskOf(m).SetFault(c.Word(1) == "full", c.Word(1) == "hangs")
 		}
 	case "power": // power NAMES: they lose power, and names that were not synced may be lost
 		var wg sync.WaitGroup
-		for _, m := range f.pick(c.Word(0)) {
-			f.mesh.dead(m.addr)
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			f.network.killMachine(m.addr)
 			wg.Go(func() {
 				if m.stop != nil {
 					m.stop()
 				}
-				if m.data != nil {
-					m.data.Lose()
+				if m.diskState != nil {
+					m.diskState.LosePower()
 				}
 			})
 		}
 		wg.Wait()
 	case "tear": // tear NAMES garbage|half|short|nothing|gone: what is left of the cells' file on machines that are down
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			path := filepath.Join(f.dir, m.name, "vault.db")
 			raw, err := os.ReadFile(path)
 			if err != nil {
@@ -734,24 +734,24 @@
 			}
 		}
 	case "routes": // routes N: so many more in the configurations from now on
-		f.routes = int(uintOf(0))
+		f.extraRoutes = int(uintOf(0))
 	case "changes": // changes FROM N AT [gap= within=]: so many, one on the other; each is acknowledged
 		for i := range uintOf(1) {
 			v := uintOf(0) + i
-			if st := f.order(f.pick(c.Word(2))[0], v, f.newest, "", time.Duration(c.Number("within", 8000))*time.Millisecond); st != http.StatusOK {
+			if st := f.replaceAt(f.machinesNamed(c.Word(2))[0], v, f.newest, "", time.Duration(c.Number("within", 8000))*time.Millisecond); st != http.StatusOK {
 				return fmt.Errorf("version %d: %d", v, st)
 			}
 			time.Sleep(time.Duration(c.Number("gap", 50)) * time.Millisecond)
 		}
-		f.statusL = map[string]int{}
+		f.replaceStatuses = map[string]int{}
 	case "want-applied": // want-applied VERSION NAMES WITHIN: decided by these registrars themselves
 		last := ""
-		err := f.until(c.Millis(2), "the version at "+c.Word(1), func() bool {
-			for _, m := range f.pick(c.Word(1)) {
+		err := f.until(c.Milliseconds(2), "the version at "+c.Word(1), func() bool {
+			for _, m := range f.machinesNamed(c.Word(1)) {
 				_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-				var v registrar.NoticesView
+				var v registrar.OutboxView
 				last = fmt.Sprintf("%.200s", raw)
-				if json.Unmarshal([]byte(raw), &v) != nil || v.Decided["configuration"] < uintOf(0) {
+				if json.Unmarshal([]byte(raw), &v) != nil || v.AppliedVersions["configuration"] < uintOf(0) {
 					return false
 				}
 			}
@@ -761,7 +761,7 @@
 			return errors.Join(err, errors.New(last))
 		}
 	case "want-state": // want-state KILOBYTES NAME rows=: the state of the exchange cell on the disk of a machine that is down is no larger, nor its outbox, nor the log beside it longer than it may be
-		size, rows, what, err := stateOf(filepath.Join(f.dir, c.Word(1)))
+		size, rows, what, err := storedState(filepath.Join(f.dir, c.Word(1)))
 		if err == nil && (size > int(uintOf(0))<<10 || rows > int(c.Number("rows", 1e6))) {
 			err = fmt.Errorf("%d bytes: %s", size, what)
 		}
@@ -771,43 +771,43 @@
 		for _, id := range c.Words {
 			switch c.Verb {
 			case "list":
-				f.listed[id] = "ready"
+				f.leafStates[id] = "ready"
 			case "drain":
-				f.listed[id] = "draining"
+				f.leafStates[id] = "draining"
 			default:
-				delete(f.listed, id)
+				delete(f.leafStates, id)
 			}
 		}
 		f.mu.Unlock()
 	case "many": // many PREFIX N: so many leafs are listed
 		f.mu.Lock()
 		for i := range int(uintOf(1)) {
-			f.listed[c.Word(0)+strconv.Itoa(i)] = "ready"
+			f.leafStates[c.Word(0)+strconv.Itoa(i)] = "ready"
 		}
 		f.mu.Unlock()
 	case "bad", "well": // bad NAMES PREFIX N: these switches find so many leafs bad, or well
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			for i := range int(uintOf(2)) {
-				m.sw.Frame.Report(feed.Report{Leaf: c.Word(1) + strconv.Itoa(i), Service: "s", Well: c.Verb == "well"})
+				m.proxy.Upstreams.OnHealthChange(feed.HealthReport{EndpointID: c.Word(1) + strconv.Itoa(i), Service: "s", Healthy: c.Verb == "well"})
 			}
 		}
 	case "want-marks": // want-marks N WITHIN: so many leafs are marked on every switch
-		return f.until(c.Millis(1), c.Word(0)+" marks on every switch", func() bool {
+		return f.until(c.Milliseconds(1), c.Word(0)+" marks on every switch", func() bool {
 			for _, m := range f.machines {
-				if m.sw != nil && uint64(len(m.sw.Marked())) != uintOf(0) {
+				if m.proxy != nil && uint64(len(m.proxy.Ejected())) != uintOf(0) {
 					return false
 				}
 			}
 			return true
 		})
 	case "garble": // garble NAMES: bytes that are no message, to every door of a machine
-		for _, m := range f.pick(c.Word(0)) {
-			if err := f.garble(m); err != nil {
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			if err := f.sendGarbage(m); err != nil {
 				return err
 			}
 		}
 	case "replace": // replace VERSION BASE AT [mark= within=]
-		f.order(f.pick(c.Word(2))[0], uintOf(0), uintOf(1), c.Opts["mark"], time.Duration(c.Number("within", 0))*time.Millisecond)
+		f.replaceAt(f.machinesNamed(c.Word(2))[0], uintOf(0), uintOf(1), c.Options["mark"], time.Duration(c.Number("within", 0))*time.Millisecond)
 	case "race": // race BASE V1@AT V2@AT/MARK ... [within=]: all at once
 		var wg sync.WaitGroup
 		for _, w := range c.Words[1:] {
@@ -815,35 +815,35 @@
 			n, _ := strconv.ParseUint(v, 10, 64)
 			at, mark, _ := strings.Cut(at, "/")
 			wg.Go(func() {
-				f.order(f.pick(at)[0], n, uintOf(0), mark, time.Duration(c.Number("within", 0))*time.Millisecond)
+				f.replaceAt(f.machinesNamed(at)[0], n, uintOf(0), mark, time.Duration(c.Number("within", 0))*time.Millisecond)
 			})
 		}
 		wg.Wait()
 	case "want": // want STATUS=N ...: what the orders since the last such line got
-		for k, v := range c.Opts {
+		for k, v := range c.Options {
 			n, _ := strconv.Atoi(v)
-			if f.statusL[k] != n {
-				return fmt.Errorf("got %v", f.statusL)
+			if f.replaceStatuses[k] != n {
+				return fmt.Errorf("got %v", f.replaceStatuses)
 			}
 		}
-		f.statusL = map[string]int{}
+		f.replaceStatuses = map[string]int{}
 	case "estimates": // lookups are followed
-		f.follow = true
+		f.estimate = true
 	case "want-estimates": // want-estimates NODES SAMPLES AT: so many switches answer, and know of so many lookups at least
-		_, raw := f.call(f.pick(c.Word(2))[0], http.MethodGet, "/Estimates.Read?class=urgent", 0, "")
+		_, raw := f.call(f.machinesNamed(c.Word(2))[0], http.MethodGet, "/Estimates.Read?class=urgent", 0, "")
 		var v registrar.EstimatesView
 		if err := json.Unmarshal([]byte(raw), &v); err != nil {
 			return err
 		}
 		n := uint64(0)
-		for _, k := range v.Copies {
+		for _, k := range v.Replicas {
 			n += k.Estimate.Samples
 		}
 		if v.Nodes != int(uintOf(0)) || n < uintOf(1) {
 			return fmt.Errorf("%d nodes, %d samples: %.300s", v.Nodes, n, raw)
 		}
 	case "want-saved": // want-saved LINES AT: so many exports are on that disk at least
-		_, raw := f.call(f.pick(c.Word(1))[0], http.MethodGet, "/Estimates.Saved", 0, "")
+		_, raw := f.call(f.machinesNamed(c.Word(1))[0], http.MethodGet, "/Estimates.Saved", 0, "")
 		var lines []registrar.EstimatesView
 		if err := json.Unmarshal([]byte(raw), &lines); err != nil {
 			return err
@@ -852,16 +852,16 @@
 			return fmt.Errorf("%d lines", len(lines))
 		}
 	case "duties": // usage is to be reported
-		f.duties = true
+		f.reportUsage = true
 	case "platform": // platform ok|busy|reset|lost: how it takes reports from now on
 		f.mu.Lock()
-		f.plat = strings.TrimPrefix(c.Word(0), "ok")
+		f.platformFault = strings.TrimPrefix(c.Word(0), "ok")
 		f.mu.Unlock()
 	case "kill-holder", "cut-holder": // of the reports; cut-holder platform: from the platform alone
 		f.mu.Lock()
 		var m *machine
-		if n := len(f.fences); n > 0 {
-			m = f.machines[f.fences[n-1].holder]
+		if n := len(f.fencedCalls); n > 0 {
+			m = f.machines[f.fencedCalls[n-1].holder]
 		}
 		f.mu.Unlock()
 		if m == nil || m.stop == nil {
@@ -869,27 +869,27 @@
 		}
 		switch {
 		case c.Verb == "kill-holder":
-			f.mesh.dead(m.addr)
+			f.network.killMachine(m.addr)
 			m.stop()
 		case c.Word(0) == "platform":
-			f.mesh.mu.Lock()
-			f.mesh.cut[[2]string{m.addr, "10.200.0.1"}] = true
-			f.mesh.cut[[2]string{"10.200.0.1", m.addr}] = true
-			f.mesh.mu.Unlock()
+			f.network.mu.Lock()
+			f.network.blocked[[2]string{m.addr, "10.200.0.1"}] = true
+			f.network.blocked[[2]string{"10.200.0.1", m.addr}] = true
+			f.network.mu.Unlock()
 		default:
-			f.mesh.mu.Lock()
+			f.network.mu.Lock()
 			for _, b := range f.machines {
 				if b != m && b.disk {
-					f.mesh.cut[[2]string{m.addr, b.addr}] = true
-					f.mesh.cut[[2]string{b.addr, m.addr}] = true
+					f.network.blocked[[2]string{m.addr, b.addr}] = true
+					f.network.blocked[[2]string{b.addr, m.addr}] = true
 				}
 			}
-			f.mesh.mu.Unlock()
+			f.network.mu.Unlock()
 		}
 	case "kill-duty", "cut-duty": // kill-duty NAME...: the machines that hold these duties
 		var names []string
 		for _, duty := range c.Words {
-			m, err := f.holder(duty)
+			m, err := f.leaseHolder(duty)
 			if err != nil {
 				return err
 			}
@@ -899,33 +899,33 @@
 		}
 		return f.Do(scenario.Command{Verb: strings.TrimSuffix(c.Verb, "-duty"), Words: []string{strings.Join(names, ",")}})
 	case "seeds": // seeds NAMES TOLD: the seeds of the settings from now on; the machines TOLD are told at once
-		f.seeds = nil
-		for _, m := range f.pick(c.Word(0)) {
-			f.seeds = append(f.seeds, net.JoinHostPort(m.addr, controlPort))
-		}
-		for _, m := range f.pick(c.Word(1)) {
-			m.sw.Reload(f.settings(m))
-			if m.reg != nil {
-				m.reg.Reload(f.settings(m))
+		f.seedNodes = nil
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			f.seedNodes = append(f.seedNodes, net.JoinHostPort(m.addr, controlPort))
+		}
+		for _, m := range f.machinesNamed(c.Word(1)) {
+			m.proxy.Reload(f.settingsOf(m))
+			if m.controlPlane != nil {
+				m.controlPlane.Reload(f.settingsOf(m))
 			}
 		}
 	case "reset": // reset NAMES: all their connections end at once
-		for _, m := range f.pick(c.Word(0)) {
-			f.mesh.reset(m.addr)
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			f.network.resetConnections(m.addr)
 		}
 	case "indexes": // indexes N: from now on configurations have so many routes more, each with an index of its own
-		f.indexes = int(uintOf(0))
+		f.extraIndexes = int(uintOf(0))
 	case "want-whole": // want-whole WITHIN [lost=]: every cell has all its seats, at machines that run and have caught up, but for so many seats
 		var last error
-		err := f.until(c.Millis(0), "all cells are whole", func() bool {
-			last = f.whole(int(c.Number("lost", 0)))
+		err := f.until(c.Milliseconds(0), "all cells are whole", func() bool {
+			last = f.checkReplicas(int(c.Number("lost", 0)))
 			return last == nil
 		})
 		if err != nil {
 			return errors.Join(err, last)
 		}
 	case "want-reports": // want-reports N WITHIN: so many windows in a row up to now were reported, the last that is due among them
-		return f.until(c.Millis(1), c.Word(0)+" windows in a row", func() bool {
+		return f.until(c.Milliseconds(1), c.Word(0)+" windows in a row", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			due := uint64(time.Now().Add(-15*time.Second).UnixNano() / int64(5*time.Second))
@@ -938,10 +938,10 @@
 		})
 	case "load-on": // load-on NAMES TENANT PERSECOND MS: while the lines that follow are played, until load-end
 		perS, _ := strconv.ParseFloat(c.Word(2), 64)
-		f.loads.Go(func() { f.load(f.pick(c.Word(0)), f.tenants[c.Word(1)], perS, c.Millis(3)) })
+		f.loads.Go(func() { f.generateLoad(f.machinesNamed(c.Word(0)), f.tenants[c.Word(1)], perS, c.Milliseconds(3)) })
 	case "window": // window MS: lets time pass until so long after the beginning of a window of usage
-		length := f.settings(f.sorted()[0]).Bounds.UsageWindow()
-		at := time.Now().Truncate(length).Add(c.Millis(0))
+		length := f.settingsOf(f.sortedMachines()[0]).Bounds.UsageWindow()
+		at := time.Now().Truncate(length).Add(c.Milliseconds(0))
 		if at.Before(time.Now()) {
 			at = at.Add(length)
 		}
@@ -949,7 +949,7 @@
 	case "load-end":
 		f.loads.Wait()
 	case "want-timely": // want-timely TENANT off= [missed=]: each window since the last such line was reported before it fell due, and names what ran in it, to so many percent
-		return f.timely(f.tenants[c.Word(0)], c.Number("off", 0), int(c.Number("missed", 0)))
+		return f.checkWindows(f.tenants[c.Word(0)], c.Number("off", 0), int(c.Number("missed", 0)))
 	case "want-usage": // want-usage TENANT off=: all reports together name the requests that ran, to so many percent
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -961,21 +961,21 @@
 			_ = json.Unmarshal([]byte(raw), &rep)
 			sum += rep.InstanceCounts[c.Word(0)]
 		}
-		ran := float64(len(f.tenants[c.Word(0)].ran))
+		ran := float64(len(f.tenants[c.Word(0)].ranAt))
 		if ran == 0 || (sum-ran)/ran*100 > c.Number("off", 0) || (ran-sum)/ran*100 > c.Number("off", 0) {
 			return fmt.Errorf("reported were %v of %v", sum, ran)
 		}
 	case "want-backlog": // want-backlog N WITHIN: rows not published, and every registrar has decided the newest version
 		last := ""
-		err := f.until(c.Millis(1), "the outbox", func() bool {
-			for _, m := range f.sorted() {
-				if m.reg == nil {
+		err := f.until(c.Milliseconds(1), "the outbox", func() bool {
+			for _, m := range f.sortedMachines() {
+				if m.controlPlane == nil {
 					continue
 				}
 				_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-				var v registrar.NoticesView
+				var v registrar.OutboxView
 				last = m.name + ": " + raw
-				if json.Unmarshal([]byte(raw), &v) != nil || v.Backlog != int(uintOf(0)) || v.Decided["configuration"] != f.newest {
+				if json.Unmarshal([]byte(raw), &v) != nil || v.Backlog != int(uintOf(0)) || v.AppliedVersions["configuration"] != f.newest {
 					return false
 				}
 			}
@@ -985,10 +985,10 @@
 			return errors.Join(err, errors.New(last))
 		}
 	case "want-quarantine": // want-quarantine N REDRIVES WITHIN: so many cases and redrives on every registrar
-		return f.until(c.Millis(2), "the quarantine", func() bool {
-			for _, m := range f.sorted() {
-				var v registrar.NoticesView
-				if m.reg == nil {
+		return f.until(c.Milliseconds(2), "the quarantine", func() bool {
+			for _, m := range f.sortedMachines() {
+				var v registrar.OutboxView
+				if m.controlPlane == nil {
 					continue
 				}
 				_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
@@ -999,9 +999,9 @@
 			return true
 		})
 	case "redrive": // redrive EVENT ACTION AT: every case whose event id begins so
-		m := f.pick(c.Word(2))[0]
+		m := f.machinesNamed(c.Word(2))[0]
 		_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-		var v registrar.NoticesView
+		var v registrar.OutboxView
 		if err := json.Unmarshal([]byte(raw), &v); err != nil {
 			return err
 		}
@@ -1014,33 +1014,33 @@
 		status := f.post(m, "/Notices.Redrive", 0, fmt.Sprintf(`{"eventId":%q,"operator":"op","correlationId":"case-1","action":%q}`, ids[len(ids)-1], c.Word(1)))
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.statusL[strconv.Itoa(status)]++
+		f.replaceStatuses[strconv.Itoa(status)]++
 	case "tenant": // tenant NAME RATE BURST [key=]: in the configurations from now on
 		t := f.tenants[c.Word(0)]
 		if t == nil {
-			t = &fleetTenant{Name: c.Word(0), Keys: []string{"key-" + c.Word(0)}, got: map[int]int{}}
+			t = &fleetTenant{Name: c.Word(0), Keys: []string{"key-" + c.Word(0)}, statuses: map[int]int{}}
 			f.tenants[t.Name] = t
 		}
 		t.Rate, _ = strconv.ParseFloat(c.Word(1), 64)
 		t.Burst, _ = strconv.ParseFloat(c.Word(2), 64)
-		if k := c.Opts["key"]; k != "" {
+		if k := c.Options["key"]; k != "" {
 			t.Keys = []string{k}
 		}
 	case "load": // load NAMES TENANT PERSECOND MS
 		perS, _ := strconv.ParseFloat(c.Word(2), 64)
 		since := time.Now()
-		f.load(f.pick(c.Word(0)), f.tenants[c.Word(1)], perS, c.Millis(3))
-		return f.windows(f.tenants[c.Word(1)], since.Add(-time.Second))
+		f.generateLoad(f.machinesNamed(c.Word(0)), f.tenants[c.Word(1)], perS, c.Milliseconds(3))
+		return f.waitForWindows(f.tenants[c.Word(1)], since.Add(-time.Second))
 	case "want-served": // want-served TENANT least= most= [within=]: of its requests since the last such line, in percent
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		t := f.tenants[c.Word(0)]
 		all := 0
-		for _, n := range t.got {
+		for _, n := range t.statuses {
 			all += n
 		}
-		share, got, slow := 100*float64(t.got[http.StatusOK])/float64(all), fmt.Sprint(t.got), t.slow
-		t.got, t.slow = map[int]int{}, 0
+		share, got, slow := 100*float64(t.statuses[http.StatusOK])/float64(all), fmt.Sprint(t.statuses), t.latency
+		t.statuses, t.latency = map[int]int{}, 0
 		if share < c.Number("least", 0) || share > c.Number("most", 100) {
 			return fmt.Errorf("%.0f%%, %s", share, got)
 		}
@@ -1048,30 +1048,30 @@
 			return fmt.Errorf("one took %v", slow)
 		}
 	case "want-config": // want-config VERSION WITHIN: in force on every switch that runs
-		return f.until(c.Millis(1), "the version on every switch", func() bool {
+		return f.until(c.Milliseconds(1), "the version on every switch", func() bool {
 			for _, m := range f.machines {
-				if m.sw != nil && f.versionAt(m) != uintOf(0) {
+				if m.proxy != nil && f.versionAt(m) != uintOf(0) {
 					return false
 				}
 			}
 			return true
 		})
 	case "want-list": // want-list WITHIN [at=]: every switch, or these, has the platform's list
-		at := f.sorted()
-		if names := c.Opts["at"]; names != "" {
-			at = f.pick(names)
+		at := f.sortedMachines()
+		if names := c.Options["at"]; names != "" {
+			at = f.machinesNamed(names)
 		}
 		var last string
-		err := f.until(c.Millis(0), "the list on every switch", func() bool {
+		err := f.until(c.Milliseconds(0), "the list on every switch", func() bool {
 			f.mu.Lock()
-			want := maps.Clone(f.listed)
+			want := maps.Clone(f.leafStates)
 			f.mu.Unlock()
 			for _, m := range at {
-				if m.sw == nil {
+				if m.proxy == nil {
 					continue
 				}
 				have := map[string]string{}
-				for _, l := range m.sw.Leafs() {
+				for _, l := range m.proxy.Endpoints() {
 					have[l.ID] = map[bool]string{true: "draining", false: "ready"}[l.Draining]
 				}
 				if !maps.Equal(have, want) {
@@ -1086,9 +1086,9 @@
 		}
 	case "want-read": // want-read WITHIN: what was acknowledged last is read back
 		var got string
-		return f.until(c.Millis(0), "the newest acknowledged configuration is read back", func() bool {
+		return f.until(c.Milliseconds(0), "the newest acknowledged configuration is read back", func() bool {
 			for _, m := range f.machines {
-				if m.reg == nil {
+				if m.controlPlane == nil {
 					continue
 				}
 				status, raw := f.call(m, http.MethodGet, "/Configuration.Read", 0, "")
@@ -1097,60 +1097,60 @@
 					break
 				}
 			}
-			return got == f.acked[f.newest]
+			return got == f.acknowledged[f.newest]
 		})
 	default:
-		return f.doOrders(c)
+		return f.doOperator(c)
 	}
 	return nil
 }
 
-// mostEntries is what a log may hold beside the state, by the cell's own bound and a pipeline.
-const mostEntries = 2*64 + 3
+// maxLogEntries is what a log may hold beside the state, by the cell's own bound and a pipeline.
+const maxLogEntries = 2*64 + 3
 
-// stateOf says how much state a disk holds of the exchange cell, and of what.
-func stateOf(dir string) (size, rows int, what string, err error) {
-	v, err := vault.Open(dir, vault.Files{}, func(error) {})
+// storedState says how much state a disk holds of the exchange cell, and of what.
+func storedState(dir string) (size, rows int, what string, err error) {
+	v, err := vault.Open(dir, vault.LocalDisk{}, func(error) {})
 	if err != nil {
 		return 0, 0, "", err
 	}
 	defer v.Close()
-	s, _, err := v.Load(registrar.ExchangeCell)
-	if err != nil || s.Snap == nil {
+	s, _, err := v.LoadReplica(registrar.MetaCell)
+	if err != nil || s.Snapshot == nil {
 		return 0, 0, "", errors.Join(err, errors.New("no snapshot"))
 	}
-	raw, err := wire.Marshal(s.Snap)
-	if err == nil && len(s.Entries) > mostEntries {
+	raw, err := wire.Marshal(s.Snapshot)
+	if err == nil && len(s.Entries) > maxLogEntries {
 		err = fmt.Errorf("%d entries of the log", len(s.Entries))
 	}
 	by, keys := map[string]int{}, map[string]int{}
-	for k, val := range s.Snap.State {
+	for k, val := range s.Snapshot.State {
 		kind, _, _ := strings.Cut(k, "/")
 		by[kind] += len(k) + len(val.Bytes)
 		keys[kind]++
 	}
-	return len(raw), keys["outbox"], fmt.Sprintf("%d packed, %d entries, keys %v, bytes %v", len(wire.Pack(raw)), len(s.Entries), keys, by), err
+	return len(raw), keys["outbox"], fmt.Sprintf("%d packed, %d entries, keys %v, bytes %v", len(wire.EncodeBody(raw)), len(s.Entries), keys, by), err
 }
 
-// part cuts machines from the others with a disk, in one direction or both.
-func (f *fleet) part(apart []*machine, out, in bool) {
-	f.mesh.mu.Lock()
-	defer f.mesh.mu.Unlock()
+// cutOff cuts machines from the others with a disk, in one direction or both.
+func (f *fleet) cutOff(apart []*machine, out, in bool) {
+	f.network.mu.Lock()
+	defer f.network.mu.Unlock()
 	for _, a := range apart {
 		for _, b := range f.machines {
 			if slices.Contains(apart, b) || !b.disk {
 				continue
 			}
-			f.mesh.cut[[2]string{a.addr, b.addr}] = f.mesh.cut[[2]string{a.addr, b.addr}] || out
-			f.mesh.cut[[2]string{b.addr, a.addr}] = f.mesh.cut[[2]string{b.addr, a.addr}] || in
+			f.network.blocked[[2]string{a.addr, b.addr}] = f.network.blocked[[2]string{a.addr, b.addr}] || out
+			f.network.blocked[[2]string{b.addr, a.addr}] = f.network.blocked[[2]string{b.addr, a.addr}] || in
 		}
 	}
 }
 
-func (f *fleet) join() {
-	f.mesh.mu.Lock()
-	defer f.mesh.mu.Unlock()
-	f.mesh.cut = map[[2]string]bool{}
+func (f *fleet) heal() {
+	f.network.mu.Lock()
+	defer f.network.mu.Unlock()
+	f.network.blocked = map[[2]string]bool{}
 }
 
 func TestFleet(t *testing.T) { playFleet(t, "testdata/fleet") }
@@ -1176,7 +1176,7 @@
 		mu.Lock()
 		fleets[t.Name()] = f
 		mu.Unlock()
-		t.Cleanup(f.end)
+		t.Cleanup(f.shutDown)
 		return f
 	})
 }
@@ -1185,13 +1185,13 @@
 // once, while changes go on; what was acknowledged is there in the end, and everybody has
 // it. COMETHOLD_SEEDS says how many draws.
 func TestDisks(t *testing.T) {
-	for seed := range scenario.Seeds(1) {
+	for seed := range scenario.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t)
 				f.seed = int64(seed)
-				t.Cleanup(f.end)
+				t.Cleanup(f.shutDown)
 				rng := rand.New(rand.NewSource(int64(seed)))
 				do := func(line string, args ...any) {
 					c, _ := scenario.Parse(fmt.Sprintf(line, args...))
@@ -1244,20 +1244,20 @@
 	}
 }
 
-// end ends all of a fleet.
-func (f *fleet) end() {
+// shutDown ends all of a fleet.
+func (f *fleet) shutDown() {
 	var wg sync.WaitGroup
 	for _, m := range f.machines {
-		if m.data != nil {
-			m.data.Set(false, false)
+		if m.diskState != nil {
+			m.diskState.SetFault(false, false)
 		}
 		if m.stop != nil {
 			wg.Go(m.stop)
 		}
 	}
 	wg.Wait()
-	f.mesh.down("", "")
-	f.mesh.down("10.200.0.1", "")
-	f.mesh.down("10.9.0.1", "")
+	f.network.closeListener("", "")
+	f.network.closeListener("10.200.0.1", "")
+	f.network.closeListener("10.9.0.1", "")
 	time.Sleep(time.Minute)
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -41,8 +41,8 @@
 	return h.clock
 }
 
-// note records a call that began at a tick and has returned.
-func (h *history) note(from int64, c operatorCall, a operatorAnswer) {
+// record records a call that began at a tick and has returned.
+func (h *history) record(from int64, c operatorCall, a operatorAnswer) {
 	if !c.read {
 		var v struct {
 			Version uint64 `json:"version"`
@@ -60,15 +60,15 @@
 	h.ops = append(h.ops, porcupine.Operation{Input: c, Call: from, Output: a, Return: to})
 }
 
-// taken is a state of the configuration: the order that was taken last, on top of others.
+// configurationChain is a state of the configuration: the order that was taken last, on top of others.
 // Equal states are one pointer.
-type taken struct {
+type configurationChain struct {
 	operatorCall
-	under *taken
+	previous *configurationChain
 }
 
-func (s *taken) holds(c operatorCall) bool {
-	for ; s != nil; s = s.under {
+func (s *configurationChain) contains(c operatorCall) bool {
+	for ; s != nil; s = s.previous {
 		if s.operatorCall == c {
 			return true
 		}
@@ -76,18 +76,18 @@
 	return false
 }
 
-// unclear reports whether an answer leaves it open what became of an order.
-func (a operatorAnswer) unclear() bool {
+// isUnclear reports whether an answer leaves it open what became of an order.
+func (a operatorAnswer) isUnclear() bool {
 	return a.status == 0 || a.status/100 == 5 || a.status == http.StatusRequestTimeout || a.status == http.StatusTooManyRequests
 }
 
 // configurationModel is the register that the operators should see.
 func configurationModel() porcupine.Model {
-	known := map[taken]*taken{}
+	known := map[configurationChain]*configurationChain{}
 	return porcupine.Model{
-		Init: func() any { return (*taken)(nil) },
+		Init: func() any { return (*configurationChain)(nil) },
 		Step: func(state, input, output any) (bool, any) {
-			s, c, a := state.(*taken), input.(operatorCall), output.(operatorAnswer)
+			s, c, a := state.(*configurationChain), input.(operatorCall), output.(operatorAnswer)
 			current, body := uint64(0), ""
 			if s != nil {
 				current, body = s.version, s.body
@@ -97,18 +97,18 @@
 				return s != nil && a.body == body, s
 			case c.read:
 				return a.status == http.StatusNotFound && s == nil, s
-			case s.holds(c):
-				return a.status == http.StatusOK || a.unclear(), s
-			case a.status == http.StatusOK || a.unclear() && current == c.base && c.version > current:
+			case s.contains(c):
+				return a.status == http.StatusOK || a.isUnclear(), s
+			case a.status == http.StatusOK || a.isUnclear() && current == c.base && c.version > current:
 				if current != c.base || c.version <= current {
 					return false, s
 				}
-				next := taken{c, s}
+				next := configurationChain{c, s}
 				if known[next] == nil {
 					known[next] = &next
 				}
 				return true, known[next]
-			case a.unclear(): // it came to nothing
+			case a.isUnclear(): // it came to nothing
 				return true, s
 			case a.status == http.StatusPreconditionFailed:
 				return current != c.base, s
@@ -118,15 +118,15 @@
 	}
 }
 
-// open makes one call of all unclear ones of the same order: it may come into force at
+// operations makes one call of all unclear ones of the same order: it may come into force at
 // any time after the first, or never.
-func (h *history) open() []porcupine.Operation {
+func (h *history) operations() []porcupine.Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []porcupine.Operation
 	first := map[operatorCall]int{}
 	for _, op := range slices.SortedFunc(slices.Values(h.ops), func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) }) {
-		if op.Output.(operatorAnswer).unclear() {
+		if op.Output.(operatorAnswer).isUnclear() {
 			if _, ok := first[op.Input.(operatorCall)]; ok {
 				continue
 			}
@@ -141,7 +141,7 @@
 // check says whether all that operators saw could have come of one register. It is not to
 // run on simulated time, on which no limit would ever be over.
 func (h *history) check() error {
-	ops := h.open()
+	ops := h.operations()
 	result := porcupine.CheckOperationsTimeout(configurationModel(), ops, 30*time.Second)
 	if result == porcupine.Ok {
 		return nil
--- a/internal/scenario/operators_test.go
+++ b/internal/scenario/operators_test.go
@@ -23,19 +23,19 @@
 	"comethold/internal/wire"
 )
 
-// proposer finds the registrar whose lead of the exchange cell a majority confirms.
-func (f *fleet) proposer() *machine {
-	call := wire.NewClient(f.mesh.of(operatorAddr))
+// leaderMachine finds the registrar whose lead of the exchange cell a majority confirms.
+func (f *fleet) leaderMachine() *machine {
+	call := wire.NewClient(f.network.netOf(operatorAddr))
 	for range 100 {
-		for _, m := range f.sorted() {
-			if m.reg == nil {
+		for _, m := range f.sortedMachines() {
+			if m.controlPlane == nil {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			var v struct {
 				Confirmed bool `cbor:"1,keyasint"`
 			}
-			err := call.Call(ctx, net.JoinHostPort(m.addr, strconv.Itoa(f.settings(m).PortOf(settings.Registrar))), "/confirm", struct {
+			err := call.Call(ctx, net.JoinHostPort(m.addr, strconv.Itoa(f.settingsOf(m).PortOf(settings.ControlPlane))), "/confirm", struct {
 				Cell string `cbor:"1,keyasint"`
 			}{"exchange"}, &v)
 			cancel()
@@ -48,36 +48,36 @@
 	return nil
 }
 
-// doOrders carries out the commands about operators.
-func (f *fleet) doOrders(c scenario.Command) error {
+// doOperator carries out the commands about operators.
+func (f *fleet) doOperator(c scenario.Command) error {
 	number := func(i int) uint64 { n, _ := strconv.ParseUint(c.Word(i), 10, 64); return n }
 	within := time.Duration(c.Number("within", 0)) * time.Millisecond
 	switch c.Verb {
 	case "let": // let NAME proposer|follower: from now on this machine has the name; a follower is one without
-		p := f.proposer()
+		p := f.leaderMachine()
 		if p == nil {
 			return errors.New("there is no proposer")
 		}
-		for _, m := range f.sorted() {
+		for _, m := range f.sortedMachines() {
 			named := false
-			for _, a := range f.alias {
+			for _, a := range f.aliases {
 				named = named || a == m
 			}
-			if c.Word(1) == "proposer" && m == p || c.Word(1) == "follower" && m != p && m.reg != nil && !named {
-				f.alias[c.Word(0)] = m
+			if c.Word(1) == "proposer" && m == p || c.Word(1) == "follower" && m != p && m.controlPlane != nil && !named {
+				f.aliases[c.Word(0)] = m
 				return nil
 			}
 		}
 		return errors.New("there is no such machine")
 	case "lead": // lead NAMES WITHIN: one of them is the proposer in the end; those that are first are cut off for a while
-		return f.until(c.Millis(1), "one of them leads", func() bool {
-			p := f.proposer()
-			if p == nil || slices.Contains(f.pick(c.Word(0)), p) {
+		return f.until(c.Milliseconds(1), "one of them leads", func() bool {
+			p := f.leaderMachine()
+			if p == nil || slices.Contains(f.machinesNamed(c.Word(0)), p) {
 				return p != nil
 			}
-			f.part([]*machine{p}, true, true)
+			f.cutOff([]*machine{p}, true, true)
 			time.Sleep(2500 * time.Millisecond)
-			f.join()
+			f.heal()
 			time.Sleep(500 * time.Millisecond)
 			return false
 		})
@@ -86,44 +86,44 @@
 		f.machines[m.name] = m
 		f.start(m)
 	case "lose": // lose NAMES: their answers to operators are lost; lose none
-		f.mesh.mu.Lock()
-		defer f.mesh.mu.Unlock()
-		clear(f.mesh.lost)
+		f.network.mu.Lock()
+		defer f.network.mu.Unlock()
+		clear(f.network.answersLost)
 		if c.Word(0) != "none" {
-			for _, m := range f.pick(c.Word(0)) {
-				f.mesh.lost[m.addr] = true
+			for _, m := range f.machinesNamed(c.Word(0)) {
+				f.network.answersLost[m.addr] = true
 			}
 		}
 	case "again": // again VERSION BASE NAMES [mark= within=]: the same order, to each of them in turn
-		for _, m := range f.pick(c.Word(2)) {
-			f.order(m, number(0), number(1), c.Opts["mark"], within)
+		for _, m := range f.machinesNamed(c.Word(2)) {
+			f.replaceAt(m, number(0), number(1), c.Options["mark"], within)
 		}
 	case "series": // series N BASE NAMES: so many in a row, each one number higher, at these machines in turn
-		at := f.pick(c.Word(2))
+		at := f.machinesNamed(c.Word(2))
 		for i := range number(0) {
-			if v := number(1) + i; f.order(at[int(i)%len(at)], v+1, v, "", 8*time.Second) != http.StatusOK {
+			if v := number(1) + i; f.replaceAt(at[int(i)%len(at)], v+1, v, "", 8*time.Second) != http.StatusOK {
 				return fmt.Errorf("%d is not taken", v+1)
 			}
 		}
 	case "want-unclear": // want-unclear NAMES: neither a read nor an order gets a clear answer there
-		for i, m := range f.pick(c.Word(0)) {
+		for i, m := range f.machinesNamed(c.Word(0)) {
 			if status, _ := f.call(m, http.MethodGet, "/Configuration.Read", 0, ""); status != 0 && status != http.StatusServiceUnavailable {
 				return fmt.Errorf("%s answers a read with %d", m.name, status)
 			}
 			for _, base := range []uint64{0, f.newest, f.newest + 1} {
-				if status := f.post(m, "/Configuration.Replace", base, f.body(f.newest+1000+base+uint64(i), "lesser")); status != 0 && status != http.StatusServiceUnavailable {
+				if status := f.post(m, "/Configuration.Replace", base, f.configurationBody(f.newest+1000+base+uint64(i), "lesser")); status != 0 && status != http.StatusServiceUnavailable {
 					return fmt.Errorf("%s answers an order on %d with %d", m.name, base, status)
 				}
 			}
 		}
 	case "want-order": // want-order NAMES WITHIN: each of them takes an order on top of what it reads
-		for _, m := range f.pick(c.Word(0)) {
+		for _, m := range f.machinesNamed(c.Word(0)) {
 			var last []string
-			if err := f.until(c.Millis(1), "a read and an order at "+m.name, func() bool {
-				v, ok := f.readAt(m)
+			if err := f.until(c.Milliseconds(1), "a read and an order at "+m.name, func() bool {
+				v, ok := f.readVersionAt(m)
 				status := 0
 				if ok {
-					status = f.send(m, v, v+1, f.body(v+1, m.name), 0)
+					status = f.replaceUntilAnswered(m, v, v+1, f.configurationBody(v+1, m.name), 0)
 				}
 				last = append(last, fmt.Sprintf("read %d (%v), order %d", v, ok, status))
 				return status == http.StatusOK
@@ -134,8 +134,8 @@
 	case "operators": // operators N NAMES MS [seed= gap=]: so many at once send and read what they like to these machines
 		var wg sync.WaitGroup
 		for i := range int(number(0)) {
-			o := &operator{f: f, at: f.pick(c.Word(1)), rng: rand.New(rand.NewSource(int64(c.Number("seed", 1))*100 + int64(i))), name: "o" + strconv.Itoa(i), gap: c.Number("gap", 300)}
-			wg.Go(func() { o.work(time.Now().Add(c.Millis(2))) })
+			o := &operator{f: f, machines: f.machinesNamed(c.Word(1)), rng: rand.New(rand.NewSource(int64(c.Number("seed", 1))*100 + int64(i))), name: "o" + strconv.Itoa(i), gap: c.Number("gap", 300)}
+			wg.Go(func() { o.work(time.Now().Add(c.Milliseconds(2))) })
 		}
 		wg.Wait()
 	default:
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (f *fleet) readAt(m *machine) (version uint64, ok bool) {
+func (f *fleet) readVersionAt(m *machine) (version uint64, ok bool) {
 	status, raw := f.call(m, http.MethodGet, "/Configuration.Read", 0, "")
 	var v struct {
 		Version uint64 `json:"version"`
@@ -161,36 +161,36 @@
 // operator sends orders as they come: on what it has read, or thinks that it knows; with
 // the number that another may pick too; the same ones again, old ones also.
 type operator struct {
-	f    *fleet
-	at   []*machine
-	rng  *rand.Rand
-	name string
-	gap  float64
-	base uint64
-	sent []sentOrder
+	f           *fleet
+	machines    []*machine
+	rng         *rand.Rand
+	name        string
+	gap         float64
+	baseVersion uint64
+	sent        []sentReplace
 }
 
-type sentOrder struct {
+type sentReplace struct {
 	version, base uint64
 	raw           string
 }
 
 func (o *operator) work(end time.Time) {
 	for time.Now().Before(end) {
-		if v, ok := o.f.readAt(o.at[o.rng.Intn(len(o.at))]); ok {
-			o.base = v
+		if v, ok := o.f.readVersionAt(o.machines[o.rng.Intn(len(o.machines))]); ok {
+			o.baseVersion = v
 		}
-		s := sentOrder{version: o.base + 1 + uint64(o.rng.Intn(2)), base: o.base}
-		s.raw = o.f.body(s.version, o.name)
+		s := sentReplace{version: o.baseVersion + 1 + uint64(o.rng.Intn(2)), base: o.baseVersion}
+		s.raw = o.f.configurationBody(s.version, o.name)
 		if n := len(o.sent); n > 0 && o.rng.Intn(4) == 0 {
 			s = o.sent[o.rng.Intn(n)]
 		} else {
 			o.sent = append(o.sent, s)
 		}
 		for range 1 + o.rng.Intn(3) { // tries, each at another node
-			status := o.f.send(o.at[o.rng.Intn(len(o.at))], s.base, s.version, s.raw, 0)
+			status := o.f.replaceUntilAnswered(o.machines[o.rng.Intn(len(o.machines))], s.base, s.version, s.raw, 0)
 			if status == http.StatusOK {
-				o.base = max(o.base, s.version)
+				o.baseVersion = max(o.baseVersion, s.version)
 			}
 			if status != 0 && status != http.StatusServiceUnavailable {
 				break
@@ -203,7 +203,7 @@
 // TestFleetChaos draws troubles and orders from seeds, COMETHOLD_SEEDS of them.
 func TestFleetChaos(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED"))
-	for seed := first; seed < first+scenario.Seeds(1); seed++ {
+	for seed := first; seed < first+scenario.SeedCount(1); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			var f *fleet
@@ -214,33 +214,33 @@
 				if err := f.history.check(); err != nil {
 					t.Error(err)
 				}
-				t.Logf("%d calls, %d acknowledged versions", len(f.history.ops), len(f.acked))
+				t.Logf("%d calls, %d acknowledged versions", len(f.history.ops), len(f.acknowledged))
 			}()
 			synctest.Test(t, func(t *testing.T) {
 				f = newFleet(t)
-				t.Cleanup(f.end)
+				t.Cleanup(f.shutDown)
 				f.chaos(rand.New(rand.NewSource(int64(seed))))
 			})
 		})
 	}
 }
 
-// pass lets time go by, until the next acknowledgement if strike, and checks that no switch
+// advance lets time go by, until the next acknowledgement if strike, and checks that no switch
 // goes back to an older configuration within one life.
-func (f *fleet) pass(span time.Duration, strike bool, lives map[*switchboard.Switch]uint64) {
+func (f *fleet) advance(span time.Duration, strike bool, lives map[*switchboard.Server]uint64) {
 	acks := func() int {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.acked)
+		return len(f.acknowledged)
 	}
 	had := acks()
 	for end := time.Now().Add(span); time.Now().Before(end) && !(strike && acks() > had); time.Sleep(50 * time.Millisecond) {
 		for _, m := range f.machines {
-			if v := f.versionAt(m); m.sw != nil {
-				if v < lives[m.sw] {
-					f.t.Errorf("%s goes back from %d to %d", m.name, lives[m.sw], v)
+			if v := f.versionAt(m); m.proxy != nil {
+				if v < lives[m.proxy] {
+					f.t.Errorf("%s goes back from %d to %d", m.name, lives[m.proxy], v)
 				}
-				lives[m.sw] = v
+				lives[m.proxy] = v
 			}
 		}
 	}
@@ -262,14 +262,14 @@
 			f.t.Log(strings.Join(lines, "\n"))
 		}
 	}()
-	lives := map[*switchboard.Switch]uint64{}
+	lives := map[*switchboard.Server]uint64{}
 	run := func(ms int) {
 		lines = append(lines, fmt.Sprintf("run %d", ms))
-		f.pass(time.Duration(ms)*time.Millisecond, false, lives)
+		f.advance(time.Duration(ms)*time.Millisecond, false, lives)
 	}
 	strike := func(ms int) { // right after an acknowledgement
 		from := time.Now()
-		f.pass(time.Duration(ms)*time.Millisecond, true, lives)
+		f.advance(time.Duration(ms)*time.Millisecond, true, lives)
 		lines = append(lines, fmt.Sprintf("run %d", time.Since(from).Milliseconds()))
 		run(rng.Intn(30))
 	}
@@ -283,7 +283,7 @@
 	one := func(of ...string) string { return of[rng.Intn(len(of))] }
 	do("losses 2")
 	do("core a b c a b c")
-	at := f.sorted()
+	at := f.sortedMachines()
 	do("switches a 1")
 	do("list l1")
 	founding, early := rng.Intn(3), "c1,c2,c3"
@@ -297,7 +297,7 @@
 	var wg sync.WaitGroup
 	end := time.Now().Add(22 * time.Second)
 	for i := range 2 {
-		o := &operator{f: f, at: at, rng: rand.New(rand.NewSource(rng.Int63())), name: "o" + strconv.Itoa(i), gap: 600}
+		o := &operator{f: f, machines: at, rng: rand.New(rand.NewSource(rng.Int63())), name: "o" + strconv.Itoa(i), gap: 600}
 		wg.Go(func() { o.work(end) })
 	}
 	// Disks are lost only where no others were within the time in which seats pass on.
--- a/internal/scenario/plane_test.go
+++ b/internal/scenario/plane_test.go
@@ -30,48 +30,48 @@
 
 // leaf is a stand-in for a server: it answers by its mode.
 type leaf struct {
-	feed.Leaf
-	work  time.Duration
-	mode  string
-	times int // so many answers by the mode, then well; 0: always
-	runs  int
-	calls int
+	feed.Endpoint
+	workTime time.Duration
+	mode     string
+	modeUses int // so many answers by the mode, then well; 0: always
+	runs     int
+	calls    int
 }
 
 // plane is one switch among stand-ins for leafs, on simulated time.
 type plane struct {
-	t  *testing.T
-	sw *switchboard.Switch
+	t     *testing.T
+	proxy *switchboard.Server
 
-	mu       sync.Mutex
-	leafs    map[string]*leaf
-	routes   []map[string]any
-	tenants  []map[string]any
-	seen     map[string][]string // the tenants that a leaf was told, in order
-	version  uint64
-	rev      uint64
-	marked   map[string]feed.Mark
-	slot     uint64
-	statuses map[string]int
-	last     *httptest.ResponseRecorder
-	ranIDs   map[string]int
-	nextID   int
-	took     time.Duration
-	wg       sync.WaitGroup
-	conns    []net.Conn
-	quit     chan struct{}
-	alike    bool // all leafs hold the same records
-	set      *settings.Settings
-	clients  clients
+	mu            sync.Mutex
+	leafs         map[string]*leaf
+	routes        []map[string]any
+	tenants       []map[string]any
+	tenantsSeen   map[string][]string // the tenants that a leaf was told, in order
+	version       uint64
+	sequence      uint64
+	ejected       map[string]feed.EjectionMark
+	logIndex      uint64
+	statuses      map[string]int
+	last          *httptest.ResponseRecorder
+	runsByRequest map[string]int
+	nextID        int
+	latency       time.Duration
+	wg            sync.WaitGroup
+	conns         []net.Conn
+	quit          chan struct{}
+	sameRecords   bool // all leafs hold the same records
+	settings      *settings.Settings
+	clients       clients
 }
 
 func newPlane(t *testing.T) *plane {
-	p := &plane{t: t, leafs: map[string]*leaf{}, marked: map[string]feed.Mark{}, statuses: map[string]int{}, ranIDs: map[string]int{}, seen: map[string][]string{}, quit: make(chan struct{})}
+	p := &plane{t: t, leafs: map[string]*leaf{}, ejected: map[string]feed.EjectionMark{}, statuses: map[string]int{}, runsByRequest: map[string]int{}, tenantsSeen: map[string][]string{}, quit: make(chan struct{})}
 	set := &settings.Settings{NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
 		InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"},
 		Bounds: settings.Bounds{RetryBudgetRatio: 0.2, RetryWindowS: 10, RetryBudgetSlack: 20}}
-	p.set = set
-	p.sw = switchboard.New(set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
+	p.settings = set
+	p.proxy = switchboard.New(set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
 	return p
 }
 
@@ -106,7 +106,7 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		p.mu.Lock()
 		mode := l.mode
-		if l.calls++; l.times > 0 && l.calls > l.times {
+		if l.calls++; l.modeUses > 0 && l.calls > l.modeUses {
 			mode = "ok"
 		}
 		id := r.Header.Get("X-Comethold-Request-Id")
@@ -114,20 +114,20 @@
 		forgot := mode == "forget" && long
 		if runs := mode != "shed" && !forgot && mode != "421"; runs && !health {
 			l.runs++
-			p.ranIDs[id]++
-			p.seen[l.ID] = append(p.seen[l.ID], strings.Join(r.Header["X-Comethold-Tenant"], "+"))
+			p.runsByRequest[id]++
+			p.tenantsSeen[l.ID] = append(p.tenantsSeen[l.ID], strings.Join(r.Header["X-Comethold-Tenant"], "+"))
 			if len(p.tenants) > 0 && strings.Contains(fmt.Sprint(r.Header), "key") {
 				p.t.Errorf("%s is shown a key: %v", l.ID, r.Header)
 			}
 		}
-		work := l.work
+		work := l.workTime
 		p.mu.Unlock()
 		say := func(status, header, body string) {
 			fmt.Fprintf(c, "HTTP/1.1 %s\r\nX-Comethold-Instance-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, l.ID, header, len(body), body)
 		}
 		stamp := "X-Comethold-Server-Stamp: " + l.ID + "." + id + "\r\n"
 		body := strings.Repeat(fmt.Sprintf("%-16s", l.ID)[:16], 2)
-		if p.alike {
+		if p.sameRecords {
 			body = fmt.Sprintf("%016d%016d%016d", 3, 1, 2)
 		}
 		switch {
@@ -194,15 +194,15 @@
 	}
 }
 
-// push feeds the switch what the scenario has set so far.
-func (p *plane) push() {
+// publish feeds the switch what the scenario has set so far.
+func (p *plane) publish() {
 	p.mu.Lock()
-	p.rev++
-	p.slot++
-	l := &feed.List{Stamp: feed.Stamp{Term: 1, Rev: p.rev}}
+	p.sequence++
+	p.logIndex++
+	l := &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: p.sequence}}
 	names := map[string]bool{}
 	for _, one := range p.leafs {
-		l.Leafs = append(l.Leafs, one.Leaf)
+		l.Endpoints = append(l.Endpoints, one.Endpoint)
 		names[one.Service] = true
 	}
 	var services []map[string]any
@@ -210,21 +210,21 @@
 		services = append(services, map[string]any{"name": n, "healthPath": "/health", "connectionLimit": 40})
 	}
 	sort.Slice(services, func(i, j int) bool { return services[i]["name"].(string) < services[j]["name"].(string) })
-	marks := map[string]feed.Mark{}
-	for k, v := range p.marked {
+	marks := map[string]feed.EjectionMark{}
+	for k, v := range p.ejected {
 		marks[k] = v
 	}
 	p.version++
 	raw, _ := json.Marshal(map[string]any{"version": p.version, "routes": p.routes, "services": services, "tenants": p.tenants, "limits": map[string]any{"maxBodyBytes": 64, "idleTimeoutMs": p.clients.idle}})
 	cfg, _ := numbering.Decode(raw)
-	n := &feed.News{Config: feed.Whole(cfg), List: l,
-		Marks: []feed.Marks{{Index: "i1", Slot: p.slot, Drained: marks}},
-		Nodes: &feed.Nodes{Slot: p.slot, Switches: 4}}
+	n := &feed.Update{Config: feed.FullConfig(cfg), Endpoints: l,
+		EjectionMarks: []feed.EjectionMarks{{IndexName: "i1", LogIndex: p.logIndex, Ejected: marks}},
+		Nodes:         &feed.NodeList{LogIndex: p.logIndex, DataPlaneCount: 4}}
 	p.mu.Unlock()
-	p.sw.Take(n)
+	p.proxy.Apply(n)
 }
 
-func (p *plane) ask(host, path, method, body string, opts map[string]string) {
+func (p *plane) request(host, path, method, body string, opts map[string]string) {
 	p.mu.Lock()
 	p.nextID++
 	id := "q" + strconv.Itoa(p.nextID)
@@ -246,21 +246,21 @@
 	}
 	w := httptest.NewRecorder()
 	start := time.Now()
-	p.sw.Handler().ServeHTTP(w, r)
+	p.proxy.Handler().ServeHTTP(w, r)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.took = max(p.took, time.Since(start))
+	p.latency = max(p.latency, time.Since(start))
 	p.statuses[strconv.Itoa(w.Code)]++
 	p.last = w
 	promise := w.Code == 429 || w.Code == 503
-	if promise && p.ranIDs[id] > 0 && method == "POST" {
+	if promise && p.runsByRequest[id] > 0 && method == "POST" {
 		p.t.Errorf("%s was answered %d and has run", id, w.Code)
 	}
 	if promise && w.Header().Get("Retry-After") == "" {
 		p.t.Errorf("%s was answered %d without word of when to come back", id, w.Code)
 	}
-	if method == "POST" && p.ranIDs[id] > 1 {
-		p.t.Errorf("%s ran %d times", id, p.ranIDs[id])
+	if method == "POST" && p.runsByRequest[id] > 1 {
+		p.t.Errorf("%s ran %d times", id, p.runsByRequest[id])
 	}
 	if stamps := w.Header().Get("X-Comethold-Server-Stamp") + w.Header().Get("X-Comethold-Part-Stamps"); w.Code == 200 {
 		for _, stamp := range strings.Split(stamps, ", ") {
@@ -277,47 +277,47 @@
 func (p *plane) Do(c scenario.Command) error {
 	switch c.Verb {
 	case "leaf": // leaf ID SERVICE [zone= work= slots= mode= times= cold=]
-		l := &leaf{Leaf: feed.Leaf{ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a", Slots: int(c.Number("slots", 4)), Cold: c.Opts["cold"] != ""},
-			work: time.Duration(c.Number("work", 10) * float64(time.Millisecond)), mode: c.Opts["mode"], times: int(c.Number("times", 0))}
-		if z := c.Opts["zone"]; z != "" {
+		l := &leaf{Endpoint: feed.Endpoint{ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a", Slots: int(c.Number("slots", 4)), WarmingUp: c.Options["cold"] != ""},
+			workTime: time.Duration(c.Number("work", 10) * float64(time.Millisecond)), mode: c.Options["mode"], modeUses: int(c.Number("times", 0))}
+		if z := c.Options["zone"]; z != "" {
 			l.Zone = z
 		}
 		p.leafs[l.ID] = l
 	case "set": // set ID [mode= times= work= draining=]
 		p.mu.Lock()
 		l := p.leafs[c.Word(0)]
-		l.mode, l.calls, l.times = c.Opts["mode"], 0, int(c.Number("times", float64(l.times)))
-		l.work = time.Duration(c.Number("work", float64(l.work.Milliseconds())) * float64(time.Millisecond))
-		l.Draining = c.Opts["draining"] != ""
+		l.mode, l.calls, l.modeUses = c.Options["mode"], 0, int(c.Number("times", float64(l.modeUses)))
+		l.workTime = time.Duration(c.Number("work", float64(l.workTime.Milliseconds())) * float64(time.Millisecond))
+		l.Draining = c.Options["draining"] != ""
 		p.mu.Unlock()
 	case "route": // route HOST PREFIX KIND SERVICE,... [gather= target= tries= least=]
 		r := map[string]any{"name": fmt.Sprint("r", len(p.routes)), "hostname": c.Word(0), "pathPrefix": c.Word(1), "routeKind": c.Word(2),
 			"timeoutMs": c.Number("timeout", 5000), "targetLatencyMs": c.Number("target", 200), "maxAttempts": c.Number("tries", 2)}
-		if n := c.Opts["gather"]; n != "" {
+		if n := c.Options["gather"]; n != "" {
 			r["fanoutServices"], r["resultCount"] = strings.Split(c.Word(3), ","), c.Number("gather", 1)
 			r["minimumShardShare"] = c.Number("least", 1)
-			if class := c.Opts["class"]; class != "" {
+			if class := c.Options["class"]; class != "" {
 				r["lookupClass"] = class
 			}
 		} else {
 			r["service"] = c.Word(3)
 		}
-		if c.Opts["public"] != "" {
+		if c.Options["public"] != "" {
 			r["public"] = true
 		}
 		p.routes = append(p.routes, r)
 	case "estimates": // estimates SHADOW: from the start, lookups are followed; leafs hold the same records
-		p.alike = true
-		p.set.Estimates.Enabled = true
-		p.set.Estimates.ShadowShare, _ = strconv.ParseFloat(c.Word(0), 64)
-		p.sw = switchboard.New(p.set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
-		go func() { _ = p.sw.Follow() }()
+		p.sameRecords = true
+		p.settings.Estimates.Enabled = true
+		p.settings.Estimates.ShadowShare, _ = strconv.ParseFloat(c.Word(0), 64)
+		p.proxy = switchboard.New(p.settings, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
+		go func() { _ = p.proxy.CollectLatencies() }()
 	case "want-estimate": // want-estimate LEAF CLASS MS: within a fifth, 0 for unknown; the newest slow lookup names it too
-		v := p.sw.Estimates(feed.EstimatesAsk{Class: c.Word(1)})
+		v := p.proxy.LatencyEstimates(feed.EstimatesRequest{Class: c.Word(1)})
 		for _, k := range v.Sketches {
-			if k.Key.Leaf == c.Word(0) && k.Key.Load == 0 {
+			if k.Key.Endpoint == c.Word(0) && k.Key.Load == 0 {
 				e := k.Sketch.Estimate()
-				if want := c.Millis(2); want == 0 && e.Known() || want > 0 && (!e.Known() || e.Median < want*4/5 || e.Median > want*6/5) {
+				if want := c.Milliseconds(2); want == 0 && e.Known() || want > 0 && (!e.Known() || e.Median < want*4/5 || e.Median > want*6/5) {
 					return fmt.Errorf("%+v", e)
 				}
 				return nil
@@ -325,16 +325,16 @@
 		}
 		return errors.New("nothing is known of it")
 	case "want-slow": // want-slow LEAF OTHER real=MS: a slow lookup there, with an estimate for the other and what that really took
-		for _, s := range p.sw.Estimates(feed.EstimatesAsk{}).Slow {
-			for _, o := range s.Others {
-				if s.Key.Leaf == c.Word(0) && o.Leaf == c.Word(1) && o.Estimate.Known() && o.Estimate.Covers(o.Real) {
+		for _, s := range p.proxy.LatencyEstimates(feed.EstimatesRequest{}).SlowLookups {
+			for _, o := range s.Replicas {
+				if s.Key.Endpoint == c.Word(0) && o.Endpoint == c.Word(1) && o.Estimate.Known() && o.Estimate.Covers(o.Actual) {
 					return nil
 				}
 			}
 		}
-		return fmt.Errorf("none: %+v", p.sw.Estimates(feed.EstimatesAsk{}).Slow)
+		return fmt.Errorf("none: %+v", p.proxy.LatencyEstimates(feed.EstimatesRequest{}).SlowLookups)
 	case "want-parts": // want-parts "LEAF KIND"...: exactly these differ
-		got := p.sw.Estimates(feed.EstimatesAsk{}).Tally.Parts
+		got := p.proxy.LatencyEstimates(feed.EstimatesRequest{}).Counters.Differences
 		for i := 0; i+1 < len(c.Words); i += 2 {
 			k := c.Words[i] + " " + c.Words[i+1]
 			if got[k] == 0 {
@@ -352,37 +352,37 @@
 		}
 	case "want-tenants": // want-tenants LEAF NAME,... : what it was told since the last such line; - for none
 		p.mu.Lock()
-		got := strings.Join(p.seen[c.Word(0)], ",")
-		p.seen[c.Word(0)] = nil
+		got := strings.Join(p.tenantsSeen[c.Word(0)], ",")
+		p.tenantsSeen[c.Word(0)] = nil
 		p.mu.Unlock()
 		if got != strings.ReplaceAll(c.Word(1), "-", "") {
 			return fmt.Errorf("it was told %q", got)
 		}
 	case "mark":
-		p.marked[c.Word(0)] = feed.Mark{Why: feed.WhySilent}
+		p.ejected[c.Word(0)] = feed.EjectionMark{Reason: feed.ReasonUnresponsive}
 	case "unmark":
-		delete(p.marked, c.Word(0))
+		delete(p.ejected, c.Word(0))
 	case "feed":
-		p.push()
+		p.publish()
 	case "run":
-		time.Sleep(c.Millis(0))
+		time.Sleep(c.Milliseconds(0))
 	case "ask": // ask HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]: one after the other
 		method := "GET"
-		if c.Opts["post"] != "" {
+		if c.Options["post"] != "" {
 			method = "POST"
 		}
 		for range int(c.Number("n", 1)) {
-			p.ask(c.Word(0), c.Word(1), method, c.Opts["body"], c.Opts)
+			p.request(c.Word(0), c.Word(1), method, c.Options["body"], c.Options)
 			time.Sleep(time.Duration(c.Number("gap", 0) * float64(time.Millisecond)))
 		}
 	case "crowd": // crowd HOST PATH n=: all at once
 		for range int(c.Number("n", 1)) {
-			p.wg.Go(func() { p.ask(c.Word(0), c.Word(1), "GET", "", c.Opts) })
+			p.wg.Go(func() { p.request(c.Word(0), c.Word(1), "GET", "", c.Options) })
 		}
 		p.wg.Wait()
 	case "want": // want STATUS=COUNT or STATUS>=... ; clears the counts
 		got := fmt.Sprint(p.statuses)
-		for k, v := range c.Opts {
+		for k, v := range c.Options {
 			least, found := strings.CutSuffix(k, ">")
 			n, _ := strconv.Atoi(v)
 			if have := p.statuses[least]; found && have < n || !found && have != n {
@@ -391,16 +391,16 @@
 		}
 		p.statuses = map[string]int{}
 	case "want-header":
-		for k, v := range c.Opts {
+		for k, v := range c.Options {
 			if got := p.last.Header().Get(k); got != v {
 				return fmt.Errorf("%s is %q", k, got)
 			}
 		}
 	case "want-within": // want-within MS: no request since the last such line took longer
-		if p.took > c.Millis(0) {
-			return fmt.Errorf("one took %v", p.took)
+		if p.latency > c.Milliseconds(0) {
+			return fmt.Errorf("one took %v", p.latency)
 		}
-		p.took = 0
+		p.latency = 0
 	case "want-runs": // want-runs ID [least= most=]; clears the count
 		time.Sleep(time.Millisecond) // a leaf may have yet to take in what it was sent before the answer ended
 		l := p.leafs[c.Word(0)]
@@ -423,11 +423,11 @@
 		t.Cleanup(func() {
 			p.leafs = map[string]*leaf{}
 			p.routes = nil
-			p.push()
+			p.publish()
 			close(p.quit)
-			p.sw.Close()
+			p.proxy.Close()
 			if p.clients.mesh != nil {
-				p.clients.mesh.down("10.0.0.1", "")
+				p.clients.mesh.closeListener("10.0.0.1", "")
 			}
 			time.Sleep(time.Minute)
 			p.mu.Lock()
--- a/internal/scenario/repairs_test.go
+++ b/internal/scenario/repairs_test.go
@@ -11,10 +11,10 @@
 	"comethold/internal/scenario"
 )
 
-// repairs draws a day of losses: never more than two at a time, the next ones as soon as all
+// repairScenario draws a day of losses: never more than two at a time, the next ones as soon as all
 // cells are whole. Disks are lost, machines killed and cut off, newcomers killed while they
 // catch up, configurations with other indexes sent meanwhile.
-func repairs(rng *rand.Rand) (lines []string) {
+func repairScenario(rng *rand.Rand) (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	add("losses 2")
 	add("core %s", []string{"a b c a b c", "a b c a b", "a b c d e f a"}[rng.Intn(3)])
@@ -86,12 +86,12 @@
 
 // TestRepairs plays such days; COMETHOLD_SEEDS says how many.
 func TestRepairs(t *testing.T) {
-	for seed := range scenario.Seeds(1) {
+	for seed := range scenario.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t)
-				t.Cleanup(f.end)
-				lines := repairs(rand.New(rand.NewSource(int64(seed))))
+				t.Cleanup(f.shutDown)
+				lines := repairScenario(rand.New(rand.NewSource(int64(seed))))
 				for i, line := range lines {
 					c, _ := scenario.Parse(line)
 					if err := f.Do(c); err != nil {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -21,10 +21,10 @@
 
 // Command is one line: a verb, words, and key=value options.
 type Command struct {
-	Line  string
-	Verb  string
-	Words []string
-	Opts  map[string]string
+	Line    string
+	Verb    string
+	Words   []string
+	Options map[string]string
 }
 
 // Parse reads a line; ok is false for an empty one.
@@ -34,10 +34,10 @@
 	if len(f) == 0 {
 		return c, false
 	}
-	c = Command{Line: strings.TrimSpace(line), Verb: f[0], Opts: map[string]string{}}
+	c = Command{Line: strings.TrimSpace(line), Verb: f[0], Options: map[string]string{}}
 	for _, w := range f[1:] {
 		if k, v, found := strings.Cut(w, "="); found {
-			c.Opts[k] = v
+			c.Options[k] = v
 		} else {
 			c.Words = append(c.Words, w)
 		}
@@ -55,21 +55,21 @@
 
 // Number returns an option as a number, or what stands for it when absent.
 func (c Command) Number(key string, absent float64) float64 {
-	v, err := strconv.ParseFloat(c.Opts[key], 64)
+	v, err := strconv.ParseFloat(c.Options[key], 64)
 	if err != nil {
 		return absent
 	}
 	return v
 }
 
-// Millis returns a word as milliseconds.
-func (c Command) Millis(i int) time.Duration {
+// Milliseconds returns a word as milliseconds.
+func (c Command) Milliseconds(i int) time.Duration {
 	v, _ := strconv.ParseFloat(c.Word(i), 64)
 	return time.Duration(v * float64(time.Millisecond))
 }
 
-// Seeds is how many seeds a chaos test draws from: what COMETHOLD_SEEDS says, or few.
-func Seeds(few int) int {
+// SeedCount is how many seeds a chaos test draws from: what COMETHOLD_SEEDS says, or few.
+func SeedCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("COMETHOLD_SEEDS")); err == nil && n > 0 {
 		return n
 	}
@@ -97,7 +97,7 @@
 					if !ok {
 						continue
 					}
-					if err := do(w, c); err != nil {
+					if err := perform(w, c); err != nil {
 						t.Fatalf("%s:%d: %s: %v", filepath.Base(file), i+1, strings.TrimSpace(line), err)
 					}
 				}
@@ -106,7 +106,7 @@
 	}
 }
 
-func do(w World, c Command) (err error) {
+func perform(w World, c Command) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
--- a/internal/scenario/strange_test.go
+++ b/internal/scenario/strange_test.go
@@ -26,45 +26,45 @@
 	"comethold/internal/wire"
 )
 
-// strange is a set of leafs on real sockets that end calls in every way that leafs and
+// adversary is a set of leafs on real sockets that end calls in every way that leafs and
 // networks do, and note what they ran.
-type strange struct {
-	t     *testing.T
-	seed  int
-	mu    sync.Mutex
-	rng   *rand.Rand
-	runs  map[string]int
-	last  string // a request that some leaf ran
-	stamp int
-	doors []net.Listener
+type adversary struct {
+	t         *testing.T
+	seed      int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	runs      map[string]int
+	last      string // a request that some leaf ran
+	stamp     int
+	listeners []net.Listener
 }
 
-// strangeWays is how a leaf ends a call; most calls go one of the first ways, after
+// callEndings is how a leaf ends a call; most calls go one of the first ways, after
 // which the leaf is not barred, and which many others must therefore survive.
-var strangeWays = []string{"well", "well", "twice-late", "bye", "closing", "hints", "twice", "alien", "reset-early", "reset", "end", "cut", "stall", "silent",
+var callEndings = []string{"well", "well", "twice-late", "bye", "closing", "hints", "twice", "alien", "reset-early", "reset", "end", "cut", "stall", "silent",
 	"shed", "shed-twice", "shed-early", "421", "error", "unstamped", "encoded", "unmarked", "garbage", "unrun-503", "unrun-429", "unrun-408"}
 
-const mildWays = 6
+const mildEndings = 6
 
-func (s *strange) way() string {
+func (s *adversary) drawEnding() string {
 	if s.draw(8) > 0 {
-		return strangeWays[s.draw(mildWays)]
+		return callEndings[s.draw(mildEndings)]
 	}
-	return strangeWays[s.draw(len(strangeWays))]
+	return callEndings[s.draw(len(callEndings))]
 }
 
-func (s *strange) draw(n int) int {
+func (s *adversary) draw(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Intn(n)
 }
 
-func (s *strange) leaf(id, service string) feed.Leaf {
+func (s *adversary) leaf(id, service string) feed.Endpoint {
 	door, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.doors = append(s.doors, door)
+	s.listeners = append(s.listeners, door)
 	go func() {
 		for {
 			c, err := door.Accept()
@@ -74,13 +74,13 @@
 			go s.serve(c, id, strings.HasPrefix(service, "g"))
 		}
 	}()
-	return feed.Leaf{ID: id, Service: service, Addr: door.Addr().String(), Zone: "a", Slots: 8}
+	return feed.Endpoint{ID: id, Service: service, Addr: door.Addr().String(), Zone: "a", Slots: 8}
 }
 
 // bodyOf is what a request carries and what its answer holds.
 func bodyOf(id string, n int) string { return strings.Repeat(fmt.Sprintf("%-16s", id), n) }
 
-func (s *strange) serve(c net.Conn, leaf string, part bool) {
+func (s *adversary) serve(c net.Conn, leaf string, part bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -93,7 +93,7 @@
 			continue
 		}
 		id := r.Header.Get("X-Comethold-Request-Id")
-		way := s.way()
+		way := s.drawEnding()
 		if way == "shed-early" {
 			fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Comethold-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 			return
@@ -204,7 +204,7 @@
 }
 
 // judge looks at one answer.
-func (s *strange) judge(host, id string, head bool, w *httptest.ResponseRecorder) {
+func (s *adversary) judge(host, id string, head bool, w *httptest.ResponseRecorder) {
 	fault := func(what string) {
 		s.t.Errorf("seed %d: %s on %s got %d %s: %v %.80q", s.seed, id, host, w.Code, what, w.Header(), w.Body)
 	}
@@ -237,14 +237,14 @@
 // every way. Each answer is its request's own; what may not be repeated runs once at the
 // most, and not at all where the client is told so.
 func TestStrangeLeafs(t *testing.T) {
-	for seed := range scenario.Seeds(3) {
-		s := &strange{t: t, seed: seed, rng: rand.New(rand.NewSource(int64(seed))), runs: map[string]int{}}
-		list := &feed.List{Stamp: feed.Stamp{Term: 1, Rev: 1}}
+	for seed := range scenario.SeedCount(3) {
+		s := &adversary{t: t, seed: seed, rng: rand.New(rand.NewSource(int64(seed))), runs: map[string]int{}}
+		list := &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: 1}}
 		services := []map[string]any{}
 		for _, name := range []string{"s1", "g1", "g2", "g3"} {
 			services = append(services, map[string]any{"name": name, "healthPath": "/health", "connectionLimit": 40})
 			for i := range 6 {
-				list.Leafs = append(list.Leafs, s.leaf(name+"-"+strconv.Itoa(i), name))
+				list.Endpoints = append(list.Endpoints, s.leaf(name+"-"+strconv.Itoa(i), name))
 			}
 		}
 		route := func(host, kind, key string, value any) map[string]any {
@@ -260,8 +260,8 @@
 		}
 		sw := switchboard.New(&settings.Settings{NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
 			InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"},
-			Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryWindowS: 10, RetryBudgetSlack: 20}}, event.Nop(), wire.Sockets)
-		sw.Take(&feed.News{Config: feed.Whole(cfg), List: list, Nodes: &feed.Nodes{Slot: 1, Switches: 1}})
+			Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryWindowS: 10, RetryBudgetSlack: 20}}, event.Nop(), wire.TCPNetwork)
+		sw.Apply(&feed.Update{Config: feed.FullConfig(cfg), Endpoints: list, Nodes: &feed.NodeList{LogIndex: 1, DataPlaneCount: 1}})
 		var next, well atomic.Int64
 		var all []asked
 		var wg sync.WaitGroup
@@ -310,7 +310,7 @@
 		wg.Wait()
 		sw.Close()
 		time.Sleep(20 * time.Millisecond)
-		for _, d := range s.doors {
+		for _, d := range s.listeners {
 			_ = d.Close()
 		}
 		s.mu.Lock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,7 @@
 	HeartbeatMs       int64             `toml:"heartbeatIntervalMs" validate:"min=0"`
 	Zones             map[string]string `toml:"zones"`
 	Listen            Listen            `toml:"listenAddresses"`
-	Limits            Limits            `toml:"limits"`
+	Limits            ProcessLimits     `toml:"limits"`
 	Bounds            Bounds            `toml:"timingBounds"`
 	Tolerance         Tolerance         `toml:"faultTolerance"`
 	Platform          Platform          `toml:"platformApi"`
@@ -47,8 +47,8 @@
 	Estimates         Estimates         `toml:"estimates"`
 }
 
-// Content is the mode of a deployment that delivers cacheable objects.
-const Content = "content"
+// ContentMode is the mode of a deployment that delivers cacheable objects.
+const ContentMode = "content"
 
 // Listen holds the addresses of what the role serves.
 type Listen struct {
@@ -57,8 +57,8 @@
 	ControlPlane string `toml:"controlPlane" validate:"omitempty,hostname_port"`
 }
 
-// Limits of the process.
-type Limits struct {
+// ProcessLimits of the process.
+type ProcessLimits struct {
 	MemoryMb        int64 `toml:"memoryMb" validate:"min=0"`
 	FileDescriptors int64 `toml:"fileDescriptors" validate:"min=0"`
 	DiskMb          int64 `toml:"diskMb" validate:"min=0"`
@@ -110,7 +110,7 @@
 	Level string `toml:"level" validate:"omitempty,oneof=trace debug info warn error"`
 }
 
-var check = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
 	return v
@@ -141,8 +141,8 @@
 		return nil, fmt.Errorf("%w: %v", ErrSettings, err)
 	}
 	var faults []string
-	if err := check.Struct(s); err != nil {
-		faults = numbering.Faults(err)
+	if err := validate.Struct(s); err != nil {
+		faults = numbering.Violations(err)
 	}
 	if len(s.InternalPortRange) == 2 && s.InternalPortRange[1] < s.InternalPortRange[0]+int(lastProgram) {
 		faults = append(faults, "internalPortRange: needs three ports at least, the lower first")
@@ -153,24 +153,24 @@
 	return s, nil
 }
 
-// Heartbeat is the pause between heartbeats.
-func (s *Settings) Heartbeat() time.Duration {
+// HeartbeatInterval is the pause between heartbeats.
+func (s *Settings) HeartbeatInterval() time.Duration {
 	if s.HeartbeatMs <= 0 {
 		return time.Second
 	}
 	return time.Duration(s.HeartbeatMs) * time.Millisecond
 }
 
-// Window is the span over which the retry budget counts.
-func (b Bounds) Window() time.Duration {
+// RetryWindow is the span over which the retry budget counts.
+func (b Bounds) RetryWindow() time.Duration {
 	return time.Duration(b.RetryWindowS * float64(time.Second))
 }
 
-// Drain is how soon a leaf that leaves must get no more requests.
-func (b Bounds) Drain() time.Duration { return time.Duration(b.DrainMs) * time.Millisecond }
+// DrainTimeout is how soon a leaf that leaves must get no more requests.
+func (b Bounds) DrainTimeout() time.Duration { return time.Duration(b.DrainMs) * time.Millisecond }
 
-// Grace is the time between SIGTERM and SIGKILL.
-func (b Bounds) Grace() time.Duration {
+// GracePeriod is the time between SIGTERM and SIGKILL.
+func (b Bounds) GracePeriod() time.Duration {
 	return time.Duration(b.GracePeriodS * float64(time.Second))
 }
 
@@ -179,22 +179,22 @@
 	return time.Duration(b.StaleSlackS * float64(time.Second))
 }
 
-// Quota holds the bounds of the tenants' quotas.
-func (b Bounds) Quota() quota.Rules {
+// QuotaRules holds the bounds of the tenants' quotas.
+func (b Bounds) QuotaRules() quota.Rules {
 	return quota.Rules{Window: time.Duration(b.QuotaWindowS * float64(time.Second)), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
 }
 
-// DutyUsage is the duty of reporting what tenants use.
-const DutyUsage = "usage_reporting"
+// UsageReportingDuty is the duty of reporting what tenants use.
+const UsageReportingDuty = "usage_reporting"
 
 // ReportsUsage reports whether usage is to be counted and reported.
 func (s *Settings) ReportsUsage() bool {
-	return slices.Contains(s.Platform.Duties, DutyUsage) && s.Bounds.UsageWindowS > 0 && s.Platform.Address != ""
+	return slices.Contains(s.Platform.Duties, UsageReportingDuty) && s.Bounds.UsageWindowS > 0 && s.Platform.Address != ""
 }
 
 // UnknownDuties lists duties that this version does not know.
 func (s *Settings) UnknownDuties() []string {
-	return slices.DeleteFunc(slices.Clone(s.Platform.Duties), func(d string) bool { return d == DutyUsage })
+	return slices.DeleteFunc(slices.Clone(s.Platform.Duties), func(d string) bool { return d == UsageReportingDuty })
 }
 
 // UsageWindow is the length of the windows by which usage is counted.
@@ -202,30 +202,30 @@
 	return time.Duration(b.UsageWindowS * float64(time.Second))
 }
 
-// ConfigApply is how long an acknowledged configuration may take to be in force everywhere.
-func (b Bounds) ConfigApply() time.Duration {
+// ConfigApplyTimeout is how long an acknowledged configuration may take to be in force everywhere.
+func (b Bounds) ConfigApplyTimeout() time.Duration {
 	return time.Duration(b.ConfigApplyMs) * time.Millisecond
 }
 
-// UsageDelay is how long after its window's end a report falls due.
-func (b Bounds) UsageDelay() time.Duration {
+// UsageReportDelay is how long after its window's end a report falls due.
+func (b Bounds) UsageReportDelay() time.Duration {
 	return time.Duration(b.UsageDelayS * float64(time.Second))
 }
 
 // Lease is the span within which two holders of a duty may not take turns.
 func (b Bounds) Lease() time.Duration { return time.Duration(b.LeaseMs) * time.Millisecond }
 
-// Revocation is within what time a key that is taken away must be refused by every
+// RevocationTimeout is within what time a key that is taken away must be refused by every
 // node, in touch or not; 0 asks it of those in touch alone.
-func (b Bounds) Revocation() time.Duration {
+func (b Bounds) RevocationTimeout() time.Duration {
 	if !b.RevocationGlobal {
 		return 0
 	}
 	return time.Duration(b.RevocationMs) * time.Millisecond
 }
 
-// Region returns the region of a zone.
-func (s *Settings) Region(zone string) string {
+// RegionOf returns the region of a zone.
+func (s *Settings) RegionOf(zone string) string {
 	if r, ok := s.Zones[zone]; ok {
 		return r
 	}
@@ -241,10 +241,10 @@
 
 // The programs.
 const (
-	Registrar Program = iota
-	Switch
-	Announcer
-	lastProgram = Announcer
+	ControlPlane Program = iota
+	DataPlane
+	ObjectCache
+	lastProgram = ObjectCache
 )
 
 // SeedHosts returns the hosts of the seeds.
--- a/internal/switchboard/counter.go
+++ b/internal/switchboard/counter.go
@@ -12,95 +12,95 @@
 
 // Pacing of counts. Ours; see docs/design.md.
 const (
-	tellEvery  = 150 * time.Millisecond
-	timeEvery  = 2 * time.Second // between two looks at the registrars' time
-	timeKeep   = time.Minute     // after which a slower look at it stands too
-	unanswered = 3               // tallies after which another registrar is told
+	reportInterval        = 150 * time.Millisecond
+	clockSyncInterval     = 2 * time.Second // between two looks at the registrars' time
+	clockSampleMaxAge     = time.Minute     // after which a slower look at it stands too
+	reportsBeforeFailover = 3               // tallies after which another registrar is told
 )
 
-// counter counts what tenants have run here, by the registrars' time, and tells a
+// usageReporter counts what tenants have run here, by the registrars' time, and tells a
 // registrar.
-type counter struct {
-	office *office.Office
-	meter  *usage.Meter
+type usageReporter struct {
+	office *office.Client
+	meter  *usage.Counter
 	clock  *usage.Clock
 
-	mu       sync.Mutex
-	sent     map[uint64]time.Time
-	silent   int // tallies without an answer
-	lookedAt time.Time
-	bestTrip time.Duration // of the look at the time that stands
-	bestAt   time.Time
+	mu                sync.Mutex
+	sentAt            map[uint64]time.Time
+	unansweredReports int // tallies without an answer
+	lastReportAt      time.Time
+	bestRoundTrip     time.Duration // of the look at the time that stands
+	bestRoundTripAt   time.Time
 }
 
-// newCounter returns nil where nobody wants counts.
-func newCounter(o *office.Office) *counter {
-	if !o.Set.ReportsUsage() {
+// newUsageReporter returns nil where nobody wants counts.
+func newUsageReporter(o *office.Client) *usageReporter {
+	if !o.Settings.ReportsUsage() {
 		return nil
 	}
-	c := &counter{office: o, meter: usage.NewMeter(rand.Uint64(), o.Set.Bounds.UsageWindow()),
-		clock: usage.NewClock(time.Now()), sent: map[uint64]time.Time{}}
-	o.OnNoted(c.noted)
+	c := &usageReporter{office: o, meter: usage.NewCounter(rand.Uint64(), o.Settings.Bounds.UsageWindow()),
+		clock: usage.NewClock(time.Now()), sentAt: map[uint64]time.Time{}}
+	o.OnUsageAck(c.handleAck)
 	return c
 }
 
-// ran counts a request of a tenant that began to run at a moment of the steady clock.
-func (c *counter) ran(tenant string, at time.Time) {
+// recordExecuted counts a request of a tenant that began to run at a moment of the steady clock.
+func (c *usageReporter) recordExecuted(tenant string, at time.Time) {
 	now, ok := c.clock.Now(at)
 	if !ok {
 		now = at // no better time is known
 	}
-	c.meter.Count(tenant, now)
+	c.meter.Add(tenant, now)
 }
 
-// loop tells the counts until the node ends.
-func (c *counter) loop() {
+// run tells the counts until the node ends.
+func (c *usageReporter) run() {
 	for {
 		select {
-		case <-time.After(time.Duration((0.9 + 0.2*rand.Float64()) * float64(tellEvery))):
-			c.tell(time.Now())
-		case <-c.office.Quit():
-			c.tell(time.Now())
+		case <-time.After(time.Duration((0.9 + 0.2*rand.Float64()) * float64(reportInterval))):
+			c.report(time.Now())
+		case <-c.office.Done():
+			c.report(time.Now())
 			return
 		}
 	}
 }
 
-func (c *counter) tell(now time.Time) {
-	t := c.meter.Next()
+func (c *usageReporter) report(now time.Time) {
+	t := c.meter.NextReport()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(t.Parts) == 0 && now.Sub(c.lookedAt) < timeEvery {
+	if len(t.Windows) == 0 && now.Sub(c.lastReportAt) < clockSyncInterval {
 		return
 	}
-	to := c.office.RegistrarAddrs()
+	to := c.office.ControlPlaneAddrs()
 	if len(to) == 0 {
 		return
 	}
-	c.lookedAt = now
-	c.sent[t.Seq] = now
-	for seq, at := range c.sent {
+	c.lastReportAt = now
+	c.sentAt[t.Sequence] = now
+	for seq, at := range c.sentAt {
 		if now.Sub(at) > 5*time.Second {
-			delete(c.sent, seq)
+			delete(c.sentAt, seq)
 		}
 	}
-	c.office.Send(to[c.silent/unanswered%len(to)], &feed.Datagram{Tally: t})
-	c.silent++
+	c.office.Send(to[c.unansweredReports/reportsBeforeFailover%len(to)], &feed.Datagram{UsageReport: t})
+	c.unansweredReports++
 }
 
-func (c *counter) noted(a *usage.Noted) {
+func (c *usageReporter) handleAck(a *usage.CountAck) {
 	now := time.Now()
-	c.meter.Noted(a)
+	c.meter.Acknowledge(a)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, ok := c.sent[a.Seq]
+	at, ok := c.sentAt[a.Sequence]
 	if !ok {
 		return
 	}
-	delete(c.sent, a.Seq)
-	c.silent -= c.silent % unanswered // keep to the one that answers
-	if trip := now.Sub(at); a.Now != 0 && (c.bestAt.IsZero() || trip <= c.bestTrip || now.Sub(c.bestAt) > timeKeep) {
-		c.bestTrip, c.bestAt = trip, now
-		c.clock.Set(a.Now+int64(trip/2), now)
+	delete(c.sentAt, a.Sequence)
+	c.unansweredReports -= c.unansweredReports % reportsBeforeFailover // keep to the one that answers
+	if trip := now.Sub(at); a.UnixNanos != 0 && (c.bestRoundTripAt.IsZero() || trip <= c.bestRoundTrip || now.Sub(c.bestRoundTripAt) > clockSampleMaxAge) {
+		c.bestRoundTrip, c.bestRoundTripAt = trip, now
+		c.clock.Set(a.UnixNanos+int64(trip/2), now)
 	}
 }
--- a/internal/switchboard/front.go
+++ b/internal/switchboard/front.go
@@ -24,100 +24,100 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Front serves the clients.
-type Front struct {
-	office  *office.Office
-	asker   *gather.Asker
-	objects *announce.Office // nil outside content deployments
-	teller  *teller
-	counter *counter // nil where nobody wants counts
-	log     *event.Log
+// frontend serves the clients.
+type frontend struct {
+	office     *office.Client
+	dispatcher *gather.Dispatcher
+	objects    *announce.Client // nil outside content deployments
+	tokens     *tokenClient
+	usage      *usageReporter // nil where nobody wants counts
+	log        *event.Logger
 
-	leaving atomic.Bool
-	mu      sync.Mutex
-	idle    map[net.Conn]rest
-	swept   time.Time
-	limit   time.Duration // of idle connections, as last seen
-	former  time.Duration // the one before, where it was longer, which holds on
-	until   time.Time     // up to this moment for those who have yet to hear of it
-	open    map[*pending]struct{}
-	ended   bool // what is open was answered; nothing is begun any more
+	draining            atomic.Bool
+	mu                  sync.Mutex
+	idleConnections     map[net.Conn]idleConnection
+	lastSweep           time.Time
+	idleTimeout         time.Duration // of idle connections, as last seen
+	previousIdleTimeout time.Duration // the one before, where it was longer, which holds on
+	previousIdleUntil   time.Time     // up to this moment for those who have yet to hear of it
+	pending             map[*pendingRequest]struct{}
+	closed              bool // what is open was answered; nothing is begun any more
 }
 
-// rest is since when a connection is idle, and the longest limit that was in force since:
+// idleConnection is since when a connection is idle, and the longest limit that was in force since:
 // a client goes by the one that it knew.
-type rest struct {
-	since time.Time
-	limit time.Duration
+type idleConnection struct {
+	since   time.Time
+	timeout time.Duration
 }
 
-// pending is a request whose answer has yet to be begun.
-type pending struct {
-	mu    sync.Mutex
-	w     http.ResponseWriter
-	begun bool // a leaf may have been asked
-	over  bool // the answer is on its way
+// pendingRequest is a request whose answer has yet to be begun.
+type pendingRequest struct {
+	mu         sync.Mutex
+	writer     http.ResponseWriter
+	dispatched bool // a leaf may have been asked
+	answered   bool // the answer is on its way
 }
 
-// begin is called before a leaf is asked; it must not be if the answer is given already.
-func (p *pending) begin() bool {
+// markDispatched is called before a leaf is asked; it must not be if the answer is given already.
+func (p *pendingRequest) markDispatched() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.begun = true
-	return !p.over
+	p.dispatched = true
+	return !p.answered
 }
 
-// take gives the right to answer to the first who wants it.
-func (p *pending) take() bool {
+// claimAnswer gives the right to answer to the first who wants it.
+func (p *pendingRequest) claimAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first := !p.over
-	p.over = true
+	first := !p.answered
+	p.answered = true
 	return first
 }
 
 const (
-	defaultBody   = 1 << 20
-	defaultHeader = 64 << 10
-	readAtMost    = 30 * time.Second // for the head of a request
-	sparePerHop   = 2 * time.Millisecond
-	idleNews      = time.Second // past the time for a configuration, in which its limits are known
+	defaultMaxBodyBytes   = 1 << 20
+	defaultMaxHeaderBytes = 64 << 10
+	headerReadTimeout     = 30 * time.Second // for the head of a request
+	deadlineMarginPerHop  = 2 * time.Millisecond
+	idleTimeoutNotice     = time.Second // past the time for a configuration, in which its limits are known
 
-	headerCredentials = "Authorization"
+	headerAuthorization = "Authorization"
 	// revocationMargin is how old the word of the majority may be that a registrar
 	// passes on, and the time that takes.
 	revocationMargin = 2500 * time.Millisecond
 )
 
-func newFront(o *office.Office, a *gather.Asker, objects *announce.Office, log *event.Log) *Front {
-	return &Front{office: o, asker: a, objects: objects, teller: newTeller(o), counter: newCounter(o), log: log, idle: map[net.Conn]rest{}, open: map[*pending]struct{}{}}
+func newFrontend(o *office.Client, a *gather.Dispatcher, objects *announce.Client, log *event.Logger) *frontend {
+	return &frontend{office: o, dispatcher: a, objects: objects, tokens: newTokenClient(o), usage: newUsageReporter(o), log: log, idleConnections: map[net.Conn]idleConnection{}, pending: map[*pendingRequest]struct{}{}}
 }
 
-// server makes the server of the clients' port. Every request goes to serve:
+// newHTTPServer makes the server of the clients' port. Every request goes to serve:
 // hosts and paths are the operator's, so echo routes none of them itself.
-func (f *Front) server() *http.Server {
+func (f *frontend) newHTTPServer() *http.Server {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.Pre(func(echo.HandlerFunc) echo.HandlerFunc { return f.serve })
-	return &http.Server{Handler: e, ConnState: f.connState, ReadHeaderTimeout: readAtMost,
+	return &http.Server{Handler: e, ConnState: f.connState, ReadHeaderTimeout: headerReadTimeout,
 		MaxHeaderBytes: 1 << 20, ErrorLog: nil, DisableGeneralOptionsHandler: true}
 }
 
-func (f *Front) connState(c net.Conn, s http.ConnState) {
+func (f *frontend) connState(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s == http.StateIdle {
 		now := time.Now()
-		f.idle[c] = rest{since: now, limit: f.idleLimit(now)}
+		f.idleConnections[c] = idleConnection{since: now, timeout: f.effectiveIdleTimeout(now)}
 	} else {
-		delete(f.idle, c)
+		delete(f.idleConnections, c)
 	}
 }
 
-// idleLimit is for how long a client may leave a connection idle from now on, 0 without a
+// effectiveIdleTimeout is for how long a client may leave a connection idle from now on, 0 without a
 // plan. Where it has become shorter, clients hear of that later than this node.
-func (f *Front) idleLimit(now time.Time) time.Duration {
-	p := f.office.Plan()
+func (f *frontend) effectiveIdleTimeout(now time.Time) time.Duration {
+	p := f.office.RouteTable()
 	if p == nil {
 		return 0
 	}
@@ -125,93 +125,93 @@
 	if limit <= 0 {
 		limit = math.MaxInt64
 	}
-	if limit < f.limit {
-		if now.After(f.until) || f.former < f.limit {
-			f.former = f.limit
+	if limit < f.idleTimeout {
+		if now.After(f.previousIdleUntil) || f.previousIdleTimeout < f.idleTimeout {
+			f.previousIdleTimeout = f.idleTimeout
 		}
-		f.until = now.Add(f.office.Set.Bounds.ConfigApply() + idleNews)
+		f.previousIdleUntil = now.Add(f.office.Settings.Bounds.ConfigApplyTimeout() + idleTimeoutNotice)
 	}
-	f.limit = limit
-	if now.Before(f.until) {
-		return max(limit, f.former)
+	f.idleTimeout = limit
+	if now.Before(f.previousIdleUntil) {
+		return max(limit, f.previousIdleTimeout)
 	}
 	return limit
 }
 
-// sweep closes connections that clients leave idle for too long. After a standstill of
+// closeIdleConnections closes connections that clients leave idle for too long. After a standstill of
 // this node it gives them a turn first: their requests may be here and not read yet.
-func (f *Front) sweep() {
+func (f *frontend) closeIdleConnections() {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	limit := f.idleLimit(now)
+	limit := f.effectiveIdleTimeout(now)
 	if limit <= 0 {
 		return
 	}
-	stood := now.Sub(f.swept) > 4*sweepEvery
-	f.swept = now
-	for c, r := range f.idle {
-		if r.limit < limit {
-			r.limit = limit
-			f.idle[c] = r
+	stood := now.Sub(f.lastSweep) > 4*maintenanceInterval
+	f.lastSweep = now
+	for c, r := range f.idleConnections {
+		if r.timeout < limit {
+			r.timeout = limit
+			f.idleConnections[c] = r
 		}
-		if now.Sub(r.since) > r.limit && !stood {
+		if now.Sub(r.since) > r.timeout && !stood {
 			_ = c.Close()
-			delete(f.idle, c)
+			delete(f.idleConnections, c)
 		}
 	}
 }
 
-// finish answers what is open when the node must end: a connection that ends without an
+// abortPending answers what is open when the node must end: a connection that ends without an
 // answer leaves the client in doubt of what it was sent.
-func (f *Front) finish() {
+func (f *frontend) abortPending() {
 	f.mu.Lock()
-	f.ended = true
-	open := slices.Collect(maps.Keys(f.open))
+	f.closed = true
+	open := slices.Collect(maps.Keys(f.pending))
 	f.mu.Unlock()
 	for _, p := range open {
-		f.end(p)
+		f.abort(p)
 	}
 }
 
-func (f *Front) end(p *pending) {
+func (f *frontend) abort(p *pendingRequest) {
 	p.mu.Lock() // until it is written: whoever handles the request waits for that
 	defer p.mu.Unlock()
-	if p.over {
+	if p.answered {
 		return
 	}
-	p.over = true
-	h := p.w.Header()
+	p.answered = true
+	h := p.writer.Header()
 	h.Set("Connection", "close")
-	if p.begun {
-		_ = f.refuse(p.w, http.StatusBadGateway, "this node ends before the answer")
+	if p.dispatched {
+		_ = f.writeError(p.writer, http.StatusBadGateway, "this node ends before the answer")
 	} else {
 		h.Set("Retry-After", "0.05")
-		_ = f.refuse(p.w, http.StatusServiceUnavailable, "this node ends")
+		_ = f.writeError(p.writer, http.StatusServiceUnavailable, "this node ends")
 	}
-	_ = http.NewResponseController(p.w).Flush()
+	_ = http.NewResponseController(p.writer).Flush()
 }
 
-// admit notes a request that has been read; after the end it is answered at once.
-func (f *Front) admit(w http.ResponseWriter) (p *pending, ok bool) {
-	p = &pending{w: w}
+// register notes a request that has been read; after the end it is answered at once.
+func (f *frontend) register(w http.ResponseWriter) (p *pendingRequest, ok bool) {
+	p = &pendingRequest{writer: w}
 	f.mu.Lock()
-	f.open[p] = struct{}{}
-	ended := f.ended
+	f.pending[p] = struct{}{}
+	ended := f.closed
 	f.mu.Unlock()
 	if ended {
-		f.end(p)
+		f.abort(p)
 	}
 	return p, !ended
 }
 
-func (f *Front) settled(p *pending) {
+func (f *frontend) unregister(p *pendingRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, p)
+	delete(f.pending, p)
 }
 
-func (f *Front) refuse(w http.ResponseWriter, status int, why string) error {
+func (f *frontend) writeError(w http.ResponseWriter, status int, why string) error {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(why)+1))
@@ -221,106 +221,106 @@
 }
 
 // serve handles one request under the plan that is in force as it arrives.
-func (f *Front) serve(c echo.Context) (err error) {
+func (f *frontend) serve(c echo.Context) (err error) {
 	start := time.Now()
 	w, r := c.Response().Writer, c.Request()
-	var p *pending
+	var p *pendingRequest
 	defer func() {
 		if e := recover(); e != nil {
 			f.log.Error(event.RequestPanic).Any("panic", e).Msg("a request failed inside")
-			if p != nil && !p.take() {
+			if p != nil && !p.claimAnswer() {
 				return
 			}
-			err = f.refuse(w, http.StatusInternalServerError, "internal failure")
+			err = f.writeError(w, http.StatusInternalServerError, "internal failure")
 		}
 	}()
-	if f.leaving.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	plan := f.office.Plan()
+	plan := f.office.RouteTable()
 	if plan == nil {
 		w.Header().Set("Retry-After", "0.5")
-		return f.refuse(w, http.StatusServiceUnavailable, "no configuration yet")
+		return f.writeError(w, http.StatusServiceUnavailable, "no configuration yet")
 	}
-	target, path := targetOf(r)
-	line := plan.Find(r.Host, path)
+	target, path := requestTarget(r)
+	line := plan.Match(r.Host, path)
 	if line == nil {
-		return f.refuse(w, http.StatusNotFound, "no route")
+		return f.writeError(w, http.StatusNotFound, "no route")
 	}
-	if span := f.office.Set.Bounds.Revocation(); span > 0 && plan.Keyed() && f.office.OutOfTouch(span-revocationMargin) {
+	if span := f.office.Settings.Bounds.RevocationTimeout(); span > 0 && plan.RequiresKey() && f.office.Disconnected(span-revocationMargin) {
 		w.Header().Set("Retry-After", "0.5")
-		return f.refuse(w, http.StatusServiceUnavailable, "no word of which keys are still good")
+		return f.writeError(w, http.StatusServiceUnavailable, "no word of which keys are still good")
 	}
-	tenant, own, known := plan.Holder(line, r.Header[headerCredentials])
+	tenant, own, known := plan.Authenticate(line, r.Header[headerAuthorization])
 	if !known {
 		w.Header().Set("WWW-Authenticate", "Token")
-		return f.refuse(w, http.StatusUnauthorized, "needs a key that is known")
+		return f.writeError(w, http.StatusUnauthorized, "needs a key that is known")
 	}
-	req, status, why := f.read(w, r, plan, target)
+	req, status, why := f.readRequest(w, r, plan, target)
 	if status != 0 {
-		return f.refuse(w, status, why)
+		return f.writeError(w, status, why)
 	}
 	var ok bool
-	p, ok = f.admit(w)
-	defer f.settled(p)
+	p, ok = f.register(w)
+	defer f.unregister(p)
 	if !ok {
 		return nil
 	}
 	delete(req.Header, trunk.HeaderTenant) // ours to say, whatever the client sent
 	if own {
-		delete(req.Header, headerCredentials)
+		delete(req.Header, headerAuthorization)
 	}
 	if tenant != nil {
 		req.Header[trunk.HeaderTenant] = []string{tenant.Name}
 	}
 	left := line.Timeout
-	if v := r.Header.Get(trunk.HeaderDeadline); v != "" {
+	if v := r.Header.Get(trunk.HeaderDeadlineRemaining); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(ms > 0) || ms > 1e12 {
-			if !p.take() {
+			if !p.claimAnswer() {
 				return nil
 			}
-			return f.refuse(w, http.StatusBadRequest, trunk.HeaderDeadline+" holds no time")
+			return f.writeError(w, http.StatusBadRequest, trunk.HeaderDeadlineRemaining+" holds no time")
 		}
-		left = min(left, time.Duration(ms*float64(time.Millisecond))-sparePerHop)
+		left = min(left, time.Duration(ms*float64(time.Millisecond))-deadlineMarginPerHop)
 	}
 	req.Deadline = start.Add(max(left, time.Millisecond))
 	if tenant != nil {
-		if a := f.teller.admit(tenant, line.Target, left, start); !a.ok {
-			if !p.take() {
+		if a := f.tokens.admit(tenant, line.TargetLatency, left, start); !a.granted {
+			if !p.claimAnswer() {
 				return nil
 			}
-			w.Header().Set("Retry-After", strconv.FormatFloat(max(a.back, time.Millisecond).Seconds(), 'f', 3, 64))
+			w.Header().Set("Retry-After", strconv.FormatFloat(max(a.retryAfter, time.Millisecond).Seconds(), 'f', 3, 64))
 			if a.limited {
-				return f.refuse(w, http.StatusTooManyRequests, "the tenant is at its limit")
+				return f.writeError(w, http.StatusTooManyRequests, "the tenant is at its limit")
 			}
-			return f.refuse(w, http.StatusServiceUnavailable, "no word of what the tenant may send")
+			return f.writeError(w, http.StatusServiceUnavailable, "no word of what the tenant may send")
 		}
 	}
 	ran := func(time.Time) {}
-	if tenant != nil && f.counter != nil {
-		ran = func(at time.Time) { f.counter.ran(tenant.Name, at) }
+	if tenant != nil && f.usage != nil {
+		ran = func(at time.Time) { f.usage.recordExecuted(tenant.Name, at) }
 	}
-	if !p.begin() {
+	if !p.markDispatched() {
 		return nil
 	}
 	var a *gather.Reply
-	if f.objects != nil && line.RouteKind == numbering.Cacheable && r.Method == http.MethodGet {
-		a = f.object(line, req, r.Header)
+	if f.objects != nil && line.RouteKind == numbering.KindCacheable && r.Method == http.MethodGet {
+		a = f.serveObject(line, req, r.Header)
 		if a.Status/100 == 2 {
 			ran(time.Now()) // on these routes what counts is a success
 		}
 	} else {
-		a = f.asker.Ask(line, req, start, ran)
+		a = f.dispatcher.Dispatch(line, req, start, ran)
 	}
-	if !p.take() {
+	if !p.claimAnswer() {
 		return nil
 	}
-	return f.answer(w, r.Method, a)
+	return f.writeReply(w, r.Method, a)
 }
 
-// targetOf returns the raw target and its path.
-func targetOf(r *http.Request) (target, path string) {
+// requestTarget returns the raw target and its path.
+func requestTarget(r *http.Request) (target, path string) {
 	target = r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		if r.Method == http.MethodConnect || r.URL == nil || r.URL.Path == "" {
@@ -335,11 +335,11 @@
 	return target, path
 }
 
-// read takes in the whole request within the limits.
-func (f *Front) read(w http.ResponseWriter, r *http.Request, plan *numbering.Plan, target string) (*trunk.Request, int, string) {
-	ids := r.Header[trunk.HeaderID]
+// readRequest takes in the whole request within the limits.
+func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, plan *numbering.RouteTable, target string) (*trunk.Request, int, string) {
+	ids := r.Header[trunk.HeaderRequestID]
 	if len(ids) != 1 || ids[0] == "" {
-		return nil, http.StatusBadRequest, "needs one " + trunk.HeaderID
+		return nil, http.StatusBadRequest, "needs one " + trunk.HeaderRequestID
 	}
 	size := len(r.Method) + len(target) + len(r.Host) + 24
 	for k, vs := range r.Header {
@@ -347,22 +347,22 @@
 			size += len(k) + len(v) + 4
 		}
 	}
-	limit := int64(defaultHeader)
+	limit := int64(defaultMaxHeaderBytes)
 	if plan.Limits.MaxHeaderBytes > 0 {
 		limit = plan.Limits.MaxHeaderBytes
 	}
 	if int64(size) > limit {
 		return nil, http.StatusRequestHeaderFieldsTooLarge, "the header is too large"
 	}
-	req := &trunk.Request{Method: r.Method, Target: target, Host: r.Host, Header: trunk.PassedOn(r.Header), ID: ids[0]}
+	req := &trunk.Request{Method: r.Method, Target: target, Host: r.Host, Header: trunk.EndToEndHeaders(r.Header), ID: ids[0]}
 	if r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		switch r.Method {
 		case http.MethodPost, http.MethodPut, http.MethodPatch:
-			req.Sized = true
+			req.HasBody = true
 		}
 		return req, 0, ""
 	}
-	limit = defaultBody
+	limit = defaultMaxBodyBytes
 	if plan.Limits.MaxBodyBytes > 0 {
 		limit = plan.Limits.MaxBodyBytes
 	}
@@ -370,7 +370,7 @@
 		w.Header().Set("Connection", "close")
 		return nil, http.StatusRequestEntityTooLarge, "the body is too large"
 	}
-	req.Sized = true
+	req.HasBody = true
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
 		w.Header().Set("Connection", "close")
@@ -384,20 +384,20 @@
 	return req, 0, ""
 }
 
-// answer writes a reply.
-func (f *Front) answer(w http.ResponseWriter, method string, a *gather.Reply) error {
+// writeReply writes a reply.
+func (f *frontend) writeReply(w http.ResponseWriter, method string, a *gather.Reply) error {
 	h := w.Header()
 	if a.Header == nil {
 		if a.RetryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		}
-		return f.refuse(w, a.Status, a.Why)
+		return f.writeError(w, a.Status, a.Reason)
 	}
-	for k, v := range trunk.PassedOn(a.Header) {
+	for k, v := range trunk.EndToEndHeaders(a.Header) {
 		h[k] = v
 	}
-	if id := a.Header[trunk.HeaderID]; id != nil {
-		h[trunk.HeaderID] = id
+	if id := a.Header[trunk.HeaderRequestID]; id != nil {
+		h[trunk.HeaderRequestID] = id
 	}
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // none is added
--- a/internal/switchboard/object.go
+++ b/internal/switchboard/object.go
@@ -12,14 +12,14 @@
 	"comethold/internal/trunk"
 )
 
-// object answers a client's request for an object of a cacheable route.
-func (f *Front) object(line *numbering.Line, req *trunk.Request, h http.Header) *gather.Reply {
-	rec, no := f.objects.Get(announce.Want{Host: req.Host, Target: req.Target, TTL: line.TTL(), Deadline: req.Deadline})
+// serveObject answers a client's request for an object of a cacheable route.
+func (f *frontend) serveObject(line *numbering.CompiledRoute, req *trunk.Request, h http.Header) *gather.Reply {
+	rec, no := f.objects.Get(announce.Request{Host: req.Host, Target: req.Target, TTL: line.CacheTTL(), Deadline: req.Deadline})
 	if no != nil {
-		return &gather.Reply{Status: no.Status, Header: own(no.Header, req.ID), Body: no.Body, Why: no.Why, RetryAfter: no.RetryAfter}
+		return &gather.Reply{Status: no.Status, Header: withRequestID(no.Header, req.ID), Body: no.Body, Reason: no.Reason, RetryAfter: no.RetryAfter}
 	}
-	out := own(rec.Header, req.ID)
-	if rec.ETag != "" && tagListed(h.Get("If-None-Match"), rec.ETag) {
+	out := withRequestID(rec.Header, req.ID)
+	if rec.ETag != "" && etagMatches(h.Get("If-None-Match"), rec.ETag) {
 		return &gather.Reply{Status: http.StatusNotModified, Header: out}
 	}
 	reply := &gather.Reply{Status: http.StatusOK, Header: out, Body: rec.Body}
@@ -27,7 +27,7 @@
 	if len(ranges) != 1 || (h.Get("If-Range") != "" && h.Get("If-Range") != rec.ETag) {
 		return reply
 	}
-	from, to, ok := readRange(ranges[0], len(rec.Body))
+	from, to, ok := parseRange(ranges[0], len(rec.Body))
 	if !ok {
 		return reply
 	}
@@ -41,31 +41,31 @@
 	return reply
 }
 
-// own makes a kept header the answer to one request.
-func own(h http.Header, id string) http.Header {
+// withRequestID makes a kept header the answer to one request.
+func withRequestID(h http.Header, id string) http.Header {
 	if h == nil {
 		return nil
 	}
 	out := h.Clone()
-	out[trunk.HeaderID] = []string{id}
+	out[trunk.HeaderRequestID] = []string{id}
 	return out
 }
 
-// readRange reads a single range that names its first byte; any other form is
+// parseRange reads a single range that names its first byte; any other form is
 // as if it were not there. to is inclusive and within size.
-func readRange(v string, size int) (from, to int, ok bool) {
+func parseRange(v string, size int) (from, to int, ok bool) {
 	spec, found := strings.CutPrefix(strings.TrimSpace(v), "bytes=")
 	first, last, dash := strings.Cut(strings.TrimSpace(spec), "-")
 	if !found || !dash {
 		return 0, 0, false
 	}
-	from, ok = digits(first)
+	from, ok = parseDigits(first)
 	if !ok {
 		return 0, 0, false
 	}
 	to = size - 1
 	if last != "" {
-		n, ok := digits(last)
+		n, ok := parseDigits(last)
 		if !ok || n < from {
 			return 0, 0, false
 		}
@@ -74,7 +74,7 @@
 	return from, to, true
 }
 
-func digits(s string) (int, bool) {
+func parseDigits(s string) (int, bool) {
 	if s == "" || strings.Trim(s, "0123456789") != "" {
 		return 0, false
 	}
@@ -82,8 +82,8 @@
 	return n, err == nil
 }
 
-// tagListed reports whether an If-None-Match names the tag.
-func tagListed(v, tag string) bool {
+// etagMatches reports whether an If-None-Match names the tag.
+func etagMatches(v, tag string) bool {
 	if strings.TrimSpace(v) == "*" {
 		return true
 	}
--- a/internal/switchboard/switchboard.go
+++ b/internal/switchboard/switchboard.go
@@ -24,120 +24,120 @@
 // Timing of leaving. The platform asks for readiness once a second and takes a
 // node out after two misses.
 const (
-	noticeTime = 2300 * time.Millisecond
-	endMargin  = 700 * time.Millisecond
-	sweepEvery = 250 * time.Millisecond
+	readinessNoticeTime = 2300 * time.Millisecond
+	shutdownMargin      = 700 * time.Millisecond
+	maintenanceInterval = 250 * time.Millisecond
 )
 
-// hotBytes is the size of a switch's own cache of objects.
-const hotBytes = 16 << 20
+// objectCacheBytes is the size of a switch's own cache of objects.
+const objectCacheBytes = 16 << 20
 
-// Switch is the data plane of one node.
-type Switch struct {
-	*office.Office
-	asker  *gather.Asker
-	front  *Front
-	served *http.Server
-	once   sync.Once
+// Server is the data plane of one node.
+type Server struct {
+	*office.Client
+	dispatcher   *gather.Dispatcher
+	frontend     *frontend
+	httpServer   *http.Server
+	shutdownOnce sync.Once
 }
 
 // New puts a data plane together that reaches others by n.
-func New(set *settings.Settings, log *event.Log, n wire.Net) *Switch {
-	o := office.New(set, log, settings.Switch, n)
-	asker := gather.NewAsker(o.Frame, o.Toll)
+func New(set *settings.Settings, log *event.Logger, n wire.Network) *Server {
+	o := office.New(set, log, settings.DataPlane, n)
+	asker := gather.NewDispatcher(o.Upstreams, o.RetryBudget)
 	if set.Estimates.Enabled {
-		asker.Watch, asker.Shadow = estimate.NewCollector(time.Now()), set.Estimates.ShadowShare
+		asker.Latencies, asker.ShadowShare = estimate.NewCollector(time.Now()), set.Estimates.ShadowShare
 	}
-	s := &Switch{Office: o, asker: asker}
-	var objects *announce.Office
-	if set.DeploymentMode == settings.Content {
-		objects = announce.NewOffice(o, hotBytes)
-		asker.Permit = objects.Permit
+	s := &Server{Client: o, dispatcher: asker}
+	var objects *announce.Client
+	if set.DeploymentMode == settings.ContentMode {
+		objects = announce.NewClient(o, objectCacheBytes)
+		asker.AwaitRate = objects.Permit
 	}
-	s.front = newFront(o, asker, objects, log)
-	s.served = s.front.server()
-	o.OnPlan(asker.Forget)
+	s.frontend = newFrontend(o, asker, objects, log)
+	s.httpServer = s.frontend.newHTTPServer()
+	o.OnRouteTable(asker.RetainRoutes)
 	return s
 }
 
 // Handler answers clients' requests.
-func (s *Switch) Handler() http.Handler { return s.served.Handler }
+func (s *Server) Handler() http.Handler { return s.httpServer.Handler }
 
 // Serve answers clients on l until Leave.
-func (s *Switch) Serve(l net.Listener) error {
-	err := s.served.Serve(l)
+func (s *Server) Serve(l net.Listener) error {
+	err := s.httpServer.Serve(l)
 	if err == http.ErrServerClosed {
-		<-s.Quit()
+		<-s.Done()
 		return nil
 	}
 	return err
 }
 
-// Count tells what tenants have run until the node ends.
-func (s *Switch) Count() error {
-	if s.front.counter != nil {
-		s.front.counter.loop()
+// ReportUsage tells what tenants have run until the node ends.
+func (s *Server) ReportUsage() error {
+	if s.frontend.usage != nil {
+		s.frontend.usage.run()
 	}
-	<-s.Quit()
+	<-s.Done()
 	return nil
 }
 
-// Follow works off what lookups took until the node ends.
-func (s *Switch) Follow() error {
-	if s.asker.Watch != nil {
-		s.asker.Watch.Run(s.Quit())
+// CollectLatencies works off what lookups took until the node ends.
+func (s *Server) CollectLatencies() error {
+	if s.dispatcher.Latencies != nil {
+		s.dispatcher.Latencies.Run(s.Done())
 	}
-	<-s.Quit()
+	<-s.Done()
 	return nil
 }
 
-// Estimates returns what this node knows of lookups; nothing where they are not followed.
-func (s *Switch) Estimates(ask feed.EstimatesAsk) estimate.View {
-	if s.asker.Watch == nil {
-		return estimate.Merge()
+// LatencyEstimates returns what this node knows of lookups; nothing where they are not followed.
+func (s *Server) LatencyEstimates(ask feed.EstimatesRequest) estimate.Snapshot {
+	if s.dispatcher.Latencies == nil {
+		return estimate.MergeSnapshots()
 	}
-	return s.asker.Watch.View(ask.Service, ask.Class)
+	return s.dispatcher.Latencies.Snapshot(ask.Service, ask.Class)
 }
 
-// Inner serves other nodes.
-func (s *Switch) Inner() *echo.Echo {
-	e := s.Office.Inner()
+// InternalHandler serves other nodes.
+func (s *Server) InternalHandler() *echo.Echo {
+	e := s.Client.InternalHandler()
 	e.POST("/estimates", func(c echo.Context) error {
-		var ask feed.EstimatesAsk
-		if err := wire.Read(c.Request().Body, &ask); err != nil {
+		var ask feed.EstimatesRequest
+		if err := wire.DecodeRequest(c.Request().Body, &ask); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		b, err := wire.Marshal(s.Estimates(ask))
+		b, err := wire.Marshal(s.LatencyEstimates(ask))
 		if err != nil {
 			return err
 		}
-		return c.Blob(http.StatusOK, wire.ContentType, wire.Pack(b))
+		return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
 	})
 	return e
 }
 
-// Sweep does the regular small work until the node ends.
-func (s *Switch) Sweep() error {
-	t := time.NewTicker(sweepEvery)
+// RunMaintenance does the regular small work until the node ends.
+func (s *Server) RunMaintenance() error {
+	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			s.front.sweep()
-			s.front.teller.sweep(time.Now())
-			s.Frame.Sweep()
-		case <-s.Quit():
+			s.frontend.closeIdleConnections()
+			s.frontend.tokens.removeExpired(time.Now())
+			s.Upstreams.CloseExpiredConnections()
+		case <-s.Done():
 			return nil
 		}
 	}
 }
 
 // Readiness serves the platform's question.
-func (s *Switch) Readiness() *echo.Echo {
+func (s *Server) Readiness() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.GET("/readiness", func(c echo.Context) error {
-		if s.front.leaving.Load() || !s.Ready() {
+		if s.frontend.draining.Load() || !s.Ready() {
 			return c.String(http.StatusServiceUnavailable, "not ready\n")
 		}
 		return c.String(http.StatusOK, "ready\n")
@@ -145,21 +145,21 @@
 	return e
 }
 
-// Leave is the orderly end: not ready any more, new connections still served
+// Shutdown is the orderly end: not ready any more, new connections still served
 // until the platform has noticed, every open request answered.
-func (s *Switch) Leave() {
-	s.once.Do(func() {
-		s.front.leaving.Store(true)
-		grace := s.Set.Bounds.Grace()
+func (s *Server) Shutdown() {
+	s.shutdownOnce.Do(func() {
+		s.frontend.draining.Store(true)
+		grace := s.Settings.Bounds.GracePeriod()
 		if grace <= 0 {
 			grace = 6 * time.Second
 		}
-		end := time.Now().Add(grace - endMargin)
-		time.Sleep(min(noticeTime, grace/2))
+		end := time.Now().Add(grace - shutdownMargin)
+		time.Sleep(min(readinessNoticeTime, grace/2))
 		ctx, cancel := context.WithDeadline(context.Background(), end)
 		defer cancel()
-		if s.served.Shutdown(ctx) != nil {
-			s.front.finish()
+		if s.httpServer.Shutdown(ctx) != nil {
+			s.frontend.abortPending()
 		}
 		s.Close()
 	})
--- a/internal/switchboard/teller.go
+++ b/internal/switchboard/teller.go
@@ -16,102 +16,102 @@
 const (
 	// Least time between two datagrams: what comes meanwhile goes together. A busy node
 	// has more to put together, and its datagrams would cost more than what is in them.
-	askGap      = 10 * time.Millisecond
-	askGapBusy  = 30 * time.Millisecond
-	askBusy     = 20.0                  // datagrams a second
-	askAgain    = 30 * time.Millisecond // after which another registrar is asked
-	askTries    = 3
-	shunTeller  = time.Second            // a registrar that did not answer, or has no share
-	orderAge    = 250 * time.Millisecond // how long the order of registrars is kept
-	tellLeast   = 40 * time.Millisecond  // a request waits this long for a token at least
-	tellMost    = 200 * time.Millisecond
-	notToldBack = 150 * time.Millisecond
+	minSendInterval       = 10 * time.Millisecond
+	busySendInterval      = 30 * time.Millisecond
+	busySendRate          = 20.0                  // datagrams a second
+	responseTimeout       = 30 * time.Millisecond // after which another registrar is asked
+	maxTokenAttempts      = 3
+	avoidDuration         = time.Second            // a registrar that did not answer, or has no share
+	targetsMaxAge         = 250 * time.Millisecond // how long the order of registrars is kept
+	minTokenWait          = 40 * time.Millisecond  // a request waits this long for a token at least
+	maxTokenWait          = 200 * time.Millisecond
+	unavailableRetryAfter = 150 * time.Millisecond
 )
 
-// teller draws tokens for the tenants that this node sees. Requests for which none is
+// tokenClient draws tokens for the tenants that this node sees. Requests for which none is
 // here wait while one datagram asks for all of them.
-type teller struct {
-	office  *office.Office
-	rules   quota.Rules
-	reserve *quota.Reserve
+type tokenClient struct {
+	office *office.Client
+	rules  quota.Rules
+	cache  *quota.TokenCache
 
-	mu      sync.Mutex
-	waiting map[string]*queue
-	asks    map[uint64]*draw
-	nextID  uint64
-	sentAt  time.Time
-	perS    float64 // datagrams, smoothed over a second
-	armed   bool    // a send is due
-	order   []net.Addr
-	orderAt time.Time
-	shun    map[string]time.Time
+	mu            sync.Mutex
+	queues        map[string]*waitQueue
+	inFlight      map[uint64]*tokenRequest
+	nextRequestID uint64
+	lastSentAt    time.Time
+	sendRate      float64 // datagrams, smoothed over a second
+	sendScheduled bool    // a send is due
+	targets       []net.Addr
+	targetsAt     time.Time
+	avoidUntil    map[string]time.Time
 }
 
-// queue holds those who wait for tokens of one tenant, oldest first.
-type queue struct {
-	waiters []*waiter
-	asked   int // tokens asked for them and not answered
+// waitQueue holds those who wait for tokens of one tenant, oldest first.
+type waitQueue struct {
+	waiters   []*waiter
+	requested int // tokens asked for them and not answered
 }
 
 type waiter struct {
-	done  chan told
-	tries int
+	done     chan admission
+	attempts int
 }
 
-// told is what a waiter learns: it has a token, or when to come back. Limited says that
+// admission is what a waiter learns: it has a token, or when to come back. Limited says that
 // the tenant is at its limit, not that nobody could tell.
-type told struct {
-	ok, limited bool
-	back        time.Duration
+type admission struct {
+	granted, limited bool
+	retryAfter       time.Duration
 }
 
-// draw is a datagram that has not been answered.
-type draw struct {
-	to    net.Addr
-	at    time.Time
-	wants []quota.Want
-	life  []time.Duration
+// tokenRequest is a datagram that has not been answered.
+type tokenRequest struct {
+	target    net.Addr
+	sentAt    time.Time
+	wants     []quota.TenantDemand
+	lifetimes []time.Duration
 }
 
-func newTeller(o *office.Office) *teller {
-	t := &teller{office: o, rules: o.Set.Bounds.Quota(), reserve: quota.NewReserve(), waiting: map[string]*queue{},
-		asks: map[uint64]*draw{}, nextID: rand.Uint64(), shun: map[string]time.Time{}}
-	o.OnGrant(t.hear)
-	o.OnChanged(func(names []string) { t.reserve.Drop(names) })
+func newTokenClient(o *office.Client) *tokenClient {
+	t := &tokenClient{office: o, rules: o.Settings.Bounds.QuotaRules(), cache: quota.NewTokenCache(), queues: map[string]*waitQueue{},
+		inFlight: map[uint64]*tokenRequest{}, nextRequestID: rand.Uint64(), avoidUntil: map[string]time.Time{}}
+	o.OnTokenGrant(t.handleGrant)
+	o.OnTenantsChanged(func(names []string) { t.cache.Discard(names) })
 	return t
 }
 
 // admit spends a token for a request of the tenant, if it needs one.
-func (t *teller) admit(who *numbering.Tenant, target, left time.Duration, now time.Time) told {
-	terms := t.rules.TermsOf(who.RatePerS, who.BurstSize)
-	if !terms.Bounded() {
-		return told{ok: true}
+func (t *tokenClient) admit(who *numbering.Tenant, target, left time.Duration, now time.Time) admission {
+	terms := t.rules.LimitsFor(who.RatePerSecond, who.BurstSize)
+	if !terms.Limited() {
+		return admission{granted: true}
 	}
-	ok, wait := t.reserve.Spend(who.Name, now)
+	ok, wait := t.cache.Spend(who.Name, now)
 	if ok {
-		return told{ok: true}
+		return admission{granted: true}
 	}
 	if wait > 0 {
-		return told{limited: true, back: wait}
+		return admission{limited: true, retryAfter: wait}
 	}
-	w := &waiter{done: make(chan told, 1)}
+	w := &waiter{done: make(chan admission, 1)}
 	t.mu.Lock()
-	q := t.waiting[who.Name]
+	q := t.queues[who.Name]
 	if q == nil {
-		q = &queue{}
-		t.waiting[who.Name] = q
+		q = &waitQueue{}
+		t.queues[who.Name] = q
 	}
 	q.waiters = append(q.waiters, w)
-	t.armLocked(now)
+	t.scheduleSendLocked(now)
 	t.mu.Unlock()
-	patience := min(max(target/2, tellLeast), tellMost, left)
+	patience := min(max(target/2, minTokenWait), maxTokenWait, left)
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	select {
 	case a := <-w.done:
 		return a
 	case <-timer.C:
-	case <-t.office.Quit():
+	case <-t.office.Done():
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,11 +120,11 @@
 		return a
 	default:
 	}
-	q.leave(w)
-	return told{back: notToldBack}
+	q.remove(w)
+	return admission{retryAfter: unavailableRetryAfter}
 }
 
-func (q *queue) leave(w *waiter) {
+func (q *waitQueue) remove(w *waiter) {
 	for i, o := range q.waiters {
 		if o == w {
 			q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
@@ -133,143 +133,143 @@
 	}
 }
 
-// armLocked sees to it that those who wait are asked for, at once if the last datagram
+// scheduleSendLocked sees to it that those who wait are asked for, at once if the last datagram
 // is some time ago.
-func (t *teller) armLocked(now time.Time) {
-	if t.armed {
+func (t *tokenClient) scheduleSendLocked(now time.Time) {
+	if t.sendScheduled {
 		return
 	}
-	t.armed = true
-	gap := askGap
-	if t.perS > askBusy {
-		gap = askGapBusy
+	t.sendScheduled = true
+	gap := minSendInterval
+	if t.sendRate > busySendRate {
+		gap = busySendInterval
 	}
-	if wait := gap - now.Sub(t.sentAt); wait > 0 {
-		time.AfterFunc(wait, t.ask)
+	if wait := gap - now.Sub(t.lastSentAt); wait > 0 {
+		time.AfterFunc(wait, t.send)
 		return
 	}
-	go t.ask()
+	go t.send()
 }
 
-// ask sends one datagram for all who are not asked for yet.
-func (t *teller) ask() {
+// send sends one datagram for all who are not asked for yet.
+func (t *tokenClient) send() {
 	now := time.Now()
-	plan := t.office.Plan()
+	plan := t.office.RouteTable()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.armed = false
-	to := t.registrarLocked(now)
+	t.sendScheduled = false
+	to := t.targetLocked(now)
 	if plan == nil || to == nil {
-		t.refuseAllLocked()
+		t.rejectAllLocked()
 		return
 	}
-	d := &draw{to: to, at: now}
-	for name, q := range t.waiting {
-		need := len(q.waiters) - q.asked
+	d := &tokenRequest{target: to, sentAt: now}
+	for name, q := range t.queues {
+		need := len(q.waiters) - q.requested
 		if need <= 0 {
-			if len(q.waiters) == 0 && q.asked <= 0 {
-				delete(t.waiting, name)
+			if len(q.waiters) == 0 && q.requested <= 0 {
+				delete(t.queues, name)
 			}
 			continue
 		}
-		if len(d.wants) == quota.MostWants {
-			t.armLocked(now)
+		if len(d.wants) == quota.MaxDemands {
+			t.scheduleSendLocked(now)
 			break
 		}
 		who := plan.Tenant(name)
 		if who == nil {
-			q.refuse(len(q.waiters), told{back: notToldBack})
+			q.reject(len(q.waiters), admission{retryAfter: unavailableRetryAfter})
 			continue
 		}
-		terms := t.rules.TermsOf(who.RatePerS, who.BurstSize)
-		q.asked += need
-		d.wants = append(d.wants, quota.Want{Tenant: name, Need: need, More: t.reserve.Ahead(name, terms, now)})
-		d.life = append(d.life, terms.Life)
+		terms := t.rules.LimitsFor(who.RatePerSecond, who.BurstSize)
+		q.requested += need
+		d.wants = append(d.wants, quota.TenantDemand{Tenant: name, Required: need, Prefetch: t.cache.PrefetchCount(name, terms, now)})
+		d.lifetimes = append(d.lifetimes, terms.TokenLifetime)
 	}
 	if len(d.wants) == 0 {
 		return
 	}
-	t.nextID++
-	id := t.nextID
-	t.asks[id] = d
-	t.perS = t.perS*max(0, 1-now.Sub(t.sentAt).Seconds()) + 1
-	t.sentAt = now
-	t.office.Send(d.to, &feed.Datagram{Ask: &quota.Ask{ID: id, Wants: d.wants}})
-	time.AfterFunc(askAgain, func() { t.overdue(id) })
+	t.nextRequestID++
+	id := t.nextRequestID
+	t.inFlight[id] = d
+	t.sendRate = t.sendRate*max(0, 1-now.Sub(t.lastSentAt).Seconds()) + 1
+	t.lastSentAt = now
+	t.office.Send(d.target, &feed.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Demands: d.wants}})
+	time.AfterFunc(responseTimeout, func() { t.handleTimeout(id) })
 }
 
-// hear takes a grant. Tokens are good for their life from before they were asked for.
-func (t *teller) hear(g *quota.Grant) {
+// handleGrant takes a grant. Tokens are good for their life from before they were asked for.
+func (t *tokenClient) handleGrant(g *quota.TokenGrant) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := t.asks[g.ID]
-	if d == nil || len(g.Parts) != len(d.wants) {
+	d := t.inFlight[g.ID]
+	if d == nil || len(g.Results) != len(d.wants) {
 		return
 	}
-	delete(t.asks, g.ID)
+	delete(t.inFlight, g.ID)
 	for i, w := range d.wants {
-		p := g.Parts[i]
+		p := g.Results[i]
 		if p.Granted > 0 {
-			t.reserve.Add(w.Tenant, p.Granted, d.at.Add(d.life[i]), now)
+			t.cache.Add(w.Tenant, p.Granted, d.sentAt.Add(d.lifetimes[i]), now)
 		}
-		q := t.waiting[w.Tenant]
+		q := t.queues[w.Tenant]
 		if q == nil {
 			continue
 		}
-		q.asked = max(0, q.asked-w.Need)
-		for len(q.waiters) > 0 && t.reserve.Claim(w.Tenant, now) {
-			q.waiters[0].done <- told{ok: true}
+		q.requested = max(0, q.requested-w.Required)
+		for len(q.waiters) > 0 && t.cache.SpendGranted(w.Tenant, now) {
+			q.waiters[0].done <- admission{granted: true}
 			q.waiters = q.waiters[1:]
 		}
-		switch back := time.Duration(p.BackMs) * time.Millisecond; {
-		case p.Unable:
-			t.shun[d.to.String()] = now.Add(shunTeller)
-			t.orderAt = time.Time{}
-			t.againLocked(q, w.Need, now)
-		case p.Granted < w.Need && back > 0:
-			t.reserve.Empty(w.Tenant, min(back, notToldBack), now)
-			q.refuse(w.Need-p.Granted, told{limited: true, back: back})
+		switch back := time.Duration(p.RetryAfterMs) * time.Millisecond; {
+		case p.NoShare:
+			t.avoidUntil[d.target.String()] = now.Add(avoidDuration)
+			t.targetsAt = time.Time{}
+			t.requeueLocked(q, w.Required, now)
+		case p.Granted < w.Required && back > 0:
+			t.cache.MarkExhausted(w.Tenant, min(back, unavailableRetryAfter), now)
+			q.reject(w.Required-p.Granted, admission{limited: true, retryAfter: back})
 		}
 	}
 }
 
-// overdue gives up on a datagram and asks another registrar.
-func (t *teller) overdue(id uint64) {
+// handleTimeout gives up on a datagram and asks another registrar.
+func (t *tokenClient) handleTimeout(id uint64) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := t.asks[id]
+	d := t.inFlight[id]
 	if d == nil {
 		return
 	}
-	t.shun[d.to.String()] = now.Add(shunTeller)
-	t.orderAt = time.Time{}
+	t.avoidUntil[d.target.String()] = now.Add(avoidDuration)
+	t.targetsAt = time.Time{}
 	for _, w := range d.wants {
-		if q := t.waiting[w.Tenant]; q != nil {
-			q.asked = max(0, q.asked-w.Need)
-			t.againLocked(q, w.Need, now)
+		if q := t.queues[w.Tenant]; q != nil {
+			q.requested = max(0, q.requested-w.Required)
+			t.requeueLocked(q, w.Required, now)
 		}
 	}
 	// An answer that comes late still holds tokens, but nobody is counted on it.
 	for i := range d.wants {
-		d.wants[i].Need = 0
+		d.wants[i].Required = 0
 	}
 	time.AfterFunc(time.Second, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.asks, id)
+		delete(t.inFlight, id)
 	})
 }
 
-// againLocked has the oldest n asked for once more, those that were asked for too often
+// requeueLocked has the oldest n asked for once more, those that were asked for too often
 // already excepted.
-func (t *teller) againLocked(q *queue, n int, now time.Time) {
+func (t *tokenClient) requeueLocked(q *waitQueue, n int, now time.Time) {
 	kept := q.waiters[:0]
 	for i, w := range q.waiters {
 		if i < n {
-			if w.tries++; w.tries >= askTries {
-				w.done <- told{back: notToldBack}
+			if w.attempts++; w.attempts >= maxTokenAttempts {
+				w.done <- admission{retryAfter: unavailableRetryAfter}
 				continue
 			}
 		}
@@ -277,11 +277,11 @@
 	}
 	q.waiters = kept
 	if len(kept) > 0 {
-		t.armLocked(now)
+		t.scheduleSendLocked(now)
 	}
 }
 
-func (q *queue) refuse(n int, a told) {
+func (q *waitQueue) reject(n int, a admission) {
 	n = min(n, len(q.waiters))
 	for _, w := range q.waiters[:n] {
 		w.done <- a
@@ -289,38 +289,38 @@
 	q.waiters = q.waiters[n:]
 }
 
-func (t *teller) refuseAllLocked() {
-	for _, q := range t.waiting {
-		q.refuse(len(q.waiters), told{back: notToldBack})
+func (t *tokenClient) rejectAllLocked() {
+	for _, q := range t.queues {
+		q.reject(len(q.waiters), admission{retryAfter: unavailableRetryAfter})
 	}
 }
 
-// registrarLocked is whom to ask: the first in the order of the feed that answers.
-func (t *teller) registrarLocked(now time.Time) net.Addr {
-	if now.Sub(t.orderAt) > orderAge {
-		t.order, t.orderAt = t.office.RegistrarAddrs(), now
+// targetLocked is whom to ask: the first in the order of the feed that answers.
+func (t *tokenClient) targetLocked(now time.Time) net.Addr {
+	if now.Sub(t.targetsAt) > targetsMaxAge {
+		t.targets, t.targetsAt = t.office.ControlPlaneAddrs(), now
 	}
 	var best net.Addr
-	for _, a := range t.order {
-		until, shunned := t.shun[a.String()]
+	for _, a := range t.targets {
+		until, shunned := t.avoidUntil[a.String()]
 		if !shunned || now.After(until) {
 			return a
 		}
-		if best == nil || until.Before(t.shun[best.String()]) {
+		if best == nil || until.Before(t.avoidUntil[best.String()]) {
 			best = a
 		}
 	}
 	return best
 }
 
-// sweep forgets what is idle.
-func (t *teller) sweep(now time.Time) {
-	t.reserve.Sweep(now)
+// removeExpired forgets what is idle.
+func (t *tokenClient) removeExpired(now time.Time) {
+	t.cache.RemoveIdle(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for a, until := range t.shun {
+	for a, until := range t.avoidUntil {
 		if now.After(until) {
-			delete(t.shun, a)
+			delete(t.avoidUntil, a)
 		}
 	}
 }
--- a/internal/toll/toll.go
+++ b/internal/toll/toll.go
@@ -12,104 +12,104 @@
 	"time"
 )
 
-// Terms of the budget.
-type Terms struct {
+// Config of the budget.
+type Config struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
 const (
-	steps = 20 // the parts into which a window is counted
-	// margin keeps a part of the budget back for windows that the nodes cut
+	windowBuckets = 20 // the parts into which a window is counted
+	// safetyMargin keeps a part of the budget back for windows that the nodes cut
 	// at different moments.
-	margin = 0.85
+	safetyMargin = 0.85
 )
 
-type count struct {
-	requests [2 * steps]float64
-	extras   [2 * steps]float64
-	at       int64
+type slidingWindow struct {
+	requests      [2 * windowBuckets]float64
+	extraAttempts [2 * windowBuckets]float64
+	currentBucket int64
 }
 
-// Toll counts for each service. It is safe for use by many goroutines.
-type Toll struct {
-	mu    sync.Mutex
-	t     Terms
-	nodes int
-	born  time.Time
-	by    map[string]*count
+// Budget counts for each service. It is safe for use by many goroutines.
+type Budget struct {
+	mu        sync.Mutex
+	config    Config
+	nodeCount int
+	startedAt time.Time
+	services  map[string]*slidingWindow
 }
 
 // New starts counting.
-func New(t Terms, now time.Time) *Toll {
+func New(t Config, now time.Time) *Budget {
 	if t.Window <= 0 {
 		t.Window = 10 * time.Second
 	}
-	return &Toll{t: t, nodes: 1 << 20, born: now, by: map[string]*count{}}
+	return &Budget{config: t, nodeCount: 1 << 20, startedAt: now, services: map[string]*slidingWindow{}}
 }
 
-// SetNodes tells among how many nodes the slack is divided.
-func (t *Toll) SetNodes(n int) {
+// SetNodeCount tells among how many nodes the slack is divided.
+func (t *Budget) SetNodeCount(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if n > 0 {
-		t.nodes = n
+		t.nodeCount = n
 	}
 }
 
-func (t *Toll) roll(service string, now time.Time) *count {
-	step := int64(now.Sub(t.born) / (t.t.Window / steps))
-	c := t.by[service]
+func (t *Budget) advance(service string, now time.Time) *slidingWindow {
+	step := int64(now.Sub(t.startedAt) / (t.config.Window / windowBuckets))
+	c := t.services[service]
 	if c == nil {
-		c = &count{at: step}
-		t.by[service] = c
+		c = &slidingWindow{currentBucket: step}
+		t.services[service] = c
 	}
-	if step-c.at >= 2*steps {
-		*c = count{at: step}
+	if step-c.currentBucket >= 2*windowBuckets {
+		*c = slidingWindow{currentBucket: step}
 	}
-	for c.at < step {
-		c.at++
-		i := c.at % (2 * steps)
-		c.requests[i], c.extras[i] = 0, 0
+	for c.currentBucket < step {
+		c.currentBucket++
+		i := c.currentBucket % (2 * windowBuckets)
+		c.requests[i], c.extraAttempts[i] = 0, 0
 	}
 	return c
 }
 
 // sum adds up the newest n steps.
-func (c *count) sum(a *[2 * steps]float64, n int64) float64 {
+func (c *slidingWindow) sum(a *[2 * windowBuckets]float64, n int64) float64 {
 	s := 0.0
 	for k := int64(0); k < n; k++ {
-		if i := c.at - k; i >= 0 {
-			s += a[i%(2*steps)]
+		if i := c.currentBucket - k; i >= 0 {
+			s += a[i%(2*windowBuckets)]
 		}
 	}
 	return s
 }
 
-// Earn counts a request of a client for the service.
-func (t *Toll) Earn(service string, now time.Time) {
+// Deposit counts a request of a client for the service.
+func (t *Budget) Deposit(service string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.roll(service, now)
-	c.requests[c.at%(2*steps)]++
+	c := t.advance(service, now)
+	c.requests[c.currentBucket%(2*windowBuckets)]++
 }
 
-// Pay takes one extra arrival at the service out of the budget, if it is
+// TryWithdraw takes one extra arrival at the service out of the budget, if it is
 // there. keep is the share of the budget that must remain for others.
-func (t *Toll) Pay(service string, now time.Time, keep float64) bool {
+func (t *Budget) TryWithdraw(service string, now time.Time, keep float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.roll(service, now)
+	c := t.advance(service, now)
 	slack := 0.0
-	if now.Sub(t.born) >= t.t.Window {
-		slack = t.t.Slack / float64(t.nodes)
+	if now.Sub(t.startedAt) >= t.config.Window {
+		slack = t.config.Slack / float64(t.nodeCount)
 	}
 	// A window of steps+1 parts covers every window that ends now.
-	budget := margin * (t.t.Ratio*c.sum(&c.requests, steps) + slack)
-	if c.sum(&c.extras, steps+1)+1 > budget*(1-keep) {
+	budget := safetyMargin * (t.config.Ratio*c.sum(&c.requests, windowBuckets) + slack)
+	if c.sum(&c.extraAttempts, windowBuckets+1)+1 > budget*(1-keep) {
 		return false
 	}
-	c.extras[c.at%(2*steps)]++
+	c.extraAttempts[c.currentBucket%(2*windowBuckets)]++
 	return true
 }
--- a/internal/toll/toll_test.go
+++ b/internal/toll/toll_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// TestToll: over any window the extras of all nodes stay within the ratio of the
+// TestBudgetHoldsOverAnyWindow: over any window the extras of all nodes stay within the ratio of the
 // requests and the slack, whatever the order they come in.
-func TestToll(t *testing.T) {
+func TestBudgetHoldsOverAnyWindow(t *testing.T) {
 	const nodes, window = 4, 10 * time.Second
-	terms := Terms{Ratio: 0.2, Slack: 20, Window: window}
+	terms := Config{Ratio: 0.2, Slack: 20, Window: window}
 	start := time.Now()
-	var all [nodes]*Toll
+	var all [nodes]*Budget
 	for i := range all {
 		all[i] = New(terms, start)
-		all[i].SetNodes(nodes)
+		all[i].SetNodeCount(nodes)
 	}
 	var requests, extras []time.Duration
 	for at := time.Duration(0); at < 60*time.Second; at += 20 * time.Millisecond {
 		node := all[int(at/(20*time.Millisecond))%nodes]
 		now := start.Add(at)
 		if at/time.Second%7 < 4 { // traffic with pauses
-			node.Earn("s", now)
+			node.Deposit("s", now)
 			requests = append(requests, at)
 		}
 		for range 3 {
-			if node.Pay("s", now, 0) {
+			if node.TryWithdraw("s", now, 0) {
 				extras = append(extras, at)
 			}
 		}
@@ -47,7 +47,7 @@
 			t.Fatalf("%v extras in the window from %v, at most %v", got, from, most)
 		}
 	}
-	if fresh := New(terms, start); fresh.Pay("s", start, 0) {
+	if fresh := New(terms, start); fresh.TryWithdraw("s", start, 0) {
 		t.Fatal("a node that has just started has slack")
 	}
 }
--- a/internal/trunk/choice.go
+++ b/internal/trunk/choice.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Survey reports, for one request, how many of the services have a leaf that would
+// Availability reports, for one request, how many of the services have a leaf that would
 // take a call now, and for each the share of requests that its leafs can take.
-func (f *Frame) Survey(services []string) (up int, admits []float64) {
+func (f *ClusterManager) Availability(services []string) (up int, admits []float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	admits = make([]float64, len(services))
 	now := time.Now()
 	for i, name := range services {
 		admits[i] = 1
-		g := f.groups[name]
+		g := f.clusters[name]
 		if g == nil {
 			continue
 		}
-		admits[i] = min(1, g.admit)
-		for _, t := range g.trunks {
-			if f.takes(t, false, now) {
+		admits[i] = min(1, g.admitRate)
+		for _, t := range g.endpoints {
+			if f.accepts(t, false, now) {
 				up++
 				break
 			}
@@ -29,33 +29,33 @@
 	return up, admits
 }
 
-// takes reports whether a leaf takes a call. once says that the call may not be
+// accepts reports whether a leaf takes a call. once says that the call may not be
 // repeated: such calls try nobody out while others may.
-func (f *Frame) takes(t *Trunk, once bool, now time.Time) bool {
-	if t.leaf.Load().Draining || t.leaving || t.active >= f.room(t) {
+func (f *ClusterManager) accepts(t *Endpoint, once bool, now time.Time) bool {
+	if t.info.Load().Draining || t.terminating || t.activeCalls >= f.maxActiveCalls(t) {
 		return false
 	}
 	switch t.health {
-	case Clear:
-		return !t.marked
-	case OnTrial: // also while marked: a real answer is what lifts the mark
-		return t.active == 0 && (!once || now.Sub(t.tryAt) > tryPatience)
+	case Healthy:
+		return !t.fleetEjected
+	case Probation: // also while marked: a real answer is what lifts the mark
+		return t.activeCalls == 0 && (!once || now.Sub(t.probationSince) > probationPatience)
 	}
 	return false
 }
 
 // score estimates how long a call would take, in seconds, with what is far
 // counted against it.
-func (f *Frame) score(t *Trunk, now time.Time) float64 {
+func (f *ClusterManager) score(t *Endpoint, now time.Time) float64 {
 	far := 0.0
-	if t.leaf.Load().Zone != f.place.Zone {
-		d, ok := f.delay[t.leaf.Load().Zone]
+	if t.info.Load().Zone != f.locality.Zone {
+		d, ok := f.dialLatency[t.info.Load().Zone]
 		if !ok {
 			d = 0.02
 		}
-		far = d + awayShare*t.group.mean
+		far = d + remoteZoneMeanShare*t.cluster.meanLatency
 	}
-	work := t.group.mean
+	work := t.cluster.meanLatency
 	if work == 0 {
 		work = 0.02
 	}
@@ -63,50 +63,50 @@
 	if t.samples == 0 {
 		lat = work + far
 	}
-	slots := float64(max(1, t.leaf.Load().Slots))
-	s := lat + farFactor*far + float64(t.active)*work/slots*1.5 + errWork*work*t.bad(now)
-	if t.leaf.Load().Cold {
+	slots := float64(max(1, t.info.Load().Slots))
+	s := lat + remoteZoneFactor*far + float64(t.activeCalls)*work/slots*1.5 + errorCost*work*t.errorRate(now)
+	if t.info.Load().WarmingUp {
 		s += work * 0.5
 	}
 	if len(t.idle) == 0 {
-		s += work * openCost * f.rarely(t.group)
+		s += work * dialCost * f.reuseRarity(t.cluster)
 	}
 	// A leaf that turned a call away has a whole queue to work off first.
-	if left := fullWork*work - now.Sub(t.fullAt).Seconds(); left > 0 {
+	if left := rejectionCost*work - now.Sub(t.lastRejectedAt).Seconds(); left > 0 {
 		s += left
 	}
-	if since := now.Sub(t.clearAt); t.health == Clear && t.barSpan > 0 && since < rampTime {
-		s += work * 4 * (1 - float64(since)/float64(rampTime)) // back gradually
+	if since := now.Sub(t.healthySince); t.health == Healthy && t.ejectionTime > 0 && since < slowStartWindow {
+		s += work * 4 * (1 - float64(since)/float64(slowStartWindow)) // back gradually
 	}
 	return s
 }
 
-// rarely is how rarely, from 0 to 1, this node comes back to a line of the group:
+// reuseRarity is how rarely, from 0 to 1, this node comes back to a line of the group:
 // the more nodes share each leaf, the longer its lines rest, the more of them are
 // opened for a single call, and the less any one node can even out their load.
-func (f *Frame) rarely(g *Group) float64 {
-	nodes := float64(f.nodes) / float64(max(1, len(g.trunks)))
-	return min(1, max(0, nodes/rareNodes*2-1))
+func (f *ClusterManager) reuseRarity(g *Cluster) float64 {
+	nodes := float64(f.nodeCount) / float64(max(1, len(g.endpoints)))
+	return min(1, max(0, nodes/rareReuseNodes*2-1))
 }
 
-// choose picks the leaf for a try, leaving out those already tried: one of the
+// pick picks the leaf for a try, leaving out those already tried: one of the
 // node's own part of the group or, if none of those takes it, any.
-func (f *Frame) choose(g *Group, tried []*Trunk, once bool, now time.Time) *Trunk {
-	own := f.graded(g)
-	t := f.best(own, tried, once, now)
-	if t == nil && len(own) < len(g.trunks) {
-		t = f.best(g.trunks, tried, once, now)
+func (f *ClusterManager) pick(g *Cluster, tried []*Endpoint, once bool, now time.Time) *Endpoint {
+	own := f.subset(g)
+	t := f.pickBest(own, tried, once, now)
+	if t == nil && len(own) < len(g.endpoints) {
+		t = f.pickBest(g.endpoints, tried, once, now)
 	}
 	return t
 }
 
-// best picks the leaf of a list that seems to answer soonest.
-func (f *Frame) best(list, tried []*Trunk, once bool, now time.Time) *Trunk {
-	var best *Trunk
+// pickBest picks the leaf of a list that seems to answer soonest.
+func (f *ClusterManager) pickBest(list, tried []*Endpoint, once bool, now time.Time) *Endpoint {
+	var best *Endpoint
 	var bestScore float64
 next:
 	for _, t := range list {
-		if !f.takes(t, once, now) {
+		if !f.accepts(t, once, now) {
 			continue
 		}
 		for _, o := range tried {
@@ -122,51 +122,51 @@
 	return best
 }
 
-// Seize reserves the best leaf of a service for one call, or returns nil. once
+// Reserve reserves the best leaf of a service for one call, or returns nil. once
 // says that the call may not be repeated.
-func (f *Frame) Seize(service string, tried []*Trunk, once bool) *Trunk {
+func (f *ClusterManager) Reserve(service string, tried []*Endpoint, once bool) *Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.groups[service]
+	g := f.clusters[service]
 	if g == nil {
 		return nil
 	}
-	t := f.choose(g, tried, once, time.Now())
+	t := f.pick(g, tried, once, time.Now())
 	if t != nil {
-		t.active++
+		t.activeCalls++
 	}
 	return t
 }
 
-// Crowded reports whether the leafs of a service turn calls away as full.
-func (f *Frame) Crowded(service string) bool {
+// Overloaded reports whether the leafs of a service turn calls away as full.
+func (f *ClusterManager) Overloaded(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.groups[service]
-	return g != nil && g.full > fullBar
+	g := f.clusters[service]
+	return g != nil && g.rejectionRate > overloadRejectionRate
 }
 
-// Shared reports whether other calls of this node are at work at a leaf, or its service
+// Contended reports whether other calls of this node are at work at a leaf, or its service
 // turns calls away.
-func (f *Frame) Shared(t *Trunk) bool {
+func (f *ClusterManager) Contended(t *Endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return t.active > 1 || t.group.full > fullBar
+	return t.activeCalls > 1 || t.cluster.rejectionRate > overloadRejectionRate
 }
 
-// Mean is how long calls of a service take.
-func (f *Frame) Mean(service string) time.Duration {
+// MeanLatency is how long calls of a service take.
+func (f *ClusterManager) MeanLatency(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if g := f.groups[service]; g != nil {
-		return time.Duration(g.mean * float64(time.Second))
+	if g := f.clusters[service]; g != nil {
+		return time.Duration(g.meanLatency * float64(time.Second))
 	}
 	return 0
 }
 
 // Release gives up a reservation that was not used.
-func (f *Frame) Release(t *Trunk) {
+func (f *ClusterManager) Release(t *Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t.active--
+	t.activeCalls--
 }
--- a/internal/trunk/grading.go
+++ b/internal/trunk/grading.go
@@ -13,63 +13,63 @@
 // differs from node to node.
 
 const (
-	// gradeMost is the most leafs of a service that a node uses while they are
+	// maxSubsetSize is the most leafs of a service that a node uses while they are
 	// well. Fewer leave little choice, and would load the leafs unevenly.
-	gradeMost = 24
-	// gradeSpread allows for leafs that more nodes than usual choose.
-	gradeSpread = 2
+	maxSubsetSize = 24
+	// subsetOverlap allows for leafs that more nodes than usual choose.
+	subsetOverlap = 2
 )
 
-// standing is where a leaf stands in a node's order: the less the earlier.
-type standing struct {
-	far  int
-	luck uint64
+// subsetRank is where a leaf stands in a node's order: the less the earlier.
+type subsetRank struct {
+	distance int
+	hash     uint64
 }
 
-func (s standing) before(o standing) bool {
-	return s.far < o.far || s.far == o.far && s.luck < o.luck
+func (s subsetRank) before(o subsetRank) bool {
+	return s.distance < o.distance || s.distance == o.distance && s.hash < o.hash
 }
 
-func (f *Frame) standing(leaf, zone string) standing {
-	s := standing{far: 2}
+func (f *ClusterManager) rank(leaf, zone string) subsetRank {
+	s := subsetRank{distance: 2}
 	switch {
-	case zone == f.place.Zone:
-		s.far = 0
-	case f.place.Region(zone) == f.place.Region(f.place.Zone):
-		s.far = 1
+	case zone == f.locality.Zone:
+		s.distance = 0
+	case f.locality.RegionOf(zone) == f.locality.RegionOf(f.locality.Zone):
+		s.distance = 1
 	}
-	s.luck = ring.Place(f.place.Node, leaf)
+	s.hash = ring.Hash(f.locality.Node, leaf)
 	return s
 }
 
-// gradeSize is how many leafs of a group a node uses. Where nodes outnumber the
+// subsetSize is how many leafs of a group a node uses. Where nodes outnumber the
 // connections of a leaf, not every node may use every leaf.
-func (f *Frame) gradeSize(g *Group) int {
-	k := gradeMost
-	if l := f.limits[g.name]; l > 0 && f.nodes > l {
-		k = min(k, len(g.trunks)*l/(gradeSpread*f.nodes))
+func (f *ClusterManager) subsetSize(g *Cluster) int {
+	k := maxSubsetSize
+	if l := f.connectionLimits[g.name]; l > 0 && f.nodeCount > l {
+		k = min(k, len(g.endpoints)*l/(subsetOverlap*f.nodeCount))
 	}
 	return max(1, k)
 }
 
-// graded returns the leafs that a node uses first. Those that are drained or
+// subset returns the leafs that a node uses first. Those that are drained or
 // barred leave their place to the next in order.
-func (f *Frame) graded(g *Group) []*Trunk {
-	if g.graded != nil {
-		return g.graded
+func (f *ClusterManager) subset(g *Cluster) []*Endpoint {
+	if g.subset != nil {
+		return g.subset
 	}
-	k := f.gradeSize(g)
-	if len(g.trunks) <= k {
-		g.graded = g.trunks
-		return g.graded
+	k := f.subsetSize(g)
+	if len(g.endpoints) <= k {
+		g.subset = g.endpoints
+		return g.subset
 	}
-	order := make([]*Trunk, 0, len(g.trunks))
-	for _, t := range g.trunks {
-		if !t.leaf.Load().Draining && (!t.marked || t.health == OnTrial) && t.health != Barred {
+	order := make([]*Endpoint, 0, len(g.endpoints))
+	for _, t := range g.endpoints {
+		if !t.info.Load().Draining && (!t.fleetEjected || t.health == Probation) && t.health != Ejected {
 			order = append(order, t)
 		}
 	}
-	sort.Slice(order, func(i, j int) bool { return order[i].stands.before(order[j].stands) })
-	g.graded = order[:min(k, len(order))]
-	return g.graded
+	sort.Slice(order, func(i, j int) bool { return order[i].rank.before(order[j].rank) })
+	g.subset = order[:min(k, len(order))]
+	return g.subset
 }
--- a/internal/trunk/health.go
+++ b/internal/trunk/health.go
@@ -11,25 +11,25 @@
 	"comethold/internal/feed"
 )
 
-// bad is the share of bad answers of a leaf, as far as it still counts.
-func (t *Trunk) bad(now time.Time) float64 {
-	if t.errs == 0 {
+// errorRate is the share of bad answers of a leaf, as far as it still counts.
+func (t *Endpoint) errorRate(now time.Time) float64 {
+	if t.smoothedErrorRate == 0 {
 		return 0
 	}
-	return t.errs * math.Exp(-float64(now.Sub(t.errAt))/float64(errFade))
+	return t.smoothedErrorRate * math.Exp(-float64(now.Sub(t.errorRateAt))/float64(errorDecay))
 }
 
-// noteErr counts an answer as bad or not.
-func (t *Trunk) noteErr(now time.Time, bad float64) {
-	old := t.bad(now)
-	t.errs, t.errAt = old+errWeight*(bad-old), now
+// recordError counts an answer as bad or not.
+func (t *Endpoint) recordError(now time.Time, bad float64) {
+	old := t.errorRate(now)
+	t.smoothedErrorRate, t.errorRateAt = old+errorWeight*(bad-old), now
 }
 
-// learn takes in how a call went.
-func (f *Frame) learn(t *Trunk, a *Answer, err error, start time.Time, took time.Duration) {
+// recordOutcome takes in how a call went.
+func (f *ClusterManager) recordOutcome(t *Endpoint, a *Response, err error, start time.Time, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t.active--
+	t.activeCalls--
 	now := time.Now()
 	switch {
 	case err == nil && a.Status/100 == 2:
@@ -37,106 +37,106 @@
 		if t.samples == 0 {
 			t.latency = s
 		} else {
-			t.latency += ewmaWeight * (s - t.latency)
+			t.latency += latencyWeight * (s - t.latency)
 		}
 		t.samples++
-		g := t.group
-		g.full -= fullWeight * g.full
-		g.admit = min(admitMost, g.admit+admitUp)
-		if g.mean == 0 {
-			g.mean = s
+		g := t.cluster
+		g.rejectionRate -= rejectionWeight * g.rejectionRate
+		g.admitRate = min(maxAdmitRate, g.admitRate+admitIncrease)
+		if g.meanLatency == 0 {
+			g.meanLatency = s
 		} else {
-			g.mean += 0.02 * (s - g.mean)
+			g.meanLatency += 0.02 * (s - g.meanLatency)
 		}
-		t.failures, t.lastGood = 0, now
-		t.noteErr(now, 0)
-		if t.health != Clear {
-			f.clear(t, now)
+		t.consecutiveFailures, t.lastAnswerAt = 0, now
+		t.recordError(now, 0)
+		if t.health != Healthy {
+			f.reinstate(t, now)
 		}
 	case err == nil && a.Status == 421:
-		f.bar(t, now, "another leaf has its address")
-	case err == nil && a.NotRun():
-		t.group.full += fullWeight * (1 - t.group.full)
-		t.group.admit = max(admitLeast, t.group.admit-admitDown)
-		t.fullAt = now
-		if t.health == OnTrial {
-			f.bar(t, now, "refused on trial")
+		f.eject(t, now, "another leaf has its address")
+	case err == nil && a.NotExecuted():
+		t.cluster.rejectionRate += rejectionWeight * (1 - t.cluster.rejectionRate)
+		t.cluster.admitRate = max(minAdmitRate, t.cluster.admitRate-admitDecrease)
+		t.lastRejectedAt = now
+		if t.health == Probation {
+			f.eject(t, now, "refused on trial")
 		}
 	case err == nil && a.Status < 500:
-		t.lastGood = now
-		if t.health != Clear {
-			f.clear(t, now)
+		t.lastAnswerAt = now
+		if t.health != Healthy {
+			f.reinstate(t, now)
 		}
 	case err == nil: // it answers, but badly
-		t.lastGood = now
-		t.noteErr(now, 1)
-		if t.health == OnTrial || t.bad(now) > errBar && f.spared(t.group) {
-			f.bar(t, now, "it answers badly")
+		t.lastAnswerAt = now
+		t.recordError(now, 1)
+		if t.health == Probation || t.errorRate(now) > ejectionErrorRate && f.canEject(t.cluster) {
+			f.eject(t, now, "it answers badly")
 		}
 	default:
-		t.failures++
-		t.noteErr(now, 1)
-		if t.health == OnTrial || t.failures >= failuresBar || errors.Is(err, ErrNotSent) || (errors.Is(err, ErrLate) && t.lastGood.Before(start)) {
-			f.bar(t, now, err.Error())
+		t.consecutiveFailures++
+		t.recordError(now, 1)
+		if t.health == Probation || t.consecutiveFailures >= maxConsecutiveFailures || errors.Is(err, ErrNotSent) || (errors.Is(err, ErrTimeout) && t.lastAnswerAt.Before(start)) {
+			f.eject(t, now, err.Error())
 		}
 	}
 }
 
-// spared reports whether enough leafs of a group are well for one more to be
+// canEject reports whether enough leafs of a group are well for one more to be
 // barred for its answers: if most answer badly, that is how the service is.
-func (f *Frame) spared(g *Group) bool {
+func (f *ClusterManager) canEject(g *Cluster) bool {
 	clear := 0
-	for _, t := range g.trunks {
-		if t.health == Clear && !t.marked && !t.leaf.Load().Draining {
+	for _, t := range g.endpoints {
+		if t.health == Healthy && !t.fleetEjected && !t.info.Load().Draining {
 			clear++
 		}
 	}
-	return 2*(clear-1) >= len(g.trunks)
+	return 2*(clear-1) >= len(g.endpoints)
 }
 
-// Overdue is told that a call has waited longer than usual since it began. A
+// ReportOverdue is told that a call has waited longer than usual since it began. A
 // leaf from which nothing came in all that time is taken for silent.
-func (f *Frame) Overdue(t *Trunk, since time.Time, usual time.Duration) {
+func (f *ClusterManager) ReportOverdue(t *Endpoint, since time.Time, usual time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if t.lastGood.Before(since) && now.Sub(since) >= 3*usual && t.health != Barred {
-		f.bar(t, now, "silent")
+	if t.lastAnswerAt.Before(since) && now.Sub(since) >= 3*usual && t.health != Ejected {
+		f.eject(t, now, "silent")
 	}
 }
 
-// bar takes a trunk out of service for a while that grows.
-func (f *Frame) bar(t *Trunk, now time.Time, why string) {
-	if t.health == Barred || t.removed {
+// eject takes a trunk out of service for a while that grows.
+func (f *ClusterManager) eject(t *Endpoint, now time.Time, why string) {
+	if t.health == Ejected || t.removed {
 		return
 	}
-	t.health, t.group.graded = Barred, nil
-	t.barSpan = min(max(firstBar, 2*t.barSpan), longestBar)
-	f.hangUp(t)
-	f.log.Info(event.LeafMarked).Str("leaf", t.leaf.Load().ID).Str("service", t.leaf.Load().Service).Str("why", why).Msg("leaf barred on this node")
-	f.Report(feed.Report{Leaf: t.leaf.Load().ID, Service: t.leaf.Load().Service})
-	f.probeLater(t, t.barSpan)
+	t.health, t.cluster.subset = Ejected, nil
+	t.ejectionTime = min(max(baseEjectionTime, 2*t.ejectionTime), maxEjectionTime)
+	f.closeIdle(t)
+	f.log.Info(event.EndpointEjected).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Str("why", why).Msg("leaf barred on this node")
+	f.OnHealthChange(feed.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service})
+	f.scheduleProbe(t, t.ejectionTime)
 }
 
-// clear puts a trunk back in service; traffic comes back gradually.
-func (f *Frame) clear(t *Trunk, now time.Time) {
-	if t.health == Clear && !t.marked {
+// reinstate puts a trunk back in service; traffic comes back gradually.
+func (f *ClusterManager) reinstate(t *Endpoint, now time.Time) {
+	if t.health == Healthy && !t.fleetEjected {
 		return
 	}
-	t.health, t.failures, t.clearAt, t.group.graded = Clear, 0, now, nil
-	t.latency, t.samples, t.errs = 0, 0, 0
-	f.log.Info(event.LeafCleared).Str("leaf", t.leaf.Load().ID).Str("service", t.leaf.Load().Service).Msg("leaf clear on this node")
-	f.Report(feed.Report{Leaf: t.leaf.Load().ID, Service: t.leaf.Load().Service, Well: true})
+	t.health, t.consecutiveFailures, t.healthySince, t.cluster.subset = Healthy, 0, now, nil
+	t.latency, t.samples, t.smoothedErrorRate = 0, 0, 0
+	f.log.Info(event.EndpointRestored).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Msg("leaf clear on this node")
+	f.OnHealthChange(feed.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service, Healthy: true})
 }
 
-// try lets a barred trunk take single calls until one of them goes well or not.
-func (f *Frame) try(t *Trunk, now time.Time) {
-	t.health, t.group.graded, t.tryAt = OnTrial, nil, now
-	t.latency, t.samples, t.errs = 0, 0, 0
+// beginProbation lets a barred trunk take single calls until one of them goes well or not.
+func (f *ClusterManager) beginProbation(t *Endpoint, now time.Time) {
+	t.health, t.cluster.subset, t.probationSince = Probation, nil, now
+	t.latency, t.samples, t.smoothedErrorRate = 0, 0, 0
 }
 
-// probeLater asks a barred leaf after a while whether it answers.
-func (f *Frame) probeLater(t *Trunk, after time.Duration) {
+// scheduleProbe asks a barred leaf after a while whether it answers.
+func (f *ClusterManager) scheduleProbe(t *Endpoint, after time.Duration) {
 	if t.probing {
 		return
 	}
@@ -144,12 +144,12 @@
 	time.AfterFunc(time.Duration((0.8+0.4*rand.Float64())*float64(after)), func() { f.probe(t) })
 }
 
-func (f *Frame) probe(t *Trunk) {
+func (f *ClusterManager) probe(t *Endpoint) {
 	f.mu.Lock()
-	path, host := t.group.health, t.leaf.Load().Addr
-	gone := t.removed || t.health != Barred
+	path, host := t.cluster.healthPath, t.info.Load().Addr
+	gone := t.removed || t.health != Ejected
 	t.probing = !gone
-	leaving := t.leaf.Load().Draining
+	leaving := t.info.Load().Draining
 	f.mu.Unlock()
 	if gone {
 		return
@@ -158,26 +158,26 @@
 	// all is tried with a request that may be repeated.
 	answers := path == ""
 	if path != "" && !leaving {
-		r := &Request{Method: "GET", Target: path, Host: host, Deadline: time.Now().Add(probeLimit)}
+		r := &Request{Method: "GET", Target: path, Host: host, Deadline: time.Now().Add(probeTimeout)}
 		ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
-		l, err := f.line(ctx, t, r.Once)
+		l, err := f.acquireConnection(ctx, t, r.NonIdempotent)
 		cancel()
 		if err == nil {
-			a, _, err := l.call(r, "")
-			answers = err == nil && a.Header.Get(HeaderInstance) == t.leaf.Load().ID
-			f.drop(t, l)
+			a, _, err := l.roundTrip(r, "")
+			answers = err == nil && a.Header.Get(HeaderInstanceID) == t.info.Load().ID
+			f.discardConnection(t, l)
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.probing = false
-	if t.removed || t.health != Barred {
+	if t.removed || t.health != Ejected {
 		return
 	}
 	if answers {
-		f.try(t, time.Now())
+		f.beginProbation(t, time.Now())
 		return
 	}
-	t.barSpan = min(2*t.barSpan, longestBar)
-	f.probeLater(t, min(t.barSpan, time.Second))
+	t.ejectionTime = min(2*t.ejectionTime, maxEjectionTime)
+	f.scheduleProbe(t, min(t.ejectionTime, time.Second))
 }
--- a/internal/trunk/line_test.go
+++ b/internal/trunk/line_test.go
@@ -15,9 +15,9 @@
 	"comethold/internal/feed"
 )
 
-// TestSurplus: bytes that a leaf sends after a whole answer, at once or later,
+// TestUnexpectedBytesAnswerNoRequest: bytes that a leaf sends after a whole answer, at once or later,
 // never answer the next request on the connection.
-func TestSurplus(t *testing.T) {
+func TestUnexpectedBytesAnswerNoRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,9 +37,9 @@
 					if err != nil {
 						return
 					}
-					id := r.Header.Get(HeaderID)
-					whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderStamp, len(id), id)
-					alien := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s\r\n%s: %s\r\nContent-Length: 5\r\n\r\nalien", HeaderStamp, HeaderID, id)
+					id := r.Header.Get(HeaderRequestID)
+					whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", HeaderServerStamp, len(id), id)
+					alien := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: s\r\n%s: %s\r\nContent-Length: 5\r\n\r\nalien", HeaderServerStamp, HeaderRequestID, id)
 					if i%2 == 0 { // later: it may even arrive after the next request has left
 						fmt.Fprint(c, whole)
 						time.Sleep(time.Millisecond)
@@ -52,10 +52,10 @@
 		}
 	}()
 	d := &net.Dialer{}
-	f := NewFrame(placeOf("n1", "a"), d.DialContext, event.Nop())
-	f.SetList(map[string]feed.Leaf{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
+	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, event.Nop())
+	f.SetEndpoints(map[string]feed.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
 	for i := range 40 {
-		tr := f.Seize("s", nil, false)
+		tr := f.Reserve("s", nil, false)
 		if tr == nil {
 			t.Fatal("the leaf takes no call")
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-// script is a leaf that answers each connection's requests by the given texts, in
+// startScriptedLeaf is a leaf that answers each connection's requests by the given texts, in
 // which ID is the request's; a text that ends in CLOSE ends the connection.
-func script(t *testing.T, answers ...string) *Frame {
+func startScriptedLeaf(t *testing.T, answers ...string) *ClusterManager {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 					if err != nil {
 						return
 					}
-					a, end := strings.CutSuffix(strings.ReplaceAll(a, "ID", r.Header.Get(HeaderID)), "CLOSE")
+					a, end := strings.CutSuffix(strings.ReplaceAll(a, "ID", r.Header.Get(HeaderRequestID)), "CLOSE")
 					fmt.Fprint(c, a)
 					if end {
 						return
@@ -100,13 +100,13 @@
 		}
 	}()
 	d := &net.Dialer{}
-	f := NewFrame(placeOf("n1", "a"), d.DialContext, event.Nop())
-	f.SetList(map[string]feed.Leaf{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
+	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, event.Nop())
+	f.SetEndpoints(map[string]feed.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
 	return f
 }
 
-// TestAnswers: what of an answer counts, and what becomes of its connection.
-func TestAnswers(t *testing.T) {
+// TestResponseOutcomes: what of an answer counts, and what becomes of its connection.
+func TestResponseOutcomes(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nX-Comethold-Server-Stamp: s\r\nContent-Length: 2\r\n"
 	const full = "HTTP/1.1 503 Full\r\nX-Comethold-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	const named = ok + "X-Comethold-Request-Id: ID\r\n\r\nID"
@@ -133,29 +133,29 @@
 		"a refusal that comes twice, then a part": {part: true, answers: []string{full, full, ok + "\r\nq1"}, want: "refused refused refused"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := script(t, c.answers...)
+			f := startScriptedLeaf(t, c.answers...)
 			if c.once { // the second connection has a well leaf
 				first := f.dial
-				well := script(t, named, named)
+				well := startScriptedLeaf(t, named, named)
 				n := 0
 				f.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if n++; n > 1 {
-						addr = well.byID["l"].leaf.Load().Addr
+						addr = well.endpoints["l"].info.Load().Addr
 					}
 					return first(ctx, network, addr)
 				}
 			}
 			var got []string
 			for i := range strings.Count(c.want, " ") + 1 {
-				tr := f.byID["l"]
+				tr := f.endpoints["l"]
 				f.mu.Lock()
-				tr.active++
+				tr.activeCalls++
 				f.mu.Unlock()
-				a, err := f.Call(tr, &Request{Method: cmp.Or(c.method, "GET"), Target: "/", Host: "h", Part: c.part, Once: c.once, ID: fmt.Sprint("q", i), Deadline: time.Now().Add(150 * time.Millisecond)})
+				a, err := f.Call(tr, &Request{Method: cmp.Or(c.method, "GET"), Target: "/", Host: "h", FanOut: c.part, NonIdempotent: c.once, ID: fmt.Sprint("q", i), Deadline: time.Now().Add(150 * time.Millisecond)})
 				switch how := OutcomeOf(a, err); {
-				case how == Refused:
+				case how == Rejected:
 					got = append(got, "refused")
-				case how == Ran:
+				case how == Executed:
 					got = append(got, cmp.Or(string(a.Body), "-"))
 				default:
 					got = append(got, "unclear")
