--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -17,28 +17,28 @@
 
 // Timing and weights of the choice. Ours; see docs/design.md.
 const (
-	dialLimit   = 600 * time.Millisecond
-	firstBar    = 400 * time.Millisecond
-	longestBar  = 3 * time.Second
-	tryPatience = time.Second // after which a trial may be by a call that may not be repeated
-	ewmaWeight  = 0.2
-	failuresBar = 3
-	awayShare   = 0.5 // of a service's usual time that an answer from another zone must save
-	farFactor   = 1.0 // how many times its delay a far leaf must be better
-	rampTime    = 2 * time.Second
-	fullWeight  = 0.02
-	errWeight   = 0.2
-	errFade     = 3 * time.Second // in which what is known of bad answers fades to a third
-	errWork     = 20.0            // usual times that a certain failure counts as
-	errBar      = 0.6             // the share of bad answers from which a leaf is barred
-	admitDown   = 0.08            // of the calls to a service, for each that a full leaf turned away
-	admitUp     = 0.005
-	admitMost   = 1.1 // above 1: single full leafs are no overload
-	admitLeast  = 0.3
-	openCost    = 0.4  // of the usual time that opening a line counts as, where lines rest long
-	rareNodes   = 20   // nodes to a leaf from which lines rest long; up to half of that they don't
-	fullWork    = 4.0  // usual times that the queue of a leaf takes which turned a call away
-	fullBar     = 0.02 // the share of calls turned away above which a service is crowded
+	dialTimeout            = 600 * time.Millisecond
+	baseEjectionTime       = 400 * time.Millisecond
+	maxEjectionTime        = 3 * time.Second
+	probationPatience      = time.Second // after which a trial may be by a call that may not be repeated
+	latencyWeight          = 0.2
+	maxConsecutiveFailures = 3
+	remoteZoneMeanShare    = 0.5 // of a service's usual time that an answer from another zone must save
+	remoteZoneFactor       = 1.0 // how many times its delay a far leaf must be better
+	slowStartWindow        = 2 * time.Second
+	rejectionWeight        = 0.02
+	errorWeight            = 0.2
+	errorDecay             = 3 * time.Second // in which what is known of bad answers fades to a third
+	errorCost              = 20.0            // usual times that a certain failure counts as
+	ejectionErrorRate      = 0.6             // the share of bad answers from which a leaf is barred
+	admitDecrease          = 0.08            // of the calls to a service, for each that a full leaf turned away
+	admitIncrease          = 0.005
+	maxAdmitRate           = 1.1 // above 1: single full leafs are no overload
+	minAdmitRate           = 0.3
+	dialCost               = 0.4  // of the usual time that opening a line counts as, where lines rest long
+	rareReuseNodes         = 20   // nodes to a leaf from which lines rest long; up to half of that they don't
+	rejectionCost          = 4.0  // usual times that the queue of a leaf takes which turned a call away
+	overloadRejectionRate  = 0.02 // the share of calls turned away above which a service is crowded
 )
 
 // Health is the explicit state of a trunk.
@@ -46,179 +46,179 @@
 
 // States: Clear takes calls, Barred takes none, OnTrial takes one at a time.
 const (
-	Clear Health = iota
-	Barred
-	OnTrial
+	Healthy Health = iota
+	Ejected
+	Probation
 )
 
-// Trunk is one leaf as this node sees it.
-type Trunk struct {
-	leaf   atomic.Pointer[feed.Leaf] // what it points to never changes
-	group  *Group
-	stands standing
-
-	idle   []*line
-	open   int // lines, idle or at work
-	active int // calls at work
-
-	health   Health
-	barSpan  time.Duration
-	tryAt    time.Time // when its trial began
-	marked   bool      // drained by its index cell
-	leaving  bool      // and that because the platform says so
-	removed  bool      // off the list
-	failures int
-	lastGood time.Time
-	clearAt  time.Time
-	latency  float64 // seconds, smoothed
-	samples  int
-	probing  bool
-	fullAt   time.Time // when it last turned a call away as full
-	errs     float64   // share of bad answers, smoothed, as of errAt
-	errAt    time.Time
+// Endpoint is one leaf as this node sees it.
+type Endpoint struct {
+	info    atomic.Pointer[feed.Endpoint] // what it points to never changes
+	cluster *Cluster
+	rank    subsetRank
+
+	idle        []*connection
+	open        int // lines, idle or at work
+	activeCalls int // calls at work
+
+	health              Health
+	ejectionTime        time.Duration
+	probationSince      time.Time // when its trial began
+	fleetEjected        bool      // drained by its index cell
+	terminating         bool      // and that because the platform says so
+	removed             bool      // off the list
+	consecutiveFailures int
+	lastAnswerAt        time.Time
+	healthySince        time.Time
+	latency             float64 // seconds, smoothed
+	samples             int
+	probing             bool
+	lastRejectedAt      time.Time // when it last turned a call away as full
+	smoothedErrorRate   float64   // share of bad answers, smoothed, as of errAt
+	errorRateAt         time.Time
 }
 
-// Group is the leafs of one service.
-type Group struct {
-	name   string
-	trunks []*Trunk
-	graded []*Trunk // those used first; nil when it must be worked out anew
-	limit  int      // lines a leaf takes from this node
-	health string
-	mean   float64 // seconds, smoothed over all leafs
-	full   float64 // share of calls that leafs turned away as full, smoothed
-	admit  float64 // share of requests that the leafs can take, as far as known
+// Cluster is the leafs of one service.
+type Cluster struct {
+	name            string
+	endpoints       []*Endpoint
+	subset          []*Endpoint // those used first; nil when it must be worked out anew
+	connectionLimit int         // lines a leaf takes from this node
+	healthPath      string
+	meanLatency     float64 // seconds, smoothed over all leafs
+	rejectionRate   float64 // share of calls that leafs turned away as full, smoothed
+	admitRate       float64 // share of requests that the leafs can take, as far as known
 }
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Place is where a node stands.
-type Place struct {
-	Node   string
-	Zone   string
-	Region func(zone string) string
+// Locality is where a node stands.
+type Locality struct {
+	Node     string
+	Zone     string
+	RegionOf func(zone string) string
 }
 
-// Frame holds every group of this node.
-type Frame struct {
-	place Place
-	log   *event.Log
-	dial  DialFunc
-
-	mu     sync.Mutex
-	groups map[string]*Group
-	byID   map[string]*Trunk
-	delay  map[string]float64 // seconds that opening a line to a zone takes
-	limits map[string]int
-	paths  map[string]string
-	nodes  int
-	over   float64
-
-	// Report is told of leafs that turn bad or well. It must not block.
-	Report func(feed.Report)
+// ClusterManager holds every group of this node.
+type ClusterManager struct {
+	locality Locality
+	log      *event.Logger
+	dial     DialFunc
+
+	mu               sync.Mutex
+	clusters         map[string]*Cluster
+	endpoints        map[string]*Endpoint
+	dialLatency      map[string]float64 // seconds that opening a line to a zone takes
+	connectionLimits map[string]int
+	healthPaths      map[string]string
+	nodeCount        int
+	slotOvercommit   float64
+
+	// OnHealthChange is told of leafs that turn bad or well. It must not block.
+	OnHealthChange func(feed.HealthReport)
 }
 
-// NewFrame makes an empty frame for a node at a place.
-func NewFrame(place Place, dial DialFunc, log *event.Log) *Frame {
-	return &Frame{place: place, dial: dial, log: log, groups: map[string]*Group{}, byID: map[string]*Trunk{},
-		delay: map[string]float64{}, limits: map[string]int{}, paths: map[string]string{}, nodes: 1, Report: func(feed.Report) {}}
+// NewClusterManager makes an empty frame for a node at a place.
+func NewClusterManager(place Locality, dial DialFunc, log *event.Logger) *ClusterManager {
+	return &ClusterManager{locality: place, dial: dial, log: log, clusters: map[string]*Cluster{}, endpoints: map[string]*Endpoint{},
+		dialLatency: map[string]float64{}, connectionLimits: map[string]int{}, healthPaths: map[string]string{}, nodeCount: 1, OnHealthChange: func(feed.HealthReport) {}}
 }
 
 // SetServices takes the connection limits and health paths of a plan.
-func (f *Frame) SetServices(limits map[string]int, paths map[string]string) {
+func (f *ClusterManager) SetServices(limits map[string]int, paths map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limits, f.paths = limits, paths
-	f.relimit()
+	f.connectionLimits, f.healthPaths = limits, paths
+	f.applyLimits()
 }
 
-// SetNodes tells among how many nodes the connection limits are divided.
-func (f *Frame) SetNodes(n int) {
+// SetNodeCount tells among how many nodes the connection limits are divided.
+func (f *ClusterManager) SetNodeCount(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nodes = max(1, n)
-	f.relimit()
+	f.nodeCount = max(1, n)
+	f.applyLimits()
 }
 
-// SetOver bounds the calls at work on a leaf to its slots times over, divided
+// SetSlotOvercommit bounds the calls at work on a leaf to its slots times over, divided
 // among the nodes; 0 leaves the bound to the lines.
-func (f *Frame) SetOver(over float64) {
+func (f *ClusterManager) SetSlotOvercommit(over float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.over = over
+	f.slotOvercommit = over
 }
 
-// room is how many calls may be at work on a leaf from this node.
-func (f *Frame) room(t *Trunk) int {
-	if f.over <= 0 {
-		return t.group.limit
+// maxActiveCalls is how many calls may be at work on a leaf from this node.
+func (f *ClusterManager) maxActiveCalls(t *Endpoint) int {
+	if f.slotOvercommit <= 0 {
+		return t.cluster.connectionLimit
 	}
-	return min(t.group.limit, max(1, int(math.Ceil(f.over*float64(max(1, t.leaf.Load().Slots))/float64(f.nodes)))))
+	return min(t.cluster.connectionLimit, max(1, int(math.Ceil(f.slotOvercommit*float64(max(1, t.info.Load().Slots))/float64(f.nodeCount)))))
 }
 
-func (f *Frame) relimit() {
-	for name, g := range f.groups {
-		g.limit = 64
-		if l := f.limits[name]; l > 0 {
-			g.limit = max(1, l/f.nodes)
+func (f *ClusterManager) applyLimits() {
+	for name, g := range f.clusters {
+		g.connectionLimit = 64
+		if l := f.connectionLimits[name]; l > 0 {
+			g.connectionLimit = max(1, l/f.nodeCount)
 		}
-		g.health = f.paths[name]
-		g.graded = nil
+		g.healthPath = f.healthPaths[name]
+		g.subset = nil
 	}
 }
 
-func (f *Frame) group(name string) *Group {
-	g := f.groups[name]
+func (f *ClusterManager) cluster(name string) *Cluster {
+	g := f.clusters[name]
 	if g == nil {
-		g = &Group{name: name, admit: admitMost}
-		f.groups[name] = g
-		f.relimit()
+		g = &Cluster{name: name, admitRate: maxAdmitRate}
+		f.clusters[name] = g
+		f.applyLimits()
 	}
 	return g
 }
 
-// SetList takes the platform's list, by the leafs' names.
-func (f *Frame) SetList(leafs map[string]feed.Leaf) {
+// SetEndpoints takes the platform's list, by the leafs' names.
+func (f *ClusterManager) SetEndpoints(leafs map[string]feed.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := time.Now()
 	for _, l := range leafs {
-		t := f.byID[l.ID]
+		t := f.endpoints[l.ID]
 		if t == nil {
-			g := f.group(l.Service)
-			t = &Trunk{group: g, clearAt: at, stands: f.standing(l.ID, l.Zone)}
-			f.byID[l.ID] = t
-			g.trunks = append(g.trunks, t)
+			g := f.cluster(l.Service)
+			t = &Endpoint{cluster: g, healthySince: at, rank: f.rank(l.ID, l.Zone)}
+			f.endpoints[l.ID] = t
+			g.endpoints = append(g.endpoints, t)
 		}
-		if old := t.leaf.Load(); old == nil || *old != l {
+		if old := t.info.Load(); old == nil || *old != l {
 			now := l
-			t.leaf.Store(&now)
-			t.group.graded = nil
+			t.info.Store(&now)
+			t.cluster.subset = nil
 		}
 	}
-	for id, t := range f.byID {
+	for id, t := range f.endpoints {
 		if _, listed := leafs[id]; !listed {
 			f.remove(id, t)
 		}
 	}
 }
 
-func (f *Frame) remove(id string, t *Trunk) {
+func (f *ClusterManager) remove(id string, t *Endpoint) {
 	t.removed = true
-	t.group.graded = nil
-	delete(f.byID, id)
-	for i, o := range t.group.trunks {
+	t.cluster.subset = nil
+	delete(f.endpoints, id)
+	for i, o := range t.cluster.endpoints {
 		if o == t {
-			t.group.trunks = append(t.group.trunks[:i:i], t.group.trunks[i+1:]...)
+			t.cluster.endpoints = append(t.cluster.endpoints[:i:i], t.cluster.endpoints[i+1:]...)
 			break
 		}
 	}
-	f.hangUp(t)
+	f.closeIdle(t)
 }
 
-// hangUp closes the idle lines of a trunk.
-func (f *Frame) hangUp(t *Trunk) {
+// closeIdle closes the idle lines of a trunk.
+func (f *ClusterManager) closeIdle(t *Endpoint) {
 	for _, l := range t.idle {
 		_ = l.conn.Close()
 		t.open--
@@ -226,29 +226,29 @@
 	t.idle = nil
 }
 
-// SetMarks takes the leafs that the index cells hold as drained.
-func (f *Frame) SetMarks(drained map[string]feed.Mark) {
+// SetFleetEjections takes the leafs that the index cells hold as drained.
+func (f *ClusterManager) SetFleetEjections(drained map[string]feed.EjectionMark) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, t := range f.byID {
-		was := t.marked
-		var mark feed.Mark
-		mark, t.marked = drained[id]
-		t.leaving = mark.Why == feed.WhyList
-		if was != t.marked {
-			t.group.graded = nil
+	for id, t := range f.endpoints {
+		was := t.fleetEjected
+		var mark feed.EjectionMark
+		mark, t.fleetEjected = drained[id]
+		t.terminating = mark.Reason == feed.ReasonDraining
+		if was != t.fleetEjected {
+			t.cluster.subset = nil
 		}
-		if was && !t.marked {
-			f.clear(t, time.Now())
+		if was && !t.fleetEjected {
+			f.reinstate(t, time.Now())
 		}
 	}
 }
 
-// line takes an idle line or opens a new one.
-func (f *Frame) line(ctx context.Context, t *Trunk, once bool) (*line, error) {
+// acquireConnection takes an idle line or opens a new one.
+func (f *ClusterManager) acquireConnection(ctx context.Context, t *Endpoint, once bool) (*connection, error) {
 	for {
 		f.mu.Lock()
-		var l *line
+		var l *connection
 		if n := len(t.idle); n > 0 {
 			l = t.idle[n-1]
 			t.idle = t.idle[:n-1]
@@ -260,17 +260,17 @@
 			break
 		}
 		now := time.Now()
-		if now.Before(l.until) && !(once && (l.nameless || now.Sub(l.rested) > doubtAfter)) && l.quiet() {
+		if now.Before(l.reusableUntil) && !(once && (l.lastUnidentified || now.Sub(l.idleSince) > maxIdleNonIdempotent)) && l.isIdleAndOpen() {
 			return l, nil
 		}
-		if l.surplus {
-			f.log.Warn(event.LeafSurplus).Str("leaf", t.leaf.Load().ID).Msg("a leaf sent more after a whole answer; the connection is given up")
+		if l.unexpectedBytes {
+			f.log.Warn(event.EndpointSurplusData).Str("leaf", t.info.Load().ID).Msg("a leaf sent more after a whole answer; the connection is given up")
 		}
-		f.drop(t, l)
+		f.discardConnection(t, l)
 	}
 	start := time.Now()
-	dctx, cancel := context.WithTimeout(ctx, dialLimit)
-	c, err := f.dial(dctx, "tcp4", t.leaf.Load().Addr)
+	dctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	c, err := f.dial(dctx, "tcp4", t.info.Load().Addr)
 	cancel()
 	if err != nil {
 		f.mu.Lock()
@@ -280,68 +280,68 @@
 	}
 	took := time.Since(start).Seconds()
 	f.mu.Lock()
-	if d, ok := f.delay[t.leaf.Load().Zone]; !ok || took < d {
-		f.delay[t.leaf.Load().Zone] = took
+	if d, ok := f.dialLatency[t.info.Load().Zone]; !ok || took < d {
+		f.dialLatency[t.info.Load().Zone] = took
 	} else {
-		f.delay[t.leaf.Load().Zone] = d + 0.01*(took-d)
+		f.dialLatency[t.info.Load().Zone] = d + 0.01*(took-d)
 	}
 	f.mu.Unlock()
-	return newLine(c), nil
+	return newConnection(c), nil
 }
 
-func (f *Frame) drop(t *Trunk, l *line) {
+func (f *ClusterManager) discardConnection(t *Endpoint, l *connection) {
 	_ = l.conn.Close()
 	f.mu.Lock()
 	t.open--
 	f.mu.Unlock()
 }
 
-func (f *Frame) giveBack(t *Trunk, l *line) {
+func (f *ClusterManager) releaseConnection(t *Endpoint, l *connection) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if t.removed || len(t.idle) >= t.group.limit {
+	if t.removed || len(t.idle) >= t.cluster.connectionLimit {
 		_ = l.conn.Close()
 		t.open--
 		return
 	}
-	l.rested = time.Now()
+	l.idleSince = time.Now()
 	t.idle = append(t.idle, l)
 }
 
 // Call sends a request over a trunk that Seize reserved, and releases it. The
 // leaf is named, so that another at its address turns the request away.
-func (f *Frame) Call(t *Trunk, r *Request) (*Answer, error) {
+func (f *ClusterManager) Call(t *Endpoint, r *Request) (*Response, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	defer cancel()
-	l, err := f.line(ctx, t, r.Once)
-	var a *Answer
+	l, err := f.acquireConnection(ctx, t, r.NonIdempotent)
+	var a *Response
 	var took time.Duration
 	start := time.Now()
 	if err == nil {
 		var reuse bool
-		a, reuse, err = l.call(r, t.leaf.Load().ID)
+		a, reuse, err = l.roundTrip(r, t.info.Load().ID)
 		took = time.Since(start)
 		if reuse {
-			f.giveBack(t, l)
+			f.releaseConnection(t, l)
 		} else {
-			f.drop(t, l)
+			f.discardConnection(t, l)
 		}
 	}
-	f.learn(t, a, err, start, took)
+	f.recordOutcome(t, a, err, start, took)
 	return a, err
 }
 
-const probeLimit = 500 * time.Millisecond
+const probeTimeout = 500 * time.Millisecond
 
-// Sweep closes idle lines whose time has passed.
-func (f *Frame) Sweep() {
+// CloseExpiredConnections closes idle lines whose time has passed.
+func (f *ClusterManager) CloseExpiredConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	for _, t := range f.byID {
+	for _, t := range f.endpoints {
 		keep := t.idle[:0]
 		for _, l := range t.idle {
-			if now.After(l.until) {
+			if now.After(l.reusableUntil) {
 				_ = l.conn.Close()
 				t.open--
 			} else {
@@ -352,5 +352,5 @@
 	}
 }
 
-// Leaf returns the leaf of a trunk.
-func (t *Trunk) Leaf() feed.Leaf { return *t.leaf.Load() }
+// Info returns the leaf of a trunk.
+func (t *Endpoint) Info() feed.Endpoint { return *t.info.Load() }
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -12,65 +12,65 @@
 type Clock struct {
 	base time.Time // a moment of the steady clock
 
-	mu     sync.Mutex
-	offset time.Duration // of true time since 1970, at base
-	set    bool
-	peers  map[string]sample
-	born   time.Time
+	mu        sync.Mutex
+	offset    time.Duration // of true time since 1970, at base
+	hasOffset bool
+	peers     map[string]sample
+	createdAt time.Time
 }
 
 // sample is what another registrar said, as offsets to this node's steady clock.
 type sample struct {
-	wall   time.Duration
-	agreed time.Duration
-	has    bool
-	at     time.Time
+	wall       time.Duration
+	agreed     time.Duration
+	hasAgreed  bool
+	observedAt time.Time
 }
 
 const (
-	sampleAge = 5 * time.Second
-	// settleTime is how long a first agreement waits for more to be heard.
-	settleTime = 1500 * time.Millisecond
-	settleMost = 6 * time.Second
-	// slew is the most that an agreed offset moves in a second.
-	slew = time.Millisecond
+	maxSampleAge = 5 * time.Second
+	// initialAgreementWait is how long a first agreement waits for more to be heard.
+	initialAgreementWait = 1500 * time.Millisecond
+	maxInitialWait       = 6 * time.Second
+	// maxSlewPerSecond is the most that an agreed offset moves in a second.
+	maxSlewPerSecond = time.Millisecond
 )
 
 // NewClock makes a clock that knows no time yet.
 func NewClock(now time.Time) *Clock {
-	return &Clock{base: now, born: now, peers: map[string]sample{}}
+	return &Clock{base: now, createdAt: now, peers: map[string]sample{}}
 }
 
 func (c *Clock) offsetOf(unixNano int64, now time.Time) time.Duration {
 	return time.Duration(unixNano) - now.Sub(c.base)
 }
 
-// Heard notes the time of day of another registrar, and its agreed time if it has one.
-func (c *Clock) Heard(peer string, wall, agreed int64, now time.Time) {
+// Observe notes the time of day of another registrar, and its agreed time if it has one.
+func (c *Clock) Observe(peer string, wall, agreed int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers[peer] = sample{wall: c.offsetOf(wall, now), agreed: c.offsetOf(agreed, now), has: agreed != 0, at: now}
+	c.peers[peer] = sample{wall: c.offsetOf(wall, now), agreed: c.offsetOf(agreed, now), hasAgreed: agreed != 0, observedAt: now}
 }
 
-// Step brings the agreed time up to date; wall is this machine's own time of day, and
+// Update brings the agreed time up to date; wall is this machine's own time of day, and
 // most the number of registrars that bear no doubt, be they heard or not.
-func (c *Clock) Step(wall int64, most int, elapsed time.Duration, now time.Time) {
+func (c *Clock) Update(wall int64, most int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	walls, agreed := []time.Duration{c.offsetOf(wall, now)}, []time.Duration{}
 	for name, s := range c.peers {
-		if now.Sub(s.at) > sampleAge {
+		if now.Sub(s.observedAt) > maxSampleAge {
 			delete(c.peers, name)
 			continue
 		}
 		walls = append(walls, s.wall)
-		if s.has {
+		if s.hasAgreed {
 			agreed = append(agreed, s.agreed)
 		}
 	}
-	age := now.Sub(c.born)
+	age := now.Sub(c.createdAt)
 	switch {
-	case c.set:
+	case c.hasOffset:
 		to := c.offset
 		if len(agreed) > 0 {
 			to = median(append(agreed, c.offset))
@@ -80,12 +80,12 @@
 		if w := median(walls); (w - to).Abs() < 200*time.Millisecond {
 			to += (w - to) / 8
 		}
-		step := time.Duration(float64(slew) * elapsed.Seconds())
+		step := time.Duration(float64(maxSlewPerSecond) * elapsed.Seconds())
 		c.offset += min(max(to-c.offset, -step), step)
 	case len(agreed) > 0:
-		c.offset, c.set = median(agreed), true
-	case len(walls) >= most && age >= settleTime || 2*len(walls) > most && age >= settleMost || age >= 2*settleMost:
-		c.offset, c.set = median(walls), true
+		c.offset, c.hasOffset = median(agreed), true
+	case len(walls) >= most && age >= initialAgreementWait || 2*len(walls) > most && age >= maxInitialWait || age >= 2*maxInitialWait:
+		c.offset, c.hasOffset = median(walls), true
 	}
 }
 
@@ -93,14 +93,14 @@
 func (c *Clock) Set(unixNano int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offset, c.set = c.offsetOf(unixNano, now), true
+	c.offset, c.hasOffset = c.offsetOf(unixNano, now), true
 }
 
 // Now is the agreed time, if there is one.
 func (c *Clock) Now(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Unix(0, int64(c.offset+now.Sub(c.base))), c.set
+	return time.Unix(0, int64(c.offset+now.Sub(c.base))), c.hasOffset
 }
 
 func median(d []time.Duration) time.Duration {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -18,164 +18,166 @@
 // Windows are counts by the number of their window.
 type Windows map[uint64]Counts
 
-// Tally is a datagram of a node to a registrar: the counts that the registrar may not
+// CountReport is a datagram of a node to a registrar: the counts that the registrar may not
 // know, each whole so far. One without counts asks for the time alone.
-type Tally struct {
-	Life  uint64  `cbor:"1,keyasint"`
-	Seq   uint64  `cbor:"2,keyasint"`
-	Parts Windows `cbor:"3,keyasint,omitempty"`
+type CountReport struct {
+	Incarnation uint64  `cbor:"1,keyasint"`
+	Sequence    uint64  `cbor:"2,keyasint"`
+	Windows     Windows `cbor:"3,keyasint,omitempty"`
 }
 
-// Noted answers a Tally: what was in it is known to the life of a registrar, whose
+// CountAck answers a Tally: what was in it is known to the life of a registrar, whose
 // agreed time it is, if there is one.
-type Noted struct {
-	Seq  uint64 `cbor:"1,keyasint"`
-	Life uint64 `cbor:"2,keyasint"`
-	Now  int64  `cbor:"3,keyasint,omitempty"` // nanoseconds since 1970
+type CountAck struct {
+	Sequence    uint64 `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	UnixNanos   int64  `cbor:"3,keyasint,omitempty"` // nanoseconds since 1970
 }
 
-// WindowOf is the number of the window that a moment of true time lies in.
-func WindowOf(at time.Time, length time.Duration) uint64 {
+// WindowAt is the number of the window that a moment of true time lies in.
+func WindowAt(at time.Time, length time.Duration) uint64 {
 	return uint64(at.UnixNano() / int64(length))
 }
 
-// EndOf is when a window ends.
-func EndOf(window uint64, length time.Duration) time.Time {
+// WindowEnd is when a window ends.
+func WindowEnd(window uint64, length time.Duration) time.Time {
 	return time.Unix(0, int64(window+1)*int64(length))
 }
 
-// Meter counts at one node.
-type Meter struct {
-	life   uint64
-	length time.Duration
+// Counter counts at one node.
+type Counter struct {
+	incarnation  uint64
+	windowLength time.Duration
 
-	mu    sync.Mutex
-	parts map[uint64]map[string]*count
-	seq   uint64
-	sent  map[uint64]Windows // by sequence number: not noted yet
-	known uint64             // the life of the registrar that noted what is noted
+	mu             sync.Mutex
+	windows        map[uint64]map[string]*count
+	sequence       uint64
+	unacknowledged map[uint64]Windows // by sequence number: not noted yet
+	acknowledgedBy uint64             // the life of the registrar that noted what is noted
 }
 
-type count struct{ n, noted uint64 }
+type count struct{ total, acknowledged uint64 }
 
 const (
-	// keepWindows is how many windows a node and a registrar remember.
-	keepWindows = 40
-	// mostParts bounds the counts in a datagram, and mostSent the datagrams remembered.
-	mostParts = 250
-	mostSent  = 32
+	// retainedWindows is how many windows a node and a registrar remember.
+	retainedWindows = 40
+	// maxCountsPerReport bounds the counts in a datagram, and mostSent the datagrams remembered.
+	maxCountsPerReport = 250
+	maxUnacknowledged  = 32
 )
 
-// NewMeter makes a meter for one life of a node. Its tallies are numbered from the life's
+// NewCounter makes a meter for one life of a node. Its tallies are numbered from the life's
 // own number on: an answer to a former life at the same port answers none of them.
-func NewMeter(life uint64, length time.Duration) *Meter {
-	return &Meter{life: life, seq: life, length: length, parts: map[uint64]map[string]*count{}, sent: map[uint64]Windows{}}
+func NewCounter(life uint64, length time.Duration) *Counter {
+	return &Counter{incarnation: life, sequence: life, windowLength: length, windows: map[uint64]map[string]*count{}, unacknowledged: map[uint64]Windows{}}
 }
 
-// Count counts a request of a tenant that began to run at a moment of true time.
-func (m *Meter) Count(tenant string, at time.Time) {
+// Add counts a request of a tenant that began to run at a moment of true time.
+func (m *Counter) Add(tenant string, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := WindowOf(at, m.length)
-	if m.parts[w] == nil {
-		m.parts[w] = map[string]*count{}
-		for old := range m.parts {
-			if old+keepWindows < w {
-				delete(m.parts, old)
+	w := WindowAt(at, m.windowLength)
+	if m.windows[w] == nil {
+		m.windows[w] = map[string]*count{}
+		for old := range m.windows {
+			if old+retainedWindows < w {
+				delete(m.windows, old)
 			}
 		}
 	}
-	c := m.parts[w][tenant]
+	c := m.windows[w][tenant]
 	if c == nil {
 		c = &count{}
-		m.parts[w][tenant] = c
+		m.windows[w][tenant] = c
 	}
-	c.n++
+	c.total++
 }
 
-// Next makes the next tally. Without counts to tell it has none.
-func (m *Meter) Next() *Tally {
+// NextReport makes the next tally. Without counts to tell it has none.
+func (m *Counter) NextReport() *CountReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.seq++
-	t := &Tally{Life: m.life, Seq: m.seq, Parts: Windows{}}
+	m.sequence++
+	t := &CountReport{Incarnation: m.incarnation, Sequence: m.sequence, Windows: Windows{}}
 	n := 0
 	// Newest first: after a change of the registrar all is told again, and the oldest
 	// were reported long ago.
-	for _, w := range slices.Backward(slices.Sorted(maps.Keys(m.parts))) {
-		for tenant, c := range m.parts[w] {
-			if c.n > c.noted && n < mostParts {
-				if t.Parts[w] == nil {
-					t.Parts[w] = Counts{}
+	for _, w := range slices.Backward(slices.Sorted(maps.Keys(m.windows))) {
+		for tenant, c := range m.windows[w] {
+			if c.total > c.acknowledged && n < maxCountsPerReport {
+				if t.Windows[w] == nil {
+					t.Windows[w] = Counts{}
 				}
-				t.Parts[w][tenant] = c.n
+				t.Windows[w][tenant] = c.total
 				n++
 			}
 		}
 	}
 	if n > 0 {
-		m.sent[m.seq] = t.Parts
-		delete(m.sent, m.seq-mostSent)
+		m.unacknowledged[m.sequence] = t.Windows
+		delete(m.unacknowledged, m.sequence-maxUnacknowledged)
 	}
 	return t
 }
 
-// Noted takes an answer. Another life of a registrar, or another registrar, knows
+// Acknowledge takes an answer. Another life of a registrar, or another registrar, knows
 // nothing of what was noted before.
-func (m *Meter) Noted(a *Noted) {
+func (m *Counter) Acknowledge(a *CountAck) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if a.Life != m.known {
-		m.known = a.Life
-		for _, by := range m.parts {
+	if a.Incarnation != m.acknowledgedBy {
+		m.acknowledgedBy = a.Incarnation
+		for _, by := range m.windows {
 			for _, c := range by {
-				c.noted = 0
+				c.acknowledged = 0
 			}
 		}
 	}
-	for w, by := range m.sent[a.Seq] {
+	for w, by := range m.unacknowledged[a.Sequence] {
 		for tenant, n := range by {
-			if c := m.parts[w][tenant]; c != nil {
-				c.noted = max(c.noted, n)
+			if c := m.windows[w][tenant]; c != nil {
+				c.acknowledged = max(c.acknowledged, n)
 			}
 		}
 	}
-	delete(m.sent, a.Seq)
+	delete(m.unacknowledged, a.Sequence)
 }
 
-// Book holds the tallies that a registrar has heard.
-type Book struct {
+// Store holds the tallies that a registrar has heard.
+type Store struct {
 	mu      sync.Mutex
-	parts   map[uint64]Lives
+	windows map[uint64]IncarnationCounts
 	changed map[uint64]bool // since they were asked for
 }
 
-// Lives are the counts of one window by the life of the node.
-type Lives map[uint64]Counts
+// IncarnationCounts are the counts of one window by the life of the node.
+type IncarnationCounts map[uint64]Counts
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{parts: map[uint64]Lives{}, changed: map[uint64]bool{}} }
+// NewStore makes an empty book.
+func NewStore() *Store {
+	return &Store{windows: map[uint64]IncarnationCounts{}, changed: map[uint64]bool{}}
+}
 
 // Add takes a tally in.
-func (b *Book) Add(t *Tally) {
-	for w, by := range t.Parts {
-		b.Put(w, Lives{t.Life: by})
+func (b *Store) Add(t *CountReport) {
+	for w, by := range t.Windows {
+		b.Merge(w, IncarnationCounts{t.Incarnation: by})
 	}
 }
 
-// Put takes in what is known of a window.
-func (b *Book) Put(window uint64, l Lives) {
+// Merge takes in what is known of a window.
+func (b *Store) Merge(window uint64, l IncarnationCounts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.parts[window] == nil {
-		b.parts[window] = Lives{}
+	if b.windows[window] == nil {
+		b.windows[window] = IncarnationCounts{}
 	}
-	b.parts[window].merge(l)
+	b.windows[window].merge(l)
 	b.changed[window] = true
 }
 
-// Changed lists the windows from one on that have changed since the last call.
-func (b *Book) Changed(from uint64) (out []uint64) {
+// TakeChanged lists the windows from one on that have changed since the last call.
+func (b *Store) TakeChanged(from uint64) (out []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for w := range b.changed {
@@ -188,7 +190,7 @@
 }
 
 // merge takes the greater of each count.
-func (l Lives) merge(o Lives) {
+func (l IncarnationCounts) merge(o IncarnationCounts) {
 	for life, by := range o {
 		if l[life] == nil {
 			l[life] = Counts{}
@@ -199,20 +201,20 @@
 	}
 }
 
-// Of returns what is known of a window.
-func (b *Book) Of(window uint64) Lives {
+// Window returns what is known of a window.
+func (b *Store) Window(window uint64) IncarnationCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := Lives{}
-	out.merge(b.parts[window])
+	out := IncarnationCounts{}
+	out.merge(b.windows[window])
 	return out
 }
 
-// Windows lists the windows from one on of which something is known.
-func (b *Book) Windows(from uint64) (out []uint64) {
+// WindowsFrom lists the windows from one on of which something is known.
+func (b *Store) WindowsFrom(from uint64) (out []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for w := range maps.Keys(b.parts) {
+	for w := range maps.Keys(b.windows) {
 		if w >= from {
 			out = append(out, w)
 		}
@@ -220,21 +222,21 @@
 	return out
 }
 
-// Sweep forgets windows long before this one.
-func (b *Book) Sweep(now uint64) {
+// RemoveOld forgets windows long before this one.
+func (b *Store) RemoveOld(now uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for w := range b.parts {
-		if w+keepWindows < now {
-			delete(b.parts, w)
+	for w := range b.windows {
+		if w+retainedWindows < now {
+			delete(b.windows, w)
 		}
 	}
 }
 
-// Sum adds up what several registrars know of a window: of each life the greatest count
+// Total adds up what several registrars know of a window: of each life the greatest count
 // that any of them heard.
-func Sum(books ...Lives) Counts {
-	all := Lives{}
+func Total(books ...IncarnationCounts) Counts {
+	all := IncarnationCounts{}
 	for _, l := range books {
 		all.merge(l)
 	}
@@ -247,8 +249,8 @@
 	return out
 }
 
-// Report makes the bytes of a window's report.
-func Report(window uint64, c Counts) []byte {
+// EncodeReport makes the bytes of a window's report.
+func EncodeReport(window uint64, c Counts) []byte {
 	raw, err := json.Marshal(struct {
 		WindowNumber   uint64 `json:"windowNumber"`
 		InstanceCounts Counts `json:"instanceCounts"`
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// TestCounts: whatever is lost, doubled, late or told to several registrars, some of
+// TestCountsSurviveLossAndRepetition: whatever is lost, doubled, late or told to several registrars, some of
 // which forget all, the sum is what was counted.
-func TestCounts(t *testing.T) {
+func TestCountsSurviveLossAndRepetition(t *testing.T) {
 	const length = 5 * time.Second
 	start := time.Unix(1_700_000_000, 0)
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
-		books := []*Book{NewBook(), NewBook(), NewBook()}
+		books := []*Store{NewStore(), NewStore(), NewStore()}
 		lives := []uint64{1, 2, 3}
 		truth := Windows{}
-		var meters []*Meter
+		var meters []*Counter
 		for i := range 5 {
-			meters = append(meters, NewMeter(uint64(100+i), length))
+			meters = append(meters, NewCounter(uint64(100+i), length))
 		}
-		var late []*Tally
+		var late []*CountReport
 		for step := range 400 {
 			at := start.Add(time.Duration(step) * 50 * time.Millisecond)
 			m := meters[rng.Intn(len(meters))]
 			tenant := fmt.Sprint("t", rng.Intn(4))
-			m.Count(tenant, at)
-			w := WindowOf(at, length)
+			m.Add(tenant, at)
+			w := WindowAt(at, length)
 			if truth[w] == nil {
 				truth[w] = Counts{}
 			}
 			truth[w][tenant]++
-			tally := m.Next()
+			tally := m.NextReport()
 			k := rng.Intn(len(books))
 			switch rng.Intn(5) {
 			case 0: // lost
@@ -43,10 +43,10 @@
 				books[k].Add(tally)
 			default:
 				books[k].Add(tally)
-				m.Noted(&Noted{Seq: tally.Seq, Life: lives[k]})
+				m.Acknowledge(&CountAck{Sequence: tally.Sequence, Incarnation: lives[k]})
 			}
 			if rng.Intn(60) == 0 { // a registrar comes back and knows nothing
-				books[k], lives[k] = NewBook(), uint64(rng.Int63())
+				books[k], lives[k] = NewStore(), uint64(rng.Int63())
 			}
 		}
 		for _, l := range late {
@@ -54,33 +54,33 @@
 		}
 		for _, m := range meters { // each ends at the registrar that feeds it
 			for range 2 {
-				tally := m.Next()
+				tally := m.NextReport()
 				books[1].Add(tally)
-				m.Noted(&Noted{Seq: tally.Seq, Life: lives[1]})
+				m.Acknowledge(&CountAck{Sequence: tally.Sequence, Incarnation: lives[1]})
 			}
-			if tally := m.Next(); len(tally.Parts) > 0 {
-				t.Fatalf("seed %d: %v is told again", seed, tally.Parts)
+			if tally := m.NextReport(); len(tally.Windows) > 0 {
+				t.Fatalf("seed %d: %v is told again", seed, tally.Windows)
 			}
 		}
 		for w, want := range truth {
-			if got := Sum(books[0].Of(w), books[1].Of(w), books[2].Of(w)); fmt.Sprint(got) != fmt.Sprint(want) {
+			if got := Total(books[0].Window(w), books[1].Window(w), books[2].Window(w)); fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("seed %d: window %d has %v, counted were %v", seed, w, got, want)
 			}
 		}
 	}
 }
 
-// TestFormerLife: an answer to a tally of a node's former life settles nothing of the
+// TestAckOfFormerIncarnation: an answer to a tally of a node's former life settles nothing of the
 // next, whose count would be missing for good.
-func TestFormerLife(t *testing.T) {
+func TestAckOfFormerIncarnation(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
-	former, next := NewMeter(100, time.Second), NewMeter(1<<40, time.Second)
-	former.Count("a", at)
-	late := &Noted{Seq: former.Next().Seq, Life: 1}
-	next.Count("a", at)
-	next.Next() // lost
-	next.Noted(late)
-	if tally := next.Next(); len(tally.Parts) != 1 {
+	former, next := NewCounter(100, time.Second), NewCounter(1<<40, time.Second)
+	former.Add("a", at)
+	late := &CountAck{Sequence: former.NextReport().Sequence, Incarnation: 1}
+	next.Add("a", at)
+	next.NextReport() // lost
+	next.Acknowledge(late)
+	if tally := next.NextReport(); len(tally.Windows) != 1 {
 		t.Errorf("what was lost is not told again: %v", tally)
 	}
 }
@@ -108,12 +108,12 @@
 						if at, ok := o.Now(now); ok {
 							agreed = at.UnixNano()
 						}
-						c.Heard(fmt.Sprint(j), truth.Add(wrong[j]).UnixNano(), agreed, now)
+						c.Observe(fmt.Sprint(j), truth.Add(wrong[j]).UnixNano(), agreed, now)
 					}
 				}
 			}
 			for i, c := range clocks {
-				c.Step(truth.Add(wrong[i]).UnixNano(), n, 100*time.Millisecond, now)
+				c.Update(truth.Add(wrong[i]).UnixNano(), n, 100*time.Millisecond, now)
 			}
 		}
 	}
@@ -139,15 +139,15 @@
 	check("one starts anew meanwhile")
 }
 
-// TestNewestFirst: a node whose registrar is another one tells the newest windows first.
-func TestNewestFirst(t *testing.T) {
-	m := NewMeter(1, time.Second)
+// TestNewestWindowsReportedFirst: a node whose registrar is another one tells the newest windows first.
+func TestNewestWindowsReportedFirst(t *testing.T) {
+	m := NewCounter(1, time.Second)
 	for w := range 20 {
 		for k := range 100 {
-			m.Count(fmt.Sprint("t", k), time.Unix(int64(1000+w), 0))
+			m.Add(fmt.Sprint("t", k), time.Unix(int64(1000+w), 0))
 		}
 	}
-	if tally := m.Next(); len(tally.Parts[1019]) != 100 || len(tally.Parts[1018]) != 100 {
-		t.Errorf("the first tally holds %d and %d of the newest windows", len(tally.Parts[1019]), len(tally.Parts[1018]))
+	if tally := m.NextReport(); len(tally.Windows[1019]) != 100 || len(tally.Windows[1018]) != 100 {
+		t.Errorf("the first tally holds %d and %d of the newest windows", len(tally.Windows[1019]), len(tally.Windows[1018]))
 	}
 }
--- a/internal/vault/names_test.go
+++ b/internal/vault/names_test.go
@@ -18,16 +18,16 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// TestNames: the power fails at any step from opening on, and of the names that were
+// TestPowerLossAtOpen: the power fails at any step from opening on, and of the names that were
 // not synced each is kept or lost. A name that was told, and what was promised under it,
 // is found again, whatever stood in the folder at first.
-func TestNames(t *testing.T) {
+func TestPowerLossAtOpen(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole")
 	if err := os.Mkdir(whole, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	v, _ := open2(t, whole)
-	if err := v.Found("identity", []byte("old"), "c", cell.Writes{}); err != nil {
+	v, _ := openStore(t, whole)
+	if err := v.Bootstrap("identity", []byte("old"), "c", cell.Writes{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := v.Close(); err != nil {
@@ -40,14 +40,14 @@
 	begin := map[string]map[string][]byte{
 		"empty":            {},
 		"never synced":     {fileName: nil},
-		"half made":        {newName: old[:9000]},
+		"half made":        {temporaryFileName: old[:9000]},
 		"torn":             {fileName: bytes.Repeat([]byte{7}, 20000)},
 		"short":            {fileName: old[:4096]},
-		"put aside before": {fileName: bytes.Repeat([]byte{7}, 20000), damagedName: old},
-		"whole and other":  {fileName: old, newName: old, damagedName: nil},
+		"put aside before": {fileName: bytes.Repeat([]byte{7}, 20000), corruptFileName: old},
+		"whole and other":  {fileName: old, temporaryFileName: old, corruptFileName: nil},
 	}
 	for what, files := range begin {
-		for seed := range scenario.Seeds(1) {
+		for seed := range scenario.SeedCount(1) {
 			for stop := 1; stop <= 11; stop++ {
 				dir := t.TempDir()
 				for name, raw := range files {
@@ -55,32 +55,32 @@
 						t.Fatal(err)
 					}
 				}
-				d := &scenario.Disk{Under: Files{}, Luck: rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64, SyncFails: 0.4}
+				d := &scenario.FaultyDisk{Base: LocalDisk{}, Random: rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64, SyncFailureRate: 0.4}
 				told, promised := "", uint64(0)
 				for life := 1; life <= 4; life++ {
-					d.StopAt(stop)
+					d.LosePowerAfter(stop)
 					if life == 4 {
-						d.StopAt(0)
-						d.SyncFails = 0
+						d.LosePowerAfter(0)
+						d.SyncFailureRate = 0
 					}
 					v, err := Open(dir, d, func(error) {})
 					if err != nil && life == 4 {
 						t.Fatalf("%s, seed %d, stop %d: a sound disk: %v", what, seed, stop, err)
 					}
 					if err == nil {
-						id := string(v.Node("identity"))
-						s, _, err := v.Load("c")
-						if told != "" && (id != told || s.Promised.Round < promised || err != nil) {
-							t.Fatalf("%s, seed %d, stop %d, life %d: told was %q with %d, found is %q with %d, %v", what, seed, stop, life, told, promised, id, s.Promised.Round, err)
+						id := string(v.NodeValue("identity"))
+						s, _, err := v.LoadReplica("c")
+						if told != "" && (id != told || s.Promised.Term < promised || err != nil) {
+							t.Fatalf("%s, seed %d, stop %d, life %d: told was %q with %d, found is %q with %d, %v", what, seed, stop, life, told, promised, id, s.Promised.Term, err)
 						}
 						if id == "" {
 							id = strconv.Itoa(life)
-							err = v.Found("identity", []byte(id), "c", cell.Writes{})
+							err = v.Bootstrap("identity", []byte(id), "c", cell.Writes{})
 						}
 						if err == nil {
 							told = id
 							if v.disk.Update(v.db, func(tx *bolt.Tx) error {
-								return put(tx, "c", &cell.Writes{Promised: &cell.Ballot{Round: promised + 1}})
+								return putReplicaWrites(tx, "c", &cell.Writes{Promised: &cell.ProposalNumber{Term: promised + 1}})
 							}) == nil {
 								promised++
 							}
@@ -89,8 +89,8 @@
 							t.Fatal(err)
 						}
 					}
-					d.End()
-					d.Lose()
+					d.EndProcess()
+					d.LosePower()
 				}
 				if told == "" || promised == 0 {
 					t.Fatalf("%s, seed %d, stop %d: the last life told nothing", what, seed, stop)
@@ -100,13 +100,13 @@
 	}
 }
 
-// TestCutShort: a file that ends before its pages do, or lacks the content of one, is
+// TestTruncatedFile: a file that ends before its pages do, or lacks the content of one, is
 // damage and not the process's end.
-func TestCutShort(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
-	v, _ := open2(t, dir)
-	v.synced("c", cell.Writes{Snap: &cell.Snapshot{State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 40000))}}})
-	if err := v.Found("identity", []byte("a"), "c", cell.Writes{}); err != nil || v.Close() != nil {
+	v, _ := openStore(t, dir)
+	v.submitAndWait("c", cell.Writes{Snapshot: &cell.Snapshot{State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 40000))}}})
+	if err := v.Bootstrap("identity", []byte("a"), "c", cell.Writes{}); err != nil || v.Close() != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -121,8 +121,8 @@
 				t.Fatal(err)
 			}
 			var told error
-			v, err := Open(dir, Files{}, func(err error) { told = err })
-			if err != nil || (told == nil) != (v.Node("identity") != nil) || told != nil && !errors.Is(told, ErrDamaged) {
+			v, err := Open(dir, LocalDisk{}, func(err error) { told = err })
+			if err != nil || (told == nil) != (v.NodeValue("identity") != nil) || told != nil && !errors.Is(told, ErrCorrupt) {
 				t.Fatalf("%d bytes, page %d: opened with %v, told %v", len(raw), at/page, err, told)
 			}
 			if err := v.Close(); err != nil {
@@ -138,46 +138,46 @@
 	}
 }
 
-// TestDiskInTrouble: a disk that is full or does not sync names keeps a vault from being
+// TestDiskFaults: a disk that is full or does not sync names keeps a vault from being
 // opened, and puts nothing aside; a write that hangs is not waited for at the end.
-func TestDiskInTrouble(t *testing.T) { synctest.Test(t, diskInTrouble) }
+func TestDiskFaults(t *testing.T) { synctest.Test(t, testDiskFaults) }
 
-func diskInTrouble(t *testing.T) {
+func testDiskFaults(t *testing.T) {
 	dir := t.TempDir()
-	d := &scenario.Disk{Under: Files{}, Luck: func() float64 { return 0 }}
-	d.Set(true, false)
+	d := &scenario.FaultyDisk{Base: LocalDisk{}, Random: func() float64 { return 0 }}
+	d.SetFault(true, false)
 	for range 3 {
-		if _, err := Open(dir, d, func(err error) { t.Error(err) }); !errors.Is(err, scenario.ErrFull) {
+		if _, err := Open(dir, d, func(err error) { t.Error(err) }); !errors.Is(err, scenario.ErrDiskFull) {
 			t.Fatalf("opened on a full disk: %v", err)
 		}
 	}
-	d.Set(false, false)
+	d.SetFault(false, false)
 	v, err := Open(dir, d, func(err error) {
-		if !errors.Is(err, scenario.ErrPower) {
+		if !errors.Is(err, scenario.ErrPowerLost) {
 			t.Error(err)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, d, func(err error) { t.Error(err) }); err == nil || errors.Is(err, ErrDamaged) || SetAside(dir) {
+	if _, err := Open(dir, d, func(err error) { t.Error(err) }); err == nil || errors.Is(err, ErrCorrupt) || HasCorruptFile(dir) {
 		t.Fatalf("a file that another process holds: %v", err)
 	}
-	d.Set(false, true)
-	v.Submit("c", cell.Writes{Promised: &cell.Ballot{Round: 1}}, func() { t.Error("synced by a disk that hangs") })
+	d.SetFault(false, true)
+	v.Submit("c", cell.Writes{Promised: &cell.ProposalNumber{Term: 1}}, func() { t.Error("synced by a disk that hangs") })
 	for busy := false; !busy; time.Sleep(time.Millisecond) {
 		v.mu.Lock()
-		busy = v.busy
+		busy = v.committing
 		v.mu.Unlock()
 	}
 	// bbolt writes under a lock that its readers need: a new cell is opened without them.
-	if _, found, err := new(Vault).Load("new"); found || err != nil {
+	if _, found, err := new(Store).LoadReplica("new"); found || err != nil {
 		t.Errorf("a new cell: found %v, %v", found, err)
 	}
-	if err := v.Close(); !errors.Is(err, ErrSilent) {
+	if err := v.Close(); !errors.Is(err, ErrUnresponsive) {
 		t.Fatalf("closed: %v", err)
 	}
-	d.End()
-	d.Set(false, false)
-	<-v.gone
+	d.EndProcess()
+	d.SetFault(false, false)
+	<-v.stopped
 }
--- a/internal/vault/torn_test.go
+++ b/internal/vault/torn_test.go
@@ -10,28 +10,28 @@
 	"comethold/internal/cell"
 )
 
-// TestTorn: power fails between two syncs. Of what was written since the last one
+// TestTornPages: power fails between two syncs. Of what was written since the last one
 // each sector is there or not; the pages that hold the roots are written after all
 // others are synced, and may be torn. Everything that was acknowledged is found.
-func TestTorn(t *testing.T) {
+func TestTornPages(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "vault.db")
-	v, err := Open(dir, Files{}, func(err error) { t.Error(err) })
+	v, err := Open(dir, LocalDisk{}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SetNode("identity", []byte("a")); err != nil {
+	if err := v.SetNodeValue("identity", []byte("a")); err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewSource(1))
 	var states [][]byte
 	for slot := uint64(1); slot <= 60; slot++ {
-		w := cell.Writes{Chosen: slot - 1, Promised: &cell.Ballot{Round: slot, By: "a"}, Entries: []cell.Entry{{Slot: slot,
+		w := cell.Writes{CommitIndex: slot - 1, Promised: &cell.ProposalNumber{Term: slot, Proposer: "a"}, Entries: []cell.Entry{{Index: slot,
 			Txns: []cell.Txn{{ID: fmt.Sprint(slot), Ops: []cell.Op{{Kind: cell.OpPut, Key: "k", Value: cell.Bytes(make([]byte, rng.Intn(9000)))}}}}}}}
 		if slot%20 == 0 { // a snapshot takes the place of what came before
-			w.Snap, w.DropTo = &cell.Snapshot{Applied: slot - 1, State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 30000))}}, slot-1
+			w.Snapshot, w.TruncateTo = &cell.Snapshot{AppliedIndex: slot - 1, State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 30000))}}, slot-1
 		}
-		v.synced("c", w)
+		v.submitAndWait("c", w)
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -64,18 +64,18 @@
 			if err := os.WriteFile(filepath.Join(where, "vault.db"), torn, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			v, err := Open(where, Files{}, func(err error) { t.Errorf("after sync %d, roots %v: %v", i+1, rootsToo, err) })
-			if err != nil || string(v.Node("identity")) != "a" {
+			v, err := Open(where, LocalDisk{}, func(err error) { t.Errorf("after sync %d, roots %v: %v", i+1, rootsToo, err) })
+			if err != nil || string(v.NodeValue("identity")) != "a" {
 				t.Fatalf("after sync %d, roots %v: %v", i+1, rootsToo, err)
 			}
-			s, found, err := v.Load("c")
+			s, found, err := v.LoadReplica("c")
 			slot := uint64(i + 1)
-			held := s.Snap != nil && s.Snap.Applied >= slot
+			held := s.Snapshot != nil && s.Snapshot.AppliedIndex >= slot
 			for _, e := range s.Entries {
-				held = held || e.Slot == slot
+				held = held || e.Index == slot
 			}
-			if err != nil || !found || !held || s.Promised.Round < slot {
-				t.Fatalf("after sync %d, roots %v: found %v, held %v, promised %d, %v", slot, rootsToo, found, held, s.Promised.Round, err)
+			if err != nil || !found || !held || s.Promised.Term < slot {
+				t.Fatalf("after sync %d, roots %v: found %v, held %v, promised %d, %v", slot, rootsToo, found, held, s.Promised.Term, err)
 			}
 			if err := v.Close(); err != nil {
 				t.Fatal(err)
--- a/internal/vault/vault.go
+++ b/internal/vault/vault.go
@@ -22,32 +22,32 @@
 // Errors of this layer. ErrDamaged is of the file itself; what is wrong with the disk
 // under it comes as it is, and passes.
 var (
-	ErrDamaged = errors.New("vault: the file cannot be read")
-	ErrClosed  = errors.New("vault: closed")
-	ErrSilent  = errors.New("vault: the disk does not answer")
+	ErrCorrupt      = errors.New("vault: the file cannot be read")
+	ErrClosed       = errors.New("vault: closed")
+	ErrUnresponsive = errors.New("vault: the disk does not answer")
 )
 
 var (
-	nodeBucket  = []byte("node")
-	keyPromised = []byte("promised")
-	keyRound    = []byte("round")
-	keyChosen   = []byte("chosen")
-	keySnap     = []byte("snapshot")
-	logBucket   = []byte("log")
+	nodeBucket     = []byte("node")
+	promisedKey    = []byte("promised")
+	termKey        = []byte("round")
+	commitIndexKey = []byte("chosen")
+	snapshotKey    = []byte("snapshot")
+	logBucket      = []byte("log")
 )
 
 // Pacing of a disk in trouble.
 const (
-	RetryPause  = 200 * time.Millisecond
-	SilentAfter = 2 * time.Second // without an answer
-	closeWait   = time.Second     // for a disk that hangs
+	RetryDelay        = 200 * time.Millisecond
+	UnresponsiveAfter = 2 * time.Second // without an answer
+	closeTimeout      = time.Second     // for a disk that hangs
 )
 
 // Names of the files.
 const (
-	fileName    = "vault.db"
-	damagedName = fileName + ".damaged"
-	newName     = fileName + ".new"
+	fileName          = "vault.db"
+	corruptFileName   = fileName + ".damaged"
+	temporaryFileName = fileName + ".new"
 )
 
 // Disk is what a vault asks of the file system.
@@ -61,14 +61,14 @@
 	SyncDir(dir string) error
 }
 
-// Files is the Disk of the machine.
-type Files struct{}
+// LocalDisk is the Disk of the machine.
+type LocalDisk struct{}
 
 // Open opens a bbolt file, or makes it. What is wrong with the file itself is ErrDamaged.
-func (Files) Open(path string) (*bolt.DB, error) {
+func (LocalDisk) Open(path string) (*bolt.DB, error) {
 	opts := bolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bolt.FreelistMapType}
 	var db *bolt.DB
-	err := sound(path, opts)
+	err := verifyFile(path, opts)
 	if err == nil {
 		db, err = bolt.Open(path, 0o600, &opts)
 	}
@@ -78,14 +78,14 @@
 	}
 	if info, serr := os.Stat(path); errors.Is(err, berrors.ErrInvalid) || errors.Is(err, berrors.ErrVersionMismatch) ||
 		errors.Is(err, berrors.ErrChecksum) || serr == nil && info.Size() > 0 && info.Size() < int64(2*os.Getpagesize()) {
-		err = fmt.Errorf("%w: %v", ErrDamaged, err)
+		err = fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return nil, err
 }
 
-// sound reads the file once through: bbolt, opening it to write, meets what is torn or cut
+// verifyFile reads the file once through: bbolt, opening it to write, meets what is torn or cut
 // short where nobody can catch it.
-func sound(path string, opts bolt.Options) (err error) {
+func verifyFile(path string, opts bolt.Options) (err error) {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) || err == nil && info.Size() == 0 {
 		return nil
@@ -97,7 +97,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", ErrDamaged, r)
+			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &opts)
@@ -107,23 +107,23 @@
 	defer db.Close()
 	return db.View(func(tx *bolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%w: cut short", ErrDamaged)
+			return fmt.Errorf("%w: cut short", ErrCorrupt)
 		}
-		return tx.ForEach(func(_ []byte, b *bolt.Bucket) error { return walk(b) })
+		return tx.ForEach(func(_ []byte, b *bolt.Bucket) error { return readBucket(b) })
 	})
 }
 
-func walk(b *bolt.Bucket) error {
+func readBucket(b *bolt.Bucket) error {
 	return b.ForEach(func(k, v []byte) error {
 		if v == nil {
-			return walk(b.Bucket(k))
+			return readBucket(b.Bucket(k))
 		}
 		return nil
 	})
 }
 
 // Update writes and syncs.
-func (Files) Update(db *bolt.DB, f func(*bolt.Tx) error) (err error) {
+func (LocalDisk) Update(db *bolt.DB, f func(*bolt.Tx) error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("vault: %v", r)
@@ -133,13 +133,13 @@
 }
 
 // Rename renames a file.
-func (Files) Rename(from, to string) error { return os.Rename(from, to) }
+func (LocalDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
-func (Files) Remove(path string) error { return os.Remove(path) }
+func (LocalDisk) Remove(path string) error { return os.Remove(path) }
 
 // SyncDir syncs a folder.
-func (Files) SyncDir(dir string) error {
+func (LocalDisk) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -147,28 +147,28 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-type job struct {
-	cell string
-	w    cell.Writes
-	key  string // of the node itself, instead of a cell
-	val  []byte
-	done func()
+type pendingWrite struct {
+	cell      string
+	writes    cell.Writes
+	nodeKey   string // of the node itself, instead of a cell
+	nodeValue []byte
+	done      func()
 }
 
-// Vault is safe for use by many goroutines; what is submitted for one cell
+// Store is safe for use by many goroutines; what is submitted for one cell
 // reaches the disk in order.
-type Vault struct {
-	db     *bolt.DB
-	disk   Disk
-	onFail func(error)
-
-	mu     sync.Mutex
-	wake   *sync.Cond
-	cells  map[string]bool // that the file holds, or will
-	jobs   []job
-	busy   bool
-	closed bool
-	gone   chan struct{}
+type Store struct {
+	db      *bolt.DB
+	disk    Disk
+	onFault func(error)
+
+	mu         sync.Mutex
+	wake       *sync.Cond
+	knownCells map[string]bool // that the file holds, or will
+	queue      []pendingWrite
+	committing bool
+	closed     bool
+	stopped    chan struct{}
 }
 
 // Open opens the file in dir, or makes it, and returns once its name is surely on the
@@ -176,12 +176,12 @@
 // be read is put aside: the node then starts as one whose disk was lost. onFail is told
 // of that, and later of every write that the disk refuses. Where the disk is in trouble
 // Open returns an error and may be called again; what it has left by then does no harm.
-func Open(dir string, disk Disk, onFail func(error)) (*Vault, error) {
+func Open(dir string, disk Disk, onFail func(error)) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := openFile(dir, disk)
-	if errors.Is(err, ErrDamaged) {
+	if errors.Is(err, ErrCorrupt) {
 		onFail(err)
-		aside := filepath.Join(dir, damagedName)
+		aside := filepath.Join(dir, corruptFileName)
 		// One put aside before may be this very file under both names: renaming would do nothing.
 		if err := disk.Remove(aside); err != nil && !os.IsNotExist(err) {
 			return nil, err
@@ -198,10 +198,10 @@
 		_ = db.Close()
 		return nil, err
 	}
-	v := &Vault{db: db, disk: disk, onFail: onFail, gone: make(chan struct{}), cells: map[string]bool{}}
+	v := &Store{db: db, disk: disk, onFault: onFail, stopped: make(chan struct{}), knownCells: map[string]bool{}}
 	if err := db.View(func(tx *bolt.Tx) error {
 		return tx.ForEach(func(name []byte, _ *bolt.Bucket) error {
-			v.cells[string(name)] = true
+			v.knownCells[string(name)] = true
 			return nil
 		})
 	}); err != nil {
@@ -209,20 +209,20 @@
 		return nil, err
 	}
 	v.wake = sync.NewCond(&v.mu)
-	go v.run()
+	go v.commitLoop()
 	return v, nil
 }
 
-// SetAside reports whether a file that could not be read was put aside in dir.
-func SetAside(dir string) bool {
-	_, err := os.Stat(filepath.Join(dir, damagedName))
+// HasCorruptFile reports whether a file that could not be read was put aside in dir.
+func HasCorruptFile(dir string) bool {
+	_, err := os.Stat(filepath.Join(dir, corruptFileName))
 	return err == nil
 }
 
 // openFile opens the file, or makes it under another name first: under its own name it
 // is never there in part. An empty one was made by nobody who has said anything yet.
 func openFile(dir string, disk Disk) (*bolt.DB, error) {
-	path, fresh := filepath.Join(dir, fileName), filepath.Join(dir, newName)
+	path, fresh := filepath.Join(dir, fileName), filepath.Join(dir, temporaryFileName)
 	info, err := os.Stat(path)
 	if err != nil && !os.IsNotExist(err) {
 		return nil, err
@@ -245,8 +245,8 @@
 	return disk.Open(path)
 }
 
-// Node returns a value that the node itself keeps, or nil.
-func (v *Vault) Node(key string) []byte {
+// NodeValue returns a value that the node itself keeps, or nil.
+func (v *Store) NodeValue(key string) []byte {
 	var out []byte
 	_ = v.db.View(func(tx *bolt.Tx) error {
 		if b := tx.Bucket(nodeBucket); b != nil {
@@ -257,25 +257,25 @@
 	return out
 }
 
-// SetNode stores a value of the node itself and returns once it is synced.
-func (v *Vault) SetNode(key string, val []byte) error {
-	return v.disk.Update(v.db, func(tx *bolt.Tx) error { return putNode(tx, key, val) })
+// SetNodeValue stores a value of the node itself and returns once it is synced.
+func (v *Store) SetNodeValue(key string, val []byte) error {
+	return v.disk.Update(v.db, func(tx *bolt.Tx) error { return putNodeValue(tx, key, val) })
 }
 
-// Found stores a value of the node and the beginning of a cell: both or neither.
-func (v *Vault) Found(key string, val []byte, name string, w cell.Writes) error {
+// Bootstrap stores a value of the node and the beginning of a cell: both or neither.
+func (v *Store) Bootstrap(key string, val []byte, name string, w cell.Writes) error {
 	v.mu.Lock()
-	v.cells[string(bucketOf(name))] = true
+	v.knownCells[string(cellBucket(name))] = true
 	v.mu.Unlock()
 	return v.disk.Update(v.db, func(tx *bolt.Tx) error {
-		if err := putNode(tx, key, val); err != nil {
+		if err := putNodeValue(tx, key, val); err != nil {
 			return err
 		}
-		return put(tx, name, &w)
+		return putReplicaWrites(tx, name, &w)
 	})
 }
 
-func putNode(tx *bolt.Tx, key string, val []byte) error {
+func putNodeValue(tx *bolt.Tx, key string, val []byte) error {
 	b, err := tx.CreateBucketIfNotExists(nodeBucket)
 	if err != nil {
 		return err
@@ -283,59 +283,59 @@
 	return b.Put([]byte(key), val)
 }
 
-// NoteNode queues a value of the node itself; nothing waits for its sync.
-func (v *Vault) NoteNode(key string, val []byte) {
+// QueueNodeValue queues a value of the node itself; nothing waits for its sync.
+func (v *Store) QueueNodeValue(key string, val []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.closed {
 		return
 	}
-	for i := range v.jobs {
-		if v.jobs[i].key == key {
-			v.jobs[i].val = val // what was not written yet need not be
+	for i := range v.queue {
+		if v.queue[i].nodeKey == key {
+			v.queue[i].nodeValue = val // what was not written yet need not be
 			return
 		}
 	}
-	v.jobs = append(v.jobs, job{key: key, val: val, done: func() {}})
+	v.queue = append(v.queue, pendingWrite{nodeKey: key, nodeValue: val, done: func() {}})
 	v.wake.Signal()
 }
 
-func bucketOf(name string) []byte { return []byte("cell/" + name) }
+func cellBucket(name string) []byte { return []byte("cell/" + name) }
 
-// Load reads what the disk holds of a cell. For one that is new the disk, which may be
+// LoadReplica reads what the disk holds of a cell. For one that is new the disk, which may be
 // hanging, is not asked.
-func (v *Vault) Load(name string) (s cell.Saved, found bool, err error) {
+func (v *Store) LoadReplica(name string) (s cell.PersistedState, found bool, err error) {
 	v.mu.Lock()
-	known := v.cells[string(bucketOf(name))]
+	known := v.knownCells[string(cellBucket(name))]
 	v.mu.Unlock()
 	if !known {
 		return s, false, nil
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", ErrDamaged, r)
+			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
 	err = v.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(bucketOf(name))
+		b := tx.Bucket(cellBucket(name))
 		if b == nil {
 			return nil
 		}
 		found = true
-		if p := b.Get(keyPromised); p != nil {
+		if p := b.Get(promisedKey); p != nil {
 			if err := wire.Unmarshal(p, &s.Promised); err != nil {
 				return err
 			}
 		}
-		if r := b.Get(keyRound); len(r) == 8 {
-			s.Round = binary.BigEndian.Uint64(r)
+		if r := b.Get(termKey); len(r) == 8 {
+			s.Term = binary.BigEndian.Uint64(r)
 		}
-		if c := b.Get(keyChosen); len(c) == 8 {
-			s.Chosen = binary.BigEndian.Uint64(c)
+		if c := b.Get(commitIndexKey); len(c) == 8 {
+			s.CommitIndex = binary.BigEndian.Uint64(c)
 		}
-		if p := b.Get(keySnap); p != nil {
-			s.Snap = &cell.Snapshot{}
-			if err := wire.Unmarshal(p, s.Snap); err != nil {
+		if p := b.Get(snapshotKey); p != nil {
+			s.Snapshot = &cell.Snapshot{}
+			if err := wire.Unmarshal(p, s.Snapshot); err != nil {
 				return err
 			}
 		}
@@ -351,8 +351,8 @@
 		}
 		return nil
 	})
-	if err != nil && !errors.Is(err, ErrDamaged) {
-		err = fmt.Errorf("%w: %v", ErrDamaged, err)
+	if err != nil && !errors.Is(err, ErrCorrupt) {
+		err = fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return s, found, err
 }
@@ -360,45 +360,45 @@
 // Submit queues writes; done is called once they, and all submitted before
 // them, are synced. A disk that refuses is tried again until it takes them.
 // With nothing to wait for it returns true and does not call done.
-func (v *Vault) Submit(name string, w cell.Writes, done func()) bool {
+func (v *Store) Submit(name string, w cell.Writes, done func()) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.closed {
 		return false
 	}
-	if w.Empty() && len(v.jobs) == 0 && !v.busy {
+	if w.Empty() && len(v.queue) == 0 && !v.committing {
 		return true
 	}
-	v.cells[string(bucketOf(name))] = true
-	v.jobs = append(v.jobs, job{cell: name, w: w, done: done})
+	v.knownCells[string(cellBucket(name))] = true
+	v.queue = append(v.queue, pendingWrite{cell: name, writes: w, done: done})
 	v.wake.Signal()
 	return false
 }
 
-func (v *Vault) run() {
-	defer close(v.gone)
+func (v *Store) commitLoop() {
+	defer close(v.stopped)
 	for {
 		v.mu.Lock()
-		v.busy = false
-		for len(v.jobs) == 0 && !v.closed {
+		v.committing = false
+		for len(v.queue) == 0 && !v.closed {
 			v.wake.Wait()
 		}
 		if v.closed {
 			v.mu.Unlock()
 			return
 		}
-		batch := v.jobs
-		v.jobs, v.busy = nil, true
+		batch := v.queue
+		v.queue, v.committing = nil, true
 		v.mu.Unlock()
 		for {
-			late := time.AfterFunc(SilentAfter, func() { v.onFail(ErrSilent) })
-			err := v.write(batch)
+			late := time.AfterFunc(UnresponsiveAfter, func() { v.onFault(ErrUnresponsive) })
+			err := v.commit(batch)
 			late.Stop()
 			if err == nil {
 				break
 			}
-			v.onFail(err)
-			time.Sleep(RetryPause)
+			v.onFault(err)
+			time.Sleep(RetryDelay)
 			v.mu.Lock()
 			closed := v.closed
 			v.mu.Unlock()
@@ -412,12 +412,12 @@
 	}
 }
 
-func (v *Vault) write(batch []job) error {
+func (v *Store) commit(batch []pendingWrite) error {
 	any := false
 	last := map[string]int{} // of a cell: its newest snapshot, which takes the place of those before
 	for i := range batch {
-		any = any || !batch[i].w.Empty() || batch[i].key != ""
-		if batch[i].w.Snap != nil {
+		any = any || !batch[i].writes.Empty() || batch[i].nodeKey != ""
+		if batch[i].writes.Snapshot != nil {
 			last[batch[i].cell] = i
 		}
 	}
@@ -426,17 +426,17 @@
 	}
 	return v.disk.Update(v.db, func(tx *bolt.Tx) error {
 		for i := range batch {
-			if batch[i].key != "" {
-				if err := putNode(tx, batch[i].key, batch[i].val); err != nil {
+			if batch[i].nodeKey != "" {
+				if err := putNodeValue(tx, batch[i].nodeKey, batch[i].nodeValue); err != nil {
 					return err
 				}
 				continue
 			}
-			w := batch[i].w
+			w := batch[i].writes
 			if n, ok := last[batch[i].cell]; ok && i < n {
-				w.Snap, w.DropTo = nil, 0
+				w.Snapshot, w.TruncateTo = nil, 0
 			}
-			if err := put(tx, batch[i].cell, &w); err != nil {
+			if err := putReplicaWrites(tx, batch[i].cell, &w); err != nil {
 				return err
 			}
 		}
@@ -444,13 +444,13 @@
 	})
 }
 
-func slotKey(slot uint64) []byte { return binary.BigEndian.AppendUint64(nil, slot) }
+func encodeUint64(slot uint64) []byte { return binary.BigEndian.AppendUint64(nil, slot) }
 
-func put(tx *bolt.Tx, name string, w *cell.Writes) error {
+func putReplicaWrites(tx *bolt.Tx, name string, w *cell.Writes) error {
 	if w.Empty() {
 		return nil
 	}
-	b, err := tx.CreateBucketIfNotExists(bucketOf(name))
+	b, err := tx.CreateBucketIfNotExists(cellBucket(name))
 	if err != nil {
 		return err
 	}
@@ -463,12 +463,12 @@
 		if err != nil {
 			return err
 		}
-		if err := b.Put(keyPromised, p); err != nil {
+		if err := b.Put(promisedKey, p); err != nil {
 			return err
 		}
 	}
-	if w.Round != 0 {
-		if err := b.Put(keyRound, slotKey(w.Round)); err != nil {
+	if w.Term != 0 {
+		if err := b.Put(termKey, encodeUint64(w.Term)); err != nil {
 			return err
 		}
 	}
@@ -477,44 +477,44 @@
 		if err != nil {
 			return err
 		}
-		if err := l.Put(slotKey(w.Entries[i].Slot), p); err != nil {
+		if err := l.Put(encodeUint64(w.Entries[i].Index), p); err != nil {
 			return err
 		}
 	}
-	if w.Snap != nil {
-		p, err := wire.Marshal(w.Snap)
+	if w.Snapshot != nil {
+		p, err := wire.Marshal(w.Snapshot)
 		if err != nil {
 			return err
 		}
-		if err := b.Put(keySnap, p); err != nil {
+		if err := b.Put(snapshotKey, p); err != nil {
 			return err
 		}
 		c := l.Cursor()
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= w.DropTo; k, _ = c.Next() {
+		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= w.TruncateTo; k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
 	}
-	return b.Put(keyChosen, slotKey(w.Chosen))
+	return b.Put(commitIndexKey, encodeUint64(w.CommitIndex))
 }
 
 // Close ends the vault; what was submitted and not yet synced is given up. A disk that
 // hangs is not waited for: the file is let go of when the process ends.
-func (v *Vault) Close() error {
+func (v *Store) Close() error {
 	v.mu.Lock()
 	v.closed = true
 	v.wake.Broadcast()
 	v.mu.Unlock()
 	done := make(chan error, 1)
 	go func() {
-		<-v.gone
+		<-v.stopped
 		done <- v.db.Close()
 	}()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(closeWait):
-		return ErrSilent
+	case <-time.After(closeTimeout):
+		return ErrUnresponsive
 	}
 }
--- a/internal/vault/vault_test.go
+++ b/internal/vault/vault_test.go
@@ -9,52 +9,52 @@
 	"comethold/internal/cell"
 )
 
-func open2(t *testing.T, dir string) (*Vault, bool) {
+func openStore(t *testing.T, dir string) (*Store, bool) {
 	t.Helper()
-	v, err := Open(dir, Files{}, func(err error) { t.Log(err) })
+	v, err := Open(dir, LocalDisk{}, func(err error) { t.Log(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v, v.Node("identity") == nil
+	return v, v.NodeValue("identity") == nil
 }
 
-func (v *Vault) synced(name string, w cell.Writes) {
+func (v *Store) submitAndWait(name string, w cell.Writes) {
 	done := make(chan struct{})
 	if !v.Submit(name, w, func() { close(done) }) {
 		<-done
 	}
 }
 
-// TestVault: what was synced is found again, a snapshot takes the place of the
+// TestReopen: what was synced is found again, a snapshot takes the place of the
 // log below it, and a file that cannot be read is put aside.
-func TestVault(t *testing.T) {
+func TestReopen(t *testing.T) {
 	dir := t.TempDir()
-	v, empty := open2(t, dir)
+	v, empty := openStore(t, dir)
 	if !empty {
 		t.Fatal("a new vault is not empty")
 	}
-	if err := v.SetNode("identity", []byte("me")); err != nil {
+	if err := v.SetNodeValue("identity", []byte("me")); err != nil {
 		t.Fatal(err)
 	}
 	entry := func(slot uint64) cell.Entry {
-		return cell.Entry{Slot: slot, Ballot: cell.Ballot{Round: 2, By: "a"}, Txns: []cell.Txn{{ID: "t"}}}
+		return cell.Entry{Index: slot, ProposalNumber: cell.ProposalNumber{Term: 2, Proposer: "a"}, Txns: []cell.Txn{{ID: "t"}}}
 	}
-	v.synced("c", cell.Writes{Promised: &cell.Ballot{Round: 2, By: "a"}, Entries: []cell.Entry{entry(1), entry(2), entry(3)}, Chosen: 2})
-	v.synced("c", cell.Writes{Snap: &cell.Snapshot{Applied: 2, State: map[string]cell.Value{"k": cell.Int(7)}}, DropTo: 2, Chosen: 2})
-	v.synced("d", cell.Writes{Entries: []cell.Entry{entry(9)}})
+	v.submitAndWait("c", cell.Writes{Promised: &cell.ProposalNumber{Term: 2, Proposer: "a"}, Entries: []cell.Entry{entry(1), entry(2), entry(3)}, CommitIndex: 2})
+	v.submitAndWait("c", cell.Writes{Snapshot: &cell.Snapshot{AppliedIndex: 2, State: map[string]cell.Value{"k": cell.Int(7)}}, TruncateTo: 2, CommitIndex: 2})
+	v.submitAndWait("d", cell.Writes{Entries: []cell.Entry{entry(9)}})
 	if err := v.Close(); err != nil {
 		t.Fatal(err)
 	}
 
-	v, empty = open2(t, dir)
-	s, found, err := v.Load("c")
-	if err != nil || !found || empty || string(v.Node("identity")) != "me" {
+	v, empty = openStore(t, dir)
+	s, found, err := v.LoadReplica("c")
+	if err != nil || !found || empty || string(v.NodeValue("identity")) != "me" {
 		t.Fatalf("found %v, empty %v: %v", found, empty, err)
 	}
-	if s.Promised.Round != 2 || s.Chosen != 2 || len(s.Entries) != 1 || s.Entries[0].Slot != 3 || !s.Snap.State["k"].Equal(cell.Int(7)) {
+	if s.Promised.Term != 2 || s.CommitIndex != 2 || len(s.Entries) != 1 || s.Entries[0].Index != 3 || !s.Snapshot.State["k"].Equal(cell.Int(7)) {
 		t.Fatalf("loaded %+v", s)
 	}
-	if _, found, _ := v.Load("nobody's"); found {
+	if _, found, _ := v.LoadReplica("nobody's"); found {
 		t.Fatal("a cell that was never there is found")
 	}
 	if err := v.Close(); err != nil {
@@ -65,12 +65,12 @@
 		t.Fatal(err)
 	}
 	var told error
-	v, err = Open(dir, Files{}, func(err error) { told = err })
-	if err != nil || !errors.Is(told, ErrDamaged) || !SetAside(dir) {
+	v, err = Open(dir, LocalDisk{}, func(err error) { told = err })
+	if err != nil || !errors.Is(told, ErrCorrupt) || !HasCorruptFile(dir) {
 		t.Fatalf("opened with %v, told %v", err, told)
 	}
 	defer v.Close()
-	if v.Node("identity") != nil {
+	if v.NodeValue("identity") != nil {
 		t.Fatal("a damaged vault is not taken for an empty one")
 	}
 }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -15,21 +15,21 @@
 	"comethold/internal/scenario"
 )
 
-// peer takes calls and ends them in the ways that processes and networks do.
-type peer struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	came map[int]int
-	door net.Listener
+// faultyPeer takes calls and ends them in the ways that processes and networks do.
+type faultyPeer struct {
+	mu       sync.Mutex
+	rng      *rand.Rand
+	received map[int]int
+	listener net.Listener
 }
 
-func (p *peer) draw(n int) int {
+func (p *faultyPeer) draw(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Intn(n)
 }
 
-func (p *peer) serve(c net.Conn) {
+func (p *faultyPeer) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -38,14 +38,14 @@
 			return
 		}
 		var call int
-		if Read(r.Body, &call) != nil {
+		if DecodeRequest(r.Body, &call) != nil {
 			return
 		}
 		p.mu.Lock()
-		p.came[call]++
+		p.received[call]++
 		p.mu.Unlock()
 		b, _ := Marshal(call)
-		b = Pack(b)
+		b = EncodeBody(b)
 		say := func(status, header string, body []byte) {
 			fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 		}
@@ -67,7 +67,7 @@
 		case 5:
 			say("200 OK", "", nil)
 		case 6:
-			say("307 Temporary Redirect", "Location: http://"+p.door.Addr().String()+"/\r\n", nil)
+			say("307 Temporary Redirect", "Location: http://"+p.listener.Addr().String()+"/\r\n", nil)
 		case 7:
 			say("200 OK", "Connection: close\r\n", b)
 			return
@@ -87,12 +87,12 @@
 // TestCalls: whatever ends a call, it came once at the most, and who is told that it went
 // well has the answer to this very call.
 func TestCalls(t *testing.T) {
-	for seed := range scenario.Seeds(3) {
+	for seed := range scenario.SeedCount(3) {
 		door, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &peer{rng: rand.New(rand.NewSource(int64(seed))), came: map[int]int{}, door: door}
+		p := &faultyPeer{rng: rand.New(rand.NewSource(int64(seed))), received: map[int]int{}, listener: door}
 		go func() {
 			for {
 				c, err := door.Accept()
@@ -102,7 +102,7 @@
 				go p.serve(c)
 			}
 		}()
-		client := NewClient(Sockets)
+		client := NewClient(TCPNetwork)
 		well := 0
 		var wg sync.WaitGroup
 		for k := range 8 {
@@ -118,7 +118,7 @@
 						t.Errorf("seed %d: call %d was answered %d", seed, call, got)
 					case err == nil:
 						well++
-					case !errors.Is(err, ErrUnreachable) && !errors.Is(err, ErrRefused) && !errors.Is(err, ErrGarbled):
+					case !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrRejected) && !errors.Is(err, ErrMalformed):
 						t.Errorf("seed %d: an error of no layer: %v", seed, err)
 					}
 					p.mu.Unlock()
@@ -128,9 +128,9 @@
 		wg.Wait()
 		time.Sleep(50 * time.Millisecond)
 		_ = door.Close()
-		client.h.CloseIdleConnections()
+		client.httpClient.CloseIdleConnections()
 		p.mu.Lock()
-		for call, n := range p.came {
+		for call, n := range p.received {
 			if n > 1 {
 				t.Errorf("seed %d: call %d came %d times", seed, call, n)
 			}
