--- a/cmd/comethold/command.go
+++ b/cmd/comethold/command.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"strings"
 
-	"comethold/internal/numbering"
+	"comethold/internal/routing"
 	"comethold/internal/settings"
 
 	"github.com/spf13/cobra"
@@ -72,7 +72,7 @@
 			case ".toml":
 				_, err = settings.Parse(raw)
 			case ".json":
-				_, err = numbering.Parse(raw)
+				_, err = routing.Parse(raw)
 			default:
 				err = fmt.Errorf("settings end in .toml, configurations in .json")
 			}
--- a/cmd/comethold/run.go
+++ b/cmd/comethold/run.go
@@ -13,13 +13,13 @@
 	"syscall"
 	"time"
 
-	"comethold/internal/announce"
-	"comethold/internal/event"
-	"comethold/internal/registrar"
+	"comethold/internal/controlplane"
+	"comethold/internal/logging"
+	"comethold/internal/objectcache"
+	"comethold/internal/proxy"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
 
 	"github.com/oklog/run"
 )
@@ -32,7 +32,7 @@
 )
 
 // runProgram loads the settings and runs a program until it ends.
-func runProgram(program func(*settings.Settings, string, *event.Logger) error) error {
+func runProgram(program func(*settings.Settings, string, *logging.Logger) error) error {
 	path, err := settings.Path()
 	if err != nil {
 		return err
@@ -45,15 +45,15 @@
 	if set.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(set.Limits.MemoryMb<<20) * softMemoryFraction))
 	}
-	log := event.New(set.NodeName, os.Args[1])
+	log := logging.New(set.NodeName, os.Args[1])
 	log.SetLevel(set.Log.Level)
-	log.Info(event.Started).Str("zone", set.AvailabilityZone).Str("version", version).Msg("started")
+	log.Info(logging.Started).Str("zone", set.AvailabilityZone).Str("version", version).Msg("started")
 	err = program(set, path, log)
 	if err != nil {
-		log.Error(event.Failed).Err(err).Msg("failed")
+		log.Error(logging.Failed).Err(err).Msg("failed")
 		return err
 	}
-	log.Info(event.Stopped).Msg("stopped")
+	log.Info(logging.Stopped).Msg("stopped")
 	return nil
 }
 
@@ -81,7 +81,7 @@
 
 // addSignalHandling adds the handling of signals and of changes of the settings file.
 // leave is called on SIGTERM and returns when the program may end.
-func addSignalHandling(g *run.Group, path string, log *event.Logger, reload func(*settings.Settings), leave func()) {
+func addSignalHandling(g *run.Group, path string, log *logging.Logger, reload func(*settings.Settings), leave func()) {
 	sig := make(chan os.Signal, 4)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	quit := make(chan struct{})
@@ -96,12 +96,12 @@
 		last = raw
 		set, err := settings.Parse(raw)
 		if err != nil {
-			log.Error(event.SettingsRejected).Err(err).Str("why", why).Msg("the new settings are refused; the old ones stay")
+			log.Error(logging.SettingsRejected).Err(err).Str("why", why).Msg("the new settings are refused; the old ones stay")
 			return
 		}
 		reload(set)
 		log.SetLevel(set.Log.Level)
-		log.Info(event.SettingsReloaded).Str("why", why).Msg("settings reloaded")
+		log.Info(logging.SettingsReloaded).Str("why", why).Msg("settings reloaded")
 	}
 	g.Add(func() error {
 		t := time.NewTicker(settingsPollInterval)
@@ -113,7 +113,7 @@
 					again("signal")
 					continue
 				}
-				log.Info(event.Stopping).Stringer("signal", s).Msg("stopping")
+				log.Info(logging.Stopping).Stringer("signal", s).Msg("stopping")
 				leave()
 				return nil
 			case <-t.C:
@@ -125,14 +125,14 @@
 	}, func(error) { close(quit) })
 }
 
-func runControlPlane(set *settings.Settings, path string, log *event.Logger) error {
+func runControlPlane(set *settings.Settings, path string, log *logging.Logger) error {
 	if set.Listen.ControlPlane == "" || set.DataDirectory == "" {
 		return errors.New("settings: a registrar needs listenAddresses.controlPlane and dataDirectory")
 	}
-	r := registrar.New(set, log, wire.TCPNetwork, vault.LocalDisk{})
+	r := controlplane.New(set, log, rpc.TCPNetwork, storage.LocalDisk{})
 	var g run.Group
 	g.Add(r.Run, func(error) { r.Stop() })
-	udp, err := net.ListenPacket("udp4", registrar.InternalAddress(set))
+	udp, err := net.ListenPacket("udp4", controlplane.InternalAddress(set))
 	if err != nil {
 		return fmt.Errorf("cannot listen: %w", err)
 	}
@@ -140,15 +140,15 @@
 	if err := addServer(&g, set.Listen.ControlPlane, r.OperatorHandler()); err != nil {
 		return err
 	}
-	if err := addServer(&g, registrar.InternalAddress(set), r.InternalHandler()); err != nil {
+	if err := addServer(&g, controlplane.InternalAddress(set), r.InternalHandler()); err != nil {
 		return err
 	}
 	addSignalHandling(&g, path, log, r.Reload, func() {})
 	return g.Run()
 }
 
-func runObjectCache(set *settings.Settings, path string, log *event.Logger) error {
-	a := announce.New(set, log, wire.TCPNetwork)
+func runObjectCache(set *settings.Settings, path string, log *logging.Logger) error {
+	a := objectcache.New(set, log, rpc.TCPNetwork)
 	var g run.Group
 	udp, err := net.ListenPacket("udp4", a.InternalAddress())
 	if err != nil {
@@ -166,11 +166,11 @@
 	return g.Run()
 }
 
-func runDataPlane(set *settings.Settings, path string, log *event.Logger) error {
+func runDataPlane(set *settings.Settings, path string, log *logging.Logger) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
 		return errors.New("settings: a switch needs listenAddresses.frontend and listenAddresses.readiness")
 	}
-	s := switchboard.New(set, log, wire.TCPNetwork)
+	s := proxy.New(set, log, rpc.TCPNetwork)
 	var g run.Group
 	front, err := net.Listen("tcp4", set.Listen.Frontend)
 	if err != nil {
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"comethold/internal/compat"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/registrar"
+	"comethold/internal/controlplane"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
+	"comethold/internal/storage"
 	"comethold/internal/usage"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
 
 	bolt "go.etcd.io/bbolt"
 )
@@ -55,7 +55,7 @@
 type control struct {
 	t        *testing.T
 	set      *settings.Settings
-	process  *registrar.Server
+	process  *controlplane.Server
 	operator *httptest.Server
 	inner    *httptest.Server
 	cast     net.PacketConn
@@ -67,7 +67,7 @@
 	set := &settings.Settings{NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", RegionName: "r", HeartbeatMs: 1200,
 		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"}, FirstStart: first, DataDirectory: dir,
 		Bounds: settings.Bounds{DrainMs: 3000, GracePeriodS: 6, QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaSlack: 20}}
-	var dial wire.Network = func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
+	var dial rpc.Network = func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
 		return func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 	}
 	if platform != nil {
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	c := &control{t: t, set: set, process: registrar.New(set, event.Nop(), dial, vault.LocalDisk{})}
+	c := &control{t: t, set: set, process: controlplane.New(set, logging.Nop(), dial, storage.LocalDisk{})}
 	c.operator, c.inner = httptest.NewServer(c.process.OperatorHandler()), httptest.NewServer(c.process.InternalHandler())
 	var err error
 	if c.cast, err = net.ListenPacket("udp4", "127.0.0.1:0"); err != nil {
@@ -141,30 +141,30 @@
 }
 
 // news is what the control plane tells a node that holds nothing.
-func (c *control) news(call feed.UpdateRequest) feed.Update {
+func (c *control) news(call distribution.UpdateRequest) distribution.Update {
 	c.t.Helper()
-	body, err := wire.EncodeRequest(&call)
+	body, err := rpc.EncodeRequest(&call)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	resp, err := http.Post(c.inner.URL+"/feed", wire.ContentType, bytes.NewReader(body))
+	resp, err := http.Post(c.inner.URL+"/feed", rpc.ContentType, bytes.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var out feed.Update
-	if err := wire.DecodeRequest(resp.Body, &out); err != nil {
+	var out distribution.Update
+	if err := rpc.DecodeRequest(resp.Body, &out); err != nil {
 		c.t.Fatalf("%d %v", resp.StatusCode, err)
 	}
 	return out
 }
 
 // until waits for news that fit.
-func (c *control) until(what string, fits func(feed.Update) bool) feed.Update {
+func (c *control) until(what string, fits func(distribution.Update) bool) distribution.Update {
 	c.t.Helper()
-	var n feed.Update
+	var n distribution.Update
 	for range 600 {
-		if n = c.news(feed.UpdateRequest{Node: feed.Node{Zone: "z1"}, Immediate: true}); fits(n) {
+		if n = c.news(distribution.UpdateRequest{Node: distribution.Node{Zone: "z1"}, Immediate: true}); fits(n) {
 			return n
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -173,8 +173,8 @@
 	return n
 }
 
-func marked(n feed.Update) bool {
-	return slices.ContainsFunc(n.EjectionMarks, func(m feed.EjectionMarks) bool { return len(m.Ejected) > 0 })
+func marked(n distribution.Update) bool {
+	return slices.ContainsFunc(n.EjectionMarks, func(m distribution.EjectionMarks) bool { return len(m.Ejected) > 0 })
 }
 
 // writeData makes a data directory with something of everything that is stored.
@@ -192,29 +192,29 @@
 	c.want(http.StatusPreconditionFailed, "/Configuration.Replace", "0", strings.Replace(firstConfiguration, "1000", "2000", 1))
 	c.want(http.StatusOK, "/purge", "", `{"hostname":"h.example","path":"/old"}`)
 	c.want(http.StatusOK, "/purge", "", `{"label":"l1"}`)
-	c.until("list", func(n feed.Update) bool { return n.Endpoints != nil && len(n.Endpoints.Endpoints) == 1 })
+	c.until("list", func(n distribution.Update) bool { return n.Endpoints != nil && len(n.Endpoints.Endpoints) == 1 })
 	for _, name := range []string{"n1/switch", "n2/switch"} {
-		c.news(feed.UpdateRequest{Node: feed.Node{Name: name, Addr: address, Zone: "z1"}, Immediate: true, Reports: []feed.HealthReport{{EndpointID: "i1", Service: "s1"}}})
+		c.news(distribution.UpdateRequest{Node: distribution.Node{Name: name, Addr: address, Zone: "z1"}, Immediate: true, Reports: []distribution.HealthReport{{EndpointID: "i1", Service: "s1"}}})
 	}
-	c.claim(feed.RateShares, 1)
-	c.claim(feed.QuotaShares, 1)
+	c.claim(distribution.RateShares, 1)
+	c.claim(distribution.QuotaShares, 1)
 	c.until("marks", marked)
 	c.want(http.StatusOK, "/Notices.Redrive", "", `{"eventId":"configuration/5","operator":"o","correlationId":"c","action":"resend"}`)
 	c.count()
 	for i := range uint64(120) { // so that the log is cut and a snapshot is written
-		c.claim(feed.RateShares, i+2)
+		c.claim(distribution.RateShares, i+2)
 	}
 	time.Sleep(time.Second)
 }
 
 // claim renews the share of a node.
-func (c *control) claim(of feed.ShareTable, turn uint64) {
+func (c *control) claim(of distribution.ShareTable, turn uint64) {
 	c.t.Helper()
-	body, err := wire.EncodeRequest(&feed.ShareRequest{Node: "n2", HoldsNone: true, Table: of, Number: feed.RequestNumber{Incarnation: 9, Sequence: turn}})
+	body, err := rpc.EncodeRequest(&distribution.ShareRequest{Node: "n2", HoldsNone: true, Table: of, Number: distribution.RequestNumber{Incarnation: 9, Sequence: turn}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	resp, err := http.Post(c.inner.URL+"/claim", wire.ContentType, bytes.NewReader(body))
+	resp, err := http.Post(c.inner.URL+"/claim", rpc.ContentType, bytes.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -234,7 +234,7 @@
 	defer func() { _ = conn.Close() }()
 	for seq := range uint64(20) {
 		window := usage.WindowAt(time.Now(), c.set.Bounds.UsageWindow())
-		msg, err := wire.Marshal(&feed.Datagram{UsageReport: &usage.CountReport{Incarnation: 9, Sequence: seq + 1, Windows: usage.Windows{window: usage.Counts{"t": seq + 1}}}})
+		msg, err := rpc.Marshal(&distribution.Datagram{UsageReport: &usage.CountReport{Incarnation: 9, Sequence: seq + 1, Windows: usage.Windows{window: usage.Counts{"t": seq + 1}}}})
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -261,12 +261,12 @@
 		}
 	}
 	decode(c.want(http.StatusOK, "/Configuration.Read", "", ""), &r.Configuration)
-	n := c.until("state", func(n feed.Update) bool {
-		cut := !slices.ContainsFunc(n.EjectionMarks, func(m feed.EjectionMarks) bool { return len(m.Services) == 0 })
+	n := c.until("state", func(n distribution.Update) bool {
+		cut := !slices.ContainsFunc(n.EjectionMarks, func(m distribution.EjectionMarks) bool { return len(m.Services) == 0 })
 		return marked(n) && cut && len(n.EjectionMarks) == 2 && n.Config != nil && n.Purges != nil && n.Nodes != nil && n.Endpoints != nil
 	})
-	slices.SortFunc(n.EjectionMarks, func(a, b feed.EjectionMarks) int { return strings.Compare(a.IndexName, b.IndexName) })
-	slices.SortFunc(n.Nodes.Nodes, func(a, b feed.Node) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(n.EjectionMarks, func(a, b distribution.EjectionMarks) int { return strings.Compare(a.IndexName, b.IndexName) })
+	slices.SortFunc(n.Nodes.Nodes, func(a, b distribution.Node) int { return strings.Compare(a.Name, b.Name) })
 	decode(c.want(http.StatusOK, "/Notices.Read", "", ""), &notices)
 	r.Quarantine, r.Redrives, r.Decided = notices.Quarantine, notices.Redrives, notices.Decided
 	// Positions of the log go on with every start.
@@ -275,7 +275,7 @@
 		n.EjectionMarks[i].LogIndex = 0
 	}
 	part := func(v any) any {
-		raw, err := wire.Marshal(v)
+		raw, err := rpc.Marshal(v)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -326,13 +326,13 @@
 // keys, and cells by their names.
 func stored(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
-	v, err := vault.Open(dir, vault.LocalDisk{}, func(err error) { t.Error(err) })
+	v, err := storage.Open(dir, storage.LocalDisk{}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = v.Close() }()
 	part := func(v any) any {
-		raw, err := wire.Marshal(v)
+		raw, err := rpc.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/compat/paths_test.go
+++ b/internal/compat/paths_test.go
@@ -6,13 +6,13 @@
 	"strings"
 	"testing"
 
-	"comethold/internal/announce"
-	"comethold/internal/event"
-	"comethold/internal/registrar"
+	"comethold/internal/controlplane"
+	"comethold/internal/logging"
+	"comethold/internal/objectcache"
+	"comethold/internal/proxy"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
 
 	"github.com/labstack/echo/v4"
 )
@@ -21,10 +21,10 @@
 func TestPaths(t *testing.T) {
 	set := &settings.Settings{NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", DataDirectory: t.TempDir(),
 		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"}}
-	control := registrar.New(set, event.Nop(), wire.TCPNetwork, vault.LocalDisk{})
-	proxy := switchboard.New(set, event.Nop(), wire.TCPNetwork)
+	control := controlplane.New(set, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
+	proxy := proxy.New(set, logging.Nop(), rpc.TCPNetwork)
 	defer proxy.Close()
-	cache := announce.New(set, event.Nop(), wire.TCPNetwork)
+	cache := objectcache.New(set, logging.Nop(), rpc.TCPNetwork)
 	defer cache.Close()
 	for _, c := range []struct {
 		who    string
--- a/internal/office/feeder.go
+++ b/internal/controlclient/feeder.go
@@ -1,4 +1,4 @@
-package office
+package controlclient
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/ring"
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+	"comethold/internal/logging"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 )
 
 // Timing of the feed. Ours; see docs/design.md.
@@ -35,30 +35,30 @@
 type updateStream struct {
 	settings *settings.Settings
 	state    *appliedState
-	log      *event.Logger
-	client   *wire.Client
-	self     feed.Node
+	log      *logging.Logger
+	client   *rpc.Client
+	self     distribution.Node
 
 	mu             sync.Mutex
 	seeds          []string
-	controlNodes   []feed.Node
-	dataPlaneNodes []feed.Node
+	controlNodes   []distribution.Node
+	dataPlaneNodes []distribution.Node
 	avoidUntil     map[string]time.Time
-	reports        []feed.HealthReport
+	reports        []distribution.HealthReport
 	suspects       func() []string
 	cancelPoll     context.CancelFunc
 	polledHost     string // whom the call that waits is held open with
 	switchedAt     time.Time
 }
 
-func newUpdateStream(set *settings.Settings, s *appliedState, log *event.Logger, program settings.Program, call *wire.Client) *updateStream {
+func newUpdateStream(set *settings.Settings, s *appliedState, log *logging.Logger, program settings.Program, call *rpc.Client) *updateStream {
 	return &updateStream{settings: set, state: s, log: log, client: call, seeds: set.SeedHosts(),
-		self:       feed.Node{Name: set.NodeName, Addr: set.IPAddress, Zone: set.AvailabilityZone, ObjectCache: program == settings.ObjectCache},
+		self:       distribution.Node{Name: set.NodeName, Addr: set.IPAddress, Zone: set.AvailabilityZone, ObjectCache: program == settings.ObjectCache},
 		avoidUntil: map[string]time.Time{}, suspects: func() []string { return nil }}
 }
 
 // queueReport queues what was noticed of a leaf and sends it soon.
-func (f *updateStream) queueReport(r feed.HealthReport) {
+func (f *updateStream) queueReport(r distribution.HealthReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.reports) < maxReports {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (f *updateStream) setNodes(all []feed.Node) {
+func (f *updateStream) setNodes(all []distribution.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.controlNodes, f.dataPlaneNodes = nil, nil
@@ -119,7 +119,7 @@
 		if until, ok := f.avoidUntil[addr]; ok && now.Before(until) {
 			rank += 10
 		}
-		all = append(all, one{addr, rank, ring.Hash(f.self.Name, addr)})
+		all = append(all, one{addr, rank, heartbeat.Hash(f.self.Name, addr)})
 	}
 	for _, n := range f.controlNodes {
 		switch {
@@ -177,7 +177,7 @@
 // registrar that it knows of, the near ones first, and each again as soon as it
 // has answered without one: those that are silent hold nobody up.
 func (f *updateStream) fetchFirstConfig(quit <-chan struct{}) {
-	got := make(chan *feed.Update)
+	got := make(chan *distribution.Update)
 	done := make(chan struct{})
 	defer close(done)
 	asked := map[string]bool{}
@@ -191,7 +191,7 @@
 			news, _, err := f.poll(addr, f.settings.PortOf(settings.ControlPlane), firstPollTimeout)
 			after = firstPollPause // it has no configuration yet
 			if err != nil {
-				news, after = &feed.Update{Stale: true}, retryPause // it may be about to start
+				news, after = &distribution.Update{Stale: true}, retryPause // it may be about to start
 			}
 			select {
 			case got <- news:
@@ -243,7 +243,7 @@
 				f.avoid(addr)
 			}
 			if failures > 0 || addr != last {
-				f.log.Info(event.ControlPlaneConnected).Str("registrar", addr).Bool("stale", news.Stale).Msg("fed by a registrar")
+				f.log.Info(logging.ControlPlaneConnected).Str("registrar", addr).Bool("stale", news.Stale).Msg("fed by a registrar")
 			}
 			failures, last = 0, addr
 			if news.Stale {
@@ -253,7 +253,7 @@
 		default:
 			f.avoid(addr)
 			if failures++; failures == 1 {
-				f.log.Warn(event.ControlPlaneLost).Str("registrar", addr).Err(err).Msg("a registrar does not feed")
+				f.log.Warn(logging.ControlPlaneLost).Str("registrar", addr).Err(err).Msg("a registrar does not feed")
 			}
 			if failures%failuresBeforePeers == 0 {
 				f.pollPeers()
@@ -271,10 +271,10 @@
 }
 
 // poll makes one call; hurried says that it was ended to carry a report.
-func (f *updateStream) poll(host string, port int, limit time.Duration) (*feed.Update, bool, error) {
+func (f *updateStream) poll(host string, port int, limit time.Duration) (*distribution.Update, bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	call := feed.UpdateRequest{Node: f.self, Held: f.state.heldVersions(), Suspects: f.suspects()}
+	call := distribution.UpdateRequest{Node: f.self, Held: f.state.heldVersions(), Suspects: f.suspects()}
 	f.mu.Lock()
 	call.Reports = f.reports
 	f.reports = nil
@@ -284,7 +284,7 @@
 		f.cancelPoll, f.polledHost = func() { hurried = true; cancel() }, host
 	}
 	f.mu.Unlock()
-	var news feed.Update
+	var news distribution.Update
 	err := f.client.Call(ctx, net.JoinHostPort(host, strconv.Itoa(port)), "/feed", &call, &news)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/office/feeder_test.go
+++ b/internal/controlclient/feeder_test.go
@@ -1,4 +1,4 @@
-package office
+package controlclient
 
 import (
 	"net"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 )
 
 // TestSwitchSource: a node keeps to one registrar while that one feeds it; told that
@@ -30,8 +30,8 @@
 		port = l.Addr().(*net.TCPAddr).Port
 		go func() {
 			_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				var call feed.UpdateRequest
-				if err := wire.DecodeRequest(r.Body, &call); err != nil {
+				var call distribution.UpdateRequest
+				if err := rpc.DecodeRequest(r.Body, &call); err != nil {
 					t.Error(err)
 				}
 				if call.Held.ConfigVersion == 1 && !call.Immediate {
@@ -39,15 +39,15 @@
 					<-r.Context().Done()
 					return
 				}
-				cfg, _ := numbering.Decode(raw)
-				b, _ := wire.Marshal(&feed.Update{Config: feed.FullConfig(cfg)})
-				_, _ = w.Write(wire.EncodeBody(b))
+				cfg, _ := routing.Decode(raw)
+				b, _ := rpc.Marshal(&distribution.Update{Config: distribution.FullConfig(cfg)})
+				_, _ = w.Write(rpc.EncodeBody(b))
 			}))
 		}()
 	}
 	set := &settings.Settings{NodeName: "n1", IPAddress: "127.0.0.9", AvailabilityZone: "a", RegionName: "r",
 		InternalPortRange: []int{port, port + 3}, SeedNodes: []string{hosts[0] + ":1", hosts[1] + ":1"}}
-	o := New(set, event.Nop(), settings.DataPlane, wire.TCPNetwork)
+	o := New(set, logging.Nop(), settings.DataPlane, rpc.TCPNetwork)
 	defer o.Close()
 	go func() { _ = o.RunUpdates() }()
 	next := func() string {
--- a/internal/office/office.go
+++ b/internal/controlclient/office.go
@@ -1,4 +1,4 @@
-package office
+package controlclient
 
 import (
 	"maps"
@@ -10,16 +10,16 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+	"comethold/internal/logging"
 	"comethold/internal/quota"
-	"comethold/internal/ring"
+	"comethold/internal/retrybudget"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/toll"
-	"comethold/internal/trunk"
+	"comethold/internal/upstream"
 	"comethold/internal/usage"
-	"comethold/internal/wire"
 
 	"github.com/labstack/echo/v4"
 )
@@ -27,17 +27,17 @@
 // Client is one node's membership in the system.
 type Client struct {
 	Settings    *settings.Settings
-	Network     wire.Network
-	Log         *event.Logger
-	Upstreams   *trunk.ClusterManager
-	RetryBudget *toll.Budget
+	Network     rpc.Network
+	Log         *logging.Logger
+	Upstreams   *upstream.ClusterManager
+	RetryBudget *retrybudget.Budget
 
 	program      settings.Program
 	state        *appliedState
 	updates      *updateStream
 	done         chan struct{}
 	closeOnce    sync.Once
-	objectCaches atomic.Pointer[[]feed.Node]
+	objectCaches atomic.Pointer[[]distribution.Node]
 
 	datagramMu   sync.Mutex
 	datagrams    net.PacketConn // for datagrams, once Beat has begun
@@ -45,51 +45,51 @@
 	onUsageAck   func(*usage.CountAck)
 
 	heartbeatMu sync.Mutex
-	detector    *ring.Detector
-	nodes       []feed.Node
+	detector    *heartbeat.Detector
+	nodes       []distribution.Node
 }
 
 // New makes the membership of a node that runs the program.
-func New(set *settings.Settings, log *event.Logger, program settings.Program, n wire.Network) *Client {
-	dial := trunk.DialFunc(n(time.Second, 5*time.Second))
-	frame := trunk.NewClusterManager(trunk.Locality{Node: set.NodeName, Zone: set.AvailabilityZone, RegionOf: set.RegionOf}, dial, log)
+func New(set *settings.Settings, log *logging.Logger, program settings.Program, n rpc.Network) *Client {
+	dial := upstream.DialFunc(n(time.Second, 5*time.Second))
+	frame := upstream.NewClusterManager(upstream.Locality{Node: set.NodeName, Zone: set.AvailabilityZone, RegionOf: set.RegionOf}, dial, log)
 	b := set.Bounds
-	budget := toll.New(toll.Config{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: b.RetryWindow()}, time.Now())
+	budget := retrybudget.New(retrybudget.Config{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: b.RetryWindow()}, time.Now())
 	o := &Client{Settings: set, Network: n, Log: log, Upstreams: frame, RetryBudget: budget, program: program, done: make(chan struct{}), onTokenGrant: func(*quota.TokenGrant) {}, onUsageAck: func(*usage.CountAck) {},
-		state: newAppliedState(log, frame, budget), detector: ring.NewDetector(set.NodeName, set.HeartbeatInterval())}
-	o.updates = newUpdateStream(set, o.state, log, program, wire.NewClient(n))
+		state: newAppliedState(log, frame, budget), detector: heartbeat.NewDetector(set.NodeName, set.HeartbeatInterval())}
+	o.updates = newUpdateStream(set, o.state, log, program, rpc.NewClient(n))
 	o.updates.suspects = o.suspects
 	frame.OnHealthChange = o.updates.queueReport
 	o.state.onNodes = o.setNodes
 	if program == settings.ObjectCache {
 		o.state.sharingNodes = func() int { return max(1, len(o.ObjectCaches())) }
 	}
-	o.objectCaches.Store(&[]feed.Node{})
+	o.objectCaches.Store(&[]distribution.Node{})
 	o.state.contactAt = time.Now()
 	return o
 }
 
 // Apply brings news into force.
-func (o *Client) Apply(n *feed.Update) { o.state.apply(n) }
+func (o *Client) Apply(n *distribution.Update) { o.state.apply(n) }
 
 // RouteTable returns the configuration in force, or nil.
-func (o *Client) RouteTable() *numbering.RouteTable { return o.state.routeTable.Load() }
+func (o *Client) RouteTable() *routing.RouteTable { return o.state.routeTable.Load() }
 
 // PurgeIndex returns the position of the newest purge known here.
 func (o *Client) PurgeIndex() uint64 { return o.state.purgeIndex.Load() }
 
 // PurgedSince reports whether a purge after pos names what hit recognises,
 // or whether that cannot be told any more.
-func (o *Client) PurgedSince(pos uint64, hit func(feed.Purge) bool) bool {
+func (o *Client) PurgedSince(pos uint64, hit func(distribution.Purge) bool) bool {
 	return o.state.purgedSince(pos, hit)
 }
 
 // OnRouteTable and OnRecalls name what is told of a new plan and of purges. They are
 // set before Feed starts and must not block.
-func (o *Client) OnRouteTable(f func(*numbering.RouteTable)) { o.state.onRouteTable = f }
+func (o *Client) OnRouteTable(f func(*routing.RouteTable)) { o.state.onRouteTable = f }
 
 // OnPurges: see OnPlan.
-func (o *Client) OnPurges(f func(*feed.PurgeUpdate)) { o.state.onPurges = f }
+func (o *Client) OnPurges(f func(*distribution.PurgeUpdate)) { o.state.onPurges = f }
 
 // OnTenantsChanged names what is told of tenants whose keys or limits were changed; see OnPlan.
 func (o *Client) OnTenantsChanged(f func([]string)) { o.state.onTenantsChanged = f }
@@ -111,11 +111,11 @@
 }
 
 // Send sends a datagram to another process, if it can.
-func (o *Client) Send(to net.Addr, d *feed.Datagram) {
+func (o *Client) Send(to net.Addr, d *distribution.Datagram) {
 	o.datagramMu.Lock()
 	c := o.datagrams
 	o.datagramMu.Unlock()
-	if b, err := wire.Marshal(d); err == nil && c != nil {
+	if b, err := rpc.Marshal(d); err == nil && c != nil {
 		_, _ = c.WriteTo(b, to)
 	}
 }
@@ -127,7 +127,7 @@
 }
 
 // ObjectCaches returns the announcers that are not down. Callers must not change it.
-func (o *Client) ObjectCaches() []feed.Node { return *o.objectCaches.Load() }
+func (o *Client) ObjectCaches() []distribution.Node { return *o.objectCaches.Load() }
 
 // Ready reports whether the feed has told all that serving needs.
 func (o *Client) Ready() bool { return o.state.ready() }
@@ -136,17 +136,17 @@
 func (o *Client) Confirmed() bool { return o.state.confirmed.Load() }
 
 // Endpoints returns the list of leafs that this node holds.
-func (o *Client) Endpoints() []feed.Endpoint {
+func (o *Client) Endpoints() []distribution.Endpoint {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
 	return slices.Collect(maps.Values(o.state.endpoints))
 }
 
 // Ejected lists the leafs that the index cells hold as drained, as told here.
-func (o *Client) Ejected() map[string]feed.EjectionMark {
+func (o *Client) Ejected() map[string]distribution.EjectionMark {
 	o.state.mu.Lock()
 	defer o.state.mu.Unlock()
-	out := map[string]feed.EjectionMark{}
+	out := map[string]distribution.EjectionMark{}
 	for _, m := range o.state.ejectionMarks {
 		maps.Copy(out, m.Ejected)
 	}
@@ -192,15 +192,15 @@
 	e.HideBanner, e.HidePort = true, true
 	e.POST("/here", func(c echo.Context) error { return c.NoContent(http.StatusNoContent) })
 	e.POST("/feed", func(c echo.Context) error {
-		var call feed.UpdateRequest
-		if err := wire.DecodeRequest(c.Request().Body, &call); err != nil {
+		var call distribution.UpdateRequest
+		if err := rpc.DecodeRequest(c.Request().Body, &call); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		b, err := wire.Marshal(o.state.updateFor(call.Held, call.Node.Zone == o.Settings.AvailabilityZone))
+		b, err := rpc.Marshal(o.state.updateFor(call.Held, call.Node.Zone == o.Settings.AvailabilityZone))
 		if err != nil {
 			return err
 		}
-		return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
+		return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeBody(b))
 	})
 	return e
 }
@@ -212,9 +212,9 @@
 
 // The ring.
 
-func (o *Client) setNodes(all []feed.Node) {
+func (o *Client) setNodes(all []distribution.Node) {
 	o.updates.setNodes(all)
-	stores := []feed.Node{}
+	stores := []distribution.Node{}
 	for _, n := range all {
 		if n.ObjectCache && !n.Down {
 			stores = append(stores, n)
@@ -252,7 +252,7 @@
 	o.datagrams = c
 	o.datagramMu.Unlock()
 	go o.receiveDatagrams(c)
-	msg, err := wire.Marshal(&feed.Datagram{Heartbeat: o.Settings.NodeName})
+	msg, err := rpc.Marshal(&distribution.Datagram{Heartbeat: o.Settings.NodeName})
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 		}
 		last = now
 		to := map[string]int{}
-		watchers, _ := ring.Assign(o.Settings.NodeName, o.zoneNodeNames())
+		watchers, _ := heartbeat.Assign(o.Settings.NodeName, o.zoneNodeNames())
 		for _, w := range watchers {
 			for _, n := range o.nodes {
 				if n.Name == w && !n.ControlPlane {
@@ -305,8 +305,8 @@
 			}
 			continue
 		}
-		var d feed.Datagram
-		if wire.Unmarshal(buf[:n], &d) != nil {
+		var d distribution.Datagram
+		if rpc.Unmarshal(buf[:n], &d) != nil {
 			continue
 		}
 		if d.TokenGrant != nil {
--- a/internal/office/state.go
+++ b/internal/controlclient/state.go
@@ -1,28 +1,28 @@
 // Package office is what every node that handles requests has in common: it
 // keeps itself current by the feed, has its place on the ring of heartbeats,
 // and holds the plan in force, the leafs, and the purges known so far.
-package office
+package controlclient
 
 import (
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
-	"comethold/internal/numbering"
-	"comethold/internal/toll"
-	"comethold/internal/trunk"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/retrybudget"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
+	"comethold/internal/upstream"
 )
 
 // appliedState is what the feed has told this node. Every part only moves forward.
 type appliedState struct {
-	log         *event.Logger
-	upstreams   *trunk.ClusterManager
-	retryBudget *toll.Budget
-	routeTable  atomic.Pointer[numbering.RouteTable]
+	log         *logging.Logger
+	upstreams   *upstream.ClusterManager
+	retryBudget *retrybudget.Budget
+	routeTable  atomic.Pointer[routing.RouteTable]
 	purgeIndex  atomic.Uint64 // of the newest purge known
 	// confirmed is set once somebody in touch with the majority has told news:
 	// what this node kept from a former life may be used from then on.
@@ -30,26 +30,26 @@
 
 	mu               sync.Mutex
 	contactAt        time.Time // when somebody in touch with the majority last told news
-	endpointRevision feed.Revision
+	endpointRevision distribution.Revision
 	hasEndpoints     bool
-	endpoints        map[string]feed.Endpoint
-	ejectionMarks    map[string]feed.EjectionMarks
+	endpoints        map[string]distribution.Endpoint
+	ejectionMarks    map[string]distribution.EjectionMarks
 	marksDigest      uint64
 	// sendMarkIndexesUntil is until when the positions of all marks are told, not their sum alone.
 	sendMarkIndexesUntil time.Time
 	nodesIndex           uint64 // of the directory
-	nodes                map[string]feed.Node
+	nodes                map[string]distribution.Node
 	dataPlaneCount       int
 	nodeCounts           []nodeCount
-	purges               []feed.Purge // the newest, in order
-	purgeFloor           uint64       // recalls up to here are not in recalls
-	inbox                *notice.Inbox
-	notificationIndex    uint64                    // position of the newest notice that was told
-	deferred             []feed.OutboxNotification // those whose prerequisite is not here yet
+	purges               []distribution.Purge // the newest, in order
+	purgeFloor           uint64               // recalls up to here are not in recalls
+	inbox                *outbox.Inbox
+	notificationIndex    uint64                            // position of the newest notice that was told
+	deferred             []distribution.OutboxNotification // those whose prerequisite is not here yet
 
-	onNodes          func([]feed.Node)
-	onRouteTable     func(*numbering.RouteTable)
-	onPurges         func(*feed.PurgeUpdate)
+	onNodes          func([]distribution.Node)
+	onRouteTable     func(*routing.RouteTable)
+	onPurges         func(*distribution.PurgeUpdate)
 	onTenantsChanged func(tenants []string) // their keys or limits are others now
 	sharingNodes     func() int             // nodes that share the leafs with this one, if not all switches
 }
@@ -71,16 +71,16 @@
 // maxRememberedPurges bounds the purges that a node remembers.
 const maxRememberedPurges = 4096
 
-func newAppliedState(log *event.Logger, f *trunk.ClusterManager, t *toll.Budget) *appliedState {
-	return &appliedState{log: log, upstreams: f, retryBudget: t, ejectionMarks: map[string]feed.EjectionMarks{}, endpoints: map[string]feed.Endpoint{},
-		nodes: map[string]feed.Node{}, onNodes: func([]feed.Node) {}, onRouteTable: func(*numbering.RouteTable) {},
-		onPurges: func(*feed.PurgeUpdate) {}, inbox: notice.NewInbox(), onTenantsChanged: func([]string) {}}
+func newAppliedState(log *logging.Logger, f *upstream.ClusterManager, t *retrybudget.Budget) *appliedState {
+	return &appliedState{log: log, upstreams: f, retryBudget: t, ejectionMarks: map[string]distribution.EjectionMarks{}, endpoints: map[string]distribution.Endpoint{},
+		nodes: map[string]distribution.Node{}, onNodes: func([]distribution.Node) {}, onRouteTable: func(*routing.RouteTable) {},
+		onPurges: func(*distribution.PurgeUpdate) {}, inbox: outbox.NewInbox(), onTenantsChanged: func([]string) {}}
 }
 
-func (s *appliedState) heldVersions() feed.HeldVersions {
+func (s *appliedState) heldVersions() distribution.HeldVersions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := feed.HeldVersions{NodesIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount, PurgeIndex: s.purgeIndex.Load(), NotificationIndex: s.notificationIndex, MarksDigest: s.marksDigest}
+	h := distribution.HeldVersions{NodesIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount, PurgeIndex: s.purgeIndex.Load(), NotificationIndex: s.notificationIndex, MarksDigest: s.marksDigest}
 	if p := s.routeTable.Load(); p != nil {
 		h.ConfigVersion = p.Version
 	}
@@ -102,7 +102,7 @@
 }
 
 // apply brings news into force.
-func (s *appliedState) apply(n *feed.Update) {
+func (s *appliedState) apply(n *distribution.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Purges != nil {
@@ -113,7 +113,7 @@
 	}
 	if n.Endpoints != nil && n.Endpoints.AppliesTo(s.endpointRevision, s.hasEndpoints) {
 		s.endpointRevision, s.hasEndpoints = n.Endpoints.Revision, true
-		s.endpoints = feed.ApplyChanges(s.endpoints, n.Endpoints.Endpoints, n.Endpoints.Removed, n.Endpoints.Delta, func(l feed.Endpoint) string { return l.ID })
+		s.endpoints = distribution.ApplyChanges(s.endpoints, n.Endpoints.Endpoints, n.Endpoints.Removed, n.Endpoints.Delta, func(l distribution.Endpoint) string { return l.ID })
 		s.upstreams.SetEndpoints(s.endpoints)
 	}
 	if n.NeedMarkIndexes {
@@ -128,21 +128,21 @@
 		for _, ix := range n.RemovedIndexes {
 			delete(s.ejectionMarks, ix)
 		}
-		drained := map[string]feed.EjectionMark{}
+		drained := map[string]distribution.EjectionMark{}
 		for _, m := range s.ejectionMarks {
 			for id, mark := range m.Ejected {
-				if drained[id].Reason != feed.ReasonDraining {
+				if drained[id].Reason != distribution.ReasonDraining {
 					drained[id] = mark
 				}
 			}
 		}
-		s.marksDigest = feed.MarksDigest(s.markIndexes())
+		s.marksDigest = distribution.MarksDigest(s.markIndexes())
 		s.upstreams.SetFleetEjections(drained)
 	}
 	if n.Nodes != nil && n.Nodes.LogIndex > s.nodesIndex && (!n.Nodes.Delta || n.Nodes.Base == s.nodesIndex) {
 		s.nodesIndex, s.dataPlaneCount = n.Nodes.LogIndex, n.Nodes.DataPlaneCount
-		s.nodes = feed.ApplyChanges(s.nodes, n.Nodes.Nodes, n.Nodes.Removed, n.Nodes.Delta, func(n feed.Node) string { return n.Name })
-		all := make([]feed.Node, 0, len(s.nodes))
+		s.nodes = distribution.ApplyChanges(s.nodes, n.Nodes.Nodes, n.Nodes.Removed, n.Nodes.Delta, func(n distribution.Node) string { return n.Name })
+		all := make([]distribution.Node, 0, len(s.nodes))
 		for _, node := range s.nodes {
 			all = append(all, node)
 		}
@@ -161,10 +161,10 @@
 
 // applyNotifications decides notices against the inbox before anything changes by them. It runs
 // after the rest of the news: the state that a notice speaks of is its prerequisite.
-func (s *appliedState) applyNotifications(n *feed.NotificationUpdate) {
-	have := map[string]uint64{notice.AggregatePurges: s.purgeIndex.Load()}
+func (s *appliedState) applyNotifications(n *distribution.NotificationUpdate) {
+	have := map[string]uint64{outbox.AggregatePurges: s.purgeIndex.Load()}
 	if p := s.routeTable.Load(); p != nil {
-		have[notice.AggregateConfiguration] = p.Version
+		have[outbox.AggregateConfiguration] = p.Version
 	}
 	waiting := s.deferred
 	if n != nil && n.LogIndex > s.notificationIndex {
@@ -186,24 +186,24 @@
 			s.inbox.SetBaseVersion(w.Notification.Aggregate, w.Notification.PreviousVersion)
 		}
 		switch d, why := s.inbox.Decide(&w.Notification, have[w.Notification.Aggregate]); d {
-		case notice.Applied:
-			var c notice.ConfigurationChange
-			if w.Notification.Aggregate == notice.AggregateConfiguration && wire.Unmarshal(w.Notification.Payload, &c) == nil {
+		case outbox.Applied:
+			var c outbox.ConfigurationChange
+			if w.Notification.Aggregate == outbox.AggregateConfiguration && rpc.Unmarshal(w.Notification.Payload, &c) == nil {
 				s.onTenantsChanged(c.Tenants)
 			}
-		case notice.Deferred:
+		case outbox.Deferred:
 			if len(s.deferred) < maxDeferredNotifications {
 				s.deferred = append(s.deferred, *w)
 			}
-		case notice.Quarantined:
-			s.log.Error(event.NotificationQuarantined).Str("eventId", w.Notification.EventID).Err(why).Msg("a notice is quarantined")
+		case outbox.Quarantined:
+			s.log.Error(logging.NotificationQuarantined).Str("eventId", w.Notification.EventID).Err(why).Msg("a notice is quarantined")
 		}
 	}
 }
 
 // applyPurges notes purges and has copies dropped before the position moves:
 // who reads the position finds their effect.
-func (s *appliedState) applyPurges(r *feed.PurgeUpdate) {
+func (s *appliedState) applyPurges(r *distribution.PurgeUpdate) {
 	if r.LogIndex <= s.purgeIndex.Load() && !r.Reset {
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 	if n := len(s.purges) - maxRememberedPurges; n > 0 {
 		s.purgeFloor = s.purges[n-1].LogIndex
-		s.purges = append([]feed.Purge(nil), s.purges[n:]...)
+		s.purges = append([]distribution.Purge(nil), s.purges[n:]...)
 	}
 	s.onPurges(r)
 	s.purgeIndex.Store(r.LogIndex)
@@ -225,7 +225,7 @@
 
 // purgedSince reports whether a purge after pos names what hit recognises,
 // or whether that cannot be told any more.
-func (s *appliedState) purgedSince(pos uint64, hit func(feed.Purge) bool) bool {
+func (s *appliedState) purgedSince(pos uint64, hit func(distribution.Purge) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if pos < s.purgeFloor {
@@ -239,8 +239,8 @@
 	return false
 }
 
-func (s *appliedState) applyConfig(c *feed.ConfigUpdate) {
-	var old *numbering.Configuration
+func (s *appliedState) applyConfig(c *distribution.ConfigUpdate) {
+	var old *routing.Configuration
 	if p := s.routeTable.Load(); p != nil {
 		old = p.Config
 	}
@@ -248,7 +248,7 @@
 	if !ok {
 		return
 	}
-	p := numbering.Compile(cfg)
+	p := routing.Compile(cfg)
 	limits, paths := map[string]int{}, map[string]string{}
 	for name, sv := range p.Services {
 		limits[name], paths[name] = sv.ConnectionLimit, sv.HealthPath
@@ -256,7 +256,7 @@
 	s.upstreams.SetServices(limits, paths)
 	s.routeTable.Store(p)
 	s.onRouteTable(p)
-	s.log.Info(event.ConfigApplied).Uint64("version", p.Version).Int("routes", len(cfg.Routes)).Msg("configuration in force")
+	s.log.Info(logging.ConfigApplied).Uint64("version", p.Version).Int("routes", len(cfg.Routes)).Msg("configuration in force")
 }
 
 // updateNodeCount works out among how many nodes the shared limits are divided: the most
@@ -285,15 +285,15 @@
 
 // updateFor answers another node that lacks what this one has. The directory of nodes
 // is told to those of the same zone alone: it holds no other zone's.
-func (s *appliedState) updateFor(h feed.HeldVersions, neighbour bool) *feed.Update {
+func (s *appliedState) updateFor(h distribution.HeldVersions, neighbour bool) *distribution.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &feed.Update{Stale: true}
+	n := &distribution.Update{Stale: true}
 	if p := s.routeTable.Load(); p != nil && p.Version > h.ConfigVersion {
-		n.Config = feed.FullConfig(p.Config)
+		n.Config = distribution.FullConfig(p.Config)
 	}
 	if s.hasEndpoints && h.EndpointRevision.Less(s.endpointRevision) {
-		n.Endpoints = &feed.EndpointList{Revision: s.endpointRevision}
+		n.Endpoints = &distribution.EndpointList{Revision: s.endpointRevision}
 		for _, l := range s.endpoints {
 			n.Endpoints.Endpoints = append(n.Endpoints.Endpoints, l)
 		}
@@ -304,13 +304,13 @@
 		}
 	}
 	if neighbour && s.nodesIndex > h.NodesIndex {
-		n.Nodes = &feed.NodeList{LogIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount}
+		n.Nodes = &distribution.NodeList{LogIndex: s.nodesIndex, DataPlaneCount: s.dataPlaneCount}
 		for _, node := range s.nodes {
 			n.Nodes.Nodes = append(n.Nodes.Nodes, node)
 		}
 	}
 	if pos := s.purgeIndex.Load(); pos > h.PurgeIndex {
-		n.Purges = &feed.PurgeUpdate{LogIndex: pos, Reset: h.PurgeIndex < s.purgeFloor}
+		n.Purges = &distribution.PurgeUpdate{LogIndex: pos, Reset: h.PurgeIndex < s.purgeFloor}
 		for _, rec := range s.purges {
 			if rec.LogIndex > h.PurgeIndex {
 				n.Purges.Purges = append(n.Purges.Purges, rec)
--- a/internal/registrar/board.go
+++ b/internal/controlplane/board.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"bytes"
@@ -8,35 +8,35 @@
 	"sync"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 )
 
 // Distributor is what this registrar can tell the nodes it feeds, ready to hand out.
 type Distributor struct {
 	mu               sync.Mutex
-	changed          chan struct{}              // closed and renewed whenever something changes
-	configurations   []*numbering.Configuration // the last few, newest last
-	endpoints        *feed.EndpointList
-	endpointHistory  feed.DeltaTable[feed.Endpoint]
-	persistEndpoints func(*feed.EndpointList) // stores a new list for the next start
-	marks            map[string]feed.EjectionMarks
+	changed          chan struct{}            // closed and renewed whenever something changes
+	configurations   []*routing.Configuration // the last few, newest last
+	endpoints        *distribution.EndpointList
+	endpointHistory  distribution.DeltaTable[distribution.Endpoint]
+	persistEndpoints func(*distribution.EndpointList) // stores a new list for the next start
+	marks            map[string]distribution.EjectionMarks
 	markDigests      markDigests
-	nodeHistory      feed.DeltaTable[feed.Node]
-	nodesByName      map[string]feed.Node // the directory by name; never changed, only replaced
-	servingNodes     int                  // nodes that serve clients and are not down
+	nodeHistory      distribution.DeltaTable[distribution.Node]
+	nodesByName      map[string]distribution.Node // the directory by name; never changed, only replaced
+	servingNodes     int                          // nodes that serve clients and are not down
 
 	nodesPublishedAt time.Time     // when nodes last moved
 	pendingNodes     *nodeSnapshot // the directory that nodes will hold next
 
-	purges            []feed.Purge // in order
-	purgePosition     uint64       // of the newest recall
-	purgeLowWatermark uint64       // recalls up to here are forgotten
+	purges            []distribution.Purge // in order
+	purgePosition     uint64               // of the newest recall
+	purgeLowWatermark uint64               // recalls up to here are forgotten
 
-	notifications            []feed.OutboxNotification // in order; never changed, only replaced
-	notificationLowWatermark uint64                    // those up to here are not told any more
-	notificationBaseVersions map[string]uint64         // by aggregate: the newest version told
+	notifications            []distribution.OutboxNotification // in order; never changed, only replaced
+	notificationLowWatermark uint64                            // those up to here are not told any more
+	notificationBaseVersions map[string]uint64                 // by aggregate: the newest version told
 
 	// encodedUpdates holds answers by what their callers have: after a change all of a zone
 	// lack the same, so it is worked out, encoded and compressed once.
@@ -45,7 +45,7 @@
 
 type nodeSnapshot struct {
 	index   uint64
-	byName  map[string]feed.Node
+	byName  map[string]distribution.Node
 	serving int
 }
 
@@ -63,7 +63,7 @@
 )
 
 func NewDistributor() *Distributor {
-	return &Distributor{changed: make(chan struct{}), persistEndpoints: func(*feed.EndpointList) {}, marks: map[string]feed.EjectionMarks{}, encodedUpdates: map[string]*EncodedUpdate{}, notificationBaseVersions: map[string]uint64{}}
+	return &Distributor{changed: make(chan struct{}), persistEndpoints: func(*distribution.EndpointList) {}, marks: map[string]distribution.EjectionMarks{}, encodedUpdates: map[string]*EncodedUpdate{}, notificationBaseVersions: map[string]uint64{}}
 }
 
 func (b *Distributor) notifyLocked() {
@@ -78,7 +78,7 @@
 	if last := b.LatestConfiguration(); version == 0 || last != nil && last.Version >= version {
 		return false
 	}
-	c, err := numbering.Decode(raw)
+	c, err := routing.Decode(raw)
 	if err != nil || c.Version != version {
 		return false // it was checked when it was taken
 	}
@@ -89,14 +89,14 @@
 	}
 	b.configurations = append(b.configurations, c)
 	if len(b.configurations) > maxConfigurations {
-		b.configurations = append([]*numbering.Configuration(nil), b.configurations[1:]...)
+		b.configurations = append([]*routing.Configuration(nil), b.configurations[1:]...)
 	}
 	b.notifyLocked()
 	return true
 }
 
 // LatestConfiguration returns the newest configuration held, or nil.
-func (b *Distributor) LatestConfiguration() *numbering.Configuration {
+func (b *Distributor) LatestConfiguration() *routing.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n := len(b.configurations); n > 0 {
@@ -106,12 +106,12 @@
 }
 
 // SetEndpoints takes a list if it is newer and reports which stamp is held now.
-func (b *Distributor) SetEndpoints(l *feed.EndpointList) feed.Revision {
+func (b *Distributor) SetEndpoints(l *distribution.EndpointList) distribution.Revision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.endpoints == nil || b.endpoints.Revision.Less(l.Revision) {
 		b.endpoints = l
-		all := make(map[string]feed.Endpoint, len(l.Endpoints))
+		all := make(map[string]distribution.Endpoint, len(l.Endpoints))
 		for _, leaf := range l.Endpoints {
 			all[leaf.ID] = leaf
 		}
@@ -123,14 +123,14 @@
 }
 
 // EndpointsVersion is that of the list held, or zero.
-func (b *Distributor) EndpointsVersion() feed.Revision {
+func (b *Distributor) EndpointsVersion() distribution.Revision {
 	if l := b.Endpoints(); l != nil {
 		return l.Revision
 	}
-	return feed.Revision{}
+	return distribution.Revision{}
 }
 
-func (b *Distributor) Endpoints() *feed.EndpointList {
+func (b *Distributor) Endpoints() *distribution.EndpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.endpoints
@@ -167,12 +167,12 @@
 	for ix, m := range b.marks {
 		slots[ix] = m.LogIndex
 	}
-	b.markDigests.current = feed.MarksDigest(slots)
+	b.markDigests.current = distribution.MarksDigest(slots)
 	b.markDigests.remember(b.markDigests.current, slots)
 	b.notifyLocked()
 }
 
-func (b *Distributor) SetMarks(m feed.EjectionMarks) {
+func (b *Distributor) SetMarks(m distribution.EjectionMarks) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, ok := b.marks[m.IndexName]
@@ -197,8 +197,8 @@
 	}
 }
 
-func (b *Distributor) SetNodes(slot uint64, all []feed.Node) {
-	next := &nodeSnapshot{index: slot, byName: make(map[string]feed.Node, len(all))}
+func (b *Distributor) SetNodes(slot uint64, all []distribution.Node) {
+	next := &nodeSnapshot{index: slot, byName: make(map[string]distribution.Node, len(all))}
 	for _, n := range all {
 		next.byName[n.Name] = n
 		if n.ServesClients() && !n.Down {
@@ -230,20 +230,20 @@
 		return
 	}
 	b.pendingNodes = nil
-	if b.nodeHistory.Set(feed.Revision{Sequence: next.index}, next.byName) {
+	if b.nodeHistory.Set(distribution.Revision{Sequence: next.index}, next.byName) {
 		b.servingNodes, b.nodesPublishedAt = next.serving, time.Now()
 		b.notifyLocked()
 	}
 }
 
 func EqualEncoding(a, b any) bool {
-	x, err1 := wire.Marshal(a)
-	y, err2 := wire.Marshal(b)
+	x, err1 := rpc.Marshal(a)
+	y, err2 := rpc.Marshal(b)
 	return err1 == nil && err2 == nil && bytes.Equal(x, y)
 }
 
 // Nodes returns the directory of nodes by name. Callers must not change it.
-func (b *Distributor) Nodes() map[string]feed.Node {
+func (b *Distributor) Nodes() map[string]distribution.Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.nodesByName
@@ -261,7 +261,7 @@
 
 // Update returns, ready to be sent, what the caller lacks, and a channel that
 // closes at the next change.
-func (b *Distributor) Update(call *feed.UpdateRequest, stale bool) (*EncodedUpdate, <-chan struct{}) {
+func (b *Distributor) Update(call *distribution.UpdateRequest, stale bool) (*EncodedUpdate, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := updateKey(call, stale)
@@ -270,8 +270,8 @@
 		news := b.updateLocked(call)
 		t = &EncodedUpdate{Empty: news.Empty()}
 		news.Stale = stale
-		if raw, err := wire.Marshal(&news); err == nil {
-			t.Body = wire.EncodeBody(raw)
+		if raw, err := rpc.Marshal(&news); err == nil {
+			t.Body = rpc.EncodeBody(raw)
 		}
 		b.encodedUpdates[key] = t
 	}
@@ -279,7 +279,7 @@
 }
 
 // updateKey is the same for callers that lack the same.
-func updateKey(call *feed.UpdateRequest, stale bool) string {
+func updateKey(call *distribution.UpdateRequest, stale bool) string {
 	h := &call.Held
 	k := fmt.Sprint(stale, call.Node.Zone, h.ConfigVersion, h.EndpointRevision, h.NodesIndex, h.DataPlaneCount, h.PurgeIndex, h.NotificationIndex, h.MarksDigest, h.MarkIndexes != nil)
 	for _, ix := range slices.Sorted(maps.Keys(h.MarkIndexes)) {
@@ -289,7 +289,7 @@
 }
 
 // addMarksLocked adds the marks that the caller lacks.
-func (b *Distributor) addMarksLocked(h feed.HeldVersions, n *feed.Update) {
+func (b *Distributor) addMarksLocked(h distribution.HeldVersions, n *distribution.Update) {
 	held, known := h.MarkIndexes, h.MarkIndexes != nil || h.MarksDigest == 0
 	switch {
 	case h.MarkIndexes != nil:
@@ -315,27 +315,27 @@
 }
 
 // updateLocked collects what the caller lacks.
-func (b *Distributor) updateLocked(call *feed.UpdateRequest) feed.Update {
+func (b *Distributor) updateLocked(call *distribution.UpdateRequest) distribution.Update {
 	h := call.Held
-	var n feed.Update
+	var n distribution.Update
 	if k := len(b.configurations); k > 0 && b.configurations[k-1].Version > h.ConfigVersion {
 		last := b.configurations[k-1]
-		n.Config = feed.FullConfig(last)
+		n.Config = distribution.FullConfig(last)
 		for _, c := range b.configurations[:k-1] {
 			if c.Version == h.ConfigVersion {
-				n.Config = feed.ConfigDelta(c, last)
+				n.Config = distribution.ConfigDelta(c, last)
 			}
 		}
 	}
 	if b.endpoints != nil && h.EndpointRevision.Less(b.endpoints.Revision) {
-		l := &feed.EndpointList{Revision: b.endpoints.Revision, Base: h.EndpointRevision}
-		l.Endpoints, l.Removed, l.Delta = b.endpointHistory.ChangesSince(h.EndpointRevision, func(feed.Endpoint) bool { return true })
+		l := &distribution.EndpointList{Revision: b.endpoints.Revision, Base: h.EndpointRevision}
+		l.Endpoints, l.Removed, l.Delta = b.endpointHistory.ChangesSince(h.EndpointRevision, func(distribution.Endpoint) bool { return true })
 		n.Endpoints = l
 	}
 	b.addMarksLocked(h, &n)
 	if at := b.nodeHistory.Revision().Sequence; b.nodeHistory.Len() > 0 && at > h.NodesIndex {
-		ns := &feed.NodeList{LogIndex: at, DataPlaneCount: b.servingNodes, Base: h.NodesIndex}
-		ns.Nodes, ns.Removed, ns.Delta = b.nodeHistory.ChangesSince(feed.Revision{Sequence: h.NodesIndex}, func(n feed.Node) bool {
+		ns := &distribution.NodeList{LogIndex: at, DataPlaneCount: b.servingNodes, Base: h.NodesIndex}
+		ns.Nodes, ns.Removed, ns.Delta = b.nodeHistory.ChangesSince(distribution.Revision{Sequence: h.NodesIndex}, func(n distribution.Node) bool {
 			return !n.ServesClients() || n.Zone == call.Node.Zone
 		})
 		if !ns.Delta || len(ns.Nodes)+len(ns.Removed) > 0 || ns.DataPlaneCount != h.DataPlaneCount {
--- a/internal/registrar/calls_test.go
+++ b/internal/controlplane/calls_test.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"comethold/internal/scenario"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
+	"comethold/internal/simulation"
 )
 
 // faultyPlatform takes calls of a duty and ends them in the ways that platforms do.
@@ -82,7 +82,7 @@
 // before the lease is, went well only if the platform said so, and leaves nothing in
 // the socket, be the process killed.
 func TestReportCalls(t *testing.T) {
-	for seed := range scenario.SeedCount(2) {
+	for seed := range simulation.SeedCount(2) {
 		door, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -99,7 +99,7 @@
 		}()
 		set := &settings.Settings{NodeName: "n1"}
 		set.Platform.Address = door.Addr().String()
-		r := &Server{settings: set, usages: NewCollector(wire.TCPNetwork), usageLease: &Lease{}}
+		r := &Server{settings: set, usages: NewCollector(rpc.TCPNetwork), usageLease: &Lease{}}
 		r.usages.startedAt = time.Now().Add(-time.Hour)
 		for i := range 40 {
 			p.mu.Lock()
--- a/internal/registrar/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -1,12 +1,12 @@
-package registrar
+package controlplane
 
 import (
 	"testing"
 
-	"comethold/internal/cell"
 	"comethold/internal/compat"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
+	"comethold/internal/distribution"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
 	"comethold/internal/usage"
 )
 
@@ -14,10 +14,10 @@
 // registrars ask one another, decodes from the bytes of an earlier version.
 func TestCompatibleRecords(t *testing.T) {
 	yes := true
-	seat := cell.Voter{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
-	n := notice.Notification{EventID: "configuration/8", TenantID: "t", Aggregate: notice.AggregateConfiguration, Version: 8, PreviousVersion: 7, Payload: []byte{1, 2}, Digest: []byte{3, 4}}
+	seat := paxos.Voter{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
+	n := outbox.Notification{EventID: "configuration/8", TenantID: "t", Aggregate: outbox.AggregateConfiguration, Version: 8, PreviousVersion: 7, Payload: []byte{1, 2}, Digest: []byte{3, 4}}
 	compat.CheckMessages(t, []compat.Message{
-		{Name: "index", Value: IndexRecord{Voters: []cell.Voter{seat}, Routes: []string{"r1", "r2"}, Services: []string{"s1"}}},
+		{Name: "index", Value: IndexRecord{Voters: []paxos.Voter{seat}, Routes: []string{"r1", "r2"}, Services: []string{"s1"}}},
 		{Name: "index-cut", Value: ShardSetRecord{Version: 8, Services: []string{"s1"}, Routes: []string{"r1"}}},
 		{Name: "receipt-archive", Value: []archivedReceipt{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
 		{Name: "duty-lease", Value: LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
@@ -27,12 +27,12 @@
 		{Name: "quota-floors", Value: map[string]float64{"t": 12.5}},
 		{Name: "kept-usage", Value: persistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
 		{Name: "usage-request", Value: WindowRequest{Window: 1234}},
-		{Name: "proposal", Value: ProposeRequest{Cell: "exchange", Txn: cell.Txn{ID: "a.1",
-			Conditions: []cell.Condition{{Key: "k", Equals: cell.Int(1)}, {Key: "l", Absent: true}},
-			Ops: []cell.Op{{Kind: cell.OpPut, Key: "k", Value: cell.Bytes([]byte("v"))}, {Kind: cell.OpPut, Key: "b", Value: cell.Value{Bool: &yes}},
-				{Kind: cell.OpSetVoters, Voters: []cell.Voter{seat}}}}}},
+		{Name: "proposal", Value: ProposeRequest{Cell: "exchange", Txn: paxos.Txn{ID: "a.1",
+			Conditions: []paxos.Condition{{Key: "k", Equals: paxos.Int(1)}, {Key: "l", Absent: true}},
+			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes([]byte("v"))}, {Kind: paxos.OpPut, Key: "b", Value: paxos.Value{Bool: &yes}},
+				{Kind: paxos.OpSetVoters, Voters: []paxos.Voter{seat}}}}}},
 		{Name: "verdict", Value: ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
-			Grant: feed.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
+			Grant: distribution.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
 		{Name: "move", Value: MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
 	})
 }
@@ -49,7 +49,7 @@
 		identityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
 		ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", receiptArchiveKey(7): "receipt-archive/00000000000000000007",
 		UsageReportKey(9): "usage/00000000000000000009",
-		cell.AppendedKey(PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
+		paxos.AppendedKey(PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
 	} {
 		if name != want {
 			t.Errorf("stored under %q, and before under %q", name, want)
--- a/internal/registrar/cut.go
+++ b/internal/controlplane/cut.go
@@ -1,15 +1,15 @@
-package registrar
+package controlplane
 
 import (
 	"strings"
 
-	"comethold/internal/cell"
-	"comethold/internal/numbering"
-	"comethold/internal/wire"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 )
 
 // committedConfiguration reads the configuration in force, or nil.
-func (r *Server) committedConfiguration() *numbering.Configuration {
+func (r *Server) committedConfiguration() *routing.Configuration {
 	var raw []byte
 	r.host.Do(func() {
 		if m := r.host.Replicas[MetaCell]; m != nil {
@@ -19,7 +19,7 @@
 	if raw == nil {
 		return nil
 	}
-	cfg, err := numbering.Parse(raw)
+	cfg, err := routing.Parse(raw)
 	if err != nil {
 		return nil
 	}
@@ -31,8 +31,8 @@
 	var version uint64
 	var raw []byte
 	var old map[string]IndexRecord
-	var next cell.Value
-	var seats []cell.Voter
+	var next paxos.Value
+	var seats []paxos.Voter
 	r.host.Do(func() {
 		if m := r.host.Replicas[MetaCell]; m != nil {
 			version, raw = ReadConfig(m)
@@ -44,42 +44,42 @@
 	if version == 0 || version == *done {
 		return
 	}
-	cfg, err := numbering.Parse(raw)
+	cfg, err := routing.Parse(raw)
 	if err != nil {
 		return
 	}
 	groups := GroupRoutesByServices(cfg)
 	kept, fresh, gone := AssignIndexes(old, groups)
-	var t cell.Txn
-	t.Conditions = []cell.Condition{{Key: ConfigVersionKey, Equals: UintValue(version)}}
+	var t paxos.Txn
+	t.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Equals: UintValue(version)}}
 	cut := func(group string) []string { return strings.Split(group, "\x00") }
 	records := map[string]IndexRecord{}
 	for ix, g := range kept {
 		rec := IndexRecord{Voters: old[ix].Voters, Routes: groups[g], Services: cut(g)}
 		records[ix] = rec
 		if !EqualEncoding(rec, old[ix]) {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(rec)})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(rec)})
 		}
 	}
 	n := int64(0)
 	if next.Int != nil {
 		n = next.Int.Int64()
-		t.Conditions = append(t.Conditions, cell.Condition{Key: NextIndexIDKey, Equals: next})
+		t.Conditions = append(t.Conditions, paxos.Condition{Key: NextIndexIDKey, Equals: next})
 	} else {
-		t.Conditions = append(t.Conditions, cell.Condition{Key: NextIndexIDKey, Absent: true})
+		t.Conditions = append(t.Conditions, paxos.Condition{Key: NextIndexIDKey, Absent: true})
 	}
 	for _, g := range fresh {
 		n++
 		ix := IndexCellName(n)
 		records[ix] = IndexRecord{Voters: seats, Routes: groups[g], Services: cut(g)}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(records[ix])})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: IndexKeyPrefix + ix, Value: MustEncode(records[ix])})
 	}
 	for _, ix := range gone {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: IndexKeyPrefix + ix})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: IndexKeyPrefix + ix})
 	}
 	if len(t.Ops) > 0 {
 		if len(fresh) > 0 {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NextIndexIDKey, Value: cell.Int(n)})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: NextIndexIDKey, Value: paxos.Int(n)})
 		}
 		if !r.propose(MetaCell, t) {
 			return
@@ -98,12 +98,12 @@
 
 // ShardSetTxn puts a cut in the place of the one that an index cell holds. One that is late
 // finds another there, and does nothing.
-func ShardSetTxn(held cell.Value, known bool, want ShardSetRecord) (t cell.Txn, due bool) {
-	cond := cell.Condition{Key: ShardSetKey, Absent: true}
+func ShardSetTxn(held paxos.Value, known bool, want ShardSetRecord) (t paxos.Txn, due bool) {
+	cond := paxos.Condition{Key: ShardSetKey, Absent: true}
 	if known {
-		cond = cell.Condition{Key: ShardSetKey, Equals: held}
+		cond = paxos.Condition{Key: ShardSetKey, Equals: held}
 		var have ShardSetRecord
-		if wire.Unmarshal(held.Bytes, &have) == nil {
+		if rpc.Unmarshal(held.Bytes, &have) == nil {
 			if have.Version > want.Version {
 				return t, false
 			}
@@ -113,5 +113,5 @@
 			}
 		}
 	}
-	return cell.Txn{Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpPut, Key: ShardSetKey, Value: MustEncode(want)}}}, true
+	return paxos.Txn{Conditions: []paxos.Condition{cond}, Ops: []paxos.Op{{Kind: paxos.OpPut, Key: ShardSetKey, Value: MustEncode(want)}}}, true
 }
--- a/internal/registrar/desk.go
+++ b/internal/controlplane/desk.go
@@ -1,13 +1,13 @@
-package registrar
+package controlplane
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
 	"comethold/internal/settings"
 )
 
@@ -60,7 +60,7 @@
 		if r.quorumContactAge() > StaleAfter {
 			continue
 		}
-		r.recordNodeCall(&feed.UpdateRequest{Node: feed.Node{Name: r.settings.NodeName + "/registrar", Addr: r.settings.IPAddress, Zone: r.settings.AvailabilityZone, ControlPlane: true}})
+		r.recordNodeCall(&distribution.UpdateRequest{Node: distribution.Node{Name: r.settings.NodeName + "/registrar", Addr: r.settings.IPAddress, Zone: r.settings.AvailabilityZone, ControlPlane: true}})
 		r.observeUnlistedReplicas()
 		r.reconcileNodes()
 		r.applyReports()
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *Server) propose(name string, t cell.Txn) bool {
+func (r *Server) propose(name string, t paxos.Txn) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), ProposalTimeout)
 	defer cancel()
 	ok, err := r.host.Propose(ctx, name, t)
@@ -87,9 +87,9 @@
 func (r *Server) observeUnlistedReplicas() {
 	held := r.board.Nodes()
 	for _, h := range r.host.LivePeers(contactLifetime) {
-		n := feed.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, ControlPlane: true}
+		n := distribution.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, ControlPlane: true}
 		if _, known := held[n.Name]; !known {
-			r.recordNodeCall(&feed.UpdateRequest{Node: n})
+			r.recordNodeCall(&distribution.UpdateRequest{Node: n})
 		}
 	}
 }
@@ -99,15 +99,15 @@
 func (r *Server) reconcileNodes() {
 	held := r.board.Nodes()
 	now := time.Now()
-	var t cell.Txn
-	var doubted []feed.Node
-	put := func(old feed.Node, known bool, n feed.Node) {
-		cond := cell.Condition{Key: NodeKeyPrefix + n.Name, Absent: !known}
+	var t paxos.Txn
+	var doubted []distribution.Node
+	put := func(old distribution.Node, known bool, n distribution.Node) {
+		cond := paxos.Condition{Key: NodeKeyPrefix + n.Name, Absent: !known}
 		if known {
 			cond.Equals = MustEncode(old)
 		}
 		t.Conditions = append(t.Conditions, cond)
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NodeKeyPrefix + n.Name, Value: MustEncode(n)})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: NodeKeyPrefix + n.Name, Value: MustEncode(n)})
 	}
 	r.mu.Lock()
 	for name, s := range r.recentNodes {
@@ -141,7 +141,7 @@
 		down := old
 		down.Down = true
 		put(old, true, down)
-		r.log.Warn(event.NodeDown).Str("peer", old.Name).Msg("a node is missed by its watchers")
+		r.log.Warn(logging.NodeDown).Str("peer", old.Name).Msg("a node is missed by its watchers")
 	}
 	if len(t.Ops) > 0 {
 		r.propose(MetaCell, t)
@@ -151,7 +151,7 @@
 // probeUnreachable returns those of the nodes that do not answer this registrar either.
 // A node may be fed by another registrar, and a full link loses its heartbeats:
 // those that answer are not suspected any more.
-func (r *Server) probeUnreachable(doubted []feed.Node) []feed.Node {
+func (r *Server) probeUnreachable(doubted []distribution.Node) []distribution.Node {
 	answers := make([]bool, len(doubted))
 	var wg sync.WaitGroup
 	for i, n := range doubted {
@@ -162,11 +162,11 @@
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 			defer cancel()
-			answers[i] = r.host.Client.Call(ctx, internalAddress(n.Addr, port), "/here", feed.UpdateRequest{}, nil) == nil
+			answers[i] = r.host.Client.Call(ctx, internalAddress(n.Addr, port), "/here", distribution.UpdateRequest{}, nil) == nil
 		})
 	}
 	wg.Wait()
-	var out []feed.Node
+	var out []distribution.Node
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, n := range doubted {
@@ -183,7 +183,7 @@
 // have been down for long.
 func (r *Server) expireNodes(since map[string]time.Time) {
 	now := time.Now()
-	var t cell.Txn
+	var t paxos.Txn
 	table := r.board.Nodes()
 	silent := map[string]bool{}
 	r.host.Do(func() { // how long others were silent belongs to the host's loop
@@ -192,21 +192,21 @@
 		}
 	})
 	for name, n := range table {
-		cond := cell.Condition{Key: NodeKeyPrefix + name, Equals: MustEncode(n)}
+		cond := paxos.Condition{Key: NodeKeyPrefix + name, Equals: MustEncode(n)}
 		switch {
 		case !n.Down:
 			delete(since, name)
 			if silent[name] {
 				n.Down = true
 				t.Conditions = append(t.Conditions, cond)
-				t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: NodeKeyPrefix + name, Value: MustEncode(n)})
+				t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: NodeKeyPrefix + name, Value: MustEncode(n)})
 			}
 		case since[name].IsZero():
 			since[name] = now
 		case now.Sub(since[name]) > downNodeRetention:
 			delete(since, name)
 			t.Conditions = append(t.Conditions, cond)
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: NodeKeyPrefix + name})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: NodeKeyPrefix + name})
 		}
 	}
 	if len(t.Ops) > 0 {
--- a/internal/registrar/duty.go
+++ b/internal/controlplane/duty.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,15 +6,15 @@
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/wire"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 )
 
 type LeaseRecord struct {
-	Holder   cell.ReplicaID `cbor:"1,keyasint"`
-	Term     uint64         `cbor:"2,keyasint"`
-	Renewals uint64         `cbor:"3,keyasint"`
+	Holder   paxos.ReplicaID `cbor:"1,keyasint"`
+	Term     uint64          `cbor:"2,keyasint"`
+	Renewals uint64          `cbor:"3,keyasint"`
 }
 
 // ClockSkewFactor is how much faster the fastest steady clock may run than the
@@ -72,9 +72,9 @@
 
 // FenceCondition holds while nobody else has taken the duty: a transaction under it is one
 // of its holder, who has it under the term.
-func (d *Lease) FenceCondition(term uint64) (cell.Condition, bool) {
+func (d *Lease) FenceCondition(term uint64) (paxos.Condition, bool) {
 	rec, raw := d.readRecord()
-	return cell.Condition{Key: LeaseKeyPrefix + d.name, Equals: cell.Bytes(raw)}, raw != nil && rec.Holder == d.host.Self.ID && rec.Term == term && d.Remaining(term) > 0
+	return paxos.Condition{Key: LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}, raw != nil && rec.Holder == d.host.Self.ID && rec.Term == term && d.Remaining(term) > 0
 }
 
 // Forfeit ends what this node holds; it may take the duty anew, under another term.
@@ -98,7 +98,7 @@
 
 func (d *Lease) readRecord() (rec LeaseRecord, raw []byte) {
 	v, ok := d.host.Get(MetaCell, LeaseKeyPrefix+d.name)
-	if ok && wire.Unmarshal(v.Bytes, &rec) == nil {
+	if ok && rpc.Unmarshal(v.Bytes, &rec) == nil {
 		raw = v.Bytes
 	}
 	return rec, raw
@@ -137,13 +137,13 @@
 	asked := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), d.duration)
 	defer cancel()
-	cond := cell.Condition{Key: LeaseKeyPrefix + d.name, Absent: old == nil}
+	cond := paxos.Condition{Key: LeaseKeyPrefix + d.name, Absent: old == nil}
 	if old != nil {
-		cond.Equals = cell.Bytes(old)
+		cond.Equals = paxos.Bytes(old)
 	}
-	ok, err := d.host.Propose(ctx, MetaCell, cell.Txn{
-		Conditions: []cell.Condition{cond},
-		Ops:        []cell.Op{{Kind: cell.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(rec)}},
+	ok, err := d.host.Propose(ctx, MetaCell, paxos.Txn{
+		Conditions: []paxos.Condition{cond},
+		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(rec)}},
 	})
 	if err != nil || !ok {
 		return
@@ -153,7 +153,7 @@
 	d.term, d.renewedAt, d.expiresAt = rec.Term, asked, asked.Add(d.duration)
 	d.mu.Unlock()
 	if fresh {
-		d.host.Log.Info(event.LeaseAcquired).Str("duty", d.name).Uint64("term", rec.Term).Msg("duty taken")
+		d.host.Log.Info(logging.LeaseAcquired).Str("duty", d.name).Uint64("term", rec.Term).Msg("duty taken")
 	}
 }
 
@@ -179,9 +179,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, _ = d.host.Propose(ctx, MetaCell, cell.Txn{
-		Conditions: []cell.Condition{{Key: LeaseKeyPrefix + d.name, Equals: cell.Bytes(raw)}},
-		Ops:        []cell.Op{{Kind: cell.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(LeaseRecord{Term: rec.Term, Renewals: rec.Renewals + 1})}},
+	_, _ = d.host.Propose(ctx, MetaCell, paxos.Txn{
+		Conditions: []paxos.Condition{{Key: LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}},
+		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(LeaseRecord{Term: rec.Term, Renewals: rec.Renewals + 1})}},
 	})
-	d.host.Log.Info(event.LeaseReleased).Str("duty", d.name).Msg("duty released")
+	d.host.Log.Info(logging.LeaseReleased).Str("duty", d.name).Msg("duty released")
 }
--- a/internal/registrar/estimates.go
+++ b/internal/controlplane/estimates.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"comethold/internal/estimate"
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/latencyestimate"
+	"comethold/internal/logging"
 	"comethold/internal/settings"
 
 	"github.com/labstack/echo/v4"
@@ -31,26 +31,26 @@
 
 // EstimatesView is what an operator sees of lookups.
 type EstimatesView struct {
-	At         time.Time             `json:"at"`
-	Nodes      int                   `json:"nodes"`      // switches that answered
-	Unanswered int                   `json:"unanswered"` // switches that did not
-	Replicas   []ReplicaEstimate     `json:"copies"`
-	Slow       []estimate.SlowLookup `json:"slow"` // oldest first
-	Counters   estimate.Counters     `json:"tally"`
+	At         time.Time                    `json:"at"`
+	Nodes      int                          `json:"nodes"`      // switches that answered
+	Unanswered int                          `json:"unanswered"` // switches that did not
+	Replicas   []ReplicaEstimate            `json:"copies"`
+	Slow       []latencyestimate.SlowLookup `json:"slow"` // oldest first
+	Counters   latencyestimate.Counters     `json:"tally"`
 }
 
 // ReplicaEstimate is the estimate for one copy.
 type ReplicaEstimate struct {
-	estimate.Key
-	Estimate estimate.Estimate `json:"estimate"`
+	latencyestimate.Key
+	Estimate latencyestimate.Estimate `json:"estimate"`
 }
 
 // collectEstimates asks the switches that fit and joins what they know.
-func (r *Server) collectEstimates(ctx context.Context, ask feed.EstimatesRequest, fits func(feed.Node) bool) EstimatesView {
-	v := EstimatesView{At: time.Now().UTC(), Replicas: []ReplicaEstimate{}, Slow: []estimate.SlowLookup{}}
+func (r *Server) collectEstimates(ctx context.Context, ask distribution.EstimatesRequest, fits func(distribution.Node) bool) EstimatesView {
+	v := EstimatesView{At: time.Now().UTC(), Replicas: []ReplicaEstimate{}, Slow: []latencyestimate.SlowLookup{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var views []estimate.Snapshot
+	var views []latencyestimate.Snapshot
 	gate := make(chan struct{}, maxConcurrentQueries)
 	for _, n := range r.board.Nodes() {
 		if !n.ServesClients() || n.Down || !fits(n) {
@@ -61,7 +61,7 @@
 			defer func() { <-gate }()
 			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
-			var one estimate.Snapshot
+			var one latencyestimate.Snapshot
 			err := r.host.Client.Call(ctx, internalAddress(n.Addr, r.settings.PortOf(settings.DataPlane)), "/estimates", ask, &one)
 			mu.Lock()
 			defer mu.Unlock()
@@ -74,7 +74,7 @@
 		})
 	}
 	wg.Wait()
-	all := estimate.MergeSnapshots(views...)
+	all := latencyestimate.MergeSnapshots(views...)
 	for _, k := range all.Sketches {
 		v.Replicas = append(v.Replicas, ReplicaEstimate{k.Key, k.Sketch.Estimate()})
 	}
@@ -99,10 +99,10 @@
 // readEstimates answers with what all switches know: of ?service= and ?class=, and of the
 // last ?seconds= of slow lookups, where they are given.
 func (r *Server) readEstimates(c echo.Context) error {
-	ask := feed.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
+	ask := distribution.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), 4*time.Second)
 	defer cancel()
-	v := r.collectEstimates(ctx, ask, func(feed.Node) bool { return true })
+	v := r.collectEstimates(ctx, ask, func(distribution.Node) bool { return true })
 	if span, err := time.ParseDuration(c.QueryParam("seconds") + "s"); err == nil {
 		from := v.At.Add(-span)
 		at := sort.Search(len(v.Slow), func(i int) bool { return v.Slow[i].At.After(from) })
@@ -142,12 +142,12 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		v := r.collectEstimates(ctx, feed.EstimatesRequest{}, func(n feed.Node) bool { return n.Zone == r.settings.AvailabilityZone })
+		v := r.collectEstimates(ctx, distribution.EstimatesRequest{}, func(n distribution.Node) bool { return n.Zone == r.settings.AvailabilityZone })
 		cancel()
 		at := sort.Search(len(v.Slow), func(i int) bool { return v.Slow[i].At.After(last) })
 		v.Slow, last = v.Slow[at:], v.At
 		if err := r.appendEstimates(v); err != nil {
-			r.log.Warn(event.EstimateExportFailed).Err(err).Msg("the estimates could not be written")
+			r.log.Warn(logging.EstimateExportFailed).Err(err).Msg("the estimates could not be written")
 		}
 	}
 }
--- a/internal/registrar/host.go
+++ b/internal/controlplane/host.go
@@ -1,6 +1,6 @@
 // Package registrar is the control plane: it hosts the cells of a node, takes
 // the operator's configurations and feeds the switches.
-package registrar
+package controlplane
 
 import (
 	"crypto/rand"
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
+	"comethold/internal/storage"
 )
 
 // Errors of this layer.
@@ -53,32 +53,32 @@
 type Host struct {
 	Self       PeerInfo
 	Port       int
-	Storage    *vault.Store
-	Log        *event.Logger
-	Client     *wire.Client
-	bulkClient *wire.Client // for large messages
+	Storage    *storage.Store
+	Log        *logging.Logger
+	Client     *rpc.Client
+	bulkClient *rpc.Client // for large messages
 	start      time.Time
 
 	tasks     chan func()
 	quit      chan struct{}
-	Replicas  map[string]*cell.Replica
-	roles     map[string]cell.Role
-	Addresses map[cell.ReplicaID]string // where members live
+	Replicas  map[string]*paxos.Replica
+	roles     map[string]paxos.Role
+	Addresses map[paxos.ReplicaID]string // where members live
 	Seeds     []string
 
-	proposalWaiters map[string]chan cell.Outcome
+	proposalWaiters map[string]chan paxos.Outcome
 	readWaiters     map[uint64]chan uint64
 	lastReadID      uint64
 
 	peersMu          sync.Mutex
 	peers            map[string]*peer
-	replacedReplicas map[cell.ReplicaID]bool // members whose disk was lost
+	replacedReplicas map[paxos.ReplicaID]bool // members whose disk was lost
 
 	// OnApply is called on the loop when a cell's state moved.
-	OnApply func(name string, what cell.ChangedKeys)
+	OnApply func(name string, what paxos.ChangedKeys)
 	// EndpointListVersion is the stamp of the leaf list held here; seen is told of others'.
-	EndpointListVersion func() feed.Revision
-	OnPeerEndpointList  func(addr string, at feed.Revision)
+	EndpointListVersion func() distribution.Revision
+	OnPeerEndpointList  func(addr string, at distribution.Revision)
 	RegisteredAddresses func() []string // addresses of the registrars in the directory
 	ReadClocks          func() (wall, agreed int64)
 	OnPeerClocks        func(addr string, wall, agreed int64)
@@ -90,20 +90,20 @@
 	// Of the exchange cell: who led and who had seats at the last look, and when either
 	// was another last, or a registrar came, or the majority was out of touch; and when
 	// it got a further seat.
-	lastLeader   cell.ReplicaID
-	lastVoters   []cell.Voter
+	lastLeader   paxos.ReplicaID
+	lastVoters   []paxos.Voter
 	DisturbedAt  time.Duration
 	VoterAddedAt time.Duration
 }
 
 // NewHost opens the node's cells from its vault.
-func NewHost(self PeerInfo, port int, seeds []string, v *vault.Store, n wire.Network, log *event.Logger) *Host {
-	return &Host{Self: self, Port: port, Storage: v, Log: log, Client: wire.NewClient(n), bulkClient: wire.NewClientWithLimits(wire.WithSendBuffer(n, bulkUnsentBytes), 2*time.Second, bulkSilenceTimeout, 1), start: time.Now(),
-		tasks: make(chan func(), 256), quit: make(chan struct{}), Replicas: map[string]*cell.Replica{},
-		roles: map[string]cell.Role{}, Addresses: map[cell.ReplicaID]string{}, proposalWaiters: map[string]chan cell.Outcome{},
-		readWaiters: map[uint64]chan uint64{}, peers: map[string]*peer{}, replacedReplicas: map[cell.ReplicaID]bool{}, Seeds: seeds,
-		OpenedAt: map[string]time.Duration{}, OnApply: func(string, cell.ChangedKeys) {},
-		EndpointListVersion: func() feed.Revision { return feed.Revision{} }, OnPeerEndpointList: func(string, feed.Revision) {},
+func NewHost(self PeerInfo, port int, seeds []string, v *storage.Store, n rpc.Network, log *logging.Logger) *Host {
+	return &Host{Self: self, Port: port, Storage: v, Log: log, Client: rpc.NewClient(n), bulkClient: rpc.NewClientWithLimits(rpc.WithSendBuffer(n, bulkUnsentBytes), 2*time.Second, bulkSilenceTimeout, 1), start: time.Now(),
+		tasks: make(chan func(), 256), quit: make(chan struct{}), Replicas: map[string]*paxos.Replica{},
+		roles: map[string]paxos.Role{}, Addresses: map[paxos.ReplicaID]string{}, proposalWaiters: map[string]chan paxos.Outcome{},
+		readWaiters: map[uint64]chan uint64{}, peers: map[string]*peer{}, replacedReplicas: map[paxos.ReplicaID]bool{}, Seeds: seeds,
+		OpenedAt: map[string]time.Duration{}, OnApply: func(string, paxos.ChangedKeys) {},
+		EndpointListVersion: func() distribution.Revision { return distribution.Revision{} }, OnPeerEndpointList: func(string, distribution.Revision) {},
 		RegisteredAddresses: func() []string { return nil },
 		ReadClocks:          func() (int64, int64) { return 0, 0 }, OnPeerClocks: func(string, int64, int64) {}}
 }
@@ -113,35 +113,35 @@
 // membership counts on, and not where a file was put aside: that name may have voted.
 // A founder's part of the first cell is synced with its name, so a founder that was
 // stopped in between is one nevertheless.
-func LoadOrCreateIdentity(v *vault.Store, addr string, first, setAside bool, founders []cell.Voter) (id cell.ReplicaID, fresh bool, err error) {
+func LoadOrCreateIdentity(v *storage.Store, addr string, first, setAside bool, founders []paxos.Voter) (id paxos.ReplicaID, fresh bool, err error) {
 	if old := v.NodeValue(identityKey); len(old) > 0 {
-		return cell.ReplicaID(old), false, nil
+		return paxos.ReplicaID(old), false, nil
 	}
 	if first && !setAside {
-		id = cell.ReplicaID(addr)
+		id = paxos.ReplicaID(addr)
 	} else {
 		var b [6]byte
 		if _, err := rand.Read(b[:]); err != nil {
 			return "", false, err
 		}
-		id = cell.ReplicaID(addr + "~" + hex.EncodeToString(b[:]))
+		id = paxos.ReplicaID(addr + "~" + hex.EncodeToString(b[:]))
 	}
-	var w cell.Writes
-	if (cell.Membership{Voters: founders}).Contains(id) {
+	var w paxos.Writes
+	if (paxos.Membership{Voters: founders}).Contains(id) {
 		w.Snapshot = foundingSnapshot(founders)
 	}
 	return id, true, v.Bootstrap(identityKey, []byte(id), MetaCell, w)
 }
 
 // foundingSnapshot is the state of a cell at its beginning.
-func foundingSnapshot(seats []cell.Voter) *cell.Snapshot {
-	return &cell.Snapshot{State: map[string]cell.Value{}, Memberships: []cell.Membership{{EffectiveFrom: 1, Voters: seats}}}
+func foundingSnapshot(seats []paxos.Voter) *paxos.Snapshot {
+	return &paxos.Snapshot{State: map[string]paxos.Value{}, Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: seats}}}
 }
 
 func (h *Host) Now() time.Duration { return time.Since(h.start) }
 
-func (h *Host) replicaParams(name string) cell.Config {
-	p := cell.Config{Cell: name, Self: h.Self.ID, Alpha: Alpha, MaxQueue: maxQueuedTransactions, MaxBatch: maxTransactionsPerEntry,
+func (h *Host) replicaParams(name string) paxos.Config {
+	p := paxos.Config{Cell: name, Self: h.Self.ID, Alpha: Alpha, MaxQueue: maxQueuedTransactions, MaxBatch: maxTransactionsPerEntry,
 		RetainedEntries: logEntriesKept, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, Jitter: mrand.Float64}
 	if name != MetaCell {
 		p.HeartbeatInterval, p.ElectionTimeout = indexHeartbeatInterval, indexElectionTimeout
@@ -151,7 +151,7 @@
 
 // Open starts the member of a cell. founders, if it names this node and the
 // disk knows nothing of the cell, makes it a voter of the new cell.
-func (h *Host) Open(name string, founders []cell.Voter) {
+func (h *Host) Open(name string, founders []paxos.Voter) {
 	if h.Replicas[name] != nil {
 		return
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		// What cannot be read must not vote: the member stays away, the
 		// others go on, and the node's log says so.
-		h.Log.Error(event.ReplicaCorrupt).Str("cell", name).Err(err).Msg("the cell on this disk cannot be read")
+		h.Log.Error(logging.ReplicaCorrupt).Str("cell", name).Err(err).Msg("the cell on this disk cannot be read")
 		return
 	}
 	if !found {
@@ -169,14 +169,14 @@
 			}
 		}
 		if saved.Snapshot != nil {
-			h.Storage.Submit(name, cell.Writes{Snapshot: saved.Snapshot}, func() {})
+			h.Storage.Submit(name, paxos.Writes{Snapshot: saved.Snapshot}, func() {})
 		}
 	}
-	h.Replicas[name] = cell.NewReplica(h.replicaParams(name), saved, h.Now())
+	h.Replicas[name] = paxos.NewReplica(h.replicaParams(name), saved, h.Now())
 	h.OpenedAt[name] = h.Now()
-	h.Log.Info(event.ReplicaOpened).Str("cell", name).Bool("voter", h.Replicas[name].IsVoter()).Uint64("applied", h.Replicas[name].AppliedIndex()).Msg("cell opened")
+	h.Log.Info(logging.ReplicaOpened).Str("cell", name).Bool("voter", h.Replicas[name].IsVoter()).Uint64("applied", h.Replicas[name].AppliedIndex()).Msg("cell opened")
 	h.recordVoterAddresses(name)
-	h.OnApply(name, cell.ChangedKeys{All: true})
+	h.OnApply(name, paxos.ChangedKeys{All: true})
 }
 
 // Close ends the member of a cell that is no more.
@@ -288,7 +288,7 @@
 }
 
 // processReady carries out what a member wants done.
-func (h *Host) processReady(name string, m *cell.Replica) {
+func (h *Host) processReady(name string, m *paxos.Replica) {
 	for {
 		out := m.Ready()
 		if out.StateChanged {
@@ -326,7 +326,7 @@
 		}
 		if r := m.Role(); r != h.roles[name] {
 			h.roles[name] = r
-			h.Log.Info(event.ReplicaRoleChanged).Str("cell", name).Stringer("role", r).Uint64("applied", m.AppliedIndex()).Msg("role changed")
+			h.Log.Info(logging.ReplicaRoleChanged).Str("cell", name).Stringer("role", r).Uint64("applied", m.AppliedIndex()).Msg("role changed")
 		}
 		if out.StateChanged {
 			h.OnApply(name, out.ChangedKeys)
@@ -341,7 +341,7 @@
 }
 
 // Get reads a key of the applied state.
-func (h *Host) Get(name, key string) (v cell.Value, ok bool) {
+func (h *Host) Get(name, key string) (v paxos.Value, ok bool) {
 	h.Do(func() {
 		if m := h.Replicas[name]; m != nil {
 			v, ok = m.Get(key)
--- a/internal/registrar/host_test.go
+++ b/internal/controlplane/host_test.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"comethold/internal/event"
+	"comethold/internal/logging"
 )
 
 // TestDoRunsWholeOrNeverAtStop: as the node ends, what was asked of the loop has run whole or never will.
 func TestDoRunsWholeOrNeverAtStop(t *testing.T) {
 	nowhere := func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) { return nil }
-	h := NewHost(PeerInfo{}, 0, nil, nil, nowhere, event.Nop())
+	h := NewHost(PeerInfo{}, 0, nil, nil, nowhere, logging.Nop())
 	ended := make(chan error)
 	go func() { ended <- h.Run() }()
 	begun, goOn, back := make(chan struct{}), make(chan struct{}), make(chan bool)
--- a/internal/registrar/marks.go
+++ b/internal/controlplane/marks.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
 )
 
 // indexesByService names, for each service, the index cells whose cut holds it.
@@ -28,8 +28,8 @@
 	return out
 }
 
-func (r *Server) marksOfIndex(ix string) map[string]feed.EjectionMark {
-	var out map[string]feed.EjectionMark
+func (r *Server) marksOfIndex(ix string) map[string]distribution.EjectionMark {
+	var out map[string]distribution.EjectionMark
 	r.host.Do(func() {
 		if m := r.host.Replicas[ix]; m != nil {
 			out = ReadEjections(ix, m).Ejected
@@ -42,7 +42,7 @@
 func (r *Server) applyReports() {
 	now := time.Now()
 	r.mu.Lock()
-	var bad, well []feed.HealthReport
+	var bad, well []distribution.HealthReport
 	for leaf, by := range r.faultReports {
 		for w, at := range by {
 			if now.Sub(at) > reportLifetime {
@@ -90,11 +90,11 @@
 }
 
 // reportedMarkTxns makes one transaction for each index whose marks are to change.
-func (r *Server) reportedMarkTxns(bad, well []feed.HealthReport) map[string]*cell.Txn {
+func (r *Server) reportedMarkTxns(bad, well []distribution.HealthReport) map[string]*paxos.Txn {
 	where := r.indexesByService()
-	marks := map[string]map[string]feed.EjectionMark{}
-	todo := map[string]*cell.Txn{}
-	held := func(ix, leaf string) feed.EjectionMark {
+	marks := map[string]map[string]distribution.EjectionMark{}
+	todo := map[string]*paxos.Txn{}
+	held := func(ix, leaf string) distribution.EjectionMark {
 		if marks[ix] == nil {
 			marks[ix] = r.marksOfIndex(ix)
 		}
@@ -103,13 +103,13 @@
 	for _, rep := range bad {
 		for _, ix := range where[rep.Service] {
 			if mk := held(ix, rep.EndpointID); mk.Reason == "" {
-				AddMarkChange(todo, ix, rep.EndpointID, mk, &feed.EjectionMark{Reason: feed.ReasonUnresponsive, Reporter: r.host.Self.Name})
+				AddMarkChange(todo, ix, rep.EndpointID, mk, &distribution.EjectionMark{Reason: distribution.ReasonUnresponsive, Reporter: r.host.Self.Name})
 			}
 		}
 	}
 	for _, rep := range well {
 		for _, ix := range where[rep.Service] {
-			if mk := held(ix, rep.EndpointID); mk.Reason == feed.ReasonUnresponsive {
+			if mk := held(ix, rep.EndpointID); mk.Reason == distribution.ReasonUnresponsive {
 				AddMarkChange(todo, ix, rep.EndpointID, mk, nil)
 			}
 		}
@@ -119,19 +119,19 @@
 
 // AddMarkChange adds to an index's transaction that the mark of a leaf, held as it was seen,
 // becomes next, or goes. One that is late finds another there, and does nothing.
-func AddMarkChange(todo map[string]*cell.Txn, ix, leaf string, held feed.EjectionMark, next *feed.EjectionMark) {
+func AddMarkChange(todo map[string]*paxos.Txn, ix, leaf string, held distribution.EjectionMark, next *distribution.EjectionMark) {
 	t := todo[ix]
 	if t == nil {
-		t = &cell.Txn{}
+		t = &paxos.Txn{}
 		todo[ix] = t
 	}
 	key := EjectionKeyPrefix + leaf
-	cond, op := cell.Condition{Key: key, Absent: held.Reason == ""}, cell.Op{Kind: cell.OpDelete, Key: key}
+	cond, op := paxos.Condition{Key: key, Absent: held.Reason == ""}, paxos.Op{Kind: paxos.OpDelete, Key: key}
 	if !cond.Absent {
 		cond.Equals = MustEncode(held)
 	}
 	if next != nil {
-		op.Kind, op.Value = cell.OpPut, MustEncode(*next)
+		op.Kind, op.Value = paxos.OpPut, MustEncode(*next)
 	}
 	t.Conditions, t.Ops = append(t.Conditions, cond), append(t.Ops, op)
 }
@@ -152,9 +152,9 @@
 		return false
 	}
 	where := r.indexesByService()
-	todo := map[string]*cell.Txn{}
+	todo := map[string]*paxos.Txn{}
 	listed := map[string]bool{}
-	marks := map[string]map[string]feed.EjectionMark{}
+	marks := map[string]map[string]distribution.EjectionMark{}
 	for _, list := range where {
 		for _, ix := range list {
 			if marks[ix] == nil {
@@ -168,8 +168,8 @@
 			continue
 		}
 		for _, ix := range where[leaf.Service] {
-			if mk := marks[ix][leaf.ID]; mk.Reason != feed.ReasonDraining {
-				AddMarkChange(todo, ix, leaf.ID, mk, &feed.EjectionMark{Reason: feed.ReasonDraining})
+			if mk := marks[ix][leaf.ID]; mk.Reason != distribution.ReasonDraining {
+				AddMarkChange(todo, ix, leaf.ID, mk, &distribution.EjectionMark{Reason: distribution.ReasonDraining})
 			}
 		}
 	}
@@ -179,12 +179,12 @@
 		for leaf, mk := range held {
 			key := ix + "/" + leaf
 			standing[key] = true
-			if mk.Reason != feed.ReasonUnresponsive {
+			if mk.Reason != distribution.ReasonUnresponsive {
 				delete(since, key)
 			} else if since[key].IsZero() {
 				since[key] = now
 			}
-			if !listed[leaf] || mk.Reason == feed.ReasonUnresponsive && now.Sub(since[key]) > maxEjectionTime {
+			if !listed[leaf] || mk.Reason == distribution.ReasonUnresponsive && now.Sub(since[key]) > maxEjectionTime {
 				AddMarkChange(todo, ix, leaf, mk, nil)
 			}
 		}
--- a/internal/registrar/move.go
+++ b/internal/controlplane/move.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
 )
 
 func IndexCellName(n int64) string { return "i" + strconv.FormatInt(n, 10) }
@@ -16,9 +16,9 @@
 // MoveRequest asks a cell's proposer to give a seat to another member. Out is
 // empty where a seat is added.
 type MoveRequest struct {
-	Cell   string         `cbor:"1,keyasint"`
-	Remove cell.ReplicaID `cbor:"2,keyasint"`
-	Add    cell.Voter     `cbor:"3,keyasint"`
+	Cell   string          `cbor:"1,keyasint"`
+	Remove paxos.ReplicaID `cbor:"2,keyasint"`
+	Add    paxos.Voter     `cbor:"3,keyasint"`
 }
 
 // VotersFor is how many voters bear the loss of so many machines.
@@ -27,11 +27,11 @@
 // moveLocal moves a cell by one node at its proposer, once the newcomer has
 // caught up and the move before it is done; the proposer brings it to its end.
 func (r *Server) moveLocal(ctx context.Context, o *MoveRequest) ProposeResult {
-	var t cell.Txn
+	var t paxos.Txn
 	v := ProposeResult{NoLeader: true}
 	r.host.Do(func() {
 		m := r.host.Replicas[o.Cell]
-		if m == nil || m.Role() != cell.Leader {
+		if m == nil || m.Role() != paxos.Leader {
 			return
 		}
 		v = ProposeResult{Busy: true}
@@ -39,7 +39,7 @@
 		if !settled || m.DurableCommitIndex(o.Add.ID)+Alpha < m.AppliedIndex() || m.DurableCommitIndex(o.Add.ID) == 0 && m.AppliedIndex() > 0 {
 			return
 		}
-		var next []cell.Voter
+		var next []paxos.Voter
 		for _, s := range seats {
 			if s.ID != o.Remove {
 				next = append(next, s)
@@ -52,24 +52,24 @@
 		if !survivesZoneLoss(next) && survivesZoneLoss(seats) {
 			return
 		}
-		cond := cell.Condition{Key: cell.MembershipVersionKey, Absent: true}
-		if c, ok := m.Get(cell.MembershipVersionKey); ok {
-			cond = cell.Condition{Key: cell.MembershipVersionKey, Equals: c}
+		cond := paxos.Condition{Key: paxos.MembershipVersionKey, Absent: true}
+		if c, ok := m.Get(paxos.MembershipVersionKey); ok {
+			cond = paxos.Condition{Key: paxos.MembershipVersionKey, Equals: c}
 		}
-		t = cell.Txn{ID: NewTransactionID(), Conditions: []cell.Condition{cond}, Ops: []cell.Op{{Kind: cell.OpSetVoters, Voters: next}}}
+		t = paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond}, Ops: []paxos.Op{{Kind: paxos.OpSetVoters, Voters: next}}}
 	})
 	if t.Ops == nil {
 		return v
 	}
 	v = r.host.ProposeLocal(ctx, o.Cell, t)
 	if v.Committed {
-		r.log.Info(event.VotersChanged).Str("cell", o.Cell).Str("out", string(o.Remove)).Str("in", string(o.Add.ID)).Msg("a seat changed hands")
+		r.log.Info(logging.VotersChanged).Str("cell", o.Cell).Str("out", string(o.Remove)).Str("in", string(o.Add.ID)).Msg("a seat changed hands")
 	}
 	return v
 }
 
 // survivesZoneLoss reports whether no zone holds a majority of the seats.
-func survivesZoneLoss(seats []cell.Voter) bool {
+func survivesZoneLoss(seats []paxos.Voter) bool {
 	n := map[string]int{}
 	for _, s := range seats {
 		if s.Zone != "" {
@@ -88,14 +88,14 @@
 // came back with an empty disk takes over its former seat; a seat unheard for
 // long goes to a registrar that has none; a cell with too few seats gets one
 // more. Newcomers come from the zone, then the region, with the fewest seats.
-func planMove(seats []cell.Voter, live map[string]PeerInfo, silent func(addr string) bool, want int, region func(zone string) string) (out cell.ReplicaID, in cell.Voter, ok bool) {
+func planMove(seats []paxos.Voter, live map[string]PeerInfo, silent func(addr string) bool, want int, region func(zone string) string) (out paxos.ReplicaID, in paxos.Voter, ok bool) {
 	for _, s := range seats {
 		if h, here := live[s.Addr]; here && h.ID != s.ID {
-			return s.ID, cell.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}, true
+			return s.ID, paxos.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}, true
 		}
 	}
 	zones, regions, seated := map[string]int{}, map[string]int{}, map[string]bool{}
-	var lost *cell.Voter
+	var lost *paxos.Voter
 	for i, s := range seats {
 		seated[s.Addr] = true
 		if silent(s.Addr) {
@@ -124,7 +124,7 @@
 			better = a < b || a == b && h.ID < in.ID
 		}
 		if better {
-			in = cell.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}
+			in = paxos.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}
 		}
 	}
 	if in.ID == "" {
@@ -180,7 +180,7 @@
 				if l := m.Leader(); l != "" {
 					addr = r.host.Addresses[l]
 				}
-				jobs = append(jobs, job{MoveRequest{Cell: name, Remove: out, Add: in}, addr, m.Role() == cell.Leader})
+				jobs = append(jobs, job{MoveRequest{Cell: name, Remove: out, Add: in}, addr, m.Role() == paxos.Leader})
 			}
 		}
 	})
--- a/internal/registrar/notices.go
+++ b/internal/controlplane/notices.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"cmp"
@@ -14,12 +14,12 @@
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
-	"comethold/internal/numbering"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 )
 
 // Bounds of the tables. Ours; see docs/design.md.
@@ -38,16 +38,16 @@
 // with the cell's log.
 type Consumer struct {
 	mu                sync.Mutex
-	inbox             *notice.Inbox
+	inbox             *outbox.Inbox
 	loggedQuarantines map[string]bool // rows whose quarantine was logged
 	wakeup            chan struct{}
 }
 
 func NewConsumer(saved []byte) *Consumer {
-	b := &Consumer{inbox: notice.NewInbox(), loggedQuarantines: map[string]bool{}, wakeup: make(chan struct{}, 1)}
+	b := &Consumer{inbox: outbox.NewInbox(), loggedQuarantines: map[string]bool{}, wakeup: make(chan struct{}, 1)}
 	if saved != nil {
-		in := notice.NewInbox()
-		if wire.Unmarshal(saved, in) == nil && in.AppliedVersions != nil {
+		in := outbox.NewInbox()
+		if rpc.Unmarshal(saved, in) == nil && in.AppliedVersions != nil {
 			b.inbox = in
 		}
 	}
@@ -58,23 +58,23 @@
 type StoredRow struct {
 	Key string
 	Raw []byte
-	Row notice.Row
+	Row outbox.Row
 }
 
 // DecodeRow reads a row. What is appended at a log position gets its version and its event
 // id from there.
 func DecodeRow(key string, raw []byte) (StoredRow, bool) {
 	k := StoredRow{Key: key, Raw: raw}
-	if wire.Unmarshal(raw, &k.Row) != nil {
+	if rpc.Unmarshal(raw, &k.Row) != nil {
 		return k, false
 	}
-	if n := &k.Row.Notification; n.Aggregate == notice.AggregatePurges {
-		n.Version, n.EventID = LogIndexOfKey(key, OutboxKeyPrefix), notice.AggregatePurges+"/"+strings.TrimPrefix(key, OutboxKeyPrefix)
+	if n := &k.Row.Notification; n.Aggregate == outbox.AggregatePurges {
+		n.Version, n.EventID = LogIndexOfKey(key, OutboxKeyPrefix), outbox.AggregatePurges+"/"+strings.TrimPrefix(key, OutboxKeyPrefix)
 	}
 	return k, true
 }
 
-func OutboxRows(m *cell.Replica) (rows []StoredRow) {
+func OutboxRows(m *paxos.Replica) (rows []StoredRow) {
 	for _, k := range m.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix) {
 		v, _ := m.Get(k)
 		if r, ok := DecodeRow(k, v.Bytes); ok {
@@ -94,8 +94,8 @@
 }
 
 // changedTenants lists those whose keys or limits differ.
-func changedTenants(old, next *numbering.Configuration) (out []string) {
-	had := map[string]numbering.Tenant{}
+func changedTenants(old, next *routing.Configuration) (out []string) {
+	had := map[string]routing.Tenant{}
 	if old != nil {
 		for _, t := range old.Tenants {
 			had[t.Name] = t
@@ -122,14 +122,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cfg := r.board.LatestConfiguration()
-	have := map[string]uint64{notice.AggregatePurges: r.board.recallPos()}
+	have := map[string]uint64{outbox.AggregatePurges: r.board.recallPos()}
 	if cfg != nil {
-		have[notice.AggregateConfiguration] = cfg.Version
+		have[outbox.AggregateConfiguration] = cfg.Version
 	}
 	changed := false
 	// Nodes go by the newest position that they were told of: what comes after a notice
 	// that waits, or at its position, is told after it.
-	told, waits := []feed.OutboxNotification(nil), uint64(math.MaxUint64)
+	told, waits := []distribution.OutboxNotification(nil), uint64(math.MaxUint64)
 	for i := range rows {
 		n, slot := &rows[i].Row.Notification, LogIndexOfKey(rows[i].Key, OutboxKeyPrefix)
 		if n.Version <= have[n.Aggregate] && n.PreviousVersion > b.inbox.AppliedVersions[n.Aggregate] {
@@ -137,43 +137,43 @@
 			b.inbox.SetBaseVersion(n.Aggregate, n.PreviousVersion)
 		}
 		switch d, why := b.inbox.Decide(n, have[n.Aggregate]); d {
-		case notice.Applied:
+		case outbox.Applied:
 			changed = true
-			told = append(told, feed.OutboxNotification{LogIndex: slot, Notification: *n})
-		case notice.Duplicate: // it may be new to a board that has just started
-			told = append(told, feed.OutboxNotification{LogIndex: slot, Notification: *n})
-		case notice.Deferred:
+			told = append(told, distribution.OutboxNotification{LogIndex: slot, Notification: *n})
+		case outbox.Duplicate: // it may be new to a board that has just started
+			told = append(told, distribution.OutboxNotification{LogIndex: slot, Notification: *n})
+		case outbox.Deferred:
 			waits = min(waits, slot)
-		case notice.Quarantined:
+		case outbox.Quarantined:
 			if !b.loggedQuarantines[n.EventID] {
 				b.loggedQuarantines[n.EventID] = true
-				r.log.Error(event.NotificationQuarantined).Str("eventId", n.EventID).Err(why).Msg("a notice is quarantined")
+				r.log.Error(logging.NotificationQuarantined).Str("eventId", n.EventID).Err(why).Msg("a notice is quarantined")
 				go r.quarantine(n, why.Error())
 			}
 		}
 	}
-	r.board.addNotices(slices.DeleteFunc(told, func(n feed.OutboxNotification) bool { return n.LogIndex >= waits }))
+	r.board.addNotices(slices.DeleteFunc(told, func(n distribution.OutboxNotification) bool { return n.LogIndex >= waits }))
 	if cfg == nil {
 		return
 	}
-	if b.inbox.AppliedVersions[notice.AggregateConfiguration] < cfg.Version && !hasUndecidedConfiguration(rows, b.inbox, cfg.Version) {
-		b.inbox.SetBaseVersion(notice.AggregateConfiguration, cfg.Version) // a state that came without notices
+	if b.inbox.AppliedVersions[outbox.AggregateConfiguration] < cfg.Version && !hasUndecidedConfiguration(rows, b.inbox, cfg.Version) {
+		b.inbox.SetBaseVersion(outbox.AggregateConfiguration, cfg.Version) // a state that came without notices
 		changed = true
 	}
-	if b.inbox.AppliedVersions[notice.AggregateConfiguration] >= cfg.Version {
+	if b.inbox.AppliedVersions[outbox.AggregateConfiguration] >= cfg.Version {
 		r.quotas.SetTenants(cfg)
 	}
 	if changed {
-		if raw, err := wire.Marshal(b.inbox); err == nil {
+		if raw, err := rpc.Marshal(b.inbox); err == nil {
 			r.host.Storage.QueueNodeValue(InboxStorageKey, raw)
 		}
 	}
 }
 
 // hasUndecidedConfiguration reports whether the outbox holds a notice up to the version that is not done.
-func hasUndecidedConfiguration(rows []StoredRow, in *notice.Inbox, version uint64) bool {
+func hasUndecidedConfiguration(rows []StoredRow, in *outbox.Inbox, version uint64) bool {
 	for _, k := range rows {
-		if n := &k.Row.Notification; n.Aggregate == notice.AggregateConfiguration && n.Version <= version && n.Version > in.AppliedVersions[n.Aggregate] {
+		if n := &k.Row.Notification; n.Aggregate == outbox.AggregateConfiguration && n.Version <= version && n.Version > in.AppliedVersions[n.Aggregate] {
 			return true
 		}
 	}
@@ -201,7 +201,7 @@
 
 // receiveNotifications is where a publisher sends notices. It says which of them this registrar
 // has decided, here or before.
-func (r *Server) receiveNotifications(list []notice.Notification) (done []bool) {
+func (r *Server) receiveNotifications(list []outbox.Notification) (done []bool) {
 	r.applyNotifications() // what the cell has told already
 	r.notices.mu.Lock()
 	defer r.notices.mu.Unlock()
@@ -243,7 +243,7 @@
 	t, rows, dropped := SweepRows(r.outboxRows())
 	if len(t.Ops) > 0 && r.propose(MetaCell, t) {
 		for _, id := range dropped {
-			r.log.Warn(event.NotificationDropped).Str("eventId", id).Msg("a notice that not every registrar has taken is dropped for newer ones")
+			r.log.Warn(logging.NotificationDropped).Str("eventId", id).Msg("a notice that not every registrar has taken is dropped for newer ones")
 		}
 	}
 	t, claimed := claimRows(rows, owner, seen, time.Now())
@@ -251,40 +251,40 @@
 		return
 	}
 	sent := r.deliverToAll(claimed)
-	t = cell.Txn{}
+	t = paxos.Txn{}
 	for i, k := range claimed {
 		next, err := k.Row.MarkPublished(owner)
 		if !sent[i] {
 			next, err = k.Row.ScheduleRetry(owner)
-			r.log.Warn(event.NotificationRetry).Str("eventId", k.Row.Notification.EventID).Int("tries", k.Row.Attempts).Msg("a notice was not taken by every registrar; it is sent again")
+			r.log.Warn(logging.NotificationRetry).Str("eventId", k.Row.Notification.EventID).Int("tries", k.Row.Attempts).Msg("a notice was not taken by every registrar; it is sent again")
 		}
 		if err != nil {
 			continue
 		}
-		t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)})
+		t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)})
 	}
 	r.propose(MetaCell, t)
 }
 
 // claimRows makes the transaction that claims what is due; it holds only for rows that are
 // as they were seen.
-func claimRows(rows []StoredRow, owner string, seen map[string]observedRow, now time.Time) (t cell.Txn, claimed []StoredRow) {
+func claimRows(rows []StoredRow, owner string, seen map[string]observedRow, now time.Time) (t paxos.Txn, claimed []StoredRow) {
 	known := map[string]bool{}
 	for _, k := range rows {
 		known[k.Key] = true
 		if s, ok := seen[k.Key]; !ok || s.raw != string(k.Raw) {
 			seen[k.Key] = observedRow{string(k.Raw), now}
 		}
-		if k.Row.State == notice.Published {
+		if k.Row.State == outbox.Published {
 			continue
 		}
 		next, err := k.Row.Claim(owner, now.Sub(seen[k.Key].since))
 		if err != nil {
 			continue
 		}
-		t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
-		put := cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)}
+		t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
+		put := paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}
 		t.Ops = append(t.Ops, put)
 		claimed = append(claimed, StoredRow{Key: k.Key, Raw: put.Value.Bytes, Row: next})
 	}
@@ -294,21 +294,21 @@
 
 // SweepRows makes the transaction that forgets the oldest rows, by themselves: what
 // registrars claim of the others must not hold it up. Those that stay are handed back.
-func SweepRows(rows []StoredRow) (t cell.Txn, stay []StoredRow, dropped []string) {
+func SweepRows(rows []StoredRow) (t paxos.Txn, stay []StoredRow, dropped []string) {
 	published, unsent := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
 		k := rows[i]
 		n, most := &unsent, MaxUnsentRows
-		if k.Row.State == notice.Published {
+		if k.Row.State == outbox.Published {
 			n, most = &published, MaxPublishedRows
 		}
 		if *n++; *n <= most {
 			stay = append(stay, k)
 			continue
 		}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: k.Key})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: k.Key})
 		if n == &published {
-			t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)}) // it may be redriven
+			t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)}) // it may be redriven
 		} else { // whatever has become of it: no row comes back under its key
 			dropped = append(dropped, k.Row.Notification.EventID)
 		}
@@ -319,7 +319,7 @@
 // deliverToAll tells every registrar that is live; a notice is sent where each of them
 // has decided it.
 func (r *Server) deliverToAll(rows []StoredRow) []bool {
-	list := make([]notice.Notification, len(rows))
+	list := make([]outbox.Notification, len(rows))
 	all := make([]bool, len(rows))
 	for i := range rows {
 		list[i], all[i] = rows[i].Row.Notification, true
@@ -351,16 +351,16 @@
 
 // QuarantineRecord is what is known of a notice, or an order, that contradicts what was.
 type QuarantineRecord struct {
-	Notification notice.Notification `cbor:"1,keyasint"`
+	Notification outbox.Notification `cbor:"1,keyasint"`
 	Reason       string              `cbor:"2,keyasint"`
 	ReportedBy   string              `cbor:"3,keyasint"`
 }
 
 // quarantine notes a notice for the operator, apart from the healthy ones.
-func (r *Server) quarantine(n *notice.Notification, why string) {
+func (r *Server) quarantine(n *outbox.Notification, why string) {
 	key := QuarantineKeyPrefix + n.EventID
-	t := cell.Txn{Conditions: []cell.Condition{{Key: key, Absent: true}},
-		Ops: []cell.Op{{Kind: cell.OpPut, Key: key, Value: MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
+	t := paxos.Txn{Conditions: []paxos.Condition{{Key: key, Absent: true}},
+		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
 	var keys []string
 	r.host.Do(func() {
 		if m := r.host.Replicas[MetaCell]; m != nil {
@@ -368,7 +368,7 @@
 		}
 	})
 	for i := 0; i+maxQuarantined <= len(keys); i++ {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: keys[i]})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: keys[i]})
 	}
 	r.propose(MetaCell, t)
 }
@@ -400,7 +400,7 @@
 // row, whose notice is not touched, back in line. known is false where no row and no
 // case has this event id. done: this very redrive is on record. One that is late finds
 // the place of its record taken, and does nothing.
-func RedriveTransaction(m *cell.Replica, d *RedriveRequest) (t cell.Txn, known, done bool) {
+func RedriveTransaction(m *paxos.Replica, d *RedriveRequest) (t paxos.Txn, known, done bool) {
 	raw, old := MustEncode(d), m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
 	last := uint64(0)
 	for _, k := range old {
@@ -409,13 +409,13 @@
 		}
 		last = LogIndexOfKey(k, RedriveKeyPrefix)
 	}
-	key := cell.AppendedKey(RedriveKeyPrefix, last+1, "")
-	t.Conditions = []cell.Condition{{Key: key, Absent: true}}
-	t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: key, Value: raw})
+	key := paxos.AppendedKey(RedriveKeyPrefix, last+1, "")
+	t.Conditions = []paxos.Condition{{Key: key, Absent: true}}
+	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: key, Value: raw})
 	if _, ok := m.Get(QuarantineKeyPrefix + d.EventID); ok {
 		known = true
 		if d.Action == RedriveClose {
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: QuarantineKeyPrefix + d.EventID})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: QuarantineKeyPrefix + d.EventID})
 		}
 	}
 	for _, k := range OutboxRows(m) {
@@ -424,12 +424,12 @@
 		}
 		known = true
 		if d.Action == RedriveResend {
-			t.Conditions = append(t.Conditions, cell.Condition{Key: k.Key, Equals: cell.Bytes(k.Raw)})
-			t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(k.Row.Redrive())})
+			t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(k.Row.Redrive())})
 		}
 	}
 	for i := 0; i+maxRedriveRecords <= len(old); i++ {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: old[i]})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: old[i]})
 	}
 	return t, known, false
 }
@@ -442,7 +442,7 @@
 }
 
 // addNotices puts those that are new on the board, in order of position, all at once.
-func (b *Distributor) addNotices(list []feed.OutboxNotification) {
+func (b *Distributor) addNotices(list []distribution.OutboxNotification) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]bool{}
@@ -460,7 +460,7 @@
 	if len(next) == len(b.notifications) {
 		return
 	}
-	slices.SortStableFunc(next, func(a, b feed.OutboxNotification) int { return cmp.Compare(a.LogIndex, b.LogIndex) })
+	slices.SortStableFunc(next, func(a, b distribution.OutboxNotification) int { return cmp.Compare(a.LogIndex, b.LogIndex) })
 	if over := len(next) - MaxPublishedRows; over > 0 {
 		b.notificationLowWatermark = next[over-1].LogIndex
 		next = next[over:]
@@ -470,12 +470,12 @@
 }
 
 // noticeNews adds the notices that the caller lacks.
-func (b *Distributor) noticeNews(h feed.HeldVersions, n *feed.Update) {
+func (b *Distributor) noticeNews(h distribution.HeldVersions, n *distribution.Update) {
 	k := len(b.notifications)
 	if k == 0 || b.notifications[k-1].LogIndex <= h.NotificationIndex {
 		return
 	}
-	ns := &feed.NotificationUpdate{LogIndex: b.notifications[k-1].LogIndex, Reset: h.NotificationIndex == 0 || h.NotificationIndex < b.notificationLowWatermark}
+	ns := &distribution.NotificationUpdate{LogIndex: b.notifications[k-1].LogIndex, Reset: h.NotificationIndex == 0 || h.NotificationIndex < b.notificationLowWatermark}
 	at := sort.Search(k, func(i int) bool { return b.notifications[i].LogIndex > h.NotificationIndex })
 	if ns.Reset {
 		at, ns.BaseVersions = k, maps.Clone(b.notificationBaseVersions) // the state that it is given tells all that came before
--- a/internal/registrar/notices_test.go
+++ b/internal/controlplane/notices_test.go
@@ -1,15 +1,15 @@
-package registrar
+package controlplane
 
 import (
 	"testing"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
 )
 
 // TestNotificationsInOrder: nodes ask for what is after the newest position that they know, so
@@ -17,22 +17,22 @@
 // together.
 func TestNotificationsInOrder(t *testing.T) {
 	r := New(&settings.Settings{NodeName: "n", IPAddress: "10.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true,
-		SeedNodes: []string{"10.0.0.1:1"}}, event.Nop(), wire.TCPNetwork, vault.LocalDisk{})
+		SeedNodes: []string{"10.0.0.1:1"}}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
-	change, err := notice.NewNotification("configuration/3", notice.AggregateConfiguration, 3, 0, nil)
+	change, err := outbox.NewNotification("configuration/3", outbox.AggregateConfiguration, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	purges, err := notice.NewNotification("", notice.AggregatePurges, 0, 0, nil)
+	purges, err := outbox.NewNotification("", outbox.AggregatePurges, 0, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(slot uint64, id string, n notice.Notification) cell.Op {
-		return cell.Op{Kind: cell.OpPut, Key: cell.AppendedKey(OutboxKeyPrefix, slot, id), Value: MustEncode(notice.Row{Notification: n})}
+	put := func(slot uint64, id string, n outbox.Notification) paxos.Op {
+		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(OutboxKeyPrefix, slot, id), Value: MustEncode(outbox.Row{Notification: n})}
 	}
-	if !r.propose(MetaCell, cell.Txn{Ops: []cell.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges)}}) {
+	if !r.propose(MetaCell, paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges)}}) {
 		t.Fatal("not taken")
 	}
 	r.board.mu.Lock()
@@ -44,8 +44,8 @@
 		r.applyNotifications()
 		r.board.mu.Lock()
 		defer r.board.mu.Unlock()
-		var n feed.Update
-		r.board.noticeNews(feed.HeldVersions{NotificationIndex: have}, &n)
+		var n distribution.Update
+		r.board.noticeNews(distribution.HeldVersions{NotificationIndex: have}, &n)
 		if n.Notifications == nil && want == 0 {
 			return
 		}
--- a/internal/registrar/operate.go
+++ b/internal/controlplane/operate.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"net/http"
 	"strings"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/notice"
-	"comethold/internal/wire"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 
 	"github.com/labstack/echo/v4"
 )
@@ -43,10 +43,10 @@
 }
 
 // outboxView reads the tables of the exchange cell.
-func outboxView(m *cell.Replica) OutboxView {
+func outboxView(m *paxos.Replica) OutboxView {
 	v := OutboxView{Rows: []OutboxRowView{}, Quarantine: []QuarantinedView{}, Redrives: []RedriveRequest{}, AppliedVersions: map[string]uint64{}}
 	for _, k := range OutboxRows(m) {
-		if k.Row.State == notice.Published {
+		if k.Row.State == outbox.Published {
 			continue
 		}
 		n := &k.Row.Notification
@@ -55,13 +55,13 @@
 	v.Backlog = len(v.Rows)
 	for _, k := range m.KeysWithPrefix(QuarantineKeyPrefix, QuarantineKeyPrefix) {
 		var q QuarantineRecord
-		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &q) == nil {
+		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &q) == nil {
 			v.Quarantine = append(v.Quarantine, QuarantinedView{q.Notification.EventID, q.Notification.Version, q.Reason, q.ReportedBy})
 		}
 	}
 	for _, k := range m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix) {
 		var d RedriveRequest
-		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &d) == nil {
+		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &d) == nil {
 			v.Redrives = append(v.Redrives, d)
 		}
 	}
@@ -70,12 +70,12 @@
 
 // CellView is how a cell stands at this registrar.
 type CellView struct {
-	Voters  []cell.Voter
+	Voters  []paxos.Voter
 	Settled bool // the newest seats are in effect
 	Voter   bool // this registrar has one
 	Applied uint64
-	Role    cell.Role
-	Leader  cell.ReplicaID // as far as is known here
+	Role    paxos.Role
+	Leader  paxos.ReplicaID // as far as is known here
 }
 
 // Cells tells how the cells stand here.
@@ -111,17 +111,17 @@
 }
 
 // leasesView reads the duties of the exchange cell.
-func leasesView(m *cell.Replica) LeasesView {
+func leasesView(m *paxos.Replica) LeasesView {
 	v := LeasesView{Leases: []LeaseView{}}
 	for _, k := range m.KeysWithPrefix(LeaseKeyPrefix, LeaseKeyPrefix) {
 		var rec LeaseRecord
-		if raw, _ := m.Get(k); wire.Unmarshal(raw.Bytes, &rec) == nil {
+		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &rec) == nil {
 			v.Leases = append(v.Leases, LeaseView{strings.TrimPrefix(k, LeaseKeyPrefix), string(rec.Holder), rec.Term})
 		}
 	}
 	for _, k := range UsageReportRows(m) {
 		v.NewestWindow = k.Row.Notification.Version
-		if k.Row.State != notice.Published {
+		if k.Row.State != outbox.Published {
 			if v.ReportBacklog++; v.ReportBacklog == 1 {
 				v.OldestUnsentWindow = k.Row.Notification.Version
 			}
@@ -185,9 +185,9 @@
 		if err := r.host.WaitLinearizable(ctx, MetaCell); err != nil {
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
-		var t cell.Txn
+		var t paxos.Txn
 		var known, done bool
-		if !r.viewMetaCell(func(m *cell.Replica) { t, known, done = RedriveTransaction(m, &d) }) {
+		if !r.viewMetaCell(func(m *paxos.Replica) { t, known, done = RedriveTransaction(m, &d) }) {
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 		}
 		if done {
@@ -201,7 +201,7 @@
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
 		if ok {
-			r.log.Info(event.NotificationRedriven).Str("eventId", d.EventID).Str("operator", d.Operator).Str("correlationId", d.CorrelationID).Str("action", d.Action).Msg("a notice was redriven")
+			r.log.Info(logging.NotificationRedriven).Str("eventId", d.EventID).Str("operator", d.Operator).Str("correlationId", d.CorrelationID).Str("action", d.Action).Msg("a notice was redriven")
 			return c.JSON(http.StatusOK, d)
 		}
 		// The row moved meanwhile, or another redrive came first.
--- a/internal/registrar/orders.go
+++ b/internal/controlplane/orders.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/notice"
-	"comethold/internal/numbering"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
 
 	"github.com/labstack/echo/v4"
 )
@@ -47,7 +47,7 @@
 	version uint64
 	base    uint64
 	raw     []byte // as it was sent
-	apply   func(current []byte) (*numbering.Configuration, []byte, error)
+	apply   func(current []byte) (*routing.Configuration, []byte, error)
 }
 
 // readChange reads what Replace and Amend share. To read and parse a large order takes
@@ -73,7 +73,7 @@
 	}
 	o := &configurationChange{base: base, raw: raw}
 	if err := parse(o); err != nil {
-		r.log.Warn(event.ConfigRejected).Err(err).Msg("configuration or amendment refused")
+		r.log.Warn(logging.ConfigRejected).Err(err).Msg("configuration or amendment refused")
 		return nil, http.StatusBadRequest, err.Error()
 	}
 	return o, 0, ""
@@ -99,12 +99,12 @@
 // handleReplace takes a whole configuration on top of a base version.
 func (r *Server) handleReplace(c echo.Context) error {
 	o, status, why := r.readChange(c, func(o *configurationChange) error {
-		cfg, err := numbering.Parse(o.raw)
+		cfg, err := routing.Parse(o.raw)
 		if err != nil {
 			return err
 		}
 		o.version = cfg.Version
-		o.apply = func([]byte) (*numbering.Configuration, []byte, error) { return cfg, o.raw, nil }
+		o.apply = func([]byte) (*routing.Configuration, []byte, error) { return cfg, o.raw, nil }
 		return nil
 	})
 	if o == nil {
@@ -116,7 +116,7 @@
 // handleAmend takes a change of named items on top of a base version.
 func (r *Server) handleAmend(c echo.Context) error {
 	o, status, why := r.readChange(c, func(o *configurationChange) error {
-		am, err := numbering.ParseAmendment(o.raw)
+		am, err := routing.ParseAmendment(o.raw)
 		if err != nil {
 			return err
 		}
@@ -134,36 +134,36 @@
 	defer cancel()
 	status, why := r.applyChange(ctx, o)
 	if status == http.StatusOK {
-		r.log.Info(event.ConfigCommitted).Uint64("version", o.version).Uint64("base", o.base).Msg("configuration taken")
+		r.log.Info(logging.ConfigCommitted).Uint64("version", o.version).Uint64("base", o.base).Msg("configuration taken")
 		return c.JSON(http.StatusOK, map[string]uint64{"version": o.version})
 	}
-	r.log.Warn(event.ConfigRejected).Uint64("version", o.version).Uint64("base", o.base).Int("status", status).Str("why", why).Msg("configuration not taken")
+	r.log.Warn(logging.ConfigRejected).Uint64("version", o.version).Uint64("base", o.base).Int("status", status).Str("why", why).Msg("configuration not taken")
 	return writeError(c, status, why)
 }
 
 // applyChange has the change decided. Only a transaction that the cell committed, on
 // this call or an earlier one, is acknowledged.
 func (r *Server) applyChange(ctx context.Context, o *configurationChange) (int, string) {
-	sum := notice.Digest(o.raw)
+	sum := outbox.Digest(o.raw)
 	for try := range 3 {
 		if r.underReplicated() {
 			return http.StatusServiceUnavailable, "the control plane is still being founded"
 		}
-		var t cell.Txn
+		var t paxos.Txn
 		var current uint64
-		var replay notice.KeyUse
+		var replay outbox.KeyUse
 		var forgotten bool
 		var old []byte
-		if !r.viewMetaCell(func(m *cell.Replica) {
+		if !r.viewMetaCell(func(m *paxos.Replica) {
 			current, old = ReadConfig(m)
 			replay, forgotten = CheckReplay(m, o.version, o.base, sum)
 		}) {
 			return http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum)
 		}
 		switch {
-		case replay == notice.KeyRepeated: // applied here, so chosen by a majority: taken already
+		case replay == outbox.KeyRepeated: // applied here, so chosen by a majority: taken already
 			return http.StatusOK, ""
-		case replay == notice.KeyConflicting:
+		case replay == outbox.KeyConflicting:
 			go r.quarantineChange(o, sum)
 			return http.StatusPreconditionFailed, "version " + strconv.FormatUint(o.version, 10) + " was taken with other content"
 		case forgotten:
@@ -180,7 +180,7 @@
 			} else {
 				changed = changedTenants(nil, cfg) // any may have changed
 			}
-			r.viewMetaCell(func(m *cell.Replica) {
+			r.viewMetaCell(func(m *paxos.Replica) {
 				if now, _ := ReadConfig(m); now == current {
 					t = ConfigTxn(m, cfg, raw, sum, changed)
 				}
@@ -210,7 +210,7 @@
 
 // viewMetaCell looks at this node's copy of the exchange cell. Where it reports false there
 // was nothing to look at, as while the node ends, and what f sets means nothing.
-func (r *Server) viewMetaCell(f func(*cell.Replica)) bool {
+func (r *Server) viewMetaCell(f func(*paxos.Replica)) bool {
 	var seen atomic.Bool
 	r.host.Do(func() {
 		if m := r.host.Replicas[MetaCell]; m != nil {
@@ -254,10 +254,10 @@
 // quarantineChange notes an order that has the key of one that was taken, and other
 // content. It is kept apart by its fingerprint; nothing of it comes into force.
 func (r *Server) quarantineChange(o *configurationChange, sum []byte) {
-	r.log.Error(event.IdempotencyConflict).Uint64("version", o.version).Uint64("base", o.base).Hex("fingerprint", sum).Msg("an order contradicts the one that was taken under its key")
-	n, err := notice.NewNotification(fmt.Sprintf("order/%d/%d/%x", o.version, o.base, sum), notice.AggregateConfiguration, o.version, o.base, nil)
+	r.log.Error(logging.IdempotencyConflict).Uint64("version", o.version).Uint64("base", o.base).Hex("fingerprint", sum).Msg("an order contradicts the one that was taken under its key")
+	n, err := outbox.NewNotification(fmt.Sprintf("order/%d/%d/%x", o.version, o.base, sum), outbox.AggregateConfiguration, o.version, o.base, nil)
 	if err == nil {
-		r.quarantine(&n, notice.ErrContentMismatch.Error())
+		r.quarantine(&n, outbox.ErrContentMismatch.Error())
 	}
 }
 
@@ -280,7 +280,7 @@
 	}
 	var version uint64
 	var raw []byte
-	if !r.viewMetaCell(func(m *cell.Replica) { version, raw = ReadConfig(m) }) {
+	if !r.viewMetaCell(func(m *paxos.Replica) { version, raw = ReadConfig(m) }) {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 	}
 	if version == 0 {
--- a/internal/registrar/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"bufio"
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/notice"
-	"comethold/internal/numbering"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
 
 	"github.com/labstack/echo/v4"
 )
@@ -27,15 +27,15 @@
 // singleReplica is a cell of one member without a disk or a network.
 type singleReplica struct {
 	t         *testing.T
-	replica   *cell.Replica
+	replica   *paxos.Replica
 	now       time.Duration
 	proposals int
 }
 
 func newSingleReplica(t *testing.T) *singleReplica {
-	c := &singleReplica{t: t, replica: cell.NewReplica(cell.Config{Cell: MetaCell, Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
+	c := &singleReplica{t: t, replica: paxos.NewReplica(paxos.Config{Cell: MetaCell, Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
 		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, Jitter: func() float64 { return 0.5 }},
-		cell.PersistedState{Snapshot: &cell.Snapshot{State: map[string]cell.Value{}, Memberships: []cell.Membership{{EffectiveFrom: 1, Voters: []cell.Voter{{ID: "a", Addr: "a"}}}}}}, 0)}
+		paxos.PersistedState{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{}, Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: []paxos.Voter{{ID: "a", Addr: "a"}}}}}}, 0)}
 	for range 20 {
 		c.step()
 	}
@@ -61,7 +61,7 @@
 }
 
 // propose has a transaction applied and tells whether it was committed.
-func (c *singleReplica) propose(t cell.Txn) bool {
+func (c *singleReplica) propose(t paxos.Txn) bool {
 	c.t.Helper()
 	c.proposals++
 	t.ID = strconv.Itoa(c.proposals)
@@ -75,12 +75,12 @@
 // its content; one that is older than that is not taken for one that was refused.
 func TestReceiptsOfOldChanges(t *testing.T) {
 	c := newSingleReplica(t)
-	sum := func(v uint64) []byte { return notice.Digest(strconv.AppendUint(nil, v, 10)) }
+	sum := func(v uint64) []byte { return outbox.Digest(strconv.AppendUint(nil, v, 10)) }
 	base := func(v uint64) uint64 { return max(v, 3) - 3 }
 	const changes = 5000
 	for v := uint64(3); v <= 3*changes; v += 3 {
-		txn := ConfigTxn(c.replica, &numbering.Configuration{Version: v}, []byte("{}"), sum(v), nil)
-		txn.Ops = slices.DeleteFunc(txn.Ops, func(o cell.Op) bool { return o.Kind == cell.OpAppend }) // nobody sweeps notices here
+		txn := ConfigTxn(c.replica, &routing.Configuration{Version: v}, []byte("{}"), sum(v), nil)
+		txn.Ops = slices.DeleteFunc(txn.Ops, func(o paxos.Op) bool { return o.Kind == paxos.OpAppend }) // nobody sweeps notices here
 		if !c.propose(txn) {
 			t.Fatalf("%d is not taken", v)
 		}
@@ -94,7 +94,7 @@
 		switch {
 		case forgotten != forgotten2 || forgotten && reach > 0:
 			t.Fatalf("%d: forgotten is %v, after newer ones", v, forgotten)
-		case !forgotten && (got != notice.KeyRepeated || other != notice.KeyConflicting || apart != notice.KeyUnused || unused != notice.KeyUnused):
+		case !forgotten && (got != outbox.KeyRepeated || other != outbox.KeyConflicting || apart != outbox.KeyUnused || unused != outbox.KeyUnused):
 			t.Fatalf("%d: %v, other content %v, other base %v, other version %v", v, got, other, apart, unused)
 		case !forgotten:
 			reach++
@@ -118,7 +118,7 @@
 
 // stoppedControlPlane is one whose host does nothing any more, as at the end of a node.
 func stoppedControlPlane(t *testing.T) *Server {
-	r := New(&settings.Settings{NodeName: "n", IPAddress: "127.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true}, event.Nop(), wire.TCPNetwork, vault.LocalDisk{})
+	r := New(&settings.Settings{NodeName: "n", IPAddress: "127.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	r.openStorage()
 	r.host.OpenedAt[MetaCell] = -formationTimeout
 	r.Stop()
@@ -139,27 +139,27 @@
 				return
 			}
 			r.Stop()
-			b, _ := wire.Marshal(ProposeResult{Committed: true})
-			_, _ = w.Write(wire.EncodeBody(b))
+			b, _ := rpc.Marshal(ProposeResult{Committed: true})
+			_, _ = w.Write(rpc.EncodeBody(b))
 		}))
 		r = New(&settings.Settings{NodeName: "n", IPAddress: "10.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true,
-			SeedNodes: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}}, event.Nop(),
+			SeedNodes: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}}, logging.Nop(),
 			func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
 				return func(context.Context, string, string) (net.Conn, error) {
 					return net.Dial("tcp", proposer.Listener.Addr().String())
 				}
-			}, vault.LocalDisk{})
+			}, storage.LocalDisk{})
 		r.openStorage()
 		r.host.OpenedAt[MetaCell] = -formationTimeout
 		go func() { _ = r.host.Run() }()
 		r.host.Do(func() {
-			r.host.Replicas[MetaCell].Step(r.host.Now(), cell.Message{Cell: MetaCell, Kind: cell.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: cell.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
+			r.host.Replicas[MetaCell].Step(r.host.Now(), paxos.Message{Cell: MetaCell, Kind: paxos.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: paxos.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
 		})
 		w := httptest.NewRecorder()
 		if err := try(r, e.NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)); err != nil || w.Code != http.StatusServiceUnavailable {
 			t.Errorf("%d %s %v", w.Code, w.Body, err)
 		}
-		if r.viewMetaCell(func(*cell.Replica) {}) != (i >= 2) {
+		if r.viewMetaCell(func(*paxos.Replica) {}) != (i >= 2) {
 			t.Error("the node did not end")
 		}
 		r.Stop()
--- a/internal/registrar/peers.go
+++ b/internal/controlplane/peers.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,24 +6,24 @@
 	"strconv"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 )
 
 // PeerInfo introduces a registrar to the others.
 type PeerInfo struct {
-	ID   cell.ReplicaID `cbor:"1,keyasint"`
-	Addr string         `cbor:"2,keyasint"`
-	Zone string         `cbor:"3,keyasint"`
-	Name string         `cbor:"4,keyasint"`
+	ID   paxos.ReplicaID `cbor:"1,keyasint"`
+	Addr string          `cbor:"2,keyasint"`
+	Zone string          `cbor:"3,keyasint"`
+	Name string          `cbor:"4,keyasint"`
 }
 
 // Batch is what one registrar sends another.
 type Batch struct {
-	Sender       PeerInfo       `cbor:"1,keyasint"`
-	Messages     []cell.Message `cbor:"2,keyasint,omitempty"`
-	EndpointList feed.Revision  `cbor:"3,keyasint"` // of the leaf list that the sender holds
+	Sender       PeerInfo              `cbor:"1,keyasint"`
+	Messages     []paxos.Message       `cbor:"2,keyasint,omitempty"`
+	EndpointList distribution.Revision `cbor:"3,keyasint"` // of the leaf list that the sender holds
 	// The sender's time of day and the time that it agrees on, where that matters.
 	WallTime   int64 `cbor:"4,keyasint,omitempty"`
 	AgreedTime int64 `cbor:"5,keyasint,omitempty"`
@@ -52,7 +52,7 @@
 type peer struct {
 	info        PeerInfo
 	lastHeard   time.Duration
-	queue       []cell.Message
+	queue       []paxos.Message
 	queuedBytes int // of the queue
 	wake        chan struct{}
 	bulk        bulkQueue
@@ -61,16 +61,16 @@
 // bulkQueue holds the large messages to one peer, which go one at a time, so that greetings and
 // beats need not wait behind them.
 type bulkQueue struct {
-	messages []cell.Message
-	inFlight *cell.Message // the one that is under way
+	messages []paxos.Message
+	inFlight *paxos.Message // the one that is under way
 	wake     chan struct{}
 }
 
 // enqueue queues a large message. What is under way, or waits, is not sent a second time: a
 // snapshot of a cell, or the same message. What is left of one that went without its
 // snapshot is handed back.
-func (l *bulkQueue) enqueue(msg cell.Message) *cell.Message {
-	has := func(f func(*cell.Message) bool) bool {
+func (l *bulkQueue) enqueue(msg paxos.Message) *paxos.Message {
+	has := func(f func(*paxos.Message) bool) bool {
 		if l.inFlight != nil && f(l.inFlight) {
 			return true
 		}
@@ -81,8 +81,8 @@
 		}
 		return false
 	}
-	if msg.Snapshot != nil && has(func(o *cell.Message) bool { return o.Cell == msg.Cell && o.Snapshot != nil }) {
-		if msg.Kind == cell.CatchUpResponse {
+	if msg.Snapshot != nil && has(func(o *paxos.Message) bool { return o.Cell == msg.Cell && o.Snapshot != nil }) {
+		if msg.Kind == paxos.CatchUpResponse {
 			return nil
 		}
 		msg.Snapshot = nil // a promise that cannot be counted yet still tells how far its sender is
@@ -90,8 +90,8 @@
 			return &msg
 		}
 	}
-	if len(l.messages) >= maxBulkMessages || has(func(o *cell.Message) bool {
-		return o.Cell == msg.Cell && o.Kind == msg.Kind && o.ProposalNumber == msg.ProposalNumber && (msg.Kind != cell.Accept || o.Entries[0].Index == msg.Entries[0].Index)
+	if len(l.messages) >= maxBulkMessages || has(func(o *paxos.Message) bool {
+		return o.Cell == msg.Cell && o.Kind == msg.Kind && o.ProposalNumber == msg.ProposalNumber && (msg.Kind != paxos.Accept || o.Entries[0].Index == msg.Entries[0].Index)
 	}) {
 		return nil
 	}
@@ -104,7 +104,7 @@
 }
 
 // next hands out the next message; what was under way is no more.
-func (l *bulkQueue) next() *cell.Message {
+func (l *bulkQueue) next() *paxos.Message {
 	l.inFlight = nil
 	if len(l.messages) > 0 {
 		msg := l.messages[0]
@@ -145,7 +145,7 @@
 // IncarnationEnded reports whether a member's life has ended: its machine is live under another
 // name, so its disk was lost. This node may have started since and never have heard
 // the former name; then its seat tells where it lived.
-func (h *Host) IncarnationEnded(id cell.ReplicaID) (yes bool) {
+func (h *Host) IncarnationEnded(id paxos.ReplicaID) (yes bool) {
 	live := h.LivePeers(LearnerTimeout)
 	h.peersMu.Lock()
 	yes = h.replacedReplicas[id]
@@ -199,9 +199,9 @@
 	live := h.LivePeers(LearnerTimeout)
 	for _, m := range h.Replicas {
 		seats, _ := m.Voters()
-		var out []cell.ReplicaID
+		var out []paxos.ReplicaID
 		for _, p := range live {
-			if p.ID != h.Self.ID && !(cell.Membership{Voters: seats}).Contains(p.ID) {
+			if p.ID != h.Self.ID && !(paxos.Membership{Voters: seats}).Contains(p.ID) {
 				out = append(out, p.ID)
 			}
 		}
@@ -210,9 +210,9 @@
 }
 
 // sendToPeers sends messages and hands back those to this node itself.
-func (h *Host) sendToPeers(msgs []cell.Message) []cell.Message {
-	var own []cell.Message
-	byAddr := map[string][]cell.Message{}
+func (h *Host) sendToPeers(msgs []paxos.Message) []paxos.Message {
+	var own []paxos.Message
+	byAddr := map[string][]paxos.Message{}
 	for _, msg := range msgs {
 		if msg.To == h.Self.ID {
 			own = append(own, msg)
@@ -226,7 +226,7 @@
 	return own
 }
 
-func (h *Host) enqueueForPeer(addr string, msgs []cell.Message) {
+func (h *Host) enqueueForPeer(addr string, msgs []paxos.Message) {
 	h.peersMu.Lock()
 	p := h.peers[addr]
 	if p == nil {
@@ -291,7 +291,7 @@
 		msg := p.bulk.next()
 		h.peersMu.Unlock()
 		if msg != nil {
-			h.sendBatch(h.bulkClient, minBulkSendRate, addr, []cell.Message{*msg})
+			h.sendBatch(h.bulkClient, minBulkSendRate, addr, []paxos.Message{*msg})
 			continue
 		}
 		select {
@@ -302,8 +302,8 @@
 	}
 }
 
-func (h *Host) sendBatch(by *wire.Client, rate float64, addr string, msgs []cell.Message) {
-	body, err := wire.EncodeRequest(h.newBatch(msgs))
+func (h *Host) sendBatch(by *rpc.Client, rate float64, addr string, msgs []paxos.Message) {
+	body, err := rpc.EncodeRequest(h.newBatch(msgs))
 	if err != nil {
 		return
 	}
@@ -314,7 +314,7 @@
 
 // newBatch makes what goes to a peer. What may be long under way tells no times: by its
 // arrival they are wrong.
-func (h *Host) newBatch(msgs []cell.Message) *Batch {
+func (h *Host) newBatch(msgs []paxos.Message) *Batch {
 	b := &Batch{Sender: h.Self, Messages: msgs, EndpointList: h.EndpointListVersion()}
 	bytes := 0
 	for i := range msgs {
@@ -368,7 +368,7 @@
 		if b.WallTime != 0 {
 			h.OnPeerClocks(b.Sender.Addr, b.WallTime, b.AgreedTime)
 		}
-		touched := map[string]*cell.Replica{}
+		touched := map[string]*paxos.Replica{}
 		for _, msg := range b.Messages {
 			if m := h.Replicas[msg.Cell]; m != nil {
 				m.Step(now, msg)
--- a/internal/registrar/poll.go
+++ b/internal/controlplane/poll.go
@@ -1,13 +1,13 @@
-package registrar
+package controlplane
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"comethold/internal/directory"
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/discovery"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 )
 
 // discoveryLoop keeps the list of leafs while this node holds the duty.
@@ -38,8 +38,8 @@
 		if err != nil {
 			failures++
 			pause = every / 2
-			r.log.Warn(event.EndpointListFailed).Err(err).Int("failures", failures).Msg("the platform's list cannot be had")
-			if failures >= 3 && !errors.Is(err, directory.ErrRateLimited) {
+			r.log.Warn(logging.EndpointListFailed).Err(err).Int("failures", failures).Msg("the platform's list cannot be had")
+			if failures >= 3 && !errors.Is(err, discovery.ErrRateLimited) {
 				r.discoveryLease.Yield() // another may reach the platform
 				failures = 0
 			}
@@ -49,9 +49,9 @@
 		if now, ok := r.discoveryLease.Held(); !ok || now != term {
 			continue // too late: the lease ended while the platform answered
 		}
-		next := &feed.EndpointList{Revision: feed.Revision{Term: term, Sequence: 1}, Endpoints: leafs}
+		next := &distribution.EndpointList{Revision: distribution.Revision{Term: term, Sequence: 1}, Endpoints: leafs}
 		if leafs == nil {
-			next.Endpoints = []feed.Endpoint{}
+			next.Endpoints = []distribution.Endpoint{}
 		}
 		cur := r.board.Endpoints()
 		changed := cur == nil || cur.Revision.Term != term || !EqualEncoding(cur.Endpoints, next.Endpoints)
@@ -60,7 +60,7 @@
 				next.Revision.Sequence = cur.Revision.Sequence + 1
 			}
 			r.board.SetEndpoints(next)
-			r.log.Debug(event.EndpointListChanged).Int("leafs", len(leafs)).Uint64("term", term).Uint64("rev", next.Revision.Sequence).Msg("the list changed")
+			r.log.Debug(logging.EndpointListChanged).Int("leafs", len(leafs)).Uint64("term", term).Uint64("rev", next.Revision.Sequence).Msg("the list changed")
 			r.wakeReconciler()
 		}
 		if changed || time.Since(lastDigest) >= digestInterval {
@@ -72,7 +72,7 @@
 
 // broadcastEndpoints hands the list to the other registrars: whole when it changed, else
 // its stamp, followed by the whole where the stamp shows an old copy.
-func (r *Server) broadcastEndpoints(l *feed.EndpointList, whole bool) {
+func (r *Server) broadcastEndpoints(l *distribution.EndpointList, whole bool) {
 	addrs := map[string]bool{}
 	r.host.Do(func() {
 		for _, a := range r.host.PeerAddresses() {
@@ -90,10 +90,10 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			to := internalAddress(a, r.host.Port)
-			var have feed.Revision
+			var have distribution.Revision
 			msg := l
 			if !whole {
-				msg = &feed.EndpointList{Revision: l.Revision}
+				msg = &distribution.EndpointList{Revision: l.Revision}
 			}
 			if err := r.host.Client.Call(ctx, to, "/list", msg, &have); err == nil && !whole && have.Less(l.Revision) {
 				_ = r.host.Client.Call(ctx, to, "/list", l, &have)
@@ -104,7 +104,7 @@
 
 // onPeerEndpoints is told of the list that another registrar holds. A newer one is
 // fetched from there: the poller may not reach this node.
-func (r *Server) onPeerEndpoints(addr string, at feed.Revision) {
+func (r *Server) onPeerEndpoints(addr string, at distribution.Revision) {
 	if !r.board.EndpointsVersion().Less(at) || !r.fetchingList.CompareAndSwap(false, true) {
 		return
 	}
@@ -120,8 +120,8 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		var l feed.EndpointList
-		if err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/list/read", feed.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
+		var l distribution.EndpointList
+		if err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/list/read", distribution.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
 			r.board.SetEndpoints(&l)
 		}
 	}()
--- a/internal/registrar/propose.go
+++ b/internal/controlplane/propose.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"strconv"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
 )
 
 type ProposeRequest struct {
-	Cell string   `cbor:"1,keyasint"`
-	Txn  cell.Txn `cbor:"2,keyasint"`
+	Cell string    `cbor:"1,keyasint"`
+	Txn  paxos.Txn `cbor:"2,keyasint"`
 }
 
 type ProposeResult struct {
@@ -25,25 +25,25 @@
 	NoLeader  bool   `cbor:"4,keyasint,omitempty"`
 	Index     uint64 `cbor:"5,keyasint,omitempty"`
 	// Grant answers a claim.
-	Grant feed.ShareGrant `cbor:"6,keyasint,omitempty"`
+	Grant distribution.ShareGrant `cbor:"6,keyasint,omitempty"`
 }
 
 // resultOfRefusal is the verdict where a member takes nothing.
 func resultOfRefusal(err error) ProposeResult {
-	if errors.Is(err, cell.ErrPipelineFull) {
+	if errors.Is(err, paxos.ErrPipelineFull) {
 		return ProposeResult{Busy: true}
 	}
 	return ProposeResult{NoLeader: true}
 }
 
 // ProposeLocal proposes at this node, which must be the proposer.
-func (h *Host) ProposeLocal(ctx context.Context, name string, t cell.Txn) ProposeResult {
-	w := make(chan cell.Outcome, 1)
+func (h *Host) ProposeLocal(ctx context.Context, name string, t paxos.Txn) ProposeResult {
+	w := make(chan paxos.Outcome, 1)
 	var err error
 	h.Do(func() {
 		m := h.Replicas[name]
 		if m == nil {
-			err = cell.ErrNotLeader
+			err = paxos.ErrNotLeader
 			return
 		}
 		h.proposalWaiters[t.ID] = w
@@ -78,7 +78,7 @@
 	h.Do(func() {
 		m := h.Replicas[name]
 		if m == nil {
-			err = cell.ErrNotLeader
+			err = paxos.ErrNotLeader
 			return
 		}
 		h.lastReadID++
@@ -106,7 +106,7 @@
 func (h *Host) leaderAddress(name string) (addr string, here bool) {
 	h.Do(func() {
 		if m := h.Replicas[name]; m != nil {
-			here = m.Role() == cell.Leader
+			here = m.Role() == paxos.Leader
 			if l := m.Leader(); l != "" {
 				addr = h.Addresses[l]
 			}
@@ -159,7 +159,7 @@
 func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
 
 // Propose has a transaction decided and tells whether it was committed.
-func (h *Host) Propose(ctx context.Context, name string, t cell.Txn) (bool, error) {
+func (h *Host) Propose(ctx context.Context, name string, t paxos.Txn) (bool, error) {
 	t.ID = NewTransactionID()
 	v, err := h.CallLeader(ctx, name, "/propose", &ProposeRequest{Cell: name, Txn: t},
 		func(ctx context.Context) ProposeResult { return h.ProposeLocal(ctx, name, t) })
--- a/internal/registrar/quota.go
+++ b/internal/controlplane/quota.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -7,18 +7,18 @@
 	"sync"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 	"comethold/internal/quota"
-	"comethold/internal/ration"
+	"comethold/internal/ratelimit"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 )
 
 // Pacing of quotas. Ours; see docs/design.md.
 const (
-	quotaRenewInterval   = ration.QuotaLeaseDuration / 5
+	quotaRenewInterval   = ratelimit.QuotaLeaseDuration / 5
 	quotaAcquireInterval = 150 * time.Millisecond // between claims while there is no share
 	regionalLendTimeout  = 8 * time.Millisecond   // how long to wait for a lender of the own region
 	remoteLendTimeout    = 45 * time.Millisecond  // and for the others
@@ -58,14 +58,14 @@
 
 func NewQuotaServer(rules quota.Rules, saved []byte) *QuotaServer {
 	left := map[string]float64{}
-	if saved != nil && wire.Unmarshal(saved, &left) != nil {
+	if saved != nil && rpc.Unmarshal(saved, &left) != nil {
 		left = nil
 	}
 	return &QuotaServer{rules: rules, allocator: quota.NewAllocator(), restoredWatermarks: left, tokensTaken: make(chan struct{}, 1), nextRequestID: rand.Uint64(), pendingLoans: map[uint64]pendingLoan{}, emptyLenders: map[lenderKey]time.Time{}}
 }
 
 // SetTenants takes the tenants of a configuration that is in force.
-func (q *QuotaServer) SetTenants(c *numbering.Configuration) {
+func (q *QuotaServer) SetTenants(c *routing.Configuration) {
 	terms := map[string]quota.BucketLimits{}
 	for _, t := range c.Tenants {
 		if at := q.rules.LimitsFor(t.RatePerSecond, t.BurstSize); at.Limited() {
@@ -89,14 +89,14 @@
 
 // renewQuotaLoop keeps the lease on this registrar's share, once there are tenants.
 func (r *Server) renewQuotaLoop() {
-	fair, turn := 0, feed.NewRequestNumber()
+	fair, turn := 0, distribution.NewRequestNumber()
 	for {
 		pause := quotaRenewInterval
 		if !r.quotas.enabled() {
 			pause = quotaAcquireInterval
 		} else if next, ok := r.renewQuotaShare(fair, turn.Next()); ok {
 			fair = next
-			if share, _ := r.quotas.allocator.Share(time.Now()); share == 0 || int(share*ration.FullShare+0.5) != fair {
+			if share, _ := r.quotas.allocator.Share(time.Now()); share == 0 || int(share*ratelimit.FullShare+0.5) != fair {
 				pause = quotaAcquireInterval
 			}
 		} else {
@@ -112,23 +112,23 @@
 
 // renewQuotaShare claims what was fair at the last renewal; it returns what is fair now.
 // What is to be given up is not used any more from before it is said.
-func (r *Server) renewQuotaShare(fair int, turn feed.RequestNumber) (int, bool) {
+func (r *Server) renewQuotaShare(fair int, turn distribution.RequestNumber) (int, bool) {
 	asked := time.Now()
 	b := r.quotas.allocator
-	b.Shrink(float64(fair)/ration.FullShare, asked)
+	b.Shrink(float64(fair)/ratelimit.FullShare, asked)
 	share, leased := b.Share(asked)
-	ctx, cancel := context.WithTimeout(context.Background(), ration.QuotaLeaseDuration/5)
+	ctx, cancel := context.WithTimeout(context.Background(), ratelimit.QuotaLeaseDuration/5)
 	defer cancel()
-	claim := feed.ShareRequest{Table: feed.QuotaShares, Node: r.settings.NodeName, Permille: fair, HoldsNone: !leased, Number: turn}
+	claim := distribution.ShareRequest{Table: distribution.QuotaShares, Node: r.settings.NodeName, Permille: fair, HoldsNone: !leased, Number: turn}
 	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil || !v.Grant.Granted {
 		return fair, false
 	}
-	if now := float64(v.Grant.Permille) / ration.FullShare; now != share {
-		r.log.Info(event.QuotaShareChanged).Int("permille", v.Grant.Permille).Int("fair", v.Grant.FairPermille).Msg("the share of the tenants' quotas moved")
+	if now := float64(v.Grant.Permille) / ratelimit.FullShare; now != share {
+		r.log.Info(logging.QuotaShareChanged).Int("permille", v.Grant.Permille).Int("fair", v.Grant.FairPermille).Msg("the share of the tenants' quotas moved")
 	}
 	now := time.Now()
-	b.Renew(float64(v.Grant.Permille)/ration.FullShare, asked.Add(ration.QuotaLeaseDuration), now)
+	b.Renew(float64(v.Grant.Permille)/ratelimit.FullShare, asked.Add(ratelimit.QuotaLeaseDuration), now)
 	if q := r.quotas; q.restoredWatermarks != nil {
 		b.Restore(q.restoredWatermarks, v.Grant.Uninterrupted, now)
 		q.restoredWatermarks = nil
@@ -151,7 +151,7 @@
 			continue
 		}
 		pause := watermarkWritePause
-		if raw, err := wire.Marshal(floors); err == nil && r.host.Storage.SetNodeValue(WatermarkStorageKey, raw) == nil {
+		if raw, err := rpc.Marshal(floors); err == nil && r.host.Storage.SetNodeValue(WatermarkStorageKey, raw) == nil {
 			r.quotas.allocator.LowWatermarksStored(floors)
 		} else {
 			pause = watermarkInterval // the disk refuses; the old floors hold
@@ -191,8 +191,8 @@
 			}
 			continue
 		}
-		var d feed.Datagram
-		if wire.Unmarshal(buf[:n], &d) != nil {
+		var d distribution.Datagram
+		if rpc.Unmarshal(buf[:n], &d) != nil {
 			continue
 		}
 		switch {
@@ -206,8 +206,8 @@
 	}
 }
 
-func (q *QuotaServer) sendDatagram(to net.Addr, d *feed.Datagram) {
-	if b, err := wire.Marshal(d); err == nil {
+func (q *QuotaServer) sendDatagram(to net.Addr, d *distribution.Datagram) {
+	if b, err := rpc.Marshal(d); err == nil {
 		_, _ = q.conn.WriteTo(b, to)
 	}
 }
@@ -243,7 +243,7 @@
 			short = append(short, i)
 		}
 	}
-	reply := func() { q.sendDatagram(from, &feed.Datagram{TokenGrant: g}) }
+	reply := func() { q.sendDatagram(from, &distribution.Datagram{TokenGrant: g}) }
 	if len(short) > 0 {
 		lenders := r.lenders()
 		go func() {
@@ -314,7 +314,7 @@
 	q.mu.Unlock()
 	for id, a := range sent {
 		q.sendDatagram(&net.UDPAddr{IP: net.ParseIP(a), Port: port},
-			&feed.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Loan: true, Demands: []quota.TenantDemand{{Tenant: tenant, MilliTokens: int64(x*1000 + 0.999)}}}})
+			&distribution.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Loan: true, Demands: []quota.TenantDemand{{Tenant: tenant, MilliTokens: int64(x*1000 + 0.999)}}}})
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
--- a/internal/registrar/ration.go
+++ b/internal/controlplane/ration.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
-	"comethold/internal/ration"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/ratelimit"
+	"comethold/internal/rpc"
 
 	"github.com/labstack/echo/v4"
 )
@@ -25,24 +25,24 @@
 	observed map[string]observedShare
 }
 
-func NewShareAllocators() map[feed.ShareTable]*ShareAllocator {
-	return map[feed.ShareTable]*ShareAllocator{
-		feed.RateShares:  {key: RateSharesKey, leaseDuration: ration.LeaseDuration, observed: map[string]observedShare{}},
-		feed.QuotaShares: {key: QuotaSharesKey, leaseDuration: ration.QuotaLeaseDuration, observed: map[string]observedShare{}},
+func NewShareAllocators() map[distribution.ShareTable]*ShareAllocator {
+	return map[distribution.ShareTable]*ShareAllocator{
+		distribution.RateShares:  {key: RateSharesKey, leaseDuration: ratelimit.LeaseDuration, observed: map[string]observedShare{}},
+		distribution.QuotaShares: {key: QuotaSharesKey, leaseDuration: ratelimit.QuotaLeaseDuration, observed: map[string]observedShare{}},
 	}
 }
 
 type observedShare struct {
-	share feed.ShareLease
+	share distribution.ShareLease
 	since time.Time
 }
 
 // allocate is the pure part: it notes which records moved, drops those
 // that lapsed and works out what the claimant may have.
-func (k *ShareAllocator) allocate(table map[string]feed.ShareLease, c feed.ShareRequest, now time.Time) (next map[string]feed.ShareLease, g feed.ShareGrant) {
+func (k *ShareAllocator) allocate(table map[string]distribution.ShareLease, c distribution.ShareRequest, now time.Time) (next map[string]distribution.ShareLease, g distribution.ShareGrant) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next = map[string]feed.ShareLease{}
+	next = map[string]distribution.ShareLease{}
 	others := 0
 	for node, s := range table {
 		if old, ok := k.observed[node]; !ok || old.share != s { // renewed, be it in this very batch
@@ -69,40 +69,40 @@
 		holders++
 	}
 	g.Uninterrupted = table[c.Node].Permille > 0
-	g.FairPermille = ration.FullShare / holders
+	g.FairPermille = ratelimit.FullShare / holders
 	want := c.Permille
 	if c.HoldsNone {
 		want = g.FairPermille
 	}
-	g.Permille = max(0, min(want, ration.FullShare-others))
+	g.Permille = max(0, min(want, ratelimit.FullShare-others))
 	g.Granted = true
-	next[c.Node] = feed.ShareLease{Permille: g.Permille, Renewals: table[c.Node].Renewals + 1, Request: c.Number}
+	next[c.Node] = distribution.ShareLease{Permille: g.Permille, Renewals: table[c.Node].Renewals + 1, Request: c.Number}
 	return next, g
 }
 
 type pendingShareRequest struct {
-	request feed.ShareRequest
+	request distribution.ShareRequest
 	result  chan ProposeResult
 }
 
 // renewRateShare renews a node's share: the exchange cell's proposer settles claims,
 // so that they need not contend.
 func (r *Server) renewRateShare(c echo.Context) error {
-	var claim feed.ShareRequest
-	if err := wire.DecodeRequest(c.Request().Body, &claim); err != nil || claim.Node == "" || claim.Permille < 0 || claim.Permille > ration.FullShare || r.shares[claim.Table] == nil {
+	var claim distribution.ShareRequest
+	if err := rpc.DecodeRequest(c.Request().Body, &claim); err != nil || claim.Node == "" || claim.Permille < 0 || claim.Permille > ratelimit.FullShare || r.shares[claim.Table] == nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), ration.LeaseDuration/3)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), ratelimit.LeaseDuration/3)
 	defer cancel()
 	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil {
-		return writeCBOR(c, feed.ShareGrant{})
+		return writeCBOR(c, distribution.ShareGrant{})
 	}
 	return writeCBOR(c, v.Grant)
 }
 
 // allocateShareLocally has a claim settled at this node, which must be the proposer.
-func (r *Server) allocateShareLocally(ctx context.Context, claim feed.ShareRequest) ProposeResult {
+func (r *Server) allocateShareLocally(ctx context.Context, claim distribution.ShareRequest) ProposeResult {
 	p := &pendingShareRequest{claim, make(chan ProposeResult, 1)}
 	select {
 	case r.shareClaims <- p:
@@ -129,7 +129,7 @@
 			return
 		}
 		batch = drainChannel(r.shareClaims, batch, cap(r.shareClaims))
-		for _, of := range []feed.ShareTable{feed.RateShares, feed.QuotaShares} {
+		for _, of := range []distribution.ShareTable{distribution.RateShares, distribution.QuotaShares} {
 			var mine []*pendingShareRequest
 			for _, p := range batch {
 				if p.request.Table == of {
@@ -139,7 +139,7 @@
 			if len(mine) == 0 {
 				continue
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), ration.LeaseDuration/3)
+			ctx, cancel := context.WithTimeout(context.Background(), ratelimit.LeaseDuration/3)
 			v, grants := r.commitShares(ctx, r.shares[of], mine)
 			cancel()
 			for i, p := range mine {
@@ -165,24 +165,24 @@
 	return batch
 }
 
-func (r *Server) commitShares(ctx context.Context, k *ShareAllocator, batch []*pendingShareRequest) (ProposeResult, []feed.ShareGrant) {
+func (r *Server) commitShares(ctx context.Context, k *ShareAllocator, batch []*pendingShareRequest) (ProposeResult, []distribution.ShareGrant) {
 	for range 3 {
-		table := map[string]feed.ShareLease{}
-		cond := cell.Condition{Key: k.key, Absent: true}
+		table := map[string]distribution.ShareLease{}
+		cond := paxos.Condition{Key: k.key, Absent: true}
 		r.host.Do(func() {
 			if m := r.host.Replicas[MetaCell]; m != nil {
-				if old, held := m.Get(k.key); held && wire.Unmarshal(old.Bytes, &table) == nil {
-					cond = cell.Condition{Key: k.key, Equals: old}
+				if old, held := m.Get(k.key); held && rpc.Unmarshal(old.Bytes, &table) == nil {
+					cond = paxos.Condition{Key: k.key, Equals: old}
 				}
 			}
 		})
-		grants := make([]feed.ShareGrant, len(batch))
+		grants := make([]distribution.ShareGrant, len(batch))
 		now := time.Now()
 		for i, p := range batch {
 			table, grants[i] = k.allocate(table, p.request, now)
 		}
-		v := r.host.ProposeLocal(ctx, MetaCell, cell.Txn{ID: NewTransactionID(), Conditions: []cell.Condition{cond},
-			Ops: []cell.Op{{Kind: cell.OpPut, Key: k.key, Value: MustEncode(table)}}})
+		v := r.host.ProposeLocal(ctx, MetaCell, paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond},
+			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.key, Value: MustEncode(table)}}})
 		if v.Committed || v.Busy || v.Unknown || v.NoLeader {
 			return v, grants
 		}
--- a/internal/registrar/recall.go
+++ b/internal/controlplane/recall.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 
 	"github.com/labstack/echo/v4"
 )
@@ -35,23 +35,23 @@
 
 var errInvalidPurge = errors.New("a purge names hostname and path, or label, and not both")
 
-func parsePurge(raw []byte) (feed.Purge, error) {
+func parsePurge(raw []byte) (distribution.Purge, error) {
 	var o purgeRequest
 	if err := json.Unmarshal(raw, &o); err != nil {
-		return feed.Purge{}, err
+		return distribution.Purge{}, err
 	}
 	byPath := o.Hostname != "" && strings.HasPrefix(o.Path, "/")
 	switch {
 	case o.Label != "" && o.Hostname == "" && o.Path == "" && !strings.ContainsAny(o.Label, " \t"):
-		return feed.Purge{Label: o.Label}, nil
+		return distribution.Purge{Label: o.Label}, nil
 	case o.Label == "" && byPath:
-		return feed.Purge{Host: strings.ToLower(o.Hostname), Path: o.Path}, nil
+		return distribution.Purge{Host: strings.ToLower(o.Hostname), Path: o.Path}, nil
 	}
-	return feed.Purge{}, errInvalidPurge
+	return distribution.Purge{}, errInvalidPurge
 }
 
 type pendingPurge struct {
-	purge feed.Purge
+	purge distribution.Purge
 	done  chan error
 }
 
@@ -63,7 +63,7 @@
 	}
 	rec, err := parsePurge(raw)
 	if err != nil {
-		r.log.Warn(event.PurgeRejected).Err(err).Msg("purge refused")
+		r.log.Warn(logging.PurgeRejected).Err(err).Msg("purge refused")
 		return writeError(c, http.StatusBadRequest, err.Error())
 	}
 	p := &pendingPurge{rec, make(chan error, 1)}
@@ -97,8 +97,8 @@
 			return
 		}
 		batch = drainChannel(r.purgeRequests, batch, maxPurgeBatch)
-		seen := map[feed.Purge]bool{}
-		var list []feed.Purge
+		seen := map[distribution.Purge]bool{}
+		var list []distribution.Purge
 		for _, p := range batch {
 			if !seen[p.purge] {
 				seen[p.purge] = true
@@ -116,18 +116,18 @@
 
 // commitPurges has purges decided. One decided twice does no harm, so what is
 // unclear is simply proposed again.
-func (r *Server) commitPurges(ctx context.Context, list []feed.Purge) error {
+func (r *Server) commitPurges(ctx context.Context, list []distribution.Purge) error {
 	// Its version and event id are those of its position; see rowAt.
-	n, err := notice.NewNotification("", notice.AggregatePurges, 0, 0, len(list))
+	n, err := outbox.NewNotification("", outbox.AggregatePurges, 0, 0, len(list))
 	if err != nil {
 		return err
 	}
 	for {
-		ok, err := r.host.Propose(ctx, MetaCell, cell.Txn{Ops: []cell.Op{
-			{Kind: cell.OpAppend, Key: PurgeKeyPrefix, Value: MustEncode(list)},
-			{Kind: cell.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(notice.Row{Notification: n})}}})
+		ok, err := r.host.Propose(ctx, MetaCell, paxos.Txn{Ops: []paxos.Op{
+			{Kind: paxos.OpAppend, Key: PurgeKeyPrefix, Value: MustEncode(list)},
+			{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(outbox.Row{Notification: n})}}})
 		if ok && err == nil {
-			r.log.Info(event.PurgeCommitted).Int("recalls", len(list)).Msg("purges taken")
+			r.log.Info(logging.PurgeCommitted).Int("recalls", len(list)).Msg("purges taken")
 			return nil
 		}
 		select {
@@ -143,7 +143,7 @@
 
 // SetPurges takes the recalls of the exchange cell. Those already held are
 // not decoded again.
-func (b *Distributor) SetPurges(m *cell.Replica) {
+func (b *Distributor) SetPurges(m *paxos.Replica) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	floor := uint64(0)
@@ -155,13 +155,13 @@
 		b.purgeLowWatermark = floor
 		b.purgePosition = max(b.purgePosition, floor)
 		at := sort.Search(len(b.purges), func(i int) bool { return b.purges[i].LogIndex > floor })
-		b.purges = append([]feed.Purge(nil), b.purges[at:]...)
+		b.purges = append([]distribution.Purge(nil), b.purges[at:]...)
 	}
 	held := b.purgePosition
 	for _, k := range m.KeysWithPrefix(PurgeKeyPrefix, purgeKeyAfter(held)) {
-		var list []feed.Purge
+		var list []distribution.Purge
 		v, _ := m.Get(k)
-		if wire.Unmarshal(v.Bytes, &list) != nil {
+		if rpc.Unmarshal(v.Bytes, &list) != nil {
 			continue
 		}
 		pos := LogIndexOfKey(k, PurgeKeyPrefix)
@@ -177,14 +177,14 @@
 	}
 }
 
-func purgeKeyAfter(pos uint64) string { return cell.AppendedKey(PurgeKeyPrefix, pos+1, "") }
+func purgeKeyAfter(pos uint64) string { return paxos.AppendedKey(PurgeKeyPrefix, pos+1, "") }
 
 // addPurgesLocked adds the recalls that the caller lacks.
-func (b *Distributor) addPurgesLocked(h feed.HeldVersions, n *feed.Update) {
+func (b *Distributor) addPurgesLocked(h distribution.HeldVersions, n *distribution.Update) {
 	if b.purgePosition <= h.PurgeIndex {
 		return
 	}
-	rs := &feed.PurgeUpdate{LogIndex: b.purgePosition, Reset: h.PurgeIndex < b.purgeLowWatermark}
+	rs := &distribution.PurgeUpdate{LogIndex: b.purgePosition, Reset: h.PurgeIndex < b.purgeLowWatermark}
 	at := sort.Search(len(b.purges), func(i int) bool { return b.purges[i].LogIndex > h.PurgeIndex })
 	rs.Purges = b.purges[at:len(b.purges):len(b.purges)]
 	n.Purges = rs
@@ -195,9 +195,9 @@
 func (r *Server) sweepPurges(first map[string]time.Time) {
 	keep := minPurgeRetention
 	var keys []string
-	var held cell.Value
+	var held paxos.Value
 	var known bool
-	if !r.viewMetaCell(func(m *cell.Replica) {
+	if !r.viewMetaCell(func(m *paxos.Replica) {
 		keys = m.KeysWithPrefix(PurgeKeyPrefix, PurgeKeyPrefix)
 		held, known = m.Get(PurgeCompactedKey)
 	}) {
@@ -235,15 +235,15 @@
 // ForgetPurgesTxn forgets recalls, in order of position, and raises the floor from where it is
 // held: one that is late would lower it, and a node that lacks what was forgotten would
 // not be told.
-func ForgetPurgesTxn(held cell.Value, known bool, old []string) (t cell.Txn) {
-	cond := cell.Condition{Key: PurgeCompactedKey, Absent: true}
+func ForgetPurgesTxn(held paxos.Value, known bool, old []string) (t paxos.Txn) {
+	cond := paxos.Condition{Key: PurgeCompactedKey, Absent: true}
 	if known {
-		cond = cell.Condition{Key: PurgeCompactedKey, Equals: held}
+		cond = paxos.Condition{Key: PurgeCompactedKey, Equals: held}
 	}
-	t.Conditions = []cell.Condition{cond}
+	t.Conditions = []paxos.Condition{cond}
 	for _, k := range old {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: k})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: k})
 	}
-	t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: PurgeCompactedKey, Value: UintValue(LogIndexOfKey(old[len(old)-1], PurgeKeyPrefix))})
+	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: PurgeCompactedKey, Value: UintValue(LogIndexOfKey(old[len(old)-1], PurgeKeyPrefix))})
 	return t
 }
--- a/internal/registrar/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/directory"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
+	"comethold/internal/discovery"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
 
 	"github.com/labstack/echo/v4"
 )
@@ -32,20 +32,20 @@
 // Server is the control plane of one node.
 type Server struct {
 	settings *settings.Settings
-	log      *event.Logger
-	disk     vault.Disk
-	network  wire.Network
+	log      *logging.Logger
+	disk     storage.Disk
+	network  rpc.Network
 	ready    chan struct{} // closed once the vault is open: what follows is there
 	host     *Host
 	board    *Distributor
-	platform *directory.Client
+	platform *discovery.Client
 
 	discoveryLease *Lease
 	placementLease *Lease
 	usageLease     *Lease
 	purgeRequests  chan *pendingPurge
 	shareClaims    chan *pendingShareRequest
-	shares         map[feed.ShareTable]*ShareAllocator
+	shares         map[distribution.ShareTable]*ShareAllocator
 	quotas         *QuotaServer
 	notices        *Consumer
 	usages         *Collector
@@ -63,30 +63,30 @@
 	suspectedBy      map[string]map[string]time.Time
 	faultReports     map[string]map[string]time.Time
 	recoveryReports  map[string]recoveryReport
-	lastFaultReport  map[string]feed.HealthReport
+	lastFaultReport  map[string]distribution.HealthReport
 	reconcileWake    chan struct{}
 }
 
 // recoveryReport is kept for a while, should the mark not be lifted at once.
 type recoveryReport struct {
-	report     feed.HealthReport
+	report     distribution.HealthReport
 	reportedAt time.Time
 }
 
 type recentNode struct {
-	node     feed.Node
+	node     distribution.Node
 	lastCall time.Time
 }
 
 // New makes a registrar. It asks nothing of the disk; Run does.
-func New(set *settings.Settings, log *event.Logger, n wire.Network, disk vault.Disk) *Server {
+func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
 	r := &Server{settings: set, log: log, disk: disk, network: n, ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
 		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
-		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]feed.HealthReport{},
+		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
 		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
 	if set.Platform.Address != "" {
-		r.platform = directory.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
+		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
 	return r
 }
@@ -95,20 +95,20 @@
 // Until then this registrar says nothing to the others and turns callers away.
 func (r *Server) openStorage() {
 	failed := func(err error) {
-		if errors.Is(err, vault.ErrCorrupt) {
-			r.log.Error(event.StorageCorrupt).Err(err).Msg("the file of the cells is damaged and was put aside")
+		if errors.Is(err, storage.ErrCorrupt) {
+			r.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the cells is damaged and was put aside")
 			return
 		}
-		r.log.Warn(event.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+		r.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
 	}
-	for ; ; time.Sleep(vault.RetryDelay) {
+	for ; ; time.Sleep(storage.RetryDelay) {
 		select {
 		case <-r.quit:
 			return
 		default:
 		}
-		late := time.AfterFunc(vault.UnresponsiveAfter, func() { failed(vault.ErrUnresponsive) })
-		v, err := vault.Open(r.settings.DataDirectory, r.disk, failed)
+		late := time.AfterFunc(storage.UnresponsiveAfter, func() { failed(storage.ErrUnresponsive) })
+		v, err := storage.Open(r.settings.DataDirectory, r.disk, failed)
 		if err == nil {
 			if err = r.startReplicas(v); err != nil {
 				_ = v.Close()
@@ -123,33 +123,33 @@
 }
 
 // startReplicas opens the cells of this node. The vault's name is on the disk by now.
-func (r *Server) startReplicas(v *vault.Store) error {
+func (r *Server) startReplicas(v *storage.Store) error {
 	set, log := r.settings, r.log
-	var founders []cell.Voter
+	var founders []paxos.Voter
 	if set.FirstStart {
 		for _, a := range set.SeedHosts() {
-			founders = append(founders, cell.Voter{ID: cell.ReplicaID(a), Addr: a})
+			founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(a), Addr: a})
 		}
 	}
-	id, empty, err := LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, vault.HasCorruptFile(set.DataDirectory), founders)
+	id, empty, err := LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, storage.HasCorruptFile(set.DataDirectory), founders)
 	if err != nil {
 		return err
 	}
 	if empty && !set.FirstStart {
-		log.Warn(event.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
+		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
 	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
 	if raw := v.NodeValue("list"); raw != nil {
-		var l feed.EndpointList
-		if wire.Unmarshal(raw, &l) == nil {
+		var l distribution.EndpointList
+		if rpc.Unmarshal(raw, &l) == nil {
 			r.board.SetEndpoints(&l)
 		}
 	}
-	r.board.persistEndpoints = func(l *feed.EndpointList) {
-		if raw, err := wire.Marshal(l); err == nil {
+	r.board.persistEndpoints = func(l *distribution.EndpointList) {
+		if raw, err := rpc.Marshal(l); err == nil {
 			v.QueueNodeValue("list", raw)
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	for _, name := range set.UnknownDuties() {
-		log.Warn(event.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
+		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
 	r.host.Open(MetaCell, founders)
 	r.mu.Lock()
@@ -256,7 +256,7 @@
 
 // onApply runs on the host's loop. Leases are renewed several times a second:
 // what a change does not touch is not read again.
-func (r *Server) onApply(name string, what cell.ChangedKeys) {
+func (r *Server) onApply(name string, what paxos.ChangedKeys) {
 	m := r.host.Replicas[name]
 	if m == nil {
 		return
@@ -331,7 +331,7 @@
 	e.Use(r.requireReady)
 	e.POST("/cells", func(c echo.Context) error {
 		var b Batch
-		if err := wire.DecodeRequest(c.Request().Body, &b); err != nil {
+		if err := rpc.DecodeRequest(c.Request().Body, &b); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		r.host.Receive(&b)
@@ -340,7 +340,7 @@
 	decide := func(f func(context.Context, *ProposeRequest) ProposeResult) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			var p ProposeRequest
-			if err := wire.DecodeRequest(c.Request().Body, &p); err != nil {
+			if err := rpc.DecodeRequest(c.Request().Body, &p); err != nil {
 				return c.NoContent(http.StatusBadRequest)
 			}
 			ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
@@ -355,8 +355,8 @@
 		return r.host.ReadIndexLocal(ctx, p.Cell)
 	}))
 	e.POST("/claim", func(c echo.Context) error {
-		var claim feed.ShareRequest
-		if err := wire.DecodeRequest(c.Request().Body, &claim); err != nil || r.shares[claim.Table] == nil {
+		var claim distribution.ShareRequest
+		if err := rpc.DecodeRequest(c.Request().Body, &claim); err != nil || r.shares[claim.Table] == nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
@@ -365,7 +365,7 @@
 	})
 	e.POST("/move", func(c echo.Context) error {
 		var o MoveRequest
-		if err := wire.DecodeRequest(c.Request().Body, &o); err != nil {
+		if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
@@ -373,8 +373,8 @@
 		return writeCBOR(c, r.moveLocal(ctx, &o))
 	})
 	e.POST("/list", func(c echo.Context) error {
-		var l feed.EndpointList
-		if err := wire.DecodeRequest(c.Request().Body, &l); err != nil {
+		var l distribution.EndpointList
+		if err := rpc.DecodeRequest(c.Request().Body, &l); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		if l.Endpoints != nil {
@@ -390,14 +390,14 @@
 	})
 	e.POST("/usage", func(c echo.Context) error {
 		var a WindowRequest
-		if err := wire.DecodeRequest(c.Request().Body, &a); err != nil {
+		if err := rpc.DecodeRequest(c.Request().Body, &a); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		return writeCBOR(c, r.usages.store.Window(a.Window))
 	})
 	e.POST("/notices", func(c echo.Context) error {
-		var list []notice.Notification
-		if err := wire.DecodeRequest(c.Request().Body, &list); err != nil {
+		var list []outbox.Notification
+		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		return writeCBOR(c, r.receiveNotifications(list))
@@ -408,21 +408,21 @@
 }
 
 func writeCBOR(c echo.Context, v any) error {
-	b, err := wire.Marshal(v)
+	b, err := rpc.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
+	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeBody(b))
 }
 
-func newRouter(log *event.Logger) *echo.Echo {
+func newRouter(log *logging.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.Use(func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) (err error) {
 			defer func() {
 				if p := recover(); p != nil {
-					log.Error(event.RequestPanic).Any("panic", p).Str("path", c.Path()).Msg("a request failed inside")
+					log.Error(logging.RequestPanic).Any("panic", p).Str("path", c.Path()).Msg("a request failed inside")
 					err = c.NoContent(http.StatusInternalServerError)
 				}
 			}()
@@ -444,8 +444,8 @@
 
 // handleUpdates answers a switch as soon as there is news.
 func (r *Server) handleUpdates(c echo.Context) error {
-	var call feed.UpdateRequest
-	if err := wire.DecodeRequest(c.Request().Body, &call); err != nil {
+	var call distribution.UpdateRequest
+	if err := rpc.DecodeRequest(c.Request().Body, &call); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
 	r.recordNodeCall(&call)
@@ -455,13 +455,13 @@
 		stale := r.quorumContactAge() > StaleAfter
 		news, change := r.board.Update(&call, stale)
 		if stale || call.Immediate || !news.Empty {
-			return c.Blob(http.StatusOK, wire.ContentType, news.Body)
+			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
 		}
 		select {
 		case <-change:
 		case <-hold.C:
 			news, _ = r.board.Update(&call, r.quorumContactAge() > StaleAfter)
-			return c.Blob(http.StatusOK, wire.ContentType, news.Body)
+			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
 		case <-c.Request().Context().Done():
 			return nil
 		case <-r.quit:
@@ -471,7 +471,7 @@
 }
 
 // recordNodeCall notes who calls and what they report.
-func (r *Server) recordNodeCall(call *feed.UpdateRequest) {
+func (r *Server) recordNodeCall(call *distribution.UpdateRequest) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registrar/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"encoding/json"
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
-	"comethold/internal/ration"
-	"comethold/internal/scenario"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/ratelimit"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/simulation"
+	"comethold/internal/storage"
 
 	"github.com/labstack/echo/v4"
 )
@@ -40,17 +40,17 @@
 		{"add before replacing", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 5, "+d"},
 		{"the region with fewer seats", "a@1/x1 b@2/y1 c@3/x2", "a@1/x1 b@2/y1 c@3/x2 d@4/x3 e@5/y3", "", 5, "+e"},
 	} {
-		var seats []cell.Voter
+		var seats []paxos.Voter
 		live := map[string]PeerInfo{}
 		for _, w := range strings.Fields(c.seats) {
 			id, rest, _ := strings.Cut(w, "@")
 			addr, zone, _ := strings.Cut(rest, "/")
-			seats = append(seats, cell.Voter{ID: cell.ReplicaID(id), Addr: addr, Zone: zone})
+			seats = append(seats, paxos.Voter{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone})
 		}
 		for _, w := range strings.Fields(c.live) {
 			id, rest, _ := strings.Cut(w, "@")
 			addr, zone, _ := strings.Cut(rest, "/")
-			live[addr] = PeerInfo{ID: cell.ReplicaID(id), Addr: addr, Zone: zone}
+			live[addr] = PeerInfo{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone}
 		}
 		out, in, ok := planMove(seats, live, func(a string) bool { return c.silent != "" && a == c.silent }, c.want,
 			func(zone string) string { return zone[:1] })
@@ -67,19 +67,19 @@
 // TestShareAllocation: whatever order claims come in and whoever dies, the shares held
 // never exceed the whole, and a dead holder's share is free in the end.
 func TestShareAllocation(t *testing.T) {
-	k := NewShareAllocators()[feed.RateShares]
-	table := map[string]feed.ShareLease{}
+	k := NewShareAllocators()[distribution.RateShares]
+	table := map[string]distribution.ShareLease{}
 	fair := map[string]int{}
 	now := time.Now()
 	claim := func(node string) {
-		var g feed.ShareGrant
-		table, g = k.allocate(table, feed.ShareRequest{Node: node, Permille: fair[node]}, now)
+		var g distribution.ShareGrant
+		table, g = k.allocate(table, distribution.ShareRequest{Node: node, Permille: fair[node]}, now)
 		fair[node] = g.FairPermille
 		sum := 0
 		for _, s := range table {
 			sum += s.Permille
 		}
-		if sum > ration.FullShare {
+		if sum > ratelimit.FullShare {
 			t.Fatalf("shares add up to %d: %v", sum, table)
 		}
 	}
@@ -103,20 +103,20 @@
 	}
 	// Back after a restart a holder has its share by its first claim; a newcomer
 	// gets no more than what the others leave.
-	if _, g := k.allocate(table, feed.ShareRequest{Node: "a", HoldsNone: true}, now); g.Permille != 333 {
+	if _, g := k.allocate(table, distribution.ShareRequest{Node: "a", HoldsNone: true}, now); g.Permille != 333 {
 		t.Errorf("a restarted holder is granted %d", g.Permille)
 	}
-	if _, g := k.allocate(table, feed.ShareRequest{Node: "b", HoldsNone: true}, now); g.Permille > 1 {
+	if _, g := k.allocate(table, distribution.ShareRequest{Node: "b", HoldsNone: true}, now); g.Permille > 1 {
 		t.Errorf("a newcomer is granted %d of what others hold", g.Permille)
 	}
 	// A claim that was given up and is settled after a newer one changes nothing.
-	turn := feed.NewRequestNumber()
-	old, newer := feed.ShareRequest{Node: "a", Permille: 100, Number: turn.Next()}, feed.ShareRequest{Node: "a", Permille: 300, Number: turn.Next()}
+	turn := distribution.NewRequestNumber()
+	old, newer := distribution.ShareRequest{Node: "a", Permille: 100, Number: turn.Next()}, distribution.ShareRequest{Node: "a", Permille: 300, Number: turn.Next()}
 	table, _ = k.allocate(table, newer, now)
 	if after, g := k.allocate(table, old, now); g.Granted || after["a"] != table["a"] {
 		t.Errorf("a late claim is granted: %v, the share is %v", g, after["a"])
 	}
-	if _, g := k.allocate(table, feed.ShareRequest{Node: "a", Permille: 300, Number: feed.NewRequestNumber()}, now); !g.Granted {
+	if _, g := k.allocate(table, distribution.ShareRequest{Node: "a", Permille: 300, Number: distribution.NewRequestNumber()}, now); !g.Granted {
 		t.Error("the first claim of a new life is not granted")
 	}
 }
@@ -149,13 +149,13 @@
 // board's table.
 func TestNodeDeltas(t *testing.T) {
 	b := NewDistributor()
-	holders := []map[string]feed.Node{{}, {}, {}}
+	holders := []map[string]distribution.Node{{}, {}, {}}
 	have := []uint64{0, 0, 0}
 	for slot := uint64(1); slot < 60; slot++ {
-		var all []feed.Node
+		var all []distribution.Node
 		for n := range uint64(8) {
 			if (slot*7+n*n)%5 != 0 {
-				all = append(all, feed.Node{Name: fmt.Sprint("n", n), Zone: "z", Down: (slot+n)%4 == 0})
+				all = append(all, distribution.Node{Name: fmt.Sprint("n", n), Zone: "z", Down: (slot+n)%4 == 0})
 			}
 		}
 		b.nodesPublishedAt = time.Time{}
@@ -164,9 +164,9 @@
 			if slot%uint64(i+1) != 0 {
 				continue
 			}
-			news := b.updateLocked(&feed.UpdateRequest{Node: feed.Node{Zone: "z"}, Held: feed.HeldVersions{NodesIndex: have[i]}})
+			news := b.updateLocked(&distribution.UpdateRequest{Node: distribution.Node{Zone: "z"}, Held: distribution.HeldVersions{NodesIndex: have[i]}})
 			if n := news.Nodes; n != nil {
-				holders[i] = feed.ApplyChanges(holders[i], n.Nodes, n.Removed, n.Delta, func(n feed.Node) string { return n.Name })
+				holders[i] = distribution.ApplyChanges(holders[i], n.Nodes, n.Removed, n.Delta, func(n distribution.Node) string { return n.Name })
 				have[i] = n.LogIndex
 			}
 			var want, got []string
@@ -197,9 +197,9 @@
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	}()
 	port := l.Addr().(*net.TCPAddr).Port
-	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, host: &Host{Client: wire.NewClient(wire.TCPNetwork)},
+	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, host: &Host{Client: rpc.NewClient(rpc.TCPNetwork)},
 		suspectedBy: map[string]map[string]time.Time{"a": {"w": time.Now()}, "b": {"w": time.Now()}}}
-	out := r.probeUnreachable([]feed.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
+	out := r.probeUnreachable([]distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
 	if len(out) != 1 || out[0].Name != "b" {
 		t.Errorf("not reached: %v", out)
 	}
@@ -213,23 +213,23 @@
 func TestMarkDigests(t *testing.T) {
 	b := NewDistributor()
 	set := func(ix string, slot uint64, leafs ...string) {
-		m := feed.EjectionMarks{IndexName: ix, LogIndex: slot, Ejected: map[string]feed.EjectionMark{}}
+		m := distribution.EjectionMarks{IndexName: ix, LogIndex: slot, Ejected: map[string]distribution.EjectionMark{}}
 		for _, l := range leafs {
-			m.Ejected[l] = feed.EjectionMark{Reason: feed.ReasonUnresponsive}
+			m.Ejected[l] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 		}
 		b.SetMarks(m)
 	}
 	set("a", 1)
 	set("b", 1, "x")
-	ask := func(h feed.HeldVersions) feed.Update {
+	ask := func(h distribution.HeldVersions) distribution.Update {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.updateLocked(&feed.UpdateRequest{Held: h})
+		return b.updateLocked(&distribution.UpdateRequest{Held: h})
 	}
-	have := func(slots map[string]uint64) feed.HeldVersions {
-		return feed.HeldVersions{MarksDigest: feed.MarksDigest(slots)}
+	have := func(slots map[string]uint64) distribution.HeldVersions {
+		return distribution.HeldVersions{MarksDigest: distribution.MarksDigest(slots)}
 	}
-	if n := ask(feed.HeldVersions{}); len(n.EjectionMarks) != 2 {
+	if n := ask(distribution.HeldVersions{}); len(n.EjectionMarks) != 2 {
 		t.Errorf("a newcomer gets %v", n)
 	}
 	both := map[string]uint64{"a": 1, "b": 1}
@@ -275,33 +275,33 @@
 // promise goes without the snapshot that is.
 func TestBulkQueueSendsNothingTwice(t *testing.T) {
 	l := bulkQueue{wake: make(chan struct{}, 1)}
-	snap := func() *cell.Snapshot {
-		return &cell.Snapshot{State: map[string]cell.Value{"k": cell.Bytes(make([]byte, bulkThresholdBytes))}}
+	snap := func() *paxos.Snapshot {
+		return &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}
 	}
-	large := func(slot uint64) []cell.Entry {
-		return []cell.Entry{{Index: slot, Txns: []cell.Txn{{ID: strings.Repeat("x", bulkThresholdBytes)}}}}
+	large := func(slot uint64) []paxos.Entry {
+		return []paxos.Entry{{Index: slot, Txns: []paxos.Txn{{ID: strings.Repeat("x", bulkThresholdBytes)}}}}
 	}
-	l.enqueue(cell.Message{Cell: "a", Kind: cell.CatchUpResponse, Snapshot: snap()})
+	l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
 	if m := l.next(); m == nil || m.Snapshot == nil {
 		t.Fatalf("the snapshot is not sent: %v", m)
 	}
 	for range 3 {
-		l.enqueue(cell.Message{Cell: "a", Kind: cell.CatchUpResponse, Snapshot: snap()})
-		l.enqueue(cell.Message{Cell: "a", Kind: cell.Accept, Entries: large(7)})
+		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
+		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Accept, Entries: large(7)})
 	}
-	if rest := l.enqueue(cell.Message{Cell: "a", Kind: cell.Promise, ProposalNumber: cell.ProposalNumber{Term: 2}, Snapshot: snap()}); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
+	if rest := l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: paxos.ProposalNumber{Term: 2}, Snapshot: snap()}); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
 		t.Errorf("of the promise goes %v", rest)
 	}
-	l.enqueue(cell.Message{Cell: "b", Kind: cell.CatchUpResponse, Snapshot: snap()})
-	l.enqueue(cell.Message{Cell: "a", Kind: cell.Accept, Entries: large(8)})
+	l.enqueue(paxos.Message{Cell: "b", Kind: paxos.CatchUpResponse, Snapshot: snap()})
+	l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Accept, Entries: large(8)})
 	var got []string
 	for m := l.next(); m != nil; m = l.next() {
 		got = append(got, fmt.Sprint(m.Cell, m.Kind, len(m.Entries)))
 	}
-	if want := fmt.Sprint([]string{fmt.Sprint("a", cell.Accept, 1), fmt.Sprint("b", cell.CatchUpResponse, 0), fmt.Sprint("a", cell.Accept, 1)}); fmt.Sprint(got) != want {
+	if want := fmt.Sprint([]string{fmt.Sprint("a", paxos.Accept, 1), fmt.Sprint("b", paxos.CatchUpResponse, 0), fmt.Sprint("a", paxos.Accept, 1)}); fmt.Sprint(got) != want {
 		t.Errorf("sent are %v, not %v", got, want)
 	}
-	l.enqueue(cell.Message{Cell: "a", Kind: cell.CatchUpResponse, Snapshot: snap()})
+	l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
 	if l.next() == nil {
 		t.Error("nothing is under way, and the snapshot is not sent")
 	}
@@ -311,7 +311,7 @@
 // a loss of power is there after it, also right after the file was put aside.
 func TestSavedEstimates(t *testing.T) {
 	dir := t.TempDir()
-	d := &scenario.FaultyDisk{Base: vault.LocalDisk{}, Random: func() float64 { return 0 }}
+	d := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
 	r := &Server{settings: &settings.Settings{DataDirectory: dir}, disk: d}
 	saved := func() (nodes []int) {
 		w := httptest.NewRecorder()
@@ -348,19 +348,19 @@
 // TestFounderIdentity: the name of a founder and its part of the first cell are on the disk
 // together, and a name that may have voted before a file was put aside is not used again.
 func TestFounderIdentity(t *testing.T) {
-	seats := []cell.Voter{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
-	life := func(dir string, first bool) (cell.ReplicaID, bool) {
-		v, err := vault.Open(dir, vault.LocalDisk{}, func(error) {})
+	seats := []paxos.Voter{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
+	life := func(dir string, first bool) (paxos.ReplicaID, bool) {
+		v, err := storage.Open(dir, storage.LocalDisk{}, func(error) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer v.Close()
-		id, _, err := LoadOrCreateIdentity(v, "a", first, vault.HasCorruptFile(dir), seats)
+		id, _, err := LoadOrCreateIdentity(v, "a", first, storage.HasCorruptFile(dir), seats)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, found, err := v.LoadReplica(MetaCell)
-		return id, err == nil && found && s.Snapshot != nil && (cell.Membership{Voters: s.Snapshot.Memberships[0].Voters}).Contains(id)
+		return id, err == nil && found && s.Snapshot != nil && (paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}).Contains(id)
 	}
 	dir := t.TempDir()
 	for _, first := range []bool{true, false} {
@@ -383,14 +383,14 @@
 	p := &peer{wake: make(chan struct{}, 1), bulk: bulkQueue{wake: make(chan struct{}, 1)}}
 	h := &Host{peers: map[string]*peer{"b": p}}
 	const cells = 1000
-	h.enqueueForPeer("b", make([]cell.Message, cells))
+	h.enqueueForPeer("b", make([]paxos.Message, cells))
 	if len(p.queue) != cells {
 		t.Errorf("%d of %d messages wait", len(p.queue), cells)
 	}
-	half := cell.Message{Entries: []cell.Entry{{Txns: []cell.Txn{{ID: strings.Repeat("x", bulkThresholdBytes/2)}}}}}
+	half := paxos.Message{Entries: []paxos.Entry{{Txns: []paxos.Txn{{ID: strings.Repeat("x", bulkThresholdBytes/2)}}}}}
 	for i := range 2 * maxQueueBytes / half.Size() {
 		half.HeartbeatSequence = uint64(i)
-		h.enqueueForPeer("b", []cell.Message{half})
+		h.enqueueForPeer("b", []paxos.Message{half})
 	}
 	if n := len(p.queue); p.queuedBytes > maxQueueBytes || n < maxQueueBytes/half.Size() || p.queue[n-1].HeartbeatSequence != half.HeartbeatSequence {
 		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.queuedBytes, p.queue[n-1].HeartbeatSequence, half.HeartbeatSequence)
@@ -400,12 +400,12 @@
 // TestLargeBatchCarriesNoClocks: what may be long under way tells no time of day, which would be taken for
 // that of its arrival.
 func TestLargeBatchCarriesNoClocks(t *testing.T) {
-	h := &Host{EndpointListVersion: func() feed.Revision { return feed.Revision{} }, ReadClocks: func() (int64, int64) { return 7, 8 }}
-	if b := h.newBatch([]cell.Message{{}}); b.WallTime != 7 || b.AgreedTime != 8 {
+	h := &Host{EndpointListVersion: func() distribution.Revision { return distribution.Revision{} }, ReadClocks: func() (int64, int64) { return 7, 8 }}
+	if b := h.newBatch([]paxos.Message{{}}); b.WallTime != 7 || b.AgreedTime != 8 {
 		t.Errorf("a greeting says %d and %d", b.WallTime, b.AgreedTime)
 	}
-	large := cell.Message{Snapshot: &cell.Snapshot{State: map[string]cell.Value{"k": cell.Bytes(make([]byte, bulkThresholdBytes))}}}
-	if b := h.newBatch([]cell.Message{large}); b.WallTime != 0 || b.AgreedTime != 0 {
+	large := paxos.Message{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}}
+	if b := h.newBatch([]paxos.Message{large}); b.WallTime != 0 || b.AgreedTime != 0 {
 		t.Errorf("a snapshot says %d and %d", b.WallTime, b.AgreedTime)
 	}
 }
@@ -413,7 +413,7 @@
 // TestPeerAddresses: a registrar that knows no seats greets, besides its seeds, whoever greets it
 // and whoever is listed: the proposer need not be a seed, and only it teaches.
 func TestPeerAddresses(t *testing.T) {
-	h := &Host{Self: PeerInfo{ID: "1~a", Addr: "1"}, Seeds: []string{"1", "2"}, start: time.Now(), Replicas: map[string]*cell.Replica{},
+	h := &Host{Self: PeerInfo{ID: "1~a", Addr: "1"}, Seeds: []string{"1", "2"}, start: time.Now(), Replicas: map[string]*paxos.Replica{},
 		RegisteredAddresses: func() []string { return []string{"3", "1"} }, peers: map[string]*peer{
 			"4": {info: PeerInfo{ID: "4", Addr: "4"}}, "5": {info: PeerInfo{ID: "5", Addr: "5"}, lastHeard: -2 * LearnerTimeout}}}
 	got := h.PeerAddresses()
