--- a/internal/registrar/schema.go
+++ b/internal/controlplane/schema.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"strconv"
 	"strings"
 
-	"comethold/internal/cell"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
-	"comethold/internal/numbering"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 )
 
 // MetaCell holds what is not any one index's: the operator's
@@ -50,9 +50,9 @@
 )
 
 type IndexRecord struct {
-	Voters   []cell.Voter `cbor:"1,keyasint"` // the founders of its cell
-	Routes   []string     `cbor:"2,keyasint"`
-	Services []string     `cbor:"3,keyasint"`
+	Voters   []paxos.Voter `cbor:"1,keyasint"` // the founders of its cell
+	Routes   []string      `cbor:"2,keyasint"`
+	Services []string      `cbor:"3,keyasint"`
 }
 
 type ShardSetRecord struct {
@@ -64,13 +64,13 @@
 // ReceiptKey is the idempotency key of an order for a configuration: the operator sends
 // none, so it is worked out from the version and the one that it builds on.
 func ReceiptKey(version, base uint64) string {
-	return fmt.Sprintf("%s%s/%020d/%d", ReceiptKeyPrefix, notice.AggregateConfiguration, version, base)
+	return fmt.Sprintf("%s%s/%020d/%d", ReceiptKeyPrefix, outbox.AggregateConfiguration, version, base)
 }
 
 // ReadReceipt returns the receipt under a key, or nil.
-func ReadReceipt(m *cell.Replica, key string) *notice.Receipt {
-	var r notice.Receipt
-	if v, ok := m.Get(key); ok && wire.Unmarshal(v.Bytes, &r) == nil {
+func ReadReceipt(m *paxos.Replica, key string) *outbox.Receipt {
+	var r outbox.Receipt
+	if v, ok := m.Get(key); ok && rpc.Unmarshal(v.Bytes, &r) == nil {
 		return &r
 	}
 	return nil
@@ -96,35 +96,35 @@
 
 // CheckReplay says what is known of an order: whether it was taken, or one that contradicts
 // it. forgotten: it is too old for that.
-func CheckReplay(m *cell.Replica, version, base uint64, sum []byte) (replay notice.KeyUse, forgotten bool) {
+func CheckReplay(m *paxos.Replica, version, base uint64, sum []byte) (replay outbox.KeyUse, forgotten bool) {
 	if rec := ReadReceipt(m, ReceiptKey(version, base)); rec != nil {
 		return rec.Compare(sum), false
 	}
 	if current, _ := ReadConfig(m); version > current {
-		return notice.KeyUnused, false
+		return outbox.KeyUnused, false
 	}
 	if v, ok := m.Get(ReceiptsForgottenKey); ok && v.Int != nil && v.Int.Uint64() >= version {
-		return notice.KeyUnused, true
+		return outbox.KeyUnused, true
 	}
 	keys := m.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
 	at := sort.SearchStrings(keys, receiptArchiveKey(version+1))
 	if at == 0 {
-		return notice.KeyUnused, false
+		return outbox.KeyUnused, false
 	}
 	for _, a := range readReceiptArchive(m, keys[at-1]) {
 		if a.Version == version && a.Base == base {
-			return (&notice.Receipt{Fingerprint: a.Fingerprint}).Compare(sum[:archivedFingerprintBytes]), false
+			return (&outbox.Receipt{Fingerprint: a.Fingerprint}).Compare(sum[:archivedFingerprintBytes]), false
 		}
 	}
-	return notice.KeyUnused, false
+	return outbox.KeyUnused, false
 }
 
 func receiptArchiveKey(first uint64) string {
 	return fmt.Sprintf("%s%020d", ReceiptArchiveKeyPrefix, first)
 }
 
-func readReceiptArchive(m *cell.Replica, key string) (list []archivedReceipt) {
-	if v, ok := m.Get(key); ok && wire.Unmarshal(v.Bytes, &list) != nil {
+func readReceiptArchive(m *paxos.Replica, key string) (list []archivedReceipt) {
+	if v, ok := m.Get(key); ok && rpc.Unmarshal(v.Bytes, &list) != nil {
 		return nil
 	}
 	return list
@@ -133,47 +133,47 @@
 // compactReceipts archives the oldest receipts once there are enough of them, and forgets
 // the oldest archive where there are too many. It goes with a change that is conditioned
 // on the version, and these tables move only with the version.
-func compactReceipts(m *cell.Replica) (ops []cell.Op) {
+func compactReceipts(m *paxos.Replica) (ops []paxos.Op) {
 	receipts := m.KeysWithPrefix(ReceiptKeyPrefix, ReceiptKeyPrefix)
 	if len(receipts) < MaxReceipts+ReceiptsPerArchive {
 		return nil
 	}
 	var list []archivedReceipt
 	for _, k := range receipts[:ReceiptsPerArchive] {
-		ops = append(ops, cell.Op{Kind: cell.OpDelete, Key: k})
+		ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: k})
 		rec := ReadReceipt(m, k)
-		_, base, _ := strings.Cut(strings.TrimPrefix(k, ReceiptKeyPrefix+notice.AggregateConfiguration+"/"), "/")
+		_, base, _ := strings.Cut(strings.TrimPrefix(k, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/"), "/")
 		n, err := strconv.ParseUint(base, 10, 64)
 		if rec != nil && err == nil && len(rec.Fingerprint) >= archivedFingerprintBytes {
 			list = append(list, archivedReceipt{Version: rec.Version, Base: n, Fingerprint: rec.Fingerprint[:archivedFingerprintBytes]})
 		}
 	}
 	if len(list) > 0 {
-		ops = append(ops, cell.Op{Kind: cell.OpPut, Key: receiptArchiveKey(list[0].Version), Value: MustEncode(list)})
+		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: receiptArchiveKey(list[0].Version), Value: MustEncode(list)})
 	}
 	archives := m.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
 	if len(archives) < MaxReceiptArchives {
 		return ops
 	}
-	ops = append(ops, cell.Op{Kind: cell.OpDelete, Key: archives[0]})
+	ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: archives[0]})
 	if gone := readReceiptArchive(m, archives[0]); len(gone) > 0 {
 		last := gone[len(gone)-1].Version
-		ops = append(ops, cell.Op{Kind: cell.OpPut, Key: ReceiptsForgottenKey, Value: UintValue(last)})
+		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: ReceiptsForgottenKey, Value: UintValue(last)})
 	}
 	return ops
 }
 
-func MustEncode(v any) cell.Value {
-	b, err := wire.Marshal(v)
+func MustEncode(v any) paxos.Value {
+	b, err := rpc.Marshal(v)
 	if err != nil {
 		panic(err) // our own records always encode
 	}
-	return cell.Bytes(b)
+	return paxos.Bytes(b)
 }
 
-func UintValue(n uint64) cell.Value { return cell.Value{Int: new(big.Int).SetUint64(n)} }
+func UintValue(n uint64) paxos.Value { return paxos.Value{Int: new(big.Int).SetUint64(n)} }
 
-func ReadConfig(m *cell.Replica) (uint64, []byte) {
+func ReadConfig(m *paxos.Replica) (uint64, []byte) {
 	v, ok := m.Get(ConfigVersionKey)
 	if !ok || v.Int == nil {
 		return 0, nil
@@ -185,41 +185,41 @@
 // ConfigTxn makes the transaction that puts a configuration on top of base: the receipt
 // of the order, the change and the notice of it become durable together, or none does.
 // sum is the fingerprint of the order as it was sent.
-func ConfigTxn(m *cell.Replica, c *numbering.Configuration, raw, sum []byte, changed []string) cell.Txn {
+func ConfigTxn(m *paxos.Replica, c *routing.Configuration, raw, sum []byte, changed []string) paxos.Txn {
 	base, old := ReadConfig(m)
 	key := ReceiptKey(c.Version, base)
-	n, err := notice.NewNotification(fmt.Sprintf("%s/%d", notice.AggregateConfiguration, c.Version), notice.AggregateConfiguration, c.Version, base, notice.ConfigurationChange{Tenants: changed})
+	n, err := outbox.NewNotification(fmt.Sprintf("%s/%d", outbox.AggregateConfiguration, c.Version), outbox.AggregateConfiguration, c.Version, base, outbox.ConfigurationChange{Tenants: changed})
 	if err != nil {
 		panic(err) // our own records always encode
 	}
-	t := cell.Txn{Ops: []cell.Op{
-		{Kind: cell.OpPut, Key: key, Value: MustEncode(notice.Receipt{Fingerprint: sum, Status: http.StatusOK, Version: c.Version})},
-		{Kind: cell.OpPut, Key: ConfigVersionKey, Value: UintValue(c.Version)},
-		{Kind: cell.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(notice.Row{Notification: n, State: notice.Pending})},
+	t := paxos.Txn{Ops: []paxos.Op{
+		{Kind: paxos.OpPut, Key: key, Value: MustEncode(outbox.Receipt{Fingerprint: sum, Status: http.StatusOK, Version: c.Version})},
+		{Kind: paxos.OpPut, Key: ConfigVersionKey, Value: UintValue(c.Version)},
+		{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(outbox.Row{Notification: n, State: outbox.Pending})},
 	}}
 	if base == 0 {
-		t.Conditions = []cell.Condition{{Key: ConfigVersionKey, Absent: true}}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPut, Key: ConfigDataKey, Value: cell.Bytes(raw)})
+		t.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Absent: true}}
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: ConfigDataKey, Value: paxos.Bytes(raw)})
 	} else {
-		t.Conditions = []cell.Condition{{Key: ConfigVersionKey, Equals: UintValue(base)}}
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpPatch, Key: ConfigDataKey, Value: cell.Bytes(cell.MakePatch(old, raw))})
+		t.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Equals: UintValue(base)}}
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: paxos.Bytes(paxos.MakePatch(old, raw))})
 	}
 	t.Ops = append(t.Ops, compactReceipts(m)...)
 	// In a storm orders outrun the publisher, who sweeps the rows otherwise.
 	rows := m.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix)
 	for i := 0; i+MaxOutboxRows <= len(rows); i++ {
-		t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: rows[i]})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: rows[i]})
 	}
 	return t
 }
 
 // ReadNodes lists the directory of nodes.
-func ReadNodes(m *cell.Replica) []feed.Node {
-	var out []feed.Node
+func ReadNodes(m *paxos.Replica) []distribution.Node {
+	var out []distribution.Node
 	for _, k := range m.Keys() {
 		if strings.HasPrefix(k, NodeKeyPrefix) {
-			var n feed.Node
-			if v, _ := m.Get(k); wire.Unmarshal(v.Bytes, &n) == nil {
+			var n distribution.Node
+			if v, _ := m.Get(k); rpc.Unmarshal(v.Bytes, &n) == nil {
 				out = append(out, n)
 			}
 		}
@@ -227,12 +227,12 @@
 	return out
 }
 
-func ReadIndexes(m *cell.Replica) map[string]IndexRecord {
+func ReadIndexes(m *paxos.Replica) map[string]IndexRecord {
 	out := map[string]IndexRecord{}
 	for _, k := range m.Keys() {
 		if strings.HasPrefix(k, IndexKeyPrefix) {
 			var r IndexRecord
-			if v, _ := m.Get(k); wire.Unmarshal(v.Bytes, &r) == nil {
+			if v, _ := m.Get(k); rpc.Unmarshal(v.Bytes, &r) == nil {
 				out[strings.TrimPrefix(k, IndexKeyPrefix)] = r
 			}
 		}
@@ -240,19 +240,19 @@
 	return out
 }
 
-func ReadEjections(name string, m *cell.Replica) feed.EjectionMarks {
-	out := feed.EjectionMarks{IndexName: name, LogIndex: m.AppliedIndex(), Ejected: map[string]feed.EjectionMark{}}
+func ReadEjections(name string, m *paxos.Replica) distribution.EjectionMarks {
+	out := distribution.EjectionMarks{IndexName: name, LogIndex: m.AppliedIndex(), Ejected: map[string]distribution.EjectionMark{}}
 	for _, k := range m.Keys() {
 		v, _ := m.Get(k)
 		switch {
 		case strings.HasPrefix(k, EjectionKeyPrefix):
-			var mk feed.EjectionMark
-			if wire.Unmarshal(v.Bytes, &mk) == nil {
+			var mk distribution.EjectionMark
+			if rpc.Unmarshal(v.Bytes, &mk) == nil {
 				out.Ejected[strings.TrimPrefix(k, EjectionKeyPrefix)] = mk
 			}
 		case k == ShardSetKey:
 			var c ShardSetRecord
-			if wire.Unmarshal(v.Bytes, &c) == nil {
+			if rpc.Unmarshal(v.Bytes, &c) == nil {
 				out.Services = c.Services
 			}
 		}
@@ -262,7 +262,7 @@
 
 // GroupRoutesByServices groups the routes of a configuration into indexes: the routes that
 // name the same services. The key is the sorted services.
-func GroupRoutesByServices(c *numbering.Configuration) map[string][]string {
+func GroupRoutesByServices(c *routing.Configuration) map[string][]string {
 	out := map[string][]string{}
 	for i := range c.Routes {
 		names := append([]string(nil), c.Routes[i].ServiceNames()...)
--- a/internal/registrar/usage.go
+++ b/internal/controlplane/usage.go
@@ -1,4 +1,4 @@
-package registrar
+package controlplane
 
 import (
 	"bytes"
@@ -15,13 +15,13 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/notice"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
+	"comethold/internal/storage"
 	"comethold/internal/usage"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
 )
 
 // Pacing of the reports. Ours; see docs/design.md.
@@ -52,7 +52,7 @@
 	store       *usage.Store
 	clock       *usage.Clock
 	incarnation uint64
-	network     wire.Network
+	network     rpc.Network
 	startedAt   time.Time
 
 	// Of the loop alone: rows that the platform took, and when this life noted it.
@@ -66,7 +66,7 @@
 	firstWindow   uint64 // the window from which this life reports, where none is reported yet
 }
 
-func NewCollector(n wire.Network) *Collector {
+func NewCollector(n rpc.Network) *Collector {
 	now := time.Now()
 	return &Collector{store: usage.NewStore(), clock: usage.NewClock(now), incarnation: rand.Uint64(), network: n, startedAt: now, accepted: map[string]time.Time{}}
 }
@@ -103,9 +103,9 @@
 // persist notes the counts of the newest windows on the disk, as far as they have changed:
 // when a registrar ends together with the nodes that told it, nobody else knows them. It
 // returns how many bytes that took.
-func (u *Collector) persist(v *vault.Store, window uint64) (n int) {
+func (u *Collector) persist(v *storage.Store, window uint64) (n int) {
 	for _, w := range u.store.TakeChanged(window - min(window, persistedWindows-1)) {
-		if raw, err := wire.Marshal(&persistedWindow{w, u.store.Window(w)}); err == nil {
+		if raw, err := rpc.Marshal(&persistedWindow{w, u.store.Window(w)}); err == nil {
 			v.QueueNodeValue(persistedWindowKey(w), raw)
 			n += len(raw)
 		}
@@ -114,10 +114,10 @@
 }
 
 // Restore takes in what a former life noted.
-func (u *Collector) Restore(v *vault.Store) {
+func (u *Collector) Restore(v *storage.Store) {
 	for i := range uint64(persistedWindows) {
 		var k persistedWindow
-		if raw := v.NodeValue(persistedWindowKey(i)); raw != nil && wire.Unmarshal(raw, &k) == nil {
+		if raw := v.NodeValue(persistedWindowKey(i)); raw != nil && rpc.Unmarshal(raw, &k) == nil {
 			u.store.Merge(k.Window, k.Counts)
 		}
 	}
@@ -188,7 +188,7 @@
 	return rows
 }
 
-func UsageReportRows(m *cell.Replica) (rows []StoredRow) {
+func UsageReportRows(m *paxos.Replica) (rows []StoredRow) {
 	for _, k := range m.KeysWithPrefix(UsageReportKeyPrefix, UsageReportKeyPrefix) {
 		v, _ := m.Get(k)
 		if row, ok := DecodeRow(k, v.Bytes); ok {
@@ -230,9 +230,9 @@
 		if !whole && age < time.Duration(incompleteReportFraction*float64(due)) {
 			return
 		}
-		n := notice.Notification{EventID: fmt.Sprintf("%s/%d", notice.AggregateUsage, w), Aggregate: notice.AggregateUsage, Version: w, PreviousVersion: w - 1, Payload: usage.EncodeReport(w, counts)}
-		n.Digest = notice.Digest(n.Payload)
-		row, err := notice.Row{Notification: n}.Claim(reportOwner(term), 0)
+		n := outbox.Notification{EventID: fmt.Sprintf("%s/%d", outbox.AggregateUsage, w), Aggregate: outbox.AggregateUsage, Version: w, PreviousVersion: w - 1, Payload: usage.EncodeReport(w, counts)}
+		n.Digest = outbox.Digest(n.Payload)
+		row, err := outbox.Row{Notification: n}.Claim(reportOwner(term), 0)
 		if err != nil {
 			return
 		}
@@ -240,11 +240,11 @@
 		if !ok {
 			return
 		}
-		t := cell.Txn{Conditions: []cell.Condition{{Key: UsageReportKey(w), Absent: true}, held},
-			Ops: []cell.Op{{Kind: cell.OpPut, Key: UsageReportKey(w), Value: MustEncode(row)}}}
+		t := paxos.Txn{Conditions: []paxos.Condition{{Key: UsageReportKey(w), Absent: true}, held},
+			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: UsageReportKey(w), Value: MustEncode(row)}}}
 		for i := 0; i+maxPublishedReports < len(rows); i++ {
-			if rows[i].Row.State == notice.Published {
-				t.Ops = append(t.Ops, cell.Op{Kind: cell.OpDelete, Key: rows[i].Key})
+			if rows[i].Row.State == outbox.Published {
+				t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: rows[i].Key})
 			}
 		}
 		if !r.propose(MetaCell, t) {
@@ -300,7 +300,7 @@
 		}
 		var k StoredRow
 		for _, row := range r.reportRows() {
-			if row.Row.State == notice.Published {
+			if row.Row.State == outbox.Published {
 				delete(u.accepted, row.Key)
 				continue
 			}
@@ -314,10 +314,10 @@
 		}
 		if owner := reportOwner(term); k.Row.Owner != owner {
 			// Claimed by a former holder, whose lease is over.
-			next, err := k.Row.Claim(owner, notice.ClaimLease)
+			next, err := k.Row.Claim(owner, outbox.ClaimLease)
 			held, ok := r.usageLease.FenceCondition(term)
-			if err != nil || !ok || !r.propose(MetaCell, cell.Txn{Conditions: []cell.Condition{{Key: k.Key, Equals: cell.Bytes(k.Raw)}, held},
-				Ops: []cell.Op{{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)}}}) {
+			if err != nil || !ok || !r.propose(MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}, held},
+				Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}}}) {
 				return
 			}
 			k.Row, k.Raw = next, MustEncode(next).Bytes
@@ -370,13 +370,13 @@
 	}
 	u.mu.Unlock()
 	if err != nil {
-		r.log.Warn(event.UsageReportFailed).Uint64("window", k.Row.Notification.Version).Uint64("fence", term).Err(err).Msg("a usage report was not taken; it is sent again")
+		r.log.Warn(logging.UsageReportFailed).Uint64("window", k.Row.Notification.Version).Uint64("fence", term).Err(err).Msg("a usage report was not taken; it is sent again")
 		if errors.Is(err, ErrFenced) {
 			r.usageLease.Forfeit()
 		}
 		return false
 	}
-	r.log.Info(event.UsageReportAccepted).Uint64("window", k.Row.Notification.Version).Uint64("fence", term).Int("tries", k.Row.Attempts).Msg("a usage report was taken")
+	r.log.Info(logging.UsageReportAccepted).Uint64("window", k.Row.Notification.Version).Uint64("fence", term).Int("tries", k.Row.Attempts).Msg("a usage report was taken")
 	return r.recordAccepted(k, term)
 }
 
@@ -384,8 +384,8 @@
 func (r *Server) recordAccepted(k StoredRow, term uint64) bool {
 	r.usages.accepted[k.Key] = time.Now()
 	next, err := k.Row.MarkPublished(reportOwner(term))
-	return err == nil && r.propose(MetaCell, cell.Txn{Conditions: []cell.Condition{{Key: k.Key, Equals: cell.Bytes(k.Raw)}},
-		Ops: []cell.Op{{Kind: cell.OpPut, Key: k.Key, Value: MustEncode(next)}}})
+	return err == nil && r.propose(MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}},
+		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}}})
 }
 
 // leasedConn writes only while the lease is held, and leaves nothing behind that could
@@ -436,7 +436,7 @@
 		}
 	}()
 	dial := u.network(span, span)
-	client := &http.Client{CheckRedirect: wire.NoRedirect, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
+	client := &http.Client{CheckRedirect: rpc.NoRedirect, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
 			if err != nil {
@@ -470,5 +470,5 @@
 
 // receiveCounts takes a datagram of counts.
 func (r *Server) receiveCounts(t *usage.CountReport, from net.Addr) {
-	r.quotas.sendDatagram(from, &feed.Datagram{UsageAck: r.usages.Record(t)})
+	r.quotas.sendDatagram(from, &distribution.Datagram{UsageAck: r.usages.Record(t)})
 }
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,5 +1,5 @@
 // Package directory reads the platform's list of leafs.
-package directory
+package discovery
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"sort"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
 
 	"github.com/go-playground/validator/v10"
 )
@@ -62,7 +62,7 @@
 
 // NewClient makes a caller of the list at addr, which takes so many calls a second from
 // all nodes; 0 if that is not known.
-func NewClient(n wire.Network, addr string, ratePerS float64) *Client {
+func NewClient(n rpc.Network, addr string, ratePerS float64) *Client {
 	most := 0
 	if ratePerS > 0 {
 		most = max(1, int(ratePerS*rateFraction))
@@ -72,8 +72,8 @@
 }
 
 // List reads the whole list, page by page. It is all or an error.
-func (p *Client) List(ctx context.Context) ([]feed.Endpoint, error) {
-	var out []feed.Endpoint
+func (p *Client) List(ctx context.Context) ([]distribution.Endpoint, error) {
+	var out []distribution.Endpoint
 	token := ""
 	for range maxPages {
 		pg, err := p.fetchPageAtRate(ctx, token)
@@ -81,7 +81,7 @@
 			return nil, err
 		}
 		for _, i := range pg.Instances {
-			out = append(out, feed.Endpoint{ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.AvailabilityZone,
+			out = append(out, distribution.Endpoint{ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.AvailabilityZone,
 				Slots: max(1, i.CapacitySlots), Draining: i.State != "ready", WarmingUp: i.WarmupLeftMs > 0})
 		}
 		if pg.NextPageToken == nil || *pg.NextPageToken == "" {
--- a/internal/directory/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 )
 
 // pipeListener is a listener whose connections are made by dial.
@@ -59,7 +59,7 @@
 		})}
 		go func() { _ = platform.Serve(in) }()
 		var made []net.Conn
-		dial := wire.Network(func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
+		dial := rpc.Network(func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
 			return func(context.Context, string, string) (net.Conn, error) {
 				a, b := net.Pipe()
 				mu.Lock()
--- a/internal/feed/config_test.go
+++ b/internal/distribution/config_test.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"fmt"
@@ -7,36 +7,36 @@
 	"sort"
 	"testing"
 
-	"comethold/internal/numbering"
-	"comethold/internal/wire"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 )
 
 // TestConfigDeltas: whatever a holder has, what it is told makes the newest
 // configuration of it, or is turned down where it does not fit.
 func TestConfigDeltas(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	draw := func(version uint64) *numbering.Configuration {
-		c := &numbering.Configuration{Version: version, Limits: numbering.Limits{MaxBodyBytes: int64(rng.Intn(3))}}
+	draw := func(version uint64) *routing.Configuration {
+		c := &routing.Configuration{Version: version, Limits: routing.Limits{MaxBodyBytes: int64(rng.Intn(3))}}
 		for i := range 8 {
 			if rng.Intn(4) > 0 {
-				r := numbering.Route{Name: fmt.Sprint("r", rng.Intn(99)), Hostname: "H.example", PathPrefix: fmt.Sprintf("/%d/", i), RouteKind: "safe", TimeoutMs: int64(1 + rng.Intn(2))}
+				r := routing.Route{Name: fmt.Sprint("r", rng.Intn(99)), Hostname: "H.example", PathPrefix: fmt.Sprintf("/%d/", i), RouteKind: "safe", TimeoutMs: int64(1 + rng.Intn(2))}
 				if rng.Intn(2) == 0 {
 					r.FanoutServices = []string{"a", "b"}
 				} else {
-					r.WeightedServices = []numbering.WeightedService{{Service: "a", Weight: int64(rng.Intn(2))}}
+					r.WeightedServices = []routing.WeightedService{{Service: "a", Weight: int64(rng.Intn(2))}}
 				}
 				c.Routes = append(c.Routes, r)
 			}
 			if rng.Intn(2) == 0 {
-				c.Tenants = append(c.Tenants, numbering.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("k", rng.Intn(2))}, RatePerSecond: float64(rng.Intn(2))})
+				c.Tenants = append(c.Tenants, routing.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("k", rng.Intn(2))}, RatePerSecond: float64(rng.Intn(2))})
 			}
 			if rng.Intn(2) == 0 {
-				c.Services = append(c.Services, numbering.Service{Name: fmt.Sprint("s", i), ConnectionLimit: rng.Intn(2)})
+				c.Services = append(c.Services, routing.Service{Name: fmt.Sprint("s", i), ConnectionLimit: rng.Intn(2)})
 			}
 		}
 		return c
 	}
-	sorted := func(c *numbering.Configuration) *numbering.Configuration {
+	sorted := func(c *routing.Configuration) *routing.Configuration {
 		sort.Slice(c.Routes, func(i, j int) bool { return c.Routes[i].PathPrefix < c.Routes[j].PathPrefix })
 		sort.Slice(c.Tenants, func(i, j int) bool { return c.Tenants[i].Name < c.Tenants[j].Name })
 		sort.Slice(c.Services, func(i, j int) bool { return c.Services[i].Name < c.Services[j].Name })
@@ -45,12 +45,12 @@
 	for range 300 {
 		old, next := draw(3), draw(7)
 		for _, msg := range []*ConfigUpdate{ConfigDelta(old, next), FullConfig(next)} {
-			raw, err := wire.Marshal(msg)
+			raw, err := rpc.Marshal(msg)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var got ConfigUpdate
-			if err := wire.Unmarshal(raw, &got); err != nil {
+			if err := rpc.Unmarshal(raw, &got); err != nil {
 				t.Fatal(err)
 			}
 			made, ok := got.ApplyTo(old)
@@ -72,7 +72,7 @@
 		}
 	}
 	delta := ConfigDelta(draw(3), draw(7))
-	for _, held := range []*numbering.Configuration{nil, draw(2), draw(4), draw(7), draw(8)} {
+	for _, held := range []*routing.Configuration{nil, draw(2), draw(4), draw(7), draw(8)} {
 		if _, ok := delta.ApplyTo(held); ok {
 			t.Errorf("a delta on 3 is taken on %v", held)
 		}
--- a/internal/feed/feed.go
+++ b/internal/distribution/feed.go
@@ -1,14 +1,14 @@
 // Package feed holds what registrars tell switches: the configuration, the
 // list of leafs, the marks of the index cells and the directory of nodes. Each
 // part carries a version, and a holder only ever moves to a higher one.
-package feed
+package distribution
 
 import (
 	"encoding/binary"
 	"hash/fnv"
 	"math/rand/v2"
 
-	"comethold/internal/notice"
+	"comethold/internal/outbox"
 )
 
 // Revision orders leaf lists: the term of the duty that made it, then its count.
@@ -131,7 +131,7 @@
 // log.
 type OutboxNotification struct {
 	LogIndex     uint64              `cbor:"1,keyasint"`
-	Notification notice.Notification `cbor:"2,keyasint"`
+	Notification outbox.Notification `cbor:"2,keyasint"`
 }
 
 // NotificationUpdate are those after the position that the caller holds. Reset says that there are
--- a/internal/ring/ring.go
+++ b/internal/heartbeat/ring.go
@@ -1,7 +1,7 @@
 // Package ring decides who watches whom, and who is missed. Every node stands
 // on a ring at a place that its name gives; the next few nodes on the ring are
 // its watchers, and it sends them heartbeats.
-package ring
+package heartbeat
 
 import (
 	"hash/fnv"
--- a/internal/ring/ring_test.go
+++ b/internal/heartbeat/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package heartbeat
 
 import (
 	"fmt"
--- a/internal/estimate/collector.go
+++ b/internal/latencyestimate/collector.go
@@ -1,4 +1,4 @@
-package estimate
+package latencyestimate
 
 import (
 	"sync"
--- a/internal/estimate/compat_test.go
+++ b/internal/latencyestimate/compat_test.go
@@ -1,11 +1,11 @@
-package estimate
+package latencyestimate
 
 import (
 	"encoding/hex"
 	"testing"
 
 	"comethold/internal/compat"
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 )
 
 // TestCompatibleRecords: a sketch decodes from the bytes of an earlier version.
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	var s Sketch
-	if err := wire.Unmarshal(raw, &s); err != nil {
+	if err := rpc.Unmarshal(raw, &s); err != nil {
 		t.Fatal(err)
 	}
 	want := Estimate{Median: 26000000, Low: 12999999, High: 39000001, HighOpen: false, Samples: 0x1f, Censored: 0x2, UnknownReason: ""}
--- a/internal/estimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -2,7 +2,7 @@
 // of its shard, from what lookups of its class took there of late, and finds copies that
 // answer otherwise than their fellows. The package does no input or output; Collector is
 // what requests hand their samples to.
-package estimate
+package latencyestimate
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 
 	"github.com/caio/go-tdigest/v4"
 )
@@ -139,13 +139,13 @@
 	if err := errors.Join(err, err2); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrInvalidSketch, err)
 	}
-	return wire.Marshal(encodedSketch{done, cut})
+	return rpc.Marshal(encodedSketch{done, cut})
 }
 
 // UnmarshalCBOR reads a sketch.
 func (s *Sketch) UnmarshalCBOR(raw []byte) error {
 	var e encodedSketch
-	if err := wire.Unmarshal(raw, &e); err != nil {
+	if err := rpc.Unmarshal(raw, &e); err != nil {
 		return fmt.Errorf("%w: %v", ErrInvalidSketch, err)
 	}
 	read := func(b []byte) (*tdigest.TDigest, error) {
--- a/internal/estimate/estimate_test.go
+++ b/internal/latencyestimate/estimate_test.go
@@ -1,4 +1,4 @@
-package estimate
+package latencyestimate
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 )
 
 // draw is a lookup at a stand-in copy: log-normal around its median.
@@ -133,12 +133,12 @@
 	v = c.Snapshot("s", ClassUrgent)
 	near("after its speed shifted", v.SlowLookups[len(v.SlowLookups)-1].Replicas[0].Estimate, 60*time.Millisecond)
 	// Fleet-wide: what two nodes know goes through the wire and is one.
-	raw, err := wire.Marshal(v)
+	raw, err := rpc.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var back Snapshot
-	if err := wire.Unmarshal(raw, &back); err != nil {
+	if err := rpc.Unmarshal(raw, &back); err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range MergeSnapshots(v, back).Sketches {
@@ -150,7 +150,7 @@
 		}
 	}
 	var bad Sketch
-	if err := wire.Unmarshal([]byte{0x41, 0x00}, &bad); err == nil {
+	if err := rpc.Unmarshal([]byte{0x41, 0x00}, &bad); err == nil {
 		t.Error("bytes that are no sketch are read")
 	}
 }
--- a/internal/scale/scale.go
+++ b/internal/loadtest/scale.go
@@ -2,7 +2,7 @@
 // switches as the processes that they are, the other switches hollow. A hollow switch is
 // all of a switch but its requests to leafs; all hollow ones share this process. It
 // measures what docs/CAPACITY.md reckons with.
-package scale
+package loadtest
 
 import (
 	"bytes"
@@ -23,10 +23,10 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/event"
+	"comethold/internal/logging"
+	"comethold/internal/proxy"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
-	"comethold/internal/wire"
 )
 
 // Size of a run.
@@ -124,7 +124,7 @@
 }
 
 type hollowNode struct {
-	proxy *switchboard.Server
+	proxy *proxy.Server
 	meter byteMeter
 }
 
@@ -446,8 +446,8 @@
 			return err
 		}
 		n := &hollowNode{}
-		n.proxy = switchboard.New(set, event.Nop(), func(limit, silent time.Duration) func(context.Context, string, string) (net.Conn, error) {
-			dial := wire.TCPNetwork(limit, silent)
+		n.proxy = proxy.New(set, logging.Nop(), func(limit, silent time.Duration) func(context.Context, string, string) (net.Conn, error) {
+			dial := rpc.TCPNetwork(limit, silent)
 			return func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
 				if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/loadtest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
--- a/internal/scale/scalerun/main.go
+++ b/internal/loadtest/scalerun/main.go
@@ -10,11 +10,11 @@
 	"os"
 	"time"
 
-	"comethold/internal/scale"
+	"comethold/internal/loadtest"
 )
 
 func main() {
-	s := scale.Size{}
+	s := loadtest.Size{}
 	flag.IntVar(&s.Hollow, "hollow", 160, "hollow switches, all in this process")
 	flag.IntVar(&s.Real, "real", 2, "switches that are processes")
 	flag.IntVar(&s.Registrars, "registrars", 6, "registrars, each a process")
@@ -35,7 +35,7 @@
 	}
 }
 
-func run(s scale.Size, binary string, gather float64) error {
+func run(s loadtest.Size, binary string, gather float64) error {
 	dir, err := os.MkdirTemp("", "comethold-scale-")
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	r := scale.New(s, binary, dir)
+	r := loadtest.New(s, binary, dir)
 	defer r.Close()
 	var rep any
 	if gather > 0 {
--- a/internal/event/event.go
+++ b/internal/logging/event.go
@@ -1,5 +1,5 @@
 // Package event writes the numbered events that docs/events.md lists.
-package event
+package logging
 
 import (
 	"os"
--- a/internal/announce/announce.go
+++ b/internal/objectcache/announce.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 	"strings"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/office"
-	"comethold/internal/ration"
-	"comethold/internal/recorder"
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/ratelimit"
+	"comethold/internal/responsecache"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/trunk"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/storage"
+	"comethold/internal/upstream"
 
 	"github.com/labstack/echo/v4"
 )
@@ -47,47 +47,47 @@
 
 // Server keeps objects for all switches.
 type Server struct {
-	*office.Client
+	*controlclient.Client
 	peers     *cacheClient
 	fetcher   *Fetcher
-	limiter   *ration.Limiter
+	limiter   *ratelimit.Limiter
 	scheduler *readScheduler
 	latency   *latencyTracker
 	store     *diskStore
-	rpcClient *wire.Client
+	rpcClient *rpc.Client
 }
 
 // New makes an announcer; dir holds its copies on disk, if not empty.
-func New(set *settings.Settings, log *event.Logger, n wire.Network) *Server {
-	o := office.New(set, log, settings.ObjectCache, n)
+func New(set *settings.Settings, log *logging.Logger, n rpc.Network) *Server {
+	o := controlclient.New(set, log, settings.ObjectCache, n)
 	room := defaultCacheBytes
 	if set.Limits.MemoryMb > 0 {
 		room = int(cacheMemoryFraction * float64(set.Limits.MemoryMb<<20))
 	}
-	a := &Server{Client: o, peers: newCacheClient(o), limiter: ration.New(), latency: newLatencyTracker(), rpcClient: wire.NewClient(n)}
+	a := &Server{Client: o, peers: newCacheClient(o), limiter: ratelimit.New(), latency: newLatencyTracker(), rpcClient: rpc.NewClient(n)}
 	a.scheduler = newReadScheduler(a.limiter, o.Upstreams.Reserve, o.Upstreams.Release)
-	rec := recorder.New(room)
+	rec := responsecache.New(room)
 	a.fetcher = NewFetcher(rec, o, set.Bounds.StaleSlack(), refreshFraction, a.fetchObject)
 	o.OnPurges(a.fetcher.ApplyPurges)
 	o.Upstreams.SetSlotOvercommit(slotOvercommit)
 	if set.DataDirectory != "" {
-		s, pos := openDiskStore(set.DataDirectory, storeCapacity(set.Limits.DiskMb), vault.LocalDisk{}, log)
+		s, pos := openDiskStore(set.DataDirectory, storeCapacity(set.Limits.DiskMb), storage.LocalDisk{}, log)
 		a.store = s
 		s.load(rec.Put)
 		o.SetInitialPurgeIndex(pos)
 		a.fetcher.onCached = s.put
-		o.OnPurges(func(c *feed.PurgeUpdate) {
+		o.OnPurges(func(c *distribution.PurgeUpdate) {
 			a.fetcher.ApplyPurges(c)
 			s.applyPurges(c)
 		})
-		log.Info(event.DiskCacheOpened).Int("copies", rec.Len()).Uint64("pos", pos).Msg("copies found on disk")
+		log.Info(logging.DiskCacheOpened).Int("copies", rec.Len()).Uint64("pos", pos).Msg("copies found on disk")
 	}
 	return a
 }
 
 // RunShareRenewal keeps the node's share of the origins' rates until it ends.
 func (a *Server) RunShareRenewal() error {
-	fair, failures, turn := 0, 0, feed.NewRequestNumber()
+	fair, failures, turn := 0, 0, distribution.NewRequestNumber()
 	for {
 		next, ok := a.renewShare(fair, failures, turn.Next())
 		if ok {
@@ -108,7 +108,7 @@
 }
 
 // renewShare claims what was fair at the last renewal; it returns what is fair now.
-func (a *Server) renewShare(fair, skip int, turn feed.RequestNumber) (int, bool) {
+func (a *Server) renewShare(fair, skip int, turn distribution.RequestNumber) (int, bool) {
 	// What is to be given up is not used any more from before it is said.
 	a.limiter.Shrink(fair)
 	asked := time.Now()
@@ -116,18 +116,18 @@
 	if fresh {
 		a.limiter.Shrink(0)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), ration.LeaseDuration/3)
+	ctx, cancel := context.WithTimeout(context.Background(), ratelimit.LeaseDuration/3)
 	defer cancel()
-	var g feed.ShareGrant
+	var g distribution.ShareGrant
 	addrs := a.ControlPlaneHosts()
-	err := a.rpcClient.Call(ctx, addrs[skip%len(addrs)], "/ration", &feed.ShareRequest{Node: a.Settings.NodeName, Permille: fair, HoldsNone: fresh, Number: turn}, &g)
+	err := a.rpcClient.Call(ctx, addrs[skip%len(addrs)], "/ration", &distribution.ShareRequest{Node: a.Settings.NodeName, Permille: fair, HoldsNone: fresh, Number: turn}, &g)
 	if err != nil || !g.Granted {
 		return fair, false
 	}
 	if g.Permille != a.limiter.Share(asked) {
-		a.Log.Info(event.RateShareChanged).Int("permille", g.Permille).Int("fair", g.FairPermille).Msg("the share of the origins' rates moved")
+		a.Log.Info(logging.RateShareChanged).Int("permille", g.Permille).Int("fair", g.FairPermille).Msg("the share of the origins' rates moved")
 	}
-	a.limiter.Renew(g.Permille, asked.Add(ration.LeaseDuration))
+	a.limiter.Renew(g.Permille, asked.Add(ratelimit.LeaseDuration))
 	return g.FairPermille, true
 }
 
@@ -143,7 +143,7 @@
 		}
 		c := a.latency.takeStatistics()
 		if c.reads+c.revalidated+c.rejected > 0 {
-			a.Log.Info(event.OriginReadStatistics).Int("reads", c.reads).Int("renewed", c.revalidated).Int("refused", c.rejected).
+			a.Log.Info(logging.OriginReadStatistics).Int("reads", c.reads).Int("renewed", c.revalidated).Int("refused", c.rejected).
 				Dur("readMs", c.readTime/time.Duration(max(1, c.reads))).Dur("renewMs", c.revalidateTime/time.Duration(max(1, c.revalidated))).
 				Dur("waitMs", c.waitTime/time.Duration(max(1, c.reads+c.revalidated))).Msg("reads of origins")
 		}
@@ -168,18 +168,18 @@
 
 func (a *Server) handleObject(c echo.Context) error {
 	var o objectCall
-	if err := wire.DecodeRequest(c.Request().Body, &o); err != nil {
+	if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	b, err := wire.Marshal(a.serveObject(&o))
+	b, err := rpc.Marshal(a.serveObject(&o))
 	if err != nil {
 		return err
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeUncompressedBody(b))
+	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeUncompressedBody(b))
 }
 
 // waitUntilCurrent waits until this node knows what the asker knows.
-func (a *Server) waitUntilCurrent(o *objectCall, until time.Time) *numbering.RouteTable {
+func (a *Server) waitUntilCurrent(o *objectCall, until time.Time) *routing.RouteTable {
 	start, told := time.Now(), false
 	for {
 		p := a.RouteTable()
@@ -206,7 +206,7 @@
 	}
 	path, _, _ := strings.Cut(o.Target, "?")
 	line := plan.Match(o.Host, path)
-	if line == nil || line.RouteKind != numbering.KindCacheable {
+	if line == nil || line.RouteKind != routing.KindCacheable {
 		return &objectReply{Status: http.StatusServiceUnavailable, Reason: "the route is no more", RetryMs: 100}
 	}
 	w := Request{Host: o.Host, Target: o.Target, TTL: line.CacheTTL(), Deadline: deadline, OriginOnly: o.OriginOnly, Waiters: o.Waiters}
@@ -226,9 +226,9 @@
 }
 
 // fetchObject gets an object from the announcer that is its home, or from the origin.
-func (a *Server) fetchObject(w Request, old *recorder.Response, pos uint64) (*recorder.Response, *Failure) {
+func (a *Server) fetchObject(w Request, old *responsecache.Response, pos uint64) (*responsecache.Response, *Failure) {
 	if !w.OriginOnly {
-		for i, n := range a.peers.rankedCaches(recorder.Key(w.Host, w.Target), false) {
+		for i, n := range a.peers.rankedCaches(responsecache.Key(w.Host, w.Target), false) {
 			if n.Name == a.Settings.NodeName || i == maxCachesTried {
 				break
 			}
@@ -243,14 +243,14 @@
 }
 
 // readOrigin reads the origin.
-func (a *Server) readOrigin(w Request, old *recorder.Response) (*recorder.Response, *Failure) {
+func (a *Server) readOrigin(w Request, old *responsecache.Response) (*responsecache.Response, *Failure) {
 	if a.Disconnected(disconnectedAfter) {
 		return nil, &Failure{Status: http.StatusServiceUnavailable, Reason: "the announcer is out of touch", RetryAfter: 300 * time.Millisecond, disconnected: true}
 	}
 	plan := a.RouteTable()
 	path, _, _ := strings.Cut(w.Target, "?")
 	line := plan.Match(w.Host, path)
-	if line == nil || line.RouteKind != numbering.KindCacheable {
+	if line == nil || line.RouteKind != routing.KindCacheable {
 		return nil, newFailure(http.StatusNotFound, "no route")
 	}
 	service := line.PickService(rand.Float64())
@@ -264,7 +264,7 @@
 	deadline := start.Add(line.Timeout)
 	last := newFailure(http.StatusBadGateway, "the origin's answer was lost")
 	ran := false
-	var tried []*trunk.Endpoint
+	var tried []*upstream.Endpoint
 	for try := 0; try < maxReadAttempts; try++ {
 		asked := time.Now()
 		t, back := a.scheduler.admit(&queuedRead{service: service, rate: rate, waiters: w.demand, tried: tried,
@@ -283,7 +283,7 @@
 			return nil, &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin takes no more reads now", RetryAfter: back}
 		}
 		// Each read has an id of its own, so that an answer to an earlier one is known.
-		r := &trunk.Request{Method: http.MethodGet, Target: w.Target, Host: w.Host, Header: http.Header{}, ID: newReadID()}
+		r := &upstream.Request{Method: http.MethodGet, Target: w.Target, Host: w.Host, Header: http.Header{}, ID: newReadID()}
 		if old != nil && old.ETag != "" && old.Service == service {
 			r.Header["If-None-Match"] = []string{old.ETag}
 		}
@@ -291,33 +291,33 @@
 		r.Deadline = began.Add(min(deadline.Sub(began), max(minReadTimeout, a.latency.timeout(service))))
 		ans, err := a.Upstreams.Call(t, r)
 		tried = append(tried, t)
-		switch how := trunk.OutcomeOf(ans, err); {
-		case how == trunk.Executed && ans.Status == http.StatusNotModified && old != nil && r.Header["If-None-Match"] != nil:
+		switch how := upstream.OutcomeOf(ans, err); {
+		case how == upstream.Executed && ans.Status == http.StatusNotModified && old != nil && r.Header["If-None-Match"] != nil:
 			took := time.Since(began)
 			a.latency.record(func(t *readStatistics) { t.revalidated++; t.revalidateTime += took })
 			again := *old
 			again.ValidatedAt, again.PurgeIndex = began, pos
 			return &again, nil
-		case how == trunk.Executed && ans.Status == http.StatusOK && ans.IsSuccess():
+		case how == upstream.Executed && ans.Status == http.StatusOK && ans.IsSuccess():
 			took := time.Since(began)
 			a.latency.observe(service, took)
 			a.latency.record(func(t *readStatistics) { t.reads++; t.readTime += took })
-			return &recorder.Response{Host: w.Host, Target: w.Target, Service: service, ETag: ans.Header.Get(headerETag),
+			return &responsecache.Response{Host: w.Host, Target: w.Target, Service: service, ETag: ans.Header.Get(headerETag),
 				Labels: strings.Fields(ans.Header.Get(headerLabels)), Header: objectHeader(ans.Header), Body: ans.Body, ValidatedAt: began, PurgeIndex: pos}, nil
-		case how == trunk.Rejected:
+		case how == upstream.Rejected:
 			if ans.Status == http.StatusTooManyRequests {
-				a.Log.Warn(event.OriginRateExceeded).Str("service", service).Msg("the origin says that its rate is spent")
+				a.Log.Warn(logging.OriginRateExceeded).Str("service", service).Msg("the origin says that its rate is spent")
 			}
 			if !ran {
 				last = &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin turns reads away", RetryAfter: 200 * time.Millisecond}
 			}
-		case how == trunk.Executed && ans.Status/100 != 2 && ans.Status/100 != 3:
+		case how == upstream.Executed && ans.Status/100 != 2 && ans.Status/100 != 3:
 			ran = true
 			last = &Failure{Status: ans.Status, Reason: "the origin's own failure", Header: objectHeader(ans.Header), Body: ans.Body}
 			if ans.Status/100 == 4 {
 				return nil, last // asking again changes nothing
 			}
-		case how == trunk.NotSent:
+		case how == upstream.NotSent:
 			if !ran {
 				last = &Failure{Status: http.StatusServiceUnavailable, Reason: "the origin cannot be reached", RetryAfter: 200 * time.Millisecond}
 			}
@@ -336,7 +336,7 @@
 
 // objectHeader is what a recording keeps of a leaf's header.
 func objectHeader(h http.Header) http.Header {
-	out := trunk.EndToEndHeaders(h)
-	delete(out, trunk.HeaderInstanceID)
+	out := upstream.EndToEndHeaders(h)
+	delete(out, upstream.HeaderInstanceID)
 	return out
 }
--- a/internal/announce/compat_test.go
+++ b/internal/objectcache/compat_test.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"net/http"
@@ -8,8 +8,8 @@
 	"time"
 
 	"comethold/internal/compat"
-	"comethold/internal/feed"
-	"comethold/internal/recorder"
+	"comethold/internal/distribution"
+	"comethold/internal/responsecache"
 )
 
 // TestCompatibleRecords: what is kept on disk and what is asked of the object cache
@@ -29,9 +29,9 @@
 
 // recordedCopies are the copies in the recorded data directory, as far as they are the
 // same on every machine.
-func recordedCopies() map[string]recorder.Response {
+func recordedCopies() map[string]responsecache.Response {
 	header := http.Header{"Content-Type": {"text/plain"}}
-	return map[string]recorder.Response{
+	return map[string]responsecache.Response{
 		"/a": {Host: "h.example", Target: "/a", Service: "s1", ETag: `"ta"`, Labels: []string{"l1", "l2"}, Header: header, Body: []byte("body of a"), PurgeIndex: 5},
 		"/b": {Host: "h.example", Target: "/b", Service: "s2", ETag: `"tb"`, Labels: []string{"l3"}, Header: header, Body: []byte("body of b"), PurgeIndex: 6},
 	}
@@ -48,8 +48,8 @@
 			c.ValidatedAt = time.Now()
 			s.put(&c)
 		}
-		s.put(&recorder.Response{Host: "h.example", Target: "/gone", ETag: `"t"`, PurgeIndex: 6})
-		s.applyPurges(&feed.PurgeUpdate{LogIndex: 7, Purges: []feed.Purge{{LogIndex: 7, Host: "h.example", Path: "/gone"}}})
+		s.put(&responsecache.Response{Host: "h.example", Target: "/gone", ETag: `"t"`, PurgeIndex: 6})
+		s.applyPurges(&distribution.PurgeUpdate{LogIndex: 7, Purges: []distribution.Purge{{LogIndex: 7, Host: "h.example", Path: "/gone"}}})
 		s.waitForWrites()
 		s.close()
 		compat.Pack(t, filepath.Join(dir, "copies.db"), record)
@@ -68,8 +68,8 @@
 			t.Errorf("%s: %+v, not %+v", target, r, c)
 		}
 	}
-	s.put(&recorder.Response{Host: "h.example", Target: "/new", ETag: `"tn"`, PurgeIndex: 7})
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 8, Purges: []feed.Purge{{LogIndex: 8, Label: "l3"}}})
+	s.put(&responsecache.Response{Host: "h.example", Target: "/new", ETag: `"tn"`, PurgeIndex: 7})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 8, Purges: []distribution.Purge{{LogIndex: 8, Label: "l3"}}})
 	s.waitForWrites()
 	s.close()
 	s, pos, got = reopenStore(t, dir)
--- a/internal/announce/desk.go
+++ b/internal/objectcache/desk.go
@@ -1,7 +1,7 @@
 // Package announce is the content tier: announcers keep the objects of
 // cacheable routes for all switches, and every node's desk joins concurrent
 // fetches of one object.
-package announce
+package objectcache
 
 import (
 	"net/http"
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/recorder"
+	"comethold/internal/distribution"
+	"comethold/internal/responsecache"
 )
 
 // PurgeLog tells what a node knows of purges.
 type PurgeLog interface {
 	PurgeIndex() uint64
-	PurgedSince(pos uint64, hit func(feed.Purge) bool) bool
+	PurgedSince(pos uint64, hit func(distribution.Purge) bool) bool
 }
 
 // Request is a request for an object.
@@ -48,39 +48,39 @@
 
 // FetchFunc gets an object, given the copy that may be out of date or nil. pos is
 // the purge position known before.
-type FetchFunc func(w Request, old *recorder.Response, pos uint64) (*recorder.Response, *Failure)
+type FetchFunc func(w Request, old *responsecache.Response, pos uint64) (*responsecache.Response, *Failure)
 
 type fetch struct {
 	purgeIndex uint64
 	waiters    atomic.Int64 // requests that wait for it
 	done       chan struct{}
-	object     *recorder.Response
+	object     *responsecache.Response
 	failure    *Failure
 }
 
 // Fetcher hands out objects: from its recorder while they are young enough, else
 // by one fetch for all who want the same object at the time.
 type Fetcher struct {
-	cache           *recorder.Cache
+	cache           *responsecache.Cache
 	purges          PurgeLog
 	fetch           FetchFunc
 	staleSlack      time.Duration // past its time, while a fetch is under way
 	refreshFraction float64       // the share of its time after which a copy is renewed
-	onCached        func(*recorder.Response)
+	onCached        func(*responsecache.Response)
 
 	mu       sync.Mutex
 	inFlight map[string]*fetch
 }
 
 // NewFetcher makes a desk over a recorder.
-func NewFetcher(rec *recorder.Cache, known PurgeLog, slack time.Duration, early float64, fill FetchFunc) *Fetcher {
+func NewFetcher(rec *responsecache.Cache, known PurgeLog, slack time.Duration, early float64, fill FetchFunc) *Fetcher {
 	return &Fetcher{cache: rec, purges: known, staleSlack: slack, refreshFraction: early, fetch: fill,
-		onCached: func(*recorder.Response) {}, inFlight: map[string]*fetch{}}
+		onCached: func(*responsecache.Response) {}, inFlight: map[string]*fetch{}}
 }
 
 // ApplyPurges drops what purges name, and parts the fetches under way from those
 // who come later.
-func (d *Fetcher) ApplyPurges(c *feed.PurgeUpdate) {
+func (d *Fetcher) ApplyPurges(c *distribution.PurgeUpdate) {
 	d.cache.ApplyPurges(c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,8 +90,8 @@
 const maxFetchAttempts = 3
 
 // Get returns an object that is good for a request made now.
-func (d *Fetcher) Get(w Request) (*recorder.Response, *Failure) {
-	key := recorder.Key(w.Host, w.Target)
+func (d *Fetcher) Get(w Request) (*responsecache.Response, *Failure) {
+	key := responsecache.Key(w.Host, w.Target)
 	way := key
 	if w.OriginOnly {
 		// Two announcers that take each other for an object's home must not
@@ -133,7 +133,7 @@
 }
 
 // startOrJoin begins a fetch, or joins the one under way.
-func (d *Fetcher) startOrJoin(way string, w Request, old *recorder.Response, pos uint64) *fetch {
+func (d *Fetcher) startOrJoin(way string, w Request, old *responsecache.Response, pos uint64) *fetch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.inFlight[way]; f != nil {
@@ -146,7 +146,7 @@
 	return f
 }
 
-func (d *Fetcher) run(f *fetch, way string, w Request, old *recorder.Response) {
+func (d *Fetcher) run(f *fetch, way string, w Request, old *responsecache.Response) {
 	defer func() {
 		if p := recover(); p != nil {
 			f.object, f.failure = nil, newFailure(http.StatusBadGateway, "the fetch failed inside")
--- a/internal/announce/errand.go
+++ b/internal/objectcache/errand.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 
 	"github.com/labstack/echo/v4"
 )
@@ -31,14 +31,14 @@
 
 func (a *Server) handlePermit(c echo.Context) error {
 	var e permitRequest
-	if err := wire.DecodeRequest(c.Request().Body, &e); err != nil {
+	if err := rpc.DecodeRequest(c.Request().Body, &e); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	b, err := wire.Marshal(a.permit(&e))
+	b, err := rpc.Marshal(a.permit(&e))
 	if err != nil {
 		return err
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeUncompressedBody(b))
+	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeUncompressedBody(b))
 }
 
 func (a *Server) permit(e *permitRequest) permitReply {
--- a/internal/announce/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"bufio"
@@ -14,11 +14,11 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/scenario"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/routing"
 	"comethold/internal/settings"
+	"comethold/internal/simulation"
 )
 
 // cacheWorld is one announcer in front of a stand-in for an origin, on simulated time.
@@ -42,7 +42,7 @@
 	w := &cacheWorld{tags: map[string]string{}, labels: map[string]string{}, work: 50 * time.Millisecond, got: map[string]int{}}
 	set := &settings.Settings{NodeName: "a1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r", DataDirectory: dir,
 		InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"}, Bounds: settings.Bounds{StaleSlackS: 1}}
-	a := New(set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return w.dial })
+	a := New(set, logging.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return w.dial })
 	w.server = a
 	return w
 }
@@ -115,23 +115,23 @@
 	}
 }
 
-func (w *cacheWorld) Do(c scenario.Command) error {
+func (w *cacheWorld) Do(c simulation.Command) error {
 	switch c.Verb {
 	case "origin": // origin [ttl= rate= work= mode=]
 		w.work = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
 		raw, _ := json.Marshal(map[string]any{"version": 1, "routes": []any{map[string]any{"name": "r", "hostname": "h.example", "pathPrefix": "/",
 			"routeKind": "cacheable", "timeoutMs": 3000, "service": "s", "maxAttempts": 2, "cacheTtlS": c.Number("ttl", 10)}},
 			"services": []any{map[string]any{"name": "s", "connectionLimit": 100, "ratePerS": c.Number("rate", 0)}}})
-		cfg, _ := numbering.Decode(raw)
-		w.server.Apply(&feed.Update{Config: feed.FullConfig(cfg),
-			Endpoints: &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: 1}, Endpoints: []feed.Endpoint{{ID: "l1", Service: "s", Addr: "x", Zone: "a", Slots: 8}, {ID: "l2", Service: "s", Addr: "y", Zone: "a", Slots: 8}}}})
+		cfg, _ := routing.Decode(raw)
+		w.server.Apply(&distribution.Update{Config: distribution.FullConfig(cfg),
+			Endpoints: &distribution.EndpointList{Revision: distribution.Revision{Term: 1, Sequence: 1}, Endpoints: []distribution.Endpoint{{ID: "l1", Service: "s", Addr: "x", Zone: "a", Slots: 8}, {ID: "l2", Service: "s", Addr: "y", Zone: "a", Slots: 8}}}})
 		w.server.limiter.Renew(1000, time.Now().Add(time.Hour))
 	case "mode":
 		w.mu.Lock()
 		w.mode = c.Word(0)
 		w.mu.Unlock()
 	case "touch": // somebody in touch tells that there is no news
-		w.server.Apply(&feed.Update{})
+		w.server.Apply(&distribution.Update{})
 	case "share": // share PERMILLE MS
 		w.server.limiter.Renew(int(c.Milliseconds(0)/time.Millisecond), time.Now().Add(c.Milliseconds(1)))
 	case "object": // object PATH TAG [label=]
@@ -140,13 +140,13 @@
 		w.mu.Unlock()
 	case "purge", "purge-label", "forgotten":
 		w.purgeIndex++
-		rs := &feed.PurgeUpdate{LogIndex: w.purgeIndex, Reset: c.Verb == "forgotten"}
+		rs := &distribution.PurgeUpdate{LogIndex: w.purgeIndex, Reset: c.Verb == "forgotten"}
 		if c.Verb == "purge" {
-			rs.Purges = []feed.Purge{{LogIndex: w.purgeIndex, Host: "h.example", Path: c.Word(0)}}
+			rs.Purges = []distribution.Purge{{LogIndex: w.purgeIndex, Host: "h.example", Path: c.Word(0)}}
 		} else if c.Verb == "purge-label" {
-			rs.Purges = []feed.Purge{{LogIndex: w.purgeIndex, Label: c.Word(0)}}
+			rs.Purges = []distribution.Purge{{LogIndex: w.purgeIndex, Label: c.Word(0)}}
 		}
-		w.server.Apply(&feed.Update{Purges: rs})
+		w.server.Apply(&distribution.Update{Purges: rs})
 	case "get": // get PATH [n= wait=]
 		for range int(c.Number("n", 1)) {
 			w.get(c.Word(0), time.Duration(c.Number("wait", 3000))*time.Millisecond)
@@ -188,7 +188,7 @@
 		for left := c.Milliseconds(0); left > 0; left -= time.Second {
 			time.Sleep(min(left, time.Second))
 			if c.Options["untold"] == "" {
-				w.server.Apply(&feed.Update{})
+				w.server.Apply(&distribution.Update{})
 			}
 		}
 	case "want": // want BODY-OR-STATUS=N ...; clears the counts
@@ -232,10 +232,10 @@
 }
 
 func TestObjectCacheScenarios(t *testing.T) {
-	scenario.Play(t, "testdata", func(t *testing.T, run func(*testing.T)) { synctest.Test(t, run) }, func(t *testing.T) scenario.World {
+	simulation.Play(t, "testdata", func(t *testing.T, run func(*testing.T)) { synctest.Test(t, run) }, func(t *testing.T) simulation.World {
 		w := newCacheWorld(t, "")
 		t.Cleanup(func() {
-			w.server.Apply(&feed.Update{Endpoints: &feed.EndpointList{Revision: feed.Revision{Term: 9, Sequence: 9}}})
+			w.server.Apply(&distribution.Update{Endpoints: &distribution.EndpointList{Revision: distribution.Revision{Term: 9, Sequence: 9}}})
 			time.Sleep(time.Minute)
 			for _, c := range w.conns {
 				_ = c.Close()
--- a/internal/announce/shelf.go
+++ b/internal/objectcache/shelf.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"encoding/binary"
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/recorder"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/responsecache"
+	"comethold/internal/rpc"
+	"comethold/internal/storage"
 
 	bolt "go.etcd.io/bbolt"
 )
@@ -25,8 +25,8 @@
 // since the shelf's position can still be told.
 type diskStore struct {
 	dir  string
-	disk vault.Disk
-	log  *event.Logger
+	disk storage.Disk
+	log  *logging.Logger
 
 	opened chan *bolt.DB
 
@@ -52,12 +52,12 @@
 // that names it.
 type storedObject struct {
 	size     int
-	metadata recorder.Response // without header and body
+	metadata responsecache.Response // without header and body
 }
 
 type storeJob struct {
-	object *recorder.Response
-	purges *feed.PurgeUpdate
+	object *responsecache.Response
+	purges *distribution.PurgeUpdate
 }
 
 // objectRecord is a recording on disk.
@@ -98,7 +98,7 @@
 
 // openDiskStore opens the copies in dir. A file that cannot be read is dropped. A disk in
 // trouble keeps no announcer from its start: the shelf is opened later then, and empty.
-func openDiskStore(dir string, room int, disk vault.Disk, log *event.Logger) (*diskStore, uint64) {
+func openDiskStore(dir string, room int, disk storage.Disk, log *logging.Logger) (*diskStore, uint64) {
 	s := &diskStore{dir: dir, disk: disk, log: log, maxBytes: room, bootID: readBootID(), index: map[string]storedObject{},
 		opened: make(chan *bolt.DB, 1), writerDone: make(chan struct{})}
 	s.wakeWriter = sync.NewCond(&s.mu)
@@ -124,8 +124,8 @@
 	path := filepath.Join(s.dir, "copies.db")
 	for ; !s.isClosed(); time.Sleep(openRetryInterval) {
 		db, err := s.disk.Open(path)
-		if errors.Is(err, vault.ErrCorrupt) {
-			s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be read and are dropped")
+		if errors.Is(err, storage.ErrCorrupt) {
+			s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be read and are dropped")
 			if err = s.disk.Remove(path); err == nil {
 				db, err = s.disk.Open(path)
 			}
@@ -134,7 +134,7 @@
 			s.opened <- db
 			return
 		}
-		s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be opened; trying again")
+		s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the copies on disk cannot be opened; trying again")
 	}
 }
 
@@ -145,7 +145,7 @@
 }
 
 // load calls f with every copy that is whole, then begins to write.
-func (s *diskStore) load(f func(*recorder.Response)) {
+func (s *diskStore) load(f func(*responsecache.Response)) {
 	defer func() { go s.runWriter() }()
 	defer func() { _ = recover() }() // a damaged page: what came before it counts
 	if s.db == nil {
@@ -160,7 +160,7 @@
 		return b.ForEach(func(k, v []byte) error {
 			rec := decodeObject(v, now, at)
 			if rec == nil || rec.Key() != string(k) {
-				rec = &recorder.Response{} // evicted in its turn, never used
+				rec = &responsecache.Response{} // evicted in its turn, never used
 			} else {
 				f(rec)
 			}
@@ -170,13 +170,13 @@
 	})
 }
 
-func encodeObject(rec *recorder.Response, now timestamp, at time.Time) []byte {
+func encodeObject(rec *responsecache.Response, now timestamp, at time.Time) []byte {
 	c := objectRecord{Host: rec.Host, Target: rec.Target, Service: rec.Service, ETag: rec.ETag, Labels: rec.Labels,
 		Header: rec.Header, Body: rec.Body, PurgeIndex: rec.PurgeIndex}
 	if !rec.ValidatedAt.IsZero() {
 		c.ReadAt = now.minus(rec.Age(at))
 	}
-	b, err := wire.Marshal(c)
+	b, err := rpc.Marshal(c)
 	if err != nil {
 		return nil
 	}
@@ -184,15 +184,15 @@
 }
 
 // decodeObject reads a copy; damage makes it nil.
-func decodeObject(v []byte, now timestamp, at time.Time) *recorder.Response {
+func decodeObject(v []byte, now timestamp, at time.Time) *responsecache.Response {
 	if len(v) < 4 || binary.BigEndian.Uint32(v) != crc32.ChecksumIEEE(v[4:]) {
 		return nil
 	}
 	var c objectRecord
-	if wire.Unmarshal(v[4:], &c) != nil || c.ETag == "" {
+	if rpc.Unmarshal(v[4:], &c) != nil || c.ETag == "" {
 		return nil
 	}
-	rec := &recorder.Response{Host: c.Host, Target: c.Target, Service: c.Service, ETag: c.ETag, Labels: c.Labels,
+	rec := &responsecache.Response{Host: c.Host, Target: c.Target, Service: c.Service, ETag: c.ETag, Labels: c.Labels,
 		Header: c.Header, Body: c.Body, PurgeIndex: c.PurgeIndex}
 	if age, ok := now.elapsedSince(c.ReadAt); ok {
 		rec.ValidatedAt = at.Add(-age)
@@ -201,7 +201,7 @@
 }
 
 // put queues a copy; when too much waits it is not written.
-func (s *diskStore) put(rec *recorder.Response) {
+func (s *diskStore) put(rec *responsecache.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || rec.ETag == "" || s.queuedBytes+len(rec.Body) > maxQueuedBytes {
@@ -213,7 +213,7 @@
 }
 
 // applyPurges queues purges; they are never left out.
-func (s *diskStore) applyPurges(c *feed.PurgeUpdate) {
+func (s *diskStore) applyPurges(c *distribution.PurgeUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue = append(s.queue, storeJob{purges: c})
@@ -247,7 +247,7 @@
 			s.mustClear = false
 		} else {
 			// The file may lack a purge now: it must not outlive this process.
-			s.log.Warn(event.DiskCacheDropped).Err(err).Msg("the copies cannot be written; the disk's copies are dropped")
+			s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the copies cannot be written; the disk's copies are dropped")
 			s.untrackAll()
 			s.mustClear = true
 		}
@@ -255,7 +255,7 @@
 	}
 }
 
-func (s *diskStore) track(key string, size int, rec *recorder.Response) {
+func (s *diskStore) track(key string, size int, rec *responsecache.Response) {
 	if old, ok := s.index[key]; ok {
 		s.storedBytes -= old.size
 	} else {
@@ -318,7 +318,7 @@
 }
 
 // purgeInTx drops what purges name and moves the shelf's position.
-func (s *diskStore) purgeInTx(tx *bolt.Tx, c *feed.PurgeUpdate) error {
+func (s *diskStore) purgeInTx(tx *bolt.Tx, c *distribution.PurgeUpdate) error {
 	b := tx.Bucket(objectBucket)
 	if c.Reset {
 		if err := tx.DeleteBucket(objectBucket); err != nil {
--- a/internal/announce/shelf_test.go
+++ b/internal/objectcache/shelf_test.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"os"
@@ -7,18 +7,18 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/recorder"
-	"comethold/internal/scenario"
-	"comethold/internal/vault"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/responsecache"
+	"comethold/internal/simulation"
+	"comethold/internal/storage"
 )
 
-func reopenStore(t *testing.T, dir string) (*diskStore, uint64, map[string]*recorder.Response) {
+func reopenStore(t *testing.T, dir string) (*diskStore, uint64, map[string]*responsecache.Response) {
 	t.Helper()
-	s, pos := openDiskStore(dir, 1<<20, vault.LocalDisk{}, event.Nop())
-	got := map[string]*recorder.Response{}
-	s.load(func(r *recorder.Response) { got[r.Target] = r })
+	s, pos := openDiskStore(dir, 1<<20, storage.LocalDisk{}, logging.Nop())
+	got := map[string]*responsecache.Response{}
+	s.load(func(r *responsecache.Response) { got[r.Target] = r })
 	return s, pos, got
 }
 
@@ -42,9 +42,9 @@
 	s, _, _ := reopenStore(t, dir)
 	read := time.Now().Add(-3 * time.Second)
 	for _, target := range []string{"/a", "/b", "/c"} {
-		s.put(&recorder.Response{Host: "h", Target: target, ETag: "t", Labels: []string{"l" + target}, Body: []byte("x" + target), ValidatedAt: read, PurgeIndex: 5})
+		s.put(&responsecache.Response{Host: "h", Target: target, ETag: "t", Labels: []string{"l" + target}, Body: []byte("x" + target), ValidatedAt: read, PurgeIndex: 5})
 	}
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 7, Purges: []feed.Purge{{LogIndex: 6, Host: "h", Path: "/a"}, {LogIndex: 7, Label: "l/b"}}})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 7, Purges: []distribution.Purge{{LogIndex: 6, Host: "h", Path: "/a"}, {LogIndex: 7, Label: "l/b"}}})
 	s.waitForWrites()
 	s.close()
 
@@ -55,7 +55,7 @@
 	if age := got["/c"].Age(time.Now()); age < 3*time.Second || age > time.Minute {
 		t.Fatalf("its age is %v", age)
 	}
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 9, Reset: true})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 9, Reset: true})
 	s.waitForWrites()
 	s.close()
 	s, pos, got = reopenStore(t, dir)
@@ -82,32 +82,32 @@
 
 func testFailingDisk(t *testing.T) {
 	dir := t.TempDir()
-	d := &scenario.FaultyDisk{Base: vault.LocalDisk{}, Random: func() float64 { return 0 }}
+	d := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
 	open := func() (*diskStore, uint64, int) {
 		t.Helper()
 		from, n := time.Now(), 0
-		s, pos := openDiskStore(dir, 1<<20, d, event.Nop())
-		s.load(func(*recorder.Response) { n++ })
+		s, pos := openDiskStore(dir, 1<<20, d, logging.Nop())
+		s.load(func(*responsecache.Response) { n++ })
 		if took := time.Since(from); took > 2*openTimeout {
 			t.Fatalf("the start took %v", took)
 		}
 		return s, pos, n
 	}
 	s, _, _ := open()
-	s.put(&recorder.Response{Host: "h", Target: "/a", ETag: "t", PurgeIndex: 5})
+	s.put(&responsecache.Response{Host: "h", Target: "/a", ETag: "t", PurgeIndex: 5})
 	s.waitForWrites()
 	d.SetFault(true, false)
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 6, Purges: []feed.Purge{{LogIndex: 6, Host: "h", Path: "/a"}}})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 6, Purges: []distribution.Purge{{LogIndex: 6, Host: "h", Path: "/a"}}})
 	s.waitForWrites()
 	d.SetFault(false, false)
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 7, Purges: []feed.Purge{{LogIndex: 7, Host: "h", Path: "/b"}}})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 7, Purges: []distribution.Purge{{LogIndex: 7, Host: "h", Path: "/b"}}})
 	s.waitForWrites()
 	s.close()
 	s, pos, n := open()
 	if pos != 7 || n != 0 {
 		t.Fatalf("after a purge that was refused: position %d, %d copies", pos, n)
 	}
-	s.put(&recorder.Response{Host: "h", Target: "/c", ETag: "t", PurgeIndex: 7})
+	s.put(&responsecache.Response{Host: "h", Target: "/c", ETag: "t", PurgeIndex: 7})
 	s.waitForWrites()
 	s.close()
 	db, err := d.Open(filepath.Join(dir, "copies.db")) // another process has it still
@@ -118,14 +118,14 @@
 	if pos != 0 || n != 0 {
 		t.Fatalf("of a disk that does not answer: position %d, %d copies", pos, n)
 	}
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 9, Purges: []feed.Purge{{LogIndex: 9, Host: "h", Path: "/c"}}})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 9, Purges: []distribution.Purge{{LogIndex: 9, Host: "h", Path: "/c"}}})
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * openRetryInterval)
 	s.waitForWrites()
 	d.SetFault(false, true)
-	s.applyPurges(&feed.PurgeUpdate{LogIndex: 10})
+	s.applyPurges(&distribution.PurgeUpdate{LogIndex: 10})
 	time.Sleep(2 * writeInterval)
 	s.close() // is not held up by what hangs
 	d.EndProcess()
@@ -142,7 +142,7 @@
 // TestDamagedObject: a copy with a single byte changed is no copy.
 func TestDamagedObject(t *testing.T) {
 	now := currentTimestamp("boot")
-	v := encodeObject(&recorder.Response{Host: "h", Target: "/a", ETag: "t", Body: []byte("body")}, now, time.Now())
+	v := encodeObject(&responsecache.Response{Host: "h", Target: "/a", ETag: "t", Body: []byte("body")}, now, time.Now())
 	for i := range v {
 		w := append([]byte(nil), v...)
 		w[i] ^= 4
--- a/internal/announce/turns.go
+++ b/internal/objectcache/turns.go
@@ -1,20 +1,20 @@
-package announce
+package objectcache
 
 import (
 	"sync"
 	"time"
 
-	"comethold/internal/ration"
-	"comethold/internal/trunk"
+	"comethold/internal/ratelimit"
+	"comethold/internal/upstream"
 )
 
 // readScheduler lets the reads of origins begin one by one: when the node's ration and
 // a leaf have room, the read that most requests wait for goes first. A read
 // that can't have its turn in time is refused at once, with when to come back.
 type readScheduler struct {
-	limiter         *ration.Limiter
-	reserveUpstream func(service string, tried []*trunk.Endpoint, once bool) *trunk.Endpoint
-	releaseUpstream func(*trunk.Endpoint)
+	limiter         *ratelimit.Limiter
+	reserveUpstream func(service string, tried []*upstream.Endpoint, once bool) *upstream.Endpoint
+	releaseUpstream func(*upstream.Endpoint)
 
 	mu     sync.Mutex
 	queues map[string][]*queuedRead
@@ -24,7 +24,7 @@
 	service    string
 	rate       float64
 	waiters    func() int // requests that wait for the read
-	tried      []*trunk.Endpoint
+	tried      []*upstream.Endpoint
 	enqueuedAt time.Time
 	deadline   time.Time
 	result     chan admission
@@ -32,7 +32,7 @@
 }
 
 type admission struct {
-	upstream   *trunk.Endpoint
+	upstream   *upstream.Endpoint
 	retryAfter time.Duration // with no trunk: when to come back
 }
 
@@ -43,12 +43,12 @@
 	maxRetryDelay     = 1500 * time.Millisecond
 )
 
-func newReadScheduler(r *ration.Limiter, seize func(string, []*trunk.Endpoint, bool) *trunk.Endpoint, undo func(*trunk.Endpoint)) *readScheduler {
+func newReadScheduler(r *ratelimit.Limiter, seize func(string, []*upstream.Endpoint, bool) *upstream.Endpoint, undo func(*upstream.Endpoint)) *readScheduler {
 	return &readScheduler{limiter: r, reserveUpstream: seize, releaseUpstream: undo, queues: map[string][]*queuedRead{}}
 }
 
 // admit returns a reserved leaf when the ticket's turn comes.
-func (q *readScheduler) admit(k *queuedRead) (*trunk.Endpoint, time.Duration) {
+func (q *readScheduler) admit(k *queuedRead) (*upstream.Endpoint, time.Duration) {
 	k.enqueuedAt, k.result = time.Now(), make(chan admission, 1)
 	q.mu.Lock()
 	q.queues[k.service] = append(q.queues[k.service], k)
@@ -86,9 +86,9 @@
 }
 
 // reserve takes a leaf for a ticket; an errand needs none.
-func (q *readScheduler) reserve(k *queuedRead) *trunk.Endpoint {
+func (q *readScheduler) reserve(k *queuedRead) *upstream.Endpoint {
 	if k.permitOnly {
-		return &trunk.Endpoint{}
+		return &upstream.Endpoint{}
 	}
 	t := q.reserveUpstream(k.service, k.tried, false)
 	if t == nil && len(k.tried) > 0 {
--- a/internal/announce/usual.go
+++ b/internal/objectcache/usual.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"sync"
--- a/internal/announce/wire.go
+++ b/internal/objectcache/wire.go
@@ -1,4 +1,4 @@
-package announce
+package objectcache
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/office"
-	"comethold/internal/recorder"
-	"comethold/internal/ring"
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+	"comethold/internal/responsecache"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 )
 
 // objectCall asks an announcer for an object.
@@ -64,21 +64,21 @@
 // cacheClient asks announcers. Each object has its announcers in an order that all
 // nodes agree on; the first that is well is asked.
 type cacheClient struct {
-	control   *office.Client
-	rpcClient *wire.Client
+	control   *controlclient.Client
+	rpcClient *rpc.Client
 
 	mu          sync.Mutex
 	failedUntil map[string]time.Time
 }
 
-func newCacheClient(o *office.Client) *cacheClient {
-	return &cacheClient{control: o, rpcClient: wire.NewClientWithLimits(o.Network, dialTimeout, silenceTimeout, maxIdleConnections), failedUntil: map[string]time.Time{}}
+func newCacheClient(o *controlclient.Client) *cacheClient {
+	return &cacheClient{control: o, rpcClient: rpc.NewClientWithLimits(o.Network, dialTimeout, silenceTimeout, maxIdleConnections), failedUntil: map[string]time.Time{}}
 }
 
 // rankedCaches lists the announcers for a key by rendezvous hashing, those of the
 // region in front if near, and those that just failed at the end.
-func (c *cacheClient) rankedCaches(key string, near bool) []feed.Node {
-	stores := append([]feed.Node(nil), c.control.ObjectCaches()...)
+func (c *cacheClient) rankedCaches(key string, near bool) []distribution.Node {
+	stores := append([]distribution.Node(nil), c.control.ObjectCaches()...)
 	now := time.Now()
 	rank := make(map[string]int, len(stores))
 	c.mu.Lock()
@@ -95,19 +95,19 @@
 		if a != b {
 			return a < b
 		}
-		return ring.Hash(stores[i].Name, key) > ring.Hash(stores[j].Name, key)
+		return heartbeat.Hash(stores[i].Name, key) > heartbeat.Hash(stores[j].Name, key)
 	})
 	return stores
 }
 
-func (c *cacheClient) markFailed(n feed.Node) {
+func (c *cacheClient) markFailed(n distribution.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failedUntil[n.Name] = time.Now().Add(failureBackoff)
 }
 
 // fetch gets an object from one announcer.
-func (c *cacheClient) fetch(n feed.Node, w Request, old *recorder.Response, pos uint64, final bool) (rec *recorder.Response, no *Failure, err error) {
+func (c *cacheClient) fetch(n distribution.Node, w Request, old *responsecache.Response, pos uint64, final bool) (rec *responsecache.Response, no *Failure, err error) {
 	start := time.Now()
 	wait := min(w.Deadline.Sub(start)-deadlineMargin, maxWait)
 	if wait <= 0 {
@@ -151,7 +151,7 @@
 		again.ValidatedAt, again.PurgeIndex = read, r.PurgeIndex
 		return &again, nil, nil
 	}
-	return &recorder.Response{Host: w.Host, Target: w.Target, Service: r.Service, ETag: r.ETag, Labels: r.Labels,
+	return &responsecache.Response{Host: w.Host, Target: w.Target, Service: r.Service, ETag: r.ETag, Labels: r.Labels,
 		Header: r.Header, Body: r.Body, ValidatedAt: read, PurgeIndex: r.PurgeIndex}, nil, nil
 }
 
@@ -164,18 +164,18 @@
 }
 
 // NewClient makes the switch's side with a cache of some bytes.
-func NewClient(o *office.Client, bytes int) *Client {
+func NewClient(o *controlclient.Client, bytes int) *Client {
 	s := &Client{peers: newCacheClient(o)}
-	s.fetcher = NewFetcher(recorder.New(bytes), o, o.Settings.Bounds.StaleSlack(), 1, s.fetch)
+	s.fetcher = NewFetcher(responsecache.New(bytes), o, o.Settings.Bounds.StaleSlack(), 1, s.fetch)
 	o.OnPurges(s.fetcher.ApplyPurges)
 	return s
 }
 
 // Get returns an object for a client's request.
-func (s *Client) Get(w Request) (*recorder.Response, *Failure) { return s.fetcher.Get(w) }
+func (s *Client) Get(w Request) (*responsecache.Response, *Failure) { return s.fetcher.Get(w) }
 
-func (s *Client) fetch(w Request, old *recorder.Response, pos uint64) (*recorder.Response, *Failure) {
-	key := recorder.Key(w.Host, w.Target)
+func (s *Client) fetch(w Request, old *responsecache.Response, pos uint64) (*responsecache.Response, *Failure) {
+	key := responsecache.Key(w.Host, w.Target)
 	for i, n := range s.peers.rankedCaches(key, true) {
 		if i == maxCachesTried || time.Until(w.Deadline) < deadlineMargin {
 			break
--- a/internal/notice/inbox.go
+++ b/internal/outbox/inbox.go
@@ -1,4 +1,4 @@
-package notice
+package outbox
 
 import "bytes"
 
--- a/internal/notice/notice.go
+++ b/internal/outbox/notice.go
@@ -3,7 +3,7 @@
 // and its notice become durable in one transaction of a cell; the notice is sent again
 // and again until it is published; who receives it decides it against an inbox before
 // anything is changed. The package does no input or output.
-package notice
+package outbox
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"errors"
 	"fmt"
 
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 )
 
 // Errors of this layer.
@@ -50,7 +50,7 @@
 
 // NewNotification makes a notice.
 func NewNotification(id, aggregate string, version, after uint64, payload any) (Notification, error) {
-	raw, err := wire.Marshal(payload)
+	raw, err := rpc.Marshal(payload)
 	if err != nil {
 		return Notification{}, fmt.Errorf("%w: %v", ErrInvalidNotification, err)
 	}
--- a/internal/cell/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -1,4 +1,4 @@
-package cell
+package paxos
 
 import (
 	"container/heap"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"comethold/internal/scenario"
+	"comethold/internal/simulation"
 )
 
 // The runner plays scenario files on simulated time. Each line is a command;
@@ -716,12 +716,12 @@
 
 type world struct{ *sim }
 
-func (w world) Do(c scenario.Command) error {
+func (w world) Do(c simulation.Command) error {
 	w.do(c.Line)
 	return nil
 }
 
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, "testdata", func(t *testing.T, run func(*testing.T)) { run(t) },
-		func(t *testing.T) scenario.World { return world{newSim(t, t.Name())} })
+	simulation.Play(t, "testdata", func(t *testing.T, run func(*testing.T)) { run(t) },
+		func(t *testing.T) simulation.World { return world{newSim(t, t.Name())} })
 }
--- a/internal/cell/touched_test.go
+++ b/internal/paxos/touched_test.go
@@ -1,4 +1,4 @@
-package cell
+package paxos
 
 import (
 	"testing"
--- a/internal/cell/types.go
+++ b/internal/paxos/types.go
@@ -4,7 +4,7 @@
 // proposals and the passing of time; the member answers with an Output: what
 // must be on disk, and the messages that may leave once it is. Nothing in
 // this package reads a clock, a socket or a file.
-package cell
+package paxos
 
 import (
 	"errors"
--- a/internal/cell/worst_test.go
+++ b/internal/paxos/worst_test.go
@@ -1,4 +1,4 @@
-package cell
+package paxos
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"comethold/internal/scenario"
+	"comethold/internal/simulation"
 )
 
 // The worst days: what operators met on the control side, drawn together from a seed.
@@ -19,7 +19,7 @@
 // playSeeds plays a few seeds, or as many as COMETHOLD_SEEDS says, several at once.
 func playSeeds(t *testing.T, few int, play func(t *testing.T, seed int64)) {
 	const parts = 8
-	n := int64(scenario.SeedCount(few))
+	n := int64(simulation.SeedCount(few))
 	for part := range int64(parts) {
 		t.Run(strconv.FormatInt(part, 10), func(t *testing.T) {
 			t.Parallel()
--- a/internal/switchboard/counter.go
+++ b/internal/proxy/counter.go
@@ -1,12 +1,12 @@
-package switchboard
+package proxy
 
 import (
 	"math/rand/v2"
 	"sync"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/office"
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
 	"comethold/internal/usage"
 )
 
@@ -21,7 +21,7 @@
 // usageReporter counts what tenants have run here, by the registrars' time, and tells a
 // registrar.
 type usageReporter struct {
-	office *office.Client
+	office *controlclient.Client
 	meter  *usage.Counter
 	clock  *usage.Clock
 
@@ -34,7 +34,7 @@
 }
 
 // newUsageReporter returns nil where nobody wants counts.
-func newUsageReporter(o *office.Client) *usageReporter {
+func newUsageReporter(o *controlclient.Client) *usageReporter {
 	if !o.Settings.ReportsUsage() {
 		return nil
 	}
@@ -84,7 +84,7 @@
 			delete(c.sentAt, seq)
 		}
 	}
-	c.office.Send(to[c.unansweredReports/reportsBeforeFailover%len(to)], &feed.Datagram{UsageReport: t})
+	c.office.Send(to[c.unansweredReports/reportsBeforeFailover%len(to)], &distribution.Datagram{UsageReport: t})
 	c.unansweredReports++
 }
 
--- a/internal/switchboard/front.go
+++ b/internal/proxy/front.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"errors"
@@ -14,24 +14,24 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/announce"
-	"comethold/internal/event"
-	"comethold/internal/gather"
-	"comethold/internal/numbering"
-	"comethold/internal/office"
-	"comethold/internal/trunk"
+	"comethold/internal/controlclient"
+	"comethold/internal/logging"
+	"comethold/internal/objectcache"
+	"comethold/internal/routing"
+	"comethold/internal/scatter"
+	"comethold/internal/upstream"
 
 	"github.com/labstack/echo/v4"
 )
 
 // frontend serves the clients.
 type frontend struct {
-	office     *office.Client
-	dispatcher *gather.Dispatcher
-	objects    *announce.Client // nil outside content deployments
+	office     *controlclient.Client
+	dispatcher *scatter.Dispatcher
+	objects    *objectcache.Client // nil outside content deployments
 	tokens     *tokenClient
 	usage      *usageReporter // nil where nobody wants counts
-	log        *event.Logger
+	log        *logging.Logger
 
 	draining            atomic.Bool
 	mu                  sync.Mutex
@@ -89,7 +89,7 @@
 	revocationMargin = 2500 * time.Millisecond
 )
 
-func newFrontend(o *office.Client, a *gather.Dispatcher, objects *announce.Client, log *event.Logger) *frontend {
+func newFrontend(o *controlclient.Client, a *scatter.Dispatcher, objects *objectcache.Client, log *logging.Logger) *frontend {
 	return &frontend{office: o, dispatcher: a, objects: objects, tokens: newTokenClient(o), usage: newUsageReporter(o), log: log, idleConnections: map[net.Conn]idleConnection{}, pending: map[*pendingRequest]struct{}{}}
 }
 
@@ -227,7 +227,7 @@
 	var p *pendingRequest
 	defer func() {
 		if e := recover(); e != nil {
-			f.log.Error(event.RequestPanic).Any("panic", e).Msg("a request failed inside")
+			f.log.Error(logging.RequestPanic).Any("panic", e).Msg("a request failed inside")
 			if p != nil && !p.claimAnswer() {
 				return
 			}
@@ -266,21 +266,21 @@
 	if !ok {
 		return nil
 	}
-	delete(req.Header, trunk.HeaderTenant) // ours to say, whatever the client sent
+	delete(req.Header, upstream.HeaderTenant) // ours to say, whatever the client sent
 	if own {
 		delete(req.Header, headerAuthorization)
 	}
 	if tenant != nil {
-		req.Header[trunk.HeaderTenant] = []string{tenant.Name}
+		req.Header[upstream.HeaderTenant] = []string{tenant.Name}
 	}
 	left := line.Timeout
-	if v := r.Header.Get(trunk.HeaderDeadlineRemaining); v != "" {
+	if v := r.Header.Get(upstream.HeaderDeadlineRemaining); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(ms > 0) || ms > 1e12 {
 			if !p.claimAnswer() {
 				return nil
 			}
-			return f.writeError(w, http.StatusBadRequest, trunk.HeaderDeadlineRemaining+" holds no time")
+			return f.writeError(w, http.StatusBadRequest, upstream.HeaderDeadlineRemaining+" holds no time")
 		}
 		left = min(left, time.Duration(ms*float64(time.Millisecond))-deadlineMarginPerHop)
 	}
@@ -304,8 +304,8 @@
 	if !p.markDispatched() {
 		return nil
 	}
-	var a *gather.Reply
-	if f.objects != nil && line.RouteKind == numbering.KindCacheable && r.Method == http.MethodGet {
+	var a *scatter.Reply
+	if f.objects != nil && line.RouteKind == routing.KindCacheable && r.Method == http.MethodGet {
 		a = f.serveObject(line, req, r.Header)
 		if a.Status/100 == 2 {
 			ran(time.Now()) // on these routes what counts is a success
@@ -336,10 +336,10 @@
 }
 
 // readRequest takes in the whole request within the limits.
-func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, plan *numbering.RouteTable, target string) (*trunk.Request, int, string) {
-	ids := r.Header[trunk.HeaderRequestID]
+func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, plan *routing.RouteTable, target string) (*upstream.Request, int, string) {
+	ids := r.Header[upstream.HeaderRequestID]
 	if len(ids) != 1 || ids[0] == "" {
-		return nil, http.StatusBadRequest, "needs one " + trunk.HeaderRequestID
+		return nil, http.StatusBadRequest, "needs one " + upstream.HeaderRequestID
 	}
 	size := len(r.Method) + len(target) + len(r.Host) + 24
 	for k, vs := range r.Header {
@@ -354,7 +354,7 @@
 	if int64(size) > limit {
 		return nil, http.StatusRequestHeaderFieldsTooLarge, "the header is too large"
 	}
-	req := &trunk.Request{Method: r.Method, Target: target, Host: r.Host, Header: trunk.EndToEndHeaders(r.Header), ID: ids[0]}
+	req := &upstream.Request{Method: r.Method, Target: target, Host: r.Host, Header: upstream.EndToEndHeaders(r.Header), ID: ids[0]}
 	if r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		switch r.Method {
 		case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -385,7 +385,7 @@
 }
 
 // writeReply writes a reply.
-func (f *frontend) writeReply(w http.ResponseWriter, method string, a *gather.Reply) error {
+func (f *frontend) writeReply(w http.ResponseWriter, method string, a *scatter.Reply) error {
 	h := w.Header()
 	if a.Header == nil {
 		if a.RetryAfter > 0 {
@@ -393,11 +393,11 @@
 		}
 		return f.writeError(w, a.Status, a.Reason)
 	}
-	for k, v := range trunk.EndToEndHeaders(a.Header) {
+	for k, v := range upstream.EndToEndHeaders(a.Header) {
 		h[k] = v
 	}
-	if id := a.Header[trunk.HeaderRequestID]; id != nil {
-		h[trunk.HeaderRequestID] = id
+	if id := a.Header[upstream.HeaderRequestID]; id != nil {
+		h[upstream.HeaderRequestID] = id
 	}
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // none is added
--- a/internal/switchboard/object.go
+++ b/internal/proxy/object.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"fmt"
@@ -6,23 +6,23 @@
 	"strconv"
 	"strings"
 
-	"comethold/internal/announce"
-	"comethold/internal/gather"
-	"comethold/internal/numbering"
-	"comethold/internal/trunk"
+	"comethold/internal/objectcache"
+	"comethold/internal/routing"
+	"comethold/internal/scatter"
+	"comethold/internal/upstream"
 )
 
 // serveObject answers a client's request for an object of a cacheable route.
-func (f *frontend) serveObject(line *numbering.CompiledRoute, req *trunk.Request, h http.Header) *gather.Reply {
-	rec, no := f.objects.Get(announce.Request{Host: req.Host, Target: req.Target, TTL: line.CacheTTL(), Deadline: req.Deadline})
+func (f *frontend) serveObject(line *routing.CompiledRoute, req *upstream.Request, h http.Header) *scatter.Reply {
+	rec, no := f.objects.Get(objectcache.Request{Host: req.Host, Target: req.Target, TTL: line.CacheTTL(), Deadline: req.Deadline})
 	if no != nil {
-		return &gather.Reply{Status: no.Status, Header: withRequestID(no.Header, req.ID), Body: no.Body, Reason: no.Reason, RetryAfter: no.RetryAfter}
+		return &scatter.Reply{Status: no.Status, Header: withRequestID(no.Header, req.ID), Body: no.Body, Reason: no.Reason, RetryAfter: no.RetryAfter}
 	}
 	out := withRequestID(rec.Header, req.ID)
 	if rec.ETag != "" && etagMatches(h.Get("If-None-Match"), rec.ETag) {
-		return &gather.Reply{Status: http.StatusNotModified, Header: out}
+		return &scatter.Reply{Status: http.StatusNotModified, Header: out}
 	}
-	reply := &gather.Reply{Status: http.StatusOK, Header: out, Body: rec.Body}
+	reply := &scatter.Reply{Status: http.StatusOK, Header: out, Body: rec.Body}
 	ranges := h["Range"]
 	if len(ranges) != 1 || (h.Get("If-Range") != "" && h.Get("If-Range") != rec.ETag) {
 		return reply
@@ -47,7 +47,7 @@
 		return nil
 	}
 	out := h.Clone()
-	out[trunk.HeaderRequestID] = []string{id}
+	out[upstream.HeaderRequestID] = []string{id}
 	return out
 }
 
--- a/internal/switchboard/switchboard.go
+++ b/internal/proxy/switchboard.go
@@ -1,6 +1,6 @@
 // Package switchboard is the data plane: it takes clients' requests and sends
 // them to leafs by the plan in force.
-package switchboard
+package proxy
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"sync"
 	"time"
 
-	"comethold/internal/announce"
-	"comethold/internal/estimate"
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/gather"
-	"comethold/internal/office"
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
+	"comethold/internal/latencyestimate"
+	"comethold/internal/logging"
+	"comethold/internal/objectcache"
+	"comethold/internal/rpc"
+	"comethold/internal/scatter"
 	"comethold/internal/settings"
-	"comethold/internal/wire"
 
 	"github.com/labstack/echo/v4"
 )
@@ -34,24 +34,24 @@
 
 // Server is the data plane of one node.
 type Server struct {
-	*office.Client
-	dispatcher   *gather.Dispatcher
+	*controlclient.Client
+	dispatcher   *scatter.Dispatcher
 	frontend     *frontend
 	httpServer   *http.Server
 	shutdownOnce sync.Once
 }
 
 // New puts a data plane together that reaches others by n.
-func New(set *settings.Settings, log *event.Logger, n wire.Network) *Server {
-	o := office.New(set, log, settings.DataPlane, n)
-	asker := gather.NewDispatcher(o.Upstreams, o.RetryBudget)
+func New(set *settings.Settings, log *logging.Logger, n rpc.Network) *Server {
+	o := controlclient.New(set, log, settings.DataPlane, n)
+	asker := scatter.NewDispatcher(o.Upstreams, o.RetryBudget)
 	if set.Estimates.Enabled {
-		asker.Latencies, asker.ShadowShare = estimate.NewCollector(time.Now()), set.Estimates.ShadowShare
+		asker.Latencies, asker.ShadowShare = latencyestimate.NewCollector(time.Now()), set.Estimates.ShadowShare
 	}
 	s := &Server{Client: o, dispatcher: asker}
-	var objects *announce.Client
+	var objects *objectcache.Client
 	if set.DeploymentMode == settings.ContentMode {
-		objects = announce.NewClient(o, objectCacheBytes)
+		objects = objectcache.NewClient(o, objectCacheBytes)
 		asker.AwaitRate = objects.Permit
 	}
 	s.frontend = newFrontend(o, asker, objects, log)
@@ -92,9 +92,9 @@
 }
 
 // LatencyEstimates returns what this node knows of lookups; nothing where they are not followed.
-func (s *Server) LatencyEstimates(ask feed.EstimatesRequest) estimate.Snapshot {
+func (s *Server) LatencyEstimates(ask distribution.EstimatesRequest) latencyestimate.Snapshot {
 	if s.dispatcher.Latencies == nil {
-		return estimate.MergeSnapshots()
+		return latencyestimate.MergeSnapshots()
 	}
 	return s.dispatcher.Latencies.Snapshot(ask.Service, ask.Class)
 }
@@ -103,15 +103,15 @@
 func (s *Server) InternalHandler() *echo.Echo {
 	e := s.Client.InternalHandler()
 	e.POST("/estimates", func(c echo.Context) error {
-		var ask feed.EstimatesRequest
-		if err := wire.DecodeRequest(c.Request().Body, &ask); err != nil {
+		var ask distribution.EstimatesRequest
+		if err := rpc.DecodeRequest(c.Request().Body, &ask); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		b, err := wire.Marshal(s.LatencyEstimates(ask))
+		b, err := rpc.Marshal(s.LatencyEstimates(ask))
 		if err != nil {
 			return err
 		}
-		return c.Blob(http.StatusOK, wire.ContentType, wire.EncodeBody(b))
+		return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeBody(b))
 	})
 	return e
 }
--- a/internal/switchboard/teller.go
+++ b/internal/proxy/teller.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"math/rand/v2"
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/office"
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
 	"comethold/internal/quota"
+	"comethold/internal/routing"
 )
 
 // Pacing of draws. Ours; see docs/design.md.
@@ -31,7 +31,7 @@
 // tokenClient draws tokens for the tenants that this node sees. Requests for which none is
 // here wait while one datagram asks for all of them.
 type tokenClient struct {
-	office *office.Client
+	office *controlclient.Client
 	rules  quota.Rules
 	cache  *quota.TokenCache
 
@@ -73,7 +73,7 @@
 	lifetimes []time.Duration
 }
 
-func newTokenClient(o *office.Client) *tokenClient {
+func newTokenClient(o *controlclient.Client) *tokenClient {
 	t := &tokenClient{office: o, rules: o.Settings.Bounds.QuotaRules(), cache: quota.NewTokenCache(), queues: map[string]*waitQueue{},
 		inFlight: map[uint64]*tokenRequest{}, nextRequestID: rand.Uint64(), avoidUntil: map[string]time.Time{}}
 	o.OnTokenGrant(t.handleGrant)
@@ -82,7 +82,7 @@
 }
 
 // admit spends a token for a request of the tenant, if it needs one.
-func (t *tokenClient) admit(who *numbering.Tenant, target, left time.Duration, now time.Time) admission {
+func (t *tokenClient) admit(who *routing.Tenant, target, left time.Duration, now time.Time) admission {
 	terms := t.rules.LimitsFor(who.RatePerSecond, who.BurstSize)
 	if !terms.Limited() {
 		return admission{granted: true}
@@ -194,7 +194,7 @@
 	t.inFlight[id] = d
 	t.sendRate = t.sendRate*max(0, 1-now.Sub(t.lastSentAt).Seconds()) + 1
 	t.lastSentAt = now
-	t.office.Send(d.target, &feed.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Demands: d.wants}})
+	t.office.Send(d.target, &distribution.Datagram{TokenRequest: &quota.TokenRequest{ID: id, Demands: d.wants}})
 	time.AfterFunc(responseTimeout, func() { t.handleTimeout(id) })
 }
 
--- a/internal/ration/ration.go
+++ b/internal/ratelimit/ration.go
@@ -1,6 +1,6 @@
 // Package ration spends a node's leased share of a rate that many nodes share.
 // It does no input or output.
-package ration
+package ratelimit
 
 import (
 	"sync"
--- a/internal/recorder/recorder.go
+++ b/internal/responsecache/recorder.go
@@ -1,6 +1,6 @@
 // Package recorder keeps recordings: whole answers of leafs that may be given
 // to other clients for a while. It does no input or output.
-package recorder
+package responsecache
 
 import (
 	"container/list"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
 )
 
 // Response is one version of an object. It never changes.
@@ -51,7 +51,7 @@
 }
 
 // MatchesPurge reports whether a purge names the recording.
-func (r *Response) MatchesPurge(c feed.Purge) bool {
+func (r *Response) MatchesPurge(c distribution.Purge) bool {
 	if c.Label != "" {
 		for _, l := range r.Labels {
 			if l == c.Label {
@@ -64,7 +64,7 @@
 }
 
 // PurgeMatchesTarget reports whether a purge names the object by host and path.
-func PurgeMatchesTarget(c feed.Purge, host, target string) bool {
+func PurgeMatchesTarget(c distribution.Purge, host, target string) bool {
 	if c.Label != "" || NormalizeHost(host) != c.Host {
 		return false
 	}
@@ -144,7 +144,7 @@
 }
 
 // ApplyPurges drops what the purges name, or everything.
-func (r *Cache) ApplyPurges(c *feed.PurgeUpdate) {
+func (r *Cache) ApplyPurges(c *distribution.PurgeUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Reset {
--- a/internal/toll/toll.go
+++ b/internal/retrybudget/toll.go
@@ -5,7 +5,7 @@
 // from requests that this node itself saw; the slack is divided among the
 // nodes that live. A node that has just started has no slack until a window
 // has passed, since it cannot know what its former life has spent.
-package toll
+package retrybudget
 
 import (
 	"sync"
--- a/internal/toll/toll_test.go
+++ b/internal/retrybudget/toll_test.go
@@ -1,4 +1,4 @@
-package toll
+package retrybudget
 
 import (
 	"testing"
--- a/internal/numbering/amend_test.go
+++ b/internal/routing/amend_test.go
@@ -1,4 +1,4 @@
-package numbering
+package routing
 
 import (
 	"errors"
--- a/internal/numbering/config.go
+++ b/internal/routing/config.go
@@ -1,6 +1,6 @@
 // Package numbering reads the operator's configuration and compiles it into an
 // immutable plan that finds the route of a request.
-package numbering
+package routing
 
 import (
 	"encoding/json"
--- a/internal/wire/client_test.go
+++ b/internal/rpc/client_test.go
@@ -1,4 +1,4 @@
-package wire
+package rpc
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"comethold/internal/scenario"
+	"comethold/internal/simulation"
 )
 
 // faultyPeer takes calls and ends them in the ways that processes and networks do.
@@ -87,7 +87,7 @@
 // TestCalls: whatever ends a call, it came once at the most, and who is told that it went
 // well has the answer to this very call.
 func TestCalls(t *testing.T) {
-	for seed := range scenario.SeedCount(3) {
+	for seed := range simulation.SeedCount(3) {
 		door, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wire/wire.go
+++ b/internal/rpc/wire.go
@@ -1,6 +1,6 @@
 // Package wire is how comethold's processes talk to one another: cbor bodies
 // over HTTP/1.1 on the internal ports, and cbor datagrams for heartbeats.
-package wire
+package rpc
 
 import (
 	"bytes"
--- a/internal/gather/gather.go
+++ b/internal/scatter/gather.go
@@ -1,4 +1,4 @@
-package gather
+package scatter
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"comethold/internal/estimate"
-	"comethold/internal/numbering"
-	"comethold/internal/toll"
-	"comethold/internal/trunk"
+	"comethold/internal/latencyestimate"
+	"comethold/internal/retrybudget"
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
 )
 
 // Headers of gathered answers.
@@ -36,15 +36,15 @@
 
 // Dispatcher carries requests to leafs.
 type Dispatcher struct {
-	clusters *trunk.ClusterManager
-	budget   *toll.Budget
+	clusters *upstream.ClusterManager
+	budget   *retrybudget.Budget
 	// AwaitRate, if set, waits until a call may be made to a service whose rate is
 	// bounded; if it may not, it says when to come back.
 	AwaitRate func(service string, until time.Time) (ok bool, back time.Duration)
 
 	// Latencies, if set, gets what lookups of routes with a class took; Shadow is the share of
 	// them for which another copy is asked too.
-	Latencies   *estimate.Collector
+	Latencies   *latencyestimate.Collector
 	ShadowShare float64
 
 	mu         sync.Mutex
@@ -52,14 +52,14 @@
 }
 
 // NewDispatcher makes an asker over a frame of trunks and a retry budget.
-func NewDispatcher(f *trunk.ClusterManager, t *toll.Budget) *Dispatcher {
+func NewDispatcher(f *upstream.ClusterManager, t *retrybudget.Budget) *Dispatcher {
 	return &Dispatcher{clusters: f, budget: t, histograms: map[string]*latencyHistogram{}}
 }
 
 // RetainRoutes drops what was learnt of routes that are no more.
-func (a *Dispatcher) RetainRoutes(p *numbering.RouteTable) {
+func (a *Dispatcher) RetainRoutes(p *routing.RouteTable) {
 	live := map[string]bool{}
-	p.ForEachRoute(func(l *numbering.CompiledRoute) { live[l.Name] = true })
+	p.ForEachRoute(func(l *routing.CompiledRoute) { live[l.Name] = true })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name := range a.histograms {
@@ -92,25 +92,25 @@
 type shard struct {
 	service         string
 	pair            *replicaPair // of the answers, where they are watched
-	triedEndpoints  []*trunk.Endpoint
+	triedEndpoints  []*upstream.Endpoint
 	sentAttempts    int // arrivals at leafs
 	unsentAttempts  int // tries that did not leave
 	pendingAttempts int
-	worstOutcome    trunk.Outcome // of the tries that ended
-	response        *trunk.Response
-	lastFailure     *trunk.Response
+	worstOutcome    upstream.Outcome // of the tries that ended
+	response        *upstream.Response
+	lastFailure     *upstream.Response
 	failed          bool
 	timedOut        bool
 	newestSentAt    time.Time // of the newest try
 	hedgeAt         time.Time
 	retryAt         time.Time // when a leaf that was full is followed by another
-	newestEndpoint  *trunk.Endpoint
+	newestEndpoint  *upstream.Endpoint
 }
 
 type attemptResult struct {
 	shard      int
 	retryAfter time.Duration // with errNoTurn
-	response   *trunk.Response
+	response   *upstream.Response
 	err        error
 	duration   time.Duration
 }
@@ -118,8 +118,8 @@
 // fanOut is one request on its way.
 type fanOut struct {
 	*Dispatcher
-	route           *numbering.CompiledRoute
-	request         *trunk.Request
+	route           *routing.CompiledRoute
+	request         *upstream.Request
 	latency         *latencyHistogram
 	shards          []shard
 	results         chan attemptResult
@@ -151,7 +151,7 @@
 // Dispatch carries a request to the leafs of its line and returns the answer. ran, if given, is
 // called once if a leaf began to run it, or may have, with the moment at which that leaf
 // was asked.
-func (a *Dispatcher) Dispatch(l *numbering.CompiledRoute, r *trunk.Request, start time.Time, ran func(at time.Time)) *Reply {
+func (a *Dispatcher) Dispatch(l *routing.CompiledRoute, r *upstream.Request, start time.Time, ran func(at time.Time)) *Reply {
 	services := l.FanoutServices
 	gathered := len(services) > 0
 	if !gathered {
@@ -202,11 +202,11 @@
 }
 
 // mayHaveExecuted reports whether a leaf may have run the shard's request, as far as tries ended.
-func (s *shard) mayHaveExecuted() bool { return s.worstOutcome > trunk.Rejected }
+func (s *shard) mayHaveExecuted() bool { return s.worstOutcome > upstream.Rejected }
 
 // reserve reserves a leaf for one more try. Every try comes by here: what may not be
 // repeated gets a leaf only while no other has it or may have run it.
-func (k *fanOut) reserve(s *shard) *trunk.Endpoint {
+func (k *fanOut) reserve(s *shard) *upstream.Endpoint {
 	if !k.request.Retryable(s.worstOutcome) || k.request.NonIdempotent && s.pendingAttempts > 0 {
 		return nil
 	}
@@ -224,7 +224,7 @@
 	return true
 }
 
-func (k *fanOut) sendAttempt(i int, t *trunk.Endpoint, now time.Time) {
+func (k *fanOut) sendAttempt(i int, t *upstream.Endpoint, now time.Time) {
 	s := &k.shards[i]
 	s.triedEndpoints = append(s.triedEndpoints, t)
 	s.sentAttempts++
@@ -260,7 +260,7 @@
 	}
 }
 
-func (k *fanOut) completeShard(s *shard, a *trunk.Response) {
+func (k *fanOut) completeShard(s *shard, a *upstream.Response) {
 	if s.response != nil {
 		return
 	}
@@ -394,12 +394,12 @@
 	s := &k.shards[o.shard]
 	s.pendingAttempts--
 	now := time.Now()
-	how := trunk.OutcomeOf(o.response, o.err)
+	how := upstream.OutcomeOf(o.response, o.err)
 	if !errors.Is(o.err, errRateLimited) {
 		s.worstOutcome = max(s.worstOutcome, how)
 	}
 	switch {
-	case how == trunk.Executed && o.response.IsSuccess():
+	case how == upstream.Executed && o.response.IsSuccess():
 		k.markExecuted(now.Add(-o.duration))
 		first := s.response == nil
 		k.completeShard(s, o.response)
@@ -411,12 +411,12 @@
 	case errors.Is(o.err, errRateLimited):
 		s.sentAttempts--
 		k.retryAfter = max(k.retryAfter, o.retryAfter)
-	case how == trunk.NotSent:
+	case how == upstream.NotSent:
 		s.sentAttempts--
 		if s.unsentAttempts++; s.response == nil && s.pendingAttempts == 0 && s.unsentAttempts <= maxUnsentAttempts && k.request.Deadline.After(now) && k.startAttempt(o.shard, now) {
 			return
 		}
-	case how == trunk.Rejected:
+	case how == upstream.Rejected:
 		s.lastFailure = o.response
 		if s.response == nil && s.pendingAttempts == 0 {
 			if o.response.Status == http.StatusMisdirectedRequest {
@@ -433,12 +433,12 @@
 		}
 	default:
 		s.lastFailure = o.response
-		if how == trunk.Executed {
+		if how == upstream.Executed {
 			k.markExecuted(now.Add(-o.duration))
 		} else if k.maybeExecutedAt.IsZero() {
 			k.maybeExecutedAt = now.Add(-o.duration)
 		}
-		s.timedOut = s.timedOut || errors.Is(o.err, trunk.ErrTimeout)
+		s.timedOut = s.timedOut || errors.Is(o.err, upstream.ErrTimeout)
 		if s.response == nil && s.pendingAttempts == 0 && k.retry(o.shard, 0, now) {
 			return
 		}
@@ -513,7 +513,7 @@
 		if len(stamps) > 0 {
 			stamps = append(stamps, ", "...)
 		}
-		stamps = append(stamps, s.response.Header.Get(trunk.HeaderServerStamp)...)
+		stamps = append(stamps, s.response.Header.Get(upstream.HeaderServerStamp)...)
 		bodies = append(bodies, s.response.Body)
 	}
 	switch {
--- a/internal/gather/merge.go
+++ b/internal/scatter/merge.go
@@ -1,5 +1,5 @@
 // Package gather asks one leaf of each shard of one plan and joins the parts.
-package gather
+package scatter
 
 import (
 	"bytes"
--- a/internal/gather/pace.go
+++ b/internal/scatter/pace.go
@@ -1,4 +1,4 @@
-package gather
+package scatter
 
 import (
 	"math"
--- a/internal/gather/watch.go
+++ b/internal/scatter/watch.go
@@ -1,38 +1,38 @@
-package gather
+package scatter
 
 import (
 	"errors"
 	"sync"
 	"time"
 
-	"comethold/internal/estimate"
-	"comethold/internal/numbering"
-	"comethold/internal/trunk"
+	"comethold/internal/latencyestimate"
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
 )
 
 // replicaPair joins the answers of two copies to one lookup.
 type replicaPair struct {
 	mu        sync.Mutex
-	first     *estimate.Sample
+	first     *latencyestimate.Sample
 	firstBody []byte
 	done      bool
 }
 
 // samplesLatency reports whether lookups of the line are followed.
-func (a *Dispatcher) samplesLatency(l *numbering.CompiledRoute) bool {
+func (a *Dispatcher) samplesLatency(l *routing.CompiledRoute) bool {
 	return a.Latencies != nil && l.LookupClass != ""
 }
 
 // recordSample hands on what a call took. It runs in the call's own goroutine, after its outcome
 // was told, and never waits.
-func (k *fanOut) recordSample(p *replicaPair, t *trunk.Endpoint, busy bool, took time.Duration, a *trunk.Response, err error) {
-	late := errors.Is(err, trunk.ErrTimeout)
+func (k *fanOut) recordSample(p *replicaPair, t *upstream.Endpoint, busy bool, took time.Duration, a *upstream.Response, err error) {
+	late := errors.Is(err, upstream.ErrTimeout)
 	if !late && (err != nil || !a.IsSuccess()) {
 		return // it says nothing of how long a lookup takes
 	}
-	s := estimate.Sample{Key: estimate.Key{Service: t.Info().Service, Endpoint: t.Info().ID, Class: k.route.LookupClass}, Duration: took, Censored: late}
+	s := latencyestimate.Sample{Key: latencyestimate.Key{Service: t.Info().Service, Endpoint: t.Info().ID, Class: k.route.LookupClass}, Duration: took, Censored: late}
 	if busy {
-		s.Key.Load = estimate.Busy
+		s.Key.Load = latencyestimate.Busy
 	}
 	k.Latencies.Submit(s)
 	if late {
@@ -45,9 +45,9 @@
 	} else if !p.done && p.first.Key.Endpoint != s.Key.Endpoint {
 		p.done = true
 		// The slower one is the lookup, the other what a copy really took.
-		pair := estimate.AnswerPair{First: *p.first, Second: s, FirstPart: p.firstBody, SecondPart: a.Body}
+		pair := latencyestimate.AnswerPair{First: *p.first, Second: s, FirstPart: p.firstBody, SecondPart: a.Body}
 		if s.Duration > p.first.Duration {
-			pair = estimate.AnswerPair{First: s, Second: *p.first, FirstPart: a.Body, SecondPart: p.firstBody}
+			pair = latencyestimate.AnswerPair{First: s, Second: *p.first, FirstPart: a.Body, SecondPart: p.firstBody}
 		}
 		k.Latencies.SubmitPair(pair)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"comethold/internal/numbering"
 	"comethold/internal/quota"
+	"comethold/internal/routing"
 
 	"github.com/BurntSushi/toml"
 	"github.com/go-playground/validator/v10"
@@ -142,7 +142,7 @@
 	}
 	var faults []string
 	if err := validate.Struct(s); err != nil {
-		faults = numbering.Violations(err)
+		faults = routing.Violations(err)
 	}
 	if len(s.InternalPortRange) == 2 && s.InternalPortRange[1] < s.InternalPortRange[0]+int(lastProgram) {
 		faults = append(faults, "internalPortRange: needs three ports at least, the lower first")
--- a/internal/scenario/disk.go
+++ b/internal/simulation/disk.go
@@ -1,4 +1,4 @@
-package scenario
+package simulation
 
 import (
 	"errors"
--- a/internal/scenario/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"context"
@@ -21,15 +21,15 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/registrar"
-	"comethold/internal/scenario"
+	"comethold/internal/controlplane"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/proxy"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
+	"comethold/internal/simulation"
+	"comethold/internal/storage"
 	"comethold/internal/usage"
-	"comethold/internal/vault"
-	"comethold/internal/wire"
 )
 
 // fleet is a whole system of registrars and switches on simulated time: every
@@ -130,10 +130,10 @@
 type machine struct {
 	name, zone, addr string
 	disk             bool
-	diskState        *scenario.FaultyDisk
+	diskState        *simulation.FaultyDisk
 	startedBefore    bool // it has run before
-	controlPlane     *registrar.Server
-	proxy            *switchboard.Server
+	controlPlane     *controlplane.Server
+	proxy            *proxy.Server
 	stop             func()
 }
 
@@ -307,9 +307,9 @@
 }
 
 // diskOf is a machine's disk, with luck of its own.
-func (f *fleet) diskOf(m *machine) *scenario.FaultyDisk {
+func (f *fleet) diskOf(m *machine) *simulation.FaultyDisk {
 	if m.diskState == nil {
-		m.diskState = &scenario.FaultyDisk{Base: vault.LocalDisk{}, Random: rand.New(rand.NewSource(f.seed*100 + int64(m.name[1]))).Float64}
+		m.diskState = &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: rand.New(rand.NewSource(f.seed*100 + int64(m.name[1]))).Float64}
 	}
 	return m.diskState
 }
@@ -331,14 +331,14 @@
 			f.t.Fatal(err)
 		}
 		f.diskOf(m)
-		reg := registrar.New(set, event.Nop(), n, m.diskState)
+		reg := controlplane.New(set, logging.Nop(), n, m.diskState)
 		m.controlPlane = reg
 		go func() { _ = reg.Run() }()
 		go func() { _ = reg.ServeDatagrams(f.network.listenPacket(inner(settings.ControlPlane))) }()
 		serve(net.JoinHostPort(m.addr, controlPort), reg.OperatorHandler())
 		serve(inner(settings.ControlPlane), reg.InternalHandler())
 	}
-	sw := switchboard.New(set, event.Nop(), n)
+	sw := proxy.New(set, logging.Nop(), n)
 	f.mu.Lock()
 	m.proxy, m.startedBefore = sw, true
 	f.mu.Unlock()
@@ -518,7 +518,7 @@
 // leaseHolder is the machine that holds a duty, as any registrar that runs tells.
 func (f *fleet) leaseHolder(duty string) (*machine, error) {
 	for _, m := range f.sortedMachines() {
-		var v registrar.LeasesView
+		var v controlplane.LeasesView
 		if m.controlPlane == nil {
 			continue
 		}
@@ -538,7 +538,7 @@
 
 // checkReplicas says what a cell lacks to bear the losses that it must bear.
 func (f *fleet) checkReplicas(lost int) error {
-	live := map[string]map[string]registrar.CellView{}
+	live := map[string]map[string]controlplane.CellView{}
 	last := map[string]uint64{}
 	for _, m := range f.sortedMachines() {
 		if m.controlPlane == nil {
@@ -572,7 +572,7 @@
 }
 
 // replicaViews tells how a cell stands at each registrar.
-func replicaViews(live map[string]map[string]registrar.CellView, name string) (out string) {
+func replicaViews(live map[string]map[string]controlplane.CellView, name string) (out string) {
 	for _, addr := range slices.Sorted(maps.Keys(live)) {
 		c := live[addr][name]
 		out += fmt.Sprintf("\n  %s: %v, leader %q, voter %v, applied %d, settled %v, seats %v", addr, c.Role, c.Leader, c.Voter, c.Applied, c.Settled, c.Voters)
@@ -587,7 +587,7 @@
 	return m.proxy.RouteTable().Version
 }
 
-func (f *fleet) Do(c scenario.Command) error {
+func (f *fleet) Do(c simulation.Command) error {
 	uintOf := func(i int) uint64 { n, _ := strconv.ParseUint(c.Word(i), 10, 64); return n }
 	switch c.Verb {
 	case "losses":
@@ -644,7 +644,7 @@
 	case "wipe-dead": // of all machines that are down
 		for _, m := range f.sortedMachines() {
 			if m.disk && m.stop == nil {
-				if err := f.Do(scenario.Command{Verb: "wipe", Words: []string{m.name}}); err != nil {
+				if err := f.Do(simulation.Command{Verb: "wipe", Words: []string{m.name}}); err != nil {
 					return err
 				}
 			}
@@ -749,7 +749,7 @@
 		err := f.until(c.Milliseconds(2), "the version at "+c.Word(1), func() bool {
 			for _, m := range f.machinesNamed(c.Word(1)) {
 				_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-				var v registrar.OutboxView
+				var v controlplane.OutboxView
 				last = fmt.Sprintf("%.200s", raw)
 				if json.Unmarshal([]byte(raw), &v) != nil || v.AppliedVersions["configuration"] < uintOf(0) {
 					return false
@@ -788,7 +788,7 @@
 	case "bad", "well": // bad NAMES PREFIX N: these switches find so many leafs bad, or well
 		for _, m := range f.machinesNamed(c.Word(0)) {
 			for i := range int(uintOf(2)) {
-				m.proxy.Upstreams.OnHealthChange(feed.HealthReport{EndpointID: c.Word(1) + strconv.Itoa(i), Service: "s", Healthy: c.Verb == "well"})
+				m.proxy.Upstreams.OnHealthChange(distribution.HealthReport{EndpointID: c.Word(1) + strconv.Itoa(i), Service: "s", Healthy: c.Verb == "well"})
 			}
 		}
 	case "want-marks": // want-marks N WITHIN: so many leafs are marked on every switch
@@ -831,7 +831,7 @@
 		f.estimate = true
 	case "want-estimates": // want-estimates NODES SAMPLES AT: so many switches answer, and know of so many lookups at least
 		_, raw := f.call(f.machinesNamed(c.Word(2))[0], http.MethodGet, "/Estimates.Read?class=urgent", 0, "")
-		var v registrar.EstimatesView
+		var v controlplane.EstimatesView
 		if err := json.Unmarshal([]byte(raw), &v); err != nil {
 			return err
 		}
@@ -844,7 +844,7 @@
 		}
 	case "want-saved": // want-saved LINES AT: so many exports are on that disk at least
 		_, raw := f.call(f.machinesNamed(c.Word(1))[0], http.MethodGet, "/Estimates.Saved", 0, "")
-		var lines []registrar.EstimatesView
+		var lines []controlplane.EstimatesView
 		if err := json.Unmarshal([]byte(raw), &lines); err != nil {
 			return err
 		}
@@ -897,7 +897,7 @@
 				names = append(names, m.name)
 			}
 		}
-		return f.Do(scenario.Command{Verb: strings.TrimSuffix(c.Verb, "-duty"), Words: []string{strings.Join(names, ",")}})
+		return f.Do(simulation.Command{Verb: strings.TrimSuffix(c.Verb, "-duty"), Words: []string{strings.Join(names, ",")}})
 	case "seeds": // seeds NAMES TOLD: the seeds of the settings from now on; the machines TOLD are told at once
 		f.seedNodes = nil
 		for _, m := range f.machinesNamed(c.Word(0)) {
@@ -973,7 +973,7 @@
 					continue
 				}
 				_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-				var v registrar.OutboxView
+				var v controlplane.OutboxView
 				last = m.name + ": " + raw
 				if json.Unmarshal([]byte(raw), &v) != nil || v.Backlog != int(uintOf(0)) || v.AppliedVersions["configuration"] != f.newest {
 					return false
@@ -987,7 +987,7 @@
 	case "want-quarantine": // want-quarantine N REDRIVES WITHIN: so many cases and redrives on every registrar
 		return f.until(c.Milliseconds(2), "the quarantine", func() bool {
 			for _, m := range f.sortedMachines() {
-				var v registrar.OutboxView
+				var v controlplane.OutboxView
 				if m.controlPlane == nil {
 					continue
 				}
@@ -1001,7 +1001,7 @@
 	case "redrive": // redrive EVENT ACTION AT: every case whose event id begins so
 		m := f.machinesNamed(c.Word(2))[0]
 		_, raw := f.call(m, http.MethodGet, "/Notices.Read", 0, "")
-		var v registrar.OutboxView
+		var v controlplane.OutboxView
 		if err := json.Unmarshal([]byte(raw), &v); err != nil {
 			return err
 		}
@@ -1110,16 +1110,16 @@
 
 // storedState says how much state a disk holds of the exchange cell, and of what.
 func storedState(dir string) (size, rows int, what string, err error) {
-	v, err := vault.Open(dir, vault.LocalDisk{}, func(error) {})
+	v, err := storage.Open(dir, storage.LocalDisk{}, func(error) {})
 	if err != nil {
 		return 0, 0, "", err
 	}
 	defer v.Close()
-	s, _, err := v.LoadReplica(registrar.MetaCell)
+	s, _, err := v.LoadReplica(controlplane.MetaCell)
 	if err != nil || s.Snapshot == nil {
 		return 0, 0, "", errors.Join(err, errors.New("no snapshot"))
 	}
-	raw, err := wire.Marshal(s.Snapshot)
+	raw, err := rpc.Marshal(s.Snapshot)
 	if err == nil && len(s.Entries) > maxLogEntries {
 		err = fmt.Errorf("%d entries of the log", len(s.Entries))
 	}
@@ -1129,7 +1129,7 @@
 		by[kind] += len(k) + len(val.Bytes)
 		keys[kind]++
 	}
-	return len(raw), keys["outbox"], fmt.Sprintf("%d packed, %d entries, keys %v, bytes %v", len(wire.EncodeBody(raw)), len(s.Entries), keys, by), err
+	return len(raw), keys["outbox"], fmt.Sprintf("%d packed, %d entries, keys %v, bytes %v", len(rpc.EncodeBody(raw)), len(s.Entries), keys, by), err
 }
 
 // cutOff cuts machines from the others with a disk, in one direction or both.
@@ -1159,7 +1159,7 @@
 func playFleet(t *testing.T, dir string) {
 	var mu sync.Mutex
 	fleets := map[string]*fleet{}
-	scenario.Play(t, dir, func(t *testing.T, run func(*testing.T)) {
+	simulation.Play(t, dir, func(t *testing.T, run func(*testing.T)) {
 		defer func() {
 			mu.Lock()
 			f := fleets[t.Name()]
@@ -1171,7 +1171,7 @@
 			}
 		}()
 		synctest.Test(t, run)
-	}, func(t *testing.T) scenario.World {
+	}, func(t *testing.T) simulation.World {
 		f := newFleet(t)
 		mu.Lock()
 		fleets[t.Name()] = f
@@ -1185,7 +1185,7 @@
 // once, while changes go on; what was acknowledged is there in the end, and everybody has
 // it. COMETHOLD_SEEDS says how many draws.
 func TestDisks(t *testing.T) {
-	for seed := range scenario.SeedCount(1) {
+	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -1194,7 +1194,7 @@
 				t.Cleanup(f.shutDown)
 				rng := rand.New(rand.NewSource(int64(seed)))
 				do := func(line string, args ...any) {
-					c, _ := scenario.Parse(fmt.Sprintf(line, args...))
+					c, _ := simulation.Parse(fmt.Sprintf(line, args...))
 					if err := f.Do(c); err != nil {
 						t.Errorf("%s: %v", c.Line, err)
 					}
--- a/internal/scenario/front_test.go
+++ b/internal/simulation/front_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"comethold/internal/scenario"
+	"comethold/internal/simulation"
 )
 
 // clients talk to a switch through its own server, on connections that they keep.
@@ -22,7 +22,7 @@
 }
 
 // doFront carries out the commands of clients with connections.
-func (p *plane) doFront(c scenario.Command) error {
+func (p *plane) doFront(c simulation.Command) error {
 	f := &p.clients
 	switch c.Verb {
 	case "serve": // from here on connections are taken
@@ -59,7 +59,7 @@
 }
 
 // sendOnConnection makes one request; status 0 is a connection that ended without a whole answer.
-func (p *plane) sendOnConnection(c scenario.Command) {
+func (p *plane) sendOnConnection(c simulation.Command) {
 	conn := p.clients.conns[c.Word(0)]
 	p.mu.Lock()
 	p.nextID++
--- a/internal/scenario/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"cmp"
--- a/internal/scenario/mesh_test.go
+++ b/internal/simulation/mesh_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"comethold/internal/wire"
+	"comethold/internal/rpc"
 )
 
 // network is a network of addresses on simulated time. A machine that is down refuses
@@ -73,7 +73,7 @@
 }
 
 // netOf is the network as a machine sees it in the life that begins now.
-func (m *network) netOf(host string) wire.Network {
+func (m *network) netOf(host string) rpc.Network {
 	m.mu.Lock()
 	life := m.incarnations[host]
 	m.mu.Unlock()
--- a/internal/scenario/operators_test.go
+++ b/internal/simulation/operators_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"context"
@@ -17,15 +17,15 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/scenario"
+	"comethold/internal/proxy"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
-	"comethold/internal/wire"
+	"comethold/internal/simulation"
 )
 
 // leaderMachine finds the registrar whose lead of the exchange cell a majority confirms.
 func (f *fleet) leaderMachine() *machine {
-	call := wire.NewClient(f.network.netOf(operatorAddr))
+	call := rpc.NewClient(f.network.netOf(operatorAddr))
 	for range 100 {
 		for _, m := range f.sortedMachines() {
 			if m.controlPlane == nil {
@@ -49,7 +49,7 @@
 }
 
 // doOperator carries out the commands about operators.
-func (f *fleet) doOperator(c scenario.Command) error {
+func (f *fleet) doOperator(c simulation.Command) error {
 	number := func(i int) uint64 { n, _ := strconv.ParseUint(c.Word(i), 10, 64); return n }
 	within := time.Duration(c.Number("within", 0)) * time.Millisecond
 	switch c.Verb {
@@ -203,7 +203,7 @@
 // TestFleetChaos draws troubles and orders from seeds, COMETHOLD_SEEDS of them.
 func TestFleetChaos(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED"))
-	for seed := first; seed < first+scenario.SeedCount(1); seed++ {
+	for seed := first; seed < first+simulation.SeedCount(1); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			var f *fleet
@@ -227,7 +227,7 @@
 
 // advance lets time go by, until the next acknowledgement if strike, and checks that no switch
 // goes back to an older configuration within one life.
-func (f *fleet) advance(span time.Duration, strike bool, lives map[*switchboard.Server]uint64) {
+func (f *fleet) advance(span time.Duration, strike bool, lives map[*proxy.Server]uint64) {
 	acks := func() int {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -252,7 +252,7 @@
 	do := func(format string, a ...any) {
 		line := fmt.Sprintf(format, a...)
 		lines = append(lines, line)
-		c, _ := scenario.Parse(line)
+		c, _ := simulation.Parse(line)
 		if err := f.Do(c); err != nil {
 			f.t.Fatalf("%v, at the end of:\n%s", err, strings.Join(lines, "\n"))
 		}
@@ -262,7 +262,7 @@
 			f.t.Log(strings.Join(lines, "\n"))
 		}
 	}()
-	lives := map[*switchboard.Server]uint64{}
+	lives := map[*proxy.Server]uint64{}
 	run := func(ms int) {
 		lines = append(lines, fmt.Sprintf("run %d", ms))
 		f.advance(time.Duration(ms)*time.Millisecond, false, lives)
--- a/internal/scenario/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"bufio"
@@ -20,17 +20,17 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/scenario"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/proxy"
+	"comethold/internal/routing"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
+	"comethold/internal/simulation"
 )
 
 // leaf is a stand-in for a server: it answers by its mode.
 type leaf struct {
-	feed.Endpoint
+	distribution.Endpoint
 	workTime time.Duration
 	mode     string
 	modeUses int // so many answers by the mode, then well; 0: always
@@ -41,7 +41,7 @@
 // plane is one switch among stand-ins for leafs, on simulated time.
 type plane struct {
 	t     *testing.T
-	proxy *switchboard.Server
+	proxy *proxy.Server
 
 	mu            sync.Mutex
 	leafs         map[string]*leaf
@@ -50,7 +50,7 @@
 	tenantsSeen   map[string][]string // the tenants that a leaf was told, in order
 	version       uint64
 	sequence      uint64
-	ejected       map[string]feed.EjectionMark
+	ejected       map[string]distribution.EjectionMark
 	logIndex      uint64
 	statuses      map[string]int
 	last          *httptest.ResponseRecorder
@@ -66,12 +66,12 @@
 }
 
 func newPlane(t *testing.T) *plane {
-	p := &plane{t: t, leafs: map[string]*leaf{}, ejected: map[string]feed.EjectionMark{}, statuses: map[string]int{}, runsByRequest: map[string]int{}, tenantsSeen: map[string][]string{}, quit: make(chan struct{})}
+	p := &plane{t: t, leafs: map[string]*leaf{}, ejected: map[string]distribution.EjectionMark{}, statuses: map[string]int{}, runsByRequest: map[string]int{}, tenantsSeen: map[string][]string{}, quit: make(chan struct{})}
 	set := &settings.Settings{NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
 		InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"},
 		Bounds: settings.Bounds{RetryBudgetRatio: 0.2, RetryWindowS: 10, RetryBudgetSlack: 20}}
 	p.settings = set
-	p.proxy = switchboard.New(set, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
+	p.proxy = proxy.New(set, logging.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
 	return p
 }
 
@@ -199,7 +199,7 @@
 	p.mu.Lock()
 	p.sequence++
 	p.logIndex++
-	l := &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: p.sequence}}
+	l := &distribution.EndpointList{Revision: distribution.Revision{Term: 1, Sequence: p.sequence}}
 	names := map[string]bool{}
 	for _, one := range p.leafs {
 		l.Endpoints = append(l.Endpoints, one.Endpoint)
@@ -210,16 +210,16 @@
 		services = append(services, map[string]any{"name": n, "healthPath": "/health", "connectionLimit": 40})
 	}
 	sort.Slice(services, func(i, j int) bool { return services[i]["name"].(string) < services[j]["name"].(string) })
-	marks := map[string]feed.EjectionMark{}
+	marks := map[string]distribution.EjectionMark{}
 	for k, v := range p.ejected {
 		marks[k] = v
 	}
 	p.version++
 	raw, _ := json.Marshal(map[string]any{"version": p.version, "routes": p.routes, "services": services, "tenants": p.tenants, "limits": map[string]any{"maxBodyBytes": 64, "idleTimeoutMs": p.clients.idle}})
-	cfg, _ := numbering.Decode(raw)
-	n := &feed.Update{Config: feed.FullConfig(cfg), Endpoints: l,
-		EjectionMarks: []feed.EjectionMarks{{IndexName: "i1", LogIndex: p.logIndex, Ejected: marks}},
-		Nodes:         &feed.NodeList{LogIndex: p.logIndex, DataPlaneCount: 4}}
+	cfg, _ := routing.Decode(raw)
+	n := &distribution.Update{Config: distribution.FullConfig(cfg), Endpoints: l,
+		EjectionMarks: []distribution.EjectionMarks{{IndexName: "i1", LogIndex: p.logIndex, Ejected: marks}},
+		Nodes:         &distribution.NodeList{LogIndex: p.logIndex, DataPlaneCount: 4}}
 	p.mu.Unlock()
 	p.proxy.Apply(n)
 }
@@ -274,10 +274,10 @@
 	}
 }
 
-func (p *plane) Do(c scenario.Command) error {
+func (p *plane) Do(c simulation.Command) error {
 	switch c.Verb {
 	case "leaf": // leaf ID SERVICE [zone= work= slots= mode= times= cold=]
-		l := &leaf{Endpoint: feed.Endpoint{ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a", Slots: int(c.Number("slots", 4)), WarmingUp: c.Options["cold"] != ""},
+		l := &leaf{Endpoint: distribution.Endpoint{ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a", Slots: int(c.Number("slots", 4)), WarmingUp: c.Options["cold"] != ""},
 			workTime: time.Duration(c.Number("work", 10) * float64(time.Millisecond)), mode: c.Options["mode"], modeUses: int(c.Number("times", 0))}
 		if z := c.Options["zone"]; z != "" {
 			l.Zone = z
@@ -310,10 +310,10 @@
 		p.sameRecords = true
 		p.settings.Estimates.Enabled = true
 		p.settings.Estimates.ShadowShare, _ = strconv.ParseFloat(c.Word(0), 64)
-		p.proxy = switchboard.New(p.settings, event.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
+		p.proxy = proxy.New(p.settings, logging.Nop(), func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial })
 		go func() { _ = p.proxy.CollectLatencies() }()
 	case "want-estimate": // want-estimate LEAF CLASS MS: within a fifth, 0 for unknown; the newest slow lookup names it too
-		v := p.proxy.LatencyEstimates(feed.EstimatesRequest{Class: c.Word(1)})
+		v := p.proxy.LatencyEstimates(distribution.EstimatesRequest{Class: c.Word(1)})
 		for _, k := range v.Sketches {
 			if k.Key.Endpoint == c.Word(0) && k.Key.Load == 0 {
 				e := k.Sketch.Estimate()
@@ -325,16 +325,16 @@
 		}
 		return errors.New("nothing is known of it")
 	case "want-slow": // want-slow LEAF OTHER real=MS: a slow lookup there, with an estimate for the other and what that really took
-		for _, s := range p.proxy.LatencyEstimates(feed.EstimatesRequest{}).SlowLookups {
+		for _, s := range p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups {
 			for _, o := range s.Replicas {
 				if s.Key.Endpoint == c.Word(0) && o.Endpoint == c.Word(1) && o.Estimate.Known() && o.Estimate.Covers(o.Actual) {
 					return nil
 				}
 			}
 		}
-		return fmt.Errorf("none: %+v", p.proxy.LatencyEstimates(feed.EstimatesRequest{}).SlowLookups)
+		return fmt.Errorf("none: %+v", p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups)
 	case "want-parts": // want-parts "LEAF KIND"...: exactly these differ
-		got := p.proxy.LatencyEstimates(feed.EstimatesRequest{}).Counters.Differences
+		got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
 		for i := 0; i+1 < len(c.Words); i += 2 {
 			k := c.Words[i] + " " + c.Words[i+1]
 			if got[k] == 0 {
@@ -359,7 +359,7 @@
 			return fmt.Errorf("it was told %q", got)
 		}
 	case "mark":
-		p.ejected[c.Word(0)] = feed.EjectionMark{Reason: feed.ReasonUnresponsive}
+		p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	case "unmark":
 		delete(p.ejected, c.Word(0))
 	case "feed":
@@ -418,7 +418,7 @@
 }
 
 func TestPlane(t *testing.T) {
-	scenario.Play(t, "testdata/plane", func(t *testing.T, run func(*testing.T)) { synctest.Test(t, run) }, func(t *testing.T) scenario.World {
+	simulation.Play(t, "testdata/plane", func(t *testing.T, run func(*testing.T)) { synctest.Test(t, run) }, func(t *testing.T) simulation.World {
 		p := newPlane(t)
 		t.Cleanup(func() {
 			p.leafs = map[string]*leaf{}
--- a/internal/scenario/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/synctest"
 
-	"comethold/internal/scenario"
+	"comethold/internal/simulation"
 )
 
 // repairScenario draws a day of losses: never more than two at a time, the next ones as soon as all
@@ -86,14 +86,14 @@
 
 // TestRepairs plays such days; COMETHOLD_SEEDS says how many.
 func TestRepairs(t *testing.T) {
-	for seed := range scenario.SeedCount(1) {
+	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t)
 				t.Cleanup(f.shutDown)
 				lines := repairScenario(rand.New(rand.NewSource(int64(seed))))
 				for i, line := range lines {
-					c, _ := scenario.Parse(line)
+					c, _ := simulation.Parse(line)
 					if err := f.Do(c); err != nil {
 						t.Fatalf("%v, after\n%s", err, strings.Join(lines[:i+1], "\n"))
 					}
--- a/internal/scenario/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,7 +1,7 @@
 // Package scenario plays scenario files in tests: small text files, a command a
 // line, '#' before a comment. What the commands do is up to a world; they are
 // listed in docs/testing.md.
-package scenario
+package simulation
 
 import (
 	"fmt"
--- a/internal/scenario/strange_test.go
+++ b/internal/simulation/strange_test.go
@@ -1,4 +1,4 @@
-package scenario_test
+package simulation_test
 
 import (
 	"bufio"
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
-	"comethold/internal/numbering"
-	"comethold/internal/scenario"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/proxy"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/switchboard"
-	"comethold/internal/wire"
+	"comethold/internal/simulation"
 )
 
 // adversary is a set of leafs on real sockets that end calls in every way that leafs and
@@ -59,7 +59,7 @@
 	return s.rng.Intn(n)
 }
 
-func (s *adversary) leaf(id, service string) feed.Endpoint {
+func (s *adversary) leaf(id, service string) distribution.Endpoint {
 	door, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -74,7 +74,7 @@
 			go s.serve(c, id, strings.HasPrefix(service, "g"))
 		}
 	}()
-	return feed.Endpoint{ID: id, Service: service, Addr: door.Addr().String(), Zone: "a", Slots: 8}
+	return distribution.Endpoint{ID: id, Service: service, Addr: door.Addr().String(), Zone: "a", Slots: 8}
 }
 
 // bodyOf is what a request carries and what its answer holds.
@@ -237,9 +237,9 @@
 // every way. Each answer is its request's own; what may not be repeated runs once at the
 // most, and not at all where the client is told so.
 func TestStrangeLeafs(t *testing.T) {
-	for seed := range scenario.SeedCount(3) {
+	for seed := range simulation.SeedCount(3) {
 		s := &adversary{t: t, seed: seed, rng: rand.New(rand.NewSource(int64(seed))), runs: map[string]int{}}
-		list := &feed.EndpointList{Revision: feed.Revision{Term: 1, Sequence: 1}}
+		list := &distribution.EndpointList{Revision: distribution.Revision{Term: 1, Sequence: 1}}
 		services := []map[string]any{}
 		for _, name := range []string{"s1", "g1", "g2", "g3"} {
 			services = append(services, map[string]any{"name": name, "healthPath": "/health", "connectionLimit": 40})
@@ -254,14 +254,14 @@
 		raw, _ := json.Marshal(map[string]any{"version": 1, "services": services, "limits": map[string]any{"maxBodyBytes": 1 << 20},
 			"routes": []any{route("a.example", "unsafe", "service", "s1"), route("b.example", "safe", "service", "s1"),
 				route("c.example", "safe", "fanoutServices", []string{"g1", "g2", "g3"})}})
-		cfg, err := numbering.Decode(raw)
+		cfg, err := routing.Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sw := switchboard.New(&settings.Settings{NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
+		sw := proxy.New(&settings.Settings{NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
 			InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"},
-			Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryWindowS: 10, RetryBudgetSlack: 20}}, event.Nop(), wire.TCPNetwork)
-		sw.Apply(&feed.Update{Config: feed.FullConfig(cfg), Endpoints: list, Nodes: &feed.NodeList{LogIndex: 1, DataPlaneCount: 1}})
+			Bounds: settings.Bounds{RetryBudgetRatio: 5, RetryWindowS: 10, RetryBudgetSlack: 20}}, logging.Nop(), rpc.TCPNetwork)
+		sw.Apply(&distribution.Update{Config: distribution.FullConfig(cfg), Endpoints: list, Nodes: &distribution.NodeList{LogIndex: 1, DataPlaneCount: 1}})
 		var next, well atomic.Int64
 		var all []asked
 		var wg sync.WaitGroup
--- a/internal/vault/names_test.go
+++ b/internal/storage/names_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/scenario"
+	"comethold/internal/paxos"
+	"comethold/internal/simulation"
 
 	bolt "go.etcd.io/bbolt"
 )
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	v, _ := openStore(t, whole)
-	if err := v.Bootstrap("identity", []byte("old"), "c", cell.Writes{}); err != nil {
+	if err := v.Bootstrap("identity", []byte("old"), "c", paxos.Writes{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := v.Close(); err != nil {
@@ -47,7 +47,7 @@
 		"whole and other":  {fileName: old, temporaryFileName: old, corruptFileName: nil},
 	}
 	for what, files := range begin {
-		for seed := range scenario.SeedCount(1) {
+		for seed := range simulation.SeedCount(1) {
 			for stop := 1; stop <= 11; stop++ {
 				dir := t.TempDir()
 				for name, raw := range files {
@@ -55,7 +55,7 @@
 						t.Fatal(err)
 					}
 				}
-				d := &scenario.FaultyDisk{Base: LocalDisk{}, Random: rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64, SyncFailureRate: 0.4}
+				d := &simulation.FaultyDisk{Base: LocalDisk{}, Random: rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64, SyncFailureRate: 0.4}
 				told, promised := "", uint64(0)
 				for life := 1; life <= 4; life++ {
 					d.LosePowerAfter(stop)
@@ -75,12 +75,12 @@
 						}
 						if id == "" {
 							id = strconv.Itoa(life)
-							err = v.Bootstrap("identity", []byte(id), "c", cell.Writes{})
+							err = v.Bootstrap("identity", []byte(id), "c", paxos.Writes{})
 						}
 						if err == nil {
 							told = id
 							if v.disk.Update(v.db, func(tx *bolt.Tx) error {
-								return putReplicaWrites(tx, "c", &cell.Writes{Promised: &cell.ProposalNumber{Term: promised + 1}})
+								return putReplicaWrites(tx, "c", &paxos.Writes{Promised: &paxos.ProposalNumber{Term: promised + 1}})
 							}) == nil {
 								promised++
 							}
@@ -105,8 +105,8 @@
 func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	v, _ := openStore(t, dir)
-	v.submitAndWait("c", cell.Writes{Snapshot: &cell.Snapshot{State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 40000))}}})
-	if err := v.Bootstrap("identity", []byte("a"), "c", cell.Writes{}); err != nil || v.Close() != nil {
+	v.submitAndWait("c", paxos.Writes{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 40000))}}})
+	if err := v.Bootstrap("identity", []byte("a"), "c", paxos.Writes{}); err != nil || v.Close() != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -144,16 +144,16 @@
 
 func testDiskFaults(t *testing.T) {
 	dir := t.TempDir()
-	d := &scenario.FaultyDisk{Base: LocalDisk{}, Random: func() float64 { return 0 }}
+	d := &simulation.FaultyDisk{Base: LocalDisk{}, Random: func() float64 { return 0 }}
 	d.SetFault(true, false)
 	for range 3 {
-		if _, err := Open(dir, d, func(err error) { t.Error(err) }); !errors.Is(err, scenario.ErrDiskFull) {
+		if _, err := Open(dir, d, func(err error) { t.Error(err) }); !errors.Is(err, simulation.ErrDiskFull) {
 			t.Fatalf("opened on a full disk: %v", err)
 		}
 	}
 	d.SetFault(false, false)
 	v, err := Open(dir, d, func(err error) {
-		if !errors.Is(err, scenario.ErrPowerLost) {
+		if !errors.Is(err, simulation.ErrPowerLost) {
 			t.Error(err)
 		}
 	})
@@ -164,7 +164,7 @@
 		t.Fatalf("a file that another process holds: %v", err)
 	}
 	d.SetFault(false, true)
-	v.Submit("c", cell.Writes{Promised: &cell.ProposalNumber{Term: 1}}, func() { t.Error("synced by a disk that hangs") })
+	v.Submit("c", paxos.Writes{Promised: &paxos.ProposalNumber{Term: 1}}, func() { t.Error("synced by a disk that hangs") })
 	for busy := false; !busy; time.Sleep(time.Millisecond) {
 		v.mu.Lock()
 		busy = v.committing
--- a/internal/vault/torn_test.go
+++ b/internal/storage/torn_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"comethold/internal/cell"
+	"comethold/internal/paxos"
 )
 
 // TestTornPages: power fails between two syncs. Of what was written since the last one
@@ -26,10 +26,10 @@
 	rng := rand.New(rand.NewSource(1))
 	var states [][]byte
 	for slot := uint64(1); slot <= 60; slot++ {
-		w := cell.Writes{CommitIndex: slot - 1, Promised: &cell.ProposalNumber{Term: slot, Proposer: "a"}, Entries: []cell.Entry{{Index: slot,
-			Txns: []cell.Txn{{ID: fmt.Sprint(slot), Ops: []cell.Op{{Kind: cell.OpPut, Key: "k", Value: cell.Bytes(make([]byte, rng.Intn(9000)))}}}}}}}
+		w := paxos.Writes{CommitIndex: slot - 1, Promised: &paxos.ProposalNumber{Term: slot, Proposer: "a"}, Entries: []paxos.Entry{{Index: slot,
+			Txns: []paxos.Txn{{ID: fmt.Sprint(slot), Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes(make([]byte, rng.Intn(9000)))}}}}}}}
 		if slot%20 == 0 { // a snapshot takes the place of what came before
-			w.Snapshot, w.TruncateTo = &cell.Snapshot{AppliedIndex: slot - 1, State: map[string]cell.Value{"k": cell.Bytes(make([]byte, 30000))}}, slot-1
+			w.Snapshot, w.TruncateTo = &paxos.Snapshot{AppliedIndex: slot - 1, State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 30000))}}, slot-1
 		}
 		v.submitAndWait("c", w)
 		raw, err := os.ReadFile(file)
--- a/internal/vault/vault.go
+++ b/internal/storage/vault.go
@@ -1,6 +1,6 @@
 // Package vault keeps the cells of one node on disk: one bbolt file, one sync
 // for everything that waits at the moment.
-package vault
+package storage
 
 import (
 	"encoding/binary"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"comethold/internal/cell"
-	"comethold/internal/wire"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
 
 	bolt "go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
@@ -149,7 +149,7 @@
 
 type pendingWrite struct {
 	cell      string
-	writes    cell.Writes
+	writes    paxos.Writes
 	nodeKey   string // of the node itself, instead of a cell
 	nodeValue []byte
 	done      func()
@@ -263,7 +263,7 @@
 }
 
 // Bootstrap stores a value of the node and the beginning of a cell: both or neither.
-func (v *Store) Bootstrap(key string, val []byte, name string, w cell.Writes) error {
+func (v *Store) Bootstrap(key string, val []byte, name string, w paxos.Writes) error {
 	v.mu.Lock()
 	v.knownCells[string(cellBucket(name))] = true
 	v.mu.Unlock()
@@ -304,7 +304,7 @@
 
 // LoadReplica reads what the disk holds of a cell. For one that is new the disk, which may be
 // hanging, is not asked.
-func (v *Store) LoadReplica(name string) (s cell.PersistedState, found bool, err error) {
+func (v *Store) LoadReplica(name string) (s paxos.PersistedState, found bool, err error) {
 	v.mu.Lock()
 	known := v.knownCells[string(cellBucket(name))]
 	v.mu.Unlock()
@@ -323,7 +323,7 @@
 		}
 		found = true
 		if p := b.Get(promisedKey); p != nil {
-			if err := wire.Unmarshal(p, &s.Promised); err != nil {
+			if err := rpc.Unmarshal(p, &s.Promised); err != nil {
 				return err
 			}
 		}
@@ -334,15 +334,15 @@
 			s.CommitIndex = binary.BigEndian.Uint64(c)
 		}
 		if p := b.Get(snapshotKey); p != nil {
-			s.Snapshot = &cell.Snapshot{}
-			if err := wire.Unmarshal(p, s.Snapshot); err != nil {
+			s.Snapshot = &paxos.Snapshot{}
+			if err := rpc.Unmarshal(p, s.Snapshot); err != nil {
 				return err
 			}
 		}
 		if l := b.Bucket(logBucket); l != nil {
 			return l.ForEach(func(_, val []byte) error {
-				var e cell.Entry
-				if err := wire.Unmarshal(val, &e); err != nil {
+				var e paxos.Entry
+				if err := rpc.Unmarshal(val, &e); err != nil {
 					return err
 				}
 				s.Entries = append(s.Entries, e)
@@ -360,7 +360,7 @@
 // Submit queues writes; done is called once they, and all submitted before
 // them, are synced. A disk that refuses is tried again until it takes them.
 // With nothing to wait for it returns true and does not call done.
-func (v *Store) Submit(name string, w cell.Writes, done func()) bool {
+func (v *Store) Submit(name string, w paxos.Writes, done func()) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.closed {
@@ -446,7 +446,7 @@
 
 func encodeUint64(slot uint64) []byte { return binary.BigEndian.AppendUint64(nil, slot) }
 
-func putReplicaWrites(tx *bolt.Tx, name string, w *cell.Writes) error {
+func putReplicaWrites(tx *bolt.Tx, name string, w *paxos.Writes) error {
 	if w.Empty() {
 		return nil
 	}
@@ -459,7 +459,7 @@
 		return err
 	}
 	if w.Promised != nil {
-		p, err := wire.Marshal(w.Promised)
+		p, err := rpc.Marshal(w.Promised)
 		if err != nil {
 			return err
 		}
@@ -473,7 +473,7 @@
 		}
 	}
 	for i := range w.Entries {
-		p, err := wire.Marshal(&w.Entries[i])
+		p, err := rpc.Marshal(&w.Entries[i])
 		if err != nil {
 			return err
 		}
@@ -482,7 +482,7 @@
 		}
 	}
 	if w.Snapshot != nil {
-		p, err := wire.Marshal(w.Snapshot)
+		p, err := rpc.Marshal(w.Snapshot)
 		if err != nil {
 			return err
 		}
--- a/internal/vault/vault_test.go
+++ b/internal/storage/vault_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"comethold/internal/cell"
+	"comethold/internal/paxos"
 )
 
 func openStore(t *testing.T, dir string) (*Store, bool) {
@@ -18,7 +18,7 @@
 	return v, v.NodeValue("identity") == nil
 }
 
-func (v *Store) submitAndWait(name string, w cell.Writes) {
+func (v *Store) submitAndWait(name string, w paxos.Writes) {
 	done := make(chan struct{})
 	if !v.Submit(name, w, func() { close(done) }) {
 		<-done
@@ -36,12 +36,12 @@
 	if err := v.SetNodeValue("identity", []byte("me")); err != nil {
 		t.Fatal(err)
 	}
-	entry := func(slot uint64) cell.Entry {
-		return cell.Entry{Index: slot, ProposalNumber: cell.ProposalNumber{Term: 2, Proposer: "a"}, Txns: []cell.Txn{{ID: "t"}}}
+	entry := func(slot uint64) paxos.Entry {
+		return paxos.Entry{Index: slot, ProposalNumber: paxos.ProposalNumber{Term: 2, Proposer: "a"}, Txns: []paxos.Txn{{ID: "t"}}}
 	}
-	v.submitAndWait("c", cell.Writes{Promised: &cell.ProposalNumber{Term: 2, Proposer: "a"}, Entries: []cell.Entry{entry(1), entry(2), entry(3)}, CommitIndex: 2})
-	v.submitAndWait("c", cell.Writes{Snapshot: &cell.Snapshot{AppliedIndex: 2, State: map[string]cell.Value{"k": cell.Int(7)}}, TruncateTo: 2, CommitIndex: 2})
-	v.submitAndWait("d", cell.Writes{Entries: []cell.Entry{entry(9)}})
+	v.submitAndWait("c", paxos.Writes{Promised: &paxos.ProposalNumber{Term: 2, Proposer: "a"}, Entries: []paxos.Entry{entry(1), entry(2), entry(3)}, CommitIndex: 2})
+	v.submitAndWait("c", paxos.Writes{Snapshot: &paxos.Snapshot{AppliedIndex: 2, State: map[string]paxos.Value{"k": paxos.Int(7)}}, TruncateTo: 2, CommitIndex: 2})
+	v.submitAndWait("d", paxos.Writes{Entries: []paxos.Entry{entry(9)}})
 	if err := v.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	if err != nil || !found || empty || string(v.NodeValue("identity")) != "me" {
 		t.Fatalf("found %v, empty %v: %v", found, empty, err)
 	}
-	if s.Promised.Term != 2 || s.CommitIndex != 2 || len(s.Entries) != 1 || s.Entries[0].Index != 3 || !s.Snapshot.State["k"].Equal(cell.Int(7)) {
+	if s.Promised.Term != 2 || s.CommitIndex != 2 || len(s.Entries) != 1 || s.Entries[0].Index != 3 || !s.Snapshot.State["k"].Equal(paxos.Int(7)) {
 		t.Fatalf("loaded %+v", s)
 	}
 	if _, found, _ := v.LoadReplica("nobody's"); found {
--- a/internal/trunk/grading.go
+++ b/internal/upstream/grading.go
@@ -1,9 +1,9 @@
-package trunk
+package upstream
 
 import (
 	"sort"
 
-	"comethold/internal/ring"
+	"comethold/internal/heartbeat"
 )
 
 // A grading gives each node its own part of a large group of leafs, so that
@@ -38,7 +38,7 @@
 	case f.locality.RegionOf(zone) == f.locality.RegionOf(f.locality.Zone):
 		s.distance = 1
 	}
-	s.hash = ring.Hash(f.locality.Node, leaf)
+	s.hash = heartbeat.Hash(f.locality.Node, leaf)
 	return s
 }
 
--- a/internal/trunk/grading_test.go
+++ b/internal/upstream/grading_test.go
@@ -1,11 +1,11 @@
-package trunk
+package upstream
 
 import (
 	"fmt"
 	"testing"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 )
 
 func testLocality(node, zone string) Locality {
@@ -13,11 +13,11 @@
 }
 
 // leafsAcrossZones makes a list of so many leafs, evenly over zones.
-func leafsAcrossZones(zones []string, n int) map[string]feed.Endpoint {
-	out := map[string]feed.Endpoint{}
+func leafsAcrossZones(zones []string, n int) map[string]distribution.Endpoint {
+	out := map[string]distribution.Endpoint{}
 	for i := range n {
 		id := fmt.Sprint("leaf-", i)
-		out[id] = feed.Endpoint{ID: id, Service: "s", Addr: id, Zone: zones[i%len(zones)], Slots: 2}
+		out[id] = distribution.Endpoint{ID: id, Service: "s", Addr: id, Zone: zones[i%len(zones)], Slots: 2}
 	}
 	return out
 }
@@ -27,7 +27,7 @@
 	frames := func(nodes, limit, leafs int) []*ClusterManager {
 		var out []*ClusterManager
 		for i := range nodes {
-			f := NewClusterManager(testLocality(fmt.Sprint("node-", i), zones[i%3]), nil, event.Nop())
+			f := NewClusterManager(testLocality(fmt.Sprint("node-", i), zones[i%3]), nil, logging.Nop())
 			f.SetServices(map[string]int{"s": limit}, nil)
 			f.SetNodeCount(nodes)
 			f.SetEndpoints(leafsAcrossZones(zones, leafs))
@@ -73,10 +73,10 @@
 	// Marks widen it: what is drained leaves its place to the next in order, and
 	// when the zone has too few left the region is used.
 	f := frames(1, 400, 120)[0]
-	marks := map[string]feed.EjectionMark{}
+	marks := map[string]distribution.EjectionMark{}
 	for id, tr := range f.endpoints {
 		if tr.info.Load().Zone == "a1" && len(marks) < 30 {
-			marks[id] = feed.EjectionMark{Reason: feed.ReasonUnresponsive}
+			marks[id] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 		}
 	}
 	f.SetFleetEjections(marks)
--- a/internal/trunk/health.go
+++ b/internal/upstream/health.go
@@ -1,4 +1,4 @@
-package trunk
+package upstream
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 )
 
 // errorRate is the share of bad answers of a leaf, as far as it still counts.
@@ -113,8 +113,8 @@
 	t.health, t.cluster.subset = Ejected, nil
 	t.ejectionTime = min(max(baseEjectionTime, 2*t.ejectionTime), maxEjectionTime)
 	f.closeIdle(t)
-	f.log.Info(event.EndpointEjected).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Str("why", why).Msg("leaf barred on this node")
-	f.OnHealthChange(feed.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service})
+	f.log.Info(logging.EndpointEjected).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Str("why", why).Msg("leaf barred on this node")
+	f.OnHealthChange(distribution.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service})
 	f.scheduleProbe(t, t.ejectionTime)
 }
 
@@ -125,8 +125,8 @@
 	}
 	t.health, t.consecutiveFailures, t.healthySince, t.cluster.subset = Healthy, 0, now, nil
 	t.latency, t.samples, t.smoothedErrorRate = 0, 0, 0
-	f.log.Info(event.EndpointRestored).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Msg("leaf clear on this node")
-	f.OnHealthChange(feed.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service, Healthy: true})
+	f.log.Info(logging.EndpointRestored).Str("leaf", t.info.Load().ID).Str("service", t.info.Load().Service).Msg("leaf clear on this node")
+	f.OnHealthChange(distribution.HealthReport{EndpointID: t.info.Load().ID, Service: t.info.Load().Service, Healthy: true})
 }
 
 // beginProbation lets a barred trunk take single calls until one of them goes well or not.
--- a/internal/trunk/line.go
+++ b/internal/upstream/line.go
@@ -1,4 +1,4 @@
-package trunk
+package upstream
 
 import (
 	"bufio"
--- a/internal/trunk/line_test.go
+++ b/internal/upstream/line_test.go
@@ -1,4 +1,4 @@
-package trunk
+package upstream
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 )
 
 // TestUnexpectedBytesAnswerNoRequest: bytes that a leaf sends after a whole answer, at once or later,
@@ -52,8 +52,8 @@
 		}
 	}()
 	d := &net.Dialer{}
-	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, event.Nop())
-	f.SetEndpoints(map[string]feed.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
+	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, logging.Nop())
+	f.SetEndpoints(map[string]distribution.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
 	for i := range 40 {
 		tr := f.Reserve("s", nil, false)
 		if tr == nil {
@@ -100,8 +100,8 @@
 		}
 	}()
 	d := &net.Dialer{}
-	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, event.Nop())
-	f.SetEndpoints(map[string]feed.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
+	f := NewClusterManager(testLocality("n1", "a"), d.DialContext, logging.Nop())
+	f.SetEndpoints(map[string]distribution.Endpoint{"l": {ID: "l", Service: "s", Addr: l.Addr().String(), Zone: "a", Slots: 2}})
 	return f
 }
 
--- a/internal/trunk/trunk.go
+++ b/internal/upstream/trunk.go
@@ -1,6 +1,6 @@
 // Package trunk keeps the connections to leafs, chooses the leaf for a try and
 // learns from its answers how the leaf is.
-package trunk
+package upstream
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"comethold/internal/event"
-	"comethold/internal/feed"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
 )
 
 // Timing and weights of the choice. Ours; see docs/design.md.
@@ -53,7 +53,7 @@
 
 // Endpoint is one leaf as this node sees it.
 type Endpoint struct {
-	info    atomic.Pointer[feed.Endpoint] // what it points to never changes
+	info    atomic.Pointer[distribution.Endpoint] // what it points to never changes
 	cluster *Cluster
 	rank    subsetRank
 
@@ -103,7 +103,7 @@
 // ClusterManager holds every group of this node.
 type ClusterManager struct {
 	locality Locality
-	log      *event.Logger
+	log      *logging.Logger
 	dial     DialFunc
 
 	mu               sync.Mutex
@@ -116,13 +116,13 @@
 	slotOvercommit   float64
 
 	// OnHealthChange is told of leafs that turn bad or well. It must not block.
-	OnHealthChange func(feed.HealthReport)
+	OnHealthChange func(distribution.HealthReport)
 }
 
 // NewClusterManager makes an empty frame for a node at a place.
-func NewClusterManager(place Locality, dial DialFunc, log *event.Logger) *ClusterManager {
+func NewClusterManager(place Locality, dial DialFunc, log *logging.Logger) *ClusterManager {
 	return &ClusterManager{locality: place, dial: dial, log: log, clusters: map[string]*Cluster{}, endpoints: map[string]*Endpoint{},
-		dialLatency: map[string]float64{}, connectionLimits: map[string]int{}, healthPaths: map[string]string{}, nodeCount: 1, OnHealthChange: func(feed.HealthReport) {}}
+		dialLatency: map[string]float64{}, connectionLimits: map[string]int{}, healthPaths: map[string]string{}, nodeCount: 1, OnHealthChange: func(distribution.HealthReport) {}}
 }
 
 // SetServices takes the connection limits and health paths of a plan.
@@ -179,7 +179,7 @@
 }
 
 // SetEndpoints takes the platform's list, by the leafs' names.
-func (f *ClusterManager) SetEndpoints(leafs map[string]feed.Endpoint) {
+func (f *ClusterManager) SetEndpoints(leafs map[string]distribution.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := time.Now()
@@ -227,14 +227,14 @@
 }
 
 // SetFleetEjections takes the leafs that the index cells hold as drained.
-func (f *ClusterManager) SetFleetEjections(drained map[string]feed.EjectionMark) {
+func (f *ClusterManager) SetFleetEjections(drained map[string]distribution.EjectionMark) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, t := range f.endpoints {
 		was := t.fleetEjected
-		var mark feed.EjectionMark
+		var mark distribution.EjectionMark
 		mark, t.fleetEjected = drained[id]
-		t.terminating = mark.Reason == feed.ReasonDraining
+		t.terminating = mark.Reason == distribution.ReasonDraining
 		if was != t.fleetEjected {
 			t.cluster.subset = nil
 		}
@@ -264,7 +264,7 @@
 			return l, nil
 		}
 		if l.unexpectedBytes {
-			f.log.Warn(event.EndpointSurplusData).Str("leaf", t.info.Load().ID).Msg("a leaf sent more after a whole answer; the connection is given up")
+			f.log.Warn(logging.EndpointSurplusData).Str("leaf", t.info.Load().ID).Msg("a leaf sent more after a whole answer; the connection is given up")
 		}
 		f.discardConnection(t, l)
 	}
@@ -353,4 +353,4 @@
 }
 
 // Info returns the leaf of a trunk.
-func (t *Endpoint) Info() feed.Endpoint { return *t.info.Load() }
+func (t *Endpoint) Info() distribution.Endpoint { return *t.info.Load() }
