--- a/internal/controlplane/board.go
+++ b/internal/controlplane/board.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"bytes"
 	"fmt"
 	"maps"
 	"slices"
@@ -236,12 +235,6 @@
 	}
 }
 
-func EqualEncoding(a, b any) bool {
-	x, err1 := rpc.Marshal(a)
-	y, err2 := rpc.Marshal(b)
-	return err1 == nil && err2 == nil && bytes.Equal(x, y)
-}
-
 // Nodes returns the directory of nodes by name. Callers must not change it.
 func (b *Distributor) Nodes() map[string]distribution.Node {
 	b.mu.Lock()
--- a/internal/controlplane/duty.go
+++ b/internal/controlplane/duty.go
@@ -11,12 +11,6 @@
 	"comethold/internal/rpc"
 )
 
-type LeaseRecord struct {
-	Holder   paxos.ReplicaID `cbor:"1,keyasint"`
-	Term     uint64          `cbor:"2,keyasint"`
-	Renewals uint64          `cbor:"3,keyasint"`
-}
-
 // ClockSkewFactor is how much faster the fastest steady clock may run than the
 // slowest before a lease is unsafe.
 const ClockSkewFactor = 3
--- a/internal/controlplane/host.go
+++ b/internal/controlplane/host.go
@@ -349,3 +349,7 @@
 	})
 	return v, ok
 }
+
+const (
+	StaleAfter = 2 * time.Second // since a majority surely followed the proposer; others know it a beat or two later
+)
--- a/internal/controlplane/move.go
+++ b/internal/controlplane/move.go
@@ -11,8 +11,6 @@
 	"comethold/internal/paxos"
 )
 
-func IndexCellName(n int64) string { return "i" + strconv.FormatInt(n, 10) }
-
 // MoveRequest asks a cell's proposer to give a seat to another member. Out is
 // empty where a seat is added.
 type MoveRequest struct {
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -9,8 +9,6 @@
 	"math"
 	"slices"
 	"sort"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -25,9 +23,6 @@
 // Bounds of the tables. Ours; see docs/design.md.
 const (
 	maxRedriveRecords = 256
-	MaxPublishedRows  = 128                                   // rows that were sent
-	MaxUnsentRows     = 128                                   // and that were not; what those before speak of is in the state
-	MaxOutboxRows     = MaxPublishedRows + MaxUnsentRows + 64 // in any state
 	maxQuarantined    = 64
 	publishInterval   = 500 * time.Millisecond
 	deliveryTimeout   = 1500 * time.Millisecond
@@ -54,36 +49,6 @@
 	return b
 }
 
-// StoredRow is a row of the outbox under its key.
-type StoredRow struct {
-	Key string
-	Raw []byte
-	Row outbox.Row
-}
-
-// DecodeRow reads a row. What is appended at a log position gets its version and its event
-// id from there.
-func DecodeRow(key string, raw []byte) (StoredRow, bool) {
-	k := StoredRow{Key: key, Raw: raw}
-	if rpc.Unmarshal(raw, &k.Row) != nil {
-		return k, false
-	}
-	if n := &k.Row.Notification; n.Aggregate == outbox.AggregatePurges {
-		n.Version, n.EventID = LogIndexOfKey(key, OutboxKeyPrefix), outbox.AggregatePurges+"/"+strings.TrimPrefix(key, OutboxKeyPrefix)
-	}
-	return k, true
-}
-
-func OutboxRows(m *paxos.Replica) (rows []StoredRow) {
-	for _, k := range m.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix) {
-		v, _ := m.Get(k)
-		if r, ok := DecodeRow(k, v.Bytes); ok {
-			rows = append(rows, r)
-		}
-	}
-	return rows
-}
-
 func (r *Server) outboxRows() (rows []StoredRow) {
 	r.host.Do(func() {
 		if m := r.host.Replicas[MetaCell]; m != nil {
@@ -434,13 +399,6 @@
 	return t, known, false
 }
 
-// LogIndexOfKey reads the log position out of the key of an appended value.
-func LogIndexOfKey(key, prefix string) uint64 {
-	at, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
-	n, _ := strconv.ParseUint(at, 10, 64)
-	return n
-}
-
 // addNotices puts those that are new on the board, in order of position, all at once.
 func (b *Distributor) addNotices(list []distribution.OutboxNotification) {
 	b.mu.Lock()
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -23,8 +23,7 @@
 )
 
 const (
-	longPollTimeout = time.Second     // an answer without news comes after this
-	StaleAfter      = 2 * time.Second // since a majority surely followed the proposer; others know it a beat or two later
+	longPollTimeout = time.Second // an answer without news comes after this
 )
 
 var errStopped = errors.New("registrar: told to end")
--- a/internal/controlplane/schema.go
+++ b/internal/controlplane/schema.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"bytes"
 	"fmt"
 	"math/big"
 	"net/http"
@@ -339,3 +340,74 @@
 	sort.Strings(gone)
 	return kept, fresh, gone
 }
+
+type LeaseRecord struct {
+	Holder   paxos.ReplicaID `cbor:"1,keyasint"`
+	Term     uint64          `cbor:"2,keyasint"`
+	Renewals uint64          `cbor:"3,keyasint"`
+}
+
+func IndexCellName(n int64) string { return "i" + strconv.FormatInt(n, 10) }
+
+const (
+	MaxPublishedRows = 128                                   // rows that were sent
+	MaxUnsentRows    = 128                                   // and that were not; what those before speak of is in the state
+	MaxOutboxRows    = MaxPublishedRows + MaxUnsentRows + 64 // in any state
+)
+
+// StoredRow is a row of the outbox under its key.
+type StoredRow struct {
+	Key string
+	Raw []byte
+	Row outbox.Row
+}
+
+// DecodeRow reads a row. What is appended at a log position gets its version and its event
+// id from there.
+func DecodeRow(key string, raw []byte) (StoredRow, bool) {
+	k := StoredRow{Key: key, Raw: raw}
+	if rpc.Unmarshal(raw, &k.Row) != nil {
+		return k, false
+	}
+	if n := &k.Row.Notification; n.Aggregate == outbox.AggregatePurges {
+		n.Version, n.EventID = LogIndexOfKey(key, OutboxKeyPrefix), outbox.AggregatePurges+"/"+strings.TrimPrefix(key, OutboxKeyPrefix)
+	}
+	return k, true
+}
+
+func OutboxRows(m *paxos.Replica) (rows []StoredRow) {
+	for _, k := range m.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix) {
+		v, _ := m.Get(k)
+		if r, ok := DecodeRow(k, v.Bytes); ok {
+			rows = append(rows, r)
+		}
+	}
+	return rows
+}
+
+// LogIndexOfKey reads the log position out of the key of an appended value.
+func LogIndexOfKey(key, prefix string) uint64 {
+	at, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
+	n, _ := strconv.ParseUint(at, 10, 64)
+	return n
+}
+
+func UsageReportKey(window uint64) string {
+	return fmt.Sprintf("%s%020d", UsageReportKeyPrefix, window)
+}
+
+func UsageReportRows(m *paxos.Replica) (rows []StoredRow) {
+	for _, k := range m.KeysWithPrefix(UsageReportKeyPrefix, UsageReportKeyPrefix) {
+		v, _ := m.Get(k)
+		if row, ok := DecodeRow(k, v.Bytes); ok {
+			rows = append(rows, row)
+		}
+	}
+	return rows
+}
+
+func EqualEncoding(a, b any) bool {
+	x, err1 := rpc.Marshal(a)
+	y, err2 := rpc.Marshal(b)
+	return err1 == nil && err2 == nil && bytes.Equal(x, y)
+}
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -174,10 +174,6 @@
 	}
 }
 
-func UsageReportKey(window uint64) string {
-	return fmt.Sprintf("%s%020d", UsageReportKeyPrefix, window)
-}
-
 // reportRows lists the rows of the reports, oldest first.
 func (r *Server) reportRows() (rows []StoredRow) {
 	r.host.Do(func() {
@@ -188,16 +184,6 @@
 	return rows
 }
 
-func UsageReportRows(m *paxos.Replica) (rows []StoredRow) {
-	for _, k := range m.KeysWithPrefix(UsageReportKeyPrefix, UsageReportKeyPrefix) {
-		v, _ := m.Get(k)
-		if row, ok := DecodeRow(k, v.Bytes); ok {
-			rows = append(rows, row)
-		}
-	}
-	return rows
-}
-
 // firstUnreportedWindow is the first that has no report. Where there is none at all, the first life
 // that holds the duty begins with what it has heard of.
 func (r *Server) firstUnreportedWindow(rows []StoredRow, now uint64) uint64 {
