--- a/internal/controlplane/board.go
+++ b/internal/controlplane/board.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/routing"
 	"comethold/internal/rpc"
@@ -178,7 +179,7 @@
 	if ok {
 		slot := m.LogIndex
 		m.LogIndex = old.LogIndex
-		if EqualEncoding(old, m) {
+		if schema.EqualEncoding(old, m) {
 			return
 		}
 		m.LogIndex = slot
--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"comethold/internal/compat"
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -17,10 +18,10 @@
 	seat := paxos.Voter{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
 	n := outbox.Notification{EventID: "configuration/8", TenantID: "t", Aggregate: outbox.AggregateConfiguration, Version: 8, PreviousVersion: 7, Payload: []byte{1, 2}, Digest: []byte{3, 4}}
 	compat.CheckMessages(t, []compat.Message{
-		{Name: "index", Value: IndexRecord{Voters: []paxos.Voter{seat}, Routes: []string{"r1", "r2"}, Services: []string{"s1"}}},
-		{Name: "index-cut", Value: ShardSetRecord{Version: 8, Services: []string{"s1"}, Routes: []string{"r1"}}},
-		{Name: "receipt-archive", Value: []archivedReceipt{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
-		{Name: "duty-lease", Value: LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
+		{Name: "index", Value: schema.IndexRecord{Voters: []paxos.Voter{seat}, Routes: []string{"r1", "r2"}, Services: []string{"s1"}}},
+		{Name: "index-cut", Value: schema.ShardSetRecord{Version: 8, Services: []string{"s1"}, Routes: []string{"r1"}}},
+		{Name: "receipt-archive", Value: []schema.ArchivedReceipt{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
+		{Name: "duty-lease", Value: schema.LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
 		{Name: "quarantine", Value: QuarantineRecord{Notification: n, Reason: "no event id", ReportedBy: "n1"}},
 		{Name: "redrive", Value: RedriveRequest{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: RedriveResend}},
 		{Name: "redrive-close", Value: RedriveRequest{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: RedriveClose}},
@@ -41,15 +42,15 @@
 // what data directories hold.
 func TestStoredNames(t *testing.T) {
 	for name, want := range map[string]string{
-		MetaCell: "exchange", exportFileName: "estimates.jsonl",
-		ConfigVersionKey: "config/version", ConfigDataKey: "config/raw", ReceiptKeyPrefix: "receipt/", ReceiptArchiveKeyPrefix: "receipt-archive/",
-		ReceiptsForgottenKey: "receipt-forgotten", NodeKeyPrefix: "node/", IndexKeyPrefix: "index/", NextIndexIDKey: "index-next", LeaseKeyPrefix: "duty/",
-		PurgeKeyPrefix: "recall/", PurgeCompactedKey: "recall-floor", RateSharesKey: "shares", QuotaSharesKey: "quota-shares", UsageReportKeyPrefix: "usage/",
-		OutboxKeyPrefix: "outbox/", QuarantineKeyPrefix: "quarantine/", RedriveKeyPrefix: "redrive/", ShardSetKey: "cut", EjectionKeyPrefix: "mark/",
+		schema.MetaCell: "exchange", exportFileName: "estimates.jsonl",
+		schema.ConfigVersionKey: "config/version", schema.ConfigDataKey: "config/raw", schema.ReceiptKeyPrefix: "receipt/", schema.ReceiptArchiveKeyPrefix: "receipt-archive/",
+		schema.ReceiptsForgottenKey: "receipt-forgotten", schema.NodeKeyPrefix: "node/", schema.IndexKeyPrefix: "index/", schema.NextIndexIDKey: "index-next", schema.LeaseKeyPrefix: "duty/",
+		schema.PurgeKeyPrefix: "recall/", schema.PurgeCompactedKey: "recall-floor", schema.RateSharesKey: "shares", schema.QuotaSharesKey: "quota-shares", schema.UsageReportKeyPrefix: "usage/",
+		schema.OutboxKeyPrefix: "outbox/", schema.QuarantineKeyPrefix: "quarantine/", schema.RedriveKeyPrefix: "redrive/", schema.ShardSetKey: "cut", schema.EjectionKeyPrefix: "mark/",
 		identityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
-		ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", receiptArchiveKey(7): "receipt-archive/00000000000000000007",
-		UsageReportKey(9): "usage/00000000000000000009",
-		paxos.AppendedKey(PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
+		schema.ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", schema.ReceiptArchiveKey(7): "receipt-archive/00000000000000000007",
+		schema.UsageReportKey(9):                             "usage/00000000000000000009",
+		paxos.AppendedKey(schema.PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
 	} {
 		if name != want {
 			t.Errorf("stored under %q, and before under %q", name, want)
--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
@@ -102,12 +103,12 @@
 	var t paxos.Txn
 	var doubted []distribution.Node
 	put := func(old distribution.Node, known bool, n distribution.Node) {
-		cond := paxos.Condition{Key: NodeKeyPrefix + n.Name, Absent: !known}
+		cond := paxos.Condition{Key: schema.NodeKeyPrefix + n.Name, Absent: !known}
 		if known {
-			cond.Equals = MustEncode(old)
+			cond.Equals = schema.MustEncode(old)
 		}
 		t.Conditions = append(t.Conditions, cond)
-		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: NodeKeyPrefix + n.Name, Value: MustEncode(n)})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NodeKeyPrefix + n.Name, Value: schema.MustEncode(n)})
 	}
 	r.mu.Lock()
 	for name, s := range r.recentNodes {
@@ -144,7 +145,7 @@
 		r.log.Warn(logging.NodeDown).Str("peer", old.Name).Msg("a node is missed by its watchers")
 	}
 	if len(t.Ops) > 0 {
-		r.propose(MetaCell, t)
+		r.propose(schema.MetaCell, t)
 	}
 }
 
@@ -192,24 +193,24 @@
 		}
 	})
 	for name, n := range table {
-		cond := paxos.Condition{Key: NodeKeyPrefix + name, Equals: MustEncode(n)}
+		cond := paxos.Condition{Key: schema.NodeKeyPrefix + name, Equals: schema.MustEncode(n)}
 		switch {
 		case !n.Down:
 			delete(since, name)
 			if silent[name] {
 				n.Down = true
 				t.Conditions = append(t.Conditions, cond)
-				t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: NodeKeyPrefix + name, Value: MustEncode(n)})
+				t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NodeKeyPrefix + name, Value: schema.MustEncode(n)})
 			}
 		case since[name].IsZero():
 			since[name] = now
 		case now.Sub(since[name]) > downNodeRetention:
 			delete(since, name)
 			t.Conditions = append(t.Conditions, cond)
-			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: NodeKeyPrefix + name})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: schema.NodeKeyPrefix + name})
 		}
 	}
 	if len(t.Ops) > 0 {
-		r.propose(MetaCell, t)
+		r.propose(schema.MetaCell, t)
 	}
 }
--- a/internal/controlplane/duty.go
+++ b/internal/controlplane/duty.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 	"comethold/internal/rpc"
@@ -68,7 +69,7 @@
 // of its holder, who has it under the term.
 func (d *Lease) FenceCondition(term uint64) (paxos.Condition, bool) {
 	rec, raw := d.readRecord()
-	return paxos.Condition{Key: LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}, raw != nil && rec.Holder == d.host.Self.ID && rec.Term == term && d.Remaining(term) > 0
+	return paxos.Condition{Key: schema.LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}, raw != nil && rec.Holder == d.host.Self.ID && rec.Term == term && d.Remaining(term) > 0
 }
 
 // Forfeit ends what this node holds; it may take the duty anew, under another term.
@@ -90,8 +91,8 @@
 	}
 }
 
-func (d *Lease) readRecord() (rec LeaseRecord, raw []byte) {
-	v, ok := d.host.Get(MetaCell, LeaseKeyPrefix+d.name)
+func (d *Lease) readRecord() (rec schema.LeaseRecord, raw []byte) {
+	v, ok := d.host.Get(schema.MetaCell, schema.LeaseKeyPrefix+d.name)
 	if ok && rpc.Unmarshal(v.Bytes, &rec) == nil {
 		raw = v.Bytes
 	}
@@ -118,26 +119,26 @@
 	d.mu.Unlock()
 	switch {
 	case mine && due:
-		d.propose(raw, LeaseRecord{Holder: rec.Holder, Term: rec.Term, Renewals: rec.Renewals + 1})
+		d.propose(raw, schema.LeaseRecord{Holder: rec.Holder, Term: rec.Term, Renewals: rec.Renewals + 1})
 	case !mine && silent >= after && (rec.Holder == "" || rec.Holder == d.host.Self.ID || silent >= d.skewFactor*d.duration+after || silent >= d.duration && d.host.IncarnationEnded(rec.Holder)):
 		// What is recorded for this very node but not held is of a former
 		// life, which is over, or has lapsed by its own clock. So is what is
 		// recorded for a member whose machine came back with another disk.
-		d.propose(raw, LeaseRecord{Holder: d.host.Self.ID, Term: rec.Term + 1})
+		d.propose(raw, schema.LeaseRecord{Holder: d.host.Self.ID, Term: rec.Term + 1})
 	}
 }
 
-func (d *Lease) propose(old []byte, rec LeaseRecord) {
+func (d *Lease) propose(old []byte, rec schema.LeaseRecord) {
 	asked := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), d.duration)
 	defer cancel()
-	cond := paxos.Condition{Key: LeaseKeyPrefix + d.name, Absent: old == nil}
+	cond := paxos.Condition{Key: schema.LeaseKeyPrefix + d.name, Absent: old == nil}
 	if old != nil {
 		cond.Equals = paxos.Bytes(old)
 	}
-	ok, err := d.host.Propose(ctx, MetaCell, paxos.Txn{
+	ok, err := d.host.Propose(ctx, schema.MetaCell, paxos.Txn{
 		Conditions: []paxos.Condition{cond},
-		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(rec)}},
+		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: schema.LeaseKeyPrefix + d.name, Value: schema.MustEncode(rec)}},
 	})
 	if err != nil || !ok {
 		return
@@ -173,9 +174,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, _ = d.host.Propose(ctx, MetaCell, paxos.Txn{
-		Conditions: []paxos.Condition{{Key: LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}},
-		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: LeaseKeyPrefix + d.name, Value: MustEncode(LeaseRecord{Term: rec.Term, Renewals: rec.Renewals + 1})}},
+	_, _ = d.host.Propose(ctx, schema.MetaCell, paxos.Txn{
+		Conditions: []paxos.Condition{{Key: schema.LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}},
+		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: schema.LeaseKeyPrefix + d.name, Value: schema.MustEncode(schema.LeaseRecord{Term: rec.Term, Renewals: rec.Renewals + 1})}},
 	})
 	d.host.Log.Info(logging.LeaseReleased).Str("duty", d.name).Msg("duty released")
 }
--- a/internal/controlplane/host.go
+++ b/internal/controlplane/host.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
@@ -130,7 +131,7 @@
 	if (paxos.Membership{Voters: founders}).Contains(id) {
 		w.Snapshot = foundingSnapshot(founders)
 	}
-	return id, true, v.Bootstrap(identityKey, []byte(id), MetaCell, w)
+	return id, true, v.Bootstrap(identityKey, []byte(id), schema.MetaCell, w)
 }
 
 // foundingSnapshot is the state of a cell at its beginning.
@@ -143,7 +144,7 @@
 func (h *Host) replicaParams(name string) paxos.Config {
 	p := paxos.Config{Cell: name, Self: h.Self.ID, Alpha: Alpha, MaxQueue: maxQueuedTransactions, MaxBatch: maxTransactionsPerEntry,
 		RetainedEntries: logEntriesKept, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, Jitter: mrand.Float64}
-	if name != MetaCell {
+	if name != schema.MetaCell {
 		p.HeartbeatInterval, p.ElectionTimeout = indexHeartbeatInterval, indexElectionTimeout
 	}
 	return p
@@ -241,7 +242,7 @@
 	}
 	h.ObserveStability(now)
 	every := helloInterval
-	if ex := h.Replicas[MetaCell]; ex != nil && ex.IsVoter() && ex.Leader() != "" {
+	if ex := h.Replicas[schema.MetaCell]; ex != nil && ex.IsVoter() && ex.Leader() != "" {
 		every = 2 * helloInterval
 	}
 	if now-h.lastHelloAt >= every {
@@ -255,7 +256,7 @@
 
 // ObserveStability notes when the exchange cell was not at rest, as far as this node knows.
 func (h *Host) ObserveStability(now time.Duration) {
-	m := h.Replicas[MetaCell]
+	m := h.Replicas[schema.MetaCell]
 	if m == nil {
 		return
 	}
@@ -272,7 +273,7 @@
 // do hear every registrar.
 func (h *Host) IsVoter() (yes bool) {
 	h.Do(func() {
-		m := h.Replicas[MetaCell]
+		m := h.Replicas[schema.MetaCell]
 		yes = m != nil && m.IsVoter()
 	})
 	return yes
--- a/internal/controlplane/late_test.go
+++ b/internal/controlplane/late_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -21,16 +22,16 @@
 		return *todo["i"]
 	}
 	cut := func(version uint64, shard string) paxos.Txn {
-		v, known := held(ShardSetKey)
-		txn, due := ShardSetTxn(v, known, ShardSetRecord{Version: version, Services: []string{shard}})
+		v, known := held(schema.ShardSetKey)
+		txn, due := ShardSetTxn(v, known, schema.ShardSetRecord{Version: version, Services: []string{shard}})
 		if !due {
 			t.Errorf("the cut of %d is not due", version)
 		}
 		return txn
 	}
 	forget := func(upTo uint64) paxos.Txn {
-		v, known := held(PurgeCompactedKey)
-		return ForgetPurgesTxn(v, known, []string{paxos.AppendedKey(PurgeKeyPrefix, upTo, "x")})
+		v, known := held(schema.PurgeCompactedKey)
+		return ForgetPurgesTxn(v, known, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 	}
 	again := func(eventID, action, correlation string) paxos.Txn {
 		txn, known, done := RedriveTransaction(c.replica, &RedriveRequest{EventID: eventID, Operator: "op", CorrelationID: correlation, Action: action})
@@ -43,11 +44,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range MaxPublishedRows + 1 {
-		c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(outbox.Row{Notification: n, State: outbox.Published})}}})
+	for range schema.MaxPublishedRows + 1 {
+		c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: schema.MustEncode(outbox.Row{Notification: n, State: outbox.Published})}}})
 	}
 	sweep := func() paxos.Txn {
-		txn, _, _ := SweepRows(OutboxRows(c.replica))
+		txn, _, _ := SweepRows(schema.OutboxRows(c.replica))
 		return txn
 	}
 	for _, k := range []struct {
@@ -63,14 +64,14 @@
 		{"a cut", func() paxos.Txn { return cut(3, "a") }, func() paxos.Txn { return cut(5, "b") }},
 		{"forgotten purges", func() paxos.Txn { return forget(10) }, func() paxos.Txn { return forget(20) }},
 		{"the sweep of notices", sweep, func() paxos.Txn {
-			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: c.replica.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix)[0], Value: MustEncode(outbox.Row{Notification: n, State: outbox.Pending})}}}
+			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: c.replica.KeysWithPrefix(schema.OutboxKeyPrefix, schema.OutboxKeyPrefix)[0], Value: schema.MustEncode(outbox.Row{Notification: n, State: outbox.Pending})}}}
 		}},
 		{"a redrive", func() paxos.Txn { return again(n.EventID, RedriveResend, "case-1") }, func() paxos.Txn { return again(n.EventID, RedriveResend, "case-2") }},
 		{"the end of a case", func() paxos.Txn {
-			c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: QuarantineKeyPrefix + "order", Value: MustEncode(QuarantineRecord{Reason: "forged"})}}})
+			c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(QuarantineRecord{Reason: "forged"})}}})
 			return again("order", RedriveClose, "case-1")
 		}, func() paxos.Txn {
-			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: QuarantineKeyPrefix + "order", Value: MustEncode(QuarantineRecord{Reason: "forged again"})}}}
+			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(QuarantineRecord{Reason: "forged again"})}}}
 		}},
 	} {
 		late := k.first()
@@ -87,14 +88,14 @@
 			t.Errorf("%s: committed late", k.why)
 		}
 	}
-	if v, _ := held(PurgeCompactedKey); !v.Equal(UintValue(20)) {
+	if v, _ := held(schema.PurgeCompactedKey); !v.Equal(schema.UintValue(20)) {
 		t.Errorf("the floor of purges is %v", v.Int)
 	}
 	if _, known, done := RedriveTransaction(c.replica, &RedriveRequest{EventID: n.EventID, Operator: "op", CorrelationID: "case-1", Action: RedriveResend}); !known || !done {
 		t.Error("a redrive that was taken is not known when it is sent again")
 	}
-	if v, known := held(ShardSetKey); known {
-		if _, due := ShardSetTxn(v, known, ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
+	if v, known := held(schema.ShardSetKey); known {
+		if _, due := ShardSetTxn(v, known, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
 			t.Error("an older cut is due")
 		}
 	}
--- a/internal/controlplane/marks.go
+++ b/internal/controlplane/marks.go
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 )
@@ -14,8 +15,8 @@
 func (r *Server) indexesByService() map[string][]string {
 	out := map[string][]string{}
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
-			for ix, rec := range ReadIndexes(m) {
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
+			for ix, rec := range schema.ReadIndexes(m) {
 				for _, s := range rec.Services {
 					out[s] = append(out[s], ix)
 				}
@@ -32,7 +33,7 @@
 	var out map[string]distribution.EjectionMark
 	r.host.Do(func() {
 		if m := r.host.Replicas[ix]; m != nil {
-			out = ReadEjections(ix, m).Ejected
+			out = schema.ReadEjections(ix, m).Ejected
 		}
 	})
 	return out
@@ -125,13 +126,13 @@
 		t = &paxos.Txn{}
 		todo[ix] = t
 	}
-	key := EjectionKeyPrefix + leaf
+	key := schema.EjectionKeyPrefix + leaf
 	cond, op := paxos.Condition{Key: key, Absent: held.Reason == ""}, paxos.Op{Kind: paxos.OpDelete, Key: key}
 	if !cond.Absent {
-		cond.Equals = MustEncode(held)
+		cond.Equals = schema.MustEncode(held)
 	}
 	if next != nil {
-		op.Kind, op.Value = paxos.OpPut, MustEncode(*next)
+		op.Kind, op.Value = paxos.OpPut, schema.MustEncode(*next)
 	}
 	t.Conditions, t.Ops = append(t.Conditions, cond), append(t.Ops, op)
 }
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -49,10 +50,10 @@
 	return b
 }
 
-func (r *Server) outboxRows() (rows []StoredRow) {
+func (r *Server) outboxRows() (rows []schema.StoredRow) {
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
-			rows = OutboxRows(m)
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
+			rows = schema.OutboxRows(m)
 		}
 	})
 	return rows
@@ -67,7 +68,7 @@
 		}
 	}
 	for _, t := range next.Tenants {
-		if o, ok := had[t.Name]; !ok || !EqualEncoding(o, t) {
+		if o, ok := had[t.Name]; !ok || !schema.EqualEncoding(o, t) {
 			out = append(out, t.Name)
 		}
 		delete(had, t.Name)
@@ -96,7 +97,7 @@
 	// that waits, or at its position, is told after it.
 	told, waits := []distribution.OutboxNotification(nil), uint64(math.MaxUint64)
 	for i := range rows {
-		n, slot := &rows[i].Row.Notification, LogIndexOfKey(rows[i].Key, OutboxKeyPrefix)
+		n, slot := &rows[i].Row.Notification, schema.LogIndexOfKey(rows[i].Key, schema.OutboxKeyPrefix)
 		if n.Version <= have[n.Aggregate] && n.PreviousVersion > b.inbox.AppliedVersions[n.Aggregate] {
 			// What was between is in the state that is held here; its rows are swept.
 			b.inbox.SetBaseVersion(n.Aggregate, n.PreviousVersion)
@@ -136,7 +137,7 @@
 }
 
 // hasUndecidedConfiguration reports whether the outbox holds a notice up to the version that is not done.
-func hasUndecidedConfiguration(rows []StoredRow, in *outbox.Inbox, version uint64) bool {
+func hasUndecidedConfiguration(rows []schema.StoredRow, in *outbox.Inbox, version uint64) bool {
 	for _, k := range rows {
 		if n := &k.Row.Notification; n.Aggregate == outbox.AggregateConfiguration && n.Version <= version && n.Version > in.AppliedVersions[n.Aggregate] {
 			return true
@@ -206,13 +207,13 @@
 // publish claims what is due, sends it and notes what became of it.
 func (r *Server) publish(owner string, seen map[string]observedRow) {
 	t, rows, dropped := SweepRows(r.outboxRows())
-	if len(t.Ops) > 0 && r.propose(MetaCell, t) {
+	if len(t.Ops) > 0 && r.propose(schema.MetaCell, t) {
 		for _, id := range dropped {
 			r.log.Warn(logging.NotificationDropped).Str("eventId", id).Msg("a notice that not every registrar has taken is dropped for newer ones")
 		}
 	}
 	t, claimed := claimRows(rows, owner, seen, time.Now())
-	if len(t.Ops) == 0 || !r.propose(MetaCell, t) || len(claimed) == 0 {
+	if len(t.Ops) == 0 || !r.propose(schema.MetaCell, t) || len(claimed) == 0 {
 		return
 	}
 	sent := r.deliverToAll(claimed)
@@ -227,14 +228,14 @@
 			continue
 		}
 		t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
-		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(next)})
 	}
-	r.propose(MetaCell, t)
+	r.propose(schema.MetaCell, t)
 }
 
 // claimRows makes the transaction that claims what is due; it holds only for rows that are
 // as they were seen.
-func claimRows(rows []StoredRow, owner string, seen map[string]observedRow, now time.Time) (t paxos.Txn, claimed []StoredRow) {
+func claimRows(rows []schema.StoredRow, owner string, seen map[string]observedRow, now time.Time) (t paxos.Txn, claimed []schema.StoredRow) {
 	known := map[string]bool{}
 	for _, k := range rows {
 		known[k.Key] = true
@@ -249,9 +250,9 @@
 			continue
 		}
 		t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
-		put := paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}
+		put := paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(next)}
 		t.Ops = append(t.Ops, put)
-		claimed = append(claimed, StoredRow{Key: k.Key, Raw: put.Value.Bytes, Row: next})
+		claimed = append(claimed, schema.StoredRow{Key: k.Key, Raw: put.Value.Bytes, Row: next})
 	}
 	maps.DeleteFunc(seen, func(key string, _ observedRow) bool { return !known[key] })
 	return t, claimed
@@ -259,13 +260,13 @@
 
 // SweepRows makes the transaction that forgets the oldest rows, by themselves: what
 // registrars claim of the others must not hold it up. Those that stay are handed back.
-func SweepRows(rows []StoredRow) (t paxos.Txn, stay []StoredRow, dropped []string) {
+func SweepRows(rows []schema.StoredRow) (t paxos.Txn, stay []schema.StoredRow, dropped []string) {
 	published, unsent := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
 		k := rows[i]
-		n, most := &unsent, MaxUnsentRows
+		n, most := &unsent, schema.MaxUnsentRows
 		if k.Row.State == outbox.Published {
-			n, most = &published, MaxPublishedRows
+			n, most = &published, schema.MaxPublishedRows
 		}
 		if *n++; *n <= most {
 			stay = append(stay, k)
@@ -283,7 +284,7 @@
 
 // deliverToAll tells every registrar that is live; a notice is sent where each of them
 // has decided it.
-func (r *Server) deliverToAll(rows []StoredRow) []bool {
+func (r *Server) deliverToAll(rows []schema.StoredRow) []bool {
 	list := make([]outbox.Notification, len(rows))
 	all := make([]bool, len(rows))
 	for i := range rows {
@@ -323,19 +324,19 @@
 
 // quarantine notes a notice for the operator, apart from the healthy ones.
 func (r *Server) quarantine(n *outbox.Notification, why string) {
-	key := QuarantineKeyPrefix + n.EventID
+	key := schema.QuarantineKeyPrefix + n.EventID
 	t := paxos.Txn{Conditions: []paxos.Condition{{Key: key, Absent: true}},
-		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
+		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
 	var keys []string
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
-			keys = m.KeysWithPrefix(QuarantineKeyPrefix, QuarantineKeyPrefix)
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
+			keys = m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
 		}
 	})
 	for i := 0; i+maxQuarantined <= len(keys); i++ {
 		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: keys[i]})
 	}
-	r.propose(MetaCell, t)
+	r.propose(schema.MetaCell, t)
 }
 
 // RedriveRequest is the operator's order to send a notice once more, or to close its case.
@@ -366,31 +367,31 @@
 // case has this event id. done: this very redrive is on record. One that is late finds
 // the place of its record taken, and does nothing.
 func RedriveTransaction(m *paxos.Replica, d *RedriveRequest) (t paxos.Txn, known, done bool) {
-	raw, old := MustEncode(d), m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
+	raw, old := schema.MustEncode(d), m.KeysWithPrefix(schema.RedriveKeyPrefix, schema.RedriveKeyPrefix)
 	last := uint64(0)
 	for _, k := range old {
 		if v, _ := m.Get(k); v.Equal(raw) {
 			return t, true, true
 		}
-		last = LogIndexOfKey(k, RedriveKeyPrefix)
+		last = schema.LogIndexOfKey(k, schema.RedriveKeyPrefix)
 	}
-	key := paxos.AppendedKey(RedriveKeyPrefix, last+1, "")
+	key := paxos.AppendedKey(schema.RedriveKeyPrefix, last+1, "")
 	t.Conditions = []paxos.Condition{{Key: key, Absent: true}}
 	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: key, Value: raw})
-	if _, ok := m.Get(QuarantineKeyPrefix + d.EventID); ok {
+	if _, ok := m.Get(schema.QuarantineKeyPrefix + d.EventID); ok {
 		known = true
 		if d.Action == RedriveClose {
-			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: QuarantineKeyPrefix + d.EventID})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: schema.QuarantineKeyPrefix + d.EventID})
 		}
 	}
-	for _, k := range OutboxRows(m) {
+	for _, k := range schema.OutboxRows(m) {
 		if k.Row.Notification.EventID != d.EventID {
 			continue
 		}
 		known = true
 		if d.Action == RedriveResend {
 			t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
-			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(k.Row.Redrive())})
+			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(k.Row.Redrive())})
 		}
 	}
 	for i := 0; i+maxRedriveRecords <= len(old); i++ {
@@ -419,7 +420,7 @@
 		return
 	}
 	slices.SortStableFunc(next, func(a, b distribution.OutboxNotification) int { return cmp.Compare(a.LogIndex, b.LogIndex) })
-	if over := len(next) - MaxPublishedRows; over > 0 {
+	if over := len(next) - schema.MaxPublishedRows; over > 0 {
 		b.notificationLowWatermark = next[over-1].LogIndex
 		next = next[over:]
 	}
--- a/internal/controlplane/notices_test.go
+++ b/internal/controlplane/notices_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -30,9 +31,9 @@
 		t.Fatal(err)
 	}
 	put := func(slot uint64, id string, n outbox.Notification) paxos.Op {
-		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(OutboxKeyPrefix, slot, id), Value: MustEncode(outbox.Row{Notification: n})}
+		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.OutboxKeyPrefix, slot, id), Value: schema.MustEncode(outbox.Row{Notification: n})}
 	}
-	if !r.propose(MetaCell, paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges)}}) {
+	if !r.propose(schema.MetaCell, paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges)}}) {
 		t.Fatal("not taken")
 	}
 	r.board.mu.Lock()
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"strings"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -45,7 +46,7 @@
 // outboxView reads the tables of the exchange cell.
 func outboxView(m *paxos.Replica) OutboxView {
 	v := OutboxView{Rows: []OutboxRowView{}, Quarantine: []QuarantinedView{}, Redrives: []RedriveRequest{}, AppliedVersions: map[string]uint64{}}
-	for _, k := range OutboxRows(m) {
+	for _, k := range schema.OutboxRows(m) {
 		if k.Row.State == outbox.Published {
 			continue
 		}
@@ -53,13 +54,13 @@
 		v.Rows = append(v.Rows, OutboxRowView{n.EventID, n.Aggregate, n.Version, k.Row.State.String(), k.Row.Attempts, k.Row.Owner})
 	}
 	v.Backlog = len(v.Rows)
-	for _, k := range m.KeysWithPrefix(QuarantineKeyPrefix, QuarantineKeyPrefix) {
+	for _, k := range m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix) {
 		var q QuarantineRecord
 		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &q) == nil {
 			v.Quarantine = append(v.Quarantine, QuarantinedView{q.Notification.EventID, q.Notification.Version, q.Reason, q.ReportedBy})
 		}
 	}
-	for _, k := range m.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix) {
+	for _, k := range m.KeysWithPrefix(schema.RedriveKeyPrefix, schema.RedriveKeyPrefix) {
 		var d RedriveRequest
 		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &d) == nil {
 			v.Redrives = append(v.Redrives, d)
@@ -113,13 +114,13 @@
 // leasesView reads the duties of the exchange cell.
 func leasesView(m *paxos.Replica) LeasesView {
 	v := LeasesView{Leases: []LeaseView{}}
-	for _, k := range m.KeysWithPrefix(LeaseKeyPrefix, LeaseKeyPrefix) {
-		var rec LeaseRecord
+	for _, k := range m.KeysWithPrefix(schema.LeaseKeyPrefix, schema.LeaseKeyPrefix) {
+		var rec schema.LeaseRecord
 		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &rec) == nil {
-			v.Leases = append(v.Leases, LeaseView{strings.TrimPrefix(k, LeaseKeyPrefix), string(rec.Holder), rec.Term})
+			v.Leases = append(v.Leases, LeaseView{strings.TrimPrefix(k, schema.LeaseKeyPrefix), string(rec.Holder), rec.Term})
 		}
 	}
-	for _, k := range UsageReportRows(m) {
+	for _, k := range schema.UsageReportRows(m) {
 		v.NewestWindow = k.Row.Notification.Version
 		if k.Row.State != outbox.Published {
 			if v.ReportBacklog++; v.ReportBacklog == 1 {
@@ -135,7 +136,7 @@
 	var v LeasesView
 	found := false
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
 			v, found = leasesView(m), true
 		}
 	})
@@ -150,7 +151,7 @@
 	var v OutboxView
 	found := false
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
 			v, found = outboxView(m), true
 		}
 	})
@@ -182,7 +183,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 	defer cancel()
 	for range 3 {
-		if err := r.host.WaitLinearizable(ctx, MetaCell); err != nil {
+		if err := r.host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
 		var t paxos.Txn
@@ -196,7 +197,7 @@
 		if !known {
 			return writeError(c, http.StatusNotFound, "no notice and no case has this eventId")
 		}
-		ok, err := r.host.Propose(ctx, MetaCell, t)
+		ok, err := r.host.Propose(ctx, schema.MetaCell, t)
 		if err != nil {
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 		}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -155,8 +156,8 @@
 		var forgotten bool
 		var old []byte
 		if !r.viewMetaCell(func(m *paxos.Replica) {
-			current, old = ReadConfig(m)
-			replay, forgotten = CheckReplay(m, o.version, o.base, sum)
+			current, old = schema.ReadConfig(m)
+			replay, forgotten = schema.CheckReplay(m, o.version, o.base, sum)
 		}) {
 			return http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum)
 		}
@@ -181,12 +182,12 @@
 				changed = changedTenants(nil, cfg) // any may have changed
 			}
 			r.viewMetaCell(func(m *paxos.Replica) {
-				if now, _ := ReadConfig(m); now == current {
-					t = ConfigTxn(m, cfg, raw, sum, changed)
+				if now, _ := schema.ReadConfig(m); now == current {
+					t = schema.ConfigTxn(m, cfg, raw, sum, changed)
 				}
 			})
 			if t.Ops != nil {
-				ok, err := r.host.Propose(ctx, MetaCell, t)
+				ok, err := r.host.Propose(ctx, schema.MetaCell, t)
 				if err != nil {
 					return http.StatusServiceUnavailable, unavailableReason(err)
 				}
@@ -201,7 +202,7 @@
 			return http.StatusBadRequest, "the version is not above the current one"
 		}
 		// Behind, or beaten: look again at a copy that is surely current.
-		if err := r.host.WaitLinearizable(ctx, MetaCell); err != nil {
+		if err := r.host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
 			return http.StatusServiceUnavailable, unavailableReason(err)
 		}
 	}
@@ -213,7 +214,7 @@
 func (r *Server) viewMetaCell(f func(*paxos.Replica)) bool {
 	var seen atomic.Bool
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
 			f(m)
 			seen.Store(true)
 		}
@@ -230,13 +231,13 @@
 	live := r.host.LivePeers(LearnerTimeout)
 	want := VotersFor(r.settings.Tolerance.MachineLosses)
 	r.host.Do(func() {
-		m := r.host.Replicas[MetaCell]
+		m := r.host.Replicas[schema.MetaCell]
 		if m == nil {
 			return
 		}
 		now := r.host.Now()
 		r.host.ObserveStability(now)
-		age := now - r.host.OpenedAt[MetaCell]
+		age := now - r.host.OpenedAt[schema.MetaCell]
 		seats, settled := m.Voters()
 		for _, s := range seats {
 			delete(live, s.Addr)
@@ -275,12 +276,12 @@
 func (r *Server) handleRead(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 	defer cancel()
-	if err := r.host.WaitLinearizable(ctx, MetaCell); err != nil {
+	if err := r.host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
 	}
 	var version uint64
 	var raw []byte
-	if !r.viewMetaCell(func(m *paxos.Replica) { version, raw = ReadConfig(m) }) {
+	if !r.viewMetaCell(func(m *paxos.Replica) { version, raw = schema.ReadConfig(m) }) {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
 	}
 	if version == 0 {
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -33,7 +34,7 @@
 }
 
 func newSingleReplica(t *testing.T) *singleReplica {
-	c := &singleReplica{t: t, replica: paxos.NewReplica(paxos.Config{Cell: MetaCell, Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
+	c := &singleReplica{t: t, replica: paxos.NewReplica(paxos.Config{Cell: schema.MetaCell, Self: "a", Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
 		HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, Jitter: func() float64 { return 0.5 }},
 		paxos.PersistedState{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{}, Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: []paxos.Voter{{ID: "a", Addr: "a"}}}}}}, 0)}
 	for range 20 {
@@ -79,7 +80,7 @@
 	base := func(v uint64) uint64 { return max(v, 3) - 3 }
 	const changes = 5000
 	for v := uint64(3); v <= 3*changes; v += 3 {
-		txn := ConfigTxn(c.replica, &routing.Configuration{Version: v}, []byte("{}"), sum(v), nil)
+		txn := schema.ConfigTxn(c.replica, &routing.Configuration{Version: v}, []byte("{}"), sum(v), nil)
 		txn.Ops = slices.DeleteFunc(txn.Ops, func(o paxos.Op) bool { return o.Kind == paxos.OpAppend }) // nobody sweeps notices here
 		if !c.propose(txn) {
 			t.Fatalf("%d is not taken", v)
@@ -87,10 +88,10 @@
 	}
 	reach := 0
 	for v := uint64(3); v <= 3*changes; v += 3 {
-		got, forgotten := CheckReplay(c.replica, v, base(v), sum(v))
-		other, forgotten2 := CheckReplay(c.replica, v, base(v), sum(v+1))
-		apart, _ := CheckReplay(c.replica, v, base(v)+1, sum(v))
-		unused, _ := CheckReplay(c.replica, v+1, base(v), sum(v+1))
+		got, forgotten := schema.CheckReplay(c.replica, v, base(v), sum(v))
+		other, forgotten2 := schema.CheckReplay(c.replica, v, base(v), sum(v+1))
+		apart, _ := schema.CheckReplay(c.replica, v, base(v)+1, sum(v))
+		unused, _ := schema.CheckReplay(c.replica, v+1, base(v), sum(v+1))
 		switch {
 		case forgotten != forgotten2 || forgotten && reach > 0:
 			t.Fatalf("%d: forgotten is %v, after newer ones", v, forgotten)
@@ -100,11 +101,11 @@
 			reach++
 		}
 	}
-	if reach < MaxReceipts+ReceiptsPerArchive*(MaxReceiptArchives-1) || reach == changes {
+	if reach < schema.MaxReceipts+schema.ReceiptsPerArchive*(schema.MaxReceiptArchives-1) || reach == changes {
 		t.Errorf("%d changes are remembered", reach)
 	}
 	size := 0
-	for _, prefix := range []string{ReceiptKeyPrefix, ReceiptArchiveKeyPrefix, ReceiptsForgottenKey} {
+	for _, prefix := range []string{schema.ReceiptKeyPrefix, schema.ReceiptArchiveKeyPrefix, schema.ReceiptsForgottenKey} {
 		for _, k := range c.replica.KeysWithPrefix(prefix, prefix) {
 			v, _ := c.replica.Get(k)
 			size += len(k) + len(v.Bytes)
@@ -120,7 +121,7 @@
 func stoppedControlPlane(t *testing.T) *Server {
 	r := New(&settings.Settings{NodeName: "n", IPAddress: "127.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	r.openStorage()
-	r.host.OpenedAt[MetaCell] = -formationTimeout
+	r.host.OpenedAt[schema.MetaCell] = -formationTimeout
 	r.Stop()
 	return r
 }
@@ -150,10 +151,10 @@
 				}
 			}, storage.LocalDisk{})
 		r.openStorage()
-		r.host.OpenedAt[MetaCell] = -formationTimeout
+		r.host.OpenedAt[schema.MetaCell] = -formationTimeout
 		go func() { _ = r.host.Run() }()
 		r.host.Do(func() {
-			r.host.Replicas[MetaCell].Step(r.host.Now(), paxos.Message{Cell: MetaCell, Kind: paxos.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: paxos.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
+			r.host.Replicas[schema.MetaCell].Step(r.host.Now(), paxos.Message{Cell: schema.MetaCell, Kind: paxos.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: paxos.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
 		})
 		w := httptest.NewRecorder()
 		if err := try(r, e.NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)); err != nil || w.Code != http.StatusServiceUnavailable {
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peers.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 	"comethold/internal/rpc"
@@ -151,7 +152,7 @@
 	yes = h.replacedReplicas[id]
 	h.peersMu.Unlock()
 	h.Do(func() {
-		if ex := h.Replicas[MetaCell]; ex != nil {
+		if ex := h.Replicas[schema.MetaCell]; ex != nil {
 			seats, _ := ex.Voters()
 			for _, s := range seats {
 				if now, ok := live[s.Addr]; ok && s.ID == id && now.ID != id {
@@ -176,7 +177,7 @@
 			out = append(out, a)
 		}
 	}
-	if ex := h.Replicas[MetaCell]; ex != nil {
+	if ex := h.Replicas[schema.MetaCell]; ex != nil {
 		seats, _ := ex.Voters()
 		for _, s := range seats {
 			add(s.Addr)
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -54,7 +55,7 @@
 			next.Endpoints = []distribution.Endpoint{}
 		}
 		cur := r.board.Endpoints()
-		changed := cur == nil || cur.Revision.Term != term || !EqualEncoding(cur.Endpoints, next.Endpoints)
+		changed := cur == nil || cur.Revision.Term != term || !schema.EqualEncoding(cur.Endpoints, next.Endpoints)
 		if changed {
 			if cur != nil && cur.Revision.Term == term {
 				next.Revision.Sequence = cur.Revision.Sequence + 1
--- a/internal/controlplane/quota.go
+++ b/internal/controlplane/quota.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/quota"
@@ -120,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), ratelimit.QuotaLeaseDuration/5)
 	defer cancel()
 	claim := distribution.ShareRequest{Table: distribution.QuotaShares, Node: r.settings.NodeName, Permille: fair, HoldsNone: !leased, Number: turn}
-	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
+	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil || !v.Grant.Granted {
 		return fair, false
 	}
--- a/internal/controlplane/ration.go
+++ b/internal/controlplane/ration.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 	"comethold/internal/ratelimit"
@@ -27,8 +28,8 @@
 
 func NewShareAllocators() map[distribution.ShareTable]*ShareAllocator {
 	return map[distribution.ShareTable]*ShareAllocator{
-		distribution.RateShares:  {key: RateSharesKey, leaseDuration: ratelimit.LeaseDuration, observed: map[string]observedShare{}},
-		distribution.QuotaShares: {key: QuotaSharesKey, leaseDuration: ratelimit.QuotaLeaseDuration, observed: map[string]observedShare{}},
+		distribution.RateShares:  {key: schema.RateSharesKey, leaseDuration: ratelimit.LeaseDuration, observed: map[string]observedShare{}},
+		distribution.QuotaShares: {key: schema.QuotaSharesKey, leaseDuration: ratelimit.QuotaLeaseDuration, observed: map[string]observedShare{}},
 	}
 }
 
@@ -94,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), ratelimit.LeaseDuration/3)
 	defer cancel()
-	v, err := r.host.CallLeader(ctx, MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
+	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil {
 		return writeCBOR(c, distribution.ShareGrant{})
 	}
@@ -170,7 +171,7 @@
 		table := map[string]distribution.ShareLease{}
 		cond := paxos.Condition{Key: k.key, Absent: true}
 		r.host.Do(func() {
-			if m := r.host.Replicas[MetaCell]; m != nil {
+			if m := r.host.Replicas[schema.MetaCell]; m != nil {
 				if old, held := m.Get(k.key); held && rpc.Unmarshal(old.Bytes, &table) == nil {
 					cond = paxos.Condition{Key: k.key, Equals: old}
 				}
@@ -181,8 +182,8 @@
 		for i, p := range batch {
 			table, grants[i] = k.allocate(table, p.request, now)
 		}
-		v := r.host.ProposeLocal(ctx, MetaCell, paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond},
-			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.key, Value: MustEncode(table)}}})
+		v := r.host.ProposeLocal(ctx, schema.MetaCell, paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond},
+			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.key, Value: schema.MustEncode(table)}}})
 		if v.Committed || v.Busy || v.Unknown || v.NoLeader {
 			return v, grants
 		}
--- a/internal/controlplane/recall.go
+++ b/internal/controlplane/recall.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -123,9 +124,9 @@
 		return err
 	}
 	for {
-		ok, err := r.host.Propose(ctx, MetaCell, paxos.Txn{Ops: []paxos.Op{
-			{Kind: paxos.OpAppend, Key: PurgeKeyPrefix, Value: MustEncode(list)},
-			{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(outbox.Row{Notification: n})}}})
+		ok, err := r.host.Propose(ctx, schema.MetaCell, paxos.Txn{Ops: []paxos.Op{
+			{Kind: paxos.OpAppend, Key: schema.PurgeKeyPrefix, Value: schema.MustEncode(list)},
+			{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: schema.MustEncode(outbox.Row{Notification: n})}}})
 		if ok && err == nil {
 			r.log.Info(logging.PurgeCommitted).Int("recalls", len(list)).Msg("purges taken")
 			return nil
@@ -147,7 +148,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	floor := uint64(0)
-	if v, ok := m.Get(PurgeCompactedKey); ok && v.Int != nil {
+	if v, ok := m.Get(schema.PurgeCompactedKey); ok && v.Int != nil {
 		floor = v.Int.Uint64()
 	}
 	moved := false
@@ -158,13 +159,13 @@
 		b.purges = append([]distribution.Purge(nil), b.purges[at:]...)
 	}
 	held := b.purgePosition
-	for _, k := range m.KeysWithPrefix(PurgeKeyPrefix, purgeKeyAfter(held)) {
+	for _, k := range m.KeysWithPrefix(schema.PurgeKeyPrefix, purgeKeyAfter(held)) {
 		var list []distribution.Purge
 		v, _ := m.Get(k)
 		if rpc.Unmarshal(v.Bytes, &list) != nil {
 			continue
 		}
-		pos := LogIndexOfKey(k, PurgeKeyPrefix)
+		pos := schema.LogIndexOfKey(k, schema.PurgeKeyPrefix)
 		for _, rec := range list {
 			rec.LogIndex = pos
 			b.purges = append(b.purges, rec)
@@ -177,7 +178,7 @@
 	}
 }
 
-func purgeKeyAfter(pos uint64) string { return paxos.AppendedKey(PurgeKeyPrefix, pos+1, "") }
+func purgeKeyAfter(pos uint64) string { return paxos.AppendedKey(schema.PurgeKeyPrefix, pos+1, "") }
 
 // addPurgesLocked adds the recalls that the caller lacks.
 func (b *Distributor) addPurgesLocked(h distribution.HeldVersions, n *distribution.Update) {
@@ -198,8 +199,8 @@
 	var held paxos.Value
 	var known bool
 	if !r.viewMetaCell(func(m *paxos.Replica) {
-		keys = m.KeysWithPrefix(PurgeKeyPrefix, PurgeKeyPrefix)
-		held, known = m.Get(PurgeCompactedKey)
+		keys = m.KeysWithPrefix(schema.PurgeKeyPrefix, schema.PurgeKeyPrefix)
+		held, known = m.Get(schema.PurgeCompactedKey)
 	}) {
 		return
 	}
@@ -228,7 +229,7 @@
 		}
 	}
 	if len(old) > 0 {
-		r.propose(MetaCell, ForgetPurgesTxn(held, known, old))
+		r.propose(schema.MetaCell, ForgetPurgesTxn(held, known, old))
 	}
 }
 
@@ -236,14 +237,14 @@
 // held: one that is late would lower it, and a node that lacks what was forgotten would
 // not be told.
 func ForgetPurgesTxn(held paxos.Value, known bool, old []string) (t paxos.Txn) {
-	cond := paxos.Condition{Key: PurgeCompactedKey, Absent: true}
+	cond := paxos.Condition{Key: schema.PurgeCompactedKey, Absent: true}
 	if known {
-		cond = paxos.Condition{Key: PurgeCompactedKey, Equals: held}
+		cond = paxos.Condition{Key: schema.PurgeCompactedKey, Equals: held}
 	}
 	t.Conditions = []paxos.Condition{cond}
 	for _, k := range old {
 		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: k})
 	}
-	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: PurgeCompactedKey, Value: UintValue(LogIndexOfKey(old[len(old)-1], PurgeKeyPrefix))})
+	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.PurgeCompactedKey, Value: schema.UintValue(schema.LogIndexOfKey(old[len(old)-1], schema.PurgeKeyPrefix))})
 	return t
 }
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -168,7 +169,7 @@
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
-	r.host.Open(MetaCell, founders)
+	r.host.Open(schema.MetaCell, founders)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopped {
@@ -260,13 +261,13 @@
 	if m == nil {
 		return
 	}
-	if name != MetaCell {
-		r.board.SetMarks(ReadEjections(name, m))
+	if name != schema.MetaCell {
+		r.board.SetMarks(schema.ReadEjections(name, m))
 		return
 	}
 	wake := false
-	if what.AnyWithPrefix(ConfigVersionKey) {
-		version, raw := ReadConfig(m)
+	if what.AnyWithPrefix(schema.ConfigVersionKey) {
+		version, raw := schema.ReadConfig(m)
 		go func() {
 			if r.board.SetConfiguration(version, raw) {
 				r.wakeConsumer()
@@ -274,18 +275,18 @@
 			r.wakeReconciler()
 		}()
 	}
-	if what.AnyWithPrefix(PurgeKeyPrefix) || what.AnyWithPrefix(PurgeCompactedKey) {
+	if what.AnyWithPrefix(schema.PurgeKeyPrefix) || what.AnyWithPrefix(schema.PurgeCompactedKey) {
 		r.board.SetPurges(m)
 	}
-	if what.AnyWithPrefix(OutboxKeyPrefix) {
+	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
 		r.wakeConsumer()
 	}
-	if what.AnyWithPrefix(NodeKeyPrefix) {
-		r.board.SetNodes(m.AppliedIndex(), ReadNodes(m))
+	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
+		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
 		wake = true
 	}
-	if what.AnyWithPrefix(IndexKeyPrefix) {
-		r.syncIndexReplicas(ReadIndexes(m))
+	if what.AnyWithPrefix(schema.IndexKeyPrefix) {
+		r.syncIndexReplicas(schema.ReadIndexes(m))
 		wake = true
 	}
 	if wake {
@@ -294,14 +295,14 @@
 }
 
 // syncIndexReplicas opens and closes index cells as the exchange cell lists them.
-func (r *Server) syncIndexReplicas(have map[string]IndexRecord) {
+func (r *Server) syncIndexReplicas(have map[string]schema.IndexRecord) {
 	for ix, rec := range have {
 		if r.host.Replicas[ix] == nil {
 			r.host.Open(ix, rec.Voters)
 		}
 	}
 	for ix := range r.host.Replicas {
-		if _, ok := have[ix]; !ok && ix != MetaCell {
+		if _, ok := have[ix]; !ok && ix != schema.MetaCell {
 			r.host.Close(ix)
 			r.board.DropMarks(ix)
 		}
@@ -434,7 +435,7 @@
 func (r *Server) quorumContactAge() time.Duration {
 	var f time.Duration
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
 			f = m.Staleness(r.host.Now())
 		}
 	})
--- a/internal/controlplane/schema.go
+++ b/internal/controlplane/schema/schema.go
@@ -1,4 +1,4 @@
-package controlplane
+package schema
 
 import (
 	"bytes"
@@ -85,8 +85,8 @@
 	MaxReceiptArchives = 64
 )
 
-// archivedReceipt is what is kept of a receipt in the end.
-type archivedReceipt struct {
+// ArchivedReceipt is what is kept of a receipt in the end.
+type ArchivedReceipt struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64
 	Base        uint64
@@ -108,7 +108,7 @@
 		return outbox.KeyUnused, true
 	}
 	keys := m.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
-	at := sort.SearchStrings(keys, receiptArchiveKey(version+1))
+	at := sort.SearchStrings(keys, ReceiptArchiveKey(version+1))
 	if at == 0 {
 		return outbox.KeyUnused, false
 	}
@@ -120,11 +120,11 @@
 	return outbox.KeyUnused, false
 }
 
-func receiptArchiveKey(first uint64) string {
+func ReceiptArchiveKey(first uint64) string {
 	return fmt.Sprintf("%s%020d", ReceiptArchiveKeyPrefix, first)
 }
 
-func readReceiptArchive(m *paxos.Replica, key string) (list []archivedReceipt) {
+func readReceiptArchive(m *paxos.Replica, key string) (list []ArchivedReceipt) {
 	if v, ok := m.Get(key); ok && rpc.Unmarshal(v.Bytes, &list) != nil {
 		return nil
 	}
@@ -139,18 +139,18 @@
 	if len(receipts) < MaxReceipts+ReceiptsPerArchive {
 		return nil
 	}
-	var list []archivedReceipt
+	var list []ArchivedReceipt
 	for _, k := range receipts[:ReceiptsPerArchive] {
 		ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: k})
 		rec := ReadReceipt(m, k)
 		_, base, _ := strings.Cut(strings.TrimPrefix(k, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/"), "/")
 		n, err := strconv.ParseUint(base, 10, 64)
 		if rec != nil && err == nil && len(rec.Fingerprint) >= archivedFingerprintBytes {
-			list = append(list, archivedReceipt{Version: rec.Version, Base: n, Fingerprint: rec.Fingerprint[:archivedFingerprintBytes]})
+			list = append(list, ArchivedReceipt{Version: rec.Version, Base: n, Fingerprint: rec.Fingerprint[:archivedFingerprintBytes]})
 		}
 	}
 	if len(list) > 0 {
-		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: receiptArchiveKey(list[0].Version), Value: MustEncode(list)})
+		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: ReceiptArchiveKey(list[0].Version), Value: MustEncode(list)})
 	}
 	archives := m.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
 	if len(archives) < MaxReceiptArchives {
--- a/internal/controlplane/transport_test.go
+++ b/internal/controlplane/transport_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 	"comethold/internal/storage"
@@ -109,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, found, err := v.LoadReplica(MetaCell)
+		s, found, err := v.LoadReplica(schema.MetaCell)
 		return id, err == nil && found && s.Snapshot != nil && (paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}).Contains(id)
 	}
 	dir := t.TempDir()
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -175,10 +176,10 @@
 }
 
 // reportRows lists the rows of the reports, oldest first.
-func (r *Server) reportRows() (rows []StoredRow) {
+func (r *Server) reportRows() (rows []schema.StoredRow) {
 	r.host.Do(func() {
-		if m := r.host.Replicas[MetaCell]; m != nil {
-			rows = UsageReportRows(m)
+		if m := r.host.Replicas[schema.MetaCell]; m != nil {
+			rows = schema.UsageReportRows(m)
 		}
 	})
 	return rows
@@ -186,7 +187,7 @@
 
 // firstUnreportedWindow is the first that has no report. Where there is none at all, the first life
 // that holds the duty begins with what it has heard of.
-func (r *Server) firstUnreportedWindow(rows []StoredRow, now uint64) uint64 {
+func (r *Server) firstUnreportedWindow(rows []schema.StoredRow, now uint64) uint64 {
 	if n := len(rows); n > 0 {
 		return max(rows[n-1].Row.Notification.Version+1, now-min(now, maxBacklogWindows))
 	}
@@ -226,14 +227,14 @@
 		if !ok {
 			return
 		}
-		t := paxos.Txn{Conditions: []paxos.Condition{{Key: UsageReportKey(w), Absent: true}, held},
-			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: UsageReportKey(w), Value: MustEncode(row)}}}
+		t := paxos.Txn{Conditions: []paxos.Condition{{Key: schema.UsageReportKey(w), Absent: true}, held},
+			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.UsageReportKey(w), Value: schema.MustEncode(row)}}}
 		for i := 0; i+maxPublishedReports < len(rows); i++ {
 			if rows[i].Row.State == outbox.Published {
 				t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: rows[i].Key})
 			}
 		}
-		if !r.propose(MetaCell, t) {
+		if !r.propose(schema.MetaCell, t) {
 			return
 		}
 		rows = r.reportRows()
@@ -284,7 +285,7 @@
 		if !u.mayCall(term, r.settings.Bounds.Lease(), time.Now()) {
 			return
 		}
-		var k StoredRow
+		var k schema.StoredRow
 		for _, row := range r.reportRows() {
 			if row.Row.State == outbox.Published {
 				delete(u.accepted, row.Key)
@@ -302,11 +303,11 @@
 			// Claimed by a former holder, whose lease is over.
 			next, err := k.Row.Claim(owner, outbox.ClaimLease)
 			held, ok := r.usageLease.FenceCondition(term)
-			if err != nil || !ok || !r.propose(MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}, held},
-				Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}}}) {
+			if err != nil || !ok || !r.propose(schema.MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}, held},
+				Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(next)}}}) {
 				return
 			}
-			k.Row, k.Raw = next, MustEncode(next).Bytes
+			k.Row, k.Raw = next, schema.MustEncode(next).Bytes
 		}
 		if _, ok := u.accepted[k.Key]; ok {
 			r.recordAccepted(k, term)
@@ -342,7 +343,7 @@
 )
 
 // sendReport makes one call and notes that it was taken.
-func (r *Server) sendReport(k StoredRow, term uint64) bool {
+func (r *Server) sendReport(k schema.StoredRow, term uint64) bool {
 	u := r.usages
 	err := r.postReport(k.Row.Notification.Payload, term)
 	u.mu.Lock()
@@ -367,11 +368,11 @@
 }
 
 // recordAccepted notes that the platform took a report.
-func (r *Server) recordAccepted(k StoredRow, term uint64) bool {
+func (r *Server) recordAccepted(k schema.StoredRow, term uint64) bool {
 	r.usages.accepted[k.Key] = time.Now()
 	next, err := k.Row.MarkPublished(reportOwner(term))
-	return err == nil && r.propose(MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}},
-		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: MustEncode(next)}}})
+	return err == nil && r.propose(schema.MetaCell, paxos.Txn{Conditions: []paxos.Condition{{Key: k.Key, Equals: paxos.Bytes(k.Raw)}},
+		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(next)}}})
 }
 
 // leasedConn writes only while the lease is held, and leaves nothing behind that could
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/proxy"
@@ -1115,7 +1116,7 @@
 		return 0, 0, "", err
 	}
 	defer v.Close()
-	s, _, err := v.LoadReplica(controlplane.MetaCell)
+	s, _, err := v.LoadReplica(schema.MetaCell)
 	if err != nil || s.Snapshot == nil {
 		return 0, 0, "", errors.Join(err, errors.New("no snapshot"))
 	}
