--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"comethold/internal/compat"
-	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
 	"comethold/internal/latencyestimate"
 	"comethold/internal/outbox"
@@ -72,8 +72,8 @@
 		{Name: "term-kept", Value: paxos.Message{Cell: "c", Kind: paxos.TermPersisted, From: "a", To: "b", ProposalNumber: ballot, HeartbeatSequence: 7}},
 		{Name: "entries-kept", Value: paxos.Message{Cell: "c", Kind: paxos.CommitPersisted, From: "a", To: "b", ProposalNumber: ballot, AcceptedIndexes: []uint64{12}}},
 		{Name: "leadership-transfer", Value: paxos.Message{Cell: "c", Kind: paxos.LeadershipTransfer, From: "a", To: "b", ProposalNumber: ballot}},
-		{Name: "batch", Value: controlplane.Batch{
-			Sender:       controlplane.PeerInfo{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1", Name: "n1"},
+		{Name: "batch", Value: replicahost.Batch{
+			Sender:       replicahost.PeerInfo{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1", Name: "n1"},
 			Messages:     []paxos.Message{{Cell: "c", Kind: paxos.Accepted, From: "b", To: "a", ProposalNumber: ballot, AcceptedIndexes: []uint64{12}}},
 			EndpointList: distribution.Revision{Term: 5, Sequence: 77},
 			WallTime:     1700000000000000001, AgreedTime: 1700000000000000002,
--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"comethold/internal/compat"
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
@@ -28,11 +29,11 @@
 		{Name: "quota-floors", Value: map[string]float64{"t": 12.5}},
 		{Name: "kept-usage", Value: persistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
 		{Name: "usage-request", Value: WindowRequest{Window: 1234}},
-		{Name: "proposal", Value: ProposeRequest{Cell: "exchange", Txn: paxos.Txn{ID: "a.1",
+		{Name: "proposal", Value: replicahost.ProposeRequest{Cell: "exchange", Txn: paxos.Txn{ID: "a.1",
 			Conditions: []paxos.Condition{{Key: "k", Equals: paxos.Int(1)}, {Key: "l", Absent: true}},
 			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes([]byte("v"))}, {Kind: paxos.OpPut, Key: "b", Value: paxos.Value{Bool: &yes}},
 				{Kind: paxos.OpSetVoters, Voters: []paxos.Voter{seat}}}}}},
-		{Name: "verdict", Value: ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
+		{Name: "verdict", Value: replicahost.ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
 			Grant: distribution.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
 		{Name: "move", Value: MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
 	})
@@ -47,7 +48,7 @@
 		schema.ReceiptsForgottenKey: "receipt-forgotten", schema.NodeKeyPrefix: "node/", schema.IndexKeyPrefix: "index/", schema.NextIndexIDKey: "index-next", schema.LeaseKeyPrefix: "duty/",
 		schema.PurgeKeyPrefix: "recall/", schema.PurgeCompactedKey: "recall-floor", schema.RateSharesKey: "shares", schema.QuotaSharesKey: "quota-shares", schema.UsageReportKeyPrefix: "usage/",
 		schema.OutboxKeyPrefix: "outbox/", schema.QuarantineKeyPrefix: "quarantine/", schema.RedriveKeyPrefix: "redrive/", schema.ShardSetKey: "cut", schema.EjectionKeyPrefix: "mark/",
-		identityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
+		replicahost.IdentityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
 		schema.ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", schema.ReceiptArchiveKey(7): "receipt-archive/00000000000000000007",
 		schema.UsageReportKey(9):                             "usage/00000000000000000009",
 		paxos.AppendedKey(schema.PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -58,7 +59,7 @@
 		case <-r.quit:
 			return
 		}
-		if r.quorumContactAge() > StaleAfter {
+		if r.quorumContactAge() > replicahost.StaleAfter {
 			continue
 		}
 		r.recordNodeCall(&distribution.UpdateRequest{Node: distribution.Node{Name: r.settings.NodeName + "/registrar", Addr: r.settings.IPAddress, Zone: r.settings.AvailabilityZone, ControlPlane: true}})
--- a/internal/controlplane/duty.go
+++ b/internal/controlplane/duty.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
@@ -33,7 +34,7 @@
 	name       string
 	duration   time.Duration
 	skewFactor time.Duration
-	host       *Host
+	host       *replicahost.Host
 
 	mu         sync.Mutex
 	term       uint64
@@ -44,7 +45,7 @@
 	yieldUntil time.Time // until then others go first: this node could not do the work
 }
 
-func NewLease(h *Host, name string, hold time.Duration, spread int) *Lease {
+func NewLease(h *replicahost.Host, name string, hold time.Duration, spread int) *Lease {
 	return &Lease{name: name, duration: hold, skewFactor: time.Duration(spread), host: h}
 }
 
--- a/internal/controlplane/move.go
+++ b/internal/controlplane/move.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 )
@@ -24,17 +25,17 @@
 
 // moveLocal moves a cell by one node at its proposer, once the newcomer has
 // caught up and the move before it is done; the proposer brings it to its end.
-func (r *Server) moveLocal(ctx context.Context, o *MoveRequest) ProposeResult {
+func (r *Server) moveLocal(ctx context.Context, o *MoveRequest) replicahost.ProposeResult {
 	var t paxos.Txn
-	v := ProposeResult{NoLeader: true}
+	v := replicahost.ProposeResult{NoLeader: true}
 	r.host.Do(func() {
 		m := r.host.Replicas[o.Cell]
 		if m == nil || m.Role() != paxos.Leader {
 			return
 		}
-		v = ProposeResult{Busy: true}
+		v = replicahost.ProposeResult{Busy: true}
 		seats, settled := m.Voters()
-		if !settled || m.DurableCommitIndex(o.Add.ID)+Alpha < m.AppliedIndex() || m.DurableCommitIndex(o.Add.ID) == 0 && m.AppliedIndex() > 0 {
+		if !settled || m.DurableCommitIndex(o.Add.ID)+replicahost.Alpha < m.AppliedIndex() || m.DurableCommitIndex(o.Add.ID) == 0 && m.AppliedIndex() > 0 {
 			return
 		}
 		var next []paxos.Voter
@@ -54,7 +55,7 @@
 		if c, ok := m.Get(paxos.MembershipVersionKey); ok {
 			cond = paxos.Condition{Key: paxos.MembershipVersionKey, Equals: c}
 		}
-		t = paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond}, Ops: []paxos.Op{{Kind: paxos.OpSetVoters, Voters: next}}}
+		t = paxos.Txn{ID: replicahost.NewTransactionID(), Conditions: []paxos.Condition{cond}, Ops: []paxos.Op{{Kind: paxos.OpSetVoters, Voters: next}}}
 	})
 	if t.Ops == nil {
 		return v
@@ -86,7 +87,7 @@
 // came back with an empty disk takes over its former seat; a seat unheard for
 // long goes to a registrar that has none; a cell with too few seats gets one
 // more. Newcomers come from the zone, then the region, with the fewest seats.
-func planMove(seats []paxos.Voter, live map[string]PeerInfo, silent func(addr string) bool, want int, region func(zone string) string) (out paxos.ReplicaID, in paxos.Voter, ok bool) {
+func planMove(seats []paxos.Voter, live map[string]replicahost.PeerInfo, silent func(addr string) bool, want int, region func(zone string) string) (out paxos.ReplicaID, in paxos.Voter, ok bool) {
 	for _, s := range seats {
 		if h, here := live[s.Addr]; here && h.ID != s.ID {
 			return s.ID, paxos.Voter{ID: h.ID, Addr: h.Addr, Zone: h.Zone}, true
@@ -145,7 +146,7 @@
 			return
 		}
 		pause = ReconcileInterval
-		if _, ok := r.placementLease.Held(); ok && r.quorumContactAge() <= StaleAfter && r.placeVoters() {
+		if _, ok := r.placementLease.Held(); ok && r.quorumContactAge() <= replicahost.StaleAfter && r.placeVoters() {
 			pause = moveRetryInterval
 		}
 	}
@@ -163,14 +164,14 @@
 	want := VotersFor(r.settings.Tolerance.MachineLosses)
 	r.host.Do(func() {
 		now := r.host.Now()
-		live := r.host.LivePeers(CandidateTimeout)
+		live := r.host.LivePeers(replicahost.CandidateTimeout)
 		silent := func(addr string) bool { return r.host.SilenceOf(addr) > replicaTimeout }
 		for name, m := range r.host.Replicas {
 			seats, settled := m.Voters()
 			if !settled {
 				continue
 			}
-			if now-r.host.OpenedAt[name] < MinReplicaAge {
+			if now-r.host.OpenedAt[name] < replicahost.MinReplicaAge {
 				continue
 			}
 			if out, in, ok := planMove(seats, live, silent, want, r.settings.RegionOf); ok {
@@ -190,7 +191,7 @@
 			if j.here {
 				r.moveLocal(ctx, &j.o)
 			} else if j.addr != "" {
-				var v ProposeResult
+				var v replicahost.ProposeResult
 				_ = r.host.Client.Call(ctx, net.JoinHostPort(j.addr, strconv.Itoa(r.host.Port)), "/move", &j.o, &v)
 			}
 		})
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -292,7 +293,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for addr := range r.host.LivePeers(LearnerTimeout) {
+	for addr := range r.host.LivePeers(replicahost.LearnerTimeout) {
 		wg.Go(func() {
 			var done []bool
 			if addr == r.settings.IPAddress {
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"strings"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -141,7 +142,7 @@
 		}
 	})
 	if !found {
-		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
 	return c.JSON(http.StatusOK, v)
 }
@@ -156,7 +157,7 @@
 		}
 	})
 	if !found {
-		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
 	r.notices.mu.Lock()
 	for a, at := range r.notices.inbox.AppliedVersions {
@@ -189,7 +190,7 @@
 		var t paxos.Txn
 		var known, done bool
 		if !r.viewMetaCell(func(m *paxos.Replica) { t, known, done = RedriveTransaction(m, &d) }) {
-			return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
+			return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 		}
 		if done {
 			return c.JSON(http.StatusOK, d)
@@ -207,5 +208,5 @@
 		}
 		// The row moved meanwhile, or another redrive came first.
 	}
-	return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrBusy))
+	return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrBusy))
 }
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -159,7 +160,7 @@
 			current, old = schema.ReadConfig(m)
 			replay, forgotten = schema.CheckReplay(m, o.version, o.base, sum)
 		}) {
-			return http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum)
+			return http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum)
 		}
 		switch {
 		case replay == outbox.KeyRepeated: // applied here, so chosen by a majority: taken already
@@ -228,7 +229,7 @@
 // at rest for calmTime: a registrar without a seat that is there by then can't have one, as
 // with a disk in trouble, and orders can't wait for it for ever.
 func (r *Server) underReplicated() (yes bool) {
-	live := r.host.LivePeers(LearnerTimeout)
+	live := r.host.LivePeers(replicahost.LearnerTimeout)
 	want := VotersFor(r.settings.Tolerance.MachineLosses)
 	r.host.Do(func() {
 		m := r.host.Replicas[schema.MetaCell]
@@ -264,9 +265,9 @@
 
 func unavailableReason(err error) string {
 	switch {
-	case errors.Is(err, ErrBusy):
+	case errors.Is(err, replicahost.ErrBusy):
 		return "the control plane is busy"
-	case errors.Is(err, ErrOutcomeUnknown):
+	case errors.Is(err, replicahost.ErrOutcomeUnknown):
 		return "what became of the change is not known yet; send it again"
 	}
 	return "the control plane has no majority"
@@ -282,7 +283,7 @@
 	var version uint64
 	var raw []byte
 	if !r.viewMetaCell(func(m *paxos.Replica) { version, raw = schema.ReadConfig(m) }) {
-		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrNoQuorum))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
 	if version == 0 {
 		return writeError(c, http.StatusNotFound, "no configuration has been taken yet")
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -140,7 +141,7 @@
 				return
 			}
 			r.Stop()
-			b, _ := rpc.Marshal(ProposeResult{Committed: true})
+			b, _ := rpc.Marshal(replicahost.ProposeResult{Committed: true})
 			_, _ = w.Write(rpc.EncodeBody(b))
 		}))
 		r = New(&settings.Settings{NodeName: "n", IPAddress: "10.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true,
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
 	"comethold/internal/distribution"
@@ -79,7 +80,7 @@
 		for _, a := range r.host.PeerAddresses() {
 			addrs[a] = true
 		}
-		for a := range r.host.LivePeers(LearnerTimeout) {
+		for a := range r.host.LivePeers(replicahost.LearnerTimeout) {
 			addrs[a] = a != r.host.Self.Addr
 		}
 	})
--- a/internal/controlplane/quota.go
+++ b/internal/controlplane/quota.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -121,7 +122,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), ratelimit.QuotaLeaseDuration/5)
 	defer cancel()
 	claim := distribution.ShareRequest{Table: distribution.QuotaShares, Node: r.settings.NodeName, Permille: fair, HoldsNone: !leased, Number: turn}
-	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
+	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) replicahost.ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil || !v.Grant.Granted {
 		return fair, false
 	}
@@ -262,7 +263,7 @@
 
 // lenders lists the other registrars, those of the own region first.
 func (r *Server) lenders() (groups [2][]string) {
-	for addr, h := range r.host.LivePeers(LearnerTimeout) {
+	for addr, h := range r.host.LivePeers(replicahost.LearnerTimeout) {
 		if addr == r.settings.IPAddress {
 			continue
 		}
--- a/internal/controlplane/ration.go
+++ b/internal/controlplane/ration.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
@@ -83,7 +84,7 @@
 
 type pendingShareRequest struct {
 	request distribution.ShareRequest
-	result  chan ProposeResult
+	result  chan replicahost.ProposeResult
 }
 
 // renewRateShare renews a node's share: the exchange cell's proposer settles claims,
@@ -95,7 +96,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), ratelimit.LeaseDuration/3)
 	defer cancel()
-	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) ProposeResult { return r.allocateShareLocally(ctx, claim) })
+	v, err := r.host.CallLeader(ctx, schema.MetaCell, "/claim", &claim, func(ctx context.Context) replicahost.ProposeResult { return r.allocateShareLocally(ctx, claim) })
 	if err != nil {
 		return writeCBOR(c, distribution.ShareGrant{})
 	}
@@ -103,12 +104,12 @@
 }
 
 // allocateShareLocally has a claim settled at this node, which must be the proposer.
-func (r *Server) allocateShareLocally(ctx context.Context, claim distribution.ShareRequest) ProposeResult {
-	p := &pendingShareRequest{claim, make(chan ProposeResult, 1)}
+func (r *Server) allocateShareLocally(ctx context.Context, claim distribution.ShareRequest) replicahost.ProposeResult {
+	p := &pendingShareRequest{claim, make(chan replicahost.ProposeResult, 1)}
 	select {
 	case r.shareClaims <- p:
 	default:
-		return ProposeResult{Busy: true}
+		return replicahost.ProposeResult{Busy: true}
 	}
 	select {
 	case v := <-p.result:
@@ -116,7 +117,7 @@
 	case <-ctx.Done():
 	case <-r.quit:
 	}
-	return ProposeResult{Unknown: true}
+	return replicahost.ProposeResult{Unknown: true}
 }
 
 // allocateSharesLoop settles claims, all that wait for one table in one transaction.
@@ -166,7 +167,7 @@
 	return batch
 }
 
-func (r *Server) commitShares(ctx context.Context, k *ShareAllocator, batch []*pendingShareRequest) (ProposeResult, []distribution.ShareGrant) {
+func (r *Server) commitShares(ctx context.Context, k *ShareAllocator, batch []*pendingShareRequest) (replicahost.ProposeResult, []distribution.ShareGrant) {
 	for range 3 {
 		table := map[string]distribution.ShareLease{}
 		cond := paxos.Condition{Key: k.key, Absent: true}
@@ -182,11 +183,11 @@
 		for i, p := range batch {
 			table, grants[i] = k.allocate(table, p.request, now)
 		}
-		v := r.host.ProposeLocal(ctx, schema.MetaCell, paxos.Txn{ID: NewTransactionID(), Conditions: []paxos.Condition{cond},
+		v := r.host.ProposeLocal(ctx, schema.MetaCell, paxos.Txn{ID: replicahost.NewTransactionID(), Conditions: []paxos.Condition{cond},
 			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: k.key, Value: schema.MustEncode(table)}}})
 		if v.Committed || v.Busy || v.Unknown || v.NoLeader {
 			return v, grants
 		}
 	}
-	return ProposeResult{Busy: true}, nil
+	return replicahost.ProposeResult{Busy: true}, nil
 }
--- a/internal/controlplane/recall.go
+++ b/internal/controlplane/recall.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -71,14 +72,14 @@
 	select {
 	case r.purgeRequests <- p:
 	default:
-		return writeError(c, http.StatusServiceUnavailable, unavailableReason(ErrBusy))
+		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrBusy))
 	}
 	select {
 	case err = <-p.done:
 	case <-c.Request().Context().Done():
-		err = ErrOutcomeUnknown
+		err = replicahost.ErrOutcomeUnknown
 	case <-r.quit:
-		err = ErrOutcomeUnknown
+		err = replicahost.ErrOutcomeUnknown
 	}
 	if err != nil {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(err))
@@ -135,7 +136,7 @@
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
 			if err == nil {
-				err = ErrBusy
+				err = replicahost.ErrBusy
 			}
 			return err
 		}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
 	"comethold/internal/distribution"
@@ -36,7 +37,7 @@
 	disk     storage.Disk
 	network  rpc.Network
 	ready    chan struct{} // closed once the vault is open: what follows is there
-	host     *Host
+	host     *replicahost.Host
 	board    *Distributor
 	platform *discovery.Client
 
@@ -131,14 +132,14 @@
 			founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(a), Addr: a})
 		}
 	}
-	id, empty, err := LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, storage.HasCorruptFile(set.DataDirectory), founders)
+	id, empty, err := replicahost.LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, storage.HasCorruptFile(set.DataDirectory), founders)
 	if err != nil {
 		return err
 	}
 	if empty && !set.FirstStart {
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
-	self := PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
+	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
 	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
@@ -153,7 +154,7 @@
 			v.QueueNodeValue("list", raw)
 		}
 	}
-	r.host = NewHost(self, set.PortOf(settings.ControlPlane), set.SeedHosts(), v, r.network, log)
+	r.host = replicahost.NewHost(self, set.PortOf(settings.ControlPlane), set.SeedHosts(), v, r.network, log)
 	r.host.OnApply = r.onApply
 	r.host.EndpointListVersion, r.host.OnPeerEndpointList = r.board.EndpointsVersion, r.onPeerEndpoints
 	r.host.RegisteredAddresses = r.board.ControlAddresses
@@ -330,16 +331,16 @@
 	e := newRouter(r.log)
 	e.Use(r.requireReady)
 	e.POST("/cells", func(c echo.Context) error {
-		var b Batch
+		var b replicahost.Batch
 		if err := rpc.DecodeRequest(c.Request().Body, &b); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		r.host.Receive(&b)
 		return c.NoContent(http.StatusNoContent)
 	})
-	decide := func(f func(context.Context, *ProposeRequest) ProposeResult) echo.HandlerFunc {
+	decide := func(f func(context.Context, *replicahost.ProposeRequest) replicahost.ProposeResult) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			var p ProposeRequest
+			var p replicahost.ProposeRequest
 			if err := rpc.DecodeRequest(c.Request().Body, &p); err != nil {
 				return c.NoContent(http.StatusBadRequest)
 			}
@@ -348,10 +349,10 @@
 			return writeCBOR(c, f(ctx, &p))
 		}
 	}
-	e.POST("/propose", decide(func(ctx context.Context, p *ProposeRequest) ProposeResult {
+	e.POST("/propose", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
 		return r.host.ProposeLocal(ctx, p.Cell, p.Txn)
 	}))
-	e.POST("/confirm", decide(func(ctx context.Context, p *ProposeRequest) ProposeResult {
+	e.POST("/confirm", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
 		return r.host.ReadIndexLocal(ctx, p.Cell)
 	}))
 	e.POST("/claim", func(c echo.Context) error {
@@ -452,7 +453,7 @@
 	hold := time.NewTimer(longPollTimeout)
 	defer hold.Stop()
 	for {
-		stale := r.quorumContactAge() > StaleAfter
+		stale := r.quorumContactAge() > replicahost.StaleAfter
 		news, change := r.board.Update(&call, stale)
 		if stale || call.Immediate || !news.Empty {
 			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
@@ -460,7 +461,7 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			news, _ = r.board.Update(&call, r.quorumContactAge() > StaleAfter)
+			news, _ = r.board.Update(&call, r.quorumContactAge() > replicahost.StaleAfter)
 			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
 		case <-c.Request().Context().Done():
 			return nil
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 	"comethold/internal/ratelimit"
@@ -41,7 +42,7 @@
 		{"the region with fewer seats", "a@1/x1 b@2/y1 c@3/x2", "a@1/x1 b@2/y1 c@3/x2 d@4/x3 e@5/y3", "", 5, "+e"},
 	} {
 		var seats []paxos.Voter
-		live := map[string]PeerInfo{}
+		live := map[string]replicahost.PeerInfo{}
 		for _, w := range strings.Fields(c.seats) {
 			id, rest, _ := strings.Cut(w, "@")
 			addr, zone, _ := strings.Cut(rest, "/")
@@ -50,7 +51,7 @@
 		for _, w := range strings.Fields(c.live) {
 			id, rest, _ := strings.Cut(w, "@")
 			addr, zone, _ := strings.Cut(rest, "/")
-			live[addr] = PeerInfo{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone}
+			live[addr] = replicahost.PeerInfo{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone}
 		}
 		out, in, ok := planMove(seats, live, func(a string) bool { return c.silent != "" && a == c.silent }, c.want,
 			func(zone string) string { return zone[:1] })
@@ -197,7 +198,7 @@
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	}()
 	port := l.Addr().(*net.TCPAddr).Port
-	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, host: &Host{Client: rpc.NewClient(rpc.TCPNetwork)},
+	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, host: &replicahost.Host{Client: rpc.NewClient(rpc.TCPNetwork)},
 		suspectedBy: map[string]map[string]time.Time{"a": {"w": time.Now()}, "b": {"w": time.Now()}}}
 	out := r.probeUnreachable([]distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
 	if len(out) != 1 || out[0].Name != "b" {
--- a/internal/controlplane/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -1,6 +1,6 @@
 // Package registrar is the control plane: it hosts the cells of a node, takes
 // the operator's configurations and feeds the switches.
-package controlplane
+package replicahost
 
 import (
 	"crypto/rand"
@@ -46,7 +46,7 @@
 	sendersPerPeer          = 3
 	maxRetryBackoff         = 300 * time.Millisecond
 	noLeaderBackoff         = 60 * time.Millisecond
-	identityKey             = "identity" // in the vault
+	IdentityKey             = "identity" // in the vault
 )
 
 // Host runs the cells of one node. All cell state belongs to the goroutine of
@@ -115,7 +115,7 @@
 // A founder's part of the first cell is synced with its name, so a founder that was
 // stopped in between is one nevertheless.
 func LoadOrCreateIdentity(v *storage.Store, addr string, first, setAside bool, founders []paxos.Voter) (id paxos.ReplicaID, fresh bool, err error) {
-	if old := v.NodeValue(identityKey); len(old) > 0 {
+	if old := v.NodeValue(IdentityKey); len(old) > 0 {
 		return paxos.ReplicaID(old), false, nil
 	}
 	if first && !setAside {
@@ -131,7 +131,7 @@
 	if (paxos.Membership{Voters: founders}).Contains(id) {
 		w.Snapshot = foundingSnapshot(founders)
 	}
-	return id, true, v.Bootstrap(identityKey, []byte(id), schema.MetaCell, w)
+	return id, true, v.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, w)
 }
 
 // foundingSnapshot is the state of a cell at its beginning.
--- a/internal/controlplane/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package replicahost
 
 import (
 	"comethold/internal/controlplane/schema"
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
@@ -246,7 +247,7 @@
 // collectWindow adds up what all registrars know of a window; whole says that all of them that
 // are not down have answered.
 func (r *Server) collectWindow(window uint64) (c usage.Counts, whole bool) {
-	live := r.host.LivePeers(LearnerTimeout)
+	live := r.host.LivePeers(replicahost.LearnerTimeout)
 	whole = true
 	for _, n := range r.board.Nodes() {
 		if _, ok := live[n.Addr]; n.ControlPlane && !n.Down && !ok {
