--- a/internal/controlplane/cut.go
+++ b/internal/controlplane/cut.go
@@ -12,10 +12,8 @@
 // committedConfiguration reads the configuration in force, or nil.
 func (r *Server) committedConfiguration() *routing.Configuration {
 	var raw []byte
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			_, raw = schema.ReadConfig(m)
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		_, raw = schema.ReadConfig(m)
 	})
 	if raw == nil {
 		return nil
@@ -34,13 +32,11 @@
 	var old map[string]schema.IndexRecord
 	var next paxos.Value
 	var seats []paxos.Voter
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			version, raw = schema.ReadConfig(m)
-			old = schema.ReadIndexes(m)
-			next, _ = m.Get(schema.NextIndexIDKey)
-			seats, _ = m.Voters()
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		version, raw = schema.ReadConfig(m)
+		old = schema.ReadIndexes(m)
+		next, _ = m.Get(schema.NextIndexIDKey)
+		seats, _ = m.Voters()
 	})
 	if version == 0 || version == *done {
 		return
--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -59,7 +59,7 @@
 		case <-r.quit:
 			return
 		}
-		if r.quorumContactAge() > replicahost.StaleAfter {
+		if r.host.QuorumContactAge() > replicahost.StaleAfter {
 			continue
 		}
 		r.recordNodeCall(&distribution.UpdateRequest{Node: distribution.Node{Name: r.settings.NodeName + "/registrar", Addr: r.settings.IPAddress, Zone: r.settings.AvailabilityZone, ControlPlane: true}})
@@ -164,7 +164,7 @@
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 			defer cancel()
-			answers[i] = r.host.Client.Call(ctx, internalAddress(n.Addr, port), "/here", distribution.UpdateRequest{}, nil) == nil
+			answers[i] = r.client.Call(ctx, internalAddress(n.Addr, port), "/here", distribution.UpdateRequest{}, nil) == nil
 		})
 	}
 	wg.Wait()
--- a/internal/controlplane/duty.go
+++ b/internal/controlplane/duty.go
@@ -35,6 +35,7 @@
 	duration   time.Duration
 	skewFactor time.Duration
 	host       *replicahost.Host
+	log        *logging.Logger
 
 	mu         sync.Mutex
 	term       uint64
@@ -45,8 +46,8 @@
 	yieldUntil time.Time // until then others go first: this node could not do the work
 }
 
-func NewLease(h *replicahost.Host, name string, hold time.Duration, spread int) *Lease {
-	return &Lease{name: name, duration: hold, skewFactor: time.Duration(spread), host: h}
+func NewLease(h *replicahost.Host, log *logging.Logger, name string, hold time.Duration, spread int) *Lease {
+	return &Lease{name: name, duration: hold, skewFactor: time.Duration(spread), host: h, log: log}
 }
 
 // Held reports whether this node holds the duty now, and the term.
@@ -149,7 +150,7 @@
 	d.term, d.renewedAt, d.expiresAt = rec.Term, asked, asked.Add(d.duration)
 	d.mu.Unlock()
 	if fresh {
-		d.host.Log.Info(logging.LeaseAcquired).Str("duty", d.name).Uint64("term", rec.Term).Msg("duty taken")
+		d.log.Info(logging.LeaseAcquired).Str("duty", d.name).Uint64("term", rec.Term).Msg("duty taken")
 	}
 }
 
@@ -179,5 +180,5 @@
 		Conditions: []paxos.Condition{{Key: schema.LeaseKeyPrefix + d.name, Equals: paxos.Bytes(raw)}},
 		Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: schema.LeaseKeyPrefix + d.name, Value: schema.MustEncode(schema.LeaseRecord{Term: rec.Term, Renewals: rec.Renewals + 1})}},
 	})
-	d.host.Log.Info(logging.LeaseReleased).Str("duty", d.name).Msg("duty released")
+	d.log.Info(logging.LeaseReleased).Str("duty", d.name).Msg("duty released")
 }
--- a/internal/controlplane/estimates.go
+++ b/internal/controlplane/estimates.go
@@ -62,7 +62,7 @@
 			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
 			var one latencyestimate.Snapshot
-			err := r.host.Client.Call(ctx, internalAddress(n.Addr, r.settings.PortOf(settings.DataPlane)), "/estimates", ask, &one)
+			err := r.client.Call(ctx, internalAddress(n.Addr, r.settings.PortOf(settings.DataPlane)), "/estimates", ask, &one)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/controlplane/marks.go
+++ b/internal/controlplane/marks.go
@@ -14,12 +14,10 @@
 // indexesByService names, for each service, the index cells whose cut holds it.
 func (r *Server) indexesByService() map[string][]string {
 	out := map[string][]string{}
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			for ix, rec := range schema.ReadIndexes(m) {
-				for _, s := range rec.Services {
-					out[s] = append(out[s], ix)
-				}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		for ix, rec := range schema.ReadIndexes(m) {
+			for _, s := range rec.Services {
+				out[s] = append(out[s], ix)
 			}
 		}
 	})
@@ -31,10 +29,8 @@
 
 func (r *Server) marksOfIndex(ix string) map[string]distribution.EjectionMark {
 	var out map[string]distribution.EjectionMark
-	r.host.Do(func() {
-		if m := r.host.Replicas[ix]; m != nil {
-			out = schema.ReadEjections(ix, m).Ejected
-		}
+	r.host.View(ix, func(m *paxos.Replica) {
+		out = schema.ReadEjections(ix, m).Ejected
 	})
 	return out
 }
--- a/internal/controlplane/move.go
+++ b/internal/controlplane/move.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"net"
-	"strconv"
 	"sync"
 	"time"
 
@@ -20,6 +18,9 @@
 	Add    paxos.Voter     `cbor:"3,keyasint"`
 }
 
+// MinReplicaAge is how old a replica is at least before the voters of its cell are moved.
+const MinReplicaAge = time.Second
+
 // VotersFor is how many voters bear the loss of so many machines.
 func VotersFor(losses int) int { return 2*losses + 1 }
 
@@ -28,9 +29,8 @@
 func (r *Server) moveLocal(ctx context.Context, o *MoveRequest) replicahost.ProposeResult {
 	var t paxos.Txn
 	v := replicahost.ProposeResult{NoLeader: true}
-	r.host.Do(func() {
-		m := r.host.Replicas[o.Cell]
-		if m == nil || m.Role() != paxos.Leader {
+	r.host.View(o.Cell, func(m *paxos.Replica) {
+		if m.Role() != paxos.Leader {
 			return
 		}
 		v = replicahost.ProposeResult{Busy: true}
@@ -146,7 +146,7 @@
 			return
 		}
 		pause = ReconcileInterval
-		if _, ok := r.placementLease.Held(); ok && r.quorumContactAge() <= replicahost.StaleAfter && r.placeVoters() {
+		if _, ok := r.placementLease.Held(); ok && r.host.QuorumContactAge() <= replicahost.StaleAfter && r.placeVoters() {
 			pause = moveRetryInterval
 		}
 	}
@@ -162,25 +162,18 @@
 	}
 	var jobs []job
 	want := VotersFor(r.settings.Tolerance.MachineLosses)
-	r.host.Do(func() {
-		now := r.host.Now()
-		live := r.host.LivePeers(replicahost.CandidateTimeout)
-		silent := func(addr string) bool { return r.host.SilenceOf(addr) > replicaTimeout }
-		for name, m := range r.host.Replicas {
-			seats, settled := m.Voters()
-			if !settled {
-				continue
-			}
-			if now-r.host.OpenedAt[name] < replicahost.MinReplicaAge {
-				continue
-			}
-			if out, in, ok := planMove(seats, live, silent, want, r.settings.RegionOf); ok {
-				addr := ""
-				if l := m.Leader(); l != "" {
-					addr = r.host.Addresses[l]
-				}
-				jobs = append(jobs, job{MoveRequest{Cell: name, Remove: out, Add: in}, addr, m.Role() == paxos.Leader})
-			}
+	var live map[string]replicahost.PeerInfo
+	silent := func(addr string) bool { return r.host.SilenceOf(addr) > replicaTimeout }
+	r.host.ViewAll(func(open replicahost.OpenReplica) {
+		seats, settled := open.Replica.Voters()
+		if !settled || open.Age < MinReplicaAge {
+			return
+		}
+		if live == nil {
+			live = r.host.LivePeers(replicahost.CandidateTimeout)
+		}
+		if out, in, ok := planMove(seats, live, silent, want, r.settings.RegionOf); ok {
+			jobs = append(jobs, job{MoveRequest{Cell: open.Cell, Remove: out, Add: in}, open.LeaderAddress, open.Replica.Role() == paxos.Leader})
 		}
 	})
 	var wg sync.WaitGroup
@@ -192,7 +185,7 @@
 				r.moveLocal(ctx, &j.o)
 			} else if j.addr != "" {
 				var v replicahost.ProposeResult
-				_ = r.host.Client.Call(ctx, net.JoinHostPort(j.addr, strconv.Itoa(r.host.Port)), "/move", &j.o, &v)
+				_ = r.host.CallPeer(ctx, j.addr, "/move", &j.o, &v)
 			}
 		})
 	}
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -52,10 +52,8 @@
 }
 
 func (r *Server) outboxRows() (rows []schema.StoredRow) {
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			rows = schema.OutboxRows(m)
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		rows = schema.OutboxRows(m)
 	})
 	return rows
 }
@@ -132,7 +130,7 @@
 	}
 	if changed {
 		if raw, err := rpc.Marshal(b.inbox); err == nil {
-			r.host.Storage.QueueNodeValue(InboxStorageKey, raw)
+			r.storage.QueueNodeValue(InboxStorageKey, raw)
 		}
 	}
 }
@@ -301,7 +299,7 @@
 			} else {
 				ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 				defer cancel()
-				if r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/notices", list, &done) != nil {
+				if r.host.CallPeer(ctx, addr, "/notices", list, &done) != nil {
 					done = nil
 				}
 			}
@@ -329,10 +327,8 @@
 	t := paxos.Txn{Conditions: []paxos.Condition{{Key: key, Absent: true}},
 		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
 	var keys []string
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			keys = m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		keys = m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
 	})
 	for i := 0; i+maxQuarantined <= len(keys); i++ {
 		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: keys[i]})
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -86,11 +86,10 @@
 	if !r.isReady() {
 		return out
 	}
-	r.host.Do(func() {
-		for name, m := range r.host.Replicas {
-			seats, settled := m.Voters()
-			out[name] = CellView{seats, settled, m.IsVoter(), m.AppliedIndex(), m.Role(), m.Leader()}
-		}
+	r.host.ViewAll(func(open replicahost.OpenReplica) {
+		m := open.Replica
+		seats, settled := m.Voters()
+		out[open.Cell] = CellView{seats, settled, m.IsVoter(), m.AppliedIndex(), m.Role(), m.Leader()}
 	})
 	return out
 }
@@ -135,12 +134,7 @@
 // handleReadLeases answers with who holds which duty, and how the reports stand.
 func (r *Server) handleReadLeases(c echo.Context) error {
 	var v LeasesView
-	found := false
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			v, found = leasesView(m), true
-		}
-	})
+	found := r.host.View(schema.MetaCell, func(m *paxos.Replica) { v = leasesView(m) })
 	if !found {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
@@ -150,12 +144,7 @@
 // handleReadOutbox answers with the outbox's backlog, the quarantine and the redrives.
 func (r *Server) handleReadOutbox(c echo.Context) error {
 	var v OutboxView
-	found := false
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			v, found = outboxView(m), true
-		}
-	})
+	found := r.host.View(schema.MetaCell, func(m *paxos.Replica) { v = outboxView(m) })
 	if !found {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"sync/atomic"
 	"time"
 
 	"comethold/internal/controlplane/replicahost"
@@ -212,45 +211,30 @@
 
 // viewMetaCell looks at this node's copy of the exchange cell. Where it reports false there
 // was nothing to look at, as while the node ends, and what f sets means nothing.
-func (r *Server) viewMetaCell(f func(*paxos.Replica)) bool {
-	var seen atomic.Bool
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			f(m)
-			seen.Store(true)
-		}
-	})
-	return seen.Load()
-}
+func (r *Server) viewMetaCell(f func(*paxos.Replica)) bool { return r.host.View(schema.MetaCell, f) }
 
 // underReplicated reports whether the exchange cell has yet to seat the registrars that make it
 // bear the losses that it must bear, and will: what it acknowledges before could be gone
 // with fewer disks. It will while this node started a moment ago, and until the cell has been
 // at rest for calmTime: a registrar without a seat that is there by then can't have one, as
 // with a disk in trouble, and orders can't wait for it for ever.
-func (r *Server) underReplicated() (yes bool) {
+func (r *Server) underReplicated() bool {
 	live := r.host.LivePeers(replicahost.LearnerTimeout)
 	want := VotersFor(r.settings.Tolerance.MachineLosses)
-	r.host.Do(func() {
-		m := r.host.Replicas[schema.MetaCell]
-		if m == nil {
-			return
-		}
-		now := r.host.Now()
-		r.host.ObserveStability(now)
-		age := now - r.host.OpenedAt[schema.MetaCell]
-		seats, settled := m.Voters()
-		for _, s := range seats {
-			delete(live, s.Addr)
-		}
-		switch {
-		case len(seats) < want:
-			yes = age < greetingPeriod || now-r.host.DisturbedAt < quietPeriod || len(live) > 0 && age < formationTimeout
-		case len(seats) == want && !settled: // the last of them may not hold it yet
-			yes = age < formationTimeout || now-r.host.VoterAddedAt < formationTimeout
-		}
-	})
-	return yes
+	cell, found := r.host.Stability()
+	if !found {
+		return false
+	}
+	for _, voter := range cell.Voters {
+		delete(live, voter.Addr)
+	}
+	switch {
+	case len(cell.Voters) < want:
+		return cell.Age < greetingPeriod || cell.SinceDisturbed < quietPeriod || len(live) > 0 && cell.Age < formationTimeout
+	case len(cell.Voters) == want && !cell.MembershipInEffect: // the last of them may not hold it yet
+		return cell.Age < formationTimeout || cell.SinceVoterAdded < formationTimeout
+	}
+	return false
 }
 
 // quarantineChange notes an order that has the key of one that was taken, and other
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -122,7 +122,6 @@
 func stoppedControlPlane(t *testing.T) *Server {
 	r := New(&settings.Settings{NodeName: "n", IPAddress: "127.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	r.openStorage()
-	r.host.OpenedAt[schema.MetaCell] = -formationTimeout
 	r.Stop()
 	return r
 }
@@ -151,11 +150,11 @@
 					return net.Dial("tcp", proposer.Listener.Addr().String())
 				}
 			}, storage.LocalDisk{})
+		begin := time.Now()
 		r.openStorage()
-		r.host.OpenedAt[schema.MetaCell] = -formationTimeout
 		go func() { _ = r.host.Run() }()
-		r.host.Do(func() {
-			r.host.Replicas[schema.MetaCell].Step(r.host.Now(), paxos.Message{Cell: schema.MetaCell, Kind: paxos.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: paxos.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
+		r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+			m.Step(time.Since(begin), paxos.Message{Cell: schema.MetaCell, Kind: paxos.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", ProposalNumber: paxos.ProposalNumber{Term: 1, Proposer: "10.0.0.2"}, HeartbeatSequence: 1})
 		})
 		w := httptest.NewRecorder()
 		if err := try(r, e.NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)); err != nil || w.Code != http.StatusServiceUnavailable {
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -91,14 +91,13 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			to := internalAddress(a, r.host.Port)
 			var have distribution.Revision
 			msg := l
 			if !whole {
 				msg = &distribution.EndpointList{Revision: l.Revision}
 			}
-			if err := r.host.Client.Call(ctx, to, "/list", msg, &have); err == nil && !whole && have.Less(l.Revision) {
-				_ = r.host.Client.Call(ctx, to, "/list", l, &have)
+			if err := r.host.CallPeer(ctx, a, "/list", msg, &have); err == nil && !whole && have.Less(l.Revision) {
+				_ = r.host.CallPeer(ctx, a, "/list", l, &have)
 			}
 		}()
 	}
@@ -123,7 +122,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		var l distribution.EndpointList
-		if err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/list/read", distribution.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
+		if err := r.host.CallPeer(ctx, addr, "/list/read", distribution.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
 			r.board.SetEndpoints(&l)
 		}
 	}()
--- a/internal/controlplane/quota.go
+++ b/internal/controlplane/quota.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		pause := watermarkWritePause
-		if raw, err := rpc.Marshal(floors); err == nil && r.host.Storage.SetNodeValue(WatermarkStorageKey, raw) == nil {
+		if raw, err := rpc.Marshal(floors); err == nil && r.storage.SetNodeValue(WatermarkStorageKey, raw) == nil {
 			r.quotas.allocator.LowWatermarksStored(floors)
 		} else {
 			pause = watermarkInterval // the disk refuses; the old floors hold
--- a/internal/controlplane/ration.go
+++ b/internal/controlplane/ration.go
@@ -171,11 +171,9 @@
 	for range 3 {
 		table := map[string]distribution.ShareLease{}
 		cond := paxos.Condition{Key: k.key, Absent: true}
-		r.host.Do(func() {
-			if m := r.host.Replicas[schema.MetaCell]; m != nil {
-				if old, held := m.Get(k.key); held && rpc.Unmarshal(old.Bytes, &table) == nil {
-					cond = paxos.Condition{Key: k.key, Equals: old}
-				}
+		r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+			if old, held := m.Get(k.key); held && rpc.Unmarshal(old.Bytes, &table) == nil {
+				cond = paxos.Condition{Key: k.key, Equals: old}
 			}
 		})
 		grants := make([]distribution.ShareGrant, len(batch))
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -37,6 +37,8 @@
 	disk     storage.Disk
 	network  rpc.Network
 	ready    chan struct{} // closed once the vault is open: what follows is there
+	storage  *storage.Store
+	client   *rpc.Client
 	host     *replicahost.Host
 	board    *Distributor
 	platform *discovery.Client
@@ -81,7 +83,7 @@
 
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
-	r := &Server{settings: set, log: log, disk: disk, network: n, ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
+	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
 		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
 		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
@@ -132,7 +134,12 @@
 			founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(a), Addr: a})
 		}
 	}
-	id, empty, err := replicahost.LoadOrCreateIdentity(v, set.IPAddress, set.FirstStart, storage.HasCorruptFile(set.DataDirectory), founders)
+	id, empty, err := replicahost.LoadOrCreateIdentity(v, replicahost.NewNode{
+		Address:    set.IPAddress,
+		FirstStart: set.FirstStart,
+		SetAside:   storage.HasCorruptFile(set.DataDirectory),
+		Founders:   founders,
+	})
 	if err != nil {
 		return err
 	}
@@ -154,19 +161,34 @@
 			v.QueueNodeValue("list", raw)
 		}
 	}
-	r.host = replicahost.NewHost(self, set.PortOf(settings.ControlPlane), set.SeedHosts(), v, r.network, log)
-	r.host.OnApply = r.onApply
-	r.host.EndpointListVersion, r.host.OnPeerEndpointList = r.board.EndpointsVersion, r.onPeerEndpoints
-	r.host.RegisteredAddresses = r.board.ControlAddresses
-	r.discoveryLease = NewLease(r.host, "directory", PollerLeaseDuration, FencedClockSkewFactor)
-	r.placementLease = NewLease(r.host, "mover", MoverLeaseDuration, FencedClockSkewFactor)
-	r.usageLease = NewLease(r.host, "usage", ReporterLeaseDuration, ClockSkewFactor)
+	r.storage = v
+	hooks := replicahost.Hooks{
+		OnApply:                r.onApply,
+		EndpointRevision:       r.board.EndpointsVersion,
+		OnPeerEndpointRevision: r.onPeerEndpoints,
+		RegisteredAddresses:    r.board.ControlAddresses,
+	}
 	if set.ReportsUsage() {
 		r.usages.Restore(v)
-		r.host.ReadClocks, r.host.OnPeerClocks = r.usages.Times, func(peer string, wall, agreed int64) {
+		hooks.ReadClocks = r.usages.Times
+		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
 			r.usages.clock.Observe(peer, wall, agreed, time.Now())
 		}
 	}
+	r.host = replicahost.New(replicahost.Options{
+		Self:    self,
+		Port:    set.PortOf(settings.ControlPlane),
+		Seeds:   set.SeedHosts(),
+		Storage: v,
+		Client:  r.client,
+		Network: r.network,
+		Log:     log,
+		Hooks:   hooks,
+	})
+	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
+	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
+	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
+
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -177,7 +199,7 @@
 		return errStopped
 	}
 	if r.reloadedSettings != nil {
-		r.host.Seeds = r.reloadedSettings.SeedHosts()
+		r.host.SetSeeds(r.reloadedSettings.SeedHosts())
 	}
 	close(r.ready)
 	return nil
@@ -222,7 +244,8 @@
 		case <-time.After(time.Second):
 		}
 		r.host.Stop()
-		_ = r.host.Storage.Close()
+		_ = r.storage.Close()
+		r.host.Wait()
 	})
 }
 
@@ -232,7 +255,7 @@
 	r.reloadedSettings = set
 	r.mu.Unlock()
 	if r.isReady() {
-		r.host.Enqueue(func() { r.host.Seeds = set.SeedHosts() })
+		r.host.SetSeeds(set.SeedHosts())
 	}
 }
 
@@ -258,7 +281,7 @@
 // onApply runs on the host's loop. Leases are renewed several times a second:
 // what a change does not touch is not read again.
 func (r *Server) onApply(name string, what paxos.ChangedKeys) {
-	m := r.host.Replicas[name]
+	m := r.host.Replica(name)
 	if m == nil {
 		return
 	}
@@ -298,11 +321,9 @@
 // syncIndexReplicas opens and closes index cells as the exchange cell lists them.
 func (r *Server) syncIndexReplicas(have map[string]schema.IndexRecord) {
 	for ix, rec := range have {
-		if r.host.Replicas[ix] == nil {
-			r.host.Open(ix, rec.Voters)
-		}
+		r.host.Open(ix, rec.Voters)
 	}
-	for ix := range r.host.Replicas {
+	for _, ix := range r.host.Cells() {
 		if _, ok := have[ix]; !ok && ix != schema.MetaCell {
 			r.host.Close(ix)
 			r.board.DropMarks(ix)
@@ -433,16 +454,6 @@
 	return e
 }
 
-func (r *Server) quorumContactAge() time.Duration {
-	var f time.Duration
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			f = m.Staleness(r.host.Now())
-		}
-	})
-	return f
-}
-
 // handleUpdates answers a switch as soon as there is news.
 func (r *Server) handleUpdates(c echo.Context) error {
 	var call distribution.UpdateRequest
@@ -453,7 +464,7 @@
 	hold := time.NewTimer(longPollTimeout)
 	defer hold.Stop()
 	for {
-		stale := r.quorumContactAge() > replicahost.StaleAfter
+		stale := r.host.QuorumContactAge() > replicahost.StaleAfter
 		news, change := r.board.Update(&call, stale)
 		if stale || call.Immediate || !news.Empty {
 			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
@@ -461,7 +472,7 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			news, _ = r.board.Update(&call, r.quorumContactAge() > replicahost.StaleAfter)
+			news, _ = r.board.Update(&call, r.host.QuorumContactAge() > replicahost.StaleAfter)
 			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
 		case <-c.Request().Context().Done():
 			return nil
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -198,7 +198,7 @@
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	}()
 	port := l.Addr().(*net.TCPAddr).Port
-	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, host: &replicahost.Host{Client: rpc.NewClient(rpc.TCPNetwork)},
+	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, client: rpc.NewClient(rpc.TCPNetwork),
 		suspectedBy: map[string]map[string]time.Time{"a": {"w": time.Now()}, "b": {"w": time.Now()}}}
 	out := r.probeUnreachable([]distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
 	if len(out) != 1 || out[0].Name != "b" {
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -1,15 +1,28 @@
-// Package registrar is the control plane: it hosts the cells of a node, takes
-// the operator's configurations and feeds the switches.
+// Package replicahost runs this node's replicas of the cells, the Paxos groups that hold
+// the state of the control plane.
+//
+// A Host owns the replicas. They do no I/O themselves and need no locks: all of them belong
+// to the goroutine of Host.Run, the event loop. The host feeds them with ticks and with
+// messages of the peers, stores what they want stored, sends what they want sent, and tells
+// callers what became of their proposals and reads.
+//
+//	host := replicahost.New(replicahost.Options{Self: self, Storage: store, ...})
+//	host.Open(schema.MetaCell, founders)
+//	go host.Run()
+//	committed, err := host.Propose(ctx, schema.MetaCell, txn) // here or at the leader
+//	err = host.WaitLinearizable(ctx, schema.MetaCell)         // before a read that must be current
+//	host.View(schema.MetaCell, func(replica *paxos.Replica) { ... })
+//
+// Propose and WaitLinearizable reach the leader of a cell wherever it is, and retry while
+// there is none. View and Get look at the state as it is applied here, which may lag.
 package replicahost
 
 import (
-	"crypto/rand"
-	"encoding/hex"
+	"context"
 	"errors"
 	mrand "math/rand/v2"
-	"slices"
-	"sync"
-	"sync/atomic"
+	"net"
+	"strconv"
 	"time"
 
 	"comethold/internal/controlplane/schema"
@@ -17,340 +30,272 @@
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 	"comethold/internal/rpc"
-	"comethold/internal/storage"
 )
 
-// Errors of this layer.
+// Errors of proposals and linearizable reads.
 var (
-	ErrNoQuorum       = errors.New("registrar: the cell has no proposer that answers")
-	ErrBusy           = errors.New("registrar: the cell refuses more work")
-	ErrOutcomeUnknown = errors.New("registrar: what became of the change is not known")
+	// ErrNoQuorum says that no leader answered in time: a majority of the cell's voters is
+	// not in touch, as far as this node can tell. Nothing was changed.
+	ErrNoQuorum = errors.New("replicahost: no leader of the cell answers")
+	// ErrBusy says that the leader's pipeline is full. Nothing was changed.
+	ErrBusy = errors.New("replicahost: the cell refuses more work")
+	// ErrOutcomeUnknown says that the change may or may not have been committed.
+	ErrOutcomeUnknown = errors.New("replicahost: the outcome of the change is not known")
 )
 
-// Timing of the cells. Ours; see docs/design.md.
+// Timing of the replicas. The reasons for these values are in docs/design.md.
 const (
-	tickInterval            = 50 * time.Millisecond
-	heartbeatInterval       = 250 * time.Millisecond
-	electionTimeout         = 900 * time.Millisecond
-	indexHeartbeatInterval  = 500 * time.Millisecond
-	indexElectionTimeout    = 1800 * time.Millisecond
+	tickInterval           = 50 * time.Millisecond
+	heartbeatInterval      = 250 * time.Millisecond
+	electionTimeout        = 900 * time.Millisecond
+	indexHeartbeatInterval = 500 * time.Millisecond
+	indexElectionTimeout   = 1800 * time.Millisecond
+	helloInterval          = 500 * time.Millisecond
+	// stallThreshold is the pause between two ticks after which the silence of others
+	// proves nothing: this node was stopped and could not hear them.
+	stallThreshold = time.Second
+)
+
+// Bounds of a replica's log and pipeline.
+const (
+	// Alpha is how many log entries after a change of the membership it takes effect; so
+	// many entries may be proposed at a time.
 	Alpha                   = 3
 	maxQueuedTransactions   = 24
 	maxTransactionsPerEntry = 8
-	logEntriesKept          = 64
-	helloInterval           = 500 * time.Millisecond
-	LearnerTimeout          = 10 * time.Second // a registrar unheard for longer is not kept current
-	stallThreshold          = time.Second      // a pause between ticks after which silence proves nothing
-	MinReplicaAge           = time.Second      // of a cell, before its seats move
-	CandidateTimeout        = 3 * time.Second  // a registrar unheard for longer is given no seat
-	sendersPerPeer          = 3
-	maxRetryBackoff         = 300 * time.Millisecond
-	noLeaderBackoff         = 60 * time.Millisecond
-	IdentityKey             = "identity" // in the vault
+	retainedLogEntries      = 64
 )
 
-// Host runs the cells of one node. All cell state belongs to the goroutine of
-// Run; others get at it with do.
+// Storage keeps the state of replicas on disk. *storage.Store implements it.
+type Storage interface {
+	// LoadReplica returns what is stored of a cell's replica, if anything.
+	LoadReplica(cell string) (state paxos.PersistedState, found bool, err error)
+	// Submit stores writes and calls synced once they are durable. It returns true, and
+	// doesn't call synced, if nothing had to be waited for.
+	Submit(cell string, writes paxos.Writes, synced func()) bool
+}
+
+// Hooks are called by the host, or asked by it for what others know. Those that are nil are
+// left out.
+type Hooks struct {
+	// OnApply is called on the event loop when the applied state of a cell has changed.
+	OnApply func(cell string, changed paxos.ChangedKeys)
+	// EndpointRevision is the revision of the endpoint list held here, which peers are told.
+	EndpointRevision func() distribution.Revision
+	// OnPeerEndpointRevision is called on the event loop with that of a peer.
+	OnPeerEndpointRevision func(address string, revision distribution.Revision)
+	// RegisteredAddresses lists the control nodes that are registered, down or not.
+	RegisteredAddresses func() []string
+	// ReadClocks returns the time of day and the agreed time or 0, in nanoseconds.
+	ReadClocks func() (wall, agreed int64)
+	// OnPeerClocks is called on the event loop with those of a peer.
+	OnPeerClocks func(address string, wall, agreed int64)
+}
+
+func (k Hooks) withDefaults() Hooks {
+	if k.OnApply == nil {
+		k.OnApply = func(string, paxos.ChangedKeys) {}
+	}
+	if k.EndpointRevision == nil {
+		k.EndpointRevision = func() distribution.Revision { return distribution.Revision{} }
+	}
+	if k.OnPeerEndpointRevision == nil {
+		k.OnPeerEndpointRevision = func(string, distribution.Revision) {}
+	}
+	if k.RegisteredAddresses == nil {
+		k.RegisteredAddresses = func() []string { return nil }
+	}
+	if k.ReadClocks == nil {
+		k.ReadClocks = func() (int64, int64) { return 0, 0 }
+	}
+	if k.OnPeerClocks == nil {
+		k.OnPeerClocks = func(string, int64, int64) {}
+	}
+	return k
+}
+
+// Options are what a Host is made from.
+type Options struct {
+	Self    PeerInfo
+	Port    int      // on which control nodes listen for one another
+	Seeds   []string // addresses of control nodes to contact first
+	Storage Storage
+	Client  *rpc.Client // for small messages and calls
+	Network rpc.Network // for connections of the host's own, which carry large messages
+	Log     *logging.Logger
+	Hooks   Hooks
+}
+
+// Host runs the replicas of one node.
 type Host struct {
-	Self       PeerInfo
-	Port       int
-	Storage    *storage.Store
-	Log        *logging.Logger
-	Client     *rpc.Client
-	bulkClient *rpc.Client // for large messages
-	start      time.Time
+	Self PeerInfo // never changes
 
-	tasks     chan func()
-	quit      chan struct{}
-	Replicas  map[string]*paxos.Replica
-	roles     map[string]paxos.Role
-	Addresses map[paxos.ReplicaID]string // where members live
-	Seeds     []string
+	port      int
+	storage   Storage
+	log       *logging.Logger
+	client    *rpc.Client
+	start     time.Time
+	hooks     Hooks
+	loop      *eventLoop
+	transport *transport
+	peers     *peerTable
 
-	proposalWaiters map[string]chan paxos.Outcome
-	readWaiters     map[uint64]chan uint64
-	lastReadID      uint64
+	// The fields below belong to the event loop.
 
-	peersMu          sync.Mutex
-	peers            map[string]*peer
-	replacedReplicas map[paxos.ReplicaID]bool // members whose disk was lost
+	replicas  map[string]*hostedReplica  // by cell
+	addresses map[paxos.ReplicaID]string // where replicas are
+	seeds     []string
+	stability stability
 
-	// OnApply is called on the loop when a cell's state moved.
-	OnApply func(name string, what paxos.ChangedKeys)
-	// EndpointListVersion is the stamp of the leaf list held here; seen is told of others'.
-	EndpointListVersion func() distribution.Revision
-	OnPeerEndpointList  func(addr string, at distribution.Revision)
-	RegisteredAddresses func() []string // addresses of the registrars in the directory
-	ReadClocks          func() (wall, agreed int64)
-	OnPeerClocks        func(addr string, wall, agreed int64)
-	lastHelloAt         time.Duration
-	lastTickAt          time.Duration
-	resumedAt           time.Duration // this node stood still until then and heard nobody
-	OpenedAt            map[string]time.Duration
+	proposalWaiters map[string]chan paxos.Outcome // by transaction ID
+	readWaiters     map[uint64]chan uint64        // by read ID
+	lastReadID      uint64
 
-	// Of the exchange cell: who led and who had seats at the last look, and when either
-	// was another last, or a registrar came, or the majority was out of touch; and when
-	// it got a further seat.
-	lastLeader   paxos.ReplicaID
-	lastVoters   []paxos.Voter
-	DisturbedAt  time.Duration
-	VoterAddedAt time.Duration
+	lastHelloAt time.Duration
+	lastTickAt  time.Duration
+	resumedAt   time.Duration // this node stood still until then and heard nobody
 }
 
-// NewHost opens the node's cells from its vault.
-func NewHost(self PeerInfo, port int, seeds []string, v *storage.Store, n rpc.Network, log *logging.Logger) *Host {
-	return &Host{Self: self, Port: port, Storage: v, Log: log, Client: rpc.NewClient(n), bulkClient: rpc.NewClientWithLimits(rpc.WithSendBuffer(n, bulkUnsentBytes), 2*time.Second, bulkSilenceTimeout, 1), start: time.Now(),
-		tasks: make(chan func(), 256), quit: make(chan struct{}), Replicas: map[string]*paxos.Replica{},
-		roles: map[string]paxos.Role{}, Addresses: map[paxos.ReplicaID]string{}, proposalWaiters: map[string]chan paxos.Outcome{},
-		readWaiters: map[uint64]chan uint64{}, peers: map[string]*peer{}, replacedReplicas: map[paxos.ReplicaID]bool{}, Seeds: seeds,
-		OpenedAt: map[string]time.Duration{}, OnApply: func(string, paxos.ChangedKeys) {},
-		EndpointListVersion: func() distribution.Revision { return distribution.Revision{} }, OnPeerEndpointList: func(string, distribution.Revision) {},
-		RegisteredAddresses: func() []string { return nil },
-		ReadClocks:          func() (int64, int64) { return 0, 0 }, OnPeerClocks: func(string, int64, int64) {}}
+// hostedReplica is a replica with what the host notes of it.
+type hostedReplica struct {
+	replica  *paxos.Replica
+	role     paxos.Role // that was logged last
+	openedAt time.Duration
 }
 
-// LoadOrCreateIdentity returns the member name of this life of the disk, made and synced at its
-// first start. Only the very first start of the system may use a name that the first
-// membership counts on, and not where a file was put aside: that name may have voted.
-// A founder's part of the first cell is synced with its name, so a founder that was
-// stopped in between is one nevertheless.
-func LoadOrCreateIdentity(v *storage.Store, addr string, first, setAside bool, founders []paxos.Voter) (id paxos.ReplicaID, fresh bool, err error) {
-	if old := v.NodeValue(IdentityKey); len(old) > 0 {
-		return paxos.ReplicaID(old), false, nil
-	}
-	if first && !setAside {
-		id = paxos.ReplicaID(addr)
-	} else {
-		var b [6]byte
-		if _, err := rand.Read(b[:]); err != nil {
-			return "", false, err
-		}
-		id = paxos.ReplicaID(addr + "~" + hex.EncodeToString(b[:]))
+// New makes a host without replicas. Run starts it.
+func New(options Options) *Host {
+	h := &Host{
+		Self:            options.Self,
+		port:            options.Port,
+		storage:         options.Storage,
+		log:             options.Log,
+		client:          options.Client,
+		start:           time.Now(),
+		hooks:           options.Hooks.withDefaults(),
+		loop:            newEventLoop(),
+		peers:           newPeerTable(),
+		replicas:        map[string]*hostedReplica{},
+		addresses:       map[paxos.ReplicaID]string{},
+		seeds:           options.Seeds,
+		proposalWaiters: map[string]chan paxos.Outcome{},
+		readWaiters:     map[uint64]chan uint64{},
 	}
-	var w paxos.Writes
-	if (paxos.Membership{Voters: founders}).Contains(id) {
-		w.Snapshot = foundingSnapshot(founders)
-	}
-	return id, true, v.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, w)
+	h.transport = newTransport(options.Network, options.Client, options.Port, h.newBatch)
+	return h
+}
+
+// Run is the event loop. It returns after Stop.
+func (h *Host) Run() error {
+	h.loop.run(tickInterval, h.tick)
+	return nil
 }
 
-// foundingSnapshot is the state of a cell at its beginning.
-func foundingSnapshot(seats []paxos.Voter) *paxos.Snapshot {
-	return &paxos.Snapshot{State: map[string]paxos.Value{}, Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: seats}}}
+// Stop ends Run, and the senders after what they are sending.
+func (h *Host) Stop() {
+	h.loop.stop()
+	h.transport.stop()
 }
 
-func (h *Host) Now() time.Duration { return time.Since(h.start) }
+// Wait waits after Stop until nothing is sent any more.
+func (h *Host) Wait() { h.transport.wait() }
 
-func (h *Host) replicaParams(name string) paxos.Config {
-	p := paxos.Config{Cell: name, Self: h.Self.ID, Alpha: Alpha, MaxQueue: maxQueuedTransactions, MaxBatch: maxTransactionsPerEntry,
-		RetainedEntries: logEntriesKept, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, Jitter: mrand.Float64}
-	if name != schema.MetaCell {
-		p.HeartbeatInterval, p.ElectionTimeout = indexHeartbeatInterval, indexElectionTimeout
-	}
-	return p
+// Enqueue has the event loop run a function, without waiting for it.
+func (h *Host) Enqueue(task func()) { h.loop.enqueue(task) }
+
+// now is the time since the host was made; replicas know no other.
+func (h *Host) now() time.Duration { return time.Since(h.start) }
+
+// SetSeeds replaces the addresses of control nodes to contact first.
+func (h *Host) SetSeeds(seeds []string) {
+	h.Enqueue(func() { h.seeds = seeds })
+}
+
+// CallPeer makes an RPC to the control node at an IP address.
+func (h *Host) CallPeer(ctx context.Context, address, path string, request, response any) error {
+	return h.client.Call(ctx, net.JoinHostPort(address, strconv.Itoa(h.port)), path, request, response)
 }
 
-// Open starts the member of a cell. founders, if it names this node and the
-// disk knows nothing of the cell, makes it a voter of the new cell.
-func (h *Host) Open(name string, founders []paxos.Voter) {
-	if h.Replicas[name] != nil {
+// Open starts this node's replica of a cell, unless it runs. If founders name this node and
+// nothing of the cell is stored, the replica is a voter of the new cell. It must be called
+// before Run or on the event loop.
+func (h *Host) Open(cell string, founders []paxos.Voter) {
+	if h.replicas[cell] != nil {
 		return
 	}
-	saved, found, err := h.Storage.LoadReplica(name)
+	saved, found, err := h.storage.LoadReplica(cell)
 	if err != nil {
-		// What cannot be read must not vote: the member stays away, the
+		// What cannot be read must not vote: the replica stays away, the
 		// others go on, and the node's log says so.
-		h.Log.Error(logging.ReplicaCorrupt).Str("cell", name).Err(err).Msg("the cell on this disk cannot be read")
+		h.log.Error(logging.ReplicaCorrupt).Str("cell", cell).Err(err).Msg("the cell on this disk cannot be read")
 		return
 	}
-	if !found {
-		for _, s := range founders {
-			if s.ID == h.Self.ID {
-				saved.Snapshot = foundingSnapshot(founders)
-			}
-		}
-		if saved.Snapshot != nil {
-			h.Storage.Submit(name, paxos.Writes{Snapshot: saved.Snapshot}, func() {})
-		}
+	if !found && (paxos.Membership{Voters: founders}).Contains(h.Self.ID) {
+		saved.Snapshot = foundingSnapshot(founders)
+		h.storage.Submit(cell, paxos.Writes{Snapshot: saved.Snapshot}, func() {})
 	}
-	h.Replicas[name] = paxos.NewReplica(h.replicaParams(name), saved, h.Now())
-	h.OpenedAt[name] = h.Now()
-	h.Log.Info(logging.ReplicaOpened).Str("cell", name).Bool("voter", h.Replicas[name].IsVoter()).Uint64("applied", h.Replicas[name].AppliedIndex()).Msg("cell opened")
-	h.recordVoterAddresses(name)
-	h.OnApply(name, paxos.ChangedKeys{All: true})
+	now := h.now()
+	replica := paxos.NewReplica(replicaConfig(cell, h.Self.ID), saved, now)
+	h.replicas[cell] = &hostedReplica{replica: replica, openedAt: now}
+	h.log.Info(logging.ReplicaOpened).
+		Str("cell", cell).
+		Bool("voter", replica.IsVoter()).
+		Uint64("applied", replica.AppliedIndex()).
+		Msg("cell opened")
+	h.recordVoterAddresses(replica)
+	h.hooks.OnApply(cell, paxos.ChangedKeys{All: true})
 }
 
-// Close ends the member of a cell that is no more.
-func (h *Host) Close(name string) { delete(h.Replicas, name); delete(h.roles, name) }
+// Close ends this node's replica of a cell that is no more. It must be called on the event
+// loop.
+func (h *Host) Close(cell string) { delete(h.replicas, cell) }
 
-// Run is the loop that owns the cells.
-func (h *Host) Run() error {
-	t := time.NewTicker(tickInterval)
-	defer t.Stop()
-	for {
-		select {
-		case f := <-h.tasks:
-			f()
-		case <-t.C:
-			h.tick()
-		case <-h.quit:
-			return nil
-		}
+func replicaConfig(cell string, self paxos.ReplicaID) paxos.Config {
+	config := paxos.Config{
+		Cell:              cell,
+		Self:              self,
+		Alpha:             Alpha,
+		MaxQueue:          maxQueuedTransactions,
+		MaxBatch:          maxTransactionsPerEntry,
+		RetainedEntries:   retainedLogEntries,
+		HeartbeatInterval: heartbeatInterval,
+		ElectionTimeout:   electionTimeout,
+		Jitter:            mrand.Float64,
 	}
-}
-
-// Stop ends Run.
-func (h *Host) Stop() { close(h.quit) }
-
-// Enqueue runs f on the loop, without waiting for it.
-func (h *Host) Enqueue(f func()) {
-	select {
-	case h.tasks <- f:
-	case <-h.quit:
-	}
-}
-
-// Do runs f on the loop and waits for it. Once the node ends, f has either run whole by
-// the time ask returns or never will: what f sets may be looked at.
-func (h *Host) Do(f func()) {
-	var taken atomic.Bool
-	done := make(chan struct{})
-	h.Enqueue(func() {
-		if taken.CompareAndSwap(false, true) {
-			f()
-			close(done)
-		}
-	})
-	select {
-	case <-done:
-	case <-h.quit:
-		if !taken.CompareAndSwap(false, true) {
-			<-done
-		}
+	if cell != schema.MetaCell {
+		config.HeartbeatInterval = indexHeartbeatInterval
+		config.ElectionTimeout = indexElectionTimeout
 	}
+	return config
 }
 
 func (h *Host) tick() {
-	now := h.Now()
+	now := h.now()
 	if now-h.lastTickAt > stallThreshold {
 		h.resumedAt = now
 	}
 	h.lastTickAt = now
-	for name, m := range h.Replicas {
-		m.Tick(now)
-		h.processReady(name, m)
-	}
-	h.ObserveStability(now)
-	every := helloInterval
-	if ex := h.Replicas[schema.MetaCell]; ex != nil && ex.IsVoter() && ex.Leader() != "" {
-		every = 2 * helloInterval
-	}
-	if now-h.lastHelloAt >= every {
-		h.lastHelloAt = now
-		h.refreshLearners()
-		for _, a := range h.PeerAddresses() {
-			h.enqueueForPeer(a, nil)
-		}
+	for cell, hosted := range h.replicas {
+		hosted.replica.Tick(now)
+		h.processReady(cell, hosted)
 	}
+	h.observeStability(now)
+	h.sendHellos(now)
 }
 
-// ObserveStability notes when the exchange cell was not at rest, as far as this node knows.
-func (h *Host) ObserveStability(now time.Duration) {
-	m := h.Replicas[schema.MetaCell]
-	if m == nil {
-		return
+// sendHellos greets all peers when it is time. A voter that knows the leader need not do it
+// so often.
+func (h *Host) sendHellos(now time.Duration) {
+	interval := helloInterval
+	if meta := h.Replica(schema.MetaCell); meta != nil && meta.IsVoter() && meta.Leader() != "" {
+		interval = 2 * helloInterval
 	}
-	seats, _ := m.Voters()
-	if m.Leader() == "" || m.Leader() != h.lastLeader || m.Staleness(now) > StaleAfter || !slices.Equal(seats, h.lastVoters) {
-		if len(seats) > len(h.lastVoters) {
-			h.VoterAddedAt = now
-		}
-		h.lastLeader, h.lastVoters, h.DisturbedAt = m.Leader(), slices.Clone(seats), now
+	if now-h.lastHelloAt < interval {
+		return
 	}
-}
-
-// IsVoter reports whether this node votes in the exchange cell: only those who
-// do hear every registrar.
-func (h *Host) IsVoter() (yes bool) {
-	h.Do(func() {
-		m := h.Replicas[schema.MetaCell]
-		yes = m != nil && m.IsVoter()
-	})
-	return yes
-}
-
-func (h *Host) recordVoterAddresses(name string) {
-	if m := h.Replicas[name]; m != nil {
-		seats, _ := m.Voters()
-		for _, s := range seats {
-			h.Addresses[s.ID] = s.Addr
-		}
+	h.lastHelloAt = now
+	h.refreshLearners()
+	for _, address := range h.PeerAddresses() {
+		h.transport.send(address, nil)
 	}
 }
-
-// processReady carries out what a member wants done.
-func (h *Host) processReady(name string, m *paxos.Replica) {
-	for {
-		out := m.Ready()
-		if out.StateChanged {
-			h.recordVoterAddresses(name)
-		}
-		after := out.MessagesAfterSync
-		loop := h.sendToPeers(out.Messages)
-		if len(after) > 0 || !out.Writes.Empty() {
-			synced := h.Storage.Submit(name, out.Writes, func() {
-				h.Enqueue(func() {
-					if h.Replicas[name] != m {
-						return
-					}
-					for _, own := range h.sendToPeers(after) {
-						m.Step(h.Now(), own)
-					}
-					h.processReady(name, m)
-				})
-			})
-			if synced {
-				loop = append(loop, h.sendToPeers(after)...)
-			}
-		}
-		for _, d := range out.Outcomes {
-			if w := h.proposalWaiters[d.TxnID]; w != nil {
-				delete(h.proposalWaiters, d.TxnID)
-				w <- d
-			}
-		}
-		for _, r := range out.ConfirmedReads {
-			if w := h.readWaiters[r]; w != nil {
-				delete(h.readWaiters, r)
-				w <- m.AppliedIndex()
-			}
-		}
-		if r := m.Role(); r != h.roles[name] {
-			h.roles[name] = r
-			h.Log.Info(logging.ReplicaRoleChanged).Str("cell", name).Stringer("role", r).Uint64("applied", m.AppliedIndex()).Msg("role changed")
-		}
-		if out.StateChanged {
-			h.OnApply(name, out.ChangedKeys)
-		}
-		if len(loop) == 0 {
-			return
-		}
-		for _, own := range loop {
-			m.Step(h.Now(), own)
-		}
-	}
-}
-
-// Get reads a key of the applied state.
-func (h *Host) Get(name, key string) (v paxos.Value, ok bool) {
-	h.Do(func() {
-		if m := h.Replicas[name]; m != nil {
-			v, ok = m.Get(key)
-		}
-	})
-	return v, ok
-}
-
-const (
-	StaleAfter = 2 * time.Second // since a majority surely followed the proposer; others know it a beat or two later
-)
--- a/internal/controlplane/replicahost/host_test.go
+++ b/internal/controlplane/replicahost/host_test.go
@@ -9,10 +9,14 @@
 	"comethold/internal/logging"
 )
 
+// unreachable is a network without connections.
+func unreachable(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
+	return nil
+}
+
 // TestDoRunsWholeOrNeverAtStop: as the node ends, what was asked of the loop has run whole or never will.
 func TestDoRunsWholeOrNeverAtStop(t *testing.T) {
-	nowhere := func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) { return nil }
-	h := NewHost(PeerInfo{}, 0, nil, nil, nowhere, logging.Nop())
+	h := New(Options{Network: unreachable, Log: logging.Nop()})
 	ended := make(chan error)
 	go func() { ended <- h.Run() }()
 	begun, goOn, back := make(chan struct{}), make(chan struct{}), make(chan bool)
--- /dev/null
+++ b/internal/controlplane/replicahost/identity.go
@@ -0,0 +1,62 @@
+package replicahost
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"fmt"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/paxos"
+)
+
+// IdentityKey is where a node's replica ID is stored.
+const IdentityKey = "identity"
+
+// IdentityStorage stores the identity of a node. *storage.Store implements it.
+type IdentityStorage interface {
+	// NodeValue returns a value of the node's own, or nil.
+	NodeValue(key string) []byte
+	// Bootstrap stores such a value together with the first state of a cell, durably.
+	Bootstrap(key string, value []byte, cell string, writes paxos.Writes) error
+}
+
+// NewNode says how a node begins whose disk holds no identity.
+type NewNode struct {
+	Address    string // IP address
+	FirstStart bool   // of the system as a whole
+	// SetAside says that a damaged file was put aside: its replica may have voted.
+	SetAside bool
+	Founders []paxos.Voter // the first voters of the meta cell
+}
+
+// LoadOrCreateIdentity returns the replica ID of this incarnation of the disk. It is made
+// and synced at the disk's first start; isNew says so. Only the very first start of the
+// system may use an ID that the first membership counts on, and not where a file was put
+// aside: that ID may have voted. A founder's part of the first cell is synced with its ID,
+// so a founder that was stopped in between is one nevertheless.
+func LoadOrCreateIdentity(disk IdentityStorage, node NewNode) (id paxos.ReplicaID, isNew bool, err error) {
+	if stored := disk.NodeValue(IdentityKey); len(stored) > 0 {
+		return paxos.ReplicaID(stored), false, nil
+	}
+	id = paxos.ReplicaID(node.Address)
+	if !node.FirstStart || node.SetAside {
+		var suffix [6]byte
+		if _, err := rand.Read(suffix[:]); err != nil {
+			return "", false, fmt.Errorf("replicahost: no random replica ID: %w", err)
+		}
+		id = paxos.ReplicaID(node.Address + "~" + hex.EncodeToString(suffix[:]))
+	}
+	var writes paxos.Writes
+	if (paxos.Membership{Voters: node.Founders}).Contains(id) {
+		writes.Snapshot = foundingSnapshot(node.Founders)
+	}
+	return id, true, disk.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, writes)
+}
+
+// foundingSnapshot is the state of a cell at its beginning.
+func foundingSnapshot(voters []paxos.Voter) *paxos.Snapshot {
+	return &paxos.Snapshot{
+		State:       map[string]paxos.Value{},
+		Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: voters}},
+	}
+}
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -1,383 +1,232 @@
 package replicahost
 
 import (
-	"context"
-	"net"
-	"strconv"
+	"sync"
 	"time"
 
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/paxos"
-	"comethold/internal/rpc"
 )
 
-// PeerInfo introduces a registrar to the others.
+// PeerInfo introduces a control node to the others.
 type PeerInfo struct {
 	ID   paxos.ReplicaID `cbor:"1,keyasint"`
-	Addr string          `cbor:"2,keyasint"`
+	Addr string          `cbor:"2,keyasint"` // IP address
 	Zone string          `cbor:"3,keyasint"`
-	Name string          `cbor:"4,keyasint"`
+	Name string          `cbor:"4,keyasint"` // of the node, as in its settings
 }
 
-// Batch is what one registrar sends another.
-type Batch struct {
-	Sender       PeerInfo              `cbor:"1,keyasint"`
-	Messages     []paxos.Message       `cbor:"2,keyasint,omitempty"`
-	EndpointList distribution.Revision `cbor:"3,keyasint"` // of the leaf list that the sender holds
-	// The sender's time of day and the time that it agrees on, where that matters.
-	WallTime   int64 `cbor:"4,keyasint,omitempty"`
-	AgreedTime int64 `cbor:"5,keyasint,omitempty"`
-}
-
-// Sending. Ours; see docs/design.md.
+// Time-outs after which a peer that is not heard counts for less.
 const (
-	sendTimeoutBase    = 1500 * time.Millisecond // a batch may take so long, and
-	minSendRate        = 16 << 10                // a second more for so many bytes
-	minBulkSendRate    = 4 << 10                 // of a large message; a peer that is dead is noticed sooner
-	maxSendTimeout     = time.Minute
-	bulkThresholdBytes = 32 << 10 // a message of this size goes by itself
-	maxBatchBytes      = 64 << 10
-	maxQueueBytes      = 1 << 20 // that wait for a peer
-	maxClockBatchBytes = 4 << 10 // bytes of a batch that tells times
-	maxBulkMessages    = 64
-	bulkUnsentBytes    = 32 << 10 // bytes of it that wait in this machine
-	bulkSilenceTimeout = 6 * time.Second
+	// LearnerTimeout is the silence after which a peer without a vote is no longer kept up
+	// to date.
+	LearnerTimeout = 10 * time.Second
+	// CandidateTimeout is the silence after which a peer is not made a voter.
+	CandidateTimeout = 3 * time.Second
 )
 
-// sendTimeout is how long a body of so many bytes may be under way.
-func sendTimeout(bytes int, rate float64) time.Duration {
-	return min(maxSendTimeout, sendTimeoutBase+time.Duration(float64(bytes)/rate*float64(time.Second)))
+// peerTable knows which control nodes were heard and when. Times are those since the host
+// was made.
+type peerTable struct {
+	mu       sync.Mutex               // guards the fields below
+	peers    map[string]peerState     // by address
+	replaced map[paxos.ReplicaID]bool // replicas whose node has come back under another ID
 }
 
-type peer struct {
-	info        PeerInfo
-	lastHeard   time.Duration
-	queue       []paxos.Message
-	queuedBytes int // of the queue
-	wake        chan struct{}
-	bulk        bulkQueue
+type peerState struct {
+	info      PeerInfo
+	lastHeard time.Duration
 }
 
-// bulkQueue holds the large messages to one peer, which go one at a time, so that greetings and
-// beats need not wait behind them.
-type bulkQueue struct {
-	messages []paxos.Message
-	inFlight *paxos.Message // the one that is under way
-	wake     chan struct{}
+func newPeerTable() *peerTable {
+	return &peerTable{
+		peers:    map[string]peerState{},
+		replaced: map[paxos.ReplicaID]bool{},
+	}
 }
 
-// enqueue queues a large message. What is under way, or waits, is not sent a second time: a
-// snapshot of a cell, or the same message. What is left of one that went without its
-// snapshot is handed back.
-func (l *bulkQueue) enqueue(msg paxos.Message) *paxos.Message {
-	has := func(f func(*paxos.Message) bool) bool {
-		if l.inFlight != nil && f(l.inFlight) {
-			return true
-		}
-		for i := range l.messages {
-			if f(&l.messages[i]) {
-				return true
-			}
-		}
-		return false
-	}
-	if msg.Snapshot != nil && has(func(o *paxos.Message) bool { return o.Cell == msg.Cell && o.Snapshot != nil }) {
-		if msg.Kind == paxos.CatchUpResponse {
-			return nil
-		}
-		msg.Snapshot = nil // a promise that cannot be counted yet still tells how far its sender is
-		if msg.Size() < bulkThresholdBytes {
-			return &msg
-		}
-	}
-	if len(l.messages) >= maxBulkMessages || has(func(o *paxos.Message) bool {
-		return o.Cell == msg.Cell && o.Kind == msg.Kind && o.ProposalNumber == msg.ProposalNumber && (msg.Kind != paxos.Accept || o.Entries[0].Index == msg.Entries[0].Index)
-	}) {
-		return nil
+// contact is what a message from a peer reveals about it.
+type contact struct {
+	// isNew says that the peer was not known under its ID.
+	isNew bool
+	// replaced is the ID under which the peer was known before, or empty.
+	replaced paxos.ReplicaID
+	// silence is how long the peer had not been heard.
+	silence time.Duration
+}
+
+// record notes that a peer was heard.
+func (t *peerTable) record(info PeerInfo, now time.Duration) contact {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.replaced, info.ID)
+	known := t.peers[info.Addr]
+	found := contact{
+		isNew:   known.info.ID != info.ID,
+		silence: now - known.lastHeard,
 	}
-	l.messages = append(l.messages, msg)
-	select {
-	case l.wake <- struct{}{}:
-	default:
+	if found.isNew && known.info.ID != "" {
+		found.replaced = known.info.ID
+		t.replaced[known.info.ID] = true
 	}
-	return nil
+	t.peers[info.Addr] = peerState{info: info, lastHeard: now}
+	return found
 }
 
-// next hands out the next message; what was under way is no more.
-func (l *bulkQueue) next() *paxos.Message {
-	l.inFlight = nil
-	if len(l.messages) > 0 {
-		msg := l.messages[0]
-		l.messages, l.inFlight = l.messages[1:], &msg
+// heardSince lists the peers that were heard after a time, by address.
+func (t *peerTable) heardSince(since time.Duration) map[string]PeerInfo {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	heard := map[string]PeerInfo{}
+	for address, peer := range t.peers {
+		if peer.lastHeard > since {
+			heard[address] = peer.info
+		}
 	}
-	return l.inFlight
+	return heard
+}
+
+// lastHeard is when the peer at an address was heard last; 0 if it never was.
+func (t *peerTable) lastHeard(address string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peers[address].lastHeard
+}
+
+// isReplaced reports whether the node of a replica was heard under another ID since.
+func (t *peerTable) isReplaced(id paxos.ReplicaID) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.replaced[id]
 }
 
-// LivePeers lists the registrars heard in the last while, this one among them.
+// LivePeers lists, by address, the control nodes heard within a time, this one among them.
 func (h *Host) LivePeers(within time.Duration) map[string]PeerInfo {
-	now := h.Now()
-	out := map[string]PeerInfo{h.Self.Addr: h.Self}
-	h.peersMu.Lock()
-	defer h.peersMu.Unlock()
-	for a, p := range h.peers {
-		if p.info.ID != "" && now-p.lastHeard < within {
-			out[a] = p.info
-		}
+	live := h.peers.heardSince(h.now() - within)
+	if _, isListed := live[h.Self.Addr]; !isListed {
+		live[h.Self.Addr] = h.Self
 	}
-	return out
+	return live
 }
 
-// SilenceOf is how long a registrar has been silent, as far as this node was in
-// a state to hear it.
-func (h *Host) SilenceOf(addr string) time.Duration {
-	if addr == h.Self.Addr {
+// SilenceOf is how long a control node has been silent, as far as this node was in a state
+// to hear it. It must be called on the event loop, as from View.
+func (h *Host) SilenceOf(address string) time.Duration {
+	if address == h.Self.Addr {
 		return 0
 	}
-	since := h.resumedAt
-	h.peersMu.Lock()
-	defer h.peersMu.Unlock()
-	if p := h.peers[addr]; p != nil {
-		since = max(since, p.lastHeard)
-	}
-	return h.Now() - since
+	return h.now() - max(h.resumedAt, h.peers.lastHeard(address))
 }
 
-// IncarnationEnded reports whether a member's life has ended: its machine is live under another
-// name, so its disk was lost. This node may have started since and never have heard
-// the former name; then its seat tells where it lived.
-func (h *Host) IncarnationEnded(id paxos.ReplicaID) (yes bool) {
+// IncarnationEnded reports whether a replica is gone for good: its node is live under
+// another ID, so its disk was lost. This node may have started since and never have heard
+// the former ID; then the voters of the meta cell tell where it was.
+func (h *Host) IncarnationEnded(id paxos.ReplicaID) bool {
 	live := h.LivePeers(LearnerTimeout)
-	h.peersMu.Lock()
-	yes = h.replacedReplicas[id]
-	h.peersMu.Unlock()
-	h.Do(func() {
-		if ex := h.Replicas[schema.MetaCell]; ex != nil {
-			seats, _ := ex.Voters()
-			for _, s := range seats {
-				if now, ok := live[s.Addr]; ok && s.ID == id && now.ID != id {
-					yes = true
-				}
+	ended := h.peers.isReplaced(id)
+	h.View(schema.MetaCell, func(replica *paxos.Replica) {
+		voters, _ := replica.Voters()
+		for _, voter := range voters {
+			if now, isLive := live[voter.Addr]; isLive && voter.ID == id && now.ID != id {
+				ended = true
 			}
 		}
 	})
-	return yes
+	return ended
 }
 
-// PeerAddresses lists where other registrars may be. One that comes back knows seats of long
-// ago, and those who have the seats now need not be among the seeds: those in the directory
-// are greeted as well, also while they are down, and all who are heard, or nobody might
-// teach it.
+// PeerAddresses lists where other control nodes may be. A node that comes back knows the
+// voters of long ago, and those of now need not be among the seeds: hence registered nodes
+// are listed too, even while they are down, and all that are heard. Otherwise nobody might
+// bring it up to date. It must be called on the event loop, as from View.
 func (h *Host) PeerAddresses() []string {
-	seen := map[string]bool{h.Self.Addr: true}
-	var out []string
-	add := func(a string) {
-		if a != "" && !seen[a] {
-			seen[a] = true
-			out = append(out, a)
+	listed := map[string]bool{h.Self.Addr: true}
+	var addresses []string
+	add := func(address string) {
+		if address != "" && !listed[address] {
+			listed[address] = true
+			addresses = append(addresses, address)
 		}
 	}
-	if ex := h.Replicas[schema.MetaCell]; ex != nil {
-		seats, _ := ex.Voters()
-		for _, s := range seats {
-			add(s.Addr)
+	if meta := h.replicas[schema.MetaCell]; meta != nil {
+		voters, _ := meta.replica.Voters()
+		for _, voter := range voters {
+			add(voter.Addr)
 		}
 	}
-	for _, a := range h.Seeds {
-		add(a)
+	for _, address := range h.seeds {
+		add(address)
 	}
-	for _, a := range h.RegisteredAddresses() {
-		add(a)
+	for _, address := range h.hooks.RegisteredAddresses() {
+		add(address)
 	}
-	for a := range h.LivePeers(LearnerTimeout) {
-		add(a)
+	for address := range h.LivePeers(LearnerTimeout) {
+		add(address)
 	}
-	return out
+	return addresses
 }
 
-// refreshLearners keeps registrars without a vote current.
+// refreshLearners has the replicas here keep live control nodes without a vote up to date.
 func (h *Host) refreshLearners() {
 	live := h.LivePeers(LearnerTimeout)
-	for _, m := range h.Replicas {
-		seats, _ := m.Voters()
-		var out []paxos.ReplicaID
-		for _, p := range live {
-			if p.ID != h.Self.ID && !(paxos.Membership{Voters: seats}).Contains(p.ID) {
-				out = append(out, p.ID)
+	for _, hosted := range h.replicas {
+		voters, _ := hosted.replica.Voters()
+		membership := paxos.Membership{Voters: voters}
+		var learners []paxos.ReplicaID
+		for _, peer := range live {
+			if peer.ID != h.Self.ID && !membership.Contains(peer.ID) {
+				learners = append(learners, peer.ID)
 			}
 		}
-		m.SetLearners(out)
+		hosted.replica.SetLearners(learners)
 	}
 }
 
-// sendToPeers sends messages and hands back those to this node itself.
-func (h *Host) sendToPeers(msgs []paxos.Message) []paxos.Message {
-	var own []paxos.Message
-	byAddr := map[string][]paxos.Message{}
-	for _, msg := range msgs {
-		if msg.To == h.Self.ID {
-			own = append(own, msg)
-		} else if a := h.Addresses[msg.To]; a != "" && a != h.Self.Addr {
-			byAddr[a] = append(byAddr[a], msg)
-		}
-	}
-	for a, list := range byAddr {
-		h.enqueueForPeer(a, list)
-	}
-	return own
+// Receive takes in what another control node sent.
+func (h *Host) Receive(batch *Batch) {
+	h.Enqueue(func() { h.handleBatch(batch) })
 }
 
-func (h *Host) enqueueForPeer(addr string, msgs []paxos.Message) {
-	h.peersMu.Lock()
-	p := h.peers[addr]
-	if p == nil {
-		p = &peer{wake: make(chan struct{}, sendersPerPeer), bulk: bulkQueue{wake: make(chan struct{}, 1)}}
-		h.peers[addr] = p
-		for range sendersPerPeer {
-			go h.sendLoop(addr, p)
-		}
-		go h.bulkLoop(addr, p)
+func (h *Host) handleBatch(batch *Batch) {
+	sender := batch.Sender
+	if sender.Addr == "" || sender.ID == "" {
+		return
 	}
-	for i := range msgs {
-		small := &msgs[i]
-		if small.Size() >= bulkThresholdBytes {
-			small = p.bulk.enqueue(*small)
-		}
-		if small != nil {
-			p.queue = append(p.queue, *small)
-			p.queuedBytes += small.Size()
-		}
+	now := h.now()
+	h.addresses[sender.ID] = sender.Addr
+	if !h.transport.knows(sender.Addr) {
+		h.transport.send(sender.Addr, nil)
 	}
-	for p.queuedBytes > maxQueueBytes {
-		p.queuedBytes -= p.queue[0].Size() // what is newer counts more
-		p.queue = p.queue[1:]
+	found := h.peers.record(sender, now)
+	if found.isNew || found.silence > CandidateTimeout {
+		h.stability.disturbedAt = now
 	}
-	h.peersMu.Unlock()
-	p.wakeSender()
-}
-
-func (p *peer) wakeSender() {
-	select {
-	case p.wake <- struct{}{}:
-	default:
+	if found.isNew {
+		h.refreshLearners() // it is caught up from now on, not from the next hello
 	}
-}
-
-func (h *Host) sendLoop(addr string, p *peer) {
-	for {
-		select {
-		case <-p.wake:
-		case <-h.quit:
-			return
-		}
-		h.peersMu.Lock()
-		n, bytes := 0, 0
-		for n < len(p.queue) && (n == 0 || bytes < maxBatchBytes) {
-			bytes += p.queue[n].Size()
-			n++
-		}
-		msgs := p.queue[:n:n]
-		p.queue, p.queuedBytes = p.queue[n:], p.queuedBytes-bytes
-		if len(p.queue) > 0 {
-			p.wakeSender()
-		}
-		h.peersMu.Unlock()
-		h.sendBatch(h.Client, minSendRate, addr, msgs)
-	}
-}
-
-func (h *Host) bulkLoop(addr string, p *peer) {
-	for {
-		h.peersMu.Lock()
-		msg := p.bulk.next()
-		h.peersMu.Unlock()
-		if msg != nil {
-			h.sendBatch(h.bulkClient, minBulkSendRate, addr, []paxos.Message{*msg})
-			continue
-		}
-		select {
-		case <-p.bulk.wake:
-		case <-h.quit:
-			return
+	if found.replaced != "" {
+		for cell, hosted := range h.replicas {
+			hosted.replica.ReportReplicaLost(now, found.replaced)
+			h.processReady(cell, hosted)
 		}
 	}
-}
-
-func (h *Host) sendBatch(by *rpc.Client, rate float64, addr string, msgs []paxos.Message) {
-	body, err := rpc.EncodeRequest(h.newBatch(msgs))
-	if err != nil {
-		return
+	h.hooks.OnPeerEndpointRevision(sender.Addr, batch.EndpointList)
+	if batch.WallTime != 0 {
+		h.hooks.OnPeerClocks(sender.Addr, batch.WallTime, batch.AgreedTime)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout(len(body), rate))
-	defer cancel()
-	_ = by.CallEncoded(ctx, net.JoinHostPort(addr, strconv.Itoa(h.Port)), "/cells", body, nil)
+	h.stepMessages(now, batch.Messages)
 }
 
-// newBatch makes what goes to a peer. What may be long under way tells no times: by its
-// arrival they are wrong.
-func (h *Host) newBatch(msgs []paxos.Message) *Batch {
-	b := &Batch{Sender: h.Self, Messages: msgs, EndpointList: h.EndpointListVersion()}
-	bytes := 0
-	for i := range msgs {
-		bytes += msgs[i].Size()
+// stepMessages hands messages to their replicas, then does what these want done.
+func (h *Host) stepMessages(now time.Duration, messages []paxos.Message) {
+	stepped := map[string]*hostedReplica{}
+	for _, message := range messages {
+		if hosted := h.replicas[message.Cell]; hosted != nil {
+			hosted.replica.Step(now, message)
+			stepped[message.Cell] = hosted
+		}
 	}
-	if bytes <= maxClockBatchBytes {
-		b.WallTime, b.AgreedTime = h.ReadClocks()
+	for cell, hosted := range stepped {
+		h.processReady(cell, hosted)
 	}
-	return b
-}
-
-// Receive takes in what another registrar sent.
-func (h *Host) Receive(b *Batch) {
-	h.Enqueue(func() {
-		now := h.Now()
-		if b.Sender.Addr == "" || b.Sender.ID == "" {
-			return
-		}
-		h.Addresses[b.Sender.ID] = b.Sender.Addr
-		h.peersMu.Lock()
-		p := h.peers[b.Sender.Addr]
-		h.peersMu.Unlock()
-		if p == nil {
-			h.enqueueForPeer(b.Sender.Addr, nil)
-			h.peersMu.Lock()
-			p = h.peers[b.Sender.Addr]
-			h.peersMu.Unlock()
-		}
-		h.peersMu.Lock()
-		delete(h.replacedReplicas, b.Sender.ID)
-		fresh := p.info.ID != b.Sender.ID
-		former := p.info.ID
-		if former != "" && fresh {
-			h.replacedReplicas[former] = true
-		}
-		if fresh || now-p.lastHeard > CandidateTimeout {
-			h.DisturbedAt = now
-		}
-		p.info, p.lastHeard = b.Sender, now
-		h.peersMu.Unlock()
-		if fresh {
-			h.refreshLearners() // a newcomer is taught from now on, not from the next round of greetings
-		}
-		if fresh && former != "" {
-			for name, m := range h.Replicas {
-				m.ReportReplicaLost(now, former)
-				h.processReady(name, m)
-			}
-		}
-		h.OnPeerEndpointList(b.Sender.Addr, b.EndpointList)
-		if b.WallTime != 0 {
-			h.OnPeerClocks(b.Sender.Addr, b.WallTime, b.AgreedTime)
-		}
-		touched := map[string]*paxos.Replica{}
-		for _, msg := range b.Messages {
-			if m := h.Replicas[msg.Cell]; m != nil {
-				m.Step(now, msg)
-				touched[msg.Cell] = m
-			}
-		}
-		for name, m := range touched {
-			h.processReady(name, m)
-		}
-	})
 }
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -3,9 +3,7 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	mrand "math/rand/v2"
-	"net"
 	"strconv"
 	"time"
 
@@ -13,22 +11,44 @@
 	"comethold/internal/paxos"
 )
 
+// Paths of the calls to the leader of a cell that this package makes.
+const (
+	PathPropose = "/propose"
+	PathConfirm = "/confirm"
+)
+
+// Backoff of calls that no leader takes.
+const (
+	initialRetryBackoff = 20 * time.Millisecond
+	maxRetryBackoff     = 300 * time.Millisecond
+	// noLeaderBackoff is shorter: whether there is a leader is looked up here and costs
+	// nobody else anything.
+	noLeaderBackoff = 60 * time.Millisecond
+)
+
+// ProposeRequest asks the leader of a cell to propose a transaction or, without one, to
+// confirm that it leads still.
 type ProposeRequest struct {
 	Cell string    `cbor:"1,keyasint"`
 	Txn  paxos.Txn `cbor:"2,keyasint"`
 }
 
+// ProposeResult is what became of a request to the leader of a cell.
 type ProposeResult struct {
-	Committed bool   `cbor:"1,keyasint,omitempty"`
-	Busy      bool   `cbor:"2,keyasint,omitempty"`
-	Unknown   bool   `cbor:"3,keyasint,omitempty"`
-	NoLeader  bool   `cbor:"4,keyasint,omitempty"`
-	Index     uint64 `cbor:"5,keyasint,omitempty"`
-	// Grant answers a claim.
+	Committed bool `cbor:"1,keyasint,omitempty"`
+	// Busy says that the leader refuses more work.
+	Busy bool `cbor:"2,keyasint,omitempty"`
+	// Unknown says that the change may or may not have been committed.
+	Unknown bool `cbor:"3,keyasint,omitempty"`
+	// NoLeader says that the node that was asked does not lead the cell.
+	NoLeader bool `cbor:"4,keyasint,omitempty"`
+	// Index is the log index at which a read was confirmed.
+	Index uint64 `cbor:"5,keyasint,omitempty"`
+	// Grant answers a request for a share.
 	Grant distribution.ShareGrant `cbor:"6,keyasint,omitempty"`
 }
 
-// resultOfRefusal is the verdict where a member takes nothing.
+// resultOfRefusal is the result where a replica takes nothing.
 func resultOfRefusal(err error) ProposeResult {
 	if errors.Is(err, paxos.ErrPipelineFull) {
 		return ProposeResult{Busy: true}
@@ -36,174 +56,123 @@
 	return ProposeResult{NoLeader: true}
 }
 
-// ProposeLocal proposes at this node, which must be the proposer.
-func (h *Host) ProposeLocal(ctx context.Context, name string, t paxos.Txn) ProposeResult {
-	w := make(chan paxos.Outcome, 1)
-	var err error
-	h.Do(func() {
-		m := h.Replicas[name]
-		if m == nil {
-			err = paxos.ErrNotLeader
-			return
-		}
-		h.proposalWaiters[t.ID] = w
-		if err = m.Propose(h.Now(), t); err != nil {
-			delete(h.proposalWaiters, t.ID)
-		}
-		h.processReady(name, m)
-	})
-	if err != nil {
-		return resultOfRefusal(err)
-	}
-	select {
-	case o := <-w:
-		return ProposeResult{Committed: o.Committed, Unknown: o.Unknown}
-	case <-ctx.Done():
-	case <-h.quit:
-	}
-	h.Enqueue(func() {
-		delete(h.proposalWaiters, t.ID)
-		if m := h.Replicas[name]; m != nil {
-			m.ForgetOutcome(t.ID)
-		}
+// NewTransactionID returns an ID that no other transaction has.
+func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
+
+// Propose has a transaction decided by a cell and reports whether it was committed; if not,
+// its conditions did not hold. The error is ErrNoQuorum, ErrBusy or ErrOutcomeUnknown.
+func (h *Host) Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
+	txn.ID = NewTransactionID()
+	request := &ProposeRequest{Cell: cell, Txn: txn}
+	result, err := h.CallLeader(ctx, cell, PathPropose, request, func(ctx context.Context) ProposeResult {
+		return h.ProposeLocal(ctx, cell, txn)
 	})
-	return ProposeResult{Unknown: true}
+	return result.Committed, err
 }
 
-// ReadIndexLocal confirms at the proposer that its state is current.
-func (h *Host) ReadIndexLocal(ctx context.Context, name string) ProposeResult {
-	w := make(chan uint64, 1)
+// ProposeLocal proposes a transaction, which must have an ID, at this node. The result is
+// NoLeader if this node does not lead the cell.
+func (h *Host) ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) ProposeResult {
+	waiter := make(chan paxos.Outcome, 1)
 	var err error
-	var ticket uint64
-	h.Do(func() {
-		m := h.Replicas[name]
-		if m == nil {
+	h.loop.do(func() {
+		hosted := h.replicas[cell]
+		if hosted == nil {
 			err = paxos.ErrNotLeader
 			return
 		}
-		h.lastReadID++
-		ticket = h.lastReadID
-		h.readWaiters[ticket] = w
-		if err = m.Read(h.Now(), ticket); err != nil {
-			delete(h.readWaiters, ticket)
+		h.proposalWaiters[txn.ID] = waiter
+		if err = hosted.replica.Propose(h.now(), txn); err != nil {
+			delete(h.proposalWaiters, txn.ID)
 		}
-		h.processReady(name, m)
+		h.processReady(cell, hosted)
 	})
 	if err != nil {
 		return resultOfRefusal(err)
 	}
 	select {
-	case slot := <-w:
-		return ProposeResult{Committed: true, Index: slot}
+	case outcome := <-waiter:
+		return ProposeResult{Committed: outcome.Committed, Unknown: outcome.Unknown}
 	case <-ctx.Done():
-	case <-h.quit:
+	case <-h.loop.quit:
 	}
-	h.Enqueue(func() { delete(h.readWaiters, ticket) })
-	return ProposeResult{NoLeader: true}
-}
-
-// leaderAddress returns where the proposer is; here says that it is this node.
-func (h *Host) leaderAddress(name string) (addr string, here bool) {
-	h.Do(func() {
-		if m := h.Replicas[name]; m != nil {
-			here = m.Role() == paxos.Leader
-			if l := m.Leader(); l != "" {
-				addr = h.Addresses[l]
-			}
+	h.Enqueue(func() {
+		delete(h.proposalWaiters, txn.ID)
+		if replica := h.Replica(cell); replica != nil {
+			replica.ForgetOutcome(txn.ID)
 		}
 	})
-	return addr, here
+	return ProposeResult{Unknown: true}
 }
 
-// CallLeader runs f at the proposer, here or by a call, and backs off
-// exponentially with jitter while there is none or it refuses.
-func (h *Host) CallLeader(ctx context.Context, name, path string, in any, f func(context.Context) ProposeResult) (ProposeResult, error) {
-	pause := 20 * time.Millisecond
-	last := ErrNoQuorum
+// CallLeader has the leader of a cell do something: local does it if this node leads, else
+// the request is posted to a path at the leader. While there is no leader, or it refuses,
+// the call is retried with an exponential backoff with jitter until the context ends; the
+// error is then ErrNoQuorum or ErrBusy. After ErrOutcomeUnknown the leader may have done it.
+func (h *Host) CallLeader(
+	ctx context.Context, cell, path string, request any, local func(context.Context) ProposeResult,
+) (ProposeResult, error) {
+	backoff := initialRetryBackoff
+	cause := ErrNoQuorum
 	for {
-		addr, here := h.leaderAddress(name)
-		v := ProposeResult{NoLeader: true}
-		if here {
-			v = f(ctx)
-		} else if addr != "" && addr != h.Self.Addr {
-			// Into a fresh verdict: what is absent on the wire stays as it was.
-			v = ProposeResult{}
-			if err := h.Client.Call(ctx, net.JoinHostPort(addr, strconv.Itoa(h.Port)), path, in, &v); err != nil {
-				v = ProposeResult{Unknown: true}
-			}
-		}
+		result := h.callLeaderOnce(ctx, cell, path, request, local)
 		switch {
-		case v.Unknown:
-			return v, ErrOutcomeUnknown
-		case v.Busy:
-			last = ErrBusy
-		case !v.NoLeader:
-			return v, nil
+		case result.Unknown:
+			return result, ErrOutcomeUnknown
+		case result.Busy:
+			cause = ErrBusy
+		case !result.NoLeader:
+			return result, nil
 		}
-		wait := time.Duration((0.5 + mrand.Float64()) * float64(pause))
-		most := maxRetryBackoff
-		if v.NoLeader {
-			most = noLeaderBackoff // looked up here: it costs nobody else anything
+		pause := time.Duration((0.5 + mrand.Float64()) * float64(backoff))
+		maxBackoff := maxRetryBackoff
+		if result.NoLeader {
+			maxBackoff = noLeaderBackoff
 		}
-		pause = min(2*pause, most)
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-			return v, last
-		case <-h.quit:
-			return v, last
+		backoff = min(2*backoff, maxBackoff)
+		if !h.sleep(ctx, pause) {
+			return result, cause
 		}
 	}
 }
 
-func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
-
-// Propose has a transaction decided and tells whether it was committed.
-func (h *Host) Propose(ctx context.Context, name string, t paxos.Txn) (bool, error) {
-	t.ID = NewTransactionID()
-	v, err := h.CallLeader(ctx, name, "/propose", &ProposeRequest{Cell: name, Txn: t},
-		func(ctx context.Context) ProposeResult { return h.ProposeLocal(ctx, name, t) })
-	return v.Committed, err
-}
-
-// WaitLinearizable waits until this node's copy of the cell is current.
-func (h *Host) WaitLinearizable(ctx context.Context, name string) error {
-	v, err := ProposeResult{}, ErrOutcomeUnknown
-	for errors.Is(err, ErrOutcomeUnknown) { // to ask again does no harm
-		v, err = h.CallLeader(ctx, name, "/confirm", &ProposeRequest{Cell: name},
-			func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, name) })
-		if err == nil && !v.Committed {
-			err = ErrOutcomeUnknown // an answer without content confirms nothing
-		}
-		if errors.Is(err, ErrOutcomeUnknown) {
-			select {
-			case <-time.After(noLeaderBackoff):
-			case <-ctx.Done():
-				return ErrNoQuorum
-			case <-h.quit:
-				return ErrNoQuorum
-			}
-		}
+func (h *Host) callLeaderOnce(
+	ctx context.Context, cell, path string, request any, local func(context.Context) ProposeResult,
+) ProposeResult {
+	address, isLocal := h.leaderAddress(cell)
+	if isLocal {
+		return local(ctx)
 	}
-	if err != nil {
-		return err
+	if address == "" || address == h.Self.Addr {
+		return ProposeResult{NoLeader: true}
 	}
-	for {
-		var applied uint64
-		h.Do(func() {
-			if m := h.Replicas[name]; m != nil {
-				applied = m.AppliedIndex()
-			}
-		})
-		if applied >= v.Index {
-			return nil
-		}
-		select {
-		case <-time.After(5 * time.Millisecond):
-		case <-ctx.Done():
-			return fmt.Errorf("%w: behind its cell", ErrNoQuorum)
-		case <-h.quit:
-			return ErrNoQuorum
+	var result ProposeResult
+	if err := h.CallPeer(ctx, address, path, request, &result); err != nil {
+		return ProposeResult{Unknown: true}
+	}
+	return result
+}
+
+// leaderAddress returns where the leader of a cell is, as far as is known here; isLocal says
+// that it is this node.
+func (h *Host) leaderAddress(cell string) (address string, isLocal bool) {
+	h.View(cell, func(replica *paxos.Replica) {
+		isLocal = replica.Role() == paxos.Leader
+		if leader := replica.Leader(); leader != "" {
+			address = h.addresses[leader]
 		}
+	})
+	return address, isLocal
+}
+
+// sleep waits, and reports false if the context or the host ended first.
+func (h *Host) sleep(ctx context.Context, pause time.Duration) bool {
+	select {
+	case <-time.After(pause):
+		return true
+	case <-ctx.Done():
+		return false
+	case <-h.loop.quit:
+		return false
 	}
 }
--- /dev/null
+++ b/internal/controlplane/replicahost/read.go
@@ -0,0 +1,96 @@
+package replicahost
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"comethold/internal/paxos"
+)
+
+// appliedPollInterval is how often WaitLinearizable looks whether this node has caught up.
+const appliedPollInterval = 5 * time.Millisecond
+
+// WaitLinearizable waits until the state of a cell that is applied here holds all that was
+// committed before the call: a read that follows is linearizable. The leader confirms its
+// lead with a majority and names an index (ReadIndex), which this node then waits for. The
+// error is ErrBusy or wraps ErrNoQuorum.
+func (h *Host) WaitLinearizable(ctx context.Context, cell string) error {
+	index, err := h.readIndex(ctx, cell)
+	if err != nil {
+		return err
+	}
+	return h.waitApplied(ctx, cell, index)
+}
+
+// readIndex asks the leader up to which index the state must be applied. To ask again does
+// no harm, so it does that while the outcome is not known.
+func (h *Host) readIndex(ctx context.Context, cell string) (uint64, error) {
+	request := &ProposeRequest{Cell: cell}
+	local := func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, cell) }
+	for {
+		result, err := h.CallLeader(ctx, cell, PathConfirm, request, local)
+		if err == nil && result.Committed {
+			return result.Index, nil
+		}
+		// An answer without content confirms nothing either.
+		if err != nil && !errors.Is(err, ErrOutcomeUnknown) {
+			return 0, err
+		}
+		if !h.sleep(ctx, noLeaderBackoff) {
+			return 0, ErrNoQuorum
+		}
+	}
+}
+
+// ReadIndexLocal has this node confirm that it leads a cell still, and returns the index
+// that is applied here by then. The result is NoLeader if it does not lead.
+func (h *Host) ReadIndexLocal(ctx context.Context, cell string) ProposeResult {
+	waiter := make(chan uint64, 1)
+	var readID uint64
+	var err error
+	h.loop.do(func() {
+		hosted := h.replicas[cell]
+		if hosted == nil {
+			err = paxos.ErrNotLeader
+			return
+		}
+		h.lastReadID++
+		readID = h.lastReadID
+		h.readWaiters[readID] = waiter
+		if err = hosted.replica.Read(h.now(), readID); err != nil {
+			delete(h.readWaiters, readID)
+		}
+		h.processReady(cell, hosted)
+	})
+	if err != nil {
+		return resultOfRefusal(err)
+	}
+	select {
+	case index := <-waiter:
+		return ProposeResult{Committed: true, Index: index}
+	case <-ctx.Done():
+	case <-h.loop.quit:
+	}
+	h.Enqueue(func() { delete(h.readWaiters, readID) })
+	return ProposeResult{NoLeader: true}
+}
+
+// waitApplied waits until the state of a cell is applied here up to an index.
+func (h *Host) waitApplied(ctx context.Context, cell string, index uint64) error {
+	for {
+		var applied uint64
+		h.View(cell, func(replica *paxos.Replica) { applied = replica.AppliedIndex() })
+		if applied >= index {
+			return nil
+		}
+		select {
+		case <-time.After(appliedPollInterval):
+		case <-ctx.Done():
+			return fmt.Errorf("%w: behind its cell", ErrNoQuorum)
+		case <-h.loop.quit:
+			return ErrNoQuorum
+		}
+	}
+}
--- a/internal/controlplane/replicahost/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/paxos"
 	"comethold/internal/storage"
 	"fmt"
@@ -11,13 +10,12 @@
 	"sort"
 	"strings"
 	"testing"
-	"time"
 )
 
 // TestBulkQueueSendsNothingTwice: of what is large, nothing goes a second time while it is under way, and a
 // promise goes without the snapshot that is.
 func TestBulkQueueSendsNothingTwice(t *testing.T) {
-	l := bulkQueue{wake: make(chan struct{}, 1)}
+	l := newBulkQueue()
 	snap := func() *paxos.Snapshot {
 		return &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}
 	}
@@ -53,27 +51,28 @@
 // TestSendQueueBounds: what one tick says in many cells finds room, and what is oldest makes
 // room for what is newest.
 func TestSendQueueBounds(t *testing.T) {
-	p := &peer{wake: make(chan struct{}, 1), bulk: bulkQueue{wake: make(chan struct{}, 1)}}
-	h := &Host{peers: map[string]*peer{"b": p}}
+	queues := newPeerQueues()
+	h := &transport{peers: map[string]*peerQueues{"b": queues}}
+	p := queues.small
 	const cells = 1000
-	h.enqueueForPeer("b", make([]paxos.Message, cells))
-	if len(p.queue) != cells {
-		t.Errorf("%d of %d messages wait", len(p.queue), cells)
+	h.send("b", make([]paxos.Message, cells))
+	if len(p.messages) != cells {
+		t.Errorf("%d of %d messages wait", len(p.messages), cells)
 	}
 	half := paxos.Message{Entries: []paxos.Entry{{Txns: []paxos.Txn{{ID: strings.Repeat("x", bulkThresholdBytes/2)}}}}}
 	for i := range 2 * maxQueueBytes / half.Size() {
 		half.HeartbeatSequence = uint64(i)
-		h.enqueueForPeer("b", []paxos.Message{half})
+		h.send("b", []paxos.Message{half})
 	}
-	if n := len(p.queue); p.queuedBytes > maxQueueBytes || n < maxQueueBytes/half.Size() || p.queue[n-1].HeartbeatSequence != half.HeartbeatSequence {
-		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.queuedBytes, p.queue[n-1].HeartbeatSequence, half.HeartbeatSequence)
+	if n := len(p.messages); p.bytes > maxQueueBytes || n < maxQueueBytes/half.Size() || p.messages[n-1].HeartbeatSequence != half.HeartbeatSequence {
+		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.bytes, p.messages[n-1].HeartbeatSequence, half.HeartbeatSequence)
 	}
 }
 
 // TestLargeBatchCarriesNoClocks: what may be long under way tells no time of day, which would be taken for
 // that of its arrival.
 func TestLargeBatchCarriesNoClocks(t *testing.T) {
-	h := &Host{EndpointListVersion: func() distribution.Revision { return distribution.Revision{} }, ReadClocks: func() (int64, int64) { return 7, 8 }}
+	h := New(Options{Hooks: Hooks{ReadClocks: func() (int64, int64) { return 7, 8 }}, Network: unreachable})
 	if b := h.newBatch([]paxos.Message{{}}); b.WallTime != 7 || b.AgreedTime != 8 {
 		t.Errorf("a greeting says %d and %d", b.WallTime, b.AgreedTime)
 	}
@@ -86,9 +85,14 @@
 // TestPeerAddresses: a registrar that knows no seats greets, besides its seeds, whoever greets it
 // and whoever is listed: the proposer need not be a seed, and only it teaches.
 func TestPeerAddresses(t *testing.T) {
-	h := &Host{Self: PeerInfo{ID: "1~a", Addr: "1"}, Seeds: []string{"1", "2"}, start: time.Now(), Replicas: map[string]*paxos.Replica{},
-		RegisteredAddresses: func() []string { return []string{"3", "1"} }, peers: map[string]*peer{
-			"4": {info: PeerInfo{ID: "4", Addr: "4"}}, "5": {info: PeerInfo{ID: "5", Addr: "5"}, lastHeard: -2 * LearnerTimeout}}}
+	h := New(Options{
+		Self:    PeerInfo{ID: "1~a", Addr: "1"},
+		Seeds:   []string{"1", "2"},
+		Hooks:   Hooks{RegisteredAddresses: func() []string { return []string{"3", "1"} }},
+		Network: unreachable,
+	})
+	h.peers.record(PeerInfo{ID: "4", Addr: "4"}, 0)
+	h.peers.record(PeerInfo{ID: "5", Addr: "5"}, -2*LearnerTimeout)
 	got := h.PeerAddresses()
 	sort.Strings(got)
 	if fmt.Sprint(got) != "[2 3 4]" {
@@ -106,7 +110,7 @@
 			t.Fatal(err)
 		}
 		defer v.Close()
-		id, _, err := LoadOrCreateIdentity(v, "a", first, storage.HasCorruptFile(dir), seats)
+		id, _, err := LoadOrCreateIdentity(v, NewNode{Address: "a", FirstStart: first, SetAside: storage.HasCorruptFile(dir), Founders: seats})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -136,7 +136,7 @@
 		}
 		pause = minPersistInterval
 		if at, ok := r.usages.clock.Now(time.Now()); ok {
-			n := r.usages.persist(r.host.Storage, usage.WindowAt(at, r.settings.Bounds.UsageWindow()))
+			n := r.usages.persist(r.storage, usage.WindowAt(at, r.settings.Bounds.UsageWindow()))
 			pause = max(pause, time.Duration(float64(n)/persistBytesPerSecond*float64(time.Second)))
 		}
 	}
@@ -178,10 +178,8 @@
 
 // reportRows lists the rows of the reports, oldest first.
 func (r *Server) reportRows() (rows []schema.StoredRow) {
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			rows = schema.UsageReportRows(m)
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		rows = schema.UsageReportRows(m)
 	})
 	return rows
 }
@@ -265,7 +263,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 			defer cancel()
 			var lives usage.IncarnationCounts
-			err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/usage", WindowRequest{window}, &lives)
+			err := r.host.CallPeer(ctx, addr, "/usage", WindowRequest{window}, &lives)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
