--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -23,17 +24,13 @@
 	ReconcileInterval   = 400 * time.Millisecond
 	moveRetryInterval   = ReconcileInterval / 4 // while seats are to move
 	digestInterval      = time.Second
-	suspicionLifetime   = 4 * time.Second
-	reportLifetime      = 2 * time.Second
 	maxMarkAttempts     = 3
 	maxEjectionTime     = 30 * time.Second // after which a mark for silence must be made anew
-	contactLifetime     = 3 * time.Second
 	downNodeRetention   = 2 * time.Minute
 	ProposalTimeout     = 1200 * time.Millisecond
 	replicaTimeout      = 5 * time.Second
 	endpointFetchDelay  = 300 * time.Millisecond
 	probeTimeout        = 700 * time.Millisecond
-	witnessesRequired   = 2 // watchers, or reporters of a leaf, that must agree
 )
 
 func (r *Server) wakeReconciler() {
@@ -88,7 +85,7 @@
 // since nobody who could teach them knows of them.
 func (r *Server) observeUnlistedReplicas() {
 	held := r.board.Nodes()
-	for _, h := range r.host.LivePeers(contactLifetime) {
+	for _, h := range r.host.LivePeers(nodereports.ContactLifetime) {
 		n := distribution.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, ControlPlane: true}
 		if _, known := held[n.Name]; !known {
 			r.recordNodeCall(&distribution.UpdateRequest{Node: n})
@@ -111,34 +108,18 @@
 		t.Conditions = append(t.Conditions, cond)
 		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NodeKeyPrefix + n.Name, Value: schema.MustEncode(n)})
 	}
-	r.mu.Lock()
-	for name, s := range r.recentNodes {
-		if now.Sub(s.lastCall) > contactLifetime {
-			delete(r.recentNodes, name)
-			continue
-		}
-		if old, known := held[name]; !known || old != s.node {
-			put(old, known, s.node)
+	contacts := r.reports.Contacts(now)
+	for name, node := range contacts {
+		if old, known := held[name]; !known || old != node {
+			put(old, known, node)
 		}
 	}
-	for name, by := range r.suspectedBy {
-		n := 0
-		for w, at := range by {
-			if now.Sub(at) > suspicionLifetime {
-				delete(by, w)
-			} else {
-				n++
-			}
-		}
-		if len(by) == 0 {
-			delete(r.suspectedBy, name)
-		}
-		_, calls := r.recentNodes[name]
-		if old, known := held[name]; known && !old.Down && !calls && n >= min(witnessesRequired, len(held)-1) {
+	for name, count := range r.reports.Suspects(now) {
+		_, calls := contacts[name]
+		if old, known := held[name]; known && !old.Down && !calls && count >= min(nodereports.WitnessesRequired, len(held)-1) {
 			doubted = append(doubted, old)
 		}
 	}
-	r.mu.Unlock()
 	for _, old := range r.probeUnreachable(doubted) {
 		down := old
 		down.Down = true
@@ -169,11 +150,9 @@
 	}
 	wg.Wait()
 	var out []distribution.Node
-	r.mu.Lock()
-	defer r.mu.Unlock()
 	for i, n := range doubted {
 		if answers[i] {
-			delete(r.suspectedBy, n.Name)
+			r.reports.ClearSuspicion(n.Name)
 		} else {
 			out = append(out, n)
 		}
--- a/internal/controlplane/marks.go
+++ b/internal/controlplane/marks.go
@@ -37,31 +37,8 @@
 
 // applyReports turns what several switches noticed into marks.
 func (r *Server) applyReports() {
-	now := time.Now()
-	r.mu.Lock()
-	var bad, well []distribution.HealthReport
-	for leaf, by := range r.faultReports {
-		for w, at := range by {
-			if now.Sub(at) > reportLifetime {
-				delete(by, w)
-			}
-		}
-		if len(by) == 0 {
-			delete(r.faultReports, leaf)
-			delete(r.lastFaultReport, leaf)
-		} else if len(by) >= witnessesRequired {
-			bad = append(bad, r.lastFaultReport[leaf])
-		}
-	}
-	for leaf, w := range r.recoveryReports {
-		if now.Sub(w.reportedAt) > reportLifetime {
-			delete(r.recoveryReports, leaf)
-		} else {
-			well = append(well, w.report)
-		}
-	}
-	r.mu.Unlock()
-	if len(bad)+len(well) == 0 {
+	agreed := r.reports.Health(time.Now())
+	if agreed.IsEmpty() {
 		return
 	}
 	// Other registrars hear the same: where one was first, what is left is worked
@@ -69,21 +46,14 @@
 	done := false
 	for try := 0; try < maxMarkAttempts && !done; try++ {
 		done = true
-		for ix, t := range r.reportedMarkTxns(bad, well) {
+		for ix, t := range r.reportedMarkTxns(agreed.Faults, agreed.Recoveries) {
 			done = r.propose(ix, *t) && done
 		}
 	}
 	if !done {
 		return // next time
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, rep := range bad {
-		delete(r.faultReports, rep.EndpointID)
-	}
-	for _, rep := range well {
-		delete(r.recoveryReports, rep.EndpointID)
-	}
+	r.reports.Resolve(agreed)
 }
 
 // reportedMarkTxns makes one transaction for each index whose marks are to change.
--- /dev/null
+++ b/internal/controlplane/nodereports/tracker.go
@@ -0,0 +1,190 @@
+// Package nodereports keeps what nodes tell the control node that they get their updates
+// from: that they are there, which of their neighbours they miss, and which endpoints they
+// found faulty or well again. It decides nothing; reconcilers read it and write what
+// enough nodes agree on into the replicated state.
+package nodereports
+
+import (
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+)
+
+// Lifetimes of what nodes report. The reasons for these values are in docs/design.md.
+const (
+	ContactLifetime   = 3 * time.Second // of a node that calls
+	SuspicionLifetime = 4 * time.Second // of a neighbour's word that it misses a node
+	ReportLifetime    = 2 * time.Second // of a word on an endpoint's health
+)
+
+// WitnessesRequired is how many nodes must agree before a suspicion or a fault counts.
+const WitnessesRequired = 2
+
+// Tracker holds the reports of the last few seconds. It is safe for concurrent use.
+type Tracker struct {
+	mu         sync.Mutex // guards the fields below
+	contacts   map[string]contact
+	suspicions map[string]witnesses // by the node that is missed
+	faults     map[string]*fault    // by endpoint
+	recoveries map[string]recovery  // by endpoint
+}
+
+type contact struct {
+	node distribution.Node
+	at   time.Time
+}
+
+// witnesses are the names of nodes that report the same, with the time of the last report.
+type witnesses map[string]time.Time
+
+// forget drops the witnesses that reported before a time.
+func (w witnesses) forget(before time.Time) {
+	for name, at := range w {
+		if at.Before(before) {
+			delete(w, name)
+		}
+	}
+}
+
+type fault struct {
+	reportedBy witnesses
+	last       distribution.HealthReport
+}
+
+// recovery is kept for a while, in case the ejection cannot be lifted at once.
+type recovery struct {
+	report distribution.HealthReport
+	at     time.Time
+}
+
+// NewTracker makes an empty tracker.
+func NewTracker() *Tracker {
+	return &Tracker{
+		contacts:   map[string]contact{},
+		suspicions: map[string]witnesses{},
+		faults:     map[string]*fault{},
+		recoveries: map[string]recovery{},
+	}
+}
+
+// Record notes who calls and what it reports. It returns whether there is something in it
+// that a reconciler should look at soon: a node that was not known, or an endpoint's health.
+func (t *Tracker) Record(request *distribution.UpdateRequest, now time.Time) (isUrgent bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	reporter := request.Node.Name
+	if reporter != "" {
+		_, isKnown := t.contacts[reporter]
+		t.contacts[reporter] = contact{node: request.Node, at: now}
+		isUrgent = !isKnown
+	}
+	for _, missed := range request.Suspects {
+		if t.suspicions[missed] == nil {
+			t.suspicions[missed] = witnesses{}
+		}
+		t.suspicions[missed][reporter] = now
+	}
+	for _, report := range request.Reports {
+		isUrgent = true
+		t.recordHealthLocked(reporter, report, now)
+	}
+	return isUrgent
+}
+
+func (t *Tracker) recordHealthLocked(reporter string, report distribution.HealthReport, now time.Time) {
+	endpoint := report.EndpointID
+	if report.Healthy {
+		t.recoveries[endpoint] = recovery{report: report, at: now}
+		delete(t.faults, endpoint)
+		return
+	}
+	delete(t.recoveries, endpoint)
+	if t.faults[endpoint] == nil {
+		t.faults[endpoint] = &fault{reportedBy: witnesses{}}
+	}
+	t.faults[endpoint].reportedBy[reporter] = now
+	t.faults[endpoint].last = report
+}
+
+// Contacts returns the nodes that called within ContactLifetime, by name.
+func (t *Tracker) Contacts(now time.Time) map[string]distribution.Node {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	nodes := map[string]distribution.Node{}
+	for name, c := range t.contacts {
+		if now.Sub(c.at) > ContactLifetime {
+			delete(t.contacts, name)
+			continue
+		}
+		nodes[name] = c.node
+	}
+	return nodes
+}
+
+// Suspects returns how many nodes miss a node, by its name. A node whose last suspicion has
+// just expired is listed once more, with 0.
+func (t *Tracker) Suspects(now time.Time) map[string]int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	counts := map[string]int{}
+	for name, missedBy := range t.suspicions {
+		missedBy.forget(now.Add(-SuspicionLifetime))
+		counts[name] = len(missedBy)
+		if len(missedBy) == 0 {
+			delete(t.suspicions, name)
+		}
+	}
+	return counts
+}
+
+// ClearSuspicion forgets that a node is missed: it has answered.
+func (t *Tracker) ClearSuspicion(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.suspicions, name)
+}
+
+// Health is what reporters agree on: endpoints with a fault, and endpoints that are well.
+type Health struct {
+	Faults     []distribution.HealthReport
+	Recoveries []distribution.HealthReport
+}
+
+// IsEmpty reports whether nothing is reported.
+func (h Health) IsEmpty() bool { return len(h.Faults)+len(h.Recoveries) == 0 }
+
+// Health returns the faults that WitnessesRequired nodes reported within ReportLifetime, and
+// the recoveries that any node did.
+func (t *Tracker) Health(now time.Time) (agreed Health) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for endpoint, f := range t.faults {
+		f.reportedBy.forget(now.Add(-ReportLifetime))
+		if len(f.reportedBy) == 0 {
+			delete(t.faults, endpoint)
+		} else if len(f.reportedBy) >= WitnessesRequired {
+			agreed.Faults = append(agreed.Faults, f.last)
+		}
+	}
+	for endpoint, r := range t.recoveries {
+		if now.Sub(r.at) > ReportLifetime {
+			delete(t.recoveries, endpoint)
+		} else {
+			agreed.Recoveries = append(agreed.Recoveries, r.report)
+		}
+	}
+	return agreed
+}
+
+// Resolve forgets reports that the replicated state now says.
+func (t *Tracker) Resolve(done Health) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, report := range done.Faults {
+		delete(t.faults, report.EndpointID)
+	}
+	for _, report := range done.Recoveries {
+		delete(t.recoveries, report.EndpointID)
+	}
+}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -49,6 +50,7 @@
 	purgeRequests  chan *pendingPurge
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
+	reports        *nodereports.Tracker
 	quotas         *QuotaServer
 	notices        *Consumer
 	usages         *Collector
@@ -62,30 +64,13 @@
 	mu               sync.Mutex
 	reloadedSettings *settings.Settings // the last that was reloaded
 	stopped          bool
-	recentNodes      map[string]recentNode
-	suspectedBy      map[string]map[string]time.Time
-	faultReports     map[string]map[string]time.Time
-	recoveryReports  map[string]recoveryReport
-	lastFaultReport  map[string]distribution.HealthReport
 	reconcileWake    chan struct{}
 }
 
-// recoveryReport is kept for a while, should the mark not be lifted at once.
-type recoveryReport struct {
-	report     distribution.HealthReport
-	reportedAt time.Time
-}
-
-type recentNode struct {
-	node     distribution.Node
-	lastCall time.Time
-}
-
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
-		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
-		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
+		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
 		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
 	if set.Platform.Address != "" {
@@ -484,36 +469,7 @@
 
 // recordNodeCall notes who calls and what they report.
 func (r *Server) recordNodeCall(call *distribution.UpdateRequest) {
-	now := time.Now()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	wake := false
-	if call.Node.Name != "" {
-		_, known := r.recentNodes[call.Node.Name]
-		r.recentNodes[call.Node.Name] = recentNode{call.Node, now}
-		wake = !known
-	}
-	for _, name := range call.Suspects {
-		if r.suspectedBy[name] == nil {
-			r.suspectedBy[name] = map[string]time.Time{}
-		}
-		r.suspectedBy[name][call.Node.Name] = now
-	}
-	for _, rep := range call.Reports {
-		wake = true
-		if rep.Healthy {
-			r.recoveryReports[rep.EndpointID] = recoveryReport{rep, now}
-			delete(r.faultReports, rep.EndpointID)
-			continue
-		}
-		delete(r.recoveryReports, rep.EndpointID)
-		if r.faultReports[rep.EndpointID] == nil {
-			r.faultReports[rep.EndpointID] = map[string]time.Time{}
-		}
-		r.faultReports[rep.EndpointID][call.Node.Name] = now
-		r.lastFaultReport[rep.EndpointID] = rep
-	}
-	if wake {
+	if r.reports.Record(call, time.Now()) {
 		r.wakeReconciler()
 	}
 }
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
 	"comethold/internal/paxos"
@@ -199,13 +200,14 @@
 	}()
 	port := l.Addr().(*net.TCPAddr).Port
 	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, client: rpc.NewClient(rpc.TCPNetwork),
-		suspectedBy: map[string]map[string]time.Time{"a": {"w": time.Now()}, "b": {"w": time.Now()}}}
+		reports: nodereports.NewTracker()}
+	r.reports.Record(&distribution.UpdateRequest{Node: distribution.Node{Name: "w"}, Suspects: []string{"a", "b"}}, time.Now())
 	out := r.probeUnreachable([]distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
 	if len(out) != 1 || out[0].Name != "b" {
 		t.Errorf("not reached: %v", out)
 	}
-	if r.suspectedBy["a"] != nil || r.suspectedBy["b"] == nil {
-		t.Errorf("suspected: %v", r.suspectedBy)
+	if suspects := r.reports.Suspects(time.Now()); suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
+		t.Errorf("suspected: %v", suspects)
 	}
 }
 
