--- a/internal/controlplane/calls_test.go
+++ b/internal/controlplane/calls_test.go
@@ -14,6 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"comethold/internal/controlplane/lease"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
 	"comethold/internal/simulation"
@@ -78,6 +79,30 @@
 	}
 }
 
+// heldLease is a lease that is held under one term until a time.
+type heldLease struct {
+	*lease.Lease
+	mu        sync.Mutex // guards the fields below
+	term      uint64
+	expiresAt time.Time
+}
+
+func (l *heldLease) set(term uint64, expiresAt time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.term = term
+	l.expiresAt = expiresAt
+}
+
+func (l *heldLease) Remaining(term uint64) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.term != term {
+		return 0
+	}
+	return time.Until(l.expiresAt)
+}
+
 // TestReportCalls: one call of a duty reaches the platform once at the most, is over
 // before the lease is, went well only if the platform said so, and leaves nothing in
 // the socket, be the process killed.
@@ -99,16 +124,15 @@
 		}()
 		set := &settings.Settings{NodeName: "n1"}
 		set.Platform.Address = door.Addr().String()
-		r := &Server{settings: set, usages: NewCollector(rpc.TCPNetwork), usageLease: &Lease{}}
+		held := &heldLease{}
+		r := &Server{settings: set, usages: NewCollector(rpc.TCPNetwork), usageLease: held}
 		r.usages.startedAt = time.Now().Add(-time.Hour)
 		for i := range 40 {
 			p.mu.Lock()
 			p.received = 0
 			p.mu.Unlock()
 			until := time.Now().Add(leaseSafetyMargin + 60*time.Millisecond)
-			r.usageLease.mu.Lock()
-			r.usageLease.term, r.usageLease.expiresAt = uint64(i+1), until
-			r.usageLease.mu.Unlock()
+			held.set(uint64(i+1), until)
 			err := r.postReport([]byte("{}"), uint64(i+1))
 			if time.Now().After(until) {
 				t.Errorf("seed %d: a call ended after its lease", seed)
--- a/internal/controlplane/ration.go
+++ b/internal/controlplane/ration.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -50,7 +51,7 @@
 		if old, ok := k.observed[node]; !ok || old.share != s { // renewed, be it in this very batch
 			k.observed[node] = observedShare{s, now}
 		}
-		if node != c.Node && now.Sub(k.observed[node].since) > ClockSkewFactor*k.leaseDuration {
+		if node != c.Node && now.Sub(k.observed[node].since) > lease.ClockSkewFactor*k.leaseDuration {
 			continue
 		}
 		next[node] = s
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
@@ -29,6 +30,22 @@
 	longPollTimeout = time.Second // an answer without news comes after this
 )
 
+// Roles under which leases are stored.
+const (
+	discoveryRole = "directory"
+	placementRole = "mover"
+	usageRole     = "usage"
+)
+
+// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
+type usageLease interface {
+	Run(stop <-chan struct{})
+	Held() (term uint64, held bool)
+	Remaining(term uint64) time.Duration
+	FenceCondition(term uint64) (condition paxos.Condition, held bool)
+	Forfeit()
+}
+
 var errStopped = errors.New("registrar: told to end")
 
 // Server is the control plane of one node.
@@ -44,9 +61,9 @@
 	board    *Distributor
 	platform *discovery.Client
 
-	discoveryLease *Lease
-	placementLease *Lease
-	usageLease     *Lease
+	discoveryLease *lease.Lease
+	placementLease *lease.Lease
+	usageLease     usageLease
 	purgeRequests  chan *pendingPurge
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
@@ -170,10 +187,19 @@
 		Log:     log,
 		Hooks:   hooks,
 	})
-	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
-	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
-	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
-
+	newLease := func(role string, duration time.Duration, skewFactor int) *lease.Lease {
+		return lease.New(lease.Options{
+			Role:       role,
+			Self:       id,
+			Duration:   duration,
+			SkewFactor: skewFactor,
+			Cell:       r.host,
+			Log:        log,
+		})
+	}
+	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
+	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
