--- a/internal/controlplane/replicahost/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -1,15 +1,16 @@
 package replicahost
 
 import (
-	"comethold/internal/controlplane/schema"
-	"comethold/internal/paxos"
-	"comethold/internal/storage"
 	"fmt"
 	"os"
 	"path/filepath"
 	"sort"
 	"strings"
 	"testing"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/paxos"
+	"comethold/internal/storage"
 )
 
 // TestBulkQueueSendsNothingTwice: of what is large, nothing goes a second time while it is under way, and a
@@ -30,7 +31,9 @@
 		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
 		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Accept, Entries: large(7)})
 	}
-	if rest := l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: paxos.ProposalNumber{Term: 2}, Snapshot: snap()}); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
+	number := paxos.ProposalNumber{Term: 2}
+	promise := paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: number, Snapshot: snap()}
+	if rest := l.enqueue(promise); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
 		t.Errorf("of the promise goes %v", rest)
 	}
 	l.enqueue(paxos.Message{Cell: "b", Kind: paxos.CatchUpResponse, Snapshot: snap()})
@@ -39,7 +42,12 @@
 	for m := l.next(); m != nil; m = l.next() {
 		got = append(got, fmt.Sprint(m.Cell, m.Kind, len(m.Entries)))
 	}
-	if want := fmt.Sprint([]string{fmt.Sprint("a", paxos.Accept, 1), fmt.Sprint("b", paxos.CatchUpResponse, 0), fmt.Sprint("a", paxos.Accept, 1)}); fmt.Sprint(got) != want {
+	want := fmt.Sprint([]string{
+		fmt.Sprint("a", paxos.Accept, 1),
+		fmt.Sprint("b", paxos.CatchUpResponse, 0),
+		fmt.Sprint("a", paxos.Accept, 1),
+	})
+	if fmt.Sprint(got) != want {
 		t.Errorf("sent are %v, not %v", got, want)
 	}
 	l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
@@ -64,8 +72,10 @@
 		half.HeartbeatSequence = uint64(i)
 		h.send("b", []paxos.Message{half})
 	}
-	if n := len(p.messages); p.bytes > maxQueueBytes || n < maxQueueBytes/half.Size() || p.messages[n-1].HeartbeatSequence != half.HeartbeatSequence {
-		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.bytes, p.messages[n-1].HeartbeatSequence, half.HeartbeatSequence)
+	n := len(p.messages)
+	last := p.messages[n-1].HeartbeatSequence
+	if p.bytes > maxQueueBytes || n < maxQueueBytes/half.Size() || last != half.HeartbeatSequence {
+		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.bytes, last, half.HeartbeatSequence)
 	}
 }
 
@@ -76,7 +86,8 @@
 	if b := h.newBatch([]paxos.Message{{}}); b.WallTime != 7 || b.AgreedTime != 8 {
 		t.Errorf("a greeting says %d and %d", b.WallTime, b.AgreedTime)
 	}
-	large := paxos.Message{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}}
+	state := map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}
+	large := paxos.Message{Snapshot: &paxos.Snapshot{State: state}}
 	if b := h.newBatch([]paxos.Message{large}); b.WallTime != 0 || b.AgreedTime != 0 {
 		t.Errorf("a snapshot says %d and %d", b.WallTime, b.AgreedTime)
 	}
@@ -109,13 +120,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer v.Close()
-		id, _, err := LoadOrCreateIdentity(v, NewNode{Address: "a", FirstStart: first, SetAside: storage.HasCorruptFile(dir), Founders: seats})
+		defer func() { _ = v.Close() }()
+		id, _, err := LoadOrCreateIdentity(v, NewNode{
+			Address:    "a",
+			FirstStart: first,
+			SetAside:   storage.HasCorruptFile(dir),
+			Founders:   seats,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, found, err := v.LoadReplica(schema.MetaCell)
-		return id, err == nil && found && s.Snapshot != nil && (paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}).Contains(id)
+		if err != nil || !found || s.Snapshot == nil {
+			return id, false
+		}
+		return id, paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}.Contains(id)
 	}
 	dir := t.TempDir()
 	for _, first := range []bool{true, false} {
--- /dev/null
+++ b/internal/controlplane/schema/keys.go
@@ -0,0 +1,70 @@
+// Package schema defines the state of the control plane as the cells hold it: the keys, the
+// records under them and their encoding, and the transactions that change several of them
+// together.
+//
+// There is one meta cell, which holds all that concerns the system as a whole, and an index
+// cell for each set of services that routes share. Functions that take a *paxos.Replica
+// read the state that is applied there; they must run on the goroutine that owns the
+// replica (see replicahost.Host.View). Keys and record numbers are stored: they never
+// change.
+package schema
+
+// MetaCell is the cell that holds the operator's configuration, the registered nodes, the
+// list of index cells, leases, the outbox and purges.
+const MetaCell = "exchange"
+
+// Keys of the meta cell: the configuration and what is remembered of its changes.
+const (
+	ConfigVersionKey = "config/version"
+	ConfigDataKey    = "config/raw"
+	// ReceiptKeyPrefix is followed by an idempotency key. The value is an outbox.Receipt.
+	ReceiptKeyPrefix = "receipt/"
+	// ReceiptArchiveKeyPrefix is followed by the first version of an archive. The value is a
+	// list of ArchivedReceipt.
+	ReceiptArchiveKeyPrefix = "receipt-archive/"
+	// ReceiptsForgottenKey holds the version up to which no receipts are kept any more.
+	ReceiptsForgottenKey = "receipt-forgotten"
+)
+
+// Keys of the meta cell: nodes, index cells and leases.
+const (
+	// NodeKeyPrefix is followed by a node's name. The value is a distribution.Node.
+	NodeKeyPrefix = "node/"
+	// IndexKeyPrefix is followed by the name of an index cell. The value is an IndexRecord.
+	IndexKeyPrefix = "index/"
+	// NextIndexIDKey holds the number of the newest index cell.
+	NextIndexIDKey = "index-next"
+	// LeaseKeyPrefix is followed by a singleton role. The value is a LeaseRecord.
+	LeaseKeyPrefix = "duty/"
+	// RateSharesKey holds the shares of services' rate limits: a map of node name to
+	// distribution.ShareLease.
+	RateSharesKey = "shares"
+	// QuotaSharesKey holds the shares of tenants' quotas, alike.
+	QuotaSharesKey = "quota-shares"
+)
+
+// Keys of the meta cell: purges and the outbox. Where a prefix is followed by a log index
+// and a transaction ID, the value was appended (see paxos.AppendedKey).
+const (
+	// PurgeKeyPrefix is followed by a log index. The value is a list of distribution.Purge.
+	PurgeKeyPrefix = "recall/"
+	// PurgeCompactedKey holds the log index up to which purges are forgotten.
+	PurgeCompactedKey = "recall-floor"
+	// OutboxKeyPrefix is followed by a log index. The value is an outbox.Row.
+	OutboxKeyPrefix = "outbox/"
+	// UsageReportKeyPrefix is followed by a window. The value is an outbox.Row.
+	UsageReportKeyPrefix = "usage/"
+	// QuarantineKeyPrefix is followed by an event ID. The value is a QuarantineRecord.
+	QuarantineKeyPrefix = "quarantine/"
+	// RedriveKeyPrefix is followed by a number. The value is a RedriveRequest.
+	RedriveKeyPrefix = "redrive/"
+)
+
+// Keys of an index cell.
+const (
+	// ShardSetKey holds a ShardSetRecord.
+	ShardSetKey = "cut"
+	// EjectionKeyPrefix is followed by an endpoint's ID. The value is a
+	// distribution.EjectionMark.
+	EjectionKeyPrefix = "mark/"
+)
--- /dev/null
+++ b/internal/controlplane/schema/receipts.go
@@ -0,0 +1,138 @@
+package schema
+
+import (
+	"fmt"
+	"sort"
+	"strconv"
+	"strings"
+
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
+)
+
+// Bounds of the memory of configuration changes: it reaches back over
+// MaxReceipts + ReceiptsPerArchive·(MaxReceiptArchives-1) changes at least.
+const (
+	MaxReceipts        = 128
+	ReceiptsPerArchive = 64
+	MaxReceiptArchives = 64
+)
+
+// archivedFingerprintBytes is how much of a fingerprint is archived.
+const archivedFingerprintBytes = 8
+
+// ArchivedReceipt is what is kept of a receipt in the end.
+type ArchivedReceipt struct {
+	_           struct{} `cbor:",toarray"`
+	Version     uint64
+	Base        uint64
+	Fingerprint []byte // the first bytes of it
+}
+
+// ReceiptKey is the idempotency key of a change of the configuration. The operator sends
+// none, so it is made of the version and the one that the change builds on.
+func ReceiptKey(version, base uint64) string {
+	return fmt.Sprintf("%s%s/%020d/%d", ReceiptKeyPrefix, outbox.AggregateConfiguration, version, base)
+}
+
+// ReadReceipt returns the receipt under a key, or nil.
+func ReadReceipt(replica *paxos.Replica, key string) *outbox.Receipt {
+	var receipt outbox.Receipt
+	if value, found := replica.Get(key); found && rpc.Unmarshal(value.Bytes, &receipt) == nil {
+		return &receipt
+	}
+	return nil
+}
+
+// CheckReplay says what is known of a change: whether it was committed, or one that
+// contradicts it. forgotten says that it is too old to know that.
+func CheckReplay(
+	replica *paxos.Replica, version, base uint64, fingerprint []byte,
+) (use outbox.KeyUse, forgotten bool) {
+	if receipt := ReadReceipt(replica, ReceiptKey(version, base)); receipt != nil {
+		return receipt.Compare(fingerprint), false
+	}
+	if current, _ := ReadConfig(replica); version > current {
+		return outbox.KeyUnused, false
+	}
+	if upTo, found := replica.Get(ReceiptsForgottenKey); found && upTo.Int != nil && upTo.Int.Uint64() >= version {
+		return outbox.KeyUnused, true
+	}
+	archives := replica.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
+	next := sort.SearchStrings(archives, ReceiptArchiveKey(version+1))
+	if next == 0 {
+		return outbox.KeyUnused, false
+	}
+	for _, archived := range readReceiptArchive(replica, archives[next-1]) {
+		if archived.Version == version && archived.Base == base {
+			receipt := outbox.Receipt{Fingerprint: archived.Fingerprint}
+			return receipt.Compare(fingerprint[:archivedFingerprintBytes]), false
+		}
+	}
+	return outbox.KeyUnused, false
+}
+
+// ReceiptArchiveKey is the key of the archive that begins with a version.
+func ReceiptArchiveKey(first uint64) string {
+	return fmt.Sprintf("%s%020d", ReceiptArchiveKeyPrefix, first)
+}
+
+func readReceiptArchive(replica *paxos.Replica, key string) (archive []ArchivedReceipt) {
+	if value, found := replica.Get(key); found && rpc.Unmarshal(value.Bytes, &archive) != nil {
+		return nil
+	}
+	return archive
+}
+
+// compactReceipts archives the oldest receipts once there are enough of them, and forgets
+// the oldest archive where there are too many. It goes with a change that is conditioned on
+// the version, and these tables change only with the version.
+func compactReceipts(replica *paxos.Replica) (ops []paxos.Op) {
+	keys := replica.KeysWithPrefix(ReceiptKeyPrefix, ReceiptKeyPrefix)
+	if len(keys) < MaxReceipts+ReceiptsPerArchive {
+		return nil
+	}
+	var archive []ArchivedReceipt
+	for _, key := range keys[:ReceiptsPerArchive] {
+		ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: key})
+		if archived, ok := archiveReceipt(replica, key); ok {
+			archive = append(archive, archived)
+		}
+	}
+	if len(archive) > 0 {
+		key := ReceiptArchiveKey(archive[0].Version)
+		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: key, Value: MustEncode(archive)})
+	}
+	return append(ops, forgetOldestArchive(replica)...)
+}
+
+// archiveReceipt shortens the receipt under a key; false if it can't be read.
+func archiveReceipt(replica *paxos.Replica, key string) (archived ArchivedReceipt, ok bool) {
+	receipt := ReadReceipt(replica, key)
+	versions := strings.TrimPrefix(key, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/")
+	_, digits, _ := strings.Cut(versions, "/")
+	base, err := strconv.ParseUint(digits, 10, 64)
+	if receipt == nil || err != nil || len(receipt.Fingerprint) < archivedFingerprintBytes {
+		return archived, false
+	}
+	return ArchivedReceipt{
+		Version:     receipt.Version,
+		Base:        base,
+		Fingerprint: receipt.Fingerprint[:archivedFingerprintBytes],
+	}, true
+}
+
+// forgetOldestArchive makes room for an archive where there are too many.
+func forgetOldestArchive(replica *paxos.Replica) (ops []paxos.Op) {
+	archives := replica.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
+	if len(archives) < MaxReceiptArchives {
+		return nil
+	}
+	ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: archives[0]})
+	if oldest := readReceiptArchive(replica, archives[0]); len(oldest) > 0 {
+		last := oldest[len(oldest)-1].Version
+		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: ReceiptsForgottenKey, Value: UintValue(last)})
+	}
+	return ops
+}
