--- a/internal/controlplane/late_test.go
+++ b/internal/controlplane/late_test.go
@@ -34,7 +34,7 @@
 		return ForgetPurgesTxn(v, known, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 	}
 	again := func(eventID, action, correlation string) paxos.Txn {
-		txn, known, done := RedriveTransaction(c.replica, &RedriveRequest{EventID: eventID, Operator: "op", CorrelationID: correlation, Action: action})
+		txn, known, done := schema.RedriveTransaction(c.replica, &schema.RedriveRequest{EventID: eventID, Operator: "op", CorrelationID: correlation, Action: action})
 		if !known || done {
 			t.Errorf("redrive %s: known %v, done %v", correlation, known, done)
 		}
@@ -66,12 +66,12 @@
 		{"the sweep of notices", sweep, func() paxos.Txn {
 			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: c.replica.KeysWithPrefix(schema.OutboxKeyPrefix, schema.OutboxKeyPrefix)[0], Value: schema.MustEncode(outbox.Row{Notification: n, State: outbox.Pending})}}}
 		}},
-		{"a redrive", func() paxos.Txn { return again(n.EventID, RedriveResend, "case-1") }, func() paxos.Txn { return again(n.EventID, RedriveResend, "case-2") }},
+		{"a redrive", func() paxos.Txn { return again(n.EventID, schema.RedriveResend, "case-1") }, func() paxos.Txn { return again(n.EventID, schema.RedriveResend, "case-2") }},
 		{"the end of a case", func() paxos.Txn {
-			c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(QuarantineRecord{Reason: "forged"})}}})
-			return again("order", RedriveClose, "case-1")
+			c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(schema.QuarantineRecord{Reason: "forged"})}}})
+			return again("order", schema.RedriveClose, "case-1")
 		}, func() paxos.Txn {
-			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(QuarantineRecord{Reason: "forged again"})}}}
+			return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: schema.QuarantineKeyPrefix + "order", Value: schema.MustEncode(schema.QuarantineRecord{Reason: "forged again"})}}}
 		}},
 	} {
 		late := k.first()
@@ -91,7 +91,7 @@
 	if v, _ := held(schema.PurgeCompactedKey); !v.Equal(schema.UintValue(20)) {
 		t.Errorf("the floor of purges is %v", v.Int)
 	}
-	if _, known, done := RedriveTransaction(c.replica, &RedriveRequest{EventID: n.EventID, Operator: "op", CorrelationID: "case-1", Action: RedriveResend}); !known || !done {
+	if _, known, done := schema.RedriveTransaction(c.replica, &schema.RedriveRequest{EventID: n.EventID, Operator: "op", CorrelationID: "case-1", Action: schema.RedriveResend}); !known || !done {
 		t.Error("a redrive that was taken is not known when it is sent again")
 	}
 	if v, known := held(schema.ShardSetKey); known {
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -1,14 +1,11 @@
 package controlplane
 
 import (
-	"cmp"
 	"context"
-	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"slices"
-	"sort"
 	"sync"
 	"time"
 
@@ -18,17 +15,15 @@
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
-	"comethold/internal/routing"
 	"comethold/internal/rpc"
 )
 
 // Bounds of the tables. Ours; see docs/design.md.
 const (
-	maxRedriveRecords = 256
-	maxQuarantined    = 64
-	publishInterval   = 500 * time.Millisecond
-	deliveryTimeout   = 1500 * time.Millisecond
-	InboxStorageKey   = "inbox" // in the vault
+	maxQuarantined  = 64
+	publishInterval = 500 * time.Millisecond
+	deliveryTimeout = 1500 * time.Millisecond
+	InboxStorageKey = "inbox" // in the vault
 )
 
 // Consumer is this registrar as a receiver of notices: the rows of the outbox reach it
@@ -58,27 +53,6 @@
 	return rows
 }
 
-// changedTenants lists those whose keys or limits differ.
-func changedTenants(old, next *routing.Configuration) (out []string) {
-	had := map[string]routing.Tenant{}
-	if old != nil {
-		for _, t := range old.Tenants {
-			had[t.Name] = t
-		}
-	}
-	for _, t := range next.Tenants {
-		if o, ok := had[t.Name]; !ok || !schema.EqualEncoding(o, t) {
-			out = append(out, t.Name)
-		}
-		delete(had, t.Name)
-	}
-	for name := range had {
-		out = append(out, name)
-	}
-	sort.Strings(out)
-	return out
-}
-
 // applyNotifications decides what the outbox holds before it brings anything into force here,
 // and passes it on to the nodes that this registrar feeds.
 func (r *Server) applyNotifications() {
@@ -314,18 +288,11 @@
 	return all
 }
 
-// QuarantineRecord is what is known of a notice, or an order, that contradicts what was.
-type QuarantineRecord struct {
-	Notification outbox.Notification `cbor:"1,keyasint"`
-	Reason       string              `cbor:"2,keyasint"`
-	ReportedBy   string              `cbor:"3,keyasint"`
-}
-
 // quarantine notes a notice for the operator, apart from the healthy ones.
 func (r *Server) quarantine(n *outbox.Notification, why string) {
 	key := schema.QuarantineKeyPrefix + n.EventID
 	t := paxos.Txn{Conditions: []paxos.Condition{{Key: key, Absent: true}},
-		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(QuarantineRecord{*n, why, r.settings.NodeName})}}}
+		Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(schema.QuarantineRecord{Notification: *n, Reason: why, ReportedBy: r.settings.NodeName})}}}
 	var keys []string
 	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
 		keys = m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
@@ -336,113 +303,5 @@
 	r.propose(schema.MetaCell, t)
 }
 
-// RedriveRequest is the operator's order to send a notice once more, or to close its case.
-type RedriveRequest struct {
-	EventID       string `json:"eventId" cbor:"1,keyasint"`
-	Operator      string `json:"operator" cbor:"2,keyasint"`
-	CorrelationID string `json:"correlationId" cbor:"3,keyasint"`
-	Action        string `json:"action" cbor:"4,keyasint"` // resend, close
-}
-
 // Actions of a redrive.
-const (
-	RedriveResend = "resend"
-	RedriveClose  = "close"
-)
-
-var ErrInvalidRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
-
-func (d *RedriveRequest) Validate() error {
-	if d.EventID == "" || d.Operator == "" || d.CorrelationID == "" || d.Action != RedriveResend && d.Action != RedriveClose {
-		return ErrInvalidRedrive
-	}
-	return nil
-}
-
-// RedriveTransaction makes the transaction of a redrive: the record of who had it done, and the
-// row, whose notice is not touched, back in line. known is false where no row and no
-// case has this event id. done: this very redrive is on record. One that is late finds
-// the place of its record taken, and does nothing.
-func RedriveTransaction(m *paxos.Replica, d *RedriveRequest) (t paxos.Txn, known, done bool) {
-	raw, old := schema.MustEncode(d), m.KeysWithPrefix(schema.RedriveKeyPrefix, schema.RedriveKeyPrefix)
-	last := uint64(0)
-	for _, k := range old {
-		if v, _ := m.Get(k); v.Equal(raw) {
-			return t, true, true
-		}
-		last = schema.LogIndexOfKey(k, schema.RedriveKeyPrefix)
-	}
-	key := paxos.AppendedKey(schema.RedriveKeyPrefix, last+1, "")
-	t.Conditions = []paxos.Condition{{Key: key, Absent: true}}
-	t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: key, Value: raw})
-	if _, ok := m.Get(schema.QuarantineKeyPrefix + d.EventID); ok {
-		known = true
-		if d.Action == RedriveClose {
-			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: schema.QuarantineKeyPrefix + d.EventID})
-		}
-	}
-	for _, k := range schema.OutboxRows(m) {
-		if k.Row.Notification.EventID != d.EventID {
-			continue
-		}
-		known = true
-		if d.Action == RedriveResend {
-			t.Conditions = append(t.Conditions, paxos.Condition{Key: k.Key, Equals: paxos.Bytes(k.Raw)})
-			t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: k.Key, Value: schema.MustEncode(k.Row.Redrive())})
-		}
-	}
-	for i := 0; i+maxRedriveRecords <= len(old); i++ {
-		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpDelete, Key: old[i]})
-	}
-	return t, known, false
-}
-
-// addNotices puts those that are new on the board, in order of position, all at once.
-func (b *Distributor) addNotices(list []distribution.OutboxNotification) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := map[string]bool{}
-	for i := range b.notifications {
-		known[b.notifications[i].Notification.EventID] = true
-	}
-	next := slices.Clone(b.notifications)
-	for _, n := range list {
-		if id := n.Notification.EventID; n.LogIndex > b.notificationLowWatermark && !known[id] {
-			known[id] = true
-			next = append(next, n)
-			b.notificationBaseVersions[n.Notification.Aggregate] = max(b.notificationBaseVersions[n.Notification.Aggregate], n.Notification.Version)
-		}
-	}
-	if len(next) == len(b.notifications) {
-		return
-	}
-	slices.SortStableFunc(next, func(a, b distribution.OutboxNotification) int { return cmp.Compare(a.LogIndex, b.LogIndex) })
-	if over := len(next) - schema.MaxPublishedRows; over > 0 {
-		b.notificationLowWatermark = next[over-1].LogIndex
-		next = next[over:]
-	}
-	b.notifications = next
-	b.notifyLocked()
-}
-
-// noticeNews adds the notices that the caller lacks.
-func (b *Distributor) noticeNews(h distribution.HeldVersions, n *distribution.Update) {
-	k := len(b.notifications)
-	if k == 0 || b.notifications[k-1].LogIndex <= h.NotificationIndex {
-		return
-	}
-	ns := &distribution.NotificationUpdate{LogIndex: b.notifications[k-1].LogIndex, Reset: h.NotificationIndex == 0 || h.NotificationIndex < b.notificationLowWatermark}
-	at := sort.Search(k, func(i int) bool { return b.notifications[i].LogIndex > h.NotificationIndex })
-	if ns.Reset {
-		at, ns.BaseVersions = k, maps.Clone(b.notificationBaseVersions) // the state that it is given tells all that came before
-	}
-	ns.Notifications = b.notifications[at:k:k]
-	n.Notifications = ns
-}
-
-// recallPos is the position up to which purges are held here.
-func (b *Distributor) recallPos() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.purgePosition
-}
+const ()
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -18,10 +18,10 @@
 
 // OutboxView is what an operator sees of the outbox and of what was quarantined.
 type OutboxView struct {
-	Backlog    int               `json:"backlog"` // rows that are not published
-	Rows       []OutboxRowView   `json:"rows"`    // those of the backlog, oldest first
-	Quarantine []QuarantinedView `json:"quarantine"`
-	Redrives   []RedriveRequest  `json:"redrives"` // oldest first
+	Backlog    int                     `json:"backlog"` // rows that are not published
+	Rows       []OutboxRowView         `json:"rows"`    // those of the backlog, oldest first
+	Quarantine []QuarantinedView       `json:"quarantine"`
+	Redrives   []schema.RedriveRequest `json:"redrives"` // oldest first
 	// AppliedVersions is up to which version this registrar has applied each aggregate.
 	AppliedVersions map[string]uint64 `json:"decided"`
 }
@@ -46,7 +46,7 @@
 
 // outboxView reads the tables of the exchange cell.
 func outboxView(m *paxos.Replica) OutboxView {
-	v := OutboxView{Rows: []OutboxRowView{}, Quarantine: []QuarantinedView{}, Redrives: []RedriveRequest{}, AppliedVersions: map[string]uint64{}}
+	v := OutboxView{Rows: []OutboxRowView{}, Quarantine: []QuarantinedView{}, Redrives: []schema.RedriveRequest{}, AppliedVersions: map[string]uint64{}}
 	for _, k := range schema.OutboxRows(m) {
 		if k.Row.State == outbox.Published {
 			continue
@@ -56,13 +56,13 @@
 	}
 	v.Backlog = len(v.Rows)
 	for _, k := range m.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix) {
-		var q QuarantineRecord
+		var q schema.QuarantineRecord
 		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &q) == nil {
 			v.Quarantine = append(v.Quarantine, QuarantinedView{q.Notification.EventID, q.Notification.Version, q.Reason, q.ReportedBy})
 		}
 	}
 	for _, k := range m.KeysWithPrefix(schema.RedriveKeyPrefix, schema.RedriveKeyPrefix) {
-		var d RedriveRequest
+		var d schema.RedriveRequest
 		if raw, _ := m.Get(k); rpc.Unmarshal(raw.Bytes, &d) == nil {
 			v.Redrives = append(v.Redrives, d)
 		}
@@ -162,7 +162,7 @@
 	if status != 0 {
 		return writeError(c, status, why)
 	}
-	var d RedriveRequest
+	var d schema.RedriveRequest
 	err := json.Unmarshal(raw, &d)
 	if err == nil {
 		err = d.Validate()
@@ -178,7 +178,7 @@
 		}
 		var t paxos.Txn
 		var known, done bool
-		if !r.viewMetaCell(func(m *paxos.Replica) { t, known, done = RedriveTransaction(m, &d) }) {
+		if !r.viewMetaCell(func(m *paxos.Replica) { t, known, done = schema.RedriveTransaction(m, &d) }) {
 			return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 		}
 		if done {
--- /dev/null
+++ b/internal/controlplane/schema/redrive.go
@@ -0,0 +1,79 @@
+package schema
+
+import (
+	"errors"
+
+	"comethold/internal/paxos"
+)
+
+// MaxRedriveRecords is how many redrives are on record; the oldest make room for new ones.
+const MaxRedriveRecords = 256
+
+// Actions of a redrive.
+const (
+	RedriveResend = "resend"
+	RedriveClose  = "close"
+)
+
+// ErrInvalidRedrive says which fields a redrive must have.
+var ErrInvalidRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
+
+// RedriveRequest is an operator's request to send a notification once more, or to close the
+// case of one that is quarantined. It is stored as it came.
+type RedriveRequest struct {
+	EventID       string `json:"eventId" cbor:"1,keyasint"`
+	Operator      string `json:"operator" cbor:"2,keyasint"`
+	CorrelationID string `json:"correlationId" cbor:"3,keyasint"`
+	Action        string `json:"action" cbor:"4,keyasint"` // RedriveResend or RedriveClose
+}
+
+// Validate returns ErrInvalidRedrive if a field is missing or the action is unknown.
+func (d *RedriveRequest) Validate() error {
+	isKnownAction := d.Action == RedriveResend || d.Action == RedriveClose
+	if d.EventID == "" || d.Operator == "" || d.CorrelationID == "" || !isKnownAction {
+		return ErrInvalidRedrive
+	}
+	return nil
+}
+
+// RedriveTransaction makes the transaction of a redrive: the record of who requested it, and
+// the outbox row back in the pending state, with its notification untouched. known is false
+// if neither an outbox row nor a quarantined one has this event ID. done says that this very
+// redrive is on record already. A transaction that is late finds the key of its record
+// taken, and changes nothing.
+func RedriveTransaction(replica *paxos.Replica, request *RedriveRequest) (txn paxos.Txn, known, done bool) {
+	encoded := MustEncode(request)
+	records := replica.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
+	last := uint64(0)
+	for _, key := range records {
+		if value, _ := replica.Get(key); value.Equal(encoded) {
+			return txn, true, true
+		}
+		last = LogIndexOfKey(key, RedriveKeyPrefix)
+	}
+	recordKey := paxos.AppendedKey(RedriveKeyPrefix, last+1, "")
+	txn.Conditions = []paxos.Condition{{Key: recordKey, Absent: true}}
+	txn.Ops = []paxos.Op{{Kind: paxos.OpPut, Key: recordKey, Value: encoded}}
+
+	quarantineKey := QuarantineKeyPrefix + request.EventID
+	if _, isQuarantined := replica.Get(quarantineKey); isQuarantined {
+		known = true
+		if request.Action == RedriveClose {
+			txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: quarantineKey})
+		}
+	}
+	for _, row := range OutboxRows(replica) {
+		if row.Row.Notification.EventID != request.EventID {
+			continue
+		}
+		known = true
+		if request.Action == RedriveResend {
+			txn.Conditions = append(txn.Conditions, paxos.Condition{Key: row.Key, Equals: paxos.Bytes(row.Raw)})
+			txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: row.Key, Value: MustEncode(row.Row.Redrive())})
+		}
+	}
+	for i := 0; i+MaxRedriveRecords <= len(records); i++ {
+		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: records[i]})
+	}
+	return txn, known, false
+}
