--- a/internal/controlplane/board.go
+++ b/internal/controlplane/board.go
@@ -337,6 +337,6 @@
 		}
 	}
 	b.addPurgesLocked(h, &n)
-	b.noticeNews(h, &n)
+	b.addNotificationsLocked(h, &n)
 	return n
 }
--- a/internal/controlplane/board_notifications.go
+++ b/internal/controlplane/board_notifications.go
@@ -9,8 +9,8 @@
 	"sort"
 )
 
-// addNotices puts those that are new on the board, in order of position, all at once.
-func (b *Distributor) addNotices(list []distribution.OutboxNotification) {
+// AddNotifications puts those that are new on the board, in order of position, all at once.
+func (b *Distributor) AddNotifications(list []distribution.OutboxNotification) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]bool{}
@@ -37,8 +37,8 @@
 	b.notifyLocked()
 }
 
-// noticeNews adds the notices that the caller lacks.
-func (b *Distributor) noticeNews(h distribution.HeldVersions, n *distribution.Update) {
+// addNotificationsLocked adds the notices that the caller lacks.
+func (b *Distributor) addNotificationsLocked(h distribution.HeldVersions, n *distribution.Update) {
 	k := len(b.notifications)
 	if k == 0 || b.notifications[k-1].LogIndex <= h.NotificationIndex {
 		return
@@ -52,8 +52,8 @@
 	n.Notifications = ns
 }
 
-// recallPos is the position up to which purges are held here.
-func (b *Distributor) recallPos() uint64 {
+// PurgePosition is the position up to which purges are held here.
+func (b *Distributor) PurgePosition() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.purgePosition
--- a/internal/controlplane/late_test.go
+++ b/internal/controlplane/late_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
@@ -48,8 +49,7 @@
 		c.propose(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: schema.MustEncode(outbox.Row{Notification: n, State: outbox.Published})}}})
 	}
 	sweep := func() paxos.Txn {
-		txn, _, _ := SweepRows(schema.OutboxRows(c.replica))
-		return txn
+		return outboxpublisher.SweepRows(schema.OutboxRows(c.replica)).Txn
 	}
 	for _, k := range []struct {
 		why   string
--- a/internal/controlplane/notices_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -42,11 +42,11 @@
 	have := uint64(1)
 	tell := func(want int) {
 		t.Helper()
-		r.applyNotifications()
+		r.consumer.Apply()
 		r.board.mu.Lock()
 		defer r.board.mu.Unlock()
 		var n distribution.Update
-		r.board.noticeNews(distribution.HeldVersions{NotificationIndex: have}, &n)
+		r.board.addNotificationsLocked(distribution.HeldVersions{NotificationIndex: have}, &n)
 		if n.Notifications == nil && want == 0 {
 			return
 		}
--- a/internal/controlplane/operate.go
+++ b/internal/controlplane/operate.go
@@ -148,11 +148,7 @@
 	if !found {
 		return writeError(c, http.StatusServiceUnavailable, unavailableReason(replicahost.ErrNoQuorum))
 	}
-	r.notices.mu.Lock()
-	for a, at := range r.notices.inbox.AppliedVersions {
-		v.AppliedVersions[a] = at
-	}
-	r.notices.mu.Unlock()
+	v.AppliedVersions = r.consumer.AppliedVersions()
 	return c.JSON(http.StatusOK, v)
 }
 
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -243,7 +243,7 @@
 	r.log.Error(logging.IdempotencyConflict).Uint64("version", o.version).Uint64("base", o.base).Hex("fingerprint", sum).Msg("an order contradicts the one that was taken under its key")
 	n, err := outbox.NewNotification(fmt.Sprintf("order/%d/%d/%x", o.version, o.base, sum), outbox.AggregateConfiguration, o.version, o.base, nil)
 	if err == nil {
-		r.quarantine(&n, outbox.ErrContentMismatch.Error())
+		r.quarantine.Add(&n, outbox.ErrContentMismatch.Error())
 	}
 }
 
--- /dev/null
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -0,0 +1,196 @@
+package outboxpublisher
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"sync"
+	"time"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+)
+
+// DeliverPath is where a control node takes notifications from a publisher.
+const DeliverPath = "/notices"
+
+const (
+	publishInterval = 500 * time.Millisecond
+	deliveryTimeout = 1500 * time.Millisecond // of one delivery to one control node
+)
+
+// Lease tells whether this node is the one that publishes.
+type Lease interface {
+	// Held returns the term under which this node holds the lease now.
+	Held() (term uint64, held bool)
+}
+
+// Peers are the control nodes that notifications are delivered to.
+type Peers interface {
+	// LivePeers lists, by address, the control nodes heard within a time, this one too.
+	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
+	// CallPeer makes an RPC to a control node.
+	CallPeer(ctx context.Context, address, path string, request, response any) error
+}
+
+// PublisherOptions are what a Publisher needs.
+type PublisherOptions struct {
+	State State
+	Lease Lease
+	Peers Peers
+	Local *Consumer // this node's own, which needs no RPC
+	Self  replicahost.PeerInfo
+	Log   *logging.Logger
+}
+
+// Publisher delivers what the outbox holds, while this node holds the lease.
+type Publisher struct {
+	options PublisherOptions
+
+	// observed is used by the goroutine of Run alone: by key, how long rows have been as
+	// they are, by this node's clock. Leases of claims and retry delays are counted so.
+	observed map[string]observedRow
+}
+
+// observedRow is a row as it has been seen since a time.
+type observedRow struct {
+	raw   string
+	since time.Time
+}
+
+// NewPublisher returns a Publisher; Run starts it.
+func NewPublisher(options PublisherOptions) *Publisher {
+	return &Publisher{options: options, observed: map[string]observedRow{}}
+}
+
+// Run publishes until the context ends. What is being delivered then is brought to its end.
+func (p *Publisher) Run(ctx context.Context) {
+	for {
+		select {
+		case <-time.After(publishInterval):
+		case <-ctx.Done():
+			return
+		}
+		term, held := p.options.Lease.Held()
+		if !held {
+			clear(p.observed)
+			continue
+		}
+		p.publish(context.WithoutCancel(ctx), fmt.Sprintf("%s/%d", p.options.Self.ID, term))
+	}
+}
+
+// publish removes old rows, claims what is due, delivers it and records what became of it.
+// owner is the token of its claims.
+func (p *Publisher) publish(ctx context.Context, owner string) {
+	swept := SweepRows(outboxRows(p.options.State))
+	if len(swept.Txn.Ops) > 0 && p.options.State.Commit(swept.Txn) {
+		for _, eventID := range swept.DroppedEvents {
+			p.options.Log.Warn(logging.NotificationDropped).Str("eventId", eventID).
+				Msg("a notification that not every control node has applied is dropped for newer ones")
+		}
+	}
+	claimed, txn := p.claimRows(swept.Remaining, owner, time.Now())
+	if len(claimed) == 0 || !p.options.State.Commit(txn) {
+		return
+	}
+	delivered := p.deliver(ctx, claimed)
+	p.recordDeliveries(claimed, delivered, owner)
+}
+
+// recordDeliveries marks rows as published, or for a retry.
+func (p *Publisher) recordDeliveries(claimed []schema.StoredRow, delivered []bool, owner string) {
+	var txn paxos.Txn
+	for i, stored := range claimed {
+		next, err := stored.Row.MarkPublished(owner)
+		if !delivered[i] {
+			next, err = stored.Row.ScheduleRetry(owner)
+			p.options.Log.Warn(logging.NotificationRetry).Str("eventId", stored.Row.Notification.EventID).
+				Int("attempts", stored.Row.Attempts).
+				Msg("a notification was not applied by every control node; it is sent again")
+		}
+		if err != nil {
+			continue
+		}
+		txn.Conditions = append(txn.Conditions, ifUnchanged(stored))
+		txn.Ops = append(txn.Ops, putOp(stored.Key, next))
+	}
+	p.options.State.Commit(txn)
+}
+
+// claimRows makes the transaction that claims the rows that are due; it holds only if they
+// are as they were read. The rows are returned as they are once it is committed.
+func (p *Publisher) claimRows(
+	rows []schema.StoredRow, owner string, now time.Time,
+) (claimed []schema.StoredRow, txn paxos.Txn) {
+	p.observe(rows, now)
+	for _, stored := range rows {
+		if stored.Row.State == outbox.Published {
+			continue
+		}
+		next, err := stored.Row.Claim(owner, now.Sub(p.observed[stored.Key].since))
+		if err != nil {
+			continue // not due yet
+		}
+		put := putOp(stored.Key, next)
+		txn.Conditions = append(txn.Conditions, ifUnchanged(stored))
+		txn.Ops = append(txn.Ops, put)
+		claimed = append(claimed, schema.StoredRow{Key: stored.Key, Raw: put.Value.Bytes, Row: next})
+	}
+	return claimed, txn
+}
+
+// observe notes since when rows have been as they are, and forgets those that are gone.
+func (p *Publisher) observe(rows []schema.StoredRow, now time.Time) {
+	present := map[string]bool{}
+	for _, stored := range rows {
+		present[stored.Key] = true
+		if seen, found := p.observed[stored.Key]; !found || seen.raw != string(stored.Raw) {
+			p.observed[stored.Key] = observedRow{raw: string(stored.Raw), since: now}
+		}
+	}
+	maps.DeleteFunc(p.observed, func(key string, _ observedRow) bool { return !present[key] })
+}
+
+// deliver sends notifications to every live control node. It reports, for each of them,
+// whether all nodes are done with it.
+func (p *Publisher) deliver(ctx context.Context, rows []schema.StoredRow) []bool {
+	notifications := make([]outbox.Notification, len(rows))
+	delivered := make([]bool, len(rows))
+	for i := range rows {
+		notifications[i] = rows[i].Row.Notification
+		delivered[i] = true
+	}
+	var mu sync.Mutex // guards delivered
+	var deliveries sync.WaitGroup
+	for address := range p.options.Peers.LivePeers(replicahost.LearnerTimeout) {
+		deliveries.Go(func() {
+			done := p.deliverTo(ctx, address, notifications)
+			mu.Lock()
+			defer mu.Unlock()
+			for i := range delivered {
+				delivered[i] = delivered[i] && i < len(done) && done[i]
+			}
+		})
+	}
+	deliveries.Wait()
+	return delivered
+}
+
+// deliverTo sends notifications to one control node and returns which of them it is done
+// with; nothing if it does not answer.
+func (p *Publisher) deliverTo(ctx context.Context, address string, notifications []outbox.Notification) []bool {
+	if address == p.options.Self.Addr {
+		return p.options.Local.Receive(notifications)
+	}
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
+	defer cancel()
+	var done []bool
+	if p.options.Peers.CallPeer(ctx, address, DeliverPath, notifications, &done) != nil {
+		return nil
+	}
+	return done
+}
--- /dev/null
+++ b/internal/controlplane/outboxpublisher/quarantine.go
@@ -0,0 +1,41 @@
+package outboxpublisher
+
+import (
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+)
+
+// maxQuarantined bounds the quarantine: the oldest records make room for new ones.
+const maxQuarantined = 64
+
+// Quarantine keeps what contradicts an earlier notification for the operator to look at,
+// apart from the healthy ones.
+type Quarantine struct {
+	state    State
+	nodeName string
+}
+
+// NewQuarantine returns the quarantine in the replicated state. nodeName is noted as who
+// reported what is added.
+func NewQuarantine(state State, nodeName string) *Quarantine {
+	return &Quarantine{state: state, nodeName: nodeName}
+}
+
+// Add stores a notification with the reason, unless its event is in quarantine already.
+func (q *Quarantine) Add(notification *outbox.Notification, reason string) {
+	key := schema.QuarantineKeyPrefix + notification.EventID
+	record := schema.QuarantineRecord{Notification: *notification, Reason: reason, ReportedBy: q.nodeName}
+	txn := paxos.Txn{
+		Conditions: []paxos.Condition{{Key: key, Absent: true}},
+		Ops:        []paxos.Op{putOp(key, record)},
+	}
+	var keys []string
+	q.state.View(func(replica *paxos.Replica) {
+		keys = replica.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
+	})
+	for i := 0; i+maxQuarantined <= len(keys); i++ {
+		txn.Ops = append(txn.Ops, deleteOp(keys[i]))
+	}
+	q.state.Commit(txn)
+}
--- /dev/null
+++ b/internal/controlplane/outboxpublisher/sweep.go
@@ -0,0 +1,43 @@
+package outboxpublisher
+
+import (
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+)
+
+// Sweep is the removal of the oldest rows of the outbox.
+type Sweep struct {
+	Txn           paxos.Txn          // without operations if there is nothing to remove
+	Remaining     []schema.StoredRow // newest first
+	DroppedEvents []string           // event IDs of removed rows that were not published
+}
+
+// SweepRows makes the transaction that removes the oldest rows where there are too many. It
+// does nothing else: what control nodes claim of the other rows must not hold it up.
+func SweepRows(rows []schema.StoredRow) (sweep Sweep) {
+	published, unsent := 0, 0
+	for i := len(rows) - 1; i >= 0; i-- {
+		stored := rows[i]
+		isPublished := stored.Row.State == outbox.Published
+		var tooMany bool
+		if isPublished {
+			published++
+			tooMany = published > schema.MaxPublishedRows
+		} else {
+			unsent++
+			tooMany = unsent > schema.MaxUnsentRows
+		}
+		if !tooMany {
+			sweep.Remaining = append(sweep.Remaining, stored)
+			continue
+		}
+		sweep.Txn.Ops = append(sweep.Txn.Ops, deleteOp(stored.Key))
+		if isPublished {
+			sweep.Txn.Conditions = append(sweep.Txn.Conditions, ifUnchanged(stored)) // it may be redriven
+		} else { // whatever has become of it: no row comes back under its key
+			sweep.DroppedEvents = append(sweep.DroppedEvents, stored.Row.Notification.EventID)
+		}
+	}
+	return sweep
+}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -50,7 +51,9 @@
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
 	quotas         *QuotaServer
-	notices        *Consumer
+	consumer       *outboxpublisher.Consumer
+	publisher      *outboxpublisher.Publisher
+	quarantine     *outboxpublisher.Quarantine
 	usages         *Collector
 
 	largeBodySlot chan struct{} // room for one large order that is read
@@ -147,7 +150,7 @@
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
+	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
 	if raw := v.NodeValue("list"); raw != nil {
@@ -188,7 +191,7 @@
 	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
 	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
 	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
-
+	r.openOutbox(self, v)
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -215,10 +218,15 @@
 			return nil
 		}
 	}
+	ctx, cancel := context.WithCancel(context.Background())
+	r.wg.Go(func() {
+		defer cancel()
+		<-r.quit
+	})
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -294,7 +302,7 @@
 		version, raw := schema.ReadConfig(m)
 		go func() {
 			if r.board.SetConfiguration(version, raw) {
-				r.wakeConsumer()
+				r.consumer.Wake()
 			}
 			r.wakeReconciler()
 		}()
@@ -303,7 +311,7 @@
 		r.board.SetPurges(m)
 	}
 	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
-		r.wakeConsumer()
+		r.consumer.Wake()
 	}
 	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
 		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
@@ -417,12 +425,12 @@
 		}
 		return writeCBOR(c, r.usages.store.Window(a.Window))
 	})
-	e.POST("/notices", func(c echo.Context) error {
+	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
 		var list []outbox.Notification
 		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return writeCBOR(c, r.receiveNotifications(list))
+		return writeCBOR(c, r.consumer.Receive(list))
 	})
 	e.POST("/feed", r.handleUpdates)
 	e.POST("/ration", r.renewRateShare)
