--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
@@ -29,6 +31,22 @@
 	longPollTimeout = time.Second // an answer without news comes after this
 )
 
+// Roles under which leases are stored.
+const (
+	discoveryRole = "directory"
+	placementRole = "mover"
+	usageRole     = "usage"
+)
+
+// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
+type usageLease interface {
+	Run(stop <-chan struct{})
+	Held() (term uint64, held bool)
+	Remaining(term uint64) time.Duration
+	FenceCondition(term uint64) (condition paxos.Condition, held bool)
+	Forfeit()
+}
+
 var errStopped = errors.New("registrar: told to end")
 
 // Server is the control plane of one node.
@@ -44,12 +62,13 @@
 	board    *Distributor
 	platform *discovery.Client
 
-	discoveryLease *Lease
-	placementLease *Lease
-	usageLease     *Lease
+	discoveryLease *lease.Lease
+	placementLease *lease.Lease
+	usageLease     usageLease
 	purgeRequests  chan *pendingPurge
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
+	reports        *nodereports.Tracker
 	quotas         *QuotaServer
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
@@ -65,30 +84,13 @@
 	mu               sync.Mutex
 	reloadedSettings *settings.Settings // the last that was reloaded
 	stopped          bool
-	recentNodes      map[string]recentNode
-	suspectedBy      map[string]map[string]time.Time
-	faultReports     map[string]map[string]time.Time
-	recoveryReports  map[string]recoveryReport
-	lastFaultReport  map[string]distribution.HealthReport
 	reconcileWake    chan struct{}
 }
 
-// recoveryReport is kept for a while, should the mark not be lifted at once.
-type recoveryReport struct {
-	report     distribution.HealthReport
-	reportedAt time.Time
-}
-
-type recentNode struct {
-	node     distribution.Node
-	lastCall time.Time
-}
-
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
-		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
-		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
+		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
 		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
 	if set.Platform.Address != "" {
@@ -188,9 +190,19 @@
 		Log:     log,
 		Hooks:   hooks,
 	})
-	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
-	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
-	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
+	newLease := func(role string, duration time.Duration, skewFactor int) *lease.Lease {
+		return lease.New(lease.Options{
+			Role:       role,
+			Self:       id,
+			Duration:   duration,
+			SkewFactor: skewFactor,
+			Cell:       r.host,
+			Log:        log,
+		})
+	}
+	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
+	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
 	r.openOutbox(self, v)
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
@@ -492,36 +504,7 @@
 
 // recordNodeCall notes who calls and what they report.
 func (r *Server) recordNodeCall(call *distribution.UpdateRequest) {
-	now := time.Now()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	wake := false
-	if call.Node.Name != "" {
-		_, known := r.recentNodes[call.Node.Name]
-		r.recentNodes[call.Node.Name] = recentNode{call.Node, now}
-		wake = !known
-	}
-	for _, name := range call.Suspects {
-		if r.suspectedBy[name] == nil {
-			r.suspectedBy[name] = map[string]time.Time{}
-		}
-		r.suspectedBy[name][call.Node.Name] = now
-	}
-	for _, rep := range call.Reports {
-		wake = true
-		if rep.Healthy {
-			r.recoveryReports[rep.EndpointID] = recoveryReport{rep, now}
-			delete(r.faultReports, rep.EndpointID)
-			continue
-		}
-		delete(r.recoveryReports, rep.EndpointID)
-		if r.faultReports[rep.EndpointID] == nil {
-			r.faultReports[rep.EndpointID] = map[string]time.Time{}
-		}
-		r.faultReports[rep.EndpointID][call.Node.Name] = now
-		r.lastFaultReport[rep.EndpointID] = rep
-	}
-	if wake {
+	if r.reports.Record(call, time.Now()) {
 		r.wakeReconciler()
 	}
 }
