--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -12,6 +12,7 @@
 
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -69,7 +70,9 @@
 	shares         map[distribution.ShareTable]*ShareAllocator
 	reports        *nodereports.Tracker
 	quotas         *QuotaServer
-	notices        *Consumer
+	consumer       *outboxpublisher.Consumer
+	publisher      *outboxpublisher.Publisher
+	quarantine     *outboxpublisher.Quarantine
 	usages         *Collector
 
 	largeBodySlot chan struct{} // room for one large order that is read
@@ -149,7 +152,7 @@
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
+	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
 	if raw := v.NodeValue("list"); raw != nil {
@@ -200,6 +203,7 @@
 	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.openOutbox(self, v)
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -226,10 +230,15 @@
 			return nil
 		}
 	}
+	ctx, cancel := context.WithCancel(context.Background())
+	r.wg.Go(func() {
+		defer cancel()
+		<-r.quit
+	})
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -305,7 +314,7 @@
 		version, raw := schema.ReadConfig(m)
 		go func() {
 			if r.board.SetConfiguration(version, raw) {
-				r.wakeConsumer()
+				r.consumer.Wake()
 			}
 			r.wakeReconciler()
 		}()
@@ -314,7 +323,7 @@
 		r.board.SetPurges(m)
 	}
 	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
-		r.wakeConsumer()
+		r.consumer.Wake()
 	}
 	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
 		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
@@ -428,12 +437,12 @@
 		}
 		return writeCBOR(c, r.usages.store.Window(a.Window))
 	})
-	e.POST("/notices", func(c echo.Context) error {
+	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
 		var list []outbox.Notification
 		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return writeCBOR(c, r.receiveNotifications(list))
+		return writeCBOR(c, r.consumer.Receive(list))
 	})
 	e.POST("/feed", r.handleUpdates)
 	e.POST("/ration", r.renewRateShare)
