--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -5,6 +5,7 @@
 
 	"comethold/internal/compat"
 	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -36,7 +37,7 @@
 				{Kind: paxos.OpSetVoters, Voters: []paxos.Voter{seat}}}}}},
 		{Name: "verdict", Value: replicahost.ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
 			Grant: distribution.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
-		{Name: "move", Value: MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
+		{Name: "move", Value: placement.MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
 	})
 }
 
--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -22,13 +22,11 @@
 	listTimeout         = 10 * time.Second // for all pages of a list; each has a limit of its own
 	pollDrainFraction   = 0.3              // of the time in which a leaving must be heeded
 	ReconcileInterval   = 400 * time.Millisecond
-	moveRetryInterval   = ReconcileInterval / 4 // while seats are to move
 	digestInterval      = time.Second
 	maxMarkAttempts     = 3
 	maxEjectionTime     = 30 * time.Second // after which a mark for silence must be made anew
 	downNodeRetention   = 2 * time.Minute
 	ProposalTimeout     = 1200 * time.Millisecond
-	replicaTimeout      = 5 * time.Second
 	endpointFetchDelay  = 300 * time.Millisecond
 	probeTimeout        = 700 * time.Millisecond
 )
@@ -169,7 +167,7 @@
 	silent := map[string]bool{}
 	r.host.Do(func() { // how long others were silent belongs to the host's loop
 		for name, n := range table {
-			silent[name] = n.ControlPlane && !n.Down && r.host.SilenceOf(n.Addr) > replicaTimeout
+			silent[name] = n.ControlPlane && !n.Down && r.host.SilenceOf(n.Addr) > replicahost.DownTimeout
 		}
 	})
 	for name, n := range table {
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
@@ -220,7 +221,7 @@
 // with a disk in trouble, and orders can't wait for it for ever.
 func (r *Server) underReplicated() bool {
 	live := r.host.LivePeers(replicahost.LearnerTimeout)
-	want := VotersFor(r.settings.Tolerance.MachineLosses)
+	want := placement.VotersFor(r.settings.Tolerance.MachineLosses)
 	cell, found := r.host.Stability()
 	if !found {
 		return false
--- /dev/null
+++ b/internal/controlplane/placement/plan.go
@@ -0,0 +1,123 @@
+package placement
+
+import (
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/paxos"
+)
+
+// VotersFor is how many voters a cell needs to bear the loss of so many machines.
+func VotersFor(losses int) int { return 2*losses + 1 }
+
+// survivesZoneLoss reports whether no zone holds a majority of the voters.
+func survivesZoneLoss(voters []paxos.Voter) bool {
+	perZone := map[string]int{}
+	for _, voter := range voters {
+		if voter.Zone != "" {
+			perZone[voter.Zone]++
+		}
+	}
+	for _, count := range perZone {
+		if count > len(voters)/2 && len(voters) > 1 {
+			return false
+		}
+	}
+	return true
+}
+
+// situation is what a move is planned by.
+type situation struct {
+	voters   []paxos.Voter
+	live     map[string]replicahost.PeerInfo // by address
+	isSilent func(address string) bool
+	want     int // voters
+	regionOf func(zone string) string
+}
+
+// move replaces a voter, or adds one if remove is empty.
+type move struct {
+	remove paxos.ReplicaID
+	add    paxos.Voter
+}
+
+// plan decides the one move that a cell needs most, if any: a machine that came back with
+// an empty disk takes over its former place; a voter that is silent for long is replaced by
+// a node that has no vote; a cell with too few voters gets one more. Newcomers come from
+// the zone, then the region, with the fewest voters.
+func (s *situation) plan() (planned move, needed bool) {
+	for _, voter := range s.voters {
+		if peer, isLive := s.live[voter.Addr]; isLive && peer.ID != voter.ID {
+			return move{remove: voter.ID, add: voterOf(peer)}, true
+		}
+	}
+	lost, healthy := s.firstLost()
+	if lost == nil && len(s.voters) >= s.want {
+		return move{}, false
+	}
+	newcomer := s.bestCandidate(healthy)
+	if newcomer == nil {
+		return move{}, false
+	}
+	if len(s.voters) < s.want {
+		return move{add: *newcomer}, true // add before replacing: the majority grows with it
+	}
+	return move{remove: lost.ID, add: *newcomer}, true
+}
+
+func voterOf(peer replicahost.PeerInfo) paxos.Voter {
+	return paxos.Voter{ID: peer.ID, Addr: peer.Addr, Zone: peer.Zone}
+}
+
+// spread is how many voters there are in each zone and region.
+type spread struct {
+	zones, regions map[string]int
+}
+
+// firstLost returns the first voter that is silent, or nil, and where the others are.
+func (s *situation) firstLost() (lost *paxos.Voter, healthy spread) {
+	healthy = spread{zones: map[string]int{}, regions: map[string]int{}}
+	for i, voter := range s.voters {
+		if s.isSilent(voter.Addr) {
+			if lost == nil {
+				lost = &s.voters[i]
+			}
+			continue
+		}
+		zone := voter.Zone
+		if peer, isLive := s.live[voter.Addr]; isLive {
+			zone = peer.Zone // founders are known by their address alone
+		}
+		healthy.zones[zone]++
+		healthy.regions[s.regionOf(zone)]++
+	}
+	return lost, healthy
+}
+
+// bestCandidate returns the live node without a vote that spreads the voters most, or nil.
+func (s *situation) bestCandidate(healthy spread) *paxos.Voter {
+	isVoter := map[string]bool{}
+	for _, voter := range s.voters {
+		isVoter[voter.Addr] = true
+	}
+	var best *paxos.Voter
+	for _, peer := range s.live {
+		if isVoter[peer.Addr] {
+			continue
+		}
+		if candidate := voterOf(peer); best == nil || s.isBetter(healthy, candidate, *best) {
+			best = &candidate
+		}
+	}
+	return best
+}
+
+func (s *situation) isBetter(healthy spread, a, b paxos.Voter) bool {
+	if healthy.zones[a.Zone] != healthy.zones[b.Zone] {
+		return healthy.zones[a.Zone] < healthy.zones[b.Zone]
+	}
+	inRegionOfA := healthy.regions[s.regionOf(a.Zone)]
+	inRegionOfB := healthy.regions[s.regionOf(b.Zone)]
+	if inRegionOfA != inRegionOfB {
+		return inRegionOfA < inRegionOfB
+	}
+	return a.ID < b.ID
+}
--- /dev/null
+++ b/internal/controlplane/placement/plan_test.go
@@ -0,0 +1,55 @@
+package placement
+
+import (
+	"strings"
+	"testing"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/paxos"
+)
+
+// TestPlanMove: voters and live nodes are given as "ID@address/zone", a silent one by its
+// address.
+func TestPlanMove(t *testing.T) {
+	for _, c := range []struct {
+		name, voters, live, silent string
+		want                       int
+		move                       string // "removed+added"
+	}{
+		{"nothing to do", "a@1/x b@2/y c@3/z", "a@1/x b@2/y c@3/z", "", 3, ""},
+		{"too few: a new zone first", "a@1/x b@2/y c@3/z", "a@1/x b@2/y c@3/z d@4/x e@5/w", "", 5, "+e"},
+		{"an empty disk takes its former place", "a@1/x b@2/y c@3/z", "a2@1/x b@2/y c@3/z", "", 3, "a+a2"},
+		{"a silent voter is replaced by a newcomer", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 3, "a+d"},
+		{"nobody to replace it", "a@1/x b@2/y c@3/z", "b@2/y c@3/z", "1", 3, ""},
+		{"add before replacing", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 5, "+d"},
+		{"the region with fewer voters", "a@1/x1 b@2/y1 c@3/x2", "a@1/x1 b@2/y1 c@3/x2 d@4/x3 e@5/y3", "", 5, "+e"},
+	} {
+		s := situation{
+			voters:   parseVoters(c.voters),
+			live:     map[string]replicahost.PeerInfo{},
+			isSilent: func(address string) bool { return c.silent != "" && address == c.silent },
+			want:     c.want,
+			regionOf: func(zone string) string { return zone[:1] },
+		}
+		for _, peer := range parseVoters(c.live) {
+			s.live[peer.Addr] = replicahost.PeerInfo{ID: peer.ID, Addr: peer.Addr, Zone: peer.Zone}
+		}
+		planned, needed := s.plan()
+		got := ""
+		if needed {
+			got = string(planned.remove) + "+" + string(planned.add.ID)
+		}
+		if got != c.move {
+			t.Errorf("%s: %q, not %q", c.name, got, c.move)
+		}
+	}
+}
+
+func parseVoters(list string) (voters []paxos.Voter) {
+	for _, word := range strings.Fields(list) {
+		id, rest, _ := strings.Cut(word, "@")
+		address, zone, _ := strings.Cut(rest, "/")
+		voters = append(voters, paxos.Voter{ID: paxos.ReplicaID(id), Addr: address, Zone: zone})
+	}
+	return voters
+}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -13,6 +13,7 @@
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -65,6 +66,7 @@
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
 	usageLease     usageLease
+	mover          *placement.Mover
 	purgeRequests  chan *pendingPurge
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
@@ -204,6 +206,13 @@
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
 	r.openOutbox(self, v)
+	r.mover = placement.NewMover(placement.Options{
+		Host:     r.host,
+		Lease:    r.placementLease,
+		Voters:   placement.VotersFor(set.Tolerance.MachineLosses),
+		RegionOf: set.RegionOf,
+		Log:      log,
+	})
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -238,7 +247,8 @@
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
+		func() { r.mover.Run(r.quit) },
+		r.discoveryLoop, r.reconcileLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -406,13 +416,13 @@
 		return writeCBOR(c, r.allocateShareLocally(ctx, claim))
 	})
 	e.POST("/move", func(c echo.Context) error {
-		var o MoveRequest
+		var o placement.MoveRequest
 		if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 		defer cancel()
-		return writeCBOR(c, r.moveLocal(ctx, &o))
+		return writeCBOR(c, r.mover.MoveLocal(ctx, &o))
 	})
 	e.POST("/list", func(c echo.Context) error {
 		var l distribution.EndpointList
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -15,9 +15,7 @@
 	"time"
 
 	"comethold/internal/controlplane/nodereports"
-	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
-	"comethold/internal/paxos"
 	"comethold/internal/ratelimit"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
@@ -27,45 +25,6 @@
 	"github.com/labstack/echo/v4"
 )
 
-// TestPlanMove: seats as "ID@address/zone", what is live, what is silent.
-func TestPlanMove(t *testing.T) {
-	for _, c := range []struct {
-		why, seats, live, silent string
-		want                     int
-		out                      string
-	}{
-		{"settled", "a@1/x b@2/y c@3/z", "a@1/x b@2/y c@3/z", "", 3, ""},
-		{"too few: a new zone first", "a@1/x b@2/y c@3/z", "a@1/x b@2/y c@3/z d@4/x e@5/w", "", 5, "+e"},
-		{"an empty disk takes its former seat", "a@1/x b@2/y c@3/z", "a2@1/x b@2/y c@3/z", "", 3, "a+a2"},
-		{"a silent seat goes to a newcomer", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 3, "a+d"},
-		{"nobody to take it", "a@1/x b@2/y c@3/z", "b@2/y c@3/z", "1", 3, ""},
-		{"add before replacing", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 5, "+d"},
-		{"the region with fewer seats", "a@1/x1 b@2/y1 c@3/x2", "a@1/x1 b@2/y1 c@3/x2 d@4/x3 e@5/y3", "", 5, "+e"},
-	} {
-		var seats []paxos.Voter
-		live := map[string]replicahost.PeerInfo{}
-		for _, w := range strings.Fields(c.seats) {
-			id, rest, _ := strings.Cut(w, "@")
-			addr, zone, _ := strings.Cut(rest, "/")
-			seats = append(seats, paxos.Voter{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone})
-		}
-		for _, w := range strings.Fields(c.live) {
-			id, rest, _ := strings.Cut(w, "@")
-			addr, zone, _ := strings.Cut(rest, "/")
-			live[addr] = replicahost.PeerInfo{ID: paxos.ReplicaID(id), Addr: addr, Zone: zone}
-		}
-		out, in, ok := planMove(seats, live, func(a string) bool { return c.silent != "" && a == c.silent }, c.want,
-			func(zone string) string { return zone[:1] })
-		got := ""
-		if ok {
-			got = string(out) + "+" + string(in.ID)
-		}
-		if got != c.out {
-			t.Errorf("%s: %q, not %q", c.why, got, c.out)
-		}
-	}
-}
-
 // TestShareAllocation: whatever order claims come in and whoever dies, the shares held
 // never exceed the whole, and a dead holder's share is free in the end.
 func TestShareAllocation(t *testing.T) {
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -23,6 +23,9 @@
 	LearnerTimeout = 10 * time.Second
 	// CandidateTimeout is the silence after which a peer is not made a voter.
 	CandidateTimeout = 3 * time.Second
+	// DownTimeout is the silence after which a voter is replaced, and a control node is
+	// registered as down.
+	DownTimeout = 5 * time.Second
 )
 
 // peerTable knows which control nodes were heard and when. Times are those since the host
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -160,7 +161,7 @@
 			return
 		}
 		now := time.Now()
-		seats := VotersFor(r.settings.Tolerance.MachineLosses)
+		seats := placement.VotersFor(r.settings.Tolerance.MachineLosses)
 		r.usages.clock.Update(now.UnixNano(), seats, now.Sub(last), now)
 		last = now
 		at, ok := r.usages.clock.Now(now)
