--- /dev/null
+++ b/internal/controlplane/cells.go
@@ -0,0 +1,36 @@
+package controlplane
+
+import (
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/paxos"
+)
+
+// CellView is the state of a cell as this node sees it.
+type CellView struct {
+	Voters  []paxos.Voter
+	Settled bool // the newest membership is in effect
+	Voter   bool // this node is a voter
+	Applied uint64
+	Role    paxos.Role
+	Leader  paxos.ReplicaID // as far as is known here
+}
+
+// Cells returns the state of the cells by name. It is empty until the storage is open.
+func (r *Server) Cells() map[string]CellView {
+	views := map[string]CellView{}
+	if !r.isReady() {
+		return views
+	}
+	r.host.ViewAll(func(open replicahost.OpenReplica) {
+		voters, settled := open.Replica.Voters()
+		views[open.Cell] = CellView{
+			Voters:  voters,
+			Settled: settled,
+			Voter:   open.Replica.IsVoter(),
+			Applied: open.Replica.AppliedIndex(),
+			Role:    open.Replica.Role(),
+			Leader:  open.Replica.Leader(),
+		}
+	})
+	return views
+}
--- a/internal/controlplane/notices.go
+++ b/internal/controlplane/notices.go
@@ -288,6 +288,15 @@
 	return all
 }
 
+// AppliedVersions returns up to which version each aggregate is applied here.
+func (b *Consumer) AppliedVersions() map[string]uint64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	versions := map[string]uint64{}
+	maps.Copy(versions, b.inbox.AppliedVersions)
+	return versions
+}
+
 // quarantine notes a notice for the operator, apart from the healthy ones.
 func (r *Server) quarantine(n *outbox.Notification, why string) {
 	key := schema.QuarantineKeyPrefix + n.EventID
--- /dev/null
+++ b/internal/controlplane/operatorapi/handler.go
@@ -0,0 +1,248 @@
+// Package operatorapi is the HTTP API of the operators: they replace, amend and read the
+// configuration, purge what caches hold, and look after the outbox and the leases.
+//
+// Handler holds the HTTP handlers. What they decide stands apart: changes commits
+// configurations, purgeQueue commits purges in batches, and the views read the state. These
+// return typed errors, which writeError alone turns into statuses.
+package operatorapi
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/taskgroup"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+
+	"github.com/labstack/echo/v4"
+)
+
+// requestTimeout bounds what a request waits for. Operators move on after a second.
+const requestTimeout = 1500 * time.Millisecond
+
+// maxRedriveAttempts is how often a redrive is tried anew on top of a change of its row.
+const maxRedriveAttempts = 3
+
+// Cells is what the API needs of the replicated cells. *replicahost.Host implements it.
+type Cells interface {
+	View(cell string, read func(*paxos.Replica)) bool
+	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
+	WaitLinearizable(ctx context.Context, cell string) error
+}
+
+// Options are what a Handler is made from. All are required.
+type Options struct {
+	Cells Cells
+	Log   *logging.Logger
+	// IsForming reports whether the meta cell has yet to get voters that it is about to get:
+	// what it commits before could be lost with fewer disks than it must bear to lose.
+	IsForming func() bool
+	// LatestConfiguration returns the newest configuration that this node holds, or nil.
+	LatestConfiguration func() *routing.Configuration
+	// Quarantine keeps a notification for the operator, who sees the reason beside it.
+	Quarantine func(notification *outbox.Notification, reason string)
+	// AppliedVersions returns up to which version this node has applied each aggregate.
+	AppliedVersions func() map[string]uint64
+}
+
+// Handler answers the operators' requests. Its Run must be running for purges to be
+// committed.
+type Handler struct {
+	cells           Cells
+	log             *logging.Logger
+	appliedVersions func() map[string]uint64
+	changes         *changes
+	purges          *purgeQueue
+	largeBodySlot   chan struct{} // holds a token while a large body is read
+	background      taskgroup.Group
+}
+
+// New makes a Handler.
+func New(options Options) *Handler {
+	h := &Handler{
+		cells:           options.Cells,
+		log:             options.Log,
+		appliedVersions: options.AppliedVersions,
+		purges:          newPurgeQueue(options.Cells, options.Log),
+		largeBodySlot:   make(chan struct{}, 1),
+	}
+	h.changes = &changes{
+		cells:               options.Cells,
+		log:                 options.Log,
+		isForming:           options.IsForming,
+		latestConfiguration: options.LatestConfiguration,
+		quarantine: func(notification *outbox.Notification, reason string) {
+			h.background.Go(func() { options.Quarantine(notification, reason) })
+		},
+	}
+	return h
+}
+
+// Run commits purges until ctx is done, and waits for what requests have started.
+func (h *Handler) Run(ctx context.Context) {
+	h.purges.run(ctx)
+	h.background.Close()
+}
+
+// Replace handles POST /Configuration.Replace: a whole configuration on top of a base version.
+func (h *Handler) Replace(c echo.Context) error { return h.handleChange(c, parseReplacement) }
+
+// Amend handles POST /Configuration.Amend: a change of named items on top of a base version.
+func (h *Handler) Amend(c echo.Context) error { return h.handleChange(c, parseAmendment) }
+
+func (h *Handler) handleChange(c echo.Context, parse parseFunc) error {
+	request, err := h.readChange(c, parse)
+	if err != nil {
+		return WriteError(c, err)
+	}
+	return h.commitChange(c, request)
+}
+
+// commitChange has a change committed and answers with its version.
+func (h *Handler) commitChange(c echo.Context, request *change) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
+	defer cancel()
+	if err := h.changes.commit(ctx, request); err != nil {
+		h.log.Warn(logging.ConfigRejected).
+			Uint64("version", request.version).
+			Uint64("base", request.base).
+			Int("status", statusOf(err)).
+			Str("cause", messageOf(err)).
+			Msg("configuration not committed")
+		return WriteError(c, err)
+	}
+	h.log.Info(logging.ConfigCommitted).
+		Uint64("version", request.version).
+		Uint64("base", request.base).
+		Msg("configuration committed")
+	return c.JSON(http.StatusOK, map[string]uint64{"version": request.version})
+}
+
+// Read handles GET /Configuration.Read: the newest configuration that was committed.
+func (h *Handler) Read(c echo.Context) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
+	defer cancel()
+	if err := h.cells.WaitLinearizable(ctx, schema.MetaCell); err != nil {
+		return WriteError(c, err)
+	}
+	var version uint64
+	var raw []byte
+	found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+		version, raw = schema.ReadConfig(replica)
+	})
+	if !found {
+		return WriteError(c, replicahost.ErrNoQuorum)
+	}
+	if version == 0 {
+		return WriteError(c, errNoConfiguration)
+	}
+	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, raw)
+}
+
+// Purge handles POST /purge. It answers once a majority keeps the purge.
+func (h *Handler) Purge(c echo.Context) error {
+	raw, err := readBody(c, maxSmallBodyBytes)
+	if err != nil {
+		return WriteError(c, err)
+	}
+	purge, err := parsePurge(raw)
+	if err != nil {
+		h.log.Warn(logging.PurgeRejected).Err(err).Msg("purge rejected")
+		return WriteError(c, &InvalidRequestError{err})
+	}
+	if err := h.purges.submit(c.Request().Context(), purge); err != nil {
+		return WriteError(c, err)
+	}
+	return c.JSON(http.StatusOK, struct{}{})
+}
+
+// ReadLeases handles GET /Duties.Read: who holds which lease, and how the usage reports stand.
+func (h *Handler) ReadLeases(c echo.Context) error {
+	var view LeasesView
+	found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+		view = readLeases(replica)
+	})
+	if !found {
+		return WriteError(c, replicahost.ErrNoQuorum)
+	}
+	return c.JSON(http.StatusOK, view)
+}
+
+// ReadOutbox handles GET /Notices.Read: the outbox's backlog, the quarantine, the redrives.
+func (h *Handler) ReadOutbox(c echo.Context) error {
+	var view OutboxView
+	found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+		view = readOutbox(replica)
+	})
+	if !found {
+		return WriteError(c, replicahost.ErrNoQuorum)
+	}
+	view.AppliedVersions = h.appliedVersions()
+	return c.JSON(http.StatusOK, view)
+}
+
+// Redrive handles POST /Notices.Redrive: it has a notification sent once more, or closes the
+// case of a quarantined one.
+func (h *Handler) Redrive(c echo.Context) error {
+	raw, err := readBody(c, maxSmallBodyBytes)
+	if err != nil {
+		return WriteError(c, err)
+	}
+	request := &schema.RedriveRequest{}
+	if err := json.Unmarshal(raw, request); err != nil {
+		return WriteError(c, &InvalidRequestError{err})
+	}
+	if err := request.Validate(); err != nil {
+		return WriteError(c, &InvalidRequestError{err})
+	}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
+	defer cancel()
+	if err := h.commitRedrive(ctx, request); err != nil {
+		return WriteError(c, err)
+	}
+	return c.JSON(http.StatusOK, request)
+}
+
+// commitRedrive has a redrive committed; one that is on record already is not committed
+// again.
+func (h *Handler) commitRedrive(ctx context.Context, request *schema.RedriveRequest) error {
+	for range maxRedriveAttempts {
+		if err := h.cells.WaitLinearizable(ctx, schema.MetaCell); err != nil {
+			return err
+		}
+		var txn paxos.Txn
+		var isKnown, isDone bool
+		found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+			txn, isKnown, isDone = schema.RedriveTransaction(replica, request)
+		})
+		switch {
+		case !found:
+			return replicahost.ErrNoQuorum
+		case isDone:
+			return nil
+		case !isKnown:
+			return errUnknownEvent
+		}
+		committed, err := h.cells.Propose(ctx, schema.MetaCell, txn)
+		if err != nil {
+			return err
+		}
+		if committed {
+			h.log.Info(logging.NotificationRedriven).
+				Str("eventId", request.EventID).
+				Str("operator", request.Operator).
+				Str("correlationId", request.CorrelationID).
+				Str("action", request.Action).
+				Msg("a notification was redriven")
+			return nil
+		}
+		// The outbox row has changed meanwhile, or another redrive came first.
+	}
+	return replicahost.ErrBusy
+}
--- /dev/null
+++ b/internal/controlplane/operatorapi/purges.go
@@ -0,0 +1,166 @@
+package operatorapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"strings"
+	"time"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+)
+
+// Bounds of the purge queue. The reasons for these values are in docs/design.md.
+const (
+	maxPurgeBatch     = 512
+	purgeQueueLength  = 4096
+	purgeRetryBackoff = 20 * time.Millisecond
+)
+
+var errInvalidPurge = errors.New("a purge names hostname and path, or label, and not both")
+
+// purgeRequest is the body of a purge: a host and path, or a label.
+type purgeRequest struct {
+	Hostname string `json:"hostname"`
+	Path     string `json:"path"`
+	Label    string `json:"label"`
+}
+
+func parsePurge(raw []byte) (distribution.Purge, error) {
+	var request purgeRequest
+	if err := json.Unmarshal(raw, &request); err != nil {
+		return distribution.Purge{}, err
+	}
+	hasPath := request.Hostname != "" && strings.HasPrefix(request.Path, "/")
+	hasLabelOnly := request.Label != "" && request.Hostname == "" && request.Path == ""
+	switch {
+	case hasLabelOnly && !strings.ContainsAny(request.Label, " \t"):
+		return distribution.Purge{Label: request.Label}, nil
+	case hasPath && request.Label == "":
+		return distribution.Purge{Host: strings.ToLower(request.Hostname), Path: request.Path}, nil
+	}
+	return distribution.Purge{}, errInvalidPurge
+}
+
+// purgeQueue commits purges in batches: those that come while a batch is being committed
+// make up the next one, so that a burst takes few entries of the log.
+type purgeQueue struct {
+	cells    Cells
+	log      *logging.Logger
+	pending  chan *pendingPurge
+	stopping chan struct{} // closed as soon as the queue is to stop
+}
+
+type pendingPurge struct {
+	purge distribution.Purge
+	done  chan error // gets the outcome of the batch; has room for it
+}
+
+func newPurgeQueue(cells Cells, log *logging.Logger) *purgeQueue {
+	return &purgeQueue{
+		cells:    cells,
+		log:      log,
+		pending:  make(chan *pendingPurge, purgeQueueLength),
+		stopping: make(chan struct{}),
+	}
+}
+
+// submit queues a purge and waits until it is committed. A nil error says that it is;
+// replicahost.ErrOutcomeUnknown, that it may be.
+func (q *purgeQueue) submit(ctx context.Context, purge distribution.Purge) error {
+	pending := &pendingPurge{purge: purge, done: make(chan error, 1)}
+	select {
+	case q.pending <- pending:
+	default:
+		return replicahost.ErrBusy
+	}
+	select {
+	case err := <-pending.done:
+		return err
+	case <-ctx.Done():
+	case <-q.stopping:
+	}
+	return replicahost.ErrOutcomeUnknown
+}
+
+// run commits batches until ctx is done. A batch that has been begun is brought to its end,
+// but its callers are not kept waiting for that.
+func (q *purgeQueue) run(ctx context.Context) {
+	context.AfterFunc(ctx, func() { close(q.stopping) })
+	for {
+		var first *pendingPurge
+		select {
+		case first = <-q.pending:
+		case <-ctx.Done():
+			return
+		}
+		batch := q.collectBatch(first)
+		batchCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
+		err := q.commit(batchCtx, distinctPurges(batch))
+		cancel()
+		for _, pending := range batch {
+			pending.done <- err
+		}
+	}
+}
+
+// collectBatch takes what is pending now, the first included.
+func (q *purgeQueue) collectBatch(first *pendingPurge) []*pendingPurge {
+	batch := []*pendingPurge{first}
+	for len(batch) < maxPurgeBatch {
+		select {
+		case pending := <-q.pending:
+			batch = append(batch, pending)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// distinctPurges lists the purges of a batch in order, each once.
+func distinctPurges(batch []*pendingPurge) []distribution.Purge {
+	seen := map[distribution.Purge]bool{}
+	var purges []distribution.Purge
+	for _, pending := range batch {
+		if !seen[pending.purge] {
+			seen[pending.purge] = true
+			purges = append(purges, pending.purge)
+		}
+	}
+	return purges
+}
+
+// commit has purges committed. To commit one twice does no harm, so if the outcome is
+// unknown they are proposed again.
+func (q *purgeQueue) commit(ctx context.Context, purges []distribution.Purge) error {
+	// The notification gets its version and event ID from its log index; see schema.DecodeRow.
+	notification, err := outbox.NewNotification("", outbox.AggregatePurges, 0, 0, len(purges))
+	if err != nil {
+		return err
+	}
+	txn := paxos.Txn{Ops: []paxos.Op{
+		{Kind: paxos.OpAppend, Key: schema.PurgeKeyPrefix, Value: schema.MustEncode(purges)},
+		{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: schema.MustEncode(outbox.Row{Notification: notification})},
+	}}
+	for {
+		committed, err := q.cells.Propose(ctx, schema.MetaCell, txn)
+		if committed && err == nil {
+			q.log.Info(logging.PurgeCommitted).Int("purges", len(purges)).Msg("purges committed")
+			return nil
+		}
+		select {
+		case <-time.After(purgeRetryBackoff):
+		case <-ctx.Done():
+			if err == nil {
+				err = replicahost.ErrBusy
+			}
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/operatorapi/request.go
@@ -0,0 +1,104 @@
+package operatorapi
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"comethold/internal/logging"
+	"comethold/internal/routing"
+
+	"github.com/labstack/echo/v4"
+)
+
+// Bounds of request bodies.
+const (
+	maxSmallBodyBytes  = 64 << 10 // of purges and redrives
+	maxChangeBytes     = 8 << 20
+	largeChangeBytes   = 1 << 20 // larger ones are read one at a time
+	largeChangeMaxWait = 500 * time.Millisecond
+	bodyReadTimeout    = 10 * time.Second
+)
+
+// baseVersionHeader names the version that a change builds on.
+const baseVersionHeader = "X-Comethold-Base-Version"
+
+// change is a request to change the configuration.
+type change struct {
+	version uint64
+	base    uint64 // the version that it builds on
+	raw     []byte // as it was sent
+	// apply makes the next configuration, and its encoding, of the one in force.
+	apply func(current []byte) (*routing.Configuration, []byte, error)
+}
+
+// parseFunc sets the version of a change and how it is applied.
+type parseFunc func(*change) error
+
+func parseReplacement(request *change) error {
+	configuration, err := routing.Parse(request.raw)
+	if err != nil {
+		return err
+	}
+	request.version = configuration.Version
+	request.apply = func([]byte) (*routing.Configuration, []byte, error) {
+		return configuration, request.raw, nil
+	}
+	return nil
+}
+
+func parseAmendment(request *change) error {
+	amendment, err := routing.ParseAmendment(request.raw)
+	if err != nil {
+		return err
+	}
+	request.version = amendment.Version
+	request.apply = amendment.Apply
+	return nil
+}
+
+// readChange reads and parses a change. To read and parse a large one takes many times its
+// size in memory, so this is done with one at a time.
+func (h *Handler) readChange(c echo.Context, parse parseFunc) (*change, error) {
+	if n := c.Request().ContentLength; n < 0 || n > largeChangeBytes {
+		select {
+		case h.largeBodySlot <- struct{}{}:
+			defer func() { <-h.largeBodySlot }()
+		case <-time.After(largeChangeMaxWait):
+			return nil, errLargeBodyQueue
+		case <-c.Request().Context().Done():
+			return nil, errCallerGone
+		}
+	}
+	raw, err := readBody(c, maxChangeBytes)
+	if err != nil {
+		return nil, err
+	}
+	base, err := strconv.ParseUint(c.Request().Header.Get(baseVersionHeader), 10, 64)
+	if err != nil {
+		return nil, &InvalidRequestError{errNoBaseVersion}
+	}
+	request := &change{base: base, raw: raw}
+	if err := parse(request); err != nil {
+		h.log.Warn(logging.ConfigRejected).Err(err).Msg("configuration or amendment rejected")
+		return nil, &InvalidRequestError{err}
+	}
+	return request, nil
+}
+
+// readBody reads the body of a request. One that is truncated or comes too slowly says
+// nothing of its content: the call failed, and may be made again.
+func readBody(c echo.Context, maxBytes int64) ([]byte, error) {
+	response := http.NewResponseController(c.Response())
+	_ = response.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not all connections have one
+	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBytes+1))
+	if err != nil {
+		return nil, errTruncatedBody
+	}
+	if int64(len(raw)) > maxBytes {
+		return nil, errBodyTooLarge
+	}
+	_ = response.SetReadDeadline(time.Time{})
+	return raw, nil
+}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -25,6 +26,8 @@
 )
 
 const (
+	// RequestTimeout bounds what a request between control nodes waits for.
+	RequestTimeout  = 1500 * time.Millisecond
 	longPollTimeout = time.Second // an answer without news comes after this
 )
 
@@ -46,17 +49,18 @@
 	discoveryLease *Lease
 	placementLease *Lease
 	usageLease     *Lease
-	purgeRequests  chan *pendingPurge
+	operator       *operatorapi.Handler
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
 	quotas         *QuotaServer
 	notices        *Consumer
 	usages         *Collector
 
-	largeBodySlot chan struct{} // room for one large order that is read
-	quit          chan struct{}
-	stopOnce      sync.Once
-	wg            sync.WaitGroup
+	quit     chan struct{}
+	stopping context.Context // done as soon as quit is closed
+	stop     context.CancelFunc
+	stopOnce sync.Once
+	wg       sync.WaitGroup
 
 	fetchingList     atomic.Bool // a list that another registrar holds is being fetched
 	mu               sync.Mutex
@@ -83,11 +87,12 @@
 
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
-	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
+	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
 		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
 		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
-		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
-		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
+		reconcileWake: make(chan struct{}, 1),
+		shareClaims:   make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
+	r.stopping, r.stop = context.WithCancel(context.Background())
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -185,6 +190,14 @@
 		Log:     log,
 		Hooks:   hooks,
 	})
+	r.operator = operatorapi.New(operatorapi.Options{
+		Cells:               r.host,
+		Log:                 log,
+		IsForming:           r.isForming,
+		LatestConfiguration: r.board.LatestConfiguration,
+		Quarantine:          r.quarantine,
+		AppliedVersions:     r.notices.AppliedVersions,
+	})
 	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
 	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
 	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
@@ -218,7 +231,7 @@
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, func() { r.operator.Run(r.stopping) }, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -232,6 +245,7 @@
 		r.mu.Lock()
 		r.stopped = true
 		close(r.quit)
+		r.stop()
 		opened := r.isReady()
 		r.mu.Unlock()
 		if !opened {
@@ -272,7 +286,7 @@
 func (r *Server) requireReady(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !r.isReady() {
-			return writeError(c, http.StatusServiceUnavailable, "the disk of this node does not answer yet")
+			return operatorapi.WriteError(c, operatorapi.ErrNotReady)
 		}
 		return next(c)
 	}
@@ -335,15 +349,15 @@
 func (r *Server) OperatorHandler() *echo.Echo {
 	e := newRouter(r.log)
 	e.Use(r.requireReady)
-	e.POST("/Configuration.Replace", r.handleReplace)
-	e.POST("/Configuration.Amend", r.handleAmend)
-	e.POST("/purge", r.handlePurge)
-	e.GET("/Configuration.Read", r.handleRead)
-	e.GET("/Notices.Read", r.handleReadOutbox)
-	e.GET("/Duties.Read", r.handleReadLeases)
+	e.POST("/Configuration.Replace", func(c echo.Context) error { return r.operator.Replace(c) })
+	e.POST("/Configuration.Amend", func(c echo.Context) error { return r.operator.Amend(c) })
+	e.POST("/purge", func(c echo.Context) error { return r.operator.Purge(c) })
+	e.GET("/Configuration.Read", func(c echo.Context) error { return r.operator.Read(c) })
+	e.GET("/Notices.Read", func(c echo.Context) error { return r.operator.ReadOutbox(c) })
+	e.GET("/Duties.Read", func(c echo.Context) error { return r.operator.ReadLeases(c) })
 	e.GET("/Estimates.Read", r.readEstimates)
 	e.GET("/Estimates.Saved", r.readSavedEstimates)
-	e.POST("/Notices.Redrive", r.handleRedrive)
+	e.POST("/Notices.Redrive", func(c echo.Context) error { return r.operator.Redrive(c) })
 	return e
 }
 
