--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,7 +10,10 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
+	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -31,6 +34,22 @@
 	longPollTimeout = time.Second // an answer without news comes after this
 )
 
+// Roles under which leases are stored.
+const (
+	discoveryRole = "directory"
+	placementRole = "mover"
+	usageRole     = "usage"
+)
+
+// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
+type usageLease interface {
+	Run(stop <-chan struct{})
+	Held() (term uint64, held bool)
+	Remaining(term uint64) time.Duration
+	FenceCondition(term uint64) (condition paxos.Condition, held bool)
+	Forfeit()
+}
+
 var errStopped = errors.New("registrar: told to end")
 
 // Server is the control plane of one node.
@@ -46,19 +65,20 @@
 	board    *Distributor
 	platform *discovery.Client
 
-	discoveryLease *Lease
-	placementLease *Lease
-	usageLease     *Lease
+	discoveryLease *lease.Lease
+	placementLease *lease.Lease
+	usageLease     usageLease
 	operator       *operatorapi.Handler
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
+	reports        *nodereports.Tracker
 	quotas         *QuotaServer
-	notices        *Consumer
+	consumer       *outboxpublisher.Consumer
+	publisher      *outboxpublisher.Publisher
+	quarantine     *outboxpublisher.Quarantine
 	usages         *Collector
 
 	quit     chan struct{}
-	stopping context.Context // done as soon as quit is closed
-	stop     context.CancelFunc
 	stopOnce sync.Once
 	wg       sync.WaitGroup
 
@@ -66,33 +86,15 @@
 	mu               sync.Mutex
 	reloadedSettings *settings.Settings // the last that was reloaded
 	stopped          bool
-	recentNodes      map[string]recentNode
-	suspectedBy      map[string]map[string]time.Time
-	faultReports     map[string]map[string]time.Time
-	recoveryReports  map[string]recoveryReport
-	lastFaultReport  map[string]distribution.HealthReport
 	reconcileWake    chan struct{}
 }
 
-// recoveryReport is kept for a while, should the mark not be lifted at once.
-type recoveryReport struct {
-	report     distribution.HealthReport
-	reportedAt time.Time
-}
-
-type recentNode struct {
-	node     distribution.Node
-	lastCall time.Time
-}
-
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
-		recentNodes: map[string]recentNode{}, suspectedBy: map[string]map[string]time.Time{},
-		faultReports: map[string]map[string]time.Time{}, recoveryReports: map[string]recoveryReport{}, lastFaultReport: map[string]distribution.HealthReport{},
+		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1),
 		shareClaims:   make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
-	r.stopping, r.stop = context.WithCancel(context.Background())
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -152,7 +154,7 @@
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas, r.notices = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey)), NewConsumer(v.NodeValue(InboxStorageKey))
+	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
 	if raw := v.NodeValue("list"); raw != nil {
@@ -190,18 +192,28 @@
 		Log:     log,
 		Hooks:   hooks,
 	})
+	newLease := func(role string, duration time.Duration, skewFactor int) *lease.Lease {
+		return lease.New(lease.Options{
+			Role:       role,
+			Self:       id,
+			Duration:   duration,
+			SkewFactor: skewFactor,
+			Cell:       r.host,
+			Log:        log,
+		})
+	}
+	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
+	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.openOutbox(self, v)
 	r.operator = operatorapi.New(operatorapi.Options{
 		Cells:               r.host,
 		Log:                 log,
 		IsForming:           r.isForming,
 		LatestConfiguration: r.board.LatestConfiguration,
-		Quarantine:          r.quarantine,
-		AppliedVersions:     r.notices.AppliedVersions,
+		Quarantine:          r.quarantine.Add,
+		AppliedVersions:     r.consumer.AppliedVersions,
 	})
-	r.discoveryLease = NewLease(r.host, log, "directory", PollerLeaseDuration, FencedClockSkewFactor)
-	r.placementLease = NewLease(r.host, log, "mover", MoverLeaseDuration, FencedClockSkewFactor)
-	r.usageLease = NewLease(r.host, log, "usage", ReporterLeaseDuration, ClockSkewFactor)
-
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -228,10 +240,15 @@
 			return nil
 		}
 	}
+	ctx, cancel := context.WithCancel(context.Background())
+	r.wg.Go(func() {
+		defer cancel()
+		<-r.quit
+	})
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, func() { r.operator.Run(r.stopping) }, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, r.consumeLoop, r.publishLoop, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, func() { r.operator.Run(ctx) }, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -245,7 +262,6 @@
 		r.mu.Lock()
 		r.stopped = true
 		close(r.quit)
-		r.stop()
 		opened := r.isReady()
 		r.mu.Unlock()
 		if !opened {
@@ -308,7 +324,7 @@
 		version, raw := schema.ReadConfig(m)
 		go func() {
 			if r.board.SetConfiguration(version, raw) {
-				r.wakeConsumer()
+				r.consumer.Wake()
 			}
 			r.wakeReconciler()
 		}()
@@ -317,7 +333,7 @@
 		r.board.SetPurges(m)
 	}
 	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
-		r.wakeConsumer()
+		r.consumer.Wake()
 	}
 	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
 		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
@@ -431,12 +447,12 @@
 		}
 		return writeCBOR(c, r.usages.store.Window(a.Window))
 	})
-	e.POST("/notices", func(c echo.Context) error {
+	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
 		var list []outbox.Notification
 		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return writeCBOR(c, r.receiveNotifications(list))
+		return writeCBOR(c, r.consumer.Receive(list))
 	})
 	e.POST("/feed", r.handleUpdates)
 	e.POST("/ration", r.renewRateShare)
@@ -498,36 +514,7 @@
 
 // recordNodeCall notes who calls and what they report.
 func (r *Server) recordNodeCall(call *distribution.UpdateRequest) {
-	now := time.Now()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	wake := false
-	if call.Node.Name != "" {
-		_, known := r.recentNodes[call.Node.Name]
-		r.recentNodes[call.Node.Name] = recentNode{call.Node, now}
-		wake = !known
-	}
-	for _, name := range call.Suspects {
-		if r.suspectedBy[name] == nil {
-			r.suspectedBy[name] = map[string]time.Time{}
-		}
-		r.suspectedBy[name][call.Node.Name] = now
-	}
-	for _, rep := range call.Reports {
-		wake = true
-		if rep.Healthy {
-			r.recoveryReports[rep.EndpointID] = recoveryReport{rep, now}
-			delete(r.faultReports, rep.EndpointID)
-			continue
-		}
-		delete(r.recoveryReports, rep.EndpointID)
-		if r.faultReports[rep.EndpointID] == nil {
-			r.faultReports[rep.EndpointID] = map[string]time.Time{}
-		}
-		r.faultReports[rep.EndpointID][call.Node.Name] = now
-		r.lastFaultReport[rep.EndpointID] = rep
-	}
-	if wake {
+	if r.reports.Record(call, time.Now()) {
 		r.wakeReconciler()
 	}
 }
