--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -12,6 +12,7 @@
 
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
@@ -29,6 +30,8 @@
 )
 
 const (
+	// RequestTimeout bounds what a request between control nodes waits for.
+	RequestTimeout  = 1500 * time.Millisecond
 	longPollTimeout = time.Second // an answer without news comes after this
 )
 
@@ -67,7 +70,7 @@
 	placementLease *lease.Lease
 	usageLease     usageLease
 	mover          *placement.Mover
-	purgeRequests  chan *pendingPurge
+	operator       *operatorapi.Handler
 	shareClaims    chan *pendingShareRequest
 	shares         map[distribution.ShareTable]*ShareAllocator
 	reports        *nodereports.Tracker
@@ -77,10 +80,9 @@
 	quarantine     *outboxpublisher.Quarantine
 	usages         *Collector
 
-	largeBodySlot chan struct{} // room for one large order that is read
-	quit          chan struct{}
-	stopOnce      sync.Once
-	wg            sync.WaitGroup
+	quit     chan struct{}
+	stopOnce sync.Once
+	wg       sync.WaitGroup
 
 	fetchingList     atomic.Bool // a list that another registrar holds is being fetched
 	mu               sync.Mutex
@@ -91,10 +93,10 @@
 
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
-	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
+	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
 		reports:       nodereports.NewTracker(),
-		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
-		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
+		reconcileWake: make(chan struct{}, 1),
+		shareClaims:   make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -213,6 +215,14 @@
 		RegionOf: set.RegionOf,
 		Log:      log,
 	})
+	r.operator = operatorapi.New(operatorapi.Options{
+		Cells:               r.host,
+		Log:                 log,
+		IsForming:           r.isForming,
+		LatestConfiguration: r.board.LatestConfiguration,
+		Quarantine:          r.quarantine.Add,
+		AppliedVersions:     r.consumer.AppliedVersions,
+	})
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
 	}
@@ -248,7 +258,16 @@
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
 		func() { r.mover.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop,
+		r.reconcileLoop,
+		func() { r.operator.Run(ctx) },
+		r.allocateSharesLoop,
+		r.renewQuotaLoop,
+		r.persistWatermarksLoop,
+		func() { r.consumer.Run(ctx) },
+		func() { r.publisher.Run(ctx) },
+		r.reportUsageLoop,
+		r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -302,7 +321,7 @@
 func (r *Server) requireReady(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !r.isReady() {
-			return writeError(c, http.StatusServiceUnavailable, "the disk of this node does not answer yet")
+			return operatorapi.WriteError(c, operatorapi.ErrNotReady)
 		}
 		return next(c)
 	}
@@ -365,15 +384,15 @@
 func (r *Server) OperatorHandler() *echo.Echo {
 	e := newRouter(r.log)
 	e.Use(r.requireReady)
-	e.POST("/Configuration.Replace", r.handleReplace)
-	e.POST("/Configuration.Amend", r.handleAmend)
-	e.POST("/purge", r.handlePurge)
-	e.GET("/Configuration.Read", r.handleRead)
-	e.GET("/Notices.Read", r.handleReadOutbox)
-	e.GET("/Duties.Read", r.handleReadLeases)
+	e.POST("/Configuration.Replace", func(c echo.Context) error { return r.operator.Replace(c) })
+	e.POST("/Configuration.Amend", func(c echo.Context) error { return r.operator.Amend(c) })
+	e.POST("/purge", func(c echo.Context) error { return r.operator.Purge(c) })
+	e.GET("/Configuration.Read", func(c echo.Context) error { return r.operator.Read(c) })
+	e.GET("/Notices.Read", func(c echo.Context) error { return r.operator.ReadOutbox(c) })
+	e.GET("/Duties.Read", func(c echo.Context) error { return r.operator.ReadLeases(c) })
 	e.GET("/Estimates.Read", r.readEstimates)
 	e.GET("/Estimates.Saved", r.readSavedEstimates)
-	e.POST("/Notices.Redrive", r.handleRedrive)
+	e.POST("/Notices.Redrive", func(c echo.Context) error { return r.operator.Redrive(c) })
 	return e
 }
 
