--- /dev/null
+++ b/internal/controlplane/allocation.go
@@ -0,0 +1,92 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+
+	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/distribution"
+	"comethold/internal/quota"
+	"comethold/internal/ratelimit"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+	"comethold/internal/storage"
+
+	"github.com/labstack/echo/v4"
+)
+
+// rateShareTimeout is how long a node's request for a share of the rate limits may take.
+const rateShareTimeout = ratelimit.LeaseDuration / 3
+
+// quotaAllocation is what works on the tenants' quotas.
+type quotaAllocation struct {
+	tenants    *allocation.Tenants
+	renewer    *allocation.QuotaShareRenewer
+	watermarks *allocation.WatermarkStore
+	borrower   *allocation.Borrower
+	tokens     *allocation.TokenServer
+}
+
+// openAllocation makes what allocates shares and quotas. The host must be made and not opened
+// yet.
+func (r *Server) openAllocation(store *storage.Store) {
+	r.shares = allocation.NewShareService(r.host, lease.ClockSkewFactor)
+	allocator := quota.NewAllocator()
+	watermarks := allocation.NewWatermarkStore(allocator, store)
+	tenants := allocation.NewTenants(r.settings.Bounds.QuotaRules(), allocator)
+	borrower := allocation.NewBorrower(allocation.BorrowerOptions{
+		Allocator: allocator,
+		Peers:     r.host,
+		Address:   r.settings.IPAddress,
+		Port:      r.settings.PortOf(settings.ControlPlane),
+		Region:    r.settings.RegionName,
+		RegionOf:  r.settings.RegionOf,
+	})
+	r.quotas = quotaAllocation{
+		tenants:    tenants,
+		watermarks: watermarks,
+		borrower:   borrower,
+		renewer: allocation.NewQuotaShareRenewer(allocation.QuotaShareRenewerOptions{
+			NodeName:   r.settings.NodeName,
+			Allocator:  allocator,
+			Tenants:    tenants,
+			Shares:     r.shares,
+			Watermarks: watermarks.Load(),
+			Log:        r.log,
+		}),
+		tokens: allocation.NewTokenServer(allocation.TokenServerOptions{
+			Allocator:     allocator,
+			Borrower:      borrower,
+			OnTokensTaken: watermarks.Wake,
+		}),
+	}
+}
+
+// handleRateShare renews a node's share of the rate limits. The node tries again if it is
+// granted nothing.
+func (r *Server) handleRateShare(c echo.Context) error {
+	var request distribution.ShareRequest
+	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !r.shares.IsValid(&request) {
+		return c.NoContent(http.StatusBadRequest)
+	}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), rateShareTimeout)
+	defer cancel()
+	grant, err := r.shares.Request(ctx, request)
+	if err != nil {
+		grant = distribution.ShareGrant{}
+	}
+	return writeCBOR(c, grant)
+}
+
+// handleShareDecision decides a request for a share that another control node forwards to
+// this one as the leader.
+func (r *Server) handleShareDecision(c echo.Context) error {
+	var request distribution.ShareRequest
+	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !r.shares.HasTable(request.Table) {
+		return c.NoContent(http.StatusBadRequest)
+	}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+	defer cancel()
+	return writeCBOR(c, r.shares.DecideLocal(ctx, request))
+}
--- /dev/null
+++ b/internal/controlplane/allocation/shareservice.go
@@ -0,0 +1,193 @@
+package allocation
+
+import (
+	"context"
+	"time"
+
+	"comethold/internal/controlplane/batching"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/ratelimit"
+	"comethold/internal/rpc"
+)
+
+// LeaderPath is where the leader of the meta cell takes requests for shares from other
+// control nodes.
+const LeaderPath = "/claim"
+
+const (
+	maxWaitingRequests = 256
+	commitTimeout      = ratelimit.LeaseDuration / 3
+	maxCommitAttempts  = 3
+)
+
+// ShareState is the replicated state in which shares are kept.
+type ShareState interface {
+	// View runs a function that looks at the state of a cell as it is applied here. It
+	// reports false if there is none to look at.
+	View(cell string, read func(*paxos.Replica)) bool
+	// ProposeLocal proposes a transaction at this node, which must lead the cell.
+	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
+	// CallLeader has the leader of a cell do something: local if this node leads, else what
+	// is posted to the path at the leader.
+	CallLeader(
+		ctx context.Context, cell, path string, request any,
+		local func(context.Context) replicahost.ProposeResult,
+	) (replicahost.ProposeResult, error)
+}
+
+// ShareService grants shares. The leader of the meta cell decides them, so that requests need
+// not contend; other control nodes forward to it.
+type ShareService struct {
+	state      ShareState
+	allocators map[distribution.ShareTable]*ShareAllocator
+	waiting    chan *pendingShareRequest
+	stopped    chan struct{} // closed when Run has ended
+}
+
+// pendingShareRequest is a request that waits for the leader's goroutine.
+type pendingShareRequest struct {
+	request distribution.ShareRequest
+	result  chan replicahost.ProposeResult
+}
+
+// NewShareService returns the service of the shares of rate limits and of quotas.
+// clockSkewFactor is how much faster the fastest clock may run than the slowest.
+func NewShareService(state ShareState, clockSkewFactor int) *ShareService {
+	return &ShareService{
+		state: state,
+		allocators: map[distribution.ShareTable]*ShareAllocator{
+			distribution.RateShares: NewShareAllocator(
+				schema.RateSharesKey, ratelimit.LeaseDuration, clockSkewFactor),
+			distribution.QuotaShares: NewShareAllocator(
+				schema.QuotaSharesKey, ratelimit.QuotaLeaseDuration, clockSkewFactor),
+		},
+		waiting: make(chan *pendingShareRequest, maxWaitingRequests),
+		stopped: make(chan struct{}),
+	}
+}
+
+// HasTable reports whether there are shares of a table.
+func (s *ShareService) HasTable(table distribution.ShareTable) bool {
+	return s.allocators[table] != nil
+}
+
+// IsValid reports whether a request of a node makes sense.
+func (s *ShareService) IsValid(request *distribution.ShareRequest) bool {
+	return request.Node != "" && request.Permille >= 0 && request.Permille <= ratelimit.FullShare &&
+		s.HasTable(request.Table)
+}
+
+// Request asks for a share, at the leader. The error is one of package replicahost.
+func (s *ShareService) Request(
+	ctx context.Context, request distribution.ShareRequest,
+) (distribution.ShareGrant, error) {
+	decide := func(ctx context.Context) replicahost.ProposeResult { return s.DecideLocal(ctx, request) }
+	result, err := s.state.CallLeader(ctx, schema.MetaCell, LeaderPath, &request, decide)
+	if err != nil {
+		return distribution.ShareGrant{}, err
+	}
+	return result.Grant, nil
+}
+
+// DecideLocal has a request decided at this node, which must lead the meta cell.
+func (s *ShareService) DecideLocal(
+	ctx context.Context, request distribution.ShareRequest,
+) replicahost.ProposeResult {
+	pending := &pendingShareRequest{request: request, result: make(chan replicahost.ProposeResult, 1)}
+	select {
+	case s.waiting <- pending:
+	default:
+		return replicahost.ProposeResult{Busy: true}
+	}
+	select {
+	case result := <-pending.result:
+		return result
+	case <-ctx.Done():
+	case <-s.stopped:
+	}
+	return replicahost.ProposeResult{Unknown: true}
+}
+
+// Run decides requests until the context ends. Those that wait are decided together, in one
+// transaction a table.
+func (s *ShareService) Run(ctx context.Context) {
+	defer close(s.stopped)
+	for {
+		var batch []*pendingShareRequest
+		select {
+		case pending := <-s.waiting:
+			batch = append(batch, pending)
+		case <-ctx.Done():
+			return
+		}
+		batch = batching.Drain(s.waiting, batch, cap(s.waiting))
+		for _, table := range []distribution.ShareTable{distribution.RateShares, distribution.QuotaShares} {
+			// What is under way when the node stops is brought to its end.
+			s.decideTable(context.WithoutCancel(ctx), table, batch)
+		}
+	}
+}
+
+// decideTable decides the requests of a batch that are for one table.
+func (s *ShareService) decideTable(
+	ctx context.Context, table distribution.ShareTable, batch []*pendingShareRequest,
+) {
+	var requests []*pendingShareRequest
+	for _, pending := range batch {
+		if pending.request.Table == table {
+			requests = append(requests, pending)
+		}
+	}
+	if len(requests) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	result, grants := s.commit(ctx, s.allocators[table], requests)
+	for i, pending := range requests {
+		if result.Committed {
+			result.Grant = grants[i]
+		}
+		pending.result <- result
+	}
+}
+
+// commit decides requests and commits the table that results. It tries again if the table
+// has changed meanwhile.
+func (s *ShareService) commit(
+	ctx context.Context, allocator *ShareAllocator, requests []*pendingShareRequest,
+) (replicahost.ProposeResult, []distribution.ShareGrant) {
+	for range maxCommitAttempts {
+		table, unchanged := s.readTable(allocator.tableKey)
+		grants := make([]distribution.ShareGrant, len(requests))
+		now := time.Now()
+		for i, pending := range requests {
+			table, grants[i] = allocator.allocate(table, pending.request, now)
+		}
+		result := s.state.ProposeLocal(ctx, schema.MetaCell, paxos.Txn{
+			ID:         replicahost.NewTransactionID(),
+			Conditions: []paxos.Condition{unchanged},
+			Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: allocator.tableKey, Value: schema.MustEncode(table)}},
+		})
+		if result.Committed || result.Busy || result.Unknown || result.NoLeader {
+			return result, grants
+		}
+	}
+	return replicahost.ProposeResult{Busy: true}, nil
+}
+
+// readTable returns a table and the condition that it is as it was read.
+func (s *ShareService) readTable(key string) (shareTable, paxos.Condition) {
+	table := shareTable{}
+	unchanged := paxos.Condition{Key: key, Absent: true}
+	s.state.View(schema.MetaCell, func(replica *paxos.Replica) {
+		stored, found := replica.Get(key)
+		if found && rpc.Unmarshal(stored.Bytes, &table) == nil {
+			unchanged = paxos.Condition{Key: key, Equals: stored}
+		}
+	})
+	return table, unchanged
+}
--- /dev/null
+++ b/internal/controlplane/datagrams.go
@@ -0,0 +1,99 @@
+package controlplane
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"comethold/internal/controlplane/allocation"
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+	"comethold/internal/usage"
+)
+
+const (
+	datagramReaders   = 2 // goroutines
+	maxDatagramSize   = 64 << 10
+	datagramReadPause = 20 * time.Millisecond // after a read that failed
+)
+
+// countReceiver takes the counts of requests that a data plane node reports.
+type countReceiver interface {
+	Record(report *usage.CountReport) *usage.CountAck
+}
+
+// datagramServer takes datagrams of data plane nodes and control nodes, and answers them on
+// the same socket.
+type datagramServer struct {
+	conn     net.PacketConn
+	tokens   *allocation.TokenServer
+	borrower *allocation.Borrower
+	counts   countReceiver
+	stopping <-chan struct{}
+}
+
+// ServeDatagrams answers and sends datagrams until Stop, then closes the connection.
+func (r *Server) ServeDatagrams(conn net.PacketConn) error {
+	select {
+	case <-r.ready:
+	case <-r.quit:
+		return conn.Close()
+	}
+	server := &datagramServer{
+		conn:     conn,
+		tokens:   r.quotas.tokens,
+		borrower: r.quotas.borrower,
+		counts:   r.usages,
+		stopping: r.quit,
+	}
+	return server.run()
+}
+
+func (s *datagramServer) run() error {
+	var readers sync.WaitGroup
+	for range datagramReaders {
+		readers.Go(s.readLoop)
+	}
+	<-s.stopping
+	err := s.conn.Close()
+	readers.Wait()
+	s.tokens.Wait()
+	return err
+}
+
+func (s *datagramServer) readLoop() {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		n, from, err := s.conn.ReadFrom(buffer)
+		if err != nil {
+			select {
+			case <-s.stopping:
+				return
+			case <-time.After(datagramReadPause):
+			}
+			continue
+		}
+		var datagram distribution.Datagram
+		if rpc.Unmarshal(buffer[:n], &datagram) == nil {
+			s.handle(&datagram, from)
+		}
+	}
+}
+
+func (s *datagramServer) handle(datagram *distribution.Datagram, from net.Addr) {
+	switch {
+	case datagram.TokenGrant != nil:
+		s.borrower.ReceiveGrant(datagram.TokenGrant)
+	case datagram.UsageReport != nil:
+		s.SendDatagram(from, &distribution.Datagram{UsageAck: s.counts.Record(datagram.UsageReport)})
+	case datagram.TokenRequest != nil:
+		s.tokens.Answer(datagram.TokenRequest, from, s)
+	}
+}
+
+// SendDatagram sends a datagram; what can't be sent is lost.
+func (s *datagramServer) SendDatagram(to net.Addr, datagram *distribution.Datagram) {
+	if raw, err := rpc.Marshal(datagram); err == nil {
+		_, _ = s.conn.WriteTo(raw, to)
+	}
+}
--- a/internal/controlplane/outbox.go
+++ b/internal/controlplane/outbox.go
@@ -15,7 +15,7 @@
 		Distributor:     r.board,
 		Storage:         store,
 		Quarantine:      r.quarantine,
-		OnConfiguration: r.quotas.SetTenants,
+		OnConfiguration: r.quotas.tenants.SetTenants,
 		Log:             r.log,
 	})
 	r.publisher = outboxpublisher.NewPublisher(outboxpublisher.PublisherOptions{
--- a/internal/controlplane/recall.go
+++ b/internal/controlplane/recall.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"comethold/internal/controlplane/batching"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -98,7 +99,7 @@
 		case <-r.quit:
 			return
 		}
-		batch = drainChannel(r.purgeRequests, batch, maxPurgeBatch)
+		batch = batching.Drain(r.purgeRequests, batch, maxPurgeBatch)
 		seen := map[distribution.Purge]bool{}
 		var list []distribution.Purge
 		for _, p := range batch {
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/outboxpublisher"
@@ -66,10 +67,9 @@
 	placementLease *lease.Lease
 	usageLease     usageLease
 	purgeRequests  chan *pendingPurge
-	shareClaims    chan *pendingShareRequest
-	shares         map[distribution.ShareTable]*ShareAllocator
+	shares         *allocation.ShareService
 	reports        *nodereports.Tracker
-	quotas         *QuotaServer
+	quotas         quotaAllocation
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
@@ -92,7 +92,7 @@
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
 		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
-		shareClaims: make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
+		usages: NewCollector(n)}
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -152,7 +152,6 @@
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
 	// The list of the former life serves until the platform has been asked:
 	// leafs are called by name, so one that is gone does no harm.
 	if raw := v.NodeValue("list"); raw != nil {
@@ -203,6 +202,7 @@
 	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.openAllocation(v)
 	r.openOutbox(self, v)
 	for _, name := range set.UnknownDuties() {
 		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
@@ -238,7 +238,7 @@
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, func() { r.shares.Run(ctx) }, func() { r.quotas.renewer.Run(ctx) }, func() { r.quotas.watermarks.Run(ctx) }, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -396,15 +396,7 @@
 	e.POST("/confirm", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
 		return r.host.ReadIndexLocal(ctx, p.Cell)
 	}))
-	e.POST("/claim", func(c echo.Context) error {
-		var claim distribution.ShareRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &claim); err != nil || r.shares[claim.Table] == nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
-		defer cancel()
-		return writeCBOR(c, r.allocateShareLocally(ctx, claim))
-	})
+	e.POST(allocation.LeaderPath, r.handleShareDecision)
 	e.POST("/move", func(c echo.Context) error {
 		var o MoveRequest
 		if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
@@ -445,7 +437,7 @@
 		return writeCBOR(c, r.consumer.Receive(list))
 	})
 	e.POST("/feed", r.handleUpdates)
-	e.POST("/ration", r.renewRateShare)
+	e.POST("/ration", r.handleRateShare)
 	return e
 }
 
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -17,7 +17,6 @@
 
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -453,8 +452,3 @@
 	}
 	return fmt.Errorf("%w: %s", ErrReportRejected, strings.TrimSpace(resp.Status))
 }
-
-// receiveCounts takes a datagram of counts.
-func (r *Server) receiveCounts(t *usage.CountReport, from net.Addr) {
-	r.quotas.sendDatagram(from, &distribution.Datagram{UsageAck: r.usages.Record(t)})
-}
