--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -5,55 +5,56 @@
 	"comethold/internal/paxos"
 )
 
-// onApply runs on the host's loop. Leases are renewed several times a second:
-// what a change does not touch is not read again.
-func (r *Server) onApply(name string, what paxos.ChangedKeys) {
-	m := r.host.Replica(name)
-	if m == nil {
+// onApply passes on what changed in the replicated state. It runs on the host's event loop.
+// Leases are renewed several times a second, so what a change does not touch is not read
+// again.
+func (s *Server) onApply(cell string, changed paxos.ChangedKeys) {
+	replica := s.host.Replica(cell)
+	if replica == nil {
 		return
 	}
-	if name != schema.MetaCell {
-		r.board.SetMarks(schema.ReadEjections(name, m))
+	if cell != schema.MetaCell {
+		s.board.SetMarks(schema.ReadEjections(cell, replica))
 		return
 	}
-	wake := false
-	if what.AnyWithPrefix(schema.ConfigVersionKey) {
-		version, raw := schema.ReadConfig(m)
-		go func() {
-			if r.board.SetConfiguration(version, raw) {
-				r.consumer.Wake()
-			}
-			r.wakeReconciler()
-		}()
+	if changed.AnyWithPrefix(schema.ConfigVersionKey) {
+		version, raw := schema.ReadConfig(replica)
+		s.tasks.Go(func() { s.applyConfiguration(version, raw) })
 	}
-	if what.AnyWithPrefix(schema.PurgeKeyPrefix) || what.AnyWithPrefix(schema.PurgeCompactedKey) {
-		r.board.SetPurges(m)
+	if changed.AnyWithPrefix(schema.PurgeKeyPrefix) || changed.AnyWithPrefix(schema.PurgeCompactedKey) {
+		s.board.SetPurges(replica)
 	}
-	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
-		r.consumer.Wake()
+	if changed.AnyWithPrefix(schema.OutboxKeyPrefix) {
+		s.consumer.Wake()
 	}
-	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
-		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
-		wake = true
+	if changed.AnyWithPrefix(schema.NodeKeyPrefix) {
+		s.board.SetNodes(replica.AppliedIndex(), schema.ReadNodes(replica))
+		s.wakeReconciler()
 	}
-	if what.AnyWithPrefix(schema.IndexKeyPrefix) {
-		r.syncIndexReplicas(schema.ReadIndexes(m))
-		wake = true
+	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
+		s.openListedIndexes(schema.ReadIndexes(replica))
+		s.wakeReconciler()
 	}
-	if wake {
-		r.wakeReconciler()
+}
+
+// applyConfiguration takes in a configuration. The event loop doesn't wait for it to be
+// parsed.
+func (s *Server) applyConfiguration(version uint64, raw []byte) {
+	if s.board.SetConfiguration(version, raw) {
+		s.consumer.Wake()
 	}
+	s.wakeReconciler()
 }
 
-// syncIndexReplicas opens and closes index cells as the exchange cell lists them.
-func (r *Server) syncIndexReplicas(have map[string]schema.IndexRecord) {
-	for ix, rec := range have {
-		r.host.Open(ix, rec.Voters)
-	}
-	for _, ix := range r.host.Cells() {
-		if _, ok := have[ix]; !ok && ix != schema.MetaCell {
-			r.host.Close(ix)
-			r.board.DropMarks(ix)
+// openListedIndexes opens and closes replicas of index cells as the meta cell lists them.
+func (s *Server) openListedIndexes(listed map[string]schema.IndexRecord) {
+	for cell, record := range listed {
+		s.host.Open(cell, record.Voters)
+	}
+	for _, cell := range s.host.Cells() {
+		if _, isListed := listed[cell]; !isListed && cell != schema.MetaCell {
+			s.host.Close(cell)
+			s.board.DropMarks(cell)
 		}
 	}
 }
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"time"
 
 	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/outboxpublisher"
@@ -15,76 +16,72 @@
 	"github.com/labstack/echo/v4"
 )
 
+// RequestTimeout bounds what a request between control nodes waits for.
+const RequestTimeout = 1500 * time.Millisecond
+
 // InternalHandler serves what the system's own processes call.
-func (r *Server) InternalHandler() *echo.Echo {
-	e := newRouter(r.log)
-	e.Use(r.requireReady)
-	e.POST("/cells", func(c echo.Context) error {
-		var b replicahost.Batch
-		if err := rpc.DecodeRequest(c.Request().Body, &b); err != nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		r.host.Receive(&b)
-		return c.NoContent(http.StatusNoContent)
-	})
-	decide := func(f func(context.Context, *replicahost.ProposeRequest) replicahost.ProposeResult) echo.HandlerFunc {
-		return func(c echo.Context) error {
-			var p replicahost.ProposeRequest
-			if err := rpc.DecodeRequest(c.Request().Body, &p); err != nil {
-				return c.NoContent(http.StatusBadRequest)
-			}
-			ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
-			defer cancel()
-			return writeCBOR(c, f(ctx, &p))
-		}
-	}
-	e.POST("/propose", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
-		return r.host.ProposeLocal(ctx, p.Cell, p.Txn)
+func (s *Server) InternalHandler() *echo.Echo {
+	e := newRouter(s.log)
+	e.Use(s.requireReady)
+	s.registerPeerCalls(e)
+	e.POST("/feed", s.handleUpdates)
+	e.POST("/ration", s.handleRateShare)
+	return e
+}
+
+// registerPeerCalls adds what control nodes call on one another.
+func (s *Server) registerPeerCalls(e *echo.Echo) {
+	e.POST(replicahost.PathMessages, handleRPC(func(_ context.Context, batch *replicahost.Batch) any {
+		s.host.Receive(batch)
+		return nil
 	}))
-	e.POST("/confirm", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
-		return r.host.ReadIndexLocal(ctx, p.Cell)
+	e.POST(replicahost.PathPropose, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+		return s.host.ProposeLocal(ctx, request.Cell, request.Txn)
 	}))
-	e.POST(allocation.LeaderPath, r.handleShareDecision)
-	e.POST("/move", func(c echo.Context) error {
-		var o placement.MoveRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
-		defer cancel()
-		return writeCBOR(c, r.mover.MoveLocal(ctx, &o))
-	})
-	e.POST("/list", func(c echo.Context) error {
-		var l distribution.EndpointList
-		if err := rpc.DecodeRequest(c.Request().Body, &l); err != nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		if l.Endpoints != nil {
-			return writeCBOR(c, r.board.SetEndpoints(&l))
-		}
-		return writeCBOR(c, r.board.EndpointsVersion())
-	})
+	e.POST(replicahost.PathConfirm, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+		return s.host.ReadIndexLocal(ctx, request.Cell)
+	}))
+	e.POST(placement.PathMove, handleRPC(func(ctx context.Context, request *placement.MoveRequest) any {
+		return s.mover.MoveLocal(ctx, request)
+	}))
+	e.POST(allocation.LeaderPath, s.handleShareDecision)
+	e.POST("/list", handleRPC(s.receiveEndpoints))
 	e.POST("/list/read", func(c echo.Context) error {
-		if l := r.board.Endpoints(); l != nil {
-			return writeCBOR(c, l)
+		if list := s.board.Endpoints(); list != nil {
+			return writeCBOR(c, list)
 		}
 		return c.NoContent(http.StatusNotFound)
 	})
-	e.POST("/usage", func(c echo.Context) error {
-		var a WindowRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &a); err != nil {
+	e.POST("/usage", handleRPC(func(_ context.Context, request *WindowRequest) any {
+		return s.usages.store.Window(request.Window)
+	}))
+	e.POST(outboxpublisher.DeliverPath, handleRPC(func(_ context.Context, list *[]outbox.Notification) any {
+		return s.consumer.Receive(*list)
+	}))
+}
+
+// receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
+// revision, and answers with the revision that is held then.
+func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
+	if list.Endpoints != nil {
+		return s.board.SetEndpoints(list)
+	}
+	return s.board.EndpointsVersion()
+}
+
+// handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
+// can't be decoded, 204 if there is no response, else 200.
+func handleRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		var request Request
+		if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		return writeCBOR(c, r.usages.store.Window(a.Window))
-	})
-	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
-		var list []outbox.Notification
-		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
-			return c.NoContent(http.StatusBadRequest)
+		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+		defer cancel()
+		if response := answer(ctx, &request); response != nil {
+			return writeCBOR(c, response)
 		}
-		return writeCBOR(c, r.consumer.Receive(list))
-	})
-	e.POST("/feed", r.handleUpdates)
-	e.POST("/ration", r.handleRateShare)
-	return e
+		return c.NoContent(http.StatusNoContent)
+	}
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,3 +1,9 @@
+// Package controlplane is the control plane of one node. It hosts the node's replicas of the
+// replicated state, takes the operator's configuration, keeps the state up to date with the
+// platform and the nodes, and distributes it to them.
+//
+// The Server starts, wires and stops what the packages below it do: one package for each
+// concern, over small interfaces. Nothing else is decided here.
 package controlplane
 
 import (
@@ -16,37 +22,19 @@
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/taskgroup"
 	"comethold/internal/discovery"
 	"comethold/internal/logging"
-	"comethold/internal/paxos"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
 	"comethold/internal/storage"
 )
 
-const (
-	// RequestTimeout bounds what a request between control nodes waits for.
-	RequestTimeout  = 1500 * time.Millisecond
-	longPollTimeout = time.Second // an answer without news comes after this
-)
-
-// Roles under which leases are stored.
-const (
-	discoveryRole = "directory"
-	placementRole = "mover"
-	usageRole     = "usage"
-)
-
-// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
-type usageLease interface {
-	Run(stop <-chan struct{})
-	Held() (term uint64, held bool)
-	Remaining(term uint64) time.Duration
-	FenceCondition(term uint64) (condition paxos.Condition, held bool)
-	Forfeit()
-}
+// stopTimeout is how long Stop waits for what runs, such as leases that are given back.
+const stopTimeout = time.Second
 
-var errStopped = errors.New("registrar: told to end")
+// errStopped says that the server was stopped while it started.
+var errStopped = errors.New("controlplane: stopped")
 
 // Server is the control plane of one node.
 type Server struct {
@@ -54,131 +42,158 @@
 	log      *logging.Logger
 	disk     storage.Disk
 	network  rpc.Network
-	ready    chan struct{} // closed once the vault is open: what follows is there
-	storage  *storage.Store
 	client   *rpc.Client
-	host     *replicahost.Host
 	board    *Distributor
-	platform *discovery.Client
+	platform *discovery.Client // nil if the node knows no platform
+	reports  *nodereports.Tracker
+	usages   *Collector
+
+	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
 
+	storage        *storage.Store
+	host           *replicahost.Host
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
 	usageLease     usageLease
 	mover          *placement.Mover
 	operator       *operatorapi.Handler
 	shares         *allocation.ShareService
-	reports        *nodereports.Tracker
 	quotas         quotaAllocation
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
-	usages         *Collector
 
-	quit     chan struct{}
+	quit     chan struct{} // closed by Stop
 	stopOnce sync.Once
-	wg       sync.WaitGroup
+	loops    sync.WaitGroup  // of Run
+	tasks    taskgroup.Group // short ones, started as the state changes
 
-	fetchingList     atomic.Bool // a list that another registrar holds is being fetched
-	mu               sync.Mutex
-	reloadedSettings *settings.Settings // the last that was reloaded
+	fetchingList  atomic.Bool // a list that another node holds is being fetched
+	reconcileWake chan struct{}
+
+	mu               sync.Mutex         // guards the fields below
+	reloadedSettings *settings.Settings // the last that were reloaded
 	stopped          bool
-	reconcileWake    chan struct{}
 }
 
-// New makes a registrar. It asks nothing of the disk; Run does.
-func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
-	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
+// New makes a server. It asks nothing of the disk; Run does.
+func New(set *settings.Settings, log *logging.Logger, network rpc.Network, disk storage.Disk) *Server {
+	s := &Server{
+		settings:      set,
+		log:           log,
+		disk:          disk,
+		network:       network,
+		client:        rpc.NewClient(network),
+		board:         NewDistributor(),
 		reports:       nodereports.NewTracker(),
+		usages:        NewCollector(network),
+		ready:         make(chan struct{}),
+		quit:          make(chan struct{}),
 		reconcileWake: make(chan struct{}, 1),
-		usages:        NewCollector(n),
 	}
 	if set.Platform.Address != "" {
-		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
+		s.platform = discovery.NewClient(network, set.Platform.Address, set.Platform.RatePerS)
 	}
-	return r
+	return s
 }
 
-// Run does the work until Stop.
-func (r *Server) Run() error {
-	go r.openStorage()
+// Run opens the storage and does the work of the control plane until Stop.
+func (s *Server) Run() error {
+	s.tasks.Go(s.openStorage)
 	select {
-	case <-r.ready:
-	case <-r.quit:
-		if !r.isReady() {
+	case <-s.ready:
+	case <-s.quit:
+		if !s.isReady() {
 			return nil
 		}
 	}
+	s.startLoops()
+	return s.host.Run()
+}
+
+func (s *Server) startLoops() {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.wg.Go(func() {
+	s.loops.Go(func() {
 		defer cancel()
-		<-r.quit
+		<-s.quit
 	})
-	for _, f := range []func(){
-		func() { r.discoveryLease.Run(r.quit) },
-		func() { r.placementLease.Run(r.quit) },
-		func() { r.mover.Run(r.quit) },
-		r.discoveryLoop,
-		r.reconcileLoop,
-		func() { r.operator.Run(ctx) },
-		func() { r.shares.Run(ctx) },
-		func() { r.quotas.renewer.Run(ctx) },
-		func() { r.quotas.watermarks.Run(ctx) },
-		func() { r.consumer.Run(ctx) },
-		func() { r.publisher.Run(ctx) },
-		r.reportUsageLoop,
-		r.exportLoop,
+	for _, loop := range []func(){
+		func() { s.discoveryLease.Run(s.quit) },
+		func() { s.placementLease.Run(s.quit) },
+		func() { s.mover.Run(s.quit) },
+		s.discoveryLoop,
+		s.reconcileLoop,
+		func() { s.operator.Run(ctx) },
+		func() { s.shares.Run(ctx) },
+		func() { s.quotas.renewer.Run(ctx) },
+		func() { s.quotas.watermarks.Run(ctx) },
+		func() { s.consumer.Run(ctx) },
+		func() { s.publisher.Run(ctx) },
+		s.reportUsageLoop,
+		s.exportLoop,
 	} {
-		r.wg.Add(1)
-		go func() { defer r.wg.Done(); f() }()
+		s.loops.Go(loop)
 	}
-	return r.host.Run()
 }
 
-// Stop ends the duties, then the cells.
-func (r *Server) Stop() {
-	r.stopOnce.Do(func() {
-		r.mu.Lock()
-		r.stopped = true
-		close(r.quit)
-		opened := r.isReady()
-		r.mu.Unlock()
-		if !opened {
+// Stop ends what runs and gives leases back, then ends the replicas and closes the storage.
+// A disk that has not answered yet can't be waited for.
+func (s *Server) Stop() {
+	s.stopOnce.Do(func() {
+		s.mu.Lock()
+		s.stopped = true
+		close(s.quit)
+		isOpen := s.isReady()
+		s.mu.Unlock()
+		if !isOpen {
 			return
 		}
-		done := make(chan struct{})
-		go func() { r.wg.Wait(); close(done) }()
-		select {
-		case <-done:
-		case <-time.After(time.Second):
-		}
-		r.host.Stop()
-		_ = r.storage.Close()
-		r.host.Wait()
+		s.waitForLoops()
+		s.host.Stop()
+		_ = s.storage.Close()
+		s.host.Wait()
 	})
 }
 
-// Reload takes new settings: the seeds may have been exchanged.
-func (r *Server) Reload(set *settings.Settings) {
-	r.mu.Lock()
-	r.reloadedSettings = set
-	r.mu.Unlock()
-	if r.isReady() {
-		r.host.SetSeeds(set.SeedHosts())
+// waitForLoops waits until all that was started has ended, for stopTimeout at the most: a
+// call may hang on a peer that is down.
+func (s *Server) waitForLoops() {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.loops.Wait()
+		s.tasks.Close()
+	}()
+	select {
+	case <-ended:
+	case <-time.After(stopTimeout):
 	}
 }
 
-func (r *Server) isReady() bool {
+// Reload takes new settings: the seeds may have changed.
+func (s *Server) Reload(set *settings.Settings) {
+	s.mu.Lock()
+	s.reloadedSettings = set
+	s.mu.Unlock()
+	if s.isReady() {
+		s.host.SetSeeds(set.SeedHosts())
+	}
+}
+
+func (s *Server) isReady() bool {
 	select {
-	case <-r.ready:
+	case <-s.ready:
 		return true
 	default:
 		return false
 	}
 }
 
-func internalAddress(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func internalAddress(host string, port int) string {
+	return net.JoinHostPort(host, strconv.Itoa(port))
+}
 
-// InternalAddress is where this program listens for the system's own processes.
+// InternalAddress is where a control node listens for the system's own processes.
 func InternalAddress(set *settings.Settings) string {
 	return internalAddress(set.IPAddress, set.PortOf(settings.ControlPlane))
 }
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -17,138 +17,203 @@
 	"comethold/internal/storage"
 )
 
-// openStorage opens the vault, as often as it takes: a disk in trouble is no reason to end.
-// Until then this registrar says nothing to the others and turns callers away.
-func (r *Server) openStorage() {
-	failed := func(err error) {
-		if errors.Is(err, storage.ErrCorrupt) {
-			r.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the cells is damaged and was put aside")
-			return
-		}
-		r.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
-	}
+// endpointsStorageKey is where the endpoint list is stored for the next start.
+const endpointsStorageKey = "list"
+
+// Roles under which leases are stored.
+const (
+	discoveryRole = "directory"
+	placementRole = "mover"
+	usageRole     = "usage"
+)
+
+// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
+type usageLease interface {
+	Run(stop <-chan struct{})
+	Held() (term uint64, held bool)
+	Remaining(term uint64) time.Duration
+	FenceCondition(term uint64) (condition paxos.Condition, held bool)
+	Forfeit()
+}
+
+// openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
+// Until then this node says nothing to the others and rejects calls.
+func (s *Server) openStorage() {
 	for ; ; time.Sleep(storage.RetryDelay) {
 		select {
-		case <-r.quit:
+		case <-s.quit:
 			return
 		default:
 		}
-		late := time.AfterFunc(storage.UnresponsiveAfter, func() { failed(storage.ErrUnresponsive) })
-		v, err := storage.Open(r.settings.DataDirectory, r.disk, failed)
-		if err == nil {
-			if err = r.startReplicas(v); err != nil {
-				_ = v.Close()
-			}
-		}
-		late.Stop()
+		err := s.tryOpenStorage()
 		if err == nil {
 			return
 		}
-		failed(err)
+		s.logDiskFault(err)
 	}
 }
 
-// startReplicas opens the cells of this node. The vault's name is on the disk by now.
-func (r *Server) startReplicas(v *storage.Store) error {
-	set, log := r.settings, r.log
-	var founders []paxos.Voter
-	if set.FirstStart {
-		for _, a := range set.SeedHosts() {
-			founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(a), Addr: a})
-		}
+func (s *Server) tryOpenStorage() error {
+	late := time.AfterFunc(storage.UnresponsiveAfter, func() { s.logDiskFault(storage.ErrUnresponsive) })
+	defer late.Stop()
+	store, err := storage.Open(s.settings.DataDirectory, s.disk, s.logDiskFault)
+	if err != nil {
+		return err
+	}
+	if err := s.startReplicas(store); err != nil {
+		_ = store.Close()
+		return err
 	}
-	id, empty, err := replicahost.LoadOrCreateIdentity(v, replicahost.NewNode{
+	return nil
+}
+
+func (s *Server) logDiskFault(err error) {
+	if errors.Is(err, storage.ErrCorrupt) {
+		s.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the replicas is corrupt and was put aside")
+		return
+	}
+	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+}
+
+// startReplicas makes what needs the storage and opens the replicas. The names of the
+// storage's files are synced by now.
+func (s *Server) startReplicas(store *storage.Store) error {
+	founders := s.founders()
+	self, err := s.identify(store, founders)
+	if err != nil {
+		return err
+	}
+	s.storage = store
+	s.restoreEndpoints(store)
+	s.host = s.newHost(self, store)
+	s.discoveryLease = s.newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
+	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	s.usageLease = s.newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	s.openAllocation(store)
+	s.openOutbox(self, store)
+	s.mover = placement.NewMover(placement.Options{
+		Host:     s.host,
+		Lease:    s.placementLease,
+		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
+		RegionOf: s.settings.RegionOf,
+		Log:      s.log,
+	})
+	s.operator = operatorapi.New(operatorapi.Options{
+		Cells:               s.host,
+		Log:                 s.log,
+		IsForming:           s.isForming,
+		LatestConfiguration: s.board.LatestConfiguration,
+		Quarantine:          s.quarantine.Add,
+		AppliedVersions:     s.consumer.AppliedVersions,
+	})
+	for _, role := range s.settings.UnknownDuties() {
+		s.log.Warn(logging.UnknownDuty).
+			Str("duty", role).
+			Msg("the settings name a duty that this version does not know; it is not done")
+	}
+	s.host.Open(schema.MetaCell, founders)
+	return s.becomeReady()
+}
+
+// founders are the first voters of the meta cell; none unless this is the first start of
+// the system.
+func (s *Server) founders() (founders []paxos.Voter) {
+	if !s.settings.FirstStart {
+		return nil
+	}
+	for _, address := range s.settings.SeedHosts() {
+		founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
+	}
+	return founders
+}
+
+// identify returns how this node introduces itself to the others.
+func (s *Server) identify(store *storage.Store, founders []paxos.Voter) (self replicahost.PeerInfo, err error) {
+	set := s.settings
+	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
 		Address:    set.IPAddress,
 		FirstStart: set.FirstStart,
 		SetAside:   storage.HasCorruptFile(set.DataDirectory),
 		Founders:   founders,
 	})
 	if err != nil {
-		return err
+		return self, err
 	}
-	if empty && !set.FirstStart {
-		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
+	if isNew && !set.FirstStart {
+		s.log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new replica")
 	}
-	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	// The list of the former life serves until the platform has been asked:
-	// leafs are called by name, so one that is gone does no harm.
-	if raw := v.NodeValue("list"); raw != nil {
-		var l distribution.EndpointList
-		if rpc.Unmarshal(raw, &l) == nil {
-			r.board.SetEndpoints(&l)
+	return replicahost.PeerInfo{
+		ID:   id,
+		Addr: set.IPAddress,
+		Zone: set.AvailabilityZone,
+		Name: set.NodeName,
+	}, nil
+}
+
+// restoreEndpoints takes in the endpoint list of the former incarnation, which serves until
+// the platform has been asked: endpoints are called by name, so one that is gone does no
+// harm. New lists are stored.
+func (s *Server) restoreEndpoints(store *storage.Store) {
+	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
+		var list distribution.EndpointList
+		if rpc.Unmarshal(raw, &list) == nil {
+			s.board.SetEndpoints(&list)
 		}
 	}
-	r.board.persistEndpoints = func(l *distribution.EndpointList) {
-		if raw, err := rpc.Marshal(l); err == nil {
-			v.QueueNodeValue("list", raw)
+	s.board.persistEndpoints = func(list *distribution.EndpointList) {
+		if raw, err := rpc.Marshal(list); err == nil {
+			store.QueueNodeValue(endpointsStorageKey, raw)
 		}
 	}
-	r.storage = v
+}
+
+func (s *Server) newHost(self replicahost.PeerInfo, store *storage.Store) *replicahost.Host {
 	hooks := replicahost.Hooks{
-		OnApply:                r.onApply,
-		EndpointRevision:       r.board.EndpointsVersion,
-		OnPeerEndpointRevision: r.onPeerEndpoints,
-		RegisteredAddresses:    r.board.ControlAddresses,
-	}
-	if set.ReportsUsage() {
-		r.usages.Restore(v)
-		hooks.ReadClocks = r.usages.Times
+		OnApply:                s.onApply,
+		EndpointRevision:       s.board.EndpointsVersion,
+		OnPeerEndpointRevision: s.onPeerEndpoints,
+		RegisteredAddresses:    s.board.ControlAddresses,
+	}
+	if s.settings.ReportsUsage() {
+		s.usages.Restore(store)
+		hooks.ReadClocks = s.usages.Times
 		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
-			r.usages.clock.Observe(peer, wall, agreed, time.Now())
+			s.usages.clock.Observe(peer, wall, agreed, time.Now())
 		}
 	}
-	r.host = replicahost.New(replicahost.Options{
+	return replicahost.New(replicahost.Options{
 		Self:    self,
-		Port:    set.PortOf(settings.ControlPlane),
-		Seeds:   set.SeedHosts(),
-		Storage: v,
-		Client:  r.client,
-		Network: r.network,
-		Log:     log,
+		Port:    s.settings.PortOf(settings.ControlPlane),
+		Seeds:   s.settings.SeedHosts(),
+		Storage: store,
+		Client:  s.client,
+		Network: s.network,
+		Log:     s.log,
 		Hooks:   hooks,
 	})
-	newLease := func(role string, duration time.Duration, skewFactor int) *lease.Lease {
-		return lease.New(lease.Options{
-			Role:       role,
-			Self:       id,
-			Duration:   duration,
-			SkewFactor: skewFactor,
-			Cell:       r.host,
-			Log:        log,
-		})
-	}
-	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
-	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
-	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
-	r.openAllocation(v)
-	r.openOutbox(self, v)
-	r.mover = placement.NewMover(placement.Options{
-		Host:     r.host,
-		Lease:    r.placementLease,
-		Voters:   placement.VotersFor(set.Tolerance.MachineLosses),
-		RegionOf: set.RegionOf,
-		Log:      log,
-	})
-	r.operator = operatorapi.New(operatorapi.Options{
-		Cells:               r.host,
-		Log:                 log,
-		IsForming:           r.isForming,
-		LatestConfiguration: r.board.LatestConfiguration,
-		Quarantine:          r.quarantine.Add,
-		AppliedVersions:     r.consumer.AppliedVersions,
+}
+
+func (s *Server) newLease(role string, duration time.Duration, skewFactor int) *lease.Lease {
+	return lease.New(lease.Options{
+		Role:       role,
+		Self:       s.host.Self.ID,
+		Duration:   duration,
+		SkewFactor: skewFactor,
+		Cell:       s.host,
+		Log:        s.log,
 	})
-	for _, name := range set.UnknownDuties() {
-		log.Warn(logging.UnknownDuty).Str("duty", name).Msg("the settings name a duty that this version does not know; it is not done")
-	}
-	r.host.Open(schema.MetaCell, founders)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stopped {
+}
+
+// becomeReady lets Run and callers go on, unless the server was stopped meanwhile.
+func (s *Server) becomeReady() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped {
 		return errStopped
 	}
-	if r.reloadedSettings != nil {
-		r.host.SetSeeds(r.reloadedSettings.SeedHosts())
+	if s.reloadedSettings != nil {
+		s.host.SetSeeds(s.reloadedSettings.SeedHosts())
 	}
-	close(r.ready)
+	close(s.ready)
 	return nil
 }
--- a/internal/controlplane/updates.go
+++ b/internal/controlplane/updates.go
@@ -11,6 +11,9 @@
 	"github.com/labstack/echo/v4"
 )
 
+// longPollTimeout is how long a node that lacks nothing waits for its answer.
+const longPollTimeout = time.Second
+
 // handleUpdates answers a switch as soon as there is news.
 func (r *Server) handleUpdates(c echo.Context) error {
 	var call distribution.UpdateRequest
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -149,8 +149,8 @@
 		return
 	}
 	done := make(chan struct{})
-	r.wg.Go(func() { r.usageLease.Run(done) })
-	r.wg.Go(r.persistCountsLoop)
+	r.loops.Go(func() { r.usageLease.Run(done) })
+	r.loops.Go(r.persistCountsLoop)
 	defer close(done)
 	last := time.Now()
 	for {
