--- a/internal/controlplane/board_notifications.go
+++ b/internal/controlplane/board_notifications.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
-	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"maps"
 	"slices"
 	"sort"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
 )
 
 // AddNotifications puts those that are new on the board, in order of position, all at once.
--- a/internal/controlplane/changed_tenants.go
+++ b/internal/controlplane/changed_tenants.go
@@ -1,9 +1,10 @@
 package controlplane
 
 import (
+	"sort"
+
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/routing"
-	"sort"
 )
 
 // changedTenants lists those whose keys or limits differ.
--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -5,6 +5,7 @@
 
 	"comethold/internal/compat"
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
@@ -29,8 +30,8 @@
 		{Name: "redrive", Value: schema.RedriveRequest{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: schema.RedriveResend}},
 		{Name: "redrive-close", Value: schema.RedriveRequest{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: schema.RedriveClose}},
 		{Name: "quota-floors", Value: map[string]float64{"t": 12.5}},
-		{Name: "kept-usage", Value: persistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
-		{Name: "usage-request", Value: WindowRequest{Window: 1234}},
+		{Name: "kept-usage", Value: metering.PersistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
+		{Name: "usage-request", Value: metering.WindowRequest{Window: 1234}},
 		{Name: "proposal", Value: replicahost.ProposeRequest{Cell: "exchange", Txn: paxos.Txn{ID: "a.1",
 			Conditions: []paxos.Condition{{Key: "k", Equals: paxos.Int(1)}, {Key: "l", Absent: true}},
 			Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes([]byte("v"))}, {Kind: paxos.OpPut, Key: "b", Value: paxos.Value{Bool: &yes}},
@@ -50,7 +51,7 @@
 		schema.ReceiptsForgottenKey: "receipt-forgotten", schema.NodeKeyPrefix: "node/", schema.IndexKeyPrefix: "index/", schema.NextIndexIDKey: "index-next", schema.LeaseKeyPrefix: "duty/",
 		schema.PurgeKeyPrefix: "recall/", schema.PurgeCompactedKey: "recall-floor", schema.RateSharesKey: "shares", schema.QuotaSharesKey: "quota-shares", schema.UsageReportKeyPrefix: "usage/",
 		schema.OutboxKeyPrefix: "outbox/", schema.QuarantineKeyPrefix: "quarantine/", schema.RedriveKeyPrefix: "redrive/", schema.ShardSetKey: "cut", schema.EjectionKeyPrefix: "mark/",
-		replicahost.IdentityKey: "identity", outboxpublisher.InboxStorageKey: "inbox", allocation.WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
+		replicahost.IdentityKey: "identity", outboxpublisher.InboxStorageKey: "inbox", allocation.WatermarkStorageKey: "quota-floors", metering.PersistedWindowKey(metering.PersistedWindows + 3): "usage/3",
 		schema.ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", schema.ReceiptArchiveKey(7): "receipt-archive/00000000000000000007",
 		schema.UsageReportKey(9):                             "usage/00000000000000000009",
 		paxos.AppendedKey(schema.PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -43,7 +43,7 @@
 		conn:     conn,
 		tokens:   r.quotas.tokens,
 		borrower: r.quotas.borrower,
-		counts:   r.usages,
+		counts:   r.usage.collector,
 		stopping: r.quit,
 	}
 	return server.run()
--- /dev/null
+++ b/internal/controlplane/metering/platform.go
@@ -0,0 +1,215 @@
+package metering
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"comethold/internal/rpc"
+)
+
+const (
+	maxCallDuration   = time.Second
+	leaseSafetyMargin = 150 * time.Millisecond // left of the lease when a call must be over
+	minCallBackoff    = 150 * time.Millisecond
+	maxCallBackoff    = time.Second
+	maxResponseBytes  = 64 << 10 // that are read of an answer
+)
+
+// Headers of a call.
+const (
+	leaseHolderHeader  = "X-Comethold-Duty-Holder"
+	fencingTokenHeader = "X-Comethold-Fence-Number"
+)
+
+// Errors of a call.
+var (
+	ErrLeaseExpired   = errors.New("the lease is over")
+	ErrFenced         = errors.New("another holder has called")
+	ErrReportRejected = errors.New("the platform does not take it")
+)
+
+// LeaseTimer tells how long this node may call.
+type LeaseTimer interface {
+	// Remaining is how long this node holds the lease still under a term.
+	Remaining(term uint64) time.Duration
+}
+
+// PlatformClientOptions are what a PlatformClient needs.
+type PlatformClientOptions struct {
+	Network  rpc.Network
+	Address  string // of the platform, host:port
+	NodeName string
+	Lease    LeaseTimer
+	// LeaseDuration is for how long the platform remembers who called last.
+	LeaseDuration time.Duration
+	// MaxCallsPerSecond bounds calls that went well.
+	MaxCallsPerSecond float64
+	StartedAt         time.Time // of this incarnation of the node
+}
+
+// PlatformClient posts reports to the platform, under a lease.
+type PlatformClient struct {
+	options PlatformClientOptions
+
+	mu            sync.Mutex    // guards the fields below
+	lastCallAt    time.Time     // when a call of this incarnation was last on its way
+	lastCallToken uint64        // and its fencing token
+	nextCallAt    time.Time     // no call before then
+	backoff       time.Duration // after the last call; 0 if it went well
+}
+
+// NewPlatformClient returns a PlatformClient that has not called yet.
+func NewPlatformClient(options PlatformClientOptions) *PlatformClient {
+	return &PlatformClient{options: options}
+}
+
+// MayCall reports whether the platform may be called now under a term. A holder that has lost
+// the lease and has it again, or that was restarted, lets the platform forget its former
+// calls first, as another may have called between. Such a call may have arrived as late as
+// leaseSafetyMargin after its end.
+func (p *PlatformClient) MayCall(term uint64, now time.Time) bool {
+	forgottenAfter := p.options.LeaseDuration + leaseSafetyMargin
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now.Before(p.nextCallAt) || now.Sub(p.options.StartedAt) < forgottenAfter {
+		return false
+	}
+	calledUnderOther := p.lastCallToken != 0 && p.lastCallToken != term
+	return !calledUnderOther || now.Sub(p.lastCallAt) >= forgottenAfter
+}
+
+// Post makes one call and sets when the next may be made. The error is or wraps
+// ErrLeaseExpired, ErrFenced or ErrReportRejected.
+func (p *PlatformClient) Post(ctx context.Context, report []byte, term uint64) error {
+	err := p.call(ctx, report, term)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err == nil {
+		p.backoff = 0
+		callsPerSecond := max(1, p.options.MaxCallsPerSecond)
+		p.nextCallAt = time.Now().Add(time.Duration(float64(time.Second) / callsPerSecond))
+		return nil
+	}
+	p.backoff = min(max(2*p.backoff, minCallBackoff), maxCallBackoff)
+	jitter := 0.5 + rand.Float64()
+	p.nextCallAt = time.Now().Add(time.Duration(jitter * float64(p.backoff)))
+	return err
+}
+
+// call posts a report on a connection of its own. It is over, whatever its end, before the
+// lease is.
+func (p *PlatformClient) call(ctx context.Context, report []byte, term uint64) error {
+	remaining := p.options.Lease.Remaining(term) - leaseSafetyMargin
+	if remaining <= 0 {
+		return ErrLeaseExpired
+	}
+	timeout := min(remaining, maxCallDuration)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	var written atomic.Bool
+	mayWrite := func() bool {
+		if p.options.Lease.Remaining(term) <= 0 {
+			return false
+		}
+		written.Store(true)
+		p.recordCall(term)
+		return true
+	}
+	defer func() {
+		if written.Load() { // it has arrived by its end, however long it was on its way
+			p.recordCall(term)
+		}
+	}()
+	request, err := p.newRequest(ctx, report, term)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrReportRejected, err)
+	}
+	response, err := p.newHTTPClient(timeout, mayWrite).Do(request)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrReportRejected, err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
+	switch {
+	case response.StatusCode/100 == 2:
+		return nil
+	case response.StatusCode == http.StatusConflict:
+		return ErrFenced
+	}
+	return fmt.Errorf("%w: %s", ErrReportRejected, strings.TrimSpace(response.Status))
+}
+
+// recordCall notes that a call under a term may be on its way.
+func (p *PlatformClient) recordCall(term uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastCallAt = time.Now()
+	p.lastCallToken = term
+}
+
+func (p *PlatformClient) newRequest(ctx context.Context, report []byte, term uint64) (*http.Request, error) {
+	url := "http://" + p.options.Address + "/usage"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(report))
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // nothing is sent twice on its own
+	request.Header["User-Agent"] = nil
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set(leaseHolderHeader, p.options.NodeName)
+	request.Header.Set(fencingTokenHeader, strconv.FormatUint(term, 10))
+	return request, nil
+}
+
+// newHTTPClient returns a client for one call.
+func (p *PlatformClient) newHTTPClient(timeout time.Duration, mayWrite func() bool) *http.Client {
+	dial := p.options.Network(timeout, timeout)
+	return &http.Client{
+		CheckRedirect: rpc.NoRedirect,
+		Transport: &http.Transport{
+			DisableKeepAlives:  true,
+			DisableCompression: true,
+			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+				conn, err := dial(ctx, network, address)
+				if err != nil {
+					return nil, err
+				}
+				return newLeasedConn(conn, mayWrite), nil
+			},
+		},
+	}
+}
+
+// leasedConn writes only while the lease is held, and leaves nothing behind that could still
+// arrive when it is not.
+type leasedConn struct {
+	net.Conn
+	mayWrite func() bool
+}
+
+// newLeasedConn has what is not sent yet dropped when the connection is closed, even if that
+// is because the process is killed.
+func newLeasedConn(conn net.Conn, mayWrite func() bool) leasedConn {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+	return leasedConn{Conn: conn, mayWrite: mayWrite}
+}
+
+func (c leasedConn) Write(b []byte) (int, error) {
+	if !c.mayWrite() {
+		return 0, ErrLeaseExpired
+	}
+	return c.Conn.Write(b)
+}
--- /dev/null
+++ b/internal/controlplane/metering/send.go
@@ -0,0 +1,107 @@
+package metering
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+)
+
+// acceptedRecordDelay is after how long a record that a report was taken should be applied
+// here; else it is made again.
+const acceptedRecordDelay = time.Second
+
+// sendReports sends reports that were not sent, oldest first, while calls may be made.
+func (r *Reporter) sendReports(ctx context.Context, term uint64) {
+	for r.options.Platform.MayCall(term, time.Now()) {
+		row, found := r.nextUnsent()
+		if !found {
+			return
+		}
+		row, claimed := r.claim(row, term)
+		if !claimed {
+			return
+		}
+		if _, accepted := r.accepted[row.Key]; accepted {
+			r.recordAccepted(row, term) // its record was lost
+			return
+		}
+		if !r.send(ctx, row, term) {
+			return
+		}
+	}
+}
+
+// nextUnsent returns the oldest report that is not recorded as sent. One whose record was
+// made a moment ago is passed over, since that is only not applied here yet.
+func (r *Reporter) nextUnsent() (row schema.StoredRow, found bool) {
+	for _, row := range r.rows() {
+		if row.Row.State == outbox.Published {
+			delete(r.accepted, row.Key)
+			continue
+		}
+		acceptedAt, accepted := r.accepted[row.Key]
+		if !accepted || time.Since(acceptedAt) > acceptedRecordDelay {
+			return row, true
+		}
+	}
+	return row, false
+}
+
+// claim takes over a report that a former holder has claimed, whose lease is over. It reports
+// false if that was not committed.
+func (r *Reporter) claim(row schema.StoredRow, term uint64) (claimed schema.StoredRow, ok bool) {
+	owner := ownerToken(term)
+	if row.Row.Owner == owner {
+		return row, true
+	}
+	next, err := row.Row.Claim(owner, outbox.ClaimLease)
+	if err != nil {
+		return row, false
+	}
+	leaseHeld, ok := r.options.Lease.FenceCondition(term)
+	if !ok {
+		return row, false
+	}
+	put := putOp(row.Key, next)
+	committed := r.options.State.Commit(paxos.Txn{
+		Conditions: []paxos.Condition{ifUnchanged(row), leaseHeld},
+		Ops:        []paxos.Op{put},
+	})
+	return schema.StoredRow{Key: row.Key, Raw: put.Value.Bytes, Row: next}, committed
+}
+
+// send makes one call and records that the report was taken. It reports whether both went
+// well.
+func (r *Reporter) send(ctx context.Context, row schema.StoredRow, term uint64) bool {
+	window := row.Row.Notification.Version
+	err := r.options.Platform.Post(ctx, row.Row.Notification.Payload, term)
+	if err != nil {
+		r.options.Log.Warn(logging.UsageReportFailed).Uint64("window", window).Uint64("fence", term).Err(err).
+			Msg("a usage report was not accepted; it is sent again")
+		if errors.Is(err, ErrFenced) {
+			r.options.Lease.Forfeit()
+		}
+		return false
+	}
+	r.options.Log.Info(logging.UsageReportAccepted).Uint64("window", window).Uint64("fence", term).
+		Int("attempts", row.Row.Attempts).Msg("a usage report was accepted")
+	return r.recordAccepted(row, term)
+}
+
+// recordAccepted records that the platform took a report.
+func (r *Reporter) recordAccepted(row schema.StoredRow, term uint64) bool {
+	r.accepted[row.Key] = time.Now()
+	next, err := row.Row.MarkPublished(ownerToken(term))
+	if err != nil {
+		return false
+	}
+	return r.options.State.Commit(paxos.Txn{
+		Conditions: []paxos.Condition{ifUnchanged(row)},
+		Ops:        []paxos.Op{putOp(row.Key, next)},
+	})
+}
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -12,6 +12,7 @@
 
 	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/replicahost"
@@ -39,15 +40,6 @@
 	usageRole     = "usage"
 )
 
-// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
-type usageLease interface {
-	Run(stop <-chan struct{})
-	Held() (term uint64, held bool)
-	Remaining(term uint64) time.Duration
-	FenceCondition(term uint64) (condition paxos.Condition, held bool)
-	Forfeit()
-}
-
 var errStopped = errors.New("registrar: told to end")
 
 // Server is the control plane of one node.
@@ -65,7 +57,7 @@
 
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
-	usageLease     usageLease
+	usageLease     *lease.Lease
 	purgeRequests  chan *pendingPurge
 	shares         *allocation.ShareService
 	reports        *nodereports.Tracker
@@ -73,7 +65,8 @@
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
-	usages         *Collector
+	usage          usageMetering
+	startedAt      time.Time
 
 	largeBodySlot chan struct{} // room for one large order that is read
 	quit          chan struct{}
@@ -92,7 +85,7 @@
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}), largeBodySlot: make(chan struct{}, 1),
 		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1), purgeRequests: make(chan *pendingPurge, purgeQueueLength),
-		usages: NewCollector(n)}
+		usage: usageMetering{collector: metering.NewCollector()}, startedAt: time.Now()}
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -173,11 +166,8 @@
 		RegisteredAddresses:    r.board.ControlAddresses,
 	}
 	if set.ReportsUsage() {
-		r.usages.Restore(v)
-		hooks.ReadClocks = r.usages.Times
-		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
-			r.usages.clock.Observe(peer, wall, agreed, time.Now())
-		}
+		hooks.ReadClocks = r.usage.collector.ReadClocks
+		hooks.OnPeerClocks = r.usage.collector.ObservePeerClocks
 	}
 	r.host = replicahost.New(replicahost.Options{
 		Self:    self,
@@ -201,7 +191,11 @@
 	}
 	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
-	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.usageLease = newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
+	r.openMetering(v)
+	if set.ReportsUsage() {
+		r.usage.counts.Restore()
+	}
 	r.openAllocation(v)
 	r.openOutbox(self, v)
 	for _, name := range set.UnknownDuties() {
@@ -238,11 +232,15 @@
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, func() { r.shares.Run(ctx) }, func() { r.quotas.renewer.Run(ctx) }, func() { r.quotas.watermarks.Run(ctx) }, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
+		r.discoveryLoop, r.reconcileLoop, r.placementLoop, r.purgeLoop, func() { r.shares.Run(ctx) }, func() { r.quotas.renewer.Run(ctx) }, func() { r.quotas.watermarks.Run(ctx) }, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
 	}
+	if r.settings.ReportsUsage() {
+		r.wg.Go(func() { r.usage.reporter.Run(ctx) })
+		r.wg.Go(func() { r.usage.counts.Run(ctx) })
+	}
 	return r.host.Run()
 }
 
@@ -422,13 +420,7 @@
 		}
 		return c.NoContent(http.StatusNotFound)
 	})
-	e.POST("/usage", func(c echo.Context) error {
-		var a WindowRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &a); err != nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		return writeCBOR(c, r.usages.store.Window(a.Window))
-	})
+	e.POST(metering.WindowPath, r.handleUsageWindow)
 	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
 		var list []outbox.Notification
 		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
