--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"comethold/internal/controlplane/metering"
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/rpc"
 	"comethold/internal/storage"
 
@@ -17,11 +18,14 @@
 	reporter  *metering.Reporter
 }
 
-// openMetering makes what reports the collected counts. The host and the lease must be made
+// openMetering makes what stores and reports the collected counts. The host and the lease must be made
 // and not run yet.
 func (r *Server) openMetering(store *storage.Store) {
 	bounds := &r.settings.Bounds
 	r.usage.counts = metering.NewCountStore(r.usage.collector, store, bounds.UsageWindow())
+	if r.settings.ReportsUsage() {
+		r.usage.counts.Restore()
+	}
 	r.usage.reporter = metering.NewReporter(metering.ReporterOptions{
 		Collector: r.usage.collector,
 		Platform: metering.NewPlatformClient(metering.PlatformClientOptions{
@@ -38,7 +42,7 @@
 		Peers:   r.host,
 		Nodes:   r.board.Nodes,
 		Address: r.settings.IPAddress,
-		Voters:  VotersFor(r.settings.Tolerance.MachineLosses),
+		Voters:  placement.VotersFor(r.settings.Tolerance.MachineLosses),
 		Window:  bounds.UsageWindow(),
 		Delay:   bounds.UsageReportDelay(),
 		Log:     r.log,
