--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
@@ -52,9 +53,7 @@
 		}
 		return c.NoContent(http.StatusNotFound)
 	})
-	e.POST("/usage", handleRPC(func(_ context.Context, request *WindowRequest) any {
-		return s.usages.store.Window(request.Window)
-	}))
+	e.POST(metering.WindowPath, s.handleUsageWindow)
 	e.POST(outboxpublisher.DeliverPath, handleRPC(func(_ context.Context, list *[]outbox.Notification) any {
 		return s.consumer.Receive(*list)
 	}))
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -17,6 +17,7 @@
 
 	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/outboxpublisher"
@@ -38,15 +39,16 @@
 
 // Server is the control plane of one node.
 type Server struct {
-	settings *settings.Settings
-	log      *logging.Logger
-	disk     storage.Disk
-	network  rpc.Network
-	client   *rpc.Client
-	board    *Distributor
-	platform *discovery.Client // nil if the node knows no platform
-	reports  *nodereports.Tracker
-	usages   *Collector
+	settings  *settings.Settings
+	log       *logging.Logger
+	disk      storage.Disk
+	network   rpc.Network
+	client    *rpc.Client
+	board     *Distributor
+	platform  *discovery.Client // nil if the node knows no platform
+	reports   *nodereports.Tracker
+	usage     usageMetering
+	startedAt time.Time
 
 	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
 
@@ -54,7 +56,7 @@
 	host           *replicahost.Host
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
-	usageLease     usageLease
+	usageLease     *lease.Lease
 	mover          *placement.Mover
 	operator       *operatorapi.Handler
 	shares         *allocation.ShareService
@@ -86,7 +88,8 @@
 		client:        rpc.NewClient(network),
 		board:         NewDistributor(),
 		reports:       nodereports.NewTracker(),
-		usages:        NewCollector(network),
+		usage:         usageMetering{collector: metering.NewCollector()},
+		startedAt:     time.Now(),
 		ready:         make(chan struct{}),
 		quit:          make(chan struct{}),
 		reconcileWake: make(chan struct{}, 1),
@@ -129,11 +132,14 @@
 		func() { s.quotas.watermarks.Run(ctx) },
 		func() { s.consumer.Run(ctx) },
 		func() { s.publisher.Run(ctx) },
-		s.reportUsageLoop,
 		s.exportLoop,
 	} {
 		s.loops.Go(loop)
 	}
+	if s.settings.ReportsUsage() {
+		s.loops.Go(func() { s.usage.reporter.Run(ctx) })
+		s.loops.Go(func() { s.usage.counts.Run(ctx) })
+	}
 }
 
 // Stop ends what runs and gives leases back, then ends the replicas and closes the storage.
