--- a/internal/controlplane/desk.go
+++ b/internal/controlplane/desk.go
@@ -63,7 +63,7 @@
 		r.observeUnlistedReplicas()
 		r.reconcileNodes()
 		r.applyReports()
-		if term, ok := r.discoveryLease.Held(); ok && r.board.EndpointsVersion().Term == term {
+		if term, ok := r.discoveryLease.Held(); ok && r.distributor.EndpointsRevision().Term == term {
 			r.reconcileListedMarks(silent) // by a list of this term: the one of a former life is old
 		}
 		if _, ok := r.placementLease.Held(); ok {
@@ -84,7 +84,7 @@
 // observeUnlistedReplicas has registrars listed that this one hears and that can't list themselves,
 // since nobody who could teach them knows of them.
 func (r *Server) observeUnlistedReplicas() {
-	held := r.board.Nodes()
+	held := r.distributor.Nodes()
 	for _, h := range r.host.LivePeers(nodereports.ContactLifetime) {
 		n := distribution.Node{Name: h.Name + "/registrar", Addr: h.Addr, Zone: h.Zone, ControlPlane: true}
 		if _, known := held[n.Name]; !known {
@@ -96,7 +96,7 @@
 // reconcileNodes writes nodes that called, and those that their watchers miss, into
 // the directory.
 func (r *Server) reconcileNodes() {
-	held := r.board.Nodes()
+	held := r.distributor.Nodes()
 	now := time.Now()
 	var t paxos.Txn
 	var doubted []distribution.Node
@@ -165,7 +165,7 @@
 func (r *Server) expireNodes(since map[string]time.Time) {
 	now := time.Now()
 	var t paxos.Txn
-	table := r.board.Nodes()
+	table := r.distributor.Nodes()
 	silent := map[string]bool{}
 	r.host.Do(func() { // how long others were silent belongs to the host's loop
 		for name, n := range table {
--- /dev/null
+++ b/internal/controlplane/distribution.go
@@ -0,0 +1,39 @@
+package controlplane
+
+import (
+	"comethold/internal/controlplane/distributor"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+	"comethold/internal/storage"
+)
+
+// endpointsStorageKey is where the endpoint list is kept in the node's storage.
+const endpointsStorageKey = "list"
+
+// openDistributor makes what hands out updates to nodes. The endpoint list of the node's
+// former incarnation serves until the platform has been asked: endpoints are called by ID,
+// so one that is gone does no harm.
+func (r *Server) openDistributor(store *storage.Store) {
+	var saved *distribution.EndpointList
+	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
+		list := &distribution.EndpointList{}
+		if rpc.Unmarshal(raw, list) == nil {
+			saved = list
+		}
+	}
+	r.distributor = distributor.New(distributor.Options{
+		SavedEndpoints: saved,
+		SaveEndpoints: func(list *distribution.EndpointList) {
+			if raw, err := rpc.Marshal(list); err == nil {
+				store.QueueNodeValue(endpointsStorageKey, raw)
+			}
+		},
+	})
+	r.longPoll = &distributor.LongPoll{
+		Distributor: r.distributor,
+		IsStale:     func() bool { return r.host.QuorumContactAge() > replicahost.StaleAfter },
+		Record:      r.recordNodeCall,
+		Stopping:    r.quit,
+	}
+}
--- /dev/null
+++ b/internal/controlplane/distributor/configurations.go
@@ -0,0 +1,50 @@
+package distributor
+
+import (
+	"slices"
+
+	"comethold/internal/distribution"
+	"comethold/internal/routing"
+)
+
+// maxConfigurations is how many configurations are kept, for nodes that hold a former one and
+// need only be told what has changed since.
+const maxConfigurations = 4
+
+// configurationHistory holds the last few configurations, newest last.
+type configurationHistory struct {
+	versions []*routing.Configuration
+}
+
+// add takes a configuration if it is newer than those held.
+func (h *configurationHistory) add(configuration *routing.Configuration) bool {
+	if latest := h.latest(); latest != nil && latest.Version >= configuration.Version {
+		return false
+	}
+	h.versions = append(h.versions, configuration)
+	if len(h.versions) > maxConfigurations {
+		h.versions = slices.Clone(h.versions[1:])
+	}
+	return true
+}
+
+func (h *configurationHistory) latest() *routing.Configuration {
+	if n := len(h.versions); n > 0 {
+		return h.versions[n-1]
+	}
+	return nil
+}
+
+// updateFrom returns what a node lacks that holds a version, or nil.
+func (h *configurationHistory) updateFrom(held uint64) *distribution.ConfigUpdate {
+	latest := h.latest()
+	if latest == nil || latest.Version <= held {
+		return nil
+	}
+	for _, former := range h.versions {
+		if former.Version == held {
+			return distribution.ConfigDelta(former, latest)
+		}
+	}
+	return distribution.FullConfig(latest)
+}
--- /dev/null
+++ b/internal/controlplane/distributor/longpoll.go
@@ -0,0 +1,70 @@
+package distributor
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+
+	"github.com/labstack/echo/v4"
+)
+
+// longPollTimeout is after which time a node without changes is answered.
+const longPollTimeout = time.Second
+
+var errStopping = errors.New("distributor: this node stops")
+
+// LongPoll answers nodes as soon as there is something that they lack.
+type LongPoll struct {
+	Distributor *Distributor
+	// IsStale reports whether this node has lost touch with the quorum. Nodes are told so
+	// at once.
+	IsStale func() bool
+	// Record is called with each request, for what the node reports in it.
+	Record func(*distribution.UpdateRequest)
+	// Stopping is closed when this node stops.
+	Stopping <-chan struct{}
+}
+
+// Handle handles POST /feed.
+func (p *LongPoll) Handle(c echo.Context) error {
+	var request distribution.UpdateRequest
+	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
+		return c.NoContent(http.StatusBadRequest)
+	}
+	p.Record(&request)
+	update, err := p.wait(c.Request().Context(), &request)
+	switch {
+	case errors.Is(err, errStopping):
+		return c.NoContent(http.StatusServiceUnavailable)
+	case err != nil:
+		return nil // the caller is gone
+	}
+	return c.Blob(http.StatusOK, rpc.ContentType, update.Body)
+}
+
+// wait returns what a caller lacks, as soon as there is something or longPollTimeout is over.
+func (p *LongPoll) wait(ctx context.Context, request *distribution.UpdateRequest) (*EncodedUpdate, error) {
+	timeout := time.NewTimer(longPollTimeout)
+	defer timeout.Stop()
+	for {
+		isStale := p.IsStale()
+		update, changed := p.Distributor.EncodedChanges(request, isStale)
+		if isStale || request.Immediate || !update.IsEmpty {
+			return update, nil
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			update, _ = p.Distributor.EncodedChanges(request, p.IsStale())
+			return update, nil
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-p.Stopping:
+			return nil, errStopping
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/distributor/marks.go
@@ -0,0 +1,103 @@
+package distributor
+
+import (
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+)
+
+// maxMarkDigests is how many digests a markDigests knows.
+const maxMarkDigests = 64
+
+// markTable holds the ejection marks by index.
+type markTable struct {
+	byIndex map[string]distribution.EjectionMarks
+	digests markDigests
+}
+
+func newMarkTable() markTable {
+	return markTable{
+		byIndex: map[string]distribution.EjectionMarks{},
+		digests: markDigests{logIndexes: map[uint64]map[string]uint64{}},
+	}
+}
+
+// set takes the marks of an index and reports whether they differ from those held, in more
+// than their log index.
+func (t *markTable) set(marks distribution.EjectionMarks) bool {
+	if held, exists := t.byIndex[marks.IndexName]; exists {
+		held.LogIndex = marks.LogIndex
+		if schema.EqualEncoding(held, marks) {
+			return false
+		}
+	}
+	t.byIndex[marks.IndexName] = marks
+	t.updateDigest()
+	return true
+}
+
+// drop forgets the marks of an index and reports whether there were any.
+func (t *markTable) drop(indexName string) bool {
+	if _, exists := t.byIndex[indexName]; !exists {
+		return false
+	}
+	delete(t.byIndex, indexName)
+	t.updateDigest()
+	return true
+}
+
+func (t *markTable) updateDigest() {
+	logIndexes := make(map[string]uint64, len(t.byIndex))
+	for indexName, marks := range t.byIndex {
+		logIndexes[indexName] = marks.LogIndex
+	}
+	t.digests.current = distribution.MarksDigest(logIndexes)
+	t.digests.remember(t.digests.current, logIndexes)
+}
+
+// addTo adds to an update the marks that a node lacks, or the request that it names the log
+// indexes of its marks, if its digest is unknown.
+func (t *markTable) addTo(update *distribution.Update, held distribution.HeldVersions) {
+	heldIndexes := held.MarkIndexes
+	if heldIndexes != nil {
+		t.digests.remember(held.MarksDigest, heldIndexes)
+	} else if held.MarksDigest == t.digests.current {
+		return
+	} else if held.MarksDigest != 0 {
+		var isKnown bool
+		if heldIndexes, isKnown = t.digests.logIndexes[held.MarksDigest]; !isKnown {
+			update.NeedMarkIndexes = true
+			return
+		}
+	}
+	for indexName, marks := range t.byIndex {
+		if logIndex, exists := heldIndexes[indexName]; !exists || logIndex < marks.LogIndex {
+			update.EjectionMarks = append(update.EjectionMarks, marks)
+		}
+	}
+	for indexName := range heldIndexes {
+		if _, exists := t.byIndex[indexName]; !exists && len(t.byIndex) > 0 {
+			update.RemovedIndexes = append(update.RemovedIndexes, indexName)
+		}
+	}
+}
+
+// markDigests knows what the digests stand for by which nodes say which marks they hold:
+// those of the last states here, and those that nodes have named the log indexes for.
+type markDigests struct {
+	current    uint64                       // of the marks held here
+	logIndexes map[uint64]map[string]uint64 // by digest
+	order      []uint64                     // oldest first
+}
+
+// remember makes a digest known, and forgets the oldest if there are too many.
+func (d *markDigests) remember(digest uint64, logIndexes map[string]uint64) {
+	if _, isKnown := d.logIndexes[digest]; isKnown {
+		return
+	}
+	d.logIndexes[digest] = logIndexes
+	d.order = append(d.order, digest)
+	if len(d.order) > maxMarkDigests {
+		delete(d.logIndexes, d.order[0])
+		d.order = d.order[1:]
+	}
+}
--- /dev/null
+++ b/internal/controlplane/distributor/nodes.go
@@ -0,0 +1,80 @@
+package distributor
+
+import (
+	"time"
+
+	"comethold/internal/distribution"
+)
+
+// nodeTable holds the node list: the newest, and the one that nodes are told of.
+type nodeTable struct {
+	byName  map[string]distribution.Node // the newest; replaced, never changed
+	pending *nodeList                    // the newest, until it is published
+
+	published   distribution.DeltaTable[distribution.Node]
+	dataPlanes  int // of the published list: nodes that serve clients and are not down
+	publishedAt time.Time
+}
+
+type nodeList struct {
+	logIndex   uint64
+	byName     map[string]distribution.Node
+	dataPlanes int
+}
+
+// set takes the newest list and reports whether an older one was waiting to be published.
+func (t *nodeTable) set(logIndex uint64, nodes []distribution.Node) (isAwaited bool) {
+	next := &nodeList{
+		logIndex: logIndex,
+		byName:   make(map[string]distribution.Node, len(nodes)),
+	}
+	for _, node := range nodes {
+		next.byName[node.Name] = node
+		if node.ServesClients() && !node.Down {
+			next.dataPlanes++
+		}
+	}
+	isAwaited = t.pending != nil
+	t.byName = next.byName
+	t.pending = next
+	return isAwaited
+}
+
+// publish lets nodes be told of the newest list, and reports whether it differs.
+func (t *nodeTable) publish(now time.Time) bool {
+	next := t.pending
+	if next == nil {
+		return false
+	}
+	t.pending = nil
+	if !t.published.Set(distribution.Revision{Sequence: next.logIndex}, next.byName) {
+		return false
+	}
+	t.dataPlanes = next.dataPlanes
+	t.publishedAt = now
+	return true
+}
+
+// updateFrom returns what a node of a zone lacks, or nil. Of the data planes in other zones
+// it is told the number alone.
+func (t *nodeTable) updateFrom(held distribution.HeldVersions, zone string) *distribution.NodeList {
+	logIndex := t.published.Revision().Sequence
+	if t.published.Len() == 0 || logIndex <= held.NodesIndex {
+		return nil
+	}
+	update := &distribution.NodeList{
+		LogIndex:       logIndex,
+		DataPlaneCount: t.dataPlanes,
+		Base:           held.NodesIndex,
+	}
+	concernsCaller := func(node distribution.Node) bool {
+		return !node.ServesClients() || node.Zone == zone
+	}
+	base := distribution.Revision{Sequence: held.NodesIndex}
+	update.Nodes, update.Removed, update.Delta = t.published.ChangesSince(base, concernsCaller)
+	isUnchanged := update.Delta && len(update.Nodes)+len(update.Removed) == 0
+	if isUnchanged && update.DataPlaneCount == held.DataPlaneCount {
+		return nil
+	}
+	return update
+}
--- /dev/null
+++ b/internal/controlplane/distributor/purges.go
@@ -0,0 +1,71 @@
+package distributor
+
+import (
+	"slices"
+	"sort"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
+)
+
+// purgeLog holds the purges that have not been compacted, in order of their log index.
+type purgeLog struct {
+	purges       []distribution.Purge
+	position     uint64 // log index up to which purges are held
+	lowWatermark uint64 // purges up to this log index are compacted
+}
+
+// read takes the purges of the meta cell's state and reports whether there were new ones.
+// Those that are held already are not decoded again.
+func (l *purgeLog) read(replica *paxos.Replica) bool {
+	if value, exists := replica.Get(schema.PurgeCompactedKey); exists && value.Int != nil {
+		l.compact(value.Int.Uint64())
+	}
+	hasNew := false
+	firstLacking := paxos.AppendedKey(schema.PurgeKeyPrefix, l.position+1, "")
+	for _, key := range replica.KeysWithPrefix(schema.PurgeKeyPrefix, firstLacking) {
+		var batch []distribution.Purge
+		value, _ := replica.Get(key)
+		if rpc.Unmarshal(value.Bytes, &batch) != nil {
+			continue
+		}
+		logIndex := schema.LogIndexOfKey(key, schema.PurgeKeyPrefix)
+		for _, purge := range batch {
+			purge.LogIndex = logIndex
+			l.purges = append(l.purges, purge)
+		}
+		l.position = max(l.position, logIndex)
+		hasNew = true
+	}
+	return hasNew
+}
+
+// compact forgets the purges up to a log index.
+func (l *purgeLog) compact(lowWatermark uint64) {
+	if lowWatermark <= l.lowWatermark {
+		return
+	}
+	l.lowWatermark = lowWatermark
+	l.position = max(l.position, lowWatermark)
+	l.purges = slices.Clone(l.purges[l.firstAfter(lowWatermark):])
+}
+
+// firstAfter returns where the purges after a log index begin.
+func (l *purgeLog) firstAfter(logIndex uint64) int {
+	return sort.Search(len(l.purges), func(i int) bool { return l.purges[i].LogIndex > logIndex })
+}
+
+// updateFrom returns what a node lacks that holds the purges up to a log index, or nil.
+func (l *purgeLog) updateFrom(held uint64) *distribution.PurgeUpdate {
+	if l.position <= held {
+		return nil
+	}
+	end := len(l.purges)
+	return &distribution.PurgeUpdate{
+		LogIndex: l.position,
+		Reset:    held < l.lowWatermark,
+		Purges:   l.purges[l.firstAfter(held):end:end], // what is appended later is not in it
+	}
+}
--- /dev/null
+++ b/internal/controlplane/distributor/updates.go
@@ -0,0 +1,69 @@
+package distributor
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+)
+
+// EncodedUpdate is an update ready to be sent.
+type EncodedUpdate struct {
+	Body    []byte
+	IsEmpty bool // it says nothing that the caller doesn't hold
+}
+
+// Changes returns what a caller lacks.
+func (d *Distributor) Changes(request *distribution.UpdateRequest) distribution.Update {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.changesLocked(request)
+}
+
+func (d *Distributor) changesLocked(request *distribution.UpdateRequest) (update distribution.Update) {
+	held := request.Held
+	update.Config = d.configurations.updateFrom(held.ConfigVersion)
+	update.Endpoints = d.endpoints.updateFrom(held.EndpointRevision)
+	d.marks.addTo(&update, held)
+	update.Nodes = d.nodes.updateFrom(held, request.Node.Zone)
+	update.Purges = d.purges.updateFrom(held.PurgeIndex)
+	update.Notifications = d.notifications.updateFrom(held.NotificationIndex)
+	return update
+}
+
+// EncodedChanges returns what a caller lacks, ready to be sent, and a channel that is closed
+// at the next change. isStale is passed on to the caller.
+func (d *Distributor) EncodedChanges(
+	request *distribution.UpdateRequest, isStale bool,
+) (*EncodedUpdate, <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	key := updateKey(request, isStale)
+	encoded := d.encoded[key]
+	if encoded == nil {
+		update := d.changesLocked(request)
+		encoded = &EncodedUpdate{IsEmpty: update.Empty()}
+		update.Stale = isStale
+		if raw, err := rpc.Marshal(&update); err == nil {
+			encoded.Body = rpc.EncodeBody(raw)
+		}
+		d.encoded[key] = encoded
+	}
+	return encoded, d.changed
+}
+
+// updateKey is the same for callers that lack the same.
+func updateKey(request *distribution.UpdateRequest, isStale bool) string {
+	held := &request.Held
+	var key strings.Builder
+	fmt.Fprint(&key, isStale, request.Node.Zone, held.ConfigVersion, held.EndpointRevision,
+		held.NodesIndex, held.DataPlaneCount, held.PurgeIndex, held.NotificationIndex,
+		held.MarksDigest, held.MarkIndexes != nil)
+	for _, indexName := range slices.Sorted(maps.Keys(held.MarkIndexes)) {
+		fmt.Fprint(&key, " ", indexName, "=", held.MarkIndexes[indexName])
+	}
+	return key.String()
+}
--- a/internal/controlplane/estimates.go
+++ b/internal/controlplane/estimates.go
@@ -52,7 +52,7 @@
 	var wg sync.WaitGroup
 	var views []latencyestimate.Snapshot
 	gate := make(chan struct{}, maxConcurrentQueries)
-	for _, n := range r.board.Nodes() {
+	for _, n := range r.distributor.Nodes() {
 		if !n.ServesClients() || n.Down || !fits(n) {
 			continue
 		}
--- a/internal/controlplane/marks.go
+++ b/internal/controlplane/marks.go
@@ -114,7 +114,7 @@
 
 // tryListedMarks is one try; beaten says that marks had changed meanwhile.
 func (r *Server) tryListedMarks(since map[string]time.Time) (beaten bool) {
-	l := r.board.Endpoints()
+	l := r.distributor.Endpoints()
 	if l == nil {
 		return false
 	}
--- a/internal/controlplane/outbox.go
+++ b/internal/controlplane/outbox.go
@@ -12,7 +12,7 @@
 	r.quarantine = outboxpublisher.NewQuarantine(state, r.settings.NodeName)
 	r.consumer = outboxpublisher.NewConsumer(outboxpublisher.ConsumerOptions{
 		State:           state,
-		Distributor:     r.board,
+		Distributor:     r.distributor,
 		Storage:         store,
 		Quarantine:      r.quarantine,
 		OnConfiguration: r.quotas.SetTenants,
--- a/internal/controlplane/poll.go
+++ b/internal/controlplane/poll.go
@@ -55,19 +55,19 @@
 		if leafs == nil {
 			next.Endpoints = []distribution.Endpoint{}
 		}
-		cur := r.board.Endpoints()
+		cur := r.distributor.Endpoints()
 		changed := cur == nil || cur.Revision.Term != term || !schema.EqualEncoding(cur.Endpoints, next.Endpoints)
 		if changed {
 			if cur != nil && cur.Revision.Term == term {
 				next.Revision.Sequence = cur.Revision.Sequence + 1
 			}
-			r.board.SetEndpoints(next)
+			r.distributor.SetEndpoints(next)
 			r.log.Debug(logging.EndpointListChanged).Int("leafs", len(leafs)).Uint64("term", term).Uint64("rev", next.Revision.Sequence).Msg("the list changed")
 			r.wakeReconciler()
 		}
 		if changed || time.Since(lastDigest) >= digestInterval {
 			lastDigest = time.Now()
-			go r.broadcastEndpoints(r.board.Endpoints(), changed)
+			go r.broadcastEndpoints(r.distributor.Endpoints(), changed)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // onPeerEndpoints is told of the list that another registrar holds. A newer one is
 // fetched from there: the poller may not reach this node.
 func (r *Server) onPeerEndpoints(addr string, at distribution.Revision) {
-	if !r.board.EndpointsVersion().Less(at) || !r.fetchingList.CompareAndSwap(false, true) {
+	if !r.distributor.EndpointsRevision().Less(at) || !r.fetchingList.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
@@ -116,14 +116,14 @@
 		case <-r.quit:
 			return
 		}
-		if !r.board.EndpointsVersion().Less(at) {
+		if !r.distributor.EndpointsRevision().Less(at) {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		var l distribution.EndpointList
 		if err := r.host.CallPeer(ctx, addr, "/list/read", distribution.UpdateRequest{}, &l); err == nil && l.Endpoints != nil {
-			r.board.SetEndpoints(&l)
+			r.distributor.SetEndpoints(&l)
 		}
 	}()
 }
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/distributor"
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
@@ -30,8 +31,7 @@
 
 const (
 	// RequestTimeout bounds what a request between control nodes waits for.
-	RequestTimeout  = 1500 * time.Millisecond
-	longPollTimeout = time.Second // an answer without news comes after this
+	RequestTimeout = 1500 * time.Millisecond
 )
 
 // Roles under which leases are stored.
@@ -54,16 +54,17 @@
 
 // Server is the control plane of one node.
 type Server struct {
-	settings *settings.Settings
-	log      *logging.Logger
-	disk     storage.Disk
-	network  rpc.Network
-	ready    chan struct{} // closed once the vault is open: what follows is there
-	storage  *storage.Store
-	client   *rpc.Client
-	host     *replicahost.Host
-	board    *Distributor
-	platform *discovery.Client
+	settings    *settings.Settings
+	log         *logging.Logger
+	disk        storage.Disk
+	network     rpc.Network
+	ready       chan struct{} // closed once the vault is open: what follows is there
+	storage     *storage.Store
+	client      *rpc.Client
+	host        *replicahost.Host
+	distributor *distributor.Distributor
+	longPoll    *distributor.LongPoll
+	platform    *discovery.Client
 
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
@@ -91,7 +92,7 @@
 
 // New makes a registrar. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network, disk storage.Disk) *Server {
-	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
+	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), quit: make(chan struct{}),
 		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1),
 		shareClaims:   make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
@@ -155,25 +156,13 @@
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
 	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
-	// The list of the former life serves until the platform has been asked:
-	// leafs are called by name, so one that is gone does no harm.
-	if raw := v.NodeValue("list"); raw != nil {
-		var l distribution.EndpointList
-		if rpc.Unmarshal(raw, &l) == nil {
-			r.board.SetEndpoints(&l)
-		}
-	}
-	r.board.persistEndpoints = func(l *distribution.EndpointList) {
-		if raw, err := rpc.Marshal(l); err == nil {
-			v.QueueNodeValue("list", raw)
-		}
-	}
+	r.openDistributor(v)
 	r.storage = v
 	hooks := replicahost.Hooks{
 		OnApply:                r.onApply,
-		EndpointRevision:       r.board.EndpointsVersion,
+		EndpointRevision:       r.distributor.EndpointsRevision,
 		OnPeerEndpointRevision: r.onPeerEndpoints,
-		RegisteredAddresses:    r.board.ControlAddresses,
+		RegisteredAddresses:    r.distributor.ControlAddresses,
 	}
 	if set.ReportsUsage() {
 		r.usages.Restore(v)
@@ -210,7 +199,7 @@
 		Cells:               r.host,
 		Log:                 log,
 		IsForming:           r.isForming,
-		LatestConfiguration: r.board.LatestConfiguration,
+		LatestConfiguration: r.distributor.LatestConfiguration,
 		Quarantine:          r.quarantine.Add,
 		AppliedVersions:     r.consumer.AppliedVersions,
 	})
@@ -274,6 +263,7 @@
 		case <-time.After(time.Second):
 		}
 		r.host.Stop()
+		r.distributor.Close()
 		_ = r.storage.Close()
 		r.host.Wait()
 	})
@@ -316,27 +306,27 @@
 		return
 	}
 	if name != schema.MetaCell {
-		r.board.SetMarks(schema.ReadEjections(name, m))
+		r.distributor.SetMarks(schema.ReadEjections(name, m))
 		return
 	}
 	wake := false
 	if what.AnyWithPrefix(schema.ConfigVersionKey) {
 		version, raw := schema.ReadConfig(m)
 		go func() {
-			if r.board.SetConfiguration(version, raw) {
+			if r.distributor.SetConfiguration(version, raw) {
 				r.consumer.Wake()
 			}
 			r.wakeReconciler()
 		}()
 	}
 	if what.AnyWithPrefix(schema.PurgeKeyPrefix) || what.AnyWithPrefix(schema.PurgeCompactedKey) {
-		r.board.SetPurges(m)
+		r.distributor.SetPurges(m)
 	}
 	if what.AnyWithPrefix(schema.OutboxKeyPrefix) {
 		r.consumer.Wake()
 	}
 	if what.AnyWithPrefix(schema.NodeKeyPrefix) {
-		r.board.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
+		r.distributor.SetNodes(m.AppliedIndex(), schema.ReadNodes(m))
 		wake = true
 	}
 	if what.AnyWithPrefix(schema.IndexKeyPrefix) {
@@ -356,7 +346,7 @@
 	for _, ix := range r.host.Cells() {
 		if _, ok := have[ix]; !ok && ix != schema.MetaCell {
 			r.host.Close(ix)
-			r.board.DropMarks(ix)
+			r.distributor.DropMarks(ix)
 		}
 	}
 }
@@ -430,12 +420,12 @@
 			return c.NoContent(http.StatusBadRequest)
 		}
 		if l.Endpoints != nil {
-			return writeCBOR(c, r.board.SetEndpoints(&l))
+			return writeCBOR(c, r.distributor.SetEndpoints(&l))
 		}
-		return writeCBOR(c, r.board.EndpointsVersion())
+		return writeCBOR(c, r.distributor.EndpointsRevision())
 	})
 	e.POST("/list/read", func(c echo.Context) error {
-		if l := r.board.Endpoints(); l != nil {
+		if l := r.distributor.Endpoints(); l != nil {
 			return writeCBOR(c, l)
 		}
 		return c.NoContent(http.StatusNotFound)
@@ -454,7 +444,7 @@
 		}
 		return writeCBOR(c, r.consumer.Receive(list))
 	})
-	e.POST("/feed", r.handleUpdates)
+	e.POST("/feed", func(c echo.Context) error { return r.longPoll.Handle(c) })
 	e.POST("/ration", r.renewRateShare)
 	return e
 }
@@ -484,34 +474,6 @@
 	return e
 }
 
-// handleUpdates answers a switch as soon as there is news.
-func (r *Server) handleUpdates(c echo.Context) error {
-	var call distribution.UpdateRequest
-	if err := rpc.DecodeRequest(c.Request().Body, &call); err != nil {
-		return c.NoContent(http.StatusBadRequest)
-	}
-	r.recordNodeCall(&call)
-	hold := time.NewTimer(longPollTimeout)
-	defer hold.Stop()
-	for {
-		stale := r.host.QuorumContactAge() > replicahost.StaleAfter
-		news, change := r.board.Update(&call, stale)
-		if stale || call.Immediate || !news.Empty {
-			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
-		}
-		select {
-		case <-change:
-		case <-hold.C:
-			news, _ = r.board.Update(&call, r.host.QuorumContactAge() > replicahost.StaleAfter)
-			return c.Blob(http.StatusOK, rpc.ContentType, news.Body)
-		case <-c.Request().Context().Done():
-			return nil
-		case <-r.quit:
-			return c.NoContent(http.StatusServiceUnavailable)
-		}
-	}
-}
-
 // recordNodeCall notes who calls and what they report.
 func (r *Server) recordNodeCall(call *distribution.UpdateRequest) {
 	if r.reports.Record(call, time.Now()) {
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -247,7 +247,7 @@
 func (r *Server) collectWindow(window uint64) (c usage.Counts, whole bool) {
 	live := r.host.LivePeers(replicahost.LearnerTimeout)
 	whole = true
-	for _, n := range r.board.Nodes() {
+	for _, n := range r.distributor.Nodes() {
 		if _, ok := live[n.Addr]; n.ControlPlane && !n.Down && !ok {
 			whole = false
 		}
