--- a/internal/controlplane/formation.go
+++ b/internal/controlplane/formation.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/paxos"
@@ -23,7 +24,7 @@
 // faulty disk, and changes can't wait for it for ever.
 func (r *Server) isForming() bool {
 	live := r.host.LivePeers(replicahost.LearnerTimeout)
-	want := VotersFor(r.settings.Tolerance.MachineLosses)
+	want := placement.VotersFor(r.settings.Tolerance.MachineLosses)
 	cell, found := r.host.Stability()
 	if !found {
 		return false
--- a/internal/controlplane/registrar.go
+++ b/internal/controlplane/registrar.go
@@ -10,11 +10,13 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/distributor"
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/discovery"
@@ -69,11 +71,11 @@
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
 	usageLease     usageLease
+	mover          *placement.Mover
 	operator       *operatorapi.Handler
-	shareClaims    chan *pendingShareRequest
-	shares         map[distribution.ShareTable]*ShareAllocator
+	shares         *allocation.ShareService
 	reports        *nodereports.Tracker
-	quotas         *QuotaServer
+	quotas         quotaAllocation
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
@@ -95,7 +97,8 @@
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), quit: make(chan struct{}),
 		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1),
-		shareClaims:   make(chan *pendingShareRequest, 256), shares: NewShareAllocators(), usages: NewCollector(n)}
+		usages:        NewCollector(n),
+	}
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
 	}
@@ -155,7 +158,6 @@
 		log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new member")
 	}
 	self := replicahost.PeerInfo{ID: id, Addr: set.IPAddress, Zone: set.AvailabilityZone, Name: set.NodeName}
-	r.quotas = NewQuotaServer(set.Bounds.QuotaRules(), v.NodeValue(WatermarkStorageKey))
 	r.openDistributor(v)
 	r.storage = v
 	hooks := replicahost.Hooks{
@@ -194,7 +196,15 @@
 	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.openAllocation(v)
 	r.openOutbox(self, v)
+	r.mover = placement.NewMover(placement.Options{
+		Host:     r.host,
+		Lease:    r.placementLease,
+		Voters:   placement.VotersFor(set.Tolerance.MachineLosses),
+		RegionOf: set.RegionOf,
+		Log:      log,
+	})
 	r.operator = operatorapi.New(operatorapi.Options{
 		Cells:               r.host,
 		Log:                 log,
@@ -237,7 +247,17 @@
 	for _, f := range []func(){
 		func() { r.discoveryLease.Run(r.quit) },
 		func() { r.placementLease.Run(r.quit) },
-		r.discoveryLoop, r.reconcileLoop, r.placementLoop, func() { r.operator.Run(ctx) }, r.allocateSharesLoop, r.renewQuotaLoop, r.persistWatermarksLoop, func() { r.consumer.Run(ctx) }, func() { r.publisher.Run(ctx) }, r.reportUsageLoop, r.exportLoop,
+		func() { r.mover.Run(r.quit) },
+		r.discoveryLoop,
+		r.reconcileLoop,
+		func() { r.operator.Run(ctx) },
+		func() { r.shares.Run(ctx) },
+		func() { r.quotas.renewer.Run(ctx) },
+		func() { r.quotas.watermarks.Run(ctx) },
+		func() { r.consumer.Run(ctx) },
+		func() { r.publisher.Run(ctx) },
+		r.reportUsageLoop,
+		r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -396,23 +416,15 @@
 	e.POST("/confirm", decide(func(ctx context.Context, p *replicahost.ProposeRequest) replicahost.ProposeResult {
 		return r.host.ReadIndexLocal(ctx, p.Cell)
 	}))
-	e.POST("/claim", func(c echo.Context) error {
-		var claim distribution.ShareRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &claim); err != nil || r.shares[claim.Table] == nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
-		defer cancel()
-		return writeCBOR(c, r.allocateShareLocally(ctx, claim))
-	})
+	e.POST(allocation.LeaderPath, r.handleShareDecision)
 	e.POST("/move", func(c echo.Context) error {
-		var o MoveRequest
+		var o placement.MoveRequest
 		if err := rpc.DecodeRequest(c.Request().Body, &o); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
 		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 		defer cancel()
-		return writeCBOR(c, r.moveLocal(ctx, &o))
+		return writeCBOR(c, r.mover.MoveLocal(ctx, &o))
 	})
 	e.POST("/list", func(c echo.Context) error {
 		var l distribution.EndpointList
@@ -445,7 +457,7 @@
 		return writeCBOR(c, r.consumer.Receive(list))
 	})
 	e.POST("/feed", func(c echo.Context) error { return r.longPoll.Handle(c) })
-	e.POST("/ration", r.renewRateShare)
+	e.POST("/ration", r.handleRateShare)
 	return e
 }
 
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -160,7 +160,7 @@
 			return
 		}
 		now := time.Now()
-		seats := VotersFor(r.settings.Tolerance.MachineLosses)
+		seats := placement.VotersFor(r.settings.Tolerance.MachineLosses)
 		r.usages.clock.Update(now.UnixNano(), seats, now.Sub(last), now)
 		last = now
 		at, ok := r.usages.clock.Now(now)
@@ -453,8 +453,3 @@
 	}
 	return fmt.Errorf("%w: %s", ErrReportRejected, strings.TrimSpace(resp.Status))
 }
-
-// receiveCounts takes a datagram of counts.
-func (r *Server) receiveCounts(t *usage.CountReport, from net.Addr) {
-	r.quotas.sendDatagram(from, &distribution.Datagram{UsageAck: r.usages.Record(t)})
-}
