--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -14,7 +14,7 @@
 		return
 	}
 	if cell != schema.MetaCell {
-		s.board.SetMarks(schema.ReadEjections(cell, replica))
+		s.distributor.SetMarks(schema.ReadEjections(cell, replica))
 		return
 	}
 	if changed.AnyWithPrefix(schema.ConfigVersionKey) {
@@ -22,13 +22,13 @@
 		s.tasks.Go(func() { s.applyConfiguration(version, raw) })
 	}
 	if changed.AnyWithPrefix(schema.PurgeKeyPrefix) || changed.AnyWithPrefix(schema.PurgeCompactedKey) {
-		s.board.SetPurges(replica)
+		s.distributor.SetPurges(replica)
 	}
 	if changed.AnyWithPrefix(schema.OutboxKeyPrefix) {
 		s.consumer.Wake()
 	}
 	if changed.AnyWithPrefix(schema.NodeKeyPrefix) {
-		s.board.SetNodes(replica.AppliedIndex(), schema.ReadNodes(replica))
+		s.distributor.SetNodes(replica.AppliedIndex(), schema.ReadNodes(replica))
 		s.wakeReconciler()
 	}
 	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
@@ -40,7 +40,7 @@
 // applyConfiguration takes in a configuration. The event loop doesn't wait for it to be
 // parsed.
 func (s *Server) applyConfiguration(version uint64, raw []byte) {
-	if s.board.SetConfiguration(version, raw) {
+	if s.distributor.SetConfiguration(version, raw) {
 		s.consumer.Wake()
 	}
 	s.wakeReconciler()
@@ -54,7 +54,7 @@
 	for _, cell := range s.host.Cells() {
 		if _, isListed := listed[cell]; !isListed && cell != schema.MetaCell {
 			s.host.Close(cell)
-			s.board.DropMarks(cell)
+			s.distributor.DropMarks(cell)
 		}
 	}
 }
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -25,7 +25,7 @@
 	e := newRouter(s.log)
 	e.Use(s.requireReady)
 	s.registerPeerCalls(e)
-	e.POST("/feed", s.handleUpdates)
+	e.POST("/feed", func(c echo.Context) error { return s.longPoll.Handle(c) })
 	e.POST("/ration", s.handleRateShare)
 	return e
 }
@@ -48,7 +48,7 @@
 	e.POST(allocation.LeaderPath, s.handleShareDecision)
 	e.POST("/list", handleRPC(s.receiveEndpoints))
 	e.POST("/list/read", func(c echo.Context) error {
-		if list := s.board.Endpoints(); list != nil {
+		if list := s.distributor.Endpoints(); list != nil {
 			return writeCBOR(c, list)
 		}
 		return c.NoContent(http.StatusNotFound)
@@ -63,9 +63,9 @@
 // revision, and answers with the revision that is held then.
 func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
 	if list.Endpoints != nil {
-		return s.board.SetEndpoints(list)
+		return s.distributor.SetEndpoints(list)
 	}
-	return s.board.EndpointsVersion()
+	return s.distributor.EndpointsRevision()
 }
 
 // handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/distributor"
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/nodereports"
@@ -39,16 +40,17 @@
 
 // Server is the control plane of one node.
 type Server struct {
-	settings  *settings.Settings
-	log       *logging.Logger
-	disk      storage.Disk
-	network   rpc.Network
-	client    *rpc.Client
-	board     *Distributor
-	platform  *discovery.Client // nil if the node knows no platform
-	reports   *nodereports.Tracker
-	usage     usageMetering
-	startedAt time.Time
+	settings    *settings.Settings
+	log         *logging.Logger
+	disk        storage.Disk
+	network     rpc.Network
+	client      *rpc.Client
+	distributor *distributor.Distributor
+	longPoll    *distributor.LongPoll
+	platform    *discovery.Client // nil if the node knows no platform
+	reports     *nodereports.Tracker
+	usage       usageMetering
+	startedAt   time.Time
 
 	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
 
@@ -86,7 +88,6 @@
 		disk:          disk,
 		network:       network,
 		client:        rpc.NewClient(network),
-		board:         NewDistributor(),
 		reports:       nodereports.NewTracker(),
 		usage:         usageMetering{collector: metering.NewCollector()},
 		startedAt:     time.Now(),
@@ -156,6 +157,7 @@
 		}
 		s.waitForLoops()
 		s.host.Stop()
+		s.distributor.Close()
 		_ = s.storage.Close()
 		s.host.Wait()
 	})
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -10,17 +10,12 @@
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
-	"comethold/internal/rpc"
 	"comethold/internal/settings"
 	"comethold/internal/storage"
 )
 
-// endpointsStorageKey is where the endpoint list is stored for the next start.
-const endpointsStorageKey = "list"
-
 // Roles under which leases are stored.
 const (
 	discoveryRole = "directory"
@@ -76,7 +71,7 @@
 		return err
 	}
 	s.storage = store
-	s.restoreEndpoints(store)
+	s.openDistributor(store)
 	s.host = s.newHost(self, store)
 	s.discoveryLease = s.newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
@@ -95,7 +90,7 @@
 		Cells:               s.host,
 		Log:                 s.log,
 		IsForming:           s.isForming,
-		LatestConfiguration: s.board.LatestConfiguration,
+		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine:          s.quarantine.Add,
 		AppliedVersions:     s.consumer.AppliedVersions,
 	})
@@ -143,29 +138,12 @@
 	}, nil
 }
 
-// restoreEndpoints takes in the endpoint list of the former incarnation, which serves until
-// the platform has been asked: endpoints are called by name, so one that is gone does no
-// harm. New lists are stored.
-func (s *Server) restoreEndpoints(store *storage.Store) {
-	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
-		var list distribution.EndpointList
-		if rpc.Unmarshal(raw, &list) == nil {
-			s.board.SetEndpoints(&list)
-		}
-	}
-	s.board.persistEndpoints = func(list *distribution.EndpointList) {
-		if raw, err := rpc.Marshal(list); err == nil {
-			store.QueueNodeValue(endpointsStorageKey, raw)
-		}
-	}
-}
-
 func (s *Server) newHost(self replicahost.PeerInfo, store *storage.Store) *replicahost.Host {
 	hooks := replicahost.Hooks{
 		OnApply:                s.onApply,
-		EndpointRevision:       s.board.EndpointsVersion,
+		EndpointRevision:       s.distributor.EndpointsRevision,
 		OnPeerEndpointRevision: s.onPeerEndpoints,
-		RegisteredAddresses:    s.board.ControlAddresses,
+		RegisteredAddresses:    s.distributor.ControlAddresses,
 	}
 	if s.settings.ReportsUsage() {
 		hooks.ReadClocks = s.usage.collector.ReadClocks
