--- /dev/null
+++ b/cmd/comethold/command_test.go
@@ -0,0 +1,174 @@
+package main
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+)
+
+// TestExitCodes checks what a wrong call is answered: one line and 2 for an unknown
+// command, flag or file, 1 for a failure.
+func TestExitCodes(t *testing.T) {
+	t.Setenv("COMETHOLD_SETTINGS", "")
+	faulty := filepath.Join(t.TempDir(), "faulty.json")
+	if err := os.WriteFile(faulty, []byte("{}"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cases := map[string]int{
+		"":        0,
+		"version": 0,
+		"--help":  0,
+		"outbox":  0,
+		"check ../../examples/settings.toml ../../examples/configuration.json": 0,
+		"check " + faulty:         exitFailure,
+		"data-plane":              exitFailure, // no settings are named
+		"control-plane":           exitFailure,
+		"object-cache":            exitFailure,
+		"leases":                  exitFailure, // no control node is named
+		"bogus":                   exitUsage,
+		"--bogus":                 exitUsage,
+		"version extra":           exitUsage,
+		"version -x":              exitUsage,
+		"data-plane extra":        exitUsage,
+		"outbox bogus":            exitUsage,
+		"outbox list --bogus":     exitUsage,
+		"outbox redrive":          exitUsage,
+		"estimates --seconds ten": exitUsage,
+		"check":                   exitUsage,
+		"check absent.toml":       exitUsage,
+		"check ../../README.md":   exitUsage,
+	}
+	for call, want := range cases {
+		got, stderr := executeCaptured(t, strings.Fields(call))
+		if got != want {
+			t.Errorf("comethold %s: exit code %d, want %d", call, got, want)
+		}
+		lines := strings.Count(stderr, "\n")
+		if want != 0 && (lines != 1 || !strings.HasPrefix(stderr, "comethold: ")) {
+			t.Errorf("comethold %s: not one clear line: %q", call, stderr)
+		}
+	}
+}
+
+// executeCaptured runs a call and returns its exit code and what it wrote to standard error.
+func executeCaptured(t *testing.T, args []string) (code int, stderr string) {
+	t.Helper()
+	file, err := os.Create(filepath.Join(t.TempDir(), "stderr"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	before, out := os.Stderr, os.Stdout
+	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	os.Stderr, os.Stdout = file, null
+	code = execute(args)
+	os.Stderr, os.Stdout = before, out
+	_ = null.Close()
+	_ = file.Close()
+	raw, err := os.ReadFile(file.Name())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return code, string(raw)
+}
+
+// TestEachCommandHasAnExample checks that --help shows how each command is called.
+func TestEachCommandHasAnExample(t *testing.T) {
+	root := newRootCommand()
+	for _, c := range allCommands(root) {
+		if c.Short == "" || !strings.Contains(c.Example, c.CommandPath()) && c != root {
+			t.Errorf("%s: no example that calls it", c.CommandPath())
+		}
+	}
+}
+
+// TestDocumentedCommandsExist checks the calls of comethold that the pages, the deploy
+// file and the examples name.
+func TestDocumentedCommandsExist(t *testing.T) {
+	calls := regexp.MustCompile("(?:^|[`/ ])comethold ((?:[a-z-]+)(?: [a-z-]+)?)")
+	pages, err := filepath.Glob("../../docs/*.md")
+	if err != nil || len(pages) == 0 {
+		t.Fatalf("no pages: %v", err)
+	}
+	pages = append(pages, "../../README.md", "../../deploy/system.toml")
+	found := 0
+	for _, page := range pages {
+		raw, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for line := range strings.Lines(string(raw)) {
+			isCode := strings.HasPrefix(line, "    ") || strings.HasPrefix(line, "run = ")
+			for _, match := range calls.FindAllStringSubmatch(line, -1) {
+				if !isCode && !strings.Contains(line, "`"+strings.TrimLeft(match[0], "`/ ")) {
+					continue
+				}
+				found++
+				if c, _, err := newRootCommand().Find(strings.Fields(match[1])); err != nil || !c.HasParent() {
+					t.Errorf("%s: comethold %s is no command", filepath.Base(page), match[1])
+				}
+			}
+		}
+	}
+	if found < 10 {
+		t.Errorf("only %d calls found", found)
+	}
+}
+
+// allCommands is a command and all below it that are ours.
+func allCommands(c *cobra.Command) []*cobra.Command {
+	all := []*cobra.Command{c}
+	for _, child := range c.Commands() {
+		all = append(all, allCommands(child)...)
+	}
+	return all
+}
+
+// TestOperatorCalls checks what each operators' command asks a control node.
+func TestOperatorCalls(t *testing.T) {
+	var asked, body string
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		raw, _ := io.ReadAll(r.Body)
+		asked, body = r.Method+" "+r.URL.String(), string(raw)
+		_, _ = io.WriteString(w, `{"a":1}`)
+	}))
+	defer server.Close()
+	cases := []struct{ call, asked, body string }{
+		{"outbox list", "GET /Notices.Read", ""},
+		{"leases", "GET /Duties.Read", ""},
+		{"estimates --saved", "GET /Estimates.Saved", ""},
+		{
+			"estimates --class urgent --seconds 5 --service s1",
+			"GET /Estimates.Read?class=urgent&seconds=5&service=s1", "",
+		},
+		{
+			"outbox redrive e1 --operator o --correlation c", "POST /Notices.Redrive",
+			`{"eventId":"e1","operator":"o","correlationId":"c","action":"resend"}`,
+		},
+	}
+	for _, test := range cases {
+		root := newRootCommand()
+		var out bytes.Buffer
+		root.SetOut(&out)
+		root.SetArgs(append(strings.Fields(test.call), "--at", strings.TrimPrefix(server.URL, "http://")))
+		if err := root.Execute(); err != nil {
+			t.Errorf("%s: %v", test.call, err)
+		}
+		if asked != test.asked || body != test.body {
+			t.Errorf("%s: asked %s with %q", test.call, asked, body)
+		}
+		if out.String() != "{\n  \"a\": 1\n}\n" {
+			t.Errorf("%s: printed %q", test.call, out.String())
+		}
+	}
+}
--- /dev/null
+++ b/cmd/comethold/operator.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"comethold/internal/settings"
+
+	"github.com/spf13/cobra"
+)
+
+// operatorTimeout bounds a call to a control node.
+const operatorTimeout = 5 * time.Second
+
+// operatorClient calls the operator API of one control node and prints what it answers.
+type operatorClient struct {
+	address string // "" means the control node of this machine's settings
+}
+
+// addFlags adds the flag that names the control node.
+func (o *operatorClient) addFlags(commands ...*cobra.Command) {
+	for _, c := range commands {
+		c.Flags().StringVar(&o.address, "at", "", "the control address of a control node (this machine's, if absent)")
+	}
+}
+
+// resolveAddress is the address of the control node: the one named, or that of this
+// machine's settings.
+func (o *operatorClient) resolveAddress() (string, error) {
+	if o.address != "" {
+		return o.address, nil
+	}
+	path, err := settings.Path()
+	if err != nil {
+		return "", fmt.Errorf("name a control node with --at: %w", err)
+	}
+	loaded, err := settings.Load(path)
+	if err != nil {
+		return "", err
+	}
+	if loaded.Listen.ControlPlane == "" {
+		return "", errors.New("name a control node with --at: the settings name no listenAddresses.controlPlane")
+	}
+	return loaded.Listen.ControlPlane, nil
+}
+
+// get reads a path of the operator API.
+func (o *operatorClient) get(c *cobra.Command, path string) error {
+	return o.call(c, http.MethodGet, path, nil)
+}
+
+// post sends a value as JSON.
+func (o *operatorClient) post(c *cobra.Command, path string, value any) error {
+	raw, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return o.call(c, http.MethodPost, path, bytes.NewReader(raw))
+}
+
+// call makes one call and prints the answer; one that is not 200 is an error.
+func (o *operatorClient) call(c *cobra.Command, method, path string, body io.Reader) error {
+	address, err := o.resolveAddress()
+	if err != nil {
+		return err
+	}
+	request, err := http.NewRequestWithContext(c.Context(), method, "http://"+address+path, body)
+	if err != nil {
+		return err
+	}
+	client := &http.Client{Timeout: operatorTimeout}
+	response, err := client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // read to its end; nothing left to lose
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(raw))
+	}
+	fmt.Fprintln(c.OutOrStdout(), indented(raw))
+	return nil
+}
+
+// indented is JSON made readable; anything else stays as it is.
+func indented(raw []byte) string {
+	var out bytes.Buffer
+	if json.Indent(&out, raw, "", "  ") != nil {
+		return string(raw)
+	}
+	return out.String()
+}
--- /dev/null
+++ b/cmd/comethold/process.go
@@ -0,0 +1,198 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"comethold/internal/logging"
+	"comethold/internal/settings"
+
+	"github.com/oklog/run"
+)
+
+// Garbage collection: more memory for less processor time, within a bound.
+const (
+	gcPercent          = 200
+	softMemoryFraction = 0.6 // of the limit, at which collection turns eager
+)
+
+// Limits of the HTTP servers on addresses of our own.
+const (
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = time.Minute
+	maxHeaderBytes    = 64 << 10
+	shutdownTimeout   = 300 * time.Millisecond
+)
+
+// settingsPollInterval is how often the settings file is looked at for changes.
+const settingsPollInterval = 2 * time.Second
+
+// process is one running program: its settings, its log, and the goroutines that end
+// together as soon as one of them does.
+type process struct {
+	settings     *settings.Settings
+	settingsPath string
+	log          *logging.Logger
+	group        run.Group
+}
+
+// runProgram loads the settings that settings.Env names and runs a program until it
+// ends. setUp adds the program's goroutines to the process.
+func runProgram(name string, setUp func(*process) error) error {
+	path, err := settings.Path()
+	if err != nil {
+		return err
+	}
+	loaded, err := settings.Load(path)
+	if err != nil {
+		return err
+	}
+	debug.SetGCPercent(gcPercent)
+	if loaded.Limits.MemoryMb > 0 {
+		debug.SetMemoryLimit(int64(float64(loaded.Limits.MemoryMb<<20) * softMemoryFraction))
+	}
+	log := logging.New(loaded.NodeName, name)
+	log.SetLevel(loaded.Log.Level)
+	log.Info(logging.Started).Str("zone", loaded.AvailabilityZone).Str("version", version).Msg("started")
+	p := &process{settings: loaded, settingsPath: path, log: log}
+	err = setUp(p)
+	if err == nil {
+		err = p.group.Run()
+	}
+	if err != nil {
+		log.Error(logging.Failed).Err(err).Msg("failed")
+		return err
+	}
+	log.Info(logging.Stopped).Msg("stopped")
+	return nil
+}
+
+// listen opens a TCP socket.
+func (p *process) listen(address string) (net.Listener, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp4", address)
+	if err != nil {
+		return nil, fmt.Errorf("cannot listen: %w", err)
+	}
+	return listener, nil
+}
+
+// listenPacket opens a UDP socket.
+func (p *process) listenPacket(address string) (net.PacketConn, error) {
+	var config net.ListenConfig
+	conn, err := config.ListenPacket(context.Background(), "udp4", address)
+	if err != nil {
+		return nil, fmt.Errorf("cannot listen: %w", err)
+	}
+	return conn, nil
+}
+
+// addServer adds an HTTP server on an address of our own.
+func (p *process) addServer(address string, handler http.Handler) error {
+	listener, err := p.listen(address)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	serve := func() error {
+		err := server.Serve(listener)
+		if errors.Is(err, http.ErrServerClosed) {
+			return nil
+		}
+		return err
+	}
+	stop := func(error) {
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		defer cancel()
+		if server.Shutdown(ctx) != nil {
+			_ = server.Close()
+		}
+	}
+	p.group.Add(serve, stop)
+	return nil
+}
+
+// addSignalHandling adds the handling of signals and of changes of the settings file.
+// SIGHUP and a changed file call reload with the new settings; SIGTERM and SIGINT call
+// shutdown, which returns when the process may end.
+func (p *process) addSignalHandling(reload func(*settings.Settings), shutdown func()) {
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	quit := make(chan struct{})
+	reloader := newSettingsReloader(p, reload)
+	handle := func() error {
+		ticker := time.NewTicker(settingsPollInterval)
+		defer ticker.Stop()
+		for {
+			select {
+			case received := <-signals:
+				if received == syscall.SIGHUP {
+					reloader.reload(causeSignal)
+					continue
+				}
+				p.log.Info(logging.Stopping).Stringer("signal", received).Msg("stopping")
+				shutdown()
+				return nil
+			case <-ticker.C:
+				reloader.reload(causeChange)
+			case <-quit:
+				return nil
+			}
+		}
+	}
+	p.group.Add(handle, func(error) { close(quit) })
+}
+
+// Why settings are read again.
+const (
+	causeSignal = "signal"
+	causeChange = "change"
+)
+
+// settingsReloader reads the settings file again and applies it if it has changed.
+type settingsReloader struct {
+	path  string
+	last  []byte // the content that was read last
+	log   *logging.Logger
+	apply func(*settings.Settings)
+}
+
+func newSettingsReloader(p *process, apply func(*settings.Settings)) *settingsReloader {
+	last, _ := os.ReadFile(p.settingsPath) // unreadable: the next reload takes whatever is there
+	return &settingsReloader{path: p.settingsPath, last: last, log: p.log, apply: apply}
+}
+
+// reload applies a changed file. An invalid one is logged, and the old settings stay.
+func (r *settingsReloader) reload(cause string) {
+	raw, err := os.ReadFile(r.path)
+	if err != nil && cause == causeChange {
+		return // it may just be replaced; the next poll looks again
+	}
+	if err == nil && bytes.Equal(raw, r.last) {
+		return
+	}
+	r.last = raw
+	loaded, err := settings.Parse(raw)
+	if err != nil {
+		r.log.Error(logging.SettingsRejected).Err(err).Str("cause", cause).
+			Msg("settings rejected; the old ones stay")
+		return
+	}
+	r.apply(loaded)
+	r.log.SetLevel(loaded.Log.Level)
+	r.log.Info(logging.SettingsReloaded).Str("cause", cause).Msg("settings reloaded")
+}
--- /dev/null
+++ b/cmd/comethold/root.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+)
+
+// usageError says that a call names an unknown command, flag or file, or lacks an argument.
+type usageError struct{ err error }
+
+func (e *usageError) Error() string { return e.err.Error() }
+
+func (e *usageError) Unwrap() error { return e.err }
+
+// usageArgs turns the errors of an argument check into usage errors.
+func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
+	return func(c *cobra.Command, args []string) error {
+		if err := check(c, args); err != nil {
+			return &usageError{err}
+		}
+		return nil
+	}
+}
+
+// showHelp is what a group of commands does when none of them is named.
+func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
+
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "comethold",
+		Short: "A search front over sharded indexes",
+		Long: `comethold routes requests to leafs, gathers answers from the shards of an index,
+and keeps its own state in small replicated Paxos cells.`,
+		Example:       "  comethold check examples/settings.toml examples/configuration.json",
+		Args:          usageArgs(cobra.NoArgs),
+		RunE:          showHelp,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &usageError{err} })
+	root.AddCommand(
+		newDataPlaneCommand(),
+		newControlPlaneCommand(),
+		newObjectCacheCommand(),
+		newCheckCommand(),
+		newOutboxCommand(),
+		newLeasesCommand(),
+		newEstimatesCommand(),
+		newVersionCommand(),
+	)
+	return root
+}
--- a/internal/loadtest/gather.go
+++ b/internal/loadtest/gather.go
@@ -48,10 +48,10 @@
 		return nil, err
 	}
 	r.seedNodes = []string{fmt.Sprintf("127.1.0.1:%d", r.basePort+20)}
-	if err := r.startProcess("registrar", "registrar-0", "127.1.0.1", zoneOf(0, s.Zones), true); err != nil {
+	if err := r.startProcess("control-plane", "control-0", "127.1.0.1", zoneOf(0, s.Zones), true); err != nil {
 		return nil, err
 	}
-	if err := r.startProcess("switch", "real-0", "127.2.0.1", zoneOf(0, s.Zones), false); err != nil {
+	if err := r.startProcess("data-plane", "real-0", "127.2.0.1", zoneOf(0, s.Zones), false); err != nil {
 		return nil, err
 	}
 	if _, err := r.replaceConfiguration(ctx); err != nil {
--- a/internal/loadtest/scale.go
+++ b/internal/loadtest/scale.go
@@ -318,12 +318,12 @@
 		r.seedNodes = append(r.seedNodes, fmt.Sprintf("127.1.0.%d:%d", i+1, r.basePort+20))
 	}
 	for i := range s.Registrars {
-		if err := r.startProcess("registrar", fmt.Sprint("registrar-", i), fmt.Sprintf("127.1.0.%d", i+1), zoneOf(i, s.Zones), true); err != nil {
+		if err := r.startProcess("control-plane", fmt.Sprint("control-", i), fmt.Sprintf("127.1.0.%d", i+1), zoneOf(i, s.Zones), true); err != nil {
 			return nil, err
 		}
 	}
 	for i := range s.Real {
-		if err := r.startProcess("switch", fmt.Sprint("real-", i), fmt.Sprintf("127.2.0.%d", i+1), zoneOf(i, s.Zones), false); err != nil {
+		if err := r.startProcess("data-plane", fmt.Sprint("real-", i), fmt.Sprintf("127.2.0.%d", i+1), zoneOf(i, s.Zones), false); err != nil {
 			return nil, err
 		}
 	}
