--- /dev/null
+++ b/internal/loadtest/cluster.go
@@ -0,0 +1,204 @@
+package loadtest
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"comethold/internal/logging"
+	"comethold/internal/proxy"
+	"comethold/internal/settings"
+)
+
+const (
+	firstBasePort   = 20000
+	basePortChoices = 20
+	portsPerCluster = 500
+	maxSeeds        = 3
+	waitPollPause   = 5 * time.Millisecond
+)
+
+// Names of the programs of the binary.
+const (
+	controlPlaneProgram = "control-plane"
+	dataPlaneProgram    = "data-plane"
+)
+
+// Cluster is one system. It is used by one goroutine.
+type Cluster struct {
+	size        Size
+	dir         string
+	binary      string
+	basePort    int
+	seedNodes   []string
+	processes   []*exec.Cmd // control nodes first, then real proxies
+	hollowNodes []*hollowNode
+	servers     []*http.Server
+	running     sync.WaitGroup // goroutines of servers and hollow nodes
+	version     uint64         // of the newest configuration
+
+	mu        sync.Mutex // guards the field below
+	instances []instance // the platform's list
+}
+
+// hollowNode is a proxy without its requests to leafs.
+type hollowNode struct {
+	proxy *proxy.Server
+	meter byteMeter
+}
+
+// New prepares a system of the binary's programs, with its data below dir. Its ports are
+// drawn, so that two runs on one machine seldom meet.
+func New(size Size, binary, dir string) *Cluster {
+	basePort := firstBasePort + rand.IntN(basePortChoices)*portsPerCluster
+	return &Cluster{size: size, binary: binary, dir: dir, basePort: basePort}
+}
+
+// Close ends all that was started, and waits for it.
+func (c *Cluster) Close() {
+	for _, node := range c.hollowNodes {
+		node.proxy.Close()
+	}
+	for _, server := range c.servers {
+		_ = server.Close()
+	}
+	for _, process := range c.processes {
+		_ = process.Process.Kill()
+		_ = process.Wait() // killed: the error says no more
+	}
+	c.running.Wait()
+}
+
+// startProcess runs a program of the binary as a machine, on one processor.
+func (c *Cluster) startProcess(ctx context.Context, program string, m machine) error {
+	if m.disk {
+		if err := os.MkdirAll(filepath.Join(c.dir, m.name), 0o755); err != nil {
+			return err
+		}
+	}
+	path := filepath.Join(c.dir, m.name+".toml")
+	if err := os.WriteFile(path, []byte(c.settingsFile(m)), 0o600); err != nil {
+		return err
+	}
+	process := exec.CommandContext(ctx, c.binary, program)
+	process.Env = append(os.Environ(), settings.Env+"="+path, "GOMAXPROCS=1")
+	process.Stderr = os.Stderr
+	if err := process.Start(); err != nil {
+		return err
+	}
+	c.processes = append(c.processes, process)
+	return nil
+}
+
+// startControlNodes starts the control nodes; the first three are the seeds of all.
+func (c *Cluster) startControlNodes(ctx context.Context, count int) error {
+	for i := range min(maxSeeds, count) {
+		c.seedNodes = append(c.seedNodes, c.address(controlNodeIP(i), controlPort))
+	}
+	for i := range count {
+		node := machine{
+			name: fmt.Sprint("control-", i), ip: controlNodeIP(i), zone: zoneName(i, c.size.Zones), disk: true,
+		}
+		if err := c.startProcess(ctx, controlPlaneProgram, node); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// startRealProxies starts the proxies that are processes.
+func (c *Cluster) startRealProxies(ctx context.Context, count int) error {
+	for i := range count {
+		node := machine{name: fmt.Sprint("real-", i), ip: realProxyIP(i), zone: zoneName(i, c.size.Zones)}
+		if err := c.startProcess(ctx, dataPlaneProgram, node); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func controlNodeIP(i int) string { return fmt.Sprintf("127.1.0.%d", i+1) }
+
+func realProxyIP(i int) string { return fmt.Sprintf("127.2.0.%d", i+1) }
+
+// listen serves an address in this process.
+func (c *Cluster) listen(ctx context.Context, address string, handler http.Handler) error {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp4", address)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
+	c.running.Go(func() { _ = server.Serve(listener) }) // ends by Close
+	c.servers = append(c.servers, server)
+	return nil
+}
+
+// startHollowNodes starts the hollow nodes in this process.
+func (c *Cluster) startHollowNodes(ctx context.Context) error {
+	for i := range c.size.Hollow {
+		node := machine{
+			name: fmt.Sprint("hollow-", i), ip: hostAddress("127.3", i), zone: zoneName(i, c.size.Zones),
+		}
+		if err := c.startHollowNode(ctx, node); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) startHollowNode(ctx context.Context, m machine) error {
+	parsed, err := settings.Parse([]byte(c.settingsFile(m)))
+	if err != nil {
+		return err
+	}
+	node := &hollowNode{}
+	node.proxy = proxy.New(parsed, logging.Nop(), node.meter.network)
+	var config net.ListenConfig
+	datagrams, err := config.ListenPacket(ctx, "udp4", node.proxy.InternalAddress())
+	if err != nil {
+		return err
+	}
+	if err := c.listen(ctx, node.proxy.InternalAddress(), node.proxy.InternalHandler()); err != nil {
+		return err
+	}
+	c.running.Go(func() { _ = node.proxy.RunUpdates() }) // both end by Close
+	c.running.Go(func() { _ = node.proxy.RunHeartbeats(meteredPacketConn{datagrams, &node.meter}) })
+	c.hollowNodes = append(c.hollowNodes, node)
+	return nil
+}
+
+// waitForAll waits until a condition holds on every hollow node.
+func (c *Cluster) waitForAll(ctx context.Context, holds func(*hollowNode) bool) error {
+	for _, node := range c.hollowNodes {
+		for !holds(node) {
+			select {
+			case <-ctx.Done():
+				return ctx.Err()
+			case <-time.After(waitPollPause):
+			}
+		}
+	}
+	return nil
+}
+
+// transferredBytes is what all hollow nodes received and sent so far.
+func (c *Cluster) transferredBytes() float64 {
+	sum := 0.0
+	for _, node := range c.hollowNodes {
+		sum += float64(node.meter.total())
+	}
+	return sum
+}
+
+// bytesPerNode is a number of bytes of all hollow nodes as the mean of one.
+func (c *Cluster) bytesPerNode(bytes float64) float64 {
+	return bytes / float64(max(1, len(c.hollowNodes)))
+}
--- /dev/null
+++ b/internal/loadtest/measure.go
@@ -0,0 +1,156 @@
+package loadtest
+
+import (
+	"context"
+	"net/http"
+	"os"
+	"time"
+)
+
+const (
+	settlePause  = 3 * time.Second // until voters, shares and the list have settled
+	betweenPause = 300 * time.Millisecond
+)
+
+// Measure starts the system and measures, one after the other: the start of all hollow
+// nodes, all at rest, configuration changes, a leaf that is drained, and all under load.
+func (c *Cluster) Measure(ctx context.Context) (*Report, error) {
+	report := &Report{Size: c.size}
+	steps := []func(context.Context, *Report) error{
+		c.startAll, c.measureStart, c.measureRest, c.measureChanges, c.measureDrain, c.measureLoad,
+	}
+	for _, step := range steps {
+		if err := step(ctx, report); err != nil {
+			return nil, err
+		}
+	}
+	return report, nil
+}
+
+// startAll starts the platform, the control nodes and the real proxies, and has a
+// configuration acknowledged.
+func (c *Cluster) startAll(ctx context.Context, _ *Report) error {
+	c.listUnreachableLeafs()
+	if err := c.listen(ctx, c.address(platformIP, platformPort), http.HandlerFunc(c.servePlatform)); err != nil {
+		return err
+	}
+	if err := c.startControlNodes(ctx, c.size.ControlNodes); err != nil {
+		return err
+	}
+	if err := c.startRealProxies(ctx, c.size.Real); err != nil {
+		return err
+	}
+	if _, err := c.replaceConfiguration(ctx); err != nil {
+		return err
+	}
+	time.Sleep(settlePause)
+	return nil
+}
+
+// measureStart starts all hollow nodes at once.
+func (c *Cluster) measureStart(ctx context.Context, report *Report) error {
+	memoryBefore := memoryUsage(os.Getpid()).RSSMb
+	start := time.Now()
+	if err := c.startHollowNodes(ctx); err != nil {
+		return err
+	}
+	canServe := func(node *hollowNode) bool {
+		return node.proxy.Ready() && len(node.proxy.Endpoints()) == c.size.Leafs
+	}
+	if err := c.waitForAll(ctx, canServe); err != nil {
+		return err
+	}
+	report.Start = time.Since(start)
+	report.StartBytes = c.bytesPerNode(c.transferredBytes())
+	time.Sleep(c.size.Rest / 2)
+	report.HollowMb = c.bytesPerNode(memoryUsage(os.Getpid()).RSSMb - memoryBefore)
+	return nil
+}
+
+// measureRest measures all processes without load.
+func (c *Cluster) measureRest(_ context.Context, report *Report) error {
+	used, bytes := c.measureUsage(c.size.Rest)
+	report.IdleBytes = bytes
+	report.ControlNodes = used[:c.size.ControlNodes]
+	if c.size.Real > 0 {
+		report.Proxy = used[c.size.ControlNodes]
+	}
+	return nil
+}
+
+// measureChanges sends configurations one after the other.
+func (c *Cluster) measureChanges(ctx context.Context, report *Report) error {
+	bytesBefore := c.transferredBytes()
+	for range c.size.Changes {
+		acknowledged, err := c.replaceConfiguration(ctx)
+		if err != nil {
+			return err
+		}
+		inForce := func(node *hollowNode) bool {
+			table := node.proxy.RouteTable()
+			return table != nil && table.Version == c.version
+		}
+		if err := c.waitForAll(ctx, inForce); err != nil {
+			return err
+		}
+		report.InForce = append(report.InForce, time.Since(acknowledged))
+		time.Sleep(betweenPause)
+	}
+	if c.size.Changes > 0 {
+		report.ChangeBytes = c.bytesPerNode(c.transferredBytes()-bytesBefore) / float64(c.size.Changes)
+	}
+	return nil
+}
+
+// measureDrain has the platform list a leaf as draining.
+func (c *Cluster) measureDrain(ctx context.Context, report *Report) error {
+	id := c.drainFirst()
+	listed := time.Now()
+	isDrained := func(node *hollowNode) bool {
+		for _, endpoint := range node.proxy.Endpoints() {
+			if endpoint.ID == id {
+				return endpoint.Draining
+			}
+		}
+		return false
+	}
+	if err := c.waitForAll(ctx, isDrained); err != nil {
+		return err
+	}
+	report.Drained = time.Since(listed)
+	return nil
+}
+
+// measureLoad measures the control nodes under requests of tenants, if there are any.
+func (c *Cluster) measureLoad(ctx context.Context, report *Report) error {
+	if c.size.PerNode <= 0 || c.size.Tenants == 0 {
+		return nil
+	}
+	load := c.startTenantLoad(ctx)
+	defer load.stop()
+	time.Sleep(c.size.Rest / 2)
+	load.reset()
+	used, bytes := c.measureUsage(c.size.Rest)
+	report.LoadBytes = bytes
+	report.Loaded = used[:c.size.ControlNodes]
+	report.Refused = load.refusedShare()
+	return nil
+}
+
+// measureUsage measures all processes for a while, and the bytes a second of a hollow node.
+func (c *Cluster) measureUsage(span time.Duration) (used []Usage, bytesPerSecond float64) {
+	bytesBefore := c.transferredBytes()
+	start := time.Now()
+	secondsBefore := make([]float64, len(c.processes))
+	for i, process := range c.processes {
+		secondsBefore[i] = processorSeconds(process.Process.Pid)
+	}
+	time.Sleep(span)
+	elapsed := time.Since(start).Seconds()
+	for i, process := range c.processes {
+		one := memoryUsage(process.Process.Pid)
+		one.CPU = (processorSeconds(process.Process.Pid) - secondsBefore[i]) / elapsed
+		used = append(used, one)
+	}
+	return used, c.bytesPerNode(c.transferredBytes()-bytesBefore) / elapsed
+}
