--- /dev/null
+++ b/internal/paxos/acceptor.go
@@ -0,0 +1,115 @@
+package paxos
+
+import (
+	"math"
+	"time"
+)
+
+// acceptor owns the promise of a replica. What it has accepted is in the replica's log.
+//
+// Invariant: promised never decreases, nothing is accepted under an older proposal number,
+// and a Promise or Accepted leaves only after what it says is on disk. Each entry that was
+// accepted above the applied index is in every later Promise, so that a new leader proposes
+// it again.
+type acceptor struct {
+	promised ProposalNumber
+}
+
+// recordPromise promises to accept nothing older than a proposal number.
+func (r *Replica) recordPromise(number ProposalNumber) {
+	r.acceptor.promised = number
+	r.proposer.maxTerm = max(r.proposer.maxTerm, number.Term)
+	r.ready.Writes.Promised = &number
+}
+
+// sendReject answers what is older than the promise.
+func (r *Replica) sendReject(to ReplicaID) { r.sendRejectFor(to, r.acceptor.promised) }
+
+// sendRejectFor turns down a candidate; number raises the term of its next campaign.
+func (r *Replica) sendRejectFor(to ReplicaID, number ProposalNumber) {
+	r.send(Message{Kind: Reject, To: to, ProposalNumber: number, CommitIndex: r.appliedIndex})
+}
+
+// handlePrepare is phase 1b: it promises, unless the promise or a living leader forbids it.
+func (r *Replica) handlePrepare(now time.Duration, msg Message) {
+	number := msg.ProposalNumber
+	own := number.Proposer == r.config.Self
+	if number.Less(r.acceptor.promised) {
+		r.sendReject(msg.From)
+		return
+	}
+	// Of two that campaign at once the higher goes on: if each gave way to the other,
+	// both campaigns would be lost.
+	if r.role == Candidate && !own && number.Less(r.proposer.number) {
+		r.sendRejectFor(msg.From, r.proposer.number)
+		return
+	}
+	if r.acceptor.promised.Less(number) && r.hasLivingLeader(now, msg) {
+		r.sendRejectFor(msg.From, number)
+		return
+	}
+	if !own && r.role != Follower {
+		r.becomeFollower(now)
+	}
+	if r.acceptor.promised.Less(number) {
+		r.recordPromise(number)
+		r.contact.leader = ""
+	}
+	if r.role == Follower {
+		r.resetElectionDeadline(now)
+	}
+	r.sendPromise(now, msg)
+}
+
+// hasLivingLeader reports whether the leader was in contact so lately that a candidate is
+// turned down: a replica that comes back from a partition does not depose it. A leader whose
+// leadership the candidate knows to have ended is not waited for.
+func (r *Replica) hasLivingLeader(now time.Duration, prepare Message) bool {
+	contactAt := r.contact.leaderContactAt
+	if r.role == Leader {
+		contactAt = r.quorumContactAt()
+	}
+	ended := r.role != Leader && prepare.EndedLeadership != ProposalNumber{} && !prepare.EndedLeadership.Less(r.acceptor.promised)
+	if ended || r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
+		return false
+	}
+	return now-contactAt < r.config.ElectionTimeout*2/3
+}
+
+// sendPromise answers a Prepare with all that the log holds after the candidate's applied
+// index, or after a snapshot where that was compacted away.
+func (r *Replica) sendPromise(now time.Duration, prepare Message) {
+	promise := Message{
+		Kind: Promise, To: prepare.From, ProposalNumber: prepare.ProposalNumber,
+		CommitIndex: r.appliedIndex, Index: prepare.Index, EchoTimestamp: r.contact.timestamp(now),
+	}
+	after := prepare.Index
+	if after < r.log.compactedIndex {
+		if r.mayTransfer(now, prepare.From, after) {
+			promise.Snapshot = r.state.Snapshot(r.appliedIndex)
+		}
+		after = r.appliedIndex
+	}
+	promise.Entries = r.log.between(after, math.MaxUint64)
+	r.sendAfterSync(promise)
+}
+
+// handleAccept is phase 2b: it accepts entries whose proposal number is not behind the promise.
+func (r *Replica) handleAccept(now time.Duration, msg Message) {
+	if msg.ProposalNumber.Less(r.acceptor.promised) {
+		r.sendReject(msg.From)
+		return
+	}
+	r.followLeader(msg.ProposalNumber, now)
+	accepted := Message{Kind: Accepted, To: msg.From, ProposalNumber: msg.ProposalNumber, CommitIndex: r.appliedIndex}
+	for _, entry := range msg.Entries {
+		if entry.Index > r.appliedIndex {
+			r.storeEntry(entry)
+		}
+		accepted.AcceptedIndexes = append(accepted.AcceptedIndexes, entry.Index)
+	}
+	r.sendAfterSync(accepted)
+	if msg.ProposalNumber.Proposer != r.config.Self {
+		r.commitUpTo(now, msg.ProposalNumber, msg.CommitIndex)
+	}
+}
--- a/internal/paxos/chaos_test.go
+++ b/internal/paxos/chaos_test.go
@@ -1,220 +1,237 @@
 package paxos
 
 import (
+	"container/heap"
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
 	"testing"
 	"time"
 
+	"comethold/internal/simulation"
+
 	"github.com/anishathalye/porcupine"
 )
 
-// The chaos test draws cuts, freezes, losses of power, lost disks and moves of
-// seats together, on five seats among six machines that bear the loss of two.
-// What is proposed goes to whoever takes itself for the proposer, on both sides
-// of a cut. Agreement is checked after every step; in the end every acknowledged
-// change must be there, and no two of them may stand on the same base.
-
-type chaos struct {
-	*sim
-	base   map[string]string // transaction -> the value that its change builds on
-	made   map[string]string // transaction -> the value that it makes
-	heir   map[string]string // base -> the value acknowledged on top of it
-	lives  int
-	wanted int
-	orders map[string]*porcupine.Operation
-	asking map[uint64]*porcupine.Operation
-	done   []porcupine.Operation
+// A chaosRun draws faults from a seed, on a cell of five voters among six machines, which
+// bears the loss of two. Clients propose changes and read through whoever takes itself for
+// the leader, on both sides of a partition. Besides the checks of the simulation, in the end
+// every acknowledged change must be there, no two of them may build on the same value, and
+// the history of changes and reads must be linearizable.
+type chaosRun struct {
+	*cellSimulation
+	incarnations  int
+	lastOperation int
+
+	// Of the changes of registerKey, by transaction:
+	baseOf  map[string]string // the value that it builds on
+	valueOf map[string]string // the value that it makes
+	changes map[string]*porcupine.Operation
+	// successorOf has the acknowledged value that builds on a value.
+	successorOf map[string]string
+
+	pendingReads  map[uint64]*porcupine.Operation
+	finishedReads []porcupine.Operation
 }
 
-// machineOf returns the machine that a member name stands for.
+const (
+	// voterCount is how many voters the cell is kept at.
+	voterCount = 5
+	// tolerableLosses is how many disks of the cell may be lost at once.
+	tolerableLosses = 2
+	// registerKey is the key that clients change and read.
+	registerKey = "config"
+	// changeKeyPrefix begins the keys that show which changes took effect.
+	changeKeyPrefix = "was/"
+)
+
+// machineOf returns the machine that a replica runs on: its name is one letter.
 func machineOf(id ReplicaID) string { return string(id)[:1] }
 
-// order sends a change on top of the newest value known to one proposer.
-func (c *chaos) order(n *simNode) {
-	c.wanted++
-	id, val := fmt.Sprintf("o%d", c.wanted), fmt.Sprintf("v%d", c.wanted)
-	cond := Condition{Key: "config", Absent: true}
-	if old, ok := n.m.Get("config"); ok {
-		cond = Condition{Key: "config", Equals: old}
-		c.base[id] = string(old.Bytes)
+// newChaosRun starts a cell and waits until it has all its voters.
+func newChaosRun(t *testing.T, name string, seed int64) *chaosRun {
+	t.Helper()
+	c := &chaosRun{
+		cellSimulation: newCellSimulation(t, name),
+		baseOf:         map[string]string{},
+		valueOf:        map[string]string{},
+		changes:        map[string]*porcupine.Operation{},
+		successorOf:    map[string]string{},
+		pendingReads:   map[uint64]*porcupine.Operation{},
 	}
-	c.made[id] = val
-	c.asked[id] = [2]string{"was/" + val, val}
-	c.orders[id] = &porcupine.Operation{Input: change{c.base[id], val}, Output: unclear, Call: int64(c.now), Return: int64(unboundedStaleness)}
-	c.propose(n, id, Txn{Conditions: []Condition{cond}, Ops: []Op{
-		{Kind: OpPut, Key: "config", Value: Bytes([]byte(val))}, {Kind: OpPut, Key: "was/" + val, Value: Bytes([]byte(val))}}})
-	if st := c.status[id]; st == "busy" || st == "refused" {
-		delete(c.orders, id)
+	c.recordHistory()
+	c.runCommand(fmt.Sprintf("seed %d", seed))
+	c.foundCell([]string{"a", "b", "c"})
+	for _, machine := range []string{"d", "e", "f"} {
+		c.addLearner(machine)
 	}
+	c.lossRate = 0.03
+	c.duplicateRate = 0.1
+	c.syncDelay = 12 * time.Millisecond
+	c.messageDelay = 3 * time.Millisecond
+	c.run(time.Second)
+	c.waitUntilRepaired()
+	return c
 }
 
-// ask reads the newest value where somebody takes itself for the proposer.
-func (c *chaos) ask(n *simNode) {
-	c.wanted++
-	ticket := uint64(c.wanted)
-	c.asking[ticket] = &porcupine.Operation{Input: nil, Call: int64(c.now)}
-	if n.m.Read(c.now, ticket) != nil {
-		delete(c.asking, ticket)
+// runSeeds plays a few seeds, or as many as COMETHOLD_SEEDS says, several at once.
+func runSeeds(t *testing.T, few int, play func(t *testing.T, seed int64)) {
+	t.Helper()
+	const parts = 8
+	seeds := int64(simulation.SeedCount(few))
+	for part := range int64(parts) {
+		t.Run(strconv.FormatInt(part, 10), func(t *testing.T) {
+			t.Parallel()
+			for seed := part; seed < seeds; seed += parts {
+				play(t, seed)
+			}
+		})
 	}
-	c.drain(n)
 }
 
-// The history of orders and reads is checked against a register that changes only on
-// top of what it holds.
-type change struct{ base, val string }
-
-const (
-	unclear = iota
-	committed
-	ignored
-)
+// runChaos draws ten faults, with traffic before, during and after each.
+func runChaos(t *testing.T, seed int64) *chaosRun {
+	t.Helper()
+	c := newChaosRun(t, fmt.Sprintf("chaos %d", seed), seed)
+	for range 10 {
+		c.runTraffic(c.randomDurationMillis(300))
+		c.injectFault(c.nodeNames())
+		c.runTraffic(100 * time.Millisecond)
+	}
+	c.waitUntilRepaired()
+	c.checkAcknowledged()
+	return c
+}
 
-var register = porcupine.Model{
-	Init: func() any { return "" },
-	Step: func(state, in, out any) (bool, any) {
-		ch, isChange := in.(change)
-		if !isChange {
-			return out == state, state
-		}
-		switch fits := ch.base == state; out {
-		case committed:
-			return fits, ch.val
-		case ignored:
-			return !fits, state
-		}
-		return false, state
-	},
+func TestChaos(t *testing.T) {
+	runSeeds(t, 60, func(t *testing.T, seed int64) {
+		t.Helper()
+		runChaos(t, seed)
+	})
 }
 
-func (c *chaos) record() {
-	c.outcome = func(_ *simNode, o Outcome) {
-		if op := c.orders[o.TxnID]; op != nil && !o.Unknown && op.Output == unclear {
-			op.Return, op.Output = int64(c.now), map[bool]int{true: committed, false: ignored}[o.Committed]
-		}
-	}
-	c.read = func(n *simNode, ticket uint64) {
-		if op := c.asking[ticket]; op != nil {
-			v, _ := n.m.Get("config")
-			op.Return, op.Output = int64(c.now), string(v.Bytes)
-			c.done = append(c.done, *op)
-			delete(c.asking, ticket)
+// TestChaosIsDeterministic: what a seed draws is the same every time, to the message.
+func TestChaosIsDeterministic(t *testing.T) {
+	for _, seed := range []int64{9, 13} {
+		first := runChaos(t, seed)
+		second := runChaos(t, seed)
+		if first.messagesSent != second.messagesSent || first.now != second.now {
+			t.Errorf("seed %d: %d messages until %v, then %d until %v",
+				seed, first.messagesSent, first.now, second.messagesSent, second.now)
 		}
 	}
 }
 
-// linearizable checks the history. Every change leaves a trace in the state: of those
-// that nobody could tell about, the ones without a trace never took effect.
-func (c *chaos) linearizable() {
-	all := slices.Clone(c.done)
-	for _, id := range slices.Sorted(maps.Keys(c.orders)) {
-		op := *c.orders[id]
-		if op.Output == unclear {
-			if _, ok := c.pick("leader").m.Get("was/" + c.made[id]); !ok {
-				continue
-			}
-			op.Output = committed
-		}
-		if op.Output == ignored && op.Return-op.Call > int64(time.Second) {
-			continue // it says next to nothing, and many of them take for ever to check
-		}
-		all = append(all, op)
+// randomDurationMillis draws a whole number of milliseconds below a bound.
+func (c *chaosRun) randomDurationMillis(below int) time.Duration {
+	return time.Duration(c.rng.Intn(below)) * time.Millisecond
+}
+
+// shuffled returns the names in an order that is drawn.
+func (c *chaosRun) shuffled(names []string) []string {
+	names = slices.Clone(names)
+	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	return names
+}
+
+// nextOperation numbers what clients ask for.
+func (c *chaosRun) nextOperation() int {
+	c.lastOperation++
+	return c.lastOperation
+}
+
+// changeID is the transaction of a client's operation.
+func changeID(operation int) string { return fmt.Sprintf("o%d", operation) }
+
+// putTxn gives a value to several keys.
+func putOps(value string, keys ...string) []Op {
+	var ops []Op
+	for _, key := range keys {
+		ops = append(ops, Op{Kind: OpPut, Key: key, Value: Bytes([]byte(value))})
 	}
-	for i := range all {
-		all[i].ClientId = i
+	return ops
+}
+
+// proposeChange sends a change that builds on the newest value known to one replica, and
+// returns its transaction.
+func (c *chaosRun) proposeChange(node *simulatedNode) string {
+	operation := c.nextOperation()
+	id := changeID(operation)
+	value := fmt.Sprintf("v%d", operation)
+	condition := Condition{Key: registerKey, Absent: true}
+	if old, ok := node.replica.Get(registerKey); ok {
+		condition = Condition{Key: registerKey, Equals: old}
+		c.baseOf[id] = string(old.Bytes)
 	}
-	switch porcupine.CheckOperationsTimeout(register, all, 20*time.Second) {
-	case porcupine.Illegal:
-		c.t.Fatalf("%s: the history of %d orders and reads is not linearizable", c.name, len(all))
-	case porcupine.Unknown:
-		c.t.Errorf("%s: a history of %d orders and reads could not be checked in time", c.name, len(all))
+	c.valueOf[id] = value
+	c.proposedWrites[id] = keyValue{changeKeyPrefix + value, value}
+	c.startChange(id)
+	c.propose(node, id, Txn{
+		Conditions: []Condition{condition},
+		Ops:        putOps(value, registerKey, changeKeyPrefix+value),
+	})
+	if status := c.txnStatus[id]; status == statusPipelineFull || status == statusNotLeader {
+		delete(c.changes, id)
 	}
+	return id
 }
 
-// traffic sends two changes and a read to each of those that lead, then lets time pass.
-func (c *chaos) traffic(d time.Duration) {
-	for end := c.now + d; c.now < end; {
-		for _, name := range c.names() {
-			if n := c.nodes[name]; n.up && !n.frozen && n.m.Role() == Leader {
-				c.order(n)
-				c.order(n)
-				c.ask(n)
-			}
-		}
-		c.run(time.Duration(10+c.rng.Intn(60)) * time.Millisecond)
-		c.mend()
+// readRegister reads the newest value where a replica takes itself for the leader.
+func (c *chaosRun) readRegister(node *simulatedNode) {
+	ticket := uint64(c.nextOperation())
+	c.startRead(ticket)
+	if node.replica.Read(c.now, ticket) != nil {
+		delete(c.pendingReads, ticket)
 	}
+	c.handleReady(node)
 }
 
-// mend gives the seat of a machine whose disk was lost to its new member, and
-// fills up to five seats, as the holder of the mover's duty does.
-func (c *chaos) mend() {
-	l := c.leader()
-	if l == nil {
-		return
-	}
-	seats, settled := l.m.Voters()
-	if !settled {
-		c.propose(l, "noop", Txn{})
-		return
-	}
-	var next []Voter
-	newcomer := ReplicaID("")
-	for _, x := range seats {
-		if n := c.nodes[machineOf(x.ID)]; n.id != x.ID && newcomer == "" {
-			newcomer = n.id
-			continue
+// leaders returns the live nodes that take themselves for the leader.
+func (c *chaosRun) leaders() []*simulatedNode {
+	var leaders []*simulatedNode
+	for _, name := range c.nodeNames() {
+		if node := c.nodes[name]; node.up && !node.paused && node.replica.Role() == Leader {
+			leaders = append(leaders, node)
 		}
-		next = append(next, x)
 	}
-	for _, name := range c.names() {
-		n := c.nodes[name]
-		if newcomer == "" && len(next) < 5 && n.up && !(Membership{Voters: next}).Contains(n.id) {
-			newcomer = n.id
+	return leaders
+}
+
+// runTraffic sends two changes and a read to each leader every now and then.
+func (c *chaosRun) runTraffic(duration time.Duration) {
+	for end := c.now + duration; c.now < end; {
+		for _, leader := range c.leaders() {
+			c.proposeChange(leader)
+			c.proposeChange(leader)
+			c.readRegister(leader)
 		}
+		c.run(10*time.Millisecond + c.randomDurationMillis(60))
+		c.repairMembership()
 	}
-	if newcomer == "" || l.m.DurableCommitIndex(newcomer)+l.m.config.Alpha < l.m.AppliedIndex() || l.m.DurableCommitIndex(newcomer) == 0 && l.m.AppliedIndex() > 0 {
-		return
-	}
-	n, _ := l.m.Get(MembershipVersionKey)
-	cond := Condition{Key: MembershipVersionKey, Equals: n, Absent: n.Int == nil}
-	next = append(next, Voter{ID: newcomer, Addr: machineOf(newcomer), Zone: machineOf(newcomer)})
-	c.wanted++
-	c.propose(l, fmt.Sprintf("move%d", c.wanted), Txn{Conditions: []Condition{cond}, Ops: []Op{{Kind: OpSetVoters, Voters: next}}})
 }
 
-// whole waits until five seats are held by members that live and have caught up.
-func (c *chaos) whole() {
-	for range 400 {
-		if l := c.leader(); l != nil {
-			seats, settled := l.m.Voters()
-			ok := settled && len(seats) == 5
-			for _, x := range seats {
-				n := c.nodes[machineOf(x.ID)]
-				ok = ok && n.id == x.ID && n.up && n.m.AppliedIndex()+2 >= l.m.AppliedIndex() && len(n.waiting) == 0
-			}
-			if ok {
-				return
-			}
+// runSparseTraffic sends a change and a read to each leader, more rarely.
+func (c *chaosRun) runSparseTraffic(duration time.Duration) {
+	for end := c.now + duration; c.now < end; {
+		for _, leader := range c.leaders() {
+			c.proposeChange(leader)
+			c.readRegister(leader)
 		}
-		c.run(50 * time.Millisecond)
-		c.mend()
+		c.run(200*time.Millisecond + c.randomDurationMillis(400))
+		c.repairMembership()
 	}
-	c.t.Fatalf("%s at %v: the seats are not whole", c.name, c.now)
 }
 
-// acknowledged returns at the moment at which a change is acknowledged, and where
-// in the log it stands.
-func (c *chaos) acknowledged() uint64 {
-	for range 4000 {
-		if l := c.leader(); l != nil {
-			c.order(l)
-			id := fmt.Sprintf("o%d", c.wanted)
-			for range 200 {
-				if c.status[id] == "committed" {
-					return l.m.AppliedIndex()
+// commitChange returns at the moment at which a change is acknowledged, with an index that
+// the leader had applied then.
+func (c *chaosRun) commitChange() uint64 {
+	const attempts, waits = 4000, 200
+	for range attempts {
+		if leader := c.leader(); leader != nil {
+			id := c.proposeChange(leader)
+			for range waits {
+				if c.txnStatus[id] == statusCommitted {
+					return leader.replica.AppliedIndex()
 				}
 				c.run(time.Millisecond)
 			}
@@ -225,166 +242,143 @@
 	return 0
 }
 
-// holds is 1 if a machine's disk has the position.
-func (c *chaos) holds(name string, slot uint64) int {
-	d := &c.nodes[name].disk
-	if _, ok := d.log[slot]; ok || d.saved.Snapshot != nil && d.saved.Snapshot.AppliedIndex >= slot {
-		return 1
+// repairMembership has the leader replace a voter whose disk was lost by the replica that now
+// runs on its machine, and add voters up to voterCount, once the newcomer has caught up.
+func (c *chaosRun) repairMembership() {
+	leader := c.leader()
+	if leader == nil {
+		return
 	}
-	return 0
+	voters, complete := leader.replica.Voters()
+	if !complete {
+		c.propose(leader, "noop", Txn{})
+		return
+	}
+	kept, newcomer := c.nextVoters(voters)
+	if newcomer == "" || !hasCaughtUp(leader.replica, newcomer) {
+		return
+	}
+	version, _ := leader.replica.Get(MembershipVersionKey)
+	condition := Condition{Key: MembershipVersionKey, Equals: version, Absent: version.Int == nil}
+	machine := machineOf(newcomer)
+	next := append(kept, Voter{ID: newcomer, Addr: machine, Zone: machine})
+	id := fmt.Sprintf("move%d", c.nextOperation())
+	c.propose(leader, id, Txn{Conditions: []Condition{condition}, Ops: []Op{{Kind: OpSetVoters, Voters: next}}})
 }
 
-func (c *chaos) wipe(name string) {
-	c.lives++
-	n := c.nodes[name]
-	n.up, n.waiting, n.held = false, nil, nil
-	former := n.id
-	n.disk, n.id = disk{}, ReplicaID(name+"~"+strconv.Itoa(c.lives))
-	c.greet(n, former)
+// nextVoters returns the voters that stay, and the replica that is to join them or "".
+func (c *chaosRun) nextVoters(voters []Voter) (kept []Voter, newcomer ReplicaID) {
+	for _, voter := range voters {
+		if node := c.nodes[machineOf(voter.ID)]; node.id != voter.ID && newcomer == "" {
+			newcomer = node.id
+			continue
+		}
+		kept = append(kept, voter)
+	}
+	for _, name := range c.nodeNames() {
+		node := c.nodes[name]
+		if newcomer == "" && len(kept) < voterCount && node.up && !(Membership{Voters: kept}).Contains(node.id) {
+			newcomer = node.id
+		}
+	}
+	return kept, newcomer
 }
 
-func (c *chaos) startAll() {
-	for _, name := range c.names() {
-		if n := c.nodes[name]; !n.up {
-			c.start(n)
-		}
+// hasCaughtUp reports whether a newcomer's disk holds nearly all that the leader has applied.
+func hasCaughtUp(leader *Replica, newcomer ReplicaID) bool {
+	durable := leader.DurableCommitIndex(newcomer)
+	if durable == 0 && leader.AppliedIndex() > 0 {
+		return false
 	}
-	c.learners()
+	return durable+leader.config.Alpha >= leader.AppliedIndex()
 }
 
-// check looks at what was acknowledged so far.
-func (c *chaos) check() {
-	c.linearizable()
-	c.put("last"+strconv.Itoa(c.wanted), "x")
-	c.do("want-all")
-	for id, st := range c.status {
-		val, ok := c.made[id]
-		if !ok || st != "committed" {
-			continue
-		}
-		if other, taken := c.heir[c.base[id]]; taken && other != val {
-			c.t.Fatalf("%s at %v: %s and %s were both acknowledged on top of %q", c.name, c.now, other, val, c.base[id])
+// waitUntilRepaired waits until the cell has all its voters, which live and have caught up.
+func (c *chaosRun) waitUntilRepaired() {
+	for range 400 {
+		if leader := c.leader(); leader != nil && c.isRepaired(leader.replica) {
+			return
 		}
-		c.heir[c.base[id]] = val
+		c.run(50 * time.Millisecond)
+		c.repairMembership()
 	}
+	c.t.Fatalf("%s at %v: the membership was not repaired", c.name, c.now)
 }
 
-func (c *chaos) trouble(names []string) {
-	span := time.Duration(c.rng.Intn(1500)) * time.Millisecond
-	names = slices.Clone(names)
-	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	switch c.rng.Intn(8) {
-	case 0: // one process, at once back with its disk
-		c.power(c.nodes[names[0]])
-		c.start(c.nodes[names[0]])
-		c.learners()
-		c.traffic(span)
-	case 1: // the proposer is cut off alone, or with another
-		apart := names[:1+c.rng.Intn(2)]
-		if l := c.leader(); l != nil && !slices.Contains(apart, machineOf(l.id)) {
-			apart[0] = machineOf(l.id)
-		}
-		for _, a := range c.names() {
-			for _, b := range c.names() {
-				if slices.Contains(apart, a) != slices.Contains(apart, b) {
-					c.cut[string(c.nodes[a].id)+">"+string(c.nodes[b].id)] = true
-				}
-			}
-		}
-		c.traffic(span)
-		c.do("join-all")
-	case 2:
-		c.do("freeze " + names[0])
-		c.traffic(span)
-		c.do("thaw")
-	case 3:
-		c.do("stall " + names[0])
-		c.traffic(span)
-		c.do("heal-disk")
-	case 4: // right after an acknowledgement power fails everywhere
-		c.acknowledged()
-		for _, name := range names {
-			c.power(c.nodes[name])
-		}
-		c.startAll()
-	case 5: // the same, and as many of the disks that hold it are lost as may be
-		at := c.acknowledged()
-		slices.SortStableFunc(names, func(a, b string) int { return c.holds(b, at) - c.holds(a, at) })
-		for i, name := range names {
-			if i < 2 {
-				c.wipe(name)
-			} else {
-				c.power(c.nodes[name])
-			}
-		}
-		last := c.nodes[names[2]] // and who holds it still comes up last
-		for _, name := range names {
-			if n := c.nodes[name]; n != last {
-				c.start(n)
-			}
+// isRepaired reports whether to the leader the cell is complete, and all voters are up to date.
+func (c *chaosRun) isRepaired(leader *Replica) bool {
+	voters, complete := leader.Voters()
+	if !complete || len(voters) != voterCount {
+		return false
+	}
+	for _, voter := range voters {
+		node := c.nodes[machineOf(voter.ID)]
+		lives := node.id == voter.ID && node.up
+		if !lives || node.replica.AppliedIndex()+2 < leader.AppliedIndex() || len(node.pendingSyncs) > 0 {
+			return false
 		}
-		c.learners()
-		c.traffic(time.Second)
-		c.startAll()
-		c.whole()
-	case 6: // one disk is lost while another machine stands still
-		c.wipe(names[0])
-		c.do("freeze " + names[1])
-		c.traffic(span)
-		c.startAll()
-		c.traffic(span)
-		c.do("thaw")
-		c.whole()
-	case 7: // one machine is lost during the cut of another
-		c.do("cut " + names[0])
-		c.wipe(names[1])
-		c.startAll()
-		c.traffic(span)
-		c.do("join-all")
-		c.whole()
 	}
+	return true
+}
+
+// killNode ends a process. What waits for its disk is not written.
+func (c *chaosRun) killNode(node *simulatedNode) { node.stop() }
+
+// restartNode starts a replica from its machine's disk.
+func (c *chaosRun) restartNode(node *simulatedNode) {
+	c.startNode(node)
+	c.updateLearners()
 }
 
-func newChaos(t *testing.T, name string, seed int64) *chaos {
-	c := &chaos{sim: newSim(t, name), base: map[string]string{}, made: map[string]string{}, heir: map[string]string{},
-		orders: map[string]*porcupine.Operation{}, asking: map[uint64]*porcupine.Operation{}}
-	c.record()
-	c.do(fmt.Sprintf("seed %d", seed))
-	c.do("cell a b c")
-	for _, name := range []string{"d", "e", "f"} {
-		c.do("join-new " + name)
+// startAllNodes starts the machines that are down.
+func (c *chaosRun) startAllNodes() {
+	for _, name := range c.nodeNames() {
+		if node := c.nodes[name]; !node.up {
+			c.startNode(node)
+		}
 	}
-	c.do("loss 0.03")
-	c.do("dup 0.1")
-	c.do("sync 12")
-	c.do("delay 3")
-	c.run(time.Second)
-	c.whole()
-	return c
+	c.updateLearners()
 }
 
-func playChaos(t *testing.T, seed int64) *chaos {
-	c := newChaos(t, fmt.Sprintf("chaos %d", seed), seed)
-	for range 10 {
-		c.traffic(time.Duration(c.rng.Intn(300)) * time.Millisecond)
-		c.trouble(c.names())
-		c.traffic(100 * time.Millisecond)
+// replaceDisk takes a machine down and gives it an empty disk.
+func (c *chaosRun) replaceDisk(name string) {
+	c.incarnations++
+	node := c.nodes[name]
+	former := node.id
+	c.loseDisk(node, ReplicaID(name+"~"+strconv.Itoa(c.incarnations)))
+	c.scheduleLossReports(node, former)
+}
+
+// leaderOr names the machine that leads, or another one if there is none.
+func (c *chaosRun) leaderOr(other string) string {
+	if leader := c.leader(); leader != nil {
+		return machineOf(leader.id)
 	}
-	c.whole()
-	c.check()
-	return c
+	return other
 }
 
-func TestChaos(t *testing.T) {
-	playSeeds(t, 60, func(t *testing.T, seed int64) { playChaos(t, seed) })
+// dropInTransit loses all messages from a replica that have not arrived yet.
+func (c *chaosRun) dropInTransit(id ReplicaID) {
+	c.network = slices.DeleteFunc(c.network, func(item inTransit) bool { return item.message.From == id })
+	heap.Init(&c.network)
 }
 
-// TestChaosAgain: what a seed draws is the same every time, to the message.
-func TestChaosAgain(t *testing.T) {
-	for _, seed := range []int64{9, 13} {
-		a, b := playChaos(t, seed), playChaos(t, seed)
-		if a.seq != b.seq || a.now != b.now {
-			t.Errorf("seed %d: %d messages until %v, then %d until %v", seed, a.seq, a.now, b.seq, b.now)
+// forceElection has a replica campaign until it leads, or for a while in vain.
+func (c *chaosRun) forceElection(name string) {
+	node := c.nodes[name]
+	node.replica.electionDeadline = c.now
+	for wait := 0; wait < 400 && node.replica.Role() != Leader; wait++ {
+		c.run(time.Millisecond)
+	}
+}
+
+// sortByDisk puts the machines first whose disk meets a condition.
+func (c *chaosRun) sortByDisk(names []string, first func(disk *simulatedDisk) bool) {
+	rank := func(name string) int {
+		if first(&c.nodes[name].disk) {
+			return 0
 		}
+		return 1
 	}
+	slices.SortStableFunc(names, func(a, b string) int { return rank(a) - rank(b) })
 }
--- /dev/null
+++ b/internal/paxos/follower_contact.go
@@ -0,0 +1,192 @@
+package paxos
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// heartbeatHistory is for how many of its last heartbeats a leader knows when they were sent.
+const heartbeatHistory = 64
+
+// followerContact owns what a leader knows of its followers: which heartbeats they answered,
+// and what their disks hold. Together with leaderContact, which is a follower's side of it,
+// it decides who is in contact with whom, and which reads are linearizable.
+//
+// Invariant: contactProvenAt is a moment at which a follower had not promised anything newer
+// than the leader's proposal number, since it answered what was sent then. A read is
+// confirmed once a majority has answered a heartbeat that was sent after it was asked for: no
+// other leader had committed anything before.
+type followerContact struct {
+	// Heartbeats of all the leaderships of this incarnation, numbered from 1.
+	heartbeatSequence uint64
+	heartbeatSentAt   time.Duration
+	heartbeatTimes    [heartbeatHistory]time.Duration // by sequence, modulo
+	firstHeartbeat    uint64                          // of the current leadership
+
+	// Of each follower:
+	ackedHeartbeats map[ReplicaID]uint64        // the newest that it answered
+	ackReceivedAt   map[ReplicaID]time.Duration // when that answer arrived
+	contactProvenAt map[ReplicaID]time.Duration // when what it answered was sent
+	echoTimestamps  map[ReplicaID]uint64        // the newest of its timestamps
+	// durableCommitIndexes has up to where the follower's disk holds the log as committed.
+	durableCommitIndexes map[ReplicaID]uint64
+
+	// pendingReads has the tickets that wait for a heartbeat to be answered, by its sequence.
+	pendingReads map[uint64][]uint64
+}
+
+// newFollowerContact returns what a replica knows at its start: nothing.
+func newFollowerContact() followerContact {
+	return followerContact{
+		ackedHeartbeats:      map[ReplicaID]uint64{},
+		ackReceivedAt:        map[ReplicaID]time.Duration{},
+		contactProvenAt:      map[ReplicaID]time.Duration{},
+		echoTimestamps:       map[ReplicaID]uint64{},
+		durableCommitIndexes: map[ReplicaID]uint64{},
+		pendingReads:         map[uint64][]uint64{},
+	}
+}
+
+// recordDurableCommit notes what a follower says that its disk holds.
+func (f *followerContact) recordDurableCommit(id ReplicaID, commitIndex uint64) {
+	f.durableCommitIndexes[id] = max(f.durableCommitIndexes[id], commitIndex)
+}
+
+// DurableCommitIndex returns up to where a replica's disk is known to hold the log as
+// committed; only what the leader returns is up to date.
+func (r *Replica) DurableCommitIndex(id ReplicaID) uint64 {
+	return r.followers.durableCommitIndexes[id]
+}
+
+// quorumContactAt is the newest time by which a majority had answered the leader.
+func (r *Replica) quorumContactAt() time.Duration { return r.quorumTime(r.followers.ackReceivedAt) }
+
+// quorumTime is the newest time that a majority of the voters has reached.
+func (r *Replica) quorumTime(reachedAt map[ReplicaID]time.Duration) time.Duration {
+	var times []time.Duration
+	for _, voter := range r.nextMembership().Voters {
+		times = append(times, reachedAt[voter.ID])
+	}
+	if len(times) == 0 {
+		return 0
+	}
+	slices.SortFunc(times, func(a, b time.Duration) int { return cmp.Compare(b, a) })
+	return times[len(times)/2]
+}
+
+// newHeartbeat returns a heartbeat without recipient and echo.
+func (r *Replica) newHeartbeat(now time.Duration) Message {
+	return Message{
+		Kind: Heartbeat, ProposalNumber: r.proposer.number, CommitIndex: r.appliedIndex,
+		HeartbeatSequence:        r.followers.heartbeatSequence,
+		CompletedMembershipIndex: r.completedMembershipIndex(),
+		QuorumContactAgeMillis:   uint64(r.Staleness(now)/time.Millisecond) + 1,
+	}
+}
+
+// broadcastHeartbeat sends a heartbeat to all voters, those to come and the learners.
+func (r *Replica) broadcastHeartbeat(now time.Duration) {
+	followers := &r.followers
+	followers.heartbeatSequence++
+	followers.heartbeatSentAt = now
+	followers.heartbeatTimes[followers.heartbeatSequence%heartbeatHistory] = now
+	heartbeat := r.newHeartbeat(now)
+	for _, id := range r.heartbeatRecipients() {
+		heartbeat.To = id
+		heartbeat.EchoTimestamp = followers.echoTimestamps[id]
+		r.send(heartbeat)
+	}
+	r.recordHeartbeatAck(r.config.Self, followers.heartbeatSequence, now)
+}
+
+// heartbeatRecipients lists the replicas that the leader keeps in contact with, each once.
+func (r *Replica) heartbeatRecipients() []ReplicaID {
+	var recipients []ReplicaID
+	add := func(id ReplicaID) {
+		if id != r.config.Self && !slices.Contains(recipients, id) {
+			recipients = append(recipients, id)
+		}
+	}
+	for _, voter := range r.nextMembership().Voters {
+		add(voter.ID)
+	}
+	for _, voter := range r.state.LatestMembership().Voters {
+		add(voter.ID)
+	}
+	for _, id := range r.learners {
+		add(id)
+	}
+	return recipients
+}
+
+// handleHeartbeatAck notes contact with a follower. The first answer in a leadership brings a
+// heartbeat with its echo at once, so that the follower need not wait for the next one to
+// know that it is current.
+func (r *Replica) handleHeartbeatAck(now time.Duration, msg Message) {
+	followers := &r.followers
+	if r.role != Leader || msg.ProposalNumber != r.proposer.number ||
+		msg.HeartbeatSequence < followers.firstHeartbeat || msg.HeartbeatSequence > followers.heartbeatSequence {
+		return
+	}
+	first := followers.ackedHeartbeats[msg.From] < followers.firstHeartbeat
+	followers.echoTimestamps[msg.From] = msg.EchoTimestamp
+	r.recordHeartbeatAck(msg.From, msg.HeartbeatSequence, now)
+	if first {
+		heartbeat := r.newHeartbeat(now)
+		heartbeat.To = msg.From
+		heartbeat.EchoTimestamp = msg.EchoTimestamp
+		r.send(heartbeat)
+	}
+}
+
+// recordHeartbeatAck notes that a replica has answered a heartbeat, and confirms the reads
+// that waited for it.
+func (r *Replica) recordHeartbeatAck(id ReplicaID, sequence uint64, now time.Duration) {
+	followers := &r.followers
+	if sequence > followers.ackedHeartbeats[id] {
+		followers.ackedHeartbeats[id] = sequence
+		followers.ackReceivedAt[id] = now
+		if sequence+heartbeatHistory > followers.heartbeatSequence {
+			sentAt := followers.heartbeatTimes[sequence%heartbeatHistory]
+			followers.contactProvenAt[id] = max(followers.contactProvenAt[id], sentAt)
+		}
+	}
+	r.confirmReads()
+}
+
+// confirmReads hands out the tickets of reads whose heartbeat a majority has answered.
+func (r *Replica) confirmReads() {
+	membership := r.nextMembership()
+	for sequence, tickets := range r.followers.pendingReads {
+		answered := func(id ReplicaID) bool { return r.followers.ackedHeartbeats[id] >= sequence }
+		if membership.IsQuorum(answered) {
+			r.ready.ConfirmedReads = append(r.ready.ConfirmedReads, tickets...)
+			delete(r.followers.pendingReads, sequence)
+		}
+	}
+}
+
+// Read asks for a moment at which the applied state is known to be current: the ticket comes
+// back in Ready.ConfirmedReads once a majority has confirmed the leader. It returns
+// ErrNotLeader, or ErrPipelineFull while the leader has not applied yet what earlier leaders
+// committed.
+func (r *Replica) Read(now time.Duration, ticket uint64) error {
+	if r.role != Leader {
+		return ErrNotLeader
+	}
+	if !r.isCaughtUp() {
+		return ErrPipelineFull
+	}
+	r.broadcastHeartbeat(now)
+	sequence := r.followers.heartbeatSequence
+	r.followers.pendingReads[sequence] = append(r.followers.pendingReads[sequence], ticket)
+	return nil
+}
+
+// handleCommitPersisted notes what a learner's disk holds.
+func (r *Replica) handleCommitPersisted(msg Message) {
+	if r.role == Leader && msg.ProposalNumber == r.proposer.number {
+		r.followers.recordDurableCommit(msg.From, msg.CommitIndex)
+	}
+}
--- /dev/null
+++ b/internal/paxos/lagging_replica_test.go
@@ -0,0 +1,122 @@
+package paxos
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestLaggingReplicaIsElected: a voter misses hundreds of changes and comes back under load;
+// soon after, the leader and the voter that knows most besides go, so that the lagging one
+// belongs to the only majority and is made to lead. All that was acknowledged stays, and reads
+// are linearizable.
+func TestLaggingReplicaIsElected(t *testing.T) {
+	runSeeds(t, 52, func(t *testing.T, seed int64) {
+		t.Helper()
+		c := newChaosRun(t, fmt.Sprintf("lagging replica %d", seed), seed)
+		elected := 0
+		for range 3 {
+			if c.electLaggingReplica() {
+				elected++
+			}
+		}
+		if elected == 0 {
+			t.Errorf("%s: no lagging replica ever came to lead", c.name)
+		}
+		c.checkAcknowledged()
+	})
+}
+
+// electLaggingReplica plays the case once, and reports whether the replica came to lead.
+func (c *chaosRun) electLaggingReplica() bool {
+	leader := c.leader()
+	voters, _ := leader.replica.Voters()
+	until := leader.replica.AppliedIndex() + 300 + uint64(c.rng.Intn(100))
+	c.rng.Shuffle(len(voters), func(i, j int) { voters[i], voters[j] = voters[j], voters[i] })
+	lagging := machineOf(voters[0].ID)
+	c.killNode(c.nodes[lagging])
+	c.commitUntil(until)
+
+	c.lateRate = 0.1 * c.rng.Float64()
+	c.lossRate = 0.4 * c.rng.Float64()
+	c.startAllNodes()
+	c.runTraffic(c.randomDurationMillis(1 + c.rng.Intn(120)))
+
+	var others []string
+	for _, voter := range voters[1:] {
+		others = append(others, machineOf(voter.ID))
+	}
+	c.sortByKnowledge(others, c.leaderOr(lagging))
+	for _, machine := range others[:tolerableLosses] {
+		c.loseDiskOrProcess(machine)
+	}
+	elected := c.electOneOf(lagging, others[tolerableLosses:])
+
+	c.lossRate = 0.03
+	c.runTraffic(500 * time.Millisecond)
+	c.commitChange()
+	c.lateRate = 0
+	c.startAllNodes()
+	c.waitUntilRepaired()
+	return elected
+}
+
+// commitUntil proposes one transaction after the other until the leader has applied an index.
+func (c *chaosRun) commitUntil(index uint64) {
+	for range 20000 {
+		leader := c.leader()
+		if leader != nil && leader.replica.AppliedIndex() >= index {
+			return
+		}
+		if leader != nil && c.txnStatus[changeID(c.lastOperation)] != statusPending {
+			c.proposeChange(leader)
+		} else if leader != nil {
+			value := Bytes([]byte{byte(c.rng.Intn(256))})
+			c.propose(leader, "fill", Txn{Ops: []Op{{Kind: OpPut, Key: "fill", Value: value}}})
+		}
+		c.run(3*time.Millisecond + c.randomDurationMillis(10))
+	}
+}
+
+// sortByKnowledge puts the leader first, and the others by what they have applied.
+func (c *chaosRun) sortByKnowledge(machines []string, leader string) {
+	applied := func(machine string) uint64 {
+		if machine == leader {
+			return math.MaxUint64
+		}
+		return c.nodes[machine].replica.AppliedIndex()
+	}
+	slices.SortStableFunc(machines, func(a, b string) int { return cmp.Compare(applied(b), applied(a)) })
+}
+
+// loseDiskOrProcess takes a machine away, with its disk and what it has sent or without.
+func (c *chaosRun) loseDiskOrProcess(machine string) {
+	if c.rng.Intn(2) == 0 {
+		c.dropInTransit(c.nodes[machine].id)
+		c.replaceDisk(machine)
+	} else {
+		c.killNode(c.nodes[machine])
+	}
+}
+
+// electOneOf has one machine campaign until it leads; of the others, one that was quicker
+// starts anew.
+func (c *chaosRun) electOneOf(machine string, others []string) bool {
+	for range 20 {
+		for _, other := range others {
+			if node := c.nodes[other]; node.replica.Role() == Leader {
+				c.killNode(node)
+				c.restartNode(node)
+			}
+		}
+		c.forceElection(machine)
+		if c.nodes[machine].replica.Role() == Leader {
+			return true
+		}
+		c.run(100 * time.Millisecond)
+	}
+	return false
+}
--- /dev/null
+++ b/internal/paxos/learner.go
@@ -0,0 +1,112 @@
+package paxos
+
+import "time"
+
+// The learner applies committed entries. It owns the replica's appliedIndex and what of log
+// and state goes to disk with it.
+//
+// Invariant: entries are applied in the order of the log, each once, and only if they are
+// known to be committed: the leader's commit index covers them and they were accepted under
+// that leader's proposal number, or another replica sent them as committed. Nothing is
+// applied before the first membership is known, which stands in no log.
+
+// maxLogBytes is the size from which a log is compacted whole, however few its entries.
+const maxLogBytes = 1 << 20
+
+// storeEntry puts an entry into the log and on disk.
+func (r *Replica) storeEntry(entry Entry) {
+	r.log.store(entry)
+	r.ready.Writes.Entries = append(r.ready.Writes.Entries, entry)
+}
+
+// commitUpTo applies what the leader says is committed as far as the log holds it from that
+// very leader, and asks for the rest.
+func (r *Replica) commitUpTo(now time.Duration, leader ProposalNumber, commitIndex uint64) {
+	for r.appliedIndex < commitIndex && r.state.HasMembership() {
+		entry := r.log.at(r.appliedIndex + 1)
+		if entry == nil || entry.ProposalNumber != leader {
+			break
+		}
+		r.applyNext()
+	}
+	if r.appliedIndex >= commitIndex {
+		r.catchUp.finish()
+		r.contact.advanceCurrentUntil(r.appliedIndex)
+		return
+	}
+	r.requestCatchUp(now, leader.Proposer, commitIndex)
+}
+
+// learn takes in committed content: a snapshot, and entries up to msg.CommitIndex.
+func (r *Replica) learn(now time.Duration, msg Message) {
+	if r.role == Leader && msg.CommitIndex > r.appliedIndex && !r.mayLearnAsLeader(msg) {
+		r.stepDown(now)
+	}
+	if msg.Snapshot != nil && (msg.Snapshot.AppliedIndex > r.appliedIndex || !r.state.HasMembership()) {
+		r.loadSnapshot(msg.Snapshot)
+		r.ready.Writes.Snapshot = msg.Snapshot
+		r.ready.Writes.TruncateTo = msg.Snapshot.AppliedIndex
+		r.ready.StateChanged = true
+	}
+	for _, entry := range msg.Entries {
+		if entry.Index == r.appliedIndex+1 && entry.Index <= msg.CommitIndex && r.state.HasMembership() {
+			r.storeEntry(entry)
+			r.applyNext()
+			r.proposer.drop(entry.Index)
+		}
+	}
+	r.proposer.nextIndex = max(r.proposer.nextIndex, r.appliedIndex+1)
+}
+
+// mayLearnAsLeader reports whether a leader that learns of committed entries may go on to
+// lead. What was committed under an older proposal number than its own is what it has adopted
+// for that index, so it vouches for nothing else. Anything newer shows that it has been
+// deposed, and a snapshot does not say under which proposal numbers it came about.
+func (r *Replica) mayLearnAsLeader(msg Message) bool {
+	if msg.Snapshot != nil && msg.Snapshot.AppliedIndex > r.appliedIndex {
+		return false
+	}
+	last := r.appliedIndex
+	for _, entry := range msg.Entries {
+		if entry.Index == last+1 && entry.Index <= msg.CommitIndex && entry.ProposalNumber.Less(r.proposer.number) {
+			last++
+		}
+	}
+	return last >= msg.CommitIndex
+}
+
+// loadSnapshot replaces the state, and drops the entries that it includes.
+func (r *Replica) loadSnapshot(snapshot *Snapshot) {
+	r.state.Load(snapshot)
+	r.appliedIndex = snapshot.AppliedIndex
+	r.log.compactTo(snapshot.AppliedIndex)
+}
+
+// applyNext applies the log's next entry, which must be there and committed.
+func (r *Replica) applyNext() {
+	index := r.appliedIndex + 1
+	for _, txn := range r.log.at(index).Txns {
+		committed := r.state.Apply(txn, index, r.config.Alpha)
+		r.reportOutcome(Outcome{TxnID: txn.ID, Committed: committed})
+	}
+	r.appliedIndex = index
+	r.ready.StateChanged = true
+	r.state.PruneMemberships(r.appliedIndex)
+	r.compact()
+}
+
+// compact replaces a long log by a snapshot. The snapshot is of the newest state; the entries
+// that stay below it only serve to bring others up to date.
+func (r *Replica) compact() {
+	large := r.log.bytes >= maxLogBytes
+	if !large && r.appliedIndex-r.log.compactedIndex < 2*r.config.RetainedEntries {
+		return
+	}
+	upTo := r.appliedIndex
+	if !large {
+		upTo -= r.config.RetainedEntries
+	}
+	r.ready.Writes.Snapshot = r.state.Snapshot(r.appliedIndex)
+	r.ready.Writes.TruncateTo = r.appliedIndex
+	r.log.compactTo(upTo)
+}
--- a/internal/paxos/proposer.go
+++ b/internal/paxos/proposer.go
@@ -6,348 +6,261 @@
 	"time"
 )
 
-// What a member does that bids or leads; each change of role is one function.
+// proposer owns the current campaign or leadership, and the transactions that were proposed
+// under it.
+//
+// Invariant: under one proposal number there is at most one proposal for each index, and it is
+// made only after a majority of the voters of that index has promised. If one of the promises
+// reported an accepted entry for the index, the proposal is the one of these with the highest
+// proposal number; a new transaction stands only at indexes after all of those.
+type proposer struct {
+	number ProposalNumber
+	// maxTerm is the highest term that the replica knows of.
+	maxTerm uint64
+	// promises has who was asked for a promise, and whether it came.
+	promises map[ReplicaID]bool
+	// adopted holds what promises reported for open indexes, to be proposed again.
+	adopted map[uint64]Entry
+	// inFlight holds the proposals after the applied index.
+	inFlight map[uint64]*inFlightProposal
+	// nextIndex is the first index of a leader without a proposal.
+	nextIndex uint64
 
-// persistTerm has the next ballot written down before anybody hears of it: a later life of
-// this member, which finds on its disk only what was synced, must not bid under it again.
-func (m *Replica) persistTerm(now time.Duration) {
-	m.role, m.roleSince = PersistingTerm, now
-	m.leader = ""
-	m.maxTerm++
-	m.proposalNumber = ProposalNumber{Term: m.maxTerm, Proposer: m.config.Self}
-	m.ready.Writes.Term = m.maxTerm
-	m.sendAfterSync(Message{Kind: TermPersisted, To: m.config.Self, ProposalNumber: m.proposalNumber})
+	queue []Txn
+	// awaitingOutcome has the transactions whose Outcome the owner wants.
+	awaitingOutcome map[string]bool
 }
 
-func (m *Replica) campaign(now time.Duration) {
-	m.role, m.roleSince = Candidate, now
-	m.promises, m.adopted, m.inFlight = map[ReplicaID]bool{}, map[uint64]Entry{}, map[uint64]*inFlightProposal{}
-	m.electionDeadline = now + m.config.ElectionTimeout + time.Duration(m.config.Jitter()*float64(m.config.ElectionTimeout))
-	for slot := m.appliedIndex + 1; slot <= m.appliedIndex+m.config.Alpha; slot++ {
-		m.sendPrepares(slot)
-	}
-	m.tryBecomeLeader(now)
+// inFlightProposal is an entry that waits for its majority, or for those before it.
+type inFlightProposal struct {
+	entry      Entry
+	acceptedBy map[ReplicaID]bool
+	committed  bool
+	sentAt     time.Duration
 }
 
-// tryBecomeLeader goes on to lead when a majority of every membership that the open
-// positions may need has promised. Our own promise comes last: while others
-// still hear their proposer we stay free to follow it.
-func (m *Replica) tryBecomeLeader(now time.Duration) {
-	for _, own := range []bool{true, false} {
-		for s := m.appliedIndex + 1; s <= m.appliedIndex+m.config.Alpha; s++ {
-			if !isQuorum(m.state.membershipAt(s), func(id ReplicaID) bool { return m.promises[id] || (own && id == m.config.Self) }) {
-				m.sendPrepares(s)
-				return
-			}
-		}
-		if _, done := m.promises[m.config.Self]; !done && own {
-			m.promises[m.config.Self] = false
-			m.send(Message{Kind: Prepare, To: m.config.Self, ProposalNumber: m.proposalNumber, Index: m.appliedIndex})
-		}
-	}
-	m.becomeLeader(now)
+// newProposer returns the proposer of a follower.
+func newProposer(maxTerm uint64) proposer {
+	return proposer{maxTerm: maxTerm, awaitingOutcome: map[string]bool{}}
 }
 
-func (m *Replica) becomeLeader(now time.Duration) {
-	for id, promised := range m.promises {
-		if promised {
-			m.contactProvenAt[id] = m.roleSince // they answered what was asked then
-		}
-	}
-	m.role, m.roleSince = Leader, now
-	m.leader = m.config.Self
-	m.nextIndex = m.appliedIndex + 1
-	m.firstHeartbeat = m.heartbeatSequence + 1
-	for _, s := range m.state.membershipAt(m.nextIndex).Voters {
-		m.ackReceivedAt[s.ID] = now // the promises just came in
-	}
-	m.fillPipeline(now)
-	m.broadcastHeartbeat(now)
+// start prepares for a campaign.
+func (p *proposer) start() {
+	p.promises = map[ReplicaID]bool{}
+	p.adopted = map[uint64]Entry{}
+	p.inFlight = map[uint64]*inFlightProposal{}
 }
 
-// Propose queues a transaction; its Outcome comes with a later Output.
-func (m *Replica) Propose(now time.Duration, t Txn) error {
-	if m.role != Leader {
-		return ErrNotLeader
-	}
-	if len(m.queue) >= m.config.MaxQueue {
-		return ErrPipelineFull
-	}
-	m.queue = append(m.queue, t)
-	m.awaitingOutcome[t.ID] = true
-	m.fillPipeline(now)
-	return nil
+// stop drops the campaign or leadership.
+func (p *proposer) stop() {
+	p.queue = nil
+	p.promises = nil
+	p.adopted = nil
+	p.inFlight = nil
 }
 
-// Read asks for a moment at which the applied state is known to be current:
-// the ticket comes back in Output.Reads once a majority confirms the proposer.
-func (m *Replica) Read(now time.Duration, ticket uint64) error {
-	if m.role != Leader || m.nextIndex == 0 {
-		return ErrNotLeader
-	}
-	if !m.isCaughtUp() {
-		return ErrPipelineFull
+// hasPromised reports whether a replica's promise came.
+func (p *proposer) hasPromised(id ReplicaID) bool { return p.promises[id] }
+
+// adopt keeps, of the entries that promises report for each index after appliedIndex, the
+// one with the highest proposal number.
+func (p *proposer) adopt(entries []Entry, appliedIndex uint64) {
+	for _, entry := range entries {
+		if entry.Index <= appliedIndex {
+			continue
+		}
+		known, ok := p.adopted[entry.Index]
+		if !ok || known.ProposalNumber.Less(entry.ProposalNumber) {
+			p.adopted[entry.Index] = entry
+		}
 	}
-	m.broadcastHeartbeat(now)
-	m.pendingReads[m.heartbeatSequence] = append(m.pendingReads[m.heartbeatSequence], ticket)
-	return nil
 }
 
-// isCaughtUp reports whether a proposer has applied all that earlier ones had chosen: what it
-// has adopted, and after that nothing else can be chosen, since a majority of those who vote
-// on the next position has promised. After a change of seats that may be another majority
-// than the one that elected it.
-func (m *Replica) isCaughtUp() bool {
-	return m.appliedIndex >= m.maxAdoptedIndex() && isQuorum(m.state.membershipAt(m.appliedIndex+1), func(id ReplicaID) bool { return m.promises[id] })
+// maxAdoptedIndex is the last index for which a promise reported an entry, or 0.
+func (p *proposer) maxAdoptedIndex() uint64 {
+	last := uint64(0)
+	for index := range p.adopted {
+		last = max(last, index)
+	}
+	return last
 }
 
-// continueMembershipChange brings a change of seats to its end: positions without content follow until the
-// new membership is in effect and a majority of it is known to hold all that came before.
-func (m *Replica) continueMembershipChange(now time.Duration, due bool) {
-	if due && m.role == Leader && len(m.queue) == 0 && m.nextIndex == m.appliedIndex+1 && m.completedMembershipIndex() != m.state.latestMembership().EffectiveFrom {
-		m.queue = append(m.queue, Txn{})
-	}
+// drop forgets an index that is committed.
+func (p *proposer) drop(index uint64) {
+	delete(p.inFlight, index)
+	delete(p.adopted, index)
 }
 
-func (m *Replica) maxAdoptedIndex() uint64 {
-	var top uint64
-	for s := range m.adopted {
-		if s > top {
-			top = s
-		}
-	}
-	return top
+// nextContent takes the transactions for nextIndex; ok is false if there is nothing to
+// propose. Up to the last adopted index a gap is filled with a no-op.
+func (p *proposer) nextContent(maxBatch int) (txns []Txn, ok bool) {
+	if entry, found := p.adopted[p.nextIndex]; found {
+		return entry.Txns, true
+	}
+	if p.nextIndex <= p.maxAdoptedIndex() {
+		return nil, true
+	}
+	if len(p.queue) == 0 {
+		return nil, false
+	}
+	size := min(len(p.queue), maxBatch)
+	txns = append([]Txn(nil), p.queue[:size]...)
+	p.queue = p.queue[size:]
+	return txns, true
 }
 
-func (m *Replica) sendPrepares(slot uint64) {
-	for _, s := range m.state.membershipAt(slot).Voters {
-		if _, done := m.promises[s.ID]; !done && s.ID != m.config.Self {
-			m.promises[s.ID] = false
-			m.send(Message{Kind: Prepare, To: s.ID, ProposalNumber: m.proposalNumber, Index: m.appliedIndex, EndedLeadership: m.endedLeadership})
-		}
+// Propose queues a transaction; its Outcome comes with a later Ready. It returns ErrNotLeader
+// or ErrPipelineFull, and then the transaction was not taken.
+func (r *Replica) Propose(now time.Duration, txn Txn) error {
+	if r.role != Leader {
+		return ErrNotLeader
 	}
+	if len(r.proposer.queue) >= r.config.MaxQueue {
+		return ErrPipelineFull
+	}
+	r.proposer.queue = append(r.proposer.queue, txn)
+	r.proposer.awaitingOutcome[txn.ID] = true
+	r.fillPipeline(now)
+	return nil
 }
 
-// fillPipeline proposes while the pipeline of alpha positions has room.
-func (m *Replica) fillPipeline(now time.Duration) {
-	if m.role != Leader {
+// ForgetOutcome drops interest in a transaction's outcome.
+func (r *Replica) ForgetOutcome(txnID string) { delete(r.proposer.awaitingOutcome, txnID) }
+
+// fillPipeline is phase 2a: it proposes while fewer than Alpha entries are in flight. The
+// voters of an index whose majority has not promised yet are asked first.
+func (r *Replica) fillPipeline(now time.Duration) {
+	if r.role != Leader {
 		return
 	}
-	top := m.maxAdoptedIndex()
-	for m.nextIndex <= m.appliedIndex+m.config.Alpha {
-		ms := m.state.membershipAt(m.nextIndex)
-		if !ms.Contains(m.config.Self) && m.nextIndex == m.appliedIndex+1 {
-			m.transferLeadership(now, ms)
+	for r.proposer.nextIndex <= r.lastOpenIndex() {
+		index := r.proposer.nextIndex
+		membership := r.state.MembershipAt(index)
+		if !membership.Contains(r.config.Self) && index == r.appliedIndex+1 {
+			r.transferLeadership(now, membership)
 			return
 		}
-		if !isQuorum(ms, func(id ReplicaID) bool { return m.promises[id] }) {
-			m.sendPrepares(m.nextIndex)
+		if !membership.IsQuorum(r.proposer.hasPromised) {
+			r.sendPrepares(index)
 			return
 		}
-		e := Entry{Index: m.nextIndex, ProposalNumber: m.proposalNumber}
-		if a, ok := m.adopted[m.nextIndex]; ok {
-			e.Txns = a.Txns
-		} else if m.nextIndex > top {
-			if len(m.queue) == 0 {
-				return
-			}
-			n := min(len(m.queue), m.config.MaxBatch)
-			e.Txns = append([]Txn(nil), m.queue[:n]...)
-			m.queue = m.queue[n:]
+		txns, ok := r.proposer.nextContent(r.config.MaxBatch)
+		if !ok {
+			return
 		}
-		m.inFlight[m.nextIndex] = &inFlightProposal{entry: e, acceptedBy: map[ReplicaID]bool{}, sentAt: now}
-		m.nextIndex++
-		m.sendAccepts(e, ms, nil)
+		r.propose(now, Entry{Index: index, ProposalNumber: r.proposer.number, Txns: txns}, membership)
 	}
 }
 
-// transferLeadership ends the lead of a member that was moved out of the cell: the others learn what
-// was chosen, and the one that was heard last is told to bid. If that is lost, or comes
-// late, they elect after a patience.
-func (m *Replica) transferLeadership(now time.Duration, ms Membership) {
-	m.broadcastHeartbeat(now)
-	heir := ReplicaID("")
-	for _, s := range ms.Voters {
-		if heir == "" || m.ackReceivedAt[s.ID] > m.ackReceivedAt[heir] {
-			heir = s.ID
-		}
-	}
-	m.send(Message{Kind: LeadershipTransfer, To: heir, ProposalNumber: m.proposalNumber})
-	m.leader = ""
-	m.becomeFollower(now)
+// propose puts an entry in flight at nextIndex.
+func (r *Replica) propose(now time.Duration, entry Entry, membership Membership) {
+	r.proposer.inFlight[entry.Index] = &inFlightProposal{entry: entry, acceptedBy: map[ReplicaID]bool{}, sentAt: now}
+	r.proposer.nextIndex++
+	r.sendAccepts(entry, membership, nil)
 }
 
-func (m *Replica) sendAccepts(e Entry, ms Membership, acked map[ReplicaID]bool) {
-	msg := Message{Kind: Accept, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, Entries: []Entry{e}}
-	for _, s := range ms.Voters {
-		if !acked[s.ID] {
-			msg.To = s.ID
-			m.send(msg)
+// sendAccepts sends an entry to those voters and learners that have not accepted it.
+func (r *Replica) sendAccepts(entry Entry, membership Membership, acceptedBy map[ReplicaID]bool) {
+	msg := Message{
+		Kind: Accept, ProposalNumber: r.proposer.number,
+		CommitIndex: r.appliedIndex, Entries: []Entry{entry},
+	}
+	for _, voter := range membership.Voters {
+		if !acceptedBy[voter.ID] {
+			msg.To = voter.ID
+			r.send(msg)
 		}
 	}
-	for _, id := range m.learners {
-		if !ms.Contains(id) && !acked[id] {
+	for _, id := range r.learners {
+		if !membership.Contains(id) && !acceptedBy[id] {
 			msg.To = id
-			m.send(msg)
+			r.send(msg)
 		}
 	}
 }
 
-func (m *Replica) retransmit(now time.Duration) {
-	for slot := m.appliedIndex + 1; slot < m.nextIndex; slot++ {
-		if f := m.inFlight[slot]; f != nil && !f.committed && now-f.sentAt >= m.config.HeartbeatInterval {
-			f.sentAt = now
-			m.sendAccepts(f.entry, m.state.membershipAt(slot), f.acceptedBy)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(m.promises)) {
-		if !m.promises[id] {
-			m.send(Message{Kind: Prepare, To: id, ProposalNumber: m.proposalNumber, Index: m.appliedIndex, EndedLeadership: m.endedLeadership})
+// retransmit sends again what was not answered for a heartbeat interval.
+func (r *Replica) retransmit(now time.Duration) {
+	for index := r.appliedIndex + 1; index < r.proposer.nextIndex; index++ {
+		proposal := r.proposer.inFlight[index]
+		if proposal != nil && !proposal.committed && now-proposal.sentAt >= r.config.HeartbeatInterval {
+			proposal.sentAt = now
+			r.sendAccepts(proposal.entry, r.state.MembershipAt(index), proposal.acceptedBy)
 		}
 	}
-}
-
-func (m *Replica) broadcastHeartbeat(now time.Duration) {
-	m.heartbeatSequence++
-	m.heartbeatSentAt = now
-	m.heartbeatTimes[m.heartbeatSequence%heartbeatHistory] = now
-	msg := Message{Kind: Heartbeat, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, HeartbeatSequence: m.heartbeatSequence, CompletedMembershipIndex: m.completedMembershipIndex(), QuorumContactAgeMillis: uint64(m.Staleness(now)/time.Millisecond) + 1}
-	ms := m.state.membershipAt(m.appliedIndex + 1)
-	seen := map[ReplicaID]bool{}
-	tell := func(id ReplicaID) {
-		if !seen[id] && id != m.config.Self {
-			seen[id] = true
-			msg.To, msg.EchoTimestamp = id, m.echoTimestamps[id]
-			m.send(msg)
+	for _, id := range slices.Sorted(maps.Keys(r.proposer.promises)) {
+		if !r.proposer.promises[id] {
+			r.sendPrepare(id)
 		}
 	}
-	for _, s := range ms.Voters {
-		tell(s.ID)
-	}
-	for _, s := range m.state.latestMembership().Voters {
-		tell(s.ID)
-	}
-	for _, id := range m.learners {
-		tell(id)
-	}
-	m.recordHeartbeatAck(m.config.Self, m.heartbeatSequence, now)
-}
-
-func (m *Replica) handleHeartbeatAck(now time.Duration, msg Message) {
-	if m.role != Leader || msg.ProposalNumber != m.proposalNumber || msg.HeartbeatSequence < m.firstHeartbeat || msg.HeartbeatSequence > m.heartbeatSequence {
-		return
-	}
-	first := m.ackedHeartbeats[msg.From] < m.firstHeartbeat
-	m.echoTimestamps[msg.From] = msg.EchoTimestamp
-	m.recordHeartbeatAck(msg.From, msg.HeartbeatSequence, now)
-	if first { // it need not wait for the next beat to know that it is current
-		m.send(Message{Kind: Heartbeat, To: msg.From, ProposalNumber: m.proposalNumber, CommitIndex: m.appliedIndex, HeartbeatSequence: m.heartbeatSequence, EchoTimestamp: msg.EchoTimestamp,
-			CompletedMembershipIndex: m.completedMembershipIndex(), QuorumContactAgeMillis: uint64(m.Staleness(now)/time.Millisecond) + 1})
-	}
 }
 
-func (m *Replica) recordHeartbeatAck(id ReplicaID, seq uint64, now time.Duration) {
-	if seq > m.ackedHeartbeats[id] {
-		m.ackedHeartbeats[id] = seq
-		m.ackReceivedAt[id] = now
-		if seq+heartbeatHistory > m.heartbeatSequence {
-			m.contactProvenAt[id] = max(m.contactProvenAt[id], m.heartbeatTimes[seq%heartbeatHistory])
-		}
-	}
-	if len(m.pendingReads) == 0 {
+// tickLeader steps down without contact to a majority, and keeps the cell going otherwise.
+func (r *Replica) tickLeader(now time.Duration) {
+	if now-r.quorumContactAt() > r.config.ElectionTimeout {
+		r.stepDown(now)
 		return
 	}
-	ms := m.state.membershipAt(m.appliedIndex + 1)
-	for s, tickets := range m.pendingReads {
-		if isQuorum(ms, func(id ReplicaID) bool { return m.ackedHeartbeats[id] >= s }) {
-			m.ready.ConfirmedReads = append(m.ready.ConfirmedReads, tickets...)
-			delete(m.pendingReads, s)
-		}
+	if now-r.followers.heartbeatSentAt >= r.config.HeartbeatInterval {
+		r.retransmit(now)
+		r.continueMembershipChange()
+		r.fillPipeline(now)
+		r.broadcastHeartbeat(now)
 	}
 }
 
-func (m *Replica) handlePromise(now time.Duration, msg Message) {
-	if m.role < Candidate || msg.ProposalNumber != m.proposalNumber || m.promises[msg.From] {
-		if msg.Snapshot != nil {
-			m.handleCatchUpResponse(now, msg) // late for the bid, and as true as ever
-		}
-		return
-	}
-	m.learn(now, msg)
-	if m.role < Candidate {
+// handleAccepted is the end of phase 2: an entry is committed once a majority of the voters
+// of its index has accepted it, and applied once all before it are.
+func (r *Replica) handleAccepted(now time.Duration, msg Message) {
+	if r.role != Leader || msg.ProposalNumber != r.proposer.number {
 		return
 	}
-	m.echoTimestamps[msg.From] = msg.EchoTimestamp
-	for _, e := range msg.Entries {
-		if e.Index <= m.appliedIndex {
+	r.followers.recordDurableCommit(msg.From, msg.CommitIndex)
+	for _, index := range msg.AcceptedIndexes {
+		proposal := r.proposer.inFlight[index]
+		if proposal == nil {
 			continue
 		}
-		if a, ok := m.adopted[e.Index]; !ok || a.ProposalNumber.Less(e.ProposalNumber) {
-			m.adopted[e.Index] = e
+		proposal.acceptedBy[msg.From] = true
+		accepted := func(id ReplicaID) bool { return proposal.acceptedBy[id] }
+		if r.state.MembershipAt(index).IsQuorum(accepted) {
+			proposal.committed = true
 		}
 	}
-	if msg.CommitIndex > m.appliedIndex {
-		return // it could not teach us all it knows: not a promise we can use yet
-	}
-	m.promises[msg.From] = true
-	if m.role == Candidate {
-		m.tryBecomeLeader(now)
-		return
-	}
-	m.fillPipeline(now)
-}
-
-func (m *Replica) handleReject(now time.Duration, msg Message) {
-	if msg.ProposalNumber.Term > m.maxTerm {
-		m.maxTerm = msg.ProposalNumber.Term
-	}
-	if m.role == Leader && m.proposalNumber.Less(msg.ProposalNumber) {
-		// It may have been replaced; or a member with an old view, that was moved out
-		// and does not know it, has bid in vain. Who has heard a newer proposer turns
-		// this bid down, else nobody need wait out a patience.
-		m.leader = ""
-		m.becomeFollower(now)
-		if m.IsVoter() {
-			m.persistTerm(now)
+	if r.applyCommitted() {
+		if r.appliedIndex <= r.state.LatestMembership().EffectiveFrom+1 {
+			r.continueMembershipChange()
+		}
+		r.fillPipeline(now)
+		if r.role == Leader {
+			r.broadcastHeartbeat(now) // followers learn the commit index at once
 		}
 	}
 }
 
-func (m *Replica) handleAccepted(now time.Duration, msg Message) {
-	if m.role != Leader || msg.ProposalNumber != m.proposalNumber {
-		return
-	}
-	m.durableCommitIndexes[msg.From] = max(m.durableCommitIndexes[msg.From], msg.CommitIndex)
-	for _, s := range msg.AcceptedIndexes {
-		f := m.inFlight[s]
-		if f == nil {
-			continue
-		}
-		f.acceptedBy[msg.From] = true
-		if isQuorum(m.state.membershipAt(s), func(id ReplicaID) bool { return f.acceptedBy[id] }) {
-			f.committed = true
-		}
-	}
-	moved := false
+// applyCommitted applies the entries in flight that are committed with all before them, and
+// reports whether there were any.
+func (r *Replica) applyCommitted() bool {
+	before := r.appliedIndex
 	for {
-		f := m.inFlight[m.appliedIndex+1]
-		if f == nil || !f.committed {
-			break
-		}
-		delete(m.inFlight, m.appliedIndex+1)
-		delete(m.adopted, m.appliedIndex+1)
-		if own := m.log[f.entry.Index]; own == nil || own.ProposalNumber != f.entry.ProposalNumber {
-			m.storeEntry(f.entry)
-			m.ready.Writes.Entries = append(m.ready.Writes.Entries, f.entry)
+		proposal := r.proposer.inFlight[r.appliedIndex+1]
+		if proposal == nil || !proposal.committed {
+			return r.appliedIndex > before
 		}
-		m.applyNext()
-		moved = true
-	}
-	if moved {
-		m.continueMembershipChange(now, m.appliedIndex <= m.state.latestMembership().EffectiveFrom+1)
-		m.fillPipeline(now)
-		if m.role == Leader {
-			m.broadcastHeartbeat(now) // others learn at once what was chosen
+		entry := proposal.entry
+		r.proposer.drop(entry.Index)
+		own := r.log.at(entry.Index)
+		if own == nil || own.ProposalNumber != entry.ProposalNumber {
+			r.storeEntry(entry)
 		}
+		r.applyNext()
 	}
 }
+
+// isCaughtUp reports whether a leader has applied all that earlier ones had committed: what
+// it has adopted, and after that nothing else can be committed, since a majority of those who
+// vote on the next index has promised. After a membership change that may be another majority
+// than the one that elected it.
+func (r *Replica) isCaughtUp() bool {
+	return r.appliedIndex >= r.proposer.maxAdoptedIndex() && r.nextMembership().IsQuorum(r.proposer.hasPromised)
+}
--- /dev/null
+++ b/internal/paxos/replica.go
@@ -0,0 +1,183 @@
+package paxos
+
+import (
+	"errors"
+	"time"
+
+	"comethold/internal/paxos/statemachine"
+)
+
+// Errors of Propose and Read.
+var (
+	// ErrNotLeader means that another replica leads, or none.
+	ErrNotLeader = errors.New("paxos: this replica is not the leader")
+	// ErrPipelineFull means that the caller should back off and try again.
+	ErrPipelineFull = errors.New("paxos: the pipeline is full")
+)
+
+// Role is the part that a replica plays in the election of a leader.
+type Role uint8
+
+// The roles of a replica.
+const (
+	// Follower accepts what the leader proposes.
+	Follower Role = iota
+	// PersistingTerm waits until the term of its next campaign is on its disk.
+	PersistingTerm
+	// Candidate asks for promises.
+	Candidate
+	// Leader is the distinguished proposer.
+	Leader
+)
+
+// String returns the role as log lines show it.
+func (role Role) String() string {
+	return [...]string{"follower", "persisting term", "candidate", "leader"}[role]
+}
+
+// Config is fixed for the life of a replica.
+type Config struct {
+	Cell string
+	Self ReplicaID
+	// Alpha is how many entries may be in flight, and after how many indexes a membership
+	// change takes effect; all replicas of a cell must have the same.
+	Alpha uint64
+	// MaxQueue is how many transactions may wait for the pipeline before Propose refuses.
+	MaxQueue int
+	// MaxBatch is how many transactions one entry may hold.
+	MaxBatch int
+	// RetainedEntries is how many applied entries stay for catch-up by log segment.
+	RetainedEntries uint64
+	// HeartbeatInterval is the time between heartbeats, and before a retransmission.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is how long a leader may lack contact; a follower waits for one to two
+	// times as long before it campaigns.
+	ElectionTimeout time.Duration
+	// Jitter returns a random number in [0,1).
+	Jitter func() float64
+}
+
+// Replica is one voter or learner of one cell. It owns the roles and their transitions, and
+// hands each message to the part that it concerns.
+//
+// Invariant: a replica is a function of its PersistedState and of the calls since, so that
+// the same calls, with the same Jitter, give the same Ready values, but for the order of
+// ChangedKeys and ConfirmedReads. The order of messages matters: nothing here sends while it
+// ranges over a map that isn't sorted.
+type Replica struct {
+	config   Config
+	learners []ReplicaID
+
+	role             Role
+	roleSince        time.Duration
+	electionDeadline time.Duration
+
+	acceptor  acceptor
+	proposer  proposer
+	contact   leaderContact
+	followers followerContact
+	catchUp   catchUp
+
+	log   replicaLog
+	state statemachine.State
+	// appliedIndex is the last index that state includes; all up to there is committed.
+	appliedIndex uint64
+	// durableCommitIndex is up to where a restart finds the log committed, once all Writes
+	// are synced.
+	durableCommitIndex uint64
+
+	ready Ready
+}
+
+// NewReplica makes a replica from what its disk holds. A voter of a new cell starts with a
+// snapshot at index 0 that holds the first membership.
+func NewReplica(config Config, persisted PersistedState, now time.Duration) *Replica {
+	r := &Replica{
+		config:    config,
+		acceptor:  acceptor{promised: persisted.Promised},
+		proposer:  newProposer(max(persisted.Promised.Term, persisted.Term)),
+		contact:   leaderContact{timestampBase: uint64(config.Jitter() * maxTimestampBase)},
+		followers: newFollowerContact(),
+		catchUp:   catchUp{transfers: map[ReplicaID]transfer{}},
+		log:       replicaLog{entries: map[uint64]*Entry{}},
+		state:     statemachine.NewState(),
+	}
+	if persisted.Snapshot != nil {
+		r.loadSnapshot(persisted.Snapshot)
+	}
+	for _, entry := range persisted.Entries {
+		r.log.store(entry)
+	}
+	for r.appliedIndex < persisted.CommitIndex && r.log.at(r.appliedIndex+1) != nil && r.state.HasMembership() {
+		r.applyNext()
+	}
+	r.durableCommitIndex = r.appliedIndex
+	r.becomeFollower(now)
+	r.electionDeadline = now + r.firstElectionTimeout()
+	return r
+}
+
+// firstElectionTimeout is short: after a start nobody may lead. Replicas that are in contact
+// with a leader reject the campaign, and this one has promised nothing yet.
+func (r *Replica) firstElectionTimeout() time.Duration {
+	return time.Duration((0.2 + r.config.Jitter()) * float64(r.config.ElectionTimeout) / 3)
+}
+
+// Role returns the replica's part in the election.
+func (r *Replica) Role() Role { return r.role }
+
+// Leader returns the leader that the replica knows of, or "".
+func (r *Replica) Leader() ReplicaID { return r.contact.leader }
+
+// AppliedIndex returns the last log index that the state includes.
+func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
+
+// Tick lets time pass. It is to be called several times a HeartbeatInterval.
+func (r *Replica) Tick(now time.Duration) {
+	switch r.role {
+	case Leader:
+		r.tickLeader(now)
+	case PersistingTerm:
+		// The disk is slow, or hangs. What was known of the end of a leadership is too old.
+		if now-r.roleSince > r.config.ElectionTimeout {
+			r.contact.endedLeadership = ProposalNumber{}
+		}
+	case Candidate, Follower:
+		if now >= r.electionDeadline {
+			r.startElection(now)
+		}
+	}
+}
+
+// Step takes in a message. One that is addressed to another replica or cell is ignored.
+func (r *Replica) Step(now time.Duration, msg Message) {
+	if msg.To != r.config.Self || msg.Cell != r.config.Cell {
+		return
+	}
+	switch msg.Kind {
+	case Prepare:
+		r.handlePrepare(now, msg)
+	case Promise:
+		r.handlePromise(now, msg)
+	case Reject:
+		r.handleReject(now, msg)
+	case Accept:
+		r.handleAccept(now, msg)
+	case Accepted:
+		r.handleAccepted(now, msg)
+	case Heartbeat:
+		r.handleHeartbeat(now, msg)
+	case HeartbeatAck:
+		r.handleHeartbeatAck(now, msg)
+	case TermPersisted:
+		r.handleTermPersisted(now, msg)
+	case CommitPersisted:
+		r.handleCommitPersisted(msg)
+	case LeadershipTransfer:
+		r.handleLeadershipTransfer(now, msg)
+	case CatchUpRequest:
+		r.handleCatchUpRequest(now, msg)
+	case CatchUpResponse:
+		r.handleCatchUpResponse(now, msg)
+	}
+}
--- /dev/null
+++ b/internal/paxos/simulation_test.go
@@ -0,0 +1,618 @@
+package paxos
+
+import (
+	"container/heap"
+	"maps"
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A cellSimulation runs the replicas of one cell on simulated time, with a network that delays,
+// loses and duplicates messages and disks that take time to sync. All that it draws comes
+// from one seed. While time passes it checks what simulation_checks_test.go lists.
+type cellSimulation struct {
+	t    *testing.T
+	name string
+	now  time.Duration
+	rng  *rand.Rand
+
+	nodes          map[string]*simulatedNode
+	sortedNames    []string
+	foundingVoters []Voter
+	lossReports    []lossReport
+
+	network       network
+	messagesSent  int
+	lossRate      float64
+	duplicateRate float64
+	lateRate      float64 // of messages that arrive up to lateDelay later than others
+	messageDelay  time.Duration
+	blockedLinks  map[link]bool
+
+	syncDelay time.Duration // half of the most that a sync takes
+
+	// What clients have seen:
+	lastTxn            int
+	txnStatus          map[string]txnStatus
+	proposedWrites     map[string]keyValue // by transaction
+	acknowledgedValues map[string]string   // by key
+	confirmedReads     map[uint64]bool
+	onOutcome          func(node *simulatedNode, outcome Outcome)
+	onRead             func(node *simulatedNode, ticket uint64)
+
+	// What the checks remember:
+	committedContent map[uint64]string // the transactions of each log index
+	acknowledgements []acknowledgement
+}
+
+// keyValue is what a transaction writes.
+type keyValue struct{ key, value string }
+
+// txnStatus is what a client knows of its transaction.
+type txnStatus string
+
+const (
+	statusPending      txnStatus = "pending"
+	statusPipelineFull txnStatus = "pipeline-full"
+	statusNotLeader    txnStatus = "not-leader"
+	statusCommitted    txnStatus = "committed"
+	statusIgnored      txnStatus = "ignored"
+	statusUnknown      txnStatus = "unknown"
+	// Of a read:
+	statusConfirmed   txnStatus = "confirmed"
+	statusUnconfirmed txnStatus = "unconfirmed"
+)
+
+// Timing of the simulation.
+const (
+	simulationStep   = time.Millisecond
+	tickInterval     = 20 * time.Millisecond
+	lateDelay        = 4 * time.Second
+	lossReportDelay  = time.Second
+	defaultDelay     = 5 * time.Millisecond
+	wrongReportOneIn = 10 // reports of a lost replica that name its successor instead
+)
+
+// simulatedNode is a machine with its disk and, while it is up, a replica.
+type simulatedNode struct {
+	id      ReplicaID
+	up      bool
+	replica *Replica
+
+	disk         simulatedDisk
+	diskHangs    bool
+	diskFails    bool
+	diskDelay    time.Duration // beyond the other disks' delay
+	pendingSyncs []pendingSync
+
+	paused       bool
+	heldMessages []Message // that arrived while it was paused
+
+	checkedIndex uint64 // up to which agreement was checked in this incarnation
+}
+
+// stop ends a node's process. What waits for its disk is not written.
+func (n *simulatedNode) stop() {
+	n.up = false
+	n.pendingSyncs = nil
+	n.heldMessages = nil
+}
+
+// pendingSync is what a replica wants on disk and what may be sent once it is there.
+type pendingSync struct {
+	dueAt    time.Duration
+	replica  *Replica
+	writes   Writes
+	messages []Message
+}
+
+// simulatedDisk is what survives a loss of power.
+type simulatedDisk struct {
+	persisted PersistedState
+	entries   map[uint64]Entry
+}
+
+// write puts on disk what a replica wants there.
+func (d *simulatedDisk) write(writes Writes) {
+	if d.entries == nil {
+		d.entries = map[uint64]Entry{}
+	}
+	if writes.Promised != nil {
+		d.persisted.Promised = *writes.Promised
+	}
+	if writes.Term != 0 {
+		d.persisted.Term = writes.Term
+	}
+	for _, entry := range writes.Entries {
+		d.entries[entry.Index] = entry
+	}
+	if writes.Snapshot != nil {
+		d.persisted.Snapshot = writes.Snapshot
+		for index := range d.entries {
+			if index <= writes.TruncateTo {
+				delete(d.entries, index)
+			}
+		}
+	}
+	if !writes.Empty() {
+		d.persisted.CommitIndex = writes.CommitIndex
+	}
+}
+
+// load returns what a replica finds at its start.
+func (d *simulatedDisk) load() PersistedState {
+	persisted := d.persisted
+	persisted.Entries = slices.Collect(maps.Values(d.entries))
+	return persisted
+}
+
+// recoverableIndex is up to where a restart would apply what is on the disk.
+func (d *simulatedDisk) recoverableIndex() uint64 {
+	index := uint64(0)
+	if d.persisted.Snapshot != nil {
+		index = d.persisted.Snapshot.AppliedIndex
+	}
+	for ; index < d.persisted.CommitIndex; index++ {
+		if _, ok := d.entries[index+1]; !ok {
+			break
+		}
+	}
+	return index
+}
+
+// stores reports whether the disk has an entry, or a snapshot that includes it.
+func (d *simulatedDisk) stores(index uint64) bool {
+	_, ok := d.entries[index]
+	return ok || d.persisted.Snapshot != nil && d.persisted.Snapshot.AppliedIndex >= index
+}
+
+// link is one direction between two replicas.
+type link struct{ from, to ReplicaID }
+
+// inTransit is a message on its way.
+type inTransit struct {
+	arrivesAt time.Duration
+	sequence  int
+	message   Message
+}
+
+// network is a heap of the messages on their way, the next to arrive first.
+type network []inTransit
+
+func (n network) Len() int      { return len(n) }
+func (n network) Swap(i, j int) { n[i], n[j] = n[j], n[i] }
+
+func (n network) Less(i, j int) bool {
+	if n[i].arrivesAt != n[j].arrivesAt {
+		return n[i].arrivesAt < n[j].arrivesAt
+	}
+	return n[i].sequence < n[j].sequence
+}
+
+func (n *network) Push(x any) {
+	item, ok := x.(inTransit)
+	if !ok {
+		panic("not a message in transit")
+	}
+	*n = append(*n, item)
+}
+
+func (n *network) Pop() any {
+	last := (*n)[len(*n)-1]
+	*n = (*n)[:len(*n)-1]
+	return last
+}
+
+// lossReport tells a replica that another's incarnation has ended.
+type lossReport struct {
+	arrivesAt time.Duration
+	recipient *simulatedNode
+	lost      ReplicaID
+}
+
+func newCellSimulation(t *testing.T, name string) *cellSimulation {
+	t.Helper()
+	return &cellSimulation{
+		t: t, name: name, rng: rand.New(rand.NewSource(1)),
+		nodes:              map[string]*simulatedNode{},
+		messageDelay:       defaultDelay,
+		blockedLinks:       map[link]bool{},
+		txnStatus:          map[string]txnStatus{},
+		proposedWrites:     map[string]keyValue{},
+		acknowledgedValues: map[string]string{},
+		confirmedReads:     map[uint64]bool{},
+		committedContent:   map[uint64]string{},
+	}
+}
+
+func (s *cellSimulation) config(id ReplicaID) Config {
+	return testConfig(id, s.rng.Float64)
+}
+
+// testConfig is the configuration of the replicas of all tests.
+func testConfig(id ReplicaID, jitter func() float64) Config {
+	return Config{
+		Cell: testCell, Self: id,
+		Alpha: 3, MaxQueue: 8, MaxBatch: 4, RetainedEntries: 16,
+		HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout:   400 * time.Millisecond,
+		Jitter:            jitter,
+	}
+}
+
+// testCell is the name of the cell in all tests.
+const testCell = "c"
+
+// foundCell starts the first voters of the cell.
+func (s *cellSimulation) foundCell(names []string) {
+	for _, name := range names {
+		s.foundingVoters = append(s.foundingVoters, Voter{ID: ReplicaID(name), Addr: name, Zone: name})
+	}
+	for _, name := range names {
+		node := &simulatedNode{id: ReplicaID(name)}
+		node.disk.write(Writes{Snapshot: foundingSnapshot(s.foundingVoters)})
+		s.nodes[name] = node
+		s.startNode(node)
+	}
+}
+
+// foundingSnapshot is what the disk of a voter of a new cell holds.
+func foundingSnapshot(voters []Voter) *Snapshot {
+	return &Snapshot{State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: voters}}}
+}
+
+// addLearner starts an empty machine that the leader keeps current.
+func (s *cellSimulation) addLearner(name string) {
+	node := &simulatedNode{id: ReplicaID(name)}
+	s.nodes[name] = node
+	s.startNode(node)
+	s.updateLearners()
+}
+
+// startNode starts a replica from what the node's disk holds.
+func (s *cellSimulation) startNode(node *simulatedNode) {
+	node.replica = NewReplica(s.config(node.id), node.disk.load(), s.now)
+	node.up = true
+	node.paused = false
+	node.checkedIndex = 0
+	s.checkAgreement(node)
+}
+
+// updateLearners has each replica, should it lead, keep those current that are not among the
+// founding voters.
+func (s *cellSimulation) updateLearners() {
+	var ids []ReplicaID
+	for _, name := range s.nodeNames() {
+		node := s.nodes[name]
+		if !(Membership{Voters: s.foundingVoters}).Contains(node.id) {
+			ids = append(ids, node.id)
+		}
+	}
+	for _, node := range s.nodes {
+		if node.up {
+			node.replica.SetLearners(ids)
+		}
+	}
+}
+
+// handleReady carries out what a node's replica wants done.
+func (s *cellSimulation) handleReady(node *simulatedNode) {
+	for node.up {
+		ready := node.replica.Ready()
+		toSelf := s.sendMessages(node, ready.Messages)
+		if len(ready.MessagesAfterSync) > 0 || !ready.Writes.Empty() {
+			node.pendingSyncs = append(node.pendingSyncs, pendingSync{
+				dueAt:    s.now + s.drawSyncDelay() + node.diskDelay,
+				replica:  node.replica,
+				writes:   ready.Writes,
+				messages: ready.MessagesAfterSync,
+			})
+			toSelf = append(toSelf, s.completeSyncs(node)...)
+		}
+		for _, outcome := range ready.Outcomes {
+			s.recordOutcome(node, outcome)
+		}
+		for _, ticket := range ready.ConfirmedReads {
+			s.confirmedReads[ticket] = true
+			if s.onRead != nil {
+				s.onRead(node, ticket)
+			}
+		}
+		s.checkAgreement(node)
+		if len(toSelf) == 0 {
+			return
+		}
+		for _, msg := range toSelf {
+			node.replica.Step(s.now, msg)
+		}
+	}
+}
+
+// drawSyncDelay draws how long a sync takes.
+func (s *cellSimulation) drawSyncDelay() time.Duration {
+	if s.syncDelay == 0 {
+		return 0
+	}
+	return s.randomDuration(2 * s.syncDelay)
+}
+
+// randomDuration draws a duration below a bound.
+func (s *cellSimulation) randomDuration(below time.Duration) time.Duration {
+	return time.Duration(s.rng.Int63n(int64(below)))
+}
+
+// completeSyncs writes what is due on a node's disk, sends what waited for it, and returns
+// the messages to the node itself.
+func (s *cellSimulation) completeSyncs(node *simulatedNode) []Message {
+	var toSelf []Message
+	for len(node.pendingSyncs) > 0 && !node.diskHangs && !node.diskFails && node.pendingSyncs[0].dueAt <= s.now {
+		sync := node.pendingSyncs[0]
+		node.pendingSyncs = node.pendingSyncs[1:]
+		node.disk.write(sync.writes)
+		if node.up && node.replica == sync.replica {
+			toSelf = append(toSelf, s.sendMessages(node, sync.messages)...)
+		}
+	}
+	return toSelf
+}
+
+// flushDisk completes a node's syncs and lets its replica see what follows.
+func (s *cellSimulation) flushDisk(node *simulatedNode) {
+	for _, msg := range s.completeSyncs(node) {
+		node.replica.Step(s.now, msg)
+	}
+	if node.up {
+		s.handleReady(node)
+	}
+}
+
+// losePower takes a node's power: of what was not synced, the first writes may have reached
+// the disk all the same, and nothing after them.
+func (s *cellSimulation) losePower(node *simulatedNode) {
+	if len(node.pendingSyncs) > 0 {
+		for _, sync := range node.pendingSyncs[:s.rng.Intn(len(node.pendingSyncs)+1)] {
+			node.disk.write(sync.writes)
+		}
+	}
+	node.stop()
+}
+
+// loseDisk replaces a node's disk by an empty one: the machine comes back as another replica.
+func (s *cellSimulation) loseDisk(node *simulatedNode, successor ReplicaID) {
+	node.stop()
+	node.disk = simulatedDisk{}
+	node.id = successor
+}
+
+// sendMessages puts messages on the network, and returns those to the node itself.
+func (s *cellSimulation) sendMessages(node *simulatedNode, messages []Message) []Message {
+	var toSelf []Message
+	for _, msg := range messages {
+		if msg.To == node.id {
+			toSelf = append(toSelf, msg)
+			continue
+		}
+		copies := 1
+		if s.rng.Float64() < s.duplicateRate {
+			copies = 2
+		}
+		for range copies {
+			s.transmit(msg)
+		}
+	}
+	return toSelf
+}
+
+// transmit loses a message or draws when it arrives.
+func (s *cellSimulation) transmit(msg Message) {
+	if s.rng.Float64() < s.lossRate {
+		return
+	}
+	s.messagesSent++
+	delay := s.messageDelay + s.randomDuration(s.messageDelay)
+	if s.lateRate > 0 && s.rng.Float64() < s.lateRate {
+		delay += s.randomDuration(lateDelay)
+	}
+	heap.Push(&s.network, inTransit{arrivesAt: s.now + delay, sequence: s.messagesSent, message: msg})
+}
+
+// nextArrival takes the next message off the network if its time has come.
+func (s *cellSimulation) nextArrival() (Message, bool) {
+	if len(s.network) == 0 || s.network[0].arrivesAt > s.now {
+		return Message{}, false
+	}
+	item, ok := heap.Pop(&s.network).(inTransit)
+	return item.message, ok
+}
+
+// scheduleLossReports has the others find out, each in its own time, that a replica's
+// incarnation has ended. Some take a late message of the former one for news of the new
+// one's end.
+func (s *cellSimulation) scheduleLossReports(node *simulatedNode, former ReplicaID) {
+	for _, name := range s.nodeNames() {
+		recipient := s.nodes[name]
+		if recipient == node {
+			continue
+		}
+		lost := former
+		if s.rng.Intn(wrongReportOneIn) == 0 {
+			lost = node.id
+		}
+		arrivesAt := s.now + s.randomDuration(lossReportDelay)
+		s.lossReports = append(s.lossReports, lossReport{arrivesAt, recipient, lost})
+	}
+}
+
+// deliverLossReports hands over the reports whose time has come. A node that is down or
+// paused misses them.
+func (s *cellSimulation) deliverLossReports() {
+	s.lossReports = slices.DeleteFunc(s.lossReports, func(report lossReport) bool {
+		due := report.arrivesAt <= s.now
+		if due && report.recipient.up && !report.recipient.paused {
+			report.recipient.replica.ReportReplicaLost(s.now, report.lost)
+			s.handleReady(report.recipient)
+		}
+		return due
+	})
+}
+
+// run lets time pass.
+func (s *cellSimulation) run(duration time.Duration) {
+	for end := s.now + duration; s.now < end; {
+		s.now += simulationStep
+		for msg, ok := s.nextArrival(); ok; msg, ok = s.nextArrival() {
+			s.deliver(msg)
+		}
+		if s.syncDelay > 0 {
+			s.flushDueDisks()
+		}
+		if s.now%tickInterval == 0 {
+			s.deliverLossReports()
+			s.tickNodes()
+			s.checkStaleness()
+			s.checkDurableCommits()
+		}
+	}
+}
+
+// deliver hands a message to its recipient, if that is up and the link is not blocked.
+func (s *cellSimulation) deliver(msg Message) {
+	node := s.nodeByID(msg.To)
+	if node == nil || !node.up || s.blockedLinks[link{msg.From, msg.To}] {
+		return
+	}
+	if node.paused {
+		node.heldMessages = append(node.heldMessages, msg)
+		return
+	}
+	node.replica.Step(s.now, msg)
+	s.handleReady(node)
+}
+
+// flushDueDisks completes the syncs whose time has come.
+func (s *cellSimulation) flushDueDisks() {
+	for _, name := range s.nodeNames() {
+		if node := s.nodes[name]; node.up && !node.paused && len(node.pendingSyncs) > 0 {
+			s.flushDisk(node)
+		}
+	}
+}
+
+// tickNodes lets time pass for the replicas.
+func (s *cellSimulation) tickNodes() {
+	for _, name := range s.nodeNames() {
+		if node := s.nodes[name]; node.up && !node.paused {
+			node.replica.Tick(s.now)
+			s.handleReady(node)
+		}
+	}
+}
+
+// nodeNames are the machines in order; callers must not change the list.
+func (s *cellSimulation) nodeNames() []string {
+	if len(s.sortedNames) != len(s.nodes) {
+		s.sortedNames = slices.Sorted(maps.Keys(s.nodes))
+	}
+	return s.sortedNames
+}
+
+// nodeByID returns the machine that runs a replica, or nil.
+func (s *cellSimulation) nodeByID(id ReplicaID) *simulatedNode {
+	for _, node := range s.nodes {
+		if node.id == id {
+			return node
+		}
+	}
+	return nil
+}
+
+// leader returns the node that leads under the highest proposal number, or nil.
+func (s *cellSimulation) leader() *simulatedNode {
+	var best *simulatedNode
+	for _, name := range s.nodeNames() {
+		node := s.nodes[name]
+		if !node.up || node.paused || node.replica.Role() != Leader {
+			continue
+		}
+		if best == nil || best.replica.proposer.number.Less(node.replica.proposer.number) {
+			best = node
+		}
+	}
+	return best
+}
+
+// findNode returns a node by its name, or the "leader", or the first live "follower".
+func (s *cellSimulation) findNode(name string) *simulatedNode {
+	switch name {
+	case "leader":
+		if node := s.leader(); node != nil {
+			return node
+		}
+		s.t.Fatalf("%s at %v: no leader", s.name, s.now)
+	case "follower":
+		leader := s.leader()
+		for _, other := range s.nodeNames() {
+			if node := s.nodes[other]; node != leader && node.up && node.replica.IsVoter() {
+				return node
+			}
+		}
+	}
+	node := s.nodes[name]
+	if node == nil {
+		s.t.Fatalf("%s at %v: no node %q", s.name, s.now, name)
+	}
+	return node
+}
+
+// partition blocks all links between the named nodes and the others.
+func (s *cellSimulation) partition(names ...string) {
+	for _, a := range s.nodeNames() {
+		for _, b := range s.nodeNames() {
+			if slices.Contains(names, a) != slices.Contains(names, b) {
+				s.blockedLinks[link{s.nodes[a].id, s.nodes[b].id}] = true
+			}
+		}
+	}
+}
+
+// setPartitioned blocks or opens all links of one node.
+func (s *cellSimulation) setPartitioned(node *simulatedNode, blocked bool) {
+	for _, name := range s.nodeNames() {
+		if other := s.nodes[name]; other != node {
+			s.blockedLinks[link{node.id, other.id}] = blocked
+			s.blockedLinks[link{other.id, node.id}] = blocked
+		}
+	}
+}
+
+// healAll opens all links.
+func (s *cellSimulation) healAll() { s.blockedLinks = map[link]bool{} }
+
+// resumeAll lets paused nodes go on, with all that arrived in the meantime.
+func (s *cellSimulation) resumeAll() {
+	for _, name := range s.nodeNames() {
+		node := s.nodes[name]
+		if !node.paused {
+			continue
+		}
+		node.paused = false
+		held := node.heldMessages
+		node.heldMessages = nil
+		for _, msg := range held {
+			node.replica.Step(s.now, msg)
+			s.handleReady(node)
+		}
+	}
+}
+
+// repairDisks lets disks that hang or fail work again.
+func (s *cellSimulation) repairDisks() {
+	for _, name := range s.nodeNames() {
+		node := s.nodes[name]
+		node.diskHangs = false
+		node.diskFails = false
+		s.flushDisk(node)
+	}
+}
--- /dev/null
+++ b/internal/paxos/statemachine/patch.go
@@ -0,0 +1,124 @@
+package statemachine
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+)
+
+// A patch rebuilds a byte array from an older one. Both are seen as chunks that end after
+// each '}': a list of records then changes only in the records that changed. The patch is a
+// run of steps. Each begins with a count of bytes, shifted left by one, as a uvarint: with
+// the lowest bit clear, copy so many bytes from an offset of the old array, which follows as
+// a uvarint; with it set, take so many bytes of the patch as they stand.
+
+// literalBit marks a step that brings its bytes with it.
+const literalBit = 1
+
+var errPatchMismatch = errors.New("statemachine: the patch does not fit")
+
+// chunks cuts a byte array after each '}'.
+func chunks(b []byte) [][]byte {
+	var out [][]byte
+	for len(b) > 0 {
+		end := bytes.IndexByte(b, '}') + 1
+		if end == 0 {
+			end = len(b)
+		}
+		out = append(out, b[:end])
+		b = b[end:]
+	}
+	return out
+}
+
+// patchWriter collects the steps of a patch. At most one of the two steps in the making is
+// not empty.
+type patchWriter struct {
+	patch      []byte
+	literal    []byte
+	copyOffset int
+	copyLength int
+}
+
+// flush writes the step in the making.
+func (w *patchWriter) flush() {
+	if len(w.literal) > 0 {
+		w.patch = binary.AppendUvarint(w.patch, uint64(len(w.literal))<<1|literalBit)
+		w.patch = append(w.patch, w.literal...)
+		w.literal = nil
+	}
+	if w.copyLength > 0 {
+		w.patch = binary.AppendUvarint(w.patch, uint64(w.copyLength)<<1)
+		w.patch = binary.AppendUvarint(w.patch, uint64(w.copyOffset))
+		w.copyLength = 0
+	}
+}
+
+// extendCopy lengthens the copy in the making if the chunk is what follows it in old.
+func (w *patchWriter) extendCopy(old, chunk []byte) bool {
+	end := w.copyOffset + w.copyLength
+	if w.copyLength == 0 || !bytes.HasPrefix(old[end:], chunk) {
+		return false
+	}
+	w.copyLength += len(chunk)
+	return true
+}
+
+// MakePatch returns a patch that turns old into new.
+func MakePatch(old, new []byte) []byte {
+	offsets := map[string]int{} // where each chunk of old first stands
+	offset := 0
+	for _, chunk := range chunks(old) {
+		if _, ok := offsets[string(chunk)]; !ok {
+			offsets[string(chunk)] = offset
+		}
+		offset += len(chunk)
+	}
+	var writer patchWriter
+	for _, chunk := range chunks(new) {
+		if writer.extendCopy(old, chunk) {
+			continue
+		}
+		if start, ok := offsets[string(chunk)]; ok {
+			writer.flush()
+			writer.copyOffset = start
+			writer.copyLength = len(chunk)
+			continue
+		}
+		if writer.copyLength > 0 {
+			writer.flush()
+		}
+		writer.literal = append(writer.literal, chunk...)
+	}
+	writer.flush()
+	return writer.patch
+}
+
+// ApplyPatch rebuilds the new array from old. It fails if the patch is malformed, or was made
+// for an array that is longer than old.
+func ApplyPatch(old, patch []byte) ([]byte, error) {
+	out := make([]byte, 0, len(old)+len(patch))
+	for len(patch) > 0 {
+		step, size := binary.Uvarint(patch)
+		if size <= 0 {
+			return nil, errPatchMismatch
+		}
+		patch = patch[size:]
+		length := step >> 1
+		if step&literalBit != 0 {
+			if length > uint64(len(patch)) {
+				return nil, errPatchMismatch
+			}
+			out = append(out, patch[:length]...)
+			patch = patch[length:]
+			continue
+		}
+		offset, size := binary.Uvarint(patch)
+		if size <= 0 || offset > uint64(len(old)) || length > uint64(len(old))-offset {
+			return nil, errPatchMismatch
+		}
+		patch = patch[size:]
+		out = append(out, old[offset:offset+length]...)
+	}
+	return out, nil
+}
--- /dev/null
+++ b/internal/paxos/statemachine/state.go
@@ -0,0 +1,200 @@
+package statemachine
+
+import (
+	"maps"
+	"math/big"
+	"slices"
+	"strings"
+)
+
+// MembershipVersionKey holds the number of membership changes of a cell. A change is
+// conditioned on it, so that of two that were decided at the same time one is ignored.
+const MembershipVersionKey = "@seats"
+
+// Snapshot is the state after the entry at AppliedIndex.
+type Snapshot struct {
+	AppliedIndex uint64           `cbor:"1,keyasint"`
+	State        map[string]Value `cbor:"2,keyasint"`
+	Memberships  []Membership     `cbor:"3,keyasint"`
+}
+
+// State owns the key-value state and the memberships that the committed entries made.
+// Invariant: it is a function of the entries that were applied alone, so replicas that have
+// applied the same entries hold the same state. memberships are in order of EffectiveFrom.
+type State struct {
+	keyValues   map[string]Value
+	memberships []Membership
+	// changedKeys collects what was changed until the next TakeChangedKeys.
+	changedKeys ChangedKeys
+}
+
+// NewState returns a state without keys, and without a membership: that comes with a snapshot.
+func NewState() State { return State{keyValues: map[string]Value{}} }
+
+// Get returns a value.
+func (s *State) Get(key string) (Value, bool) {
+	value, ok := s.keyValues[key]
+	return value, ok
+}
+
+// Keys returns all keys in order.
+func (s *State) Keys() []string { return slices.Sorted(maps.Keys(s.keyValues)) }
+
+// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
+func (s *State) KeysWithPrefix(prefix, from string) []string {
+	var keys []string
+	for key := range s.keyValues {
+		if key >= from && strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// TakeChangedKeys returns which keys were changed since the last call.
+func (s *State) TakeChangedKeys() ChangedKeys {
+	changed := s.changedKeys
+	s.changedKeys = ChangedKeys{}
+	return changed
+}
+
+// Apply commits or ignores one transaction at its log index, and reports which.
+func (s *State) Apply(txn Txn, index, alpha uint64) bool {
+	if !s.conditionsHold(txn.Conditions) {
+		return false
+	}
+	staged := stagedTxn{base: s, index: index, txnID: txn.ID, values: make(map[string]*Value, len(txn.Ops))}
+	for _, op := range txn.Ops {
+		if !staged.apply(op) {
+			return false
+		}
+	}
+	for key, value := range staged.values {
+		s.changedKeys.Keys = append(s.changedKeys.Keys, key)
+		if value == nil {
+			delete(s.keyValues, key)
+		} else {
+			s.keyValues[key] = *value
+		}
+	}
+	if staged.voters != nil {
+		s.changeMembership(Membership{EffectiveFrom: index + alpha, Voters: staged.voters})
+	}
+	return true
+}
+
+// conditionsHold reports whether the state meets all conditions.
+func (s *State) conditionsHold(conditions []Condition) bool {
+	for _, condition := range conditions {
+		value, exists := s.keyValues[condition.Key]
+		if condition.Absent == exists {
+			return false
+		}
+		if !condition.Absent && !value.Equal(condition.Equals) {
+			return false
+		}
+	}
+	return true
+}
+
+// changeMembership adds a membership and counts the change.
+func (s *State) changeMembership(membership Membership) {
+	s.memberships = append(s.memberships, membership)
+	version := big.NewInt(1)
+	if old, ok := s.keyValues[MembershipVersionKey]; ok && old.Int != nil {
+		version.Add(version, old.Int)
+	}
+	s.keyValues[MembershipVersionKey] = Value{Int: version}
+}
+
+// stagedTxn holds what a transaction changes until all of its operations have succeeded.
+type stagedTxn struct {
+	base   *State
+	index  uint64
+	txnID  string
+	values map[string]*Value // nil: the key is deleted
+	voters []Voter           // nil: the membership stays
+}
+
+// get returns a value as the operations so far have left it.
+func (t *stagedTxn) get(key string) (Value, bool) {
+	if value, ok := t.values[key]; ok {
+		if value == nil {
+			return Value{}, false
+		}
+		return *value, true
+	}
+	value, ok := t.base.keyValues[key]
+	return value, ok
+}
+
+// apply carries out one operation, and reports whether it was possible.
+func (t *stagedTxn) apply(op Op) bool {
+	switch op.Kind {
+	case OpPut:
+		t.values[op.Key] = &op.Value
+	case OpDelete:
+		t.values[op.Key] = nil
+	case OpAdd:
+		return t.add(op)
+	case OpPatch:
+		old, _ := t.get(op.Key)
+		patched, err := ApplyPatch(old.Bytes, op.Value.Bytes)
+		if err != nil {
+			return false
+		}
+		t.values[op.Key] = &Value{Bytes: patched}
+	case OpAppend:
+		t.values[AppendedKey(op.Key, t.index, t.txnID)] = &op.Value
+	case OpSetVoters:
+		if !t.base.isSingleVoterChange(op.Voters, t.index) {
+			return false
+		}
+		t.voters = op.Voters
+	default:
+		return false
+	}
+	return true
+}
+
+// add carries out OpAdd.
+func (t *stagedTxn) add(op Op) bool {
+	old, exists := t.get(op.Key)
+	if op.Value.Int == nil || (exists && old.Int == nil) {
+		return false
+	}
+	sum := new(big.Int).Set(op.Value.Int)
+	if exists {
+		sum.Add(sum, old.Int)
+	}
+	t.values[op.Key] = &Value{Int: sum}
+	return true
+}
+
+// Load replaces the state by a snapshot's.
+func (s *State) Load(snapshot *Snapshot) {
+	s.keyValues = make(map[string]Value, len(snapshot.State))
+	maps.Copy(s.keyValues, snapshot.State)
+	s.memberships = slices.Clone(snapshot.Memberships)
+	s.changedKeys = ChangedKeys{All: true}
+}
+
+// Snapshot copies the state, which is that after the entry at appliedIndex.
+func (s *State) Snapshot(appliedIndex uint64) *Snapshot {
+	state := make(map[string]Value, len(s.keyValues))
+	maps.Copy(state, s.keyValues)
+	return &Snapshot{AppliedIndex: appliedIndex, State: state, Memberships: slices.Clone(s.memberships)}
+}
+
+// Size is about how many bytes the state takes in a snapshot.
+func (s *State) Size() int { return KeyValuesSize(s.keyValues) }
+
+// KeyValuesSize is about how many bytes keys and values take.
+func KeyValuesSize(keyValues map[string]Value) int {
+	size := 0
+	for key, value := range keyValues {
+		size += len(key) + len(value.Bytes) + itemOverheadBytes
+	}
+	return size
+}
