--- a/internal/controlplane/schema/schema.go
+++ b/internal/controlplane/schema/schema.go
@@ -12,6 +12,7 @@
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
+	"comethold/internal/paxos/statemachine"
 	"comethold/internal/routing"
 	"comethold/internal/rpc"
 )
@@ -203,7 +204,7 @@
 		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPut, Key: ConfigDataKey, Value: paxos.Bytes(raw)})
 	} else {
 		t.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Equals: UintValue(base)}}
-		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: paxos.Bytes(paxos.MakePatch(old, raw))})
+		t.Ops = append(t.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: paxos.Bytes(statemachine.MakePatch(old, raw))})
 	}
 	t.Ops = append(t.Ops, compactReceipts(m)...)
 	// In a storm orders outrun the publisher, who sweeps the rows otherwise.
--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -65,15 +65,17 @@
 // turned down: a replica that comes back from a partition does not depose it. A leader whose
 // leadership the candidate knows to have ended is not waited for.
 func (r *Replica) hasLivingLeader(now time.Duration, prepare Message) bool {
-	contactAt := r.contact.leaderContactAt
+	if r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
+		return false
+	}
+	mostSilence := r.config.ElectionTimeout * 2 / 3
 	if r.role == Leader {
-		contactAt = r.quorumContactAt()
+		return now-r.quorumContactAt() < mostSilence
 	}
-	ended := r.role != Leader && prepare.EndedLeadership != ProposalNumber{} && !prepare.EndedLeadership.Less(r.acceptor.promised)
-	if ended || r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
+	if ended := prepare.EndedLeadership; ended != (ProposalNumber{}) && !ended.Less(r.acceptor.promised) {
 		return false
 	}
-	return now-contactAt < r.config.ElectionTimeout*2/3
+	return now-r.contact.leaderContactAt < mostSilence
 }
 
 // sendPromise answers a Prepare with all that the log holds after the candidate's applied
--- a/internal/paxos/catch_up.go
+++ b/internal/paxos/catch_up.go
@@ -13,11 +13,9 @@
 	// maxBackoffHeartbeats bounds, in heartbeat intervals, how long a replica that has made no
 	// progress waits until it asks again, or is sent again what is large.
 	maxBackoffHeartbeats = 16
-
 	// smallTransferBytes is how large a log segment may be to be sent as often as it is asked
 	// for.
 	smallTransferBytes = 4 << 10
-
 	// minSegmentEntries is how many entries are sent as a segment even if they are larger
 	// than the state.
 	minSegmentEntries = 4
--- a/internal/paxos/doc.go
+++ b/internal/paxos/doc.go
@@ -18,34 +18,26 @@
 //
 // Ready returns what the owner must do: sync Ready.Writes to disk, send Ready.Messages at
 // once, and send Ready.MessagesAfterSync after these writes and all earlier ones are synced.
-// A message to the replica itself goes back into Step in the same order. The example of
-// Replica shows the loop for a cell of one voter. All times are readings of one monotonic
-// clock of the owner's choice.
+// A message to the replica itself goes back into Step. The example of Replica shows the loop.
+// All times are readings of one monotonic clock of the owner's choice.
 //
 // # The steps of Paxos
 //
-// The paper's section 2.2 has one distinguished proposer, here the leader, that runs phase 1
-// once for all open log indexes and then phase 2 for each entry:
+// One distinguished proposer, here the leader, runs phase 1 once for all open log indexes and
+// then phase 2 for each entry (the paper's section 2.2):
 //
 //   - phase 1a, Prepare: Replica.campaign in election.go, after the term is on disk
 //   - phase 1b, Promise: handlePrepare in acceptor.go
 //   - phase 2a, Accept: fillPipeline in proposer.go; at most Alpha entries are in flight, and
 //     what a Promise reported is proposed again before anything new
 //   - phase 2b, Accepted: handleAccept in acceptor.go
-//   - learning: handleAccepted in proposer.go commits on the leader; followers learn the
-//     commit index from the leader's messages (learner.go), and by log segment or snapshot
-//     transfer where entries are missing (catch_up.go, the paper's section 2.4)
+//   - learning: handleAccepted in proposer.go commits on the leader; followers learn from its
+//     messages (learner.go), and by log segment or snapshot (catch_up.go, section 2.4)
 //
 // An Entry is committed once a majority of the voters of its index has accepted it under one
 // proposal number. A membership change committed at index i decides who votes from index
 // i+Alpha on (membership.go, the paper's section 2.4 and figure 6).
 //
-// # Files
-//
-// Each file states at its main type what it owns and which invariant it keeps: replica.go,
-// election.go, proposer.go, acceptor.go, learner.go, catch_up.go, log.go, membership.go,
-// state_machine.go and leader_contact.go; message.go, transaction.go and ready.go hold the
-// types that owners and replicas exchange.
-//
-// Nothing in the package is safe for use by several goroutines at once.
+// Each file states what it owns and which invariant it keeps. Nothing in the package is safe
+// for use by several goroutines at once.
 package paxos
--- a/internal/paxos/election.go
+++ b/internal/paxos/election.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// Elections: the transitions between roles. A follower whose election deadline passes
-// persists a term, campaigns under it with Prepare messages (phase 1 of Paxos, run once for
-// all open indexes) and leads when a majority has promised.
+// Elections: the transitions between roles. A follower whose election deadline passes persists
+// a term, campaigns under it (phase 1 of Paxos) and leads when a majority has promised.
 //
 // Invariant: no two campaigns have the same proposal number, not even those of two
 // incarnations of a process on one disk: the term is synced before its first Prepare leaves.
@@ -181,10 +180,9 @@
 // isProposing reports whether the replica has a campaign or a leadership under way.
 func (r *Replica) isProposing() bool { return r.role == Candidate || r.role == Leader }
 
-// handleReject notes a newer term. A leader that is rejected may have been deposed; or a
-// replica with an outdated membership, that was moved out and does not know it, has
-// campaigned in vain. The leader then campaigns at once: who is in contact with a newer
-// leader rejects that, else nobody need wait for an election timeout.
+// handleReject notes a newer term. A leader that is rejected may have been deposed; or a voter
+// that was replaced and does not know it has campaigned in vain. The leader then campaigns at
+// once: who knows a newer leader rejects that, else nobody waits for an election timeout.
 func (r *Replica) handleReject(now time.Duration, msg Message) {
 	r.proposer.maxTerm = max(r.proposer.maxTerm, msg.ProposalNumber.Term)
 	if r.role == Leader && r.proposer.number.Less(msg.ProposalNumber) {
--- a/internal/paxos/follower_contact.go
+++ b/internal/paxos/follower_contact.go
@@ -10,8 +10,7 @@
 const heartbeatHistory = 64
 
 // followerContact owns what a leader knows of its followers: which heartbeats they answered,
-// and what their disks hold. Together with leaderContact, which is a follower's side of it,
-// it decides who is in contact with whom, and which reads are linearizable.
+// and what their disks hold. From that follows which reads are linearizable.
 //
 // Invariant: contactProvenAt is a moment at which a follower had not promised anything newer
 // than the leader's proposal number, since it answered what was sent then. A read is
--- a/internal/paxos/leader_contact.go
+++ b/internal/paxos/leader_contact.go
@@ -12,11 +12,10 @@
 // follower's state is current.
 //
 // Invariant: the state includes all that was acknowledged before currentUntil, a time of the
-// replica's own clock. The proof goes around: the replica sends a timestamp with each answer,
-// the leader echoes the newest that it has in its heartbeats, and what the leader had
-// committed when it sent that heartbeat was all that was acknowledged up to its own last
-// contact with a majority. What arrives late, after a partition or a pause, proves nothing
-// newer.
+// replica's own clock. The proof: the replica sends a timestamp with each answer, the leader
+// echoes the newest in its heartbeats, and what it had committed when it sent one was all that
+// was acknowledged up to its own last contact with a majority. What arrives late, after a
+// partition or a pause, proves nothing newer.
 type leaderContact struct {
 	leader ReplicaID
 	// leaderContactAt is when the leader was last in contact.
--- a/internal/paxos/membership.go
+++ b/internal/paxos/membership.go
@@ -1,12 +1,10 @@
 package paxos
 
-// The membership of the cell as the replica sees it. It is part of the replicated state, and
-// package statemachine keeps its invariant: one voter at a time, in effect alpha indexes after
-// it was committed. Here it is decided when a change is complete.
+// The membership of the cell. It is part of the replicated state, and package statemachine
+// changes it by one voter at a time. Here it is decided when a change is complete.
 //
-// Invariant: a voter may be given up, and the next change begin, only after a change is
-// complete: the new membership is in effect and a majority of it holds on disk, as committed,
-// all that came before.
+// Invariant: a change is complete, and the voters that left may be given up, only when the new
+// membership is in effect and a majority of it holds on disk all that was committed before.
 
 // nextMembership is the one that votes on the index after the last applied.
 func (r *Replica) nextMembership() Membership { return r.state.MembershipAt(r.appliedIndex + 1) }
--- a/internal/paxos/proposer.go
+++ b/internal/paxos/proposer.go
@@ -104,7 +104,7 @@
 		return nil, false
 	}
 	size := min(len(p.queue), maxBatch)
-	txns = append([]Txn(nil), p.queue[:size]...)
+	txns = slices.Clone(p.queue[:size])
 	p.queue = p.queue[size:]
 	return txns, true
 }
@@ -257,10 +257,9 @@
 	}
 }
 
-// isCaughtUp reports whether a leader has applied all that earlier ones had committed: what
-// it has adopted, and after that nothing else can be committed, since a majority of those who
-// vote on the next index has promised. After a membership change that may be another majority
-// than the one that elected it.
+// isCaughtUp reports whether a leader has applied all that earlier ones had committed: what it
+// has adopted, and nothing after that, since a majority of those who vote on the next index
+// has promised. After a membership change that may not be the majority that elected it.
 func (r *Replica) isCaughtUp() bool {
 	return r.appliedIndex >= r.proposer.maxAdoptedIndex() && r.nextMembership().IsQuorum(r.proposer.hasPromised)
 }
--- a/internal/paxos/replica.go
+++ b/internal/paxos/replica.go
@@ -66,16 +66,16 @@
 // ranges over a map that isn't sorted.
 type Replica struct {
 	config   Config
-	learners []ReplicaID
+	learners []ReplicaID // to be kept current by the leader, besides the voters
 
 	role             Role
 	roleSince        time.Duration
-	electionDeadline time.Duration
+	electionDeadline time.Duration // of a follower or candidate
 
 	acceptor  acceptor
-	proposer  proposer
-	contact   leaderContact
-	followers followerContact
+	proposer  proposer        // the current campaign or leadership
+	contact   leaderContact   // as a follower
+	followers followerContact // as the leader
 	catchUp   catchUp
 
 	log   replicaLog
@@ -113,16 +113,12 @@
 	}
 	r.durableCommitIndex = r.appliedIndex
 	r.becomeFollower(now)
-	r.electionDeadline = now + r.firstElectionTimeout()
+	// After a start nobody may lead: campaign soon. Replicas that are in contact with a leader
+	// reject that, and this one has promised nothing yet.
+	r.electionDeadline = now + time.Duration((0.2+config.Jitter())*float64(config.ElectionTimeout)/3)
 	return r
 }
 
-// firstElectionTimeout is short: after a start nobody may lead. Replicas that are in contact
-// with a leader reject the campaign, and this one has promised nothing yet.
-func (r *Replica) firstElectionTimeout() time.Duration {
-	return time.Duration((0.2 + r.config.Jitter()) * float64(r.config.ElectionTimeout) / 3)
-}
-
 // Role returns the replica's part in the election.
 func (r *Replica) Role() Role { return r.role }
 
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -77,7 +77,8 @@
 				continue // its disk was lost
 			}
 			if found := node.disk.recoverableIndex(); found < reported {
-				s.t.Fatalf("%s at %v: %s was told that %s holds %d, a restart would find %d", s.name, s.now, leader.id, id, reported, found)
+				s.t.Fatalf("%s at %v: %s was told that %s holds %d, a restart would find %d",
+					s.name, s.now, leader.id, id, reported, found)
 			}
 		}
 	}
--- a/internal/paxos/state_machine.go
+++ b/internal/paxos/state_machine.go
@@ -2,33 +2,38 @@
 
 import "comethold/internal/paxos/statemachine"
 
-// The state machine that a cell replicates stands in package statemachine, which owns the
-// key-value state and keeps the invariant that it is a function of the applied entries alone.
-// The types that log entries and snapshots are made of go by these names as well, so that the
-// owner of a replica needs one import.
+// The state machine is package statemachine: it owns the key-value state and the memberships,
+// and keeps the invariant that they are a function of the applied entries alone. The owner of
+// a replica needs one import, since what entries are made of goes by these names as well.
 type (
-	ReplicaID   = statemachine.ReplicaID
-	Voter       = statemachine.Voter
-	Membership  = statemachine.Membership
-	Snapshot    = statemachine.Snapshot
-	Value       = statemachine.Value
-	Condition   = statemachine.Condition
-	OpKind      = statemachine.OpKind
-	Op          = statemachine.Op
-	Txn         = statemachine.Txn
+	// ReplicaID names one incarnation of one disk.
+	ReplicaID = statemachine.ReplicaID
+	// Voter is one place in a membership.
+	Voter = statemachine.Voter
+	// Membership is the set of voters from one log index on.
+	Membership = statemachine.Membership
+	// Snapshot is the state after an entry.
+	Snapshot = statemachine.Snapshot
+	// Value is a byte array, an integer or a boolean.
+	Value = statemachine.Value
+	// Condition must hold when its transaction is applied.
+	Condition = statemachine.Condition
+	// Op is one change of one key, or of the membership.
+	Op = statemachine.Op
+	// Txn is a transaction: conditions and operations.
+	Txn = statemachine.Txn
+	// ChangedKeys names keys that were changed.
 	ChangedKeys = statemachine.ChangedKeys
 )
 
-// The operations of a transaction, and the key that counts membership changes; see package
-// statemachine.
+// The operations of a transaction, and the key that counts membership changes.
 const (
-	OpPut       = statemachine.OpPut
-	OpDelete    = statemachine.OpDelete
-	OpAdd       = statemachine.OpAdd
-	OpPatch     = statemachine.OpPatch
-	OpSetVoters = statemachine.OpSetVoters
-	OpAppend    = statemachine.OpAppend
-
+	OpPut                = statemachine.OpPut
+	OpDelete             = statemachine.OpDelete
+	OpAdd                = statemachine.OpAdd
+	OpPatch              = statemachine.OpPatch
+	OpSetVoters          = statemachine.OpSetVoters
+	OpAppend             = statemachine.OpAppend
 	MembershipVersionKey = statemachine.MembershipVersionKey
 )
 
@@ -43,11 +48,7 @@
 	return statemachine.AppendedKey(prefix, index, id)
 }
 
-// MakePatch returns a patch that turns old into new, for OpPatch.
-func MakePatch(old, new []byte) []byte { return statemachine.MakePatch(old, new) }
-
-// Get returns a value of the applied state: of a consistent prefix of the log, maybe an old
-// one. After a confirmed Read it is linearizable.
+// Get returns a value of the applied state, maybe an old one; see Read.
 func (r *Replica) Get(key string) (Value, bool) { return r.state.Get(key) }
 
 // Keys returns the keys of the applied state in order.
--- /dev/null
+++ b/internal/paxos/statemachine/state_test.go
@@ -0,0 +1,131 @@
+package statemachine
+
+import (
+	"testing"
+)
+
+const testAlpha = 3
+
+// newFoundedState returns a state with one key and the voters a, b and c.
+func newFoundedState() State {
+	state := NewState()
+	state.Load(&Snapshot{
+		State:       map[string]Value{"x": Int(1)},
+		Memberships: []Membership{{EffectiveFrom: 1, Voters: voters("a", "b", "c")}},
+	})
+	return state
+}
+
+func voters(ids ...ReplicaID) []Voter {
+	var list []Voter
+	for _, id := range ids {
+		list = append(list, Voter{ID: id})
+	}
+	return list
+}
+
+// TestApplyIsAllOrNothing: a transaction whose conditions hold and whose operations are all
+// possible changes the state; any other changes nothing.
+func TestApplyIsAllOrNothing(t *testing.T) {
+	putY := Op{Kind: OpPut, Key: "y", Value: Int(5)}
+	for name, test := range map[string]struct {
+		txn  Txn
+		want bool
+	}{
+		"no condition":       {Txn{Ops: []Op{putY}}, true},
+		"equal":              {Txn{Conditions: []Condition{{Key: "x", Equals: Int(1)}}, Ops: []Op{putY}}, true},
+		"other value":        {Txn{Conditions: []Condition{{Key: "x", Equals: Int(2)}}, Ops: []Op{putY}}, false},
+		"other type":         {Txn{Conditions: []Condition{{Key: "x", Equals: Bytes([]byte("1"))}}, Ops: []Op{putY}}, false},
+		"absent":             {Txn{Conditions: []Condition{{Key: "z", Absent: true}}, Ops: []Op{putY}}, true},
+		"not absent":         {Txn{Conditions: []Condition{{Key: "x", Absent: true}}, Ops: []Op{putY}}, false},
+		"missing":            {Txn{Conditions: []Condition{{Key: "z", Equals: Int(1)}}, Ops: []Op{putY}}, false},
+		"adds to bytes":      {Txn{Ops: []Op{putY, {Kind: OpPut, Key: "b"}, {Kind: OpAdd, Key: "b", Value: Int(1)}}}, false},
+		"patch does not fit": {Txn{Ops: []Op{putY, {Kind: OpPatch, Key: "z", Value: Bytes([]byte{200})}}}, false},
+		"unknown operation":  {Txn{Ops: []Op{putY, {Kind: 99}}}, false},
+	} {
+		state := newFoundedState()
+		if got := state.Apply(test.txn, 1, testAlpha); got != test.want {
+			t.Errorf("%s: committed is %v", name, got)
+		}
+		if _, changed := state.Get("y"); changed != test.want {
+			t.Errorf("%s: changed is %v", name, changed)
+		}
+	}
+}
+
+// TestApplyOperations: operations see what those before them in the transaction did.
+func TestApplyOperations(t *testing.T) {
+	state := newFoundedState()
+	txn := Txn{ID: "t", Ops: []Op{
+		{Kind: OpAdd, Key: "x", Value: Int(2)},
+		{Kind: OpAdd, Key: "x", Value: Int(3)},
+		{Kind: OpAdd, Key: "new", Value: Int(4)},
+		{Kind: OpPut, Key: "gone", Value: Int(1)},
+		{Kind: OpDelete, Key: "gone"},
+		{Kind: OpPut, Key: "bytes", Value: Bytes([]byte("{a}{b}"))},
+		{Kind: OpPatch, Key: "bytes", Value: Bytes(MakePatch([]byte("{a}{b}"), []byte("{a}{c}")))},
+		{Kind: OpAppend, Key: "list/", Value: Int(7)},
+	}}
+	if !state.Apply(txn, 12, testAlpha) {
+		t.Fatal("it was ignored")
+	}
+	want := map[string]Value{
+		"x": Int(6), "new": Int(4), "bytes": Bytes([]byte("{a}{c}")), AppendedKey("list/", 12, "t"): Int(7),
+	}
+	if keys := state.Keys(); len(keys) != len(want) {
+		t.Errorf("keys are %q", keys)
+	}
+	for key, value := range want {
+		if got, _ := state.Get(key); !got.Equal(value) {
+			t.Errorf("%s is %v, want %v", key, got, value)
+		}
+	}
+}
+
+// TestMembershipChangesByOneVoter: a change that adds or removes more than one voter, or comes
+// before the one before it is in effect, is ignored.
+func TestMembershipChangesByOneVoter(t *testing.T) {
+	for name, test := range map[string]struct {
+		next []Voter
+		want bool
+	}{
+		"one added":    {voters("a", "b", "c", "d"), true},
+		"one removed":  {voters("a", "b"), true},
+		"one replaced": {voters("a", "b", "d"), true},
+		"two replaced": {voters("a", "d", "e"), false},
+		"two added":    {voters("a", "b", "c", "d", "e"), false},
+		"unchanged":    {voters("c", "b", "a"), false},
+		"twice":        {voters("a", "b", "b"), false},
+		"empty":        {nil, false},
+	} {
+		state := newFoundedState()
+		if got := state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: test.next}}}, 5, testAlpha); got != test.want {
+			t.Errorf("%s: committed is %v", name, got)
+		}
+	}
+	state := newFoundedState()
+	change := func(index uint64, ids ...ReplicaID) bool {
+		return state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: voters(ids...)}}}, index, testAlpha)
+	}
+	if !change(5, "a", "b", "c", "d") || change(7, "a", "b", "c") || !change(8, "a", "b", "c") {
+		t.Error("a change at 5 must be the last until it is in effect at 8")
+	}
+	if state.MembershipAt(7).Contains("d") || !state.MembershipAt(8).Contains("d") || state.MembershipAt(11).Contains("d") {
+		t.Error("d must vote from 8 to 10")
+	}
+	if version, _ := state.Get(MembershipVersionKey); !version.Equal(Int(2)) {
+		t.Errorf("%v changes were counted", version)
+	}
+}
+
+// TestSnapshotIsACopy: what is applied later does not change a snapshot.
+func TestSnapshotIsACopy(t *testing.T) {
+	state := newFoundedState()
+	snapshot := state.Snapshot(4)
+	state.Apply(Txn{Ops: []Op{{Kind: OpPut, Key: "x", Value: Int(2)}}}, 5, testAlpha)
+	loaded := NewState()
+	loaded.Load(snapshot)
+	if x, _ := loaded.Get("x"); snapshot.AppliedIndex != 4 || !x.Equal(Int(1)) {
+		t.Errorf("the snapshot of %d has %v", snapshot.AppliedIndex, x)
+	}
+}
