--- /dev/null
+++ b/internal/rpc/client.go
@@ -0,0 +1,83 @@
+package rpc
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+)
+
+// Defaults of a client.
+const (
+	defaultDialTimeout    = 700 * time.Millisecond
+	defaultSilenceTimeout = 2 * time.Second
+	defaultMaxIdle        = 4
+
+	idleTimeout = 30 * time.Second
+	bufferBytes = 4 << 10 // of each connection and direction
+)
+
+// Client calls other processes. It is safe for use by several goroutines.
+type Client struct{ httpClient *http.Client }
+
+// NewClient makes a client with the default limits.
+func NewClient(network Network) *Client {
+	return NewClientWithLimits(network, defaultDialTimeout, defaultSilenceTimeout, defaultMaxIdle)
+}
+
+// NewClientWithLimits makes a client with limits of its own: for an attempt to connect, for a peer that acknowledges
+// nothing, and for the idle connections that are kept to each peer.
+func NewClientWithLimits(network Network, dialTimeout, silenceTimeout time.Duration, maxIdlePerPeer int) *Client {
+	// The transport repeats a POST on its own only if the connection that it had kept was found closed with no byte
+	// of the request written.
+	transport := &http.Transport{
+		DialContext:         network(dialTimeout, silenceTimeout),
+		DisableCompression:  true,
+		MaxIdleConnsPerHost: maxIdlePerPeer,
+		IdleConnTimeout:     idleTimeout,
+		ReadBufferSize:      bufferBytes,
+		WriteBufferSize:     bufferBytes,
+	}
+	return &Client{httpClient: &http.Client{CheckRedirect: NoRedirect, Transport: transport}}
+}
+
+// NoRedirect keeps an http.Client from following redirects, which would be a second call.
+func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+
+// Call posts a request to the peer's path, at most once, and decodes the answer into what answer points to; nil
+// ignores its body. Errors wrap ErrNoResponse, ErrRejected or ErrMalformed; after ErrNoResponse the peer may have
+// done what it was asked, and may yet do it.
+func (c *Client) Call(ctx context.Context, address, path string, request, answer any) error {
+	body, err := EncodeRequest(request)
+	if err != nil {
+		return err
+	}
+	return c.CallEncoded(ctx, address, path, body, answer)
+}
+
+// CallEncoded is Call with a body that EncodeRequest made.
+func (c *Client) CallEncoded(ctx context.Context, address, path string, body []byte, answer any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	req.Header["User-Agent"] = nil // not sent
+	resp, err := c.httpClient.Do(req)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrNoResponse, err)
+	}
+	defer func() { _ = resp.Body.Close() }() // it was read to its end, or the connection is given up
+	answerBody, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrNoResponse, err)
+	}
+	if resp.StatusCode/100 != 2 {
+		return fmt.Errorf("%w: %d %s", ErrRejected, resp.StatusCode, answerBody)
+	}
+	if answer == nil {
+		return nil
+	}
+	return decodeValue(answerBody, answer)
+}
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -15,12 +15,20 @@
 	"comethold/internal/simulation"
 )
 
-// faultyPeer takes calls and ends them in the ways that processes and networks do.
+const (
+	callers        = 8
+	callsPerCaller = 60
+	callTimeout    = 20 * time.Millisecond
+)
+
+// faultyPeer receives calls and ends them in the ways that processes and networks do. Its answer to a call is the
+// number of the call.
 type faultyPeer struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	received map[int]int
 	listener net.Listener
+
+	mu       sync.Mutex  // guards the fields below
+	rng      *rand.Rand  // chooses the fault
+	received map[int]int // by the number of the call: how often it came
 }
 
 func (p *faultyPeer) draw(n int) int {
@@ -29,115 +37,132 @@
 	return p.rng.Intn(n)
 }
 
-func (p *faultyPeer) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+func (p *faultyPeer) acceptAll() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		go p.serve(conn)
+	}
+}
+
+func (p *faultyPeer) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		var call int
-		if DecodeRequest(r.Body, &call) != nil {
+		if DecodeRequest(request.Body, &call) != nil {
 			return
 		}
 		p.mu.Lock()
 		p.received[call]++
 		p.mu.Unlock()
-		b, _ := Marshal(call)
-		b = EncodeBody(b)
-		say := func(status, header string, body []byte) {
-			fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
-		}
-		switch p.draw(14) {
-		case 0:
-			return // before the first byte
-		case 1:
-			_ = c.(*net.TCPConn).SetLinger(0)
-			return
-		case 2:
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b)+1, b)
+		raw, _ := Marshal(call)
+		if !p.answer(conn, EncodeBody(raw)) {
 			return
-		case 3: // no mark of its end, and cut
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", b[:p.draw(len(b))])
-			return
-		case 4:
-			time.Sleep(40 * time.Millisecond) // later than the caller waits
-			say("200 OK", "", b)
-		case 5:
-			say("200 OK", "", nil)
-		case 6:
-			say("307 Temporary Redirect", "Location: http://"+p.listener.Addr().String()+"/\r\n", nil)
-		case 7:
-			say("200 OK", "Connection: close\r\n", b)
-			return
-		case 8, 9: // and ends while the next call may be on its way
-			say("200 OK", "", b)
-			time.Sleep(time.Duration(p.draw(800)) * time.Microsecond)
-			return
-		case 10:
-			fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
-			say("200 OK", "", b)
-		default:
-			say("200 OK", "", b)
 		}
 	}
 }
 
-// TestCalls: whatever ends a call, it came once at the most, and who is told that it went
-// well has the answer to this very call.
+// answer ends a call in one of many ways; false if the connection ends with it.
+func (p *faultyPeer) answer(conn net.Conn, body []byte) bool {
+	respond := func(status, header string, body []byte) {
+		fmt.Fprintf(conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
+	}
+	switch p.draw(14) {
+	case 0: // closed before the first byte
+		return false
+	case 1: // reset
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
+		}
+		return false
+	case 2: // shorter than announced
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+1, body)
+		return false
+	case 3: // without a length, and truncated
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s", body[:p.draw(len(body))])
+		return false
+	case 4: // after the caller's time-out
+		time.Sleep(2 * callTimeout)
+		respond("200 OK", "", body)
+	case 5: // without a body
+		respond("200 OK", "", nil)
+	case 6:
+		respond("307 Temporary Redirect", "Location: http://"+p.listener.Addr().String()+"/\r\n", nil)
+	case 7:
+		respond("200 OK", "Connection: close\r\n", body)
+		return false
+	case 8, 9: // closed while the next call may be in flight
+		respond("200 OK", "", body)
+		time.Sleep(time.Duration(p.draw(800)) * time.Microsecond)
+		return false
+	case 10:
+		fmt.Fprint(conn, "HTTP/1.1 103 Early Hints\r\n\r\n")
+		respond("200 OK", "", body)
+	default:
+		respond("200 OK", "", body)
+	}
+	return true
+}
+
+// TestCalls: however a call ends, the peer received it at most once, and a caller that is told of success has the
+// answer to this very call.
 func TestCalls(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
-		door, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &faultyPeer{rng: rand.New(rand.NewSource(int64(seed))), received: map[int]int{}, listener: door}
-		go func() {
-			for {
-				c, err := door.Accept()
-				if err != nil {
-					return
-				}
-				go p.serve(c)
-			}
-		}()
+		peer := &faultyPeer{listener: listener, rng: rand.New(rand.NewSource(int64(seed))), received: map[int]int{}}
+		go peer.acceptAll()
 		client := NewClient(TCPNetwork)
-		well := 0
-		var wg sync.WaitGroup
-		for k := range 8 {
-			wg.Go(func() {
-				for i := range 60 {
-					call, got := 1000*(k+1)+i, 0
-					ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-					err := client.Call(ctx, door.Addr().String(), "/", call, &got)
-					cancel()
-					p.mu.Lock()
-					switch {
-					case err == nil && got != call:
-						t.Errorf("seed %d: call %d was answered %d", seed, call, got)
-					case err == nil:
-						well++
-					case !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrRejected) && !errors.Is(err, ErrMalformed):
-						t.Errorf("seed %d: an error of no layer: %v", seed, err)
-					}
-					p.mu.Unlock()
-				}
-			})
-		}
-		wg.Wait()
-		time.Sleep(50 * time.Millisecond)
-		_ = door.Close()
+		successes := callConcurrently(t, seed, client, peer)
+		time.Sleep(50 * time.Millisecond) // for requests that were sent and not read yet
+		_ = listener.Close()
 		client.httpClient.CloseIdleConnections()
-		p.mu.Lock()
-		for call, n := range p.received {
+		peer.mu.Lock()
+		for call, n := range peer.received {
 			if n > 1 {
 				t.Errorf("seed %d: call %d came %d times", seed, call, n)
 			}
 		}
-		if well == 0 {
-			t.Errorf("seed %d: no call went well", seed)
+		peer.mu.Unlock()
+		if successes == 0 {
+			t.Errorf("seed %d: no call succeeded", seed)
 		}
-		p.mu.Unlock()
 	}
 }
+
+// callConcurrently makes numbered calls and checks their answers; it returns how many succeeded.
+func callConcurrently(t *testing.T, seed int, client *Client, peer *faultyPeer) (successes int) {
+	t.Helper()
+	var wg sync.WaitGroup
+	for caller := range callers {
+		wg.Go(func() {
+			for i := range callsPerCaller {
+				call, answer := 1000*(caller+1)+i, 0
+				ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
+				err := client.Call(ctx, peer.listener.Addr().String(), "/", call, &answer)
+				cancel()
+				peer.mu.Lock()
+				switch {
+				case err == nil && answer != call:
+					t.Errorf("seed %d: call %d was answered %d", seed, call, answer)
+				case err == nil:
+					successes++
+				case !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrRejected) && !errors.Is(err, ErrMalformed):
+					t.Errorf("seed %d: an undocumented error: %v", seed, err)
+				}
+				peer.mu.Unlock()
+			}
+		})
+	}
+	wg.Wait()
+	return successes
+}
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -166,9 +166,9 @@
 	d.SetFault(false, true)
 	v.Submit("c", paxos.Writes{Promised: &paxos.ProposalNumber{Term: 1}}, func() { t.Error("synced by a disk that hangs") })
 	for busy := false; !busy; time.Sleep(time.Millisecond) {
-		v.mu.Lock()
-		busy = v.committing
-		v.mu.Unlock()
+		v.commits.mu.Lock()
+		busy = v.commits.committing
+		v.commits.mu.Unlock()
 	}
 	// bbolt writes under a lock that its readers need: a new cell is opened without them.
 	if _, found, err := new(Store).LoadReplica("new"); found || err != nil {
@@ -179,5 +179,5 @@
 	}
 	d.EndProcess()
 	d.SetFault(false, false)
-	<-v.stopped
+	<-v.commits.stopped
 }
--- /dev/null
+++ b/internal/storage/store.go
@@ -0,0 +1,153 @@
+// Package storage keeps the durable state of the replicas of one control node in one bbolt file.
+//
+// A Store holds two kinds of state: values of the node itself (its identity, its newest endpoint list, its inbox),
+// and for each cell what its Paxos replica must remember: the promise, the term that it last campaigned under, the
+// commit index, the log and the newest snapshot.
+//
+// The order in which things become durable is part of the contract:
+//
+//   - Open returns only after the name of the file is durable, so that no identity that is given out later can be
+//     lost together with the file that holds it.
+//   - Bootstrap stores the identity of the node and the founding state of its first cell in one transaction. A
+//     founder that is stopped in between has either both or neither.
+//   - Submit calls done only after its writes, and all those submitted before them, are synced. Messages that
+//     vouch for the writes must wait for done. All that is submitted while a sync is under way is written together
+//     with the next one (group commit).
+//   - A snapshot and the removal of the log entries that it covers are one transaction.
+//   - QueueNodeValue only queues: the value is synced together with the next group, and nothing waits for it.
+//
+// A file that cannot be read is renamed and replaced by an empty one; the node then starts like one whose disk was
+// lost. A disk that refuses writes is retried until it accepts them.
+package storage
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+
+	"comethold/internal/paxos"
+)
+
+// Errors of this package. ErrCorrupt is about the content of the file. Errors of the disk below it are passed on as
+// they are: they may be temporary.
+var (
+	ErrCorrupt      = errors.New("storage: the file cannot be read")
+	ErrUnresponsive = errors.New("storage: the disk does not respond")
+)
+
+// How faults of the disk are handled.
+const (
+	// RetryDelay is the pause before a failed write is repeated.
+	RetryDelay = 200 * time.Millisecond
+	// UnresponsiveAfter is how long an operation may take before ErrUnresponsive is reported.
+	UnresponsiveAfter = 2 * time.Second
+
+	closeTimeout = time.Second // for a disk that hangs
+)
+
+// Store is the durable state of one node. It is safe for use by several goroutines; what is submitted for one cell
+// reaches the disk in order.
+type Store struct {
+	db      *bolt.DB
+	disk    Disk
+	commits *groupCommitter
+
+	mu         sync.Mutex
+	knownCells map[string]bool // names of cells that the file holds, or will hold; guarded by mu
+}
+
+// NodeValue returns a value of the node itself, or nil.
+func (s *Store) NodeValue(key string) []byte {
+	var value []byte
+	_ = s.db.View(func(tx *bolt.Tx) error {
+		if bucket := tx.Bucket(nodeBucket); bucket != nil {
+			value = append(value, bucket.Get([]byte(key))...)
+		}
+		return nil
+	})
+	return value
+}
+
+// SetNodeValue stores a value of the node itself and returns after it is synced.
+func (s *Store) SetNodeValue(key string, value []byte) error {
+	return s.disk.Update(s.db, func(tx *bolt.Tx) error { return putNodeValue(tx, key, value) })
+}
+
+// QueueNodeValue queues a value of the node itself for the next group commit. Nothing waits for its sync, and a newer
+// value replaces one that was not written yet.
+func (s *Store) QueueNodeValue(key string, value []byte) { s.commits.addNodeValue(key, value) }
+
+// Bootstrap stores a value of the node and the founding state of a cell in one transaction, and returns after both
+// are synced.
+func (s *Store) Bootstrap(key string, value []byte, cell string, writes paxos.Writes) error {
+	s.addKnownCell(cell)
+	return s.disk.Update(s.db, func(tx *bolt.Tx) error {
+		if err := putNodeValue(tx, key, value); err != nil {
+			return err
+		}
+		return putReplicaWrites(tx, cell, &writes)
+	})
+}
+
+// LoadReplica reads what the disk holds of a cell's replica; found is false for a cell that is new to this node. For
+// such a cell the disk, which may be hanging, is not accessed. Every error wraps ErrCorrupt.
+func (s *Store) LoadReplica(cell string) (state paxos.PersistedState, found bool, err error) {
+	if !s.isKnownCell(cell) {
+		return state, false, nil
+	}
+	defer func() {
+		if fault := recover(); fault != nil { // bbolt panics on damaged pages
+			err = corruptError(fault)
+		}
+	}()
+	err = s.db.View(func(tx *bolt.Tx) error {
+		bucket := tx.Bucket(cellBucket(cell))
+		if bucket == nil {
+			return nil
+		}
+		found = true
+		return readReplicaState(bucket, &state)
+	})
+	if err != nil {
+		err = corruptError(err)
+	}
+	return state, found, err
+}
+
+// Submit queues writes of a replica. It returns true, and does not call done, if there is nothing to wait for: the
+// writes are empty and so is the queue. Otherwise done is called after these writes, and all those submitted before
+// them, are synced. A disk that fails is retried until it accepts the writes; after Close done is never called.
+func (s *Store) Submit(cell string, writes paxos.Writes, done func()) bool {
+	return s.commits.addReplicaWrites(cell, writes, done, func() { s.addKnownCell(cell) })
+}
+
+// Close stops the group commits and closes the file. Writes that are not synced yet are abandoned. A disk that hangs
+// is not waited for: Close then returns ErrUnresponsive, and the file is released when the process exits.
+func (s *Store) Close() error {
+	s.commits.close()
+	closed := make(chan error, 1)
+	go func() {
+		<-s.commits.stopped
+		closed <- s.db.Close()
+	}()
+	select {
+	case err := <-closed:
+		return err
+	case <-time.After(closeTimeout):
+		return ErrUnresponsive
+	}
+}
+
+func (s *Store) isKnownCell(cell string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.knownCells[cell]
+}
+
+func (s *Store) addKnownCell(cell string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.knownCells[cell] = true
+}
