--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,173 @@
+// Package discovery reads the platform's list of instances: the endpoints that requests can be sent to.
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"net/url"
+	"sort"
+	"time"
+
+	"github.com/go-playground/validator/v10"
+
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+)
+
+// Errors of this package.
+var (
+	// ErrUnavailable says that the platform gave no usable answer in time.
+	ErrUnavailable = errors.New("discovery: the platform does not answer")
+	// ErrRateLimited says that the platform refused too many calls in a row.
+	ErrRateLimited = errors.New("discovery: the platform refuses more calls")
+	// ErrMalformed says that the platform's answer cannot be read.
+	ErrMalformed = errors.New("discovery: the list cannot be read")
+)
+
+const (
+	callTimeout    = 900 * time.Millisecond
+	dialTimeout    = 600 * time.Millisecond
+	silenceTimeout = 1500 * time.Millisecond
+	maxPages       = 400
+	maxPageBytes   = 8 << 20
+
+	maxRateLimitRetries = 20                     // of one page
+	rateLimitDelay      = 250 * time.Millisecond // after a refusal, on average
+
+	stateReady = "ready" // of an instance that takes requests; in any other it is draining
+)
+
+// instance is one server in the platform's list.
+type instance struct {
+	InstanceID       string `json:"instanceId" validate:"required"`
+	Service          string `json:"service" validate:"required"`
+	Address          string `json:"address" validate:"required,hostname_port"`
+	AvailabilityZone string `json:"availabilityZone"`
+	CapacitySlots    int    `json:"capacitySlots"`
+	State            string `json:"state"`
+	WarmupLeftMs     int64  `json:"warmupLeftMs"`
+}
+
+func (i *instance) endpoint() distribution.Endpoint {
+	return distribution.Endpoint{
+		ID:        i.InstanceID,
+		Service:   i.Service,
+		Addr:      i.Address,
+		Zone:      i.AvailabilityZone,
+		Slots:     max(1, i.CapacitySlots),
+		Draining:  i.State != stateReady,
+		WarmingUp: i.WarmupLeftMs > 0,
+	}
+}
+
+type instancePage struct {
+	Instances     []instance `json:"instances" validate:"dive"`
+	NextPageToken *string    `json:"nextPageToken"`
+}
+
+var validate = validator.New(validator.WithRequiredStructEnabled())
+
+// Client reads the platform's list. It is not safe for use by several goroutines.
+type Client struct {
+	address    string
+	httpClient *http.Client
+	limiter    *rateLimiter
+}
+
+// NewClient makes a client of the list at address. ratePerS is how many calls a second the platform takes from all
+// nodes together; 0 if that is not known.
+func NewClient(network rpc.Network, address string, ratePerS float64) *Client {
+	transport := &http.Transport{
+		DialContext:         network(dialTimeout, silenceTimeout),
+		DisableCompression:  true,
+		MaxIdleConnsPerHost: 1,
+	}
+	return &Client{
+		address:    address,
+		httpClient: &http.Client{Timeout: callTimeout, Transport: transport},
+		limiter:    newRateLimiter(ratePerS),
+	}
+}
+
+// List reads the whole list, page by page, sorted by ID. It returns all of it or an error.
+func (c *Client) List(ctx context.Context) ([]distribution.Endpoint, error) {
+	var endpoints []distribution.Endpoint
+	token := ""
+	for range maxPages {
+		page, err := c.fetchPageAtRate(ctx, token)
+		if err != nil {
+			return nil, err
+		}
+		for i := range page.Instances {
+			endpoints = append(endpoints, page.Instances[i].endpoint())
+		}
+		if page.NextPageToken == nil || *page.NextPageToken == "" {
+			sort.Slice(endpoints, func(i, j int) bool { return endpoints[i].ID < endpoints[j].ID })
+			return endpoints, nil
+		}
+		token = *page.NextPageToken
+	}
+	return nil, fmt.Errorf("%w: no last page", ErrMalformed)
+}
+
+// fetchPageAtRate reads a page when the rate allows it, and again if it is refused all the same: to begin the list
+// anew would only add calls.
+func (c *Client) fetchPageAtRate(ctx context.Context, token string) (page *instancePage, err error) {
+	for range maxRateLimitRetries {
+		if err := c.limiter.wait(ctx); err != nil {
+			return nil, err
+		}
+		if page, err = c.fetchPage(ctx, token); !errors.Is(err, ErrRateLimited) {
+			return page, err
+		}
+		jitter := 0.5 + rand.Float64() // so that several nodes don't retry together
+		if sleep(ctx, time.Duration(jitter*float64(rateLimitDelay))) != nil {
+			return nil, err
+		}
+	}
+	return nil, err
+}
+
+func (c *Client) fetchPage(ctx context.Context, token string) (*instancePage, error) {
+	target := "http://" + c.address + "/instances"
+	if token != "" {
+		target += "?pageToken=" + url.QueryEscape(token)
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	req.Header["User-Agent"] = nil // not sent
+	resp, err := c.httpClient.Do(req)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	defer func() { _ = resp.Body.Close() }() // it was read, or the connection is given up
+	if resp.StatusCode == http.StatusTooManyRequests {
+		return nil, ErrRateLimited
+	}
+	if resp.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	return decodePage(body)
+}
+
+func decodePage(body []byte) (*instancePage, error) {
+	var page instancePage
+	if err := json.Unmarshal(body, &page); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if err := validate.Struct(&page); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	return &page, nil
+}
--- /dev/null
+++ b/internal/settings/load.go
@@ -0,0 +1,66 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+	"github.com/go-playground/validator/v10"
+
+	"comethold/internal/routing"
+)
+
+// Env is the environment variable that names the settings file.
+const Env = "COMETHOLD_SETTINGS"
+
+// ErrSettings is wrapped by every error of this package.
+var ErrSettings = errors.New("settings")
+
+var validate = newValidator()
+
+// newValidator makes a validator whose errors name fields as the file does.
+func newValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
+	return v
+}
+
+// Path returns the path of the settings file that the environment names.
+func Path() (string, error) {
+	path := os.Getenv(Env)
+	if path == "" {
+		return "", fmt.Errorf("%w: the variable %s names no file", ErrSettings, Env)
+	}
+	return path, nil
+}
+
+// Load reads and checks a settings file. Its error names every violation.
+func Load(path string) (*Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSettings, err)
+	}
+	return Parse(raw)
+}
+
+// Parse reads and checks the text of a settings file. Its error names every violation.
+func Parse(raw []byte) (*Settings, error) {
+	s := &Settings{}
+	if err := toml.Unmarshal(raw, s); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSettings, err)
+	}
+	var violations []string
+	if err := validate.Struct(s); err != nil {
+		violations = routing.Violations(err)
+	}
+	if ports := s.InternalPortRange; len(ports) == 2 && ports[1] < ports[0]+int(lastProgram) {
+		violations = append(violations, "internalPortRange: needs three ports at least, the lower first")
+	}
+	if len(violations) > 0 {
+		return nil, fmt.Errorf("%w: %s", ErrSettings, strings.Join(violations, "; "))
+	}
+	return s, nil
+}
