--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -165,26 +165,36 @@
 
 // difference finds a place where two decoded values differ.
 func difference(at string, got, want any) (string, bool) {
-	if g, w := reflect.ValueOf(got), reflect.ValueOf(want); g.Kind() == reflect.Slice && w.Kind() == reflect.Slice && g.Len() == w.Len() {
-		for i := range g.Len() {
-			if place, ok := difference(fmt.Sprint(at, "[", i, "]"), g.Index(i).Interface(), w.Index(i).Interface()); ok {
-				return place, true
-			}
+	switch got := got.(type) {
+	case []any:
+		if want, ok := want.([]any); ok && len(want) == len(got) {
+			return differenceOfLists(at, got, want)
+		}
+	case map[string]any:
+		if want, ok := want.(map[string]any); ok {
+			return differenceOfMaps(at, got, want)
 		}
-		return "", false
 	}
-	g, ok1 := got.(map[string]any)
-	w, ok2 := want.(map[string]any)
-	if !ok1 || !ok2 {
-		return fmt.Sprintf("%s: %v, recorded is %v", at, got, want), !reflect.DeepEqual(got, want)
+	return fmt.Sprintf("%s: %v, recorded is %v", at, got, want), !reflect.DeepEqual(got, want)
+}
+
+func differenceOfLists(at string, got, want []any) (string, bool) {
+	for i := range got {
+		if place, ok := difference(fmt.Sprintf("%s[%d]", at, i), got[i], want[i]); ok {
+			return place, true
+		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(w)) {
-		if place, ok := difference(at+"/"+key, g[key], w[key]); ok {
+	return "", false
+}
+
+func differenceOfMaps(at string, got, want map[string]any) (string, bool) {
+	for _, key := range slices.Sorted(maps.Keys(want)) {
+		if place, ok := difference(at+"/"+key, got[key], want[key]); ok {
 			return place, true
 		}
 	}
-	for key := range g {
-		if _, ok := w[key]; !ok {
+	for key := range got {
+		if _, ok := want[key]; !ok {
 			return fmt.Sprintf("%s/%s: not recorded", at, key), true
 		}
 	}
@@ -223,53 +233,3 @@
 		t.Fatal(err)
 	}
 }
-
-// fields notes which fields of which struct types had a value other than zero.
-type fields map[reflect.Type]map[string]bool
-
-func (f fields) note(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Pointer, reflect.Interface:
-		if !v.IsNil() {
-			f.note(v.Elem())
-		}
-	case reflect.Slice, reflect.Array:
-		for i := range v.Len() {
-			f.note(v.Index(i))
-		}
-	case reflect.Map:
-		for _, k := range v.MapKeys() {
-			f.note(v.MapIndex(k))
-		}
-	case reflect.Struct:
-		f.noteStruct(v)
-	}
-}
-
-func (f fields) noteStruct(v reflect.Value) {
-	if v.Type().PkgPath() == "time" || v.Type().PkgPath() == "math/big" {
-		return
-	}
-	encodesItself := reflect.TypeFor[cbor.Unmarshaler]()
-	if f[v.Type()] == nil {
-		f[v.Type()] = map[string]bool{}
-	}
-	for i := range v.NumField() {
-		if field := v.Type().Field(i); field.IsExported() {
-			// What encodes itself has a record of its own.
-			f[v.Type()][field.Name] = f[v.Type()][field.Name] || !v.Field(i).IsZero() || field.Type.Implements(encodesItself)
-			f.note(v.Field(i))
-		}
-	}
-}
-
-func (f fields) empty() (names []string) {
-	for typ, of := range f {
-		for name, ok := range of {
-			if !ok {
-				names = append(names, typ.String()+"."+name)
-			}
-		}
-	}
-	return names
-}
--- a/internal/compat/paths_test.go
+++ b/internal/compat/paths_test.go
@@ -19,8 +19,10 @@
 
 // TestPaths: during a roll-out each version calls the other under these paths.
 func TestPaths(t *testing.T) {
-	set := &settings.Settings{NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", DataDirectory: t.TempDir(),
-		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"}}
+	set := &settings.Settings{
+		NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", DataDirectory: t.TempDir(),
+		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"},
+	}
 	control := controlplane.New(set, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	proxy := proxy.New(set, logging.Nop(), rpc.TCPNetwork)
 	defer proxy.Close()
@@ -31,8 +33,17 @@
 		serves *echo.Echo
 		paths  string
 	}{
-		{"control plane, to operators", control.OperatorHandler(), "/Configuration.Amend /Configuration.Read /Configuration.Replace /Duties.Read /Estimates.Read /Estimates.Saved /Notices.Read /Notices.Redrive /purge"},
-		{"control plane, inside", control.InternalHandler(), "/cells /claim /confirm /feed /list /list/read /move /notices /propose /ration /usage"},
+		{
+			"control plane, to operators",
+			control.OperatorHandler(),
+			"/Configuration.Amend /Configuration.Read /Configuration.Replace /Duties.Read " +
+				"/Estimates.Read /Estimates.Saved /Notices.Read /Notices.Redrive /purge",
+		},
+		{
+			"control plane, inside",
+			control.InternalHandler(),
+			"/cells /claim /confirm /feed /list /list/read /move /notices /propose /ration /usage",
+		},
 		{"data plane, inside", proxy.InternalHandler(), "/estimates /feed /here"},
 		{"object cache, inside", cache.InternalHandler(), "/errand /feed /here /object"},
 	} {
--- /dev/null
+++ b/internal/compat/records_test.go
@@ -0,0 +1,122 @@
+package compat_test
+
+import (
+	"testing"
+	"time"
+
+	"comethold/internal/compat"
+	"comethold/internal/distribution"
+	"comethold/internal/latencyestimate"
+	"comethold/internal/outbox"
+	"comethold/internal/quota"
+	"comethold/internal/usage"
+)
+
+// TestDatagrams: heartbeats, quota tokens and usage counts between nodes.
+func TestDatagrams(t *testing.T) {
+	compat.CheckMessages(t, []compat.Message{
+		{Name: "datagram-heartbeat", Value: distribution.Datagram{Heartbeat: "n1"}},
+		{
+			Name: "datagram-quota-request",
+			Value: distribution.Datagram{
+				TokenRequest: &quota.TokenRequest{
+					ID:      1 << 60,
+					Demands: []quota.TenantDemand{{Tenant: "t", Required: 2, Prefetch: 5, MilliTokens: 1500}},
+					Loan:    true,
+				},
+			},
+		},
+		{
+			Name: "datagram-quota-grant",
+			Value: distribution.Datagram{
+				TokenGrant: &quota.TokenGrant{
+					ID:      1 << 60,
+					Results: []quota.TenantGrant{{Granted: 2, RetryAfterMs: 40, NoShare: true, MilliTokens: 1400}},
+				},
+			},
+		},
+		{
+			Name: "datagram-usage",
+			Value: distribution.Datagram{
+				UsageReport: &usage.CountReport{Incarnation: 6, Sequence: 7, Windows: usage.Windows{1234: usage.Counts{"t": 56}}},
+			},
+		},
+		{
+			Name:  "datagram-usage-answer",
+			Value: distribution.Datagram{UsageAck: &usage.CountAck{Sequence: 7, Incarnation: 8, UnixNanos: 1700000000000000003}},
+		},
+		{Name: "usage-counts", Value: usage.IncarnationCounts{6: usage.Counts{"t": 56}}},
+	})
+}
+
+// TestOutboxRecords: notices, the rows of the outbox in each state, receipts and the inbox.
+func TestOutboxRecords(t *testing.T) {
+	compat.CheckMessages(t, []compat.Message{
+		{
+			Name: "notices",
+			Value: []outbox.Notification{
+				change(),
+				{EventID: "p", Aggregate: outbox.AggregatePurges, Version: 2, Digest: []byte{5}},
+			},
+		},
+		{Name: "notices-answer", Value: []bool{true, false}},
+		{Name: "notice-payload", Value: outbox.ConfigurationChange{Tenants: []string{"t", "u"}}},
+		{Name: "outbox-pending", Value: outbox.Row{Notification: change(), State: outbox.Pending}},
+		{Name: "outbox-claimed", Value: outbox.Row{Notification: change(), State: outbox.Claimed, Owner: "p/1", Attempts: 2}},
+		{Name: "outbox-published", Value: outbox.Row{Notification: change(), State: outbox.Published, Attempts: 3}},
+		{Name: "outbox-retry", Value: outbox.Row{Notification: change(), State: outbox.RetryWait, Attempts: 4}},
+		{Name: "usage-report", Value: outbox.Row{Notification: outbox.Notification{
+			EventID:         "usage/9",
+			Aggregate:       outbox.AggregateUsage,
+			Version:         9,
+			PreviousVersion: 8,
+			Payload:         usage.EncodeReport(9, usage.Counts{"t": 5, "u": 6}),
+			Digest:          []byte{6},
+		}}},
+		{Name: "receipt", Value: outbox.Receipt{Fingerprint: []byte{7, 8}, Status: 200, Version: 8}},
+		{
+			Name: "inbox",
+			Value: outbox.Inbox{
+				AppliedVersions: map[string]uint64{"configuration": 8},
+				Decided:         []outbox.DecidedNotification{{EventID: "e", TenantID: "t", Digest: []byte{9}, Version: 8}},
+			},
+		},
+	})
+}
+
+// TestEstimateMessages: what a node tells of the latencies of lookups.
+func TestEstimateMessages(t *testing.T) {
+	key := latencyestimate.Key{Service: "s", Endpoint: "i1", Class: "urgent", Load: latencyestimate.Busy}
+	replica := latencyestimate.ReplicaEstimate{
+		Endpoint: "i2",
+		Estimate: latencyestimate.Estimate{
+			Median:        2,
+			Low:           1,
+			High:          3,
+			HighOpen:      true,
+			Samples:       30,
+			Censored:      5,
+			UnknownReason: "w",
+		},
+		Actual:     4,
+		Difference: "p",
+	}
+	compat.CheckMessages(t, []compat.Message{
+		{Name: "estimates-answer", Value: latencyestimate.Snapshot{
+			Sketches: []latencyestimate.KeyedSketch{{Key: key}},
+			SlowLookups: []latencyestimate.SlowLookup{{
+				At:       time.Unix(1700000000, 0),
+				Key:      key,
+				Duration: time.Second,
+				Censored: true,
+				Replicas: []latencyestimate.ReplicaEstimate{replica},
+			}},
+			Counters: latencyestimate.Counters{
+				Compared:    1,
+				Covered:     2,
+				Differences: map[string]uint64{"i1 order": 3},
+				Dropped:     4,
+			},
+		}},
+	})
+}
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -48,8 +48,10 @@
 	if !errors.Is(err, ErrSettings) {
 		t.Fatalf("the error is %v", err)
 	}
-	for _, name := range []string{"nodeName", "ipAddress", "availabilityZone", "internalPortRange", "seedNodes",
-		"heartbeatIntervalMs", "log.level"} {
+	for _, name := range []string{
+		"nodeName", "ipAddress", "availabilityZone", "internalPortRange", "seedNodes",
+		"heartbeatIntervalMs", "log.level",
+	} {
 		if !strings.Contains(err.Error(), name) {
 			t.Errorf("%s is not named: %v", name, err)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,7 +86,6 @@
 	Level string `toml:"level" validate:"omitempty,oneof=trace debug info warn error"`
 }
 
-
 // HeartbeatInterval is the time between two heartbeats of a node.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	if s.HeartbeatMs <= 0 {
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -55,7 +55,11 @@
 						t.Fatal(err)
 					}
 				}
-				d := &simulation.FaultyDisk{Base: LocalDisk{}, Random: rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64, SyncFailureRate: 0.4}
+				d := &simulation.FaultyDisk{
+					Base:            LocalDisk{},
+					Random:          rand.New(rand.NewSource(int64(seed*10000 + stop*100 + len(what)))).Float64,
+					SyncFailureRate: 0.4,
+				}
 				told, promised := "", uint64(0)
 				for life := 1; life <= 4; life++ {
 					d.LosePowerAfter(stop)
@@ -71,7 +75,18 @@
 						id := string(v.NodeValue("identity"))
 						s, _, err := v.LoadReplica("c")
 						if told != "" && (id != told || s.Promised.Term < promised || err != nil) {
-							t.Fatalf("%s, seed %d, stop %d, life %d: told was %q with %d, found is %q with %d, %v", what, seed, stop, life, told, promised, id, s.Promised.Term, err)
+							t.Fatalf(
+								"%s, seed %d, stop %d, life %d: told was %q with %d, found is %q with %d, %v",
+								what,
+								seed,
+								stop,
+								life,
+								told,
+								promised,
+								id,
+								s.Promised.Term,
+								err,
+							)
 						}
 						if id == "" {
 							id = strconv.Itoa(life)
@@ -105,7 +120,9 @@
 func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	v, _ := openStore(t, dir)
-	v.submitAndWait("c", paxos.Writes{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 40000))}}})
+	v.submitAndWait("c", paxos.Writes{
+		Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 40000))}},
+	})
 	if err := v.Bootstrap("identity", []byte("a"), "c", paxos.Writes{}); err != nil || v.Close() != nil {
 		t.Fatal(err)
 	}
@@ -160,11 +177,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, d, func(err error) { t.Error(err) }); err == nil || errors.Is(err, ErrCorrupt) || HasCorruptFile(dir) {
+	if _, err := Open(
+		dir,
+		d,
+		func(err error) { t.Error(err) },
+	); err == nil || errors.Is(err, ErrCorrupt) || HasCorruptFile(dir) {
 		t.Fatalf("a file that another process holds: %v", err)
 	}
 	d.SetFault(false, true)
-	v.Submit("c", paxos.Writes{Promised: &paxos.ProposalNumber{Term: 1}}, func() { t.Error("synced by a disk that hangs") })
+	v.Submit("c", paxos.Writes{
+		Promised: &paxos.ProposalNumber{Term: 1},
+	}, func() { t.Error("synced by a disk that hangs") })
 	for busy := false; !busy; time.Sleep(time.Millisecond) {
 		v.commits.mu.Lock()
 		busy = v.commits.committing
--- a/internal/storage/torn_test.go
+++ b/internal/storage/torn_test.go
@@ -26,10 +26,23 @@
 	rng := rand.New(rand.NewSource(1))
 	var states [][]byte
 	for slot := uint64(1); slot <= 60; slot++ {
-		w := paxos.Writes{CommitIndex: slot - 1, Promised: &paxos.ProposalNumber{Term: slot, Proposer: "a"}, Entries: []paxos.Entry{{Index: slot,
-			Txns: []paxos.Txn{{ID: fmt.Sprint(slot), Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes(make([]byte, rng.Intn(9000)))}}}}}}}
+		w := paxos.Writes{CommitIndex: slot - 1, Promised: &paxos.ProposalNumber{
+			Term:     slot,
+			Proposer: "a",
+		}, Entries: []paxos.Entry{{
+			Index: slot,
+			Txns: []paxos.Txn{
+				{
+					ID:  fmt.Sprint(slot),
+					Ops: []paxos.Op{{Kind: paxos.OpPut, Key: "k", Value: paxos.Bytes(make([]byte, rng.Intn(9000)))}},
+				},
+			},
+		}}}
 		if slot%20 == 0 { // a snapshot takes the place of what came before
-			w.Snapshot, w.TruncateTo = &paxos.Snapshot{AppliedIndex: slot - 1, State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 30000))}}, slot-1
+			w.Snapshot, w.TruncateTo = &paxos.Snapshot{
+				AppliedIndex: slot - 1,
+				State:        map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 30000))},
+			}, slot-1
 		}
 		v.submitAndWait("c", w)
 		raw, err := os.ReadFile(file)
@@ -75,7 +88,15 @@
 				held = held || e.Index == slot
 			}
 			if err != nil || !found || !held || s.Promised.Term < slot {
-				t.Fatalf("after sync %d, roots %v: found %v, held %v, promised %d, %v", slot, rootsToo, found, held, s.Promised.Term, err)
+				t.Fatalf(
+					"after sync %d, roots %v: found %v, held %v, promised %d, %v",
+					slot,
+					rootsToo,
+					found,
+					held,
+					s.Promised.Term,
+					err,
+				)
 			}
 			if err := v.Close(); err != nil {
 				t.Fatal(err)
--- a/internal/storage/vault_test.go
+++ b/internal/storage/vault_test.go
@@ -37,10 +37,22 @@
 		t.Fatal(err)
 	}
 	entry := func(slot uint64) paxos.Entry {
-		return paxos.Entry{Index: slot, ProposalNumber: paxos.ProposalNumber{Term: 2, Proposer: "a"}, Txns: []paxos.Txn{{ID: "t"}}}
+		return paxos.Entry{
+			Index:          slot,
+			ProposalNumber: paxos.ProposalNumber{Term: 2, Proposer: "a"},
+			Txns:           []paxos.Txn{{ID: "t"}},
+		}
 	}
-	v.submitAndWait("c", paxos.Writes{Promised: &paxos.ProposalNumber{Term: 2, Proposer: "a"}, Entries: []paxos.Entry{entry(1), entry(2), entry(3)}, CommitIndex: 2})
-	v.submitAndWait("c", paxos.Writes{Snapshot: &paxos.Snapshot{AppliedIndex: 2, State: map[string]paxos.Value{"k": paxos.Int(7)}}, TruncateTo: 2, CommitIndex: 2})
+	v.submitAndWait("c", paxos.Writes{
+		Promised:    &paxos.ProposalNumber{Term: 2, Proposer: "a"},
+		Entries:     []paxos.Entry{entry(1), entry(2), entry(3)},
+		CommitIndex: 2,
+	})
+	v.submitAndWait("c", paxos.Writes{
+		Snapshot:    &paxos.Snapshot{AppliedIndex: 2, State: map[string]paxos.Value{"k": paxos.Int(7)}},
+		TruncateTo:  2,
+		CommitIndex: 2,
+	})
 	v.submitAndWait("d", paxos.Writes{Entries: []paxos.Entry{entry(9)}})
 	if err := v.Close(); err != nil {
 		t.Fatal(err)
