--- a/internal/objectcache/compat_test.go
+++ b/internal/objectcache/compat_test.go
@@ -17,13 +17,46 @@
 func TestCompatibleRecords(t *testing.T) {
 	header := http.Header{"Content-Type": {"text/plain"}, "X-A": {"1", "2"}}
 	compat.CheckMessages(t, []compat.Message{
-		{Name: "object-request", Value: objectCall{Host: "h.example", Target: "/a?b", ETag: `"t0"`, PurgeIndex: 30, ConfigVersion: 8, WaitMs: 900, OriginOnly: true, Waiters: 5}},
-		{Name: "object-answer", Value: objectReply{NotModified: true, Service: "s", ETag: `"t1"`, Labels: []string{"l1", "l2"}, Header: header, Body: []byte("body"),
-			AgeUs: 1500, PurgeIndex: 31, Status: 503, Reason: "no time is left", RetryMs: 300, Disconnected: true}},
+		{
+			Name: "object-request",
+			Value: objectCall{
+				Host:          "h.example",
+				Target:        "/a?b",
+				ETag:          `"t0"`,
+				PurgeIndex:    30,
+				ConfigVersion: 8,
+				WaitMs:        900,
+				OriginOnly:    true,
+				Waiters:       5,
+			},
+		},
+		{Name: "object-answer", Value: objectReply{
+			NotModified:  true,
+			Service:      "s",
+			ETag:         `"t1"`,
+			Labels:       []string{"l1", "l2"},
+			Header:       header,
+			Body:         []byte("body"),
+			AgeUs:        1500,
+			PurgeIndex:   31,
+			Status:       503,
+			Reason:       "no time is left",
+			RetryMs:      300,
+			Disconnected: true,
+		}},
 		{Name: "rate-request", Value: permitRequest{Service: "s", WaitMs: 800}},
 		{Name: "rate-answer", Value: permitReply{Granted: true, RetryMs: 250}},
-		{Name: "object-copy", Value: objectRecord{Host: "h.example", Target: "/a", Service: "s", ETag: `"t1"`, Labels: []string{"l1"}, Header: header, Body: []byte("body"),
-			PurgeIndex: 31, ReadAt: timestamp{BootID: "b", MonotonicNs: 123456789, WallNs: 1700000000000000004}}},
+		{Name: "object-copy", Value: objectRecord{
+			Host:       "h.example",
+			Target:     "/a",
+			Service:    "s",
+			ETag:       `"t1"`,
+			Labels:     []string{"l1"},
+			Header:     header,
+			Body:       []byte("body"),
+			PurgeIndex: 31,
+			ReadAt:     timestamp{BootID: "b", MonotonicNs: 123456789, WallNs: 1700000000000000004},
+		}},
 	})
 }
 
@@ -32,8 +65,26 @@
 func recordedCopies() map[string]responsecache.Response {
 	header := http.Header{"Content-Type": {"text/plain"}}
 	return map[string]responsecache.Response{
-		"/a": {Host: "h.example", Target: "/a", Service: "s1", ETag: `"ta"`, Labels: []string{"l1", "l2"}, Header: header, Body: []byte("body of a"), PurgeIndex: 5},
-		"/b": {Host: "h.example", Target: "/b", Service: "s2", ETag: `"tb"`, Labels: []string{"l3"}, Header: header, Body: []byte("body of b"), PurgeIndex: 6},
+		"/a": {
+			Host:       "h.example",
+			Target:     "/a",
+			Service:    "s1",
+			ETag:       `"ta"`,
+			Labels:     []string{"l1", "l2"},
+			Header:     header,
+			Body:       []byte("body of a"),
+			PurgeIndex: 5,
+		},
+		"/b": {
+			Host:       "h.example",
+			Target:     "/b",
+			Service:    "s2",
+			ETag:       `"tb"`,
+			Labels:     []string{"l3"},
+			Header:     header,
+			Body:       []byte("body of b"),
+			PurgeIndex: 6,
+		},
 	}
 }
 
@@ -49,7 +100,10 @@
 			s.put(&c)
 		}
 		s.put(&responsecache.Response{Host: "h.example", Target: "/gone", ETag: `"t"`, PurgeIndex: 6})
-		s.applyPurges(&distribution.PurgeUpdate{LogIndex: 7, Purges: []distribution.Purge{{LogIndex: 7, Host: "h.example", Path: "/gone"}}})
+		s.applyPurges(&distribution.PurgeUpdate{
+			LogIndex: 7,
+			Purges:   []distribution.Purge{{LogIndex: 7, Host: "h.example", Path: "/gone"}},
+		})
 		s.waitForWrites()
 		s.close()
 		compat.Pack(t, filepath.Join(dir, "copies.db"), record)
