--- a/internal/compat/consensus_test.go
+++ b/internal/compat/consensus_test.go
@@ -51,20 +51,20 @@
 	}
 }
 
-// ballot is the proposal number of the messages.
-func ballot() paxos.ProposalNumber { return paxos.ProposalNumber{Term: 4, Proposer: "a"} }
+// number is the proposal number of the messages.
+func number() paxos.ProposalNumber { return paxos.ProposalNumber{Term: 4, Proposer: "a"} }
 
 // TestConsensusMessages: one recorded message of each kind between replicas, and what stands in their log.
 func TestConsensusMessages(t *testing.T) {
 	messages := []compat.Message{
-		{Name: "ballot", Value: ballot()},
+		{Name: "ballot", Value: number()},
 		{Name: "transaction", Value: transaction()},
 		{Name: "log-entry", Value: entry()},
 		{Name: "snapshot", Value: *snapshot()},
 		{Name: "batch", Value: replicahost.Batch{
 			Sender: replicahost.PeerInfo{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1", Name: "n1"},
 			Messages: []paxos.Message{
-				{Cell: "c", Kind: paxos.Accepted, From: "b", To: "a", ProposalNumber: ballot(), AcceptedIndexes: []uint64{12}},
+				{Cell: "c", Kind: paxos.Accepted, From: "b", To: "a", ProposalNumber: number(), AcceptedIndexes: []uint64{12}},
 			},
 			EndpointList: distribution.Revision{Term: 5, Sequence: 77},
 			WallTime:     1700000000000000001, AgreedTime: 1700000000000000002,
@@ -87,7 +87,7 @@
 				Kind:            paxos.Prepare,
 				From:            "a",
 				To:              "b",
-				ProposalNumber:  ballot(),
+				ProposalNumber:  number(),
 				Index:           12,
 				EndedLeadership: paxos.ProposalNumber{Term: 2, Proposer: "z"},
 			},
@@ -99,7 +99,7 @@
 				Kind:           paxos.Promise,
 				From:           "b",
 				To:             "a",
-				ProposalNumber: ballot(),
+				ProposalNumber: number(),
 				Index:          12,
 				CommitIndex:    11,
 				Entries:        []paxos.Entry{entry()},
@@ -114,7 +114,7 @@
 				Kind:              paxos.Reject,
 				From:              "b",
 				To:                "a",
-				ProposalNumber:    ballot(),
+				ProposalNumber:    number(),
 				HeartbeatSequence: 5,
 			},
 		},
@@ -125,13 +125,13 @@
 				Kind:              paxos.TermPersisted,
 				From:              "a",
 				To:                "b",
-				ProposalNumber:    ballot(),
+				ProposalNumber:    number(),
 				HeartbeatSequence: 7,
 			},
 		},
 		{
 			Name:  "leadership-transfer",
-			Value: paxos.Message{Cell: "c", Kind: paxos.LeadershipTransfer, From: "a", To: "b", ProposalNumber: ballot()},
+			Value: paxos.Message{Cell: "c", Kind: paxos.LeadershipTransfer, From: "a", To: "b", ProposalNumber: number()},
 		},
 	}
 }
@@ -146,7 +146,7 @@
 				Kind:           paxos.Accept,
 				From:           "a",
 				To:             "b",
-				ProposalNumber: ballot(),
+				ProposalNumber: number(),
 				CommitIndex:    11,
 				Entries:        []paxos.Entry{entry()},
 			},
@@ -158,7 +158,7 @@
 				Kind:            paxos.Accepted,
 				From:            "b",
 				To:              "a",
-				ProposalNumber:  ballot(),
+				ProposalNumber:  number(),
 				AcceptedIndexes: []uint64{12, 13},
 				EchoTimestamp:   98,
 			},
@@ -170,7 +170,7 @@
 				Kind:            paxos.CommitPersisted,
 				From:            "a",
 				To:              "b",
-				ProposalNumber:  ballot(),
+				ProposalNumber:  number(),
 				AcceptedIndexes: []uint64{12},
 			},
 		},
@@ -187,7 +187,7 @@
 				Kind:                     paxos.Heartbeat,
 				From:                     "a",
 				To:                       "b",
-				ProposalNumber:           ballot(),
+				ProposalNumber:           number(),
 				CommitIndex:              12,
 				HeartbeatSequence:        6,
 				EchoTimestamp:            97,
@@ -202,7 +202,7 @@
 				Kind:              paxos.HeartbeatAck,
 				From:              "b",
 				To:                "a",
-				ProposalNumber:    ballot(),
+				ProposalNumber:    number(),
 				CommitIndex:       11,
 				HeartbeatSequence: 6,
 				EchoTimestamp:     96,
--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -140,7 +140,7 @@
 	return answer
 }
 
-// update is what the control plane tells a node that holds nothing.
+// update returns what the control plane sends to a node that holds nothing yet.
 func (c *control) update(call distribution.UpdateRequest) distribution.Update {
 	c.t.Helper()
 	var out distribution.Update
@@ -158,7 +158,7 @@
 	}
 }
 
-// until waits for news that fit.
+// until waits for an update that meets a condition.
 func (c *control) until(what string, fits func(distribution.Update) bool) distribution.Update {
 	c.t.Helper()
 	var n distribution.Update
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -100,7 +100,7 @@
 	time.Sleep(time.Second)
 }
 
-// readings reads what the recorded data must give, whoever holds the leases now.
+// readings reads what the recorded data must give, whichever node holds the leases now.
 func (c *control) readings() recordedReadings {
 	c.t.Helper()
 	var r recordedReadings
@@ -153,11 +153,11 @@
 
 // storedCell is what is on the disk of a cell, by cbor numbers.
 type storedCell struct {
-	Promised any    `json:"promised"`
-	Round    uint64 `json:"round"`
-	Chosen   uint64 `json:"chosen"`
-	Entries  []any  `json:"entries"`
-	Snapshot any    `json:"snapshot"`
+	Promised    any    `json:"promised"`
+	Term        uint64 `json:"round"`
+	CommitIndex uint64 `json:"chosen"`
+	Entries     []any  `json:"entries"`
+	Snapshot    any    `json:"snapshot"`
 }
 
 // stored reads a data directory below the control plane: values of the node by their
@@ -191,7 +191,12 @@
 		if err != nil || !found {
 			t.Fatalf("cell %s: %v %v", name, found, err)
 		}
-		c := storedCell{Promised: part(s.Promised), Round: s.Term, Chosen: s.CommitIndex, Snapshot: part(s.Snapshot)}
+		c := storedCell{
+			Promised:    part(s.Promised),
+			Term:        s.Term,
+			CommitIndex: s.CommitIndex,
+			Snapshot:    part(s.Snapshot),
+		}
 		for i := range s.Entries {
 			c.Entries = append(c.Entries, part(s.Entries[i]))
 		}
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// TestEstimateMessages: what a node tells of the latencies of lookups.
+// TestEstimateMessages: the latencies of lookups as a node reports them.
 func TestEstimateMessages(t *testing.T) {
 	key := latencyestimate.Key{Service: "s", Endpoint: "i1", Class: "urgent", Load: latencyestimate.Busy}
 	replica := latencyestimate.ReplicaEstimate{
--- a/internal/storage/commit.go
+++ b/internal/storage/commit.go
@@ -29,7 +29,7 @@
 type groupCommitter struct {
 	db      *bolt.DB
 	disk    Disk
-	onFault func(error) // told of every failed or slow write
+	onFault func(error) // called with the fault of every failed or slow write
 	stopped chan struct{}
 
 	mu         sync.Mutex // guards the fields below
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -49,7 +49,7 @@
 	return db, nil
 }
 
-// classifyOpenError tells a file whose content is at fault from a disk that is.
+// classifyOpenError decides whether the content of the file is at fault (ErrCorrupt) or the disk.
 func classifyOpenError(path string, err error) error {
 	for _, fault := range []error{berrors.ErrInvalid, berrors.ErrVersionMismatch, berrors.ErrChecksum} {
 		if errors.Is(err, fault) {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -17,8 +17,8 @@
 )
 
 // Open opens the file in dir, or creates it, and returns after its name is durable. A file that cannot be read is
-// renamed, and an empty one takes its place; HasCorruptFile then reports true. onFault is told of that, and later of
-// every write that fails or takes too long; it may be called from several goroutines.
+// renamed, and an empty one takes its place; HasCorruptFile then reports true. onFault is called with the
+// fault, and later with that of every write that fails or takes too long; it may be called from several goroutines.
 //
 // If the disk fails, Open returns its error. It may be called again: files that it leaves behind do no harm.
 func Open(dir string, disk Disk, onFault func(error)) (*Store, error) {
@@ -62,7 +62,7 @@
 }
 
 // openOrCreate opens the file, or creates it under another name first: under its own name it is always complete. A
-// file of no length was left by a process that ended before it had told anybody anything.
+// file of no length was left by a process that ended before it sent any message.
 func openOrCreate(dir string, disk Disk) (*bolt.DB, error) {
 	path := filepath.Join(dir, fileName)
 	info, err := os.Stat(path)
