--- a/internal/heartbeat/assign.go
+++ b/internal/heartbeat/assign.go
@@ -1,9 +1,9 @@
 // Package heartbeat detects failed nodes. Every node sends heartbeats to a few others, its watchers, and suspects
 // those whose own heartbeats stay away.
 //
-// The assignment of watchers follows from the names of the nodes alone (Assign): every node has a place on a hash ring, and the
-// next few nodes on the ring watch it. A Detector holds what one node knows of those that it watches. The package
-// does no I/O; its owner sends, receives and passes the time in.
+// The assignment of watchers follows from the names of the nodes alone (Assign): every node has a place on a hash
+// ring, and the next few nodes on the ring watch it. A Detector holds what one node knows of those that it watches.
+// The package does no I/O; its owner sends, receives and passes the time in.
 package heartbeat
 
 import "sort"
