--- a/internal/distribution/datagram.go
+++ b/internal/distribution/datagram.go
@@ -5,10 +5,10 @@
 	"comethold/internal/usage"
 )
 
-// Datagram is what nodes send one another without a connection: any may be lost, late
-// or doubled.
+// Datagram is what nodes send one another over UDP: any may be lost, late or duplicated.
+// One field is set.
 type Datagram struct {
-	Heartbeat    string              `cbor:"1,keyasint,omitempty"` // the name of a node that is well
+	Heartbeat    string              `cbor:"1,keyasint,omitempty"` // name of the sender
 	TokenRequest *quota.TokenRequest `cbor:"2,keyasint,omitempty"`
 	TokenGrant   *quota.TokenGrant   `cbor:"3,keyasint,omitempty"`
 	UsageReport  *usage.CountReport  `cbor:"4,keyasint,omitempty"`
