--- a/internal/outbox/inbox.go
+++ b/internal/outbox/inbox.go
@@ -1,31 +1,43 @@
 package outbox
 
-import "bytes"
+import (
+	"bytes"
+	"slices"
+)
 
-// Decision is what an inbox makes of a notice.
+// Decision is what an Inbox decides about a notification.
 type Decision uint8
 
-// The decisions of the source.
 const (
+	// Applied notifications are new and complete: the receiver acts on them.
 	Applied Decision = iota
+	// Duplicate notifications were decided before, or are older than what was applied.
 	Duplicate
+	// Deferred notifications are early: an earlier one or the state that they speak of is
+	// missing. The receiver presents them again later.
 	Deferred
+	// Quarantined notifications are invalid, or contradict an earlier one.
 	Quarantined
 )
 
+// String returns the source's name of the decision.
 func (d Decision) String() string {
 	return [...]string{"APPLIED", "DUPLICATE", "DEFERRED", "QUARANTINED"}[min(d, Quarantined)]
 }
 
-// Inbox remembers what one receiver has decided. It is not safe for use by several
-// goroutines: its owner decides and applies under one lock, so that no change stands
-// without its decision.
+// maxDecided bounds the memory of an inbox: older notifications are known by their version.
+const maxDecided = 256
+
+// Inbox remembers what one receiver has decided. It is not safe for concurrent use: its
+// owner decides and acts under one lock, so that no change stands without its decision.
 type Inbox struct {
-	AppliedVersions map[string]uint64     `cbor:"1,keyasint"` // by aggregate: the newest version applied
-	Decided         []DecidedNotification `cbor:"2,keyasint"` // the newest decided, oldest first
+	// AppliedVersions holds the newest version applied of each aggregate.
+	AppliedVersions map[string]uint64 `cbor:"1,keyasint"`
+	// Decided holds the newest notifications decided, oldest first.
+	Decided []DecidedNotification `cbor:"2,keyasint"`
 }
 
-// DecidedNotification is a notice that was applied, or was older than what was.
+// DecidedNotification identifies a notification that was applied, or was older than what was.
 type DecidedNotification struct {
 	EventID  string `cbor:"1,keyasint"`
 	TenantID string `cbor:"2,keyasint,omitempty"`
@@ -33,40 +45,35 @@
 	Version  uint64 `cbor:"4,keyasint"`
 }
 
-// maxDecided bounds the memory of an inbox: older notices are known by their version.
-const maxDecided = 256
-
-// NewInbox makes an inbox that has decided nothing.
+// NewInbox returns an inbox that has decided nothing.
 func NewInbox() *Inbox { return &Inbox{AppliedVersions: map[string]uint64{}} }
 
-// SetBaseVersion notes that the receiver holds all that came of an aggregate up to a version, by
-// the state that it was given: a life that begins has no notices of what was before.
+// SetBaseVersion records that the receiver holds everything of an aggregate up to a version,
+// by the state that it was given: a new incarnation gets no notifications of what was before.
 func (b *Inbox) SetBaseVersion(aggregate string, version uint64) {
 	b.AppliedVersions[aggregate] = max(b.AppliedVersions[aggregate], version)
 }
 
-// Decide decides a notice before anything is changed. have is the version of its
-// aggregate up to which the receiver holds the state that the notice speaks of: what is
-// deferred waits for that evidence, not for a time. why says what is wrong with a
-// notice that is quarantined.
-func (b *Inbox) Decide(n *Notification, have uint64) (d Decision, why error) {
+// Decide decides a notification before anything is changed. held is the version of its
+// aggregate up to which the receiver holds the state that the notification speaks of: a
+// deferred notification waits for that evidence, not for a time. The error is set for
+// Quarantined: ErrInvalidNotification or ErrContentMismatch.
+func (b *Inbox) Decide(n *Notification, held uint64) (Decision, error) {
 	if err := n.Validate(); err != nil {
 		return Quarantined, err
 	}
-	for i := range b.Decided {
-		if s := &b.Decided[i]; s.EventID == n.EventID && s.TenantID == n.TenantID {
-			if !bytes.Equal(s.Digest, n.Digest) || s.Version != n.Version {
-				return Quarantined, ErrContentMismatch
-			}
-			return Duplicate, nil
+	if earlier := b.decided(n.EventID, n.TenantID); earlier != nil {
+		if !bytes.Equal(earlier.Digest, n.Digest) || earlier.Version != n.Version {
+			return Quarantined, ErrContentMismatch
 		}
+		return Duplicate, nil
 	}
-	done := b.AppliedVersions[n.Aggregate]
+	applied := b.AppliedVersions[n.Aggregate]
 	switch {
-	case n.Version <= done:
+	case n.Version <= applied:
 		b.record(n)
 		return Duplicate, nil
-	case n.PreviousVersion > done || n.Version > have:
+	case n.PreviousVersion > applied || n.Version > held:
 		return Deferred, nil
 	}
 	b.AppliedVersions[n.Aggregate] = n.Version
@@ -74,9 +81,25 @@
 	return Applied, nil
 }
 
+// decided returns the earlier notification with the same identity, or nil.
+func (b *Inbox) decided(eventID, tenantID string) *DecidedNotification {
+	for i := range b.Decided {
+		if d := &b.Decided[i]; d.EventID == eventID && d.TenantID == tenantID {
+			return d
+		}
+	}
+	return nil
+}
+
+// record remembers a notification as decided.
 func (b *Inbox) record(n *Notification) {
-	b.Decided = append(b.Decided, DecidedNotification{n.EventID, n.TenantID, n.Digest, n.Version})
-	if over := len(b.Decided) - maxDecided; over > 0 {
-		b.Decided = append([]DecidedNotification(nil), b.Decided[over:]...)
+	b.Decided = append(b.Decided, DecidedNotification{
+		EventID:  n.EventID,
+		TenantID: n.TenantID,
+		Digest:   n.Digest,
+		Version:  n.Version,
+	})
+	if excess := len(b.Decided) - maxDecided; excess > 0 {
+		b.Decided = slices.Clone(b.Decided[excess:])
 	}
 }
--- /dev/null
+++ b/internal/outbox/notification.go
@@ -0,0 +1,79 @@
+package outbox
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+
+	"comethold/internal/rpc"
+)
+
+// The aggregates whose versions notifications carry. Versions only grow, also when an index
+// is divided into other shards: they are the operator's configuration versions, indexes of
+// the meta cell's log, and the numbers of time windows. The values are stored.
+const (
+	AggregateConfiguration = "configuration"
+	AggregatePurges        = "purges"
+	// AggregateUsage counts time windows; its notifications go to the platform alone.
+	AggregateUsage = "usage"
+)
+
+// digestBytes is the length that SHA-256 digests are cut to.
+const digestBytes = 16
+
+// Notification tells that a change was committed. It is immutable.
+type Notification struct {
+	EventID   string `cbor:"1,keyasint"`
+	TenantID  string `cbor:"2,keyasint,omitempty"` // empty: it concerns all tenants
+	Aggregate string `cbor:"3,keyasint"`           // one of the Aggregate constants
+	// Version and PreviousVersion are those of the aggregate after and before the change.
+	Version         uint64 `cbor:"4,keyasint"`
+	PreviousVersion uint64 `cbor:"5,keyasint"`
+	Payload         []byte `cbor:"6,keyasint,omitempty"`
+	Digest          []byte `cbor:"7,keyasint"` // of the payload
+}
+
+// ConfigurationChange is the payload of a notification of AggregateConfiguration.
+type ConfigurationChange struct {
+	// Tenants are those whose keys or limits changed.
+	Tenants []string `cbor:"1,keyasint,omitempty"`
+}
+
+// NewNotification makes a notification with the encoded payload. It returns
+// ErrInvalidNotification if the payload can't be encoded.
+func NewNotification(eventID, aggregate string, version, previous uint64, payload any) (Notification, error) {
+	encoded, err := rpc.Marshal(payload)
+	if err != nil {
+		return Notification{}, fmt.Errorf("%w: %w", ErrInvalidNotification, err)
+	}
+	return Notification{
+		EventID:         eventID,
+		Aggregate:       aggregate,
+		Version:         version,
+		PreviousVersion: previous,
+		Payload:         encoded,
+		Digest:          Digest(encoded),
+	}, nil
+}
+
+// Digest returns what payloads and requests are compared by.
+func Digest(content []byte) []byte {
+	sum := sha256.Sum256(content)
+	return sum[:digestBytes]
+}
+
+// Validate returns ErrInvalidNotification, wrapped with the reason, if a notification that
+// was received can't be used.
+func (n *Notification) Validate() error {
+	switch {
+	case n.EventID == "":
+		return fmt.Errorf("%w: no event ID", ErrInvalidNotification)
+	case n.Aggregate != AggregateConfiguration && n.Aggregate != AggregatePurges:
+		return fmt.Errorf("%w: unknown aggregate %q", ErrInvalidNotification, n.Aggregate)
+	case n.Version <= n.PreviousVersion:
+		return fmt.Errorf("%w: version %d after %d", ErrInvalidNotification, n.Version, n.PreviousVersion)
+	case !bytes.Equal(n.Digest, Digest(n.Payload)):
+		return fmt.Errorf("%w: the digest doesn't match the payload", ErrInvalidNotification)
+	}
+	return nil
+}
