--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -1,39 +1,43 @@
 package quota
 
-// TokenRequest asks for tokens: of a node to a registrar, or with Lend of one
-// registrar to another, which then asks nobody else.
+const (
+	// MaxDemands bounds the demands of a TokenRequest: one with more is ignored.
+	MaxDemands = 32
+	// MaxTokensPerDemand bounds the tokens of a demand: no more are granted.
+	MaxTokensPerDemand = 1 << 12
+)
+
+// TokenRequest asks a control plane node for tokens.
 type TokenRequest struct {
-	ID      uint64         `cbor:"1,keyasint"`
+	ID      uint64         `cbor:"1,keyasint"` // repeated in the answer
 	Demands []TenantDemand `cbor:"2,keyasint"`
-	Loan    bool           `cbor:"3,keyasint,omitempty"`
+	// Loan marks a request of one control plane node to another, which grants out of its
+	// own slices and asks no one else.
+	Loan bool `cbor:"3,keyasint,omitempty"`
 }
 
-// TenantDemand asks for a tenant: Need tokens are waited for, More would be drawn ahead.
+// TenantDemand asks for tokens of one tenant.
 type TenantDemand struct {
 	Tenant   string `cbor:"1,keyasint"`
-	Required int    `cbor:"2,keyasint"`
-	Prefetch int    `cbor:"3,keyasint,omitempty"`
-	// MilliTokens is asked for instead by registrars, in thousandths of a token.
+	Required int    `cbor:"2,keyasint"`           // tokens that requests wait for
+	Prefetch int    `cbor:"3,keyasint,omitempty"` // tokens to draw ahead
+	// MilliTokens is what a loan asks for instead, in thousandths of a token.
 	MilliTokens int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// TokenGrant answers an Ask, with one part for each want, in order.
+// TokenGrant answers a TokenRequest.
 type TokenGrant struct {
-	ID      uint64        `cbor:"1,keyasint"`
-	Results []TenantGrant `cbor:"2,keyasint"`
+	ID      uint64        `cbor:"1,keyasint"` // of the request
+	Results []TenantGrant `cbor:"2,keyasint"` // one for each demand, in order
 }
 
-// TenantGrant is what a want got. BackMs, if Granted is less than was needed, is when to ask
-// again; Unable says that this registrar has no share now and another may have.
+// TenantGrant is the result of one demand.
 type TenantGrant struct {
-	Granted      int   `cbor:"1,keyasint,omitempty"`
+	Granted int `cbor:"1,keyasint,omitempty"`
+	// RetryAfterMs is when to ask again, if Granted is less than was required.
 	RetryAfterMs int64 `cbor:"2,keyasint,omitempty"`
-	NoShare      bool  `cbor:"3,keyasint,omitempty"`
-	MilliTokens  int64 `cbor:"4,keyasint,omitempty"`
+	// NoShare says that this node holds no share now; another may.
+	NoShare bool `cbor:"3,keyasint,omitempty"`
+	// MilliTokens is what a loan granted, in thousandths of a token.
+	MilliTokens int64 `cbor:"4,keyasint,omitempty"`
 }
-
-// MaxDemands bounds the wants of a datagram, and MostTokens those of a want.
-const (
-	MaxDemands         = 32
-	MaxTokensPerDemand = 1 << 12
-)
--- /dev/null
+++ b/internal/quota/token_cache.go
@@ -0,0 +1,137 @@
+package quota
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// rateSmoothing is the time over which a tenant's request rate is smoothed.
+	rateSmoothing = time.Second
+	// prefetchFraction is the part of a token's lifetime for which tokens are drawn ahead.
+	prefetchFraction = 0.6
+	// accountIdleTimeout is how long a tenant that sends nothing is remembered.
+	accountIdleTimeout = 20 * time.Second
+)
+
+// TokenCache holds the tokens of one data plane node, and the request rates that tell how
+// many to draw ahead. It is safe for concurrent use.
+type TokenCache struct {
+	mu       sync.Mutex // guards the fields below
+	accounts map[string]*account
+}
+
+// account is what a TokenCache holds of one tenant.
+type account struct {
+	batches        []tokenBatch // oldest first
+	requestRate    float64      // requests a second, smoothed
+	rateUpdatedAt  time.Time
+	exhaustedUntil time.Time // no node has a token for this tenant before then
+}
+
+// tokenBatch is what is left of the tokens of one grant.
+type tokenBatch struct {
+	count  int
+	expiry time.Time
+}
+
+// NewTokenCache returns an empty cache.
+func NewTokenCache() *TokenCache { return &TokenCache{accounts: map[string]*account{}} }
+
+// Spend counts a request of the tenant and spends a token if one is here. If not, wait is
+// how long it is not worth asking for one.
+func (c *TokenCache) Spend(tenant string, now time.Time) (ok bool, wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a := c.accountLocked(tenant, now)
+	a.recordRequest(now)
+	if a.spend(now) {
+		return true, 0
+	}
+	return false, a.exhaustedUntil.Sub(now)
+}
+
+// SpendGranted spends a token that came in for a request that Spend has counted already.
+func (c *TokenCache) SpendGranted(tenant string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.accountLocked(tenant, now).spend(now)
+}
+
+// PrefetchCount returns how many tokens to draw beyond those that requests wait for now.
+func (c *TokenCache) PrefetchCount(tenant string, limits BucketLimits, now time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a := c.accountLocked(tenant, now)
+	return int(a.requestRate * prefetchFraction * limits.TokenLifetime.Seconds())
+}
+
+// Add adds n tokens that may be spent until expiry.
+func (c *TokenCache) Add(tenant string, n int, expiry, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a := c.accountLocked(tenant, now)
+	a.batches = append(a.batches, tokenBatch{count: n, expiry: expiry})
+	a.exhaustedUntil = time.Time{}
+}
+
+// MarkExhausted records that no node has a token for the tenant until retryAfter has passed.
+func (c *TokenCache) MarkExhausted(tenant string, retryAfter time.Duration, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.accountLocked(tenant, now).exhaustedUntil = now.Add(retryAfter)
+}
+
+// Discard drops the tokens of tenants whose limits changed: they were drawn under the old
+// ones.
+func (c *TokenCache) Discard(tenants []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, tenant := range tenants {
+		if a := c.accounts[tenant]; a != nil {
+			a.batches = nil
+			a.exhaustedUntil = time.Time{}
+		}
+	}
+}
+
+// RemoveIdle forgets tenants that have sent nothing for long.
+func (c *TokenCache) RemoveIdle(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for tenant, a := range c.accounts {
+		if now.Sub(a.rateUpdatedAt) > accountIdleTimeout {
+			delete(c.accounts, tenant)
+		}
+	}
+}
+
+// accountLocked returns the tenant's account, a new one if there is none.
+func (c *TokenCache) accountLocked(tenant string, now time.Time) *account {
+	a := c.accounts[tenant]
+	if a == nil {
+		a = &account{rateUpdatedAt: now}
+		c.accounts[tenant] = a
+	}
+	return a
+}
+
+// recordRequest counts a request into the smoothed rate.
+func (a *account) recordRequest(now time.Time) {
+	decay := max(0, 1-now.Sub(a.rateUpdatedAt).Seconds()/rateSmoothing.Seconds())
+	a.requestRate = a.requestRate*decay + 1/rateSmoothing.Seconds()
+	a.rateUpdatedAt = now
+}
+
+// spend takes a token out of the oldest batch that has not expired.
+func (a *account) spend(now time.Time) bool {
+	for len(a.batches) > 0 {
+		oldest := &a.batches[0]
+		if oldest.count > 0 && now.Before(oldest.expiry) {
+			oldest.count--
+			return true
+		}
+		a.batches = a.batches[1:]
+	}
+	return false
+}
--- /dev/null
+++ b/internal/quota/watermark_test.go
@@ -0,0 +1,81 @@
+package quota
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+)
+
+// restartingAllocator is an allocator that holds the full share and restarts from its disk.
+type restartingAllocator struct {
+	*Allocator
+	limits map[string]BucketLimits
+	disk   map[string]float64
+}
+
+// restart replaces the allocator by a new incarnation.
+func (r *restartingAllocator) restart(uninterrupted bool, now time.Time) {
+	r.Allocator = NewAllocator()
+	r.SetTenants(r.limits, now)
+	r.Renew(1, now.Add(time.Hour), now)
+	r.Restore(r.disk, uninterrupted, now)
+}
+
+// store writes the low watermarks if they ought to move; the allocator may not know yet.
+func (r *restartingAllocator) store(rng *rand.Rand, now time.Time) {
+	watermarks, due := r.LowWatermarks(now)
+	if !due {
+		return
+	}
+	r.disk = watermarks
+	if rng.Intn(2) == 0 {
+		r.LowWatermarksStored(watermarks)
+	}
+}
+
+// TestLowWatermarksAcrossRestarts: an allocator that restarts again and again, at any moment
+// between two writes, grants no more than one that never does; and one that restarts in calm
+// times goes on with half of what it had.
+func TestLowWatermarksAcrossRestarts(t *testing.T) {
+	limits := map[string]BucketLimits{"t": {Rate: 10, Depth: 40, TokenLifetime: time.Second}}
+	for seed := range int64(50) {
+		rng := rand.New(rand.NewSource(seed))
+		now := time.Unix(1000, 0)
+		r := &restartingAllocator{limits: limits}
+		r.restart(false, now)
+		for range 100 {
+			now = now.Add(100 * time.Millisecond)
+			r.store(rng, now)
+		}
+		r.restart(true, now)
+		if got := r.Withdraw("t", 1, now); got != 0 {
+			t.Fatalf("seed %d: %v tokens are granted before the watermark is lowered on the disk", seed, got)
+		}
+		watermarks, due := r.LowWatermarks(now)
+		if !due {
+			t.Fatalf("seed %d: nothing is available, and the watermarks stay", seed)
+		}
+		r.disk = watermarks
+		r.LowWatermarksStored(watermarks)
+		spent := r.Withdraw("t", 99, now)
+		if spent < 5 {
+			t.Fatalf("seed %d: %v tokens are granted after a restart in calm times", seed, spent)
+		}
+		for step := range 200 {
+			if step%4 == 0 {
+				now = now.Add(50 * time.Millisecond)
+			}
+			switch rng.Intn(4) {
+			case 0:
+				r.restart(true, now)
+			case 1:
+				spent += r.Withdraw("t", 99, now)
+			default:
+				r.store(rng, now)
+			}
+		}
+		if allowed := 40 + 10*2.5 + 0.001; spent > allowed {
+			t.Fatalf("seed %d: %v tokens were granted, %v are allowed", seed, spent, allowed)
+		}
+	}
+}
