--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -6,20 +6,39 @@
 	"time"
 )
 
-// Clock is true time as the registrars agree on it: an offset to this node's steady
-// clock. Times of day may jump on some machines; the steady clocks run on. So an offset
-// that was agreed on holds, and follows the others by small steps alone.
+const (
+	// maxSampleAge is how long a peer's sample counts.
+	maxSampleAge = 5 * time.Second
+	// initialAgreementWait is how long the first agreement waits for peers even if all
+	// have been heard.
+	initialAgreementWait = 1500 * time.Millisecond
+	// maxInitialWait is how long it waits for all of them; after that a majority is enough,
+	// and after twice as long this node's own time of day.
+	maxInitialWait = 6 * time.Second
+	// maxSlewPerSecond is the most that an agreed offset moves in a second.
+	maxSlewPerSecond = time.Millisecond
+	// maxWallDisagreement is how far the median time of day may be from the agreed time and
+	// still lead it.
+	maxWallDisagreement = 200 * time.Millisecond
+	// wallGain is the part of that difference that is corrected at each update.
+	wallGain = 8
+)
+
+// Clock is the true time as the control plane agrees on it: an offset to this node's
+// monotonic clock. Times of day may jump on some machines, but the monotonic clocks run on.
+// So an offset that was agreed on holds, and follows those of the peers by small steps
+// alone. It is safe for concurrent use.
 type Clock struct {
-	base time.Time // a moment of the steady clock
+	base time.Time // a moment of the monotonic clock
 
-	mu        sync.Mutex
+	mu        sync.Mutex    // guards the fields below
 	offset    time.Duration // of true time since 1970, at base
 	hasOffset bool
 	peers     map[string]sample
 	createdAt time.Time
 }
 
-// sample is what another registrar said, as offsets to this node's steady clock.
+// sample is what a peer sent, as offsets to this node's monotonic clock.
 type sample struct {
 	wall       time.Duration
 	agreed     time.Duration
@@ -27,84 +46,110 @@
 	observedAt time.Time
 }
 
-const (
-	maxSampleAge = 5 * time.Second
-	// initialAgreementWait is how long a first agreement waits for more to be heard.
-	initialAgreementWait = 1500 * time.Millisecond
-	maxInitialWait       = 6 * time.Second
-	// maxSlewPerSecond is the most that an agreed offset moves in a second.
-	maxSlewPerSecond = time.Millisecond
-)
-
-// NewClock makes a clock that knows no time yet.
+// NewClock returns a clock that knows no time yet.
 func NewClock(now time.Time) *Clock {
 	return &Clock{base: now, createdAt: now, peers: map[string]sample{}}
 }
 
-func (c *Clock) offsetOf(unixNano int64, now time.Time) time.Duration {
-	return time.Duration(unixNano) - now.Sub(c.base)
-}
-
-// Observe notes the time of day of another registrar, and its agreed time if it has one.
+// Observe takes a peer's time of day and its agreed time, in nanoseconds since 1970; agreed
+// is 0 if the peer has none.
 func (c *Clock) Observe(peer string, wall, agreed int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers[peer] = sample{wall: c.offsetOf(wall, now), agreed: c.offsetOf(agreed, now), hasAgreed: agreed != 0, observedAt: now}
+	c.peers[peer] = sample{
+		wall:       c.offsetOf(wall, now),
+		agreed:     c.offsetOf(agreed, now),
+		hasAgreed:  agreed != 0,
+		observedAt: now,
+	}
 }
 
-// Update brings the agreed time up to date; wall is this machine's own time of day, and
-// most the number of registrars that bear no doubt, be they heard or not.
-func (c *Clock) Update(wall int64, most int, elapsed time.Duration, now time.Time) {
+// Update brings the agreed time up to date. wall is this machine's time of day in
+// nanoseconds since 1970, members the number of control plane nodes, heard or not, and
+// elapsed the time since the last update.
+func (c *Clock) Update(wall int64, members int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	walls, agreed := []time.Duration{c.offsetOf(wall, now)}, []time.Duration{}
-	for name, s := range c.peers {
-		if now.Sub(s.observedAt) > maxSampleAge {
-			delete(c.peers, name)
-			continue
-		}
-		walls = append(walls, s.wall)
-		if s.hasAgreed {
-			agreed = append(agreed, s.agreed)
-		}
-	}
-	age := now.Sub(c.createdAt)
+	walls, agreed := c.samplesLocked(now)
+	walls = append(walls, c.offsetOf(wall, now))
 	switch {
 	case c.hasOffset:
-		to := c.offset
-		if len(agreed) > 0 {
-			to = median(append(agreed, c.offset))
-		}
-		// The times of day lead the way only while most of them are near: a jump of
-		// many machines is no reason to follow.
-		if w := median(walls); (w - to).Abs() < 200*time.Millisecond {
-			to += (w - to) / 8
-		}
-		step := time.Duration(float64(maxSlewPerSecond) * elapsed.Seconds())
-		c.offset += min(max(to-c.offset, -step), step)
+		c.slewLocked(walls, agreed, elapsed)
 	case len(agreed) > 0:
-		c.offset, c.hasOffset = median(agreed), true
-	case len(walls) >= most && age >= initialAgreementWait || 2*len(walls) > most && age >= maxInitialWait || age >= 2*maxInitialWait:
-		c.offset, c.hasOffset = median(walls), true
+		c.offset = median(agreed)
+		c.hasOffset = true
+	case enoughForFirstAgreement(len(walls), members, now.Sub(c.createdAt)):
+		c.offset = median(walls)
+		c.hasOffset = true
 	}
 }
 
-// Set takes a time that was told, as a node does from its registrar.
-func (c *Clock) Set(unixNano int64, now time.Time) {
+// Set takes the true time from another node, in nanoseconds since 1970, as a data plane node
+// does from the control plane.
+func (c *Clock) Set(unixNanos int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offset, c.hasOffset = c.offsetOf(unixNano, now), true
+	c.offset = c.offsetOf(unixNanos, now)
+	c.hasOffset = true
 }
 
-// Now is the agreed time, if there is one.
+// Now returns the true time, and whether there is one yet.
 func (c *Clock) Now(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Unix(0, int64(c.offset+now.Sub(c.base))), c.hasOffset
 }
 
-func median(d []time.Duration) time.Duration {
-	d = slices.Clone(d)
-	slices.Sort(d)
-	return d[len(d)/2]
+// offsetOf returns the offset of a time of day to the monotonic clock.
+func (c *Clock) offsetOf(unixNanos int64, now time.Time) time.Duration {
+	return time.Duration(unixNanos) - now.Sub(c.base)
+}
+
+// samplesLocked drops old samples and returns the offsets of the others.
+func (c *Clock) samplesLocked(now time.Time) (walls, agreed []time.Duration) {
+	for peer, s := range c.peers {
+		if now.Sub(s.observedAt) > maxSampleAge {
+			delete(c.peers, peer)
+			continue
+		}
+		walls = append(walls, s.wall)
+		if s.hasAgreed {
+			agreed = append(agreed, s.agreed)
+		}
+	}
+	return walls, agreed
+}
+
+// slewLocked moves the offset towards that of the peers.
+func (c *Clock) slewLocked(walls, agreed []time.Duration, elapsed time.Duration) {
+	target := c.offset
+	if len(agreed) > 0 {
+		target = median(append(agreed, c.offset))
+	}
+	// The times of day lead only while most of them are near: a jump of many machines is no
+	// reason to follow.
+	if wall := median(walls); (wall - target).Abs() < maxWallDisagreement {
+		target += (wall - target) / wallGain
+	}
+	step := time.Duration(float64(maxSlewPerSecond) * elapsed.Seconds())
+	c.offset += min(max(target-c.offset, -step), step)
+}
+
+// enoughForFirstAgreement reports whether so many times of day, this node's own included,
+// are enough after the time since the start.
+func enoughForFirstAgreement(heard, members int, age time.Duration) bool {
+	switch {
+	case heard >= members && age >= initialAgreementWait:
+		return true
+	case 2*heard > members && age >= maxInitialWait:
+		return true
+	}
+	return age >= 2*maxInitialWait
+}
+
+// median returns the median, the greater one of an even number.
+func median(offsets []time.Duration) time.Duration {
+	sorted := slices.Clone(offsets)
+	slices.Sort(sorted)
+	return sorted[len(sorted)/2]
 }
--- /dev/null
+++ b/internal/usage/store.go
@@ -0,0 +1,82 @@
+package usage
+
+import "sync"
+
+// Store holds the counts that a control plane node has received. It is safe for concurrent
+// use.
+type Store struct {
+	mu      sync.Mutex // guards the fields below
+	windows map[uint64]IncarnationCounts
+	changed map[uint64]bool // windows that changed since TakeChanged
+}
+
+// NewStore returns an empty store.
+func NewStore() *Store {
+	return &Store{windows: map[uint64]IncarnationCounts{}, changed: map[uint64]bool{}}
+}
+
+// Add takes the counts of a report.
+func (s *Store) Add(report *CountReport) {
+	for window, counts := range report.Windows {
+		s.Merge(window, IncarnationCounts{report.Incarnation: counts})
+	}
+}
+
+// Merge takes the greater of each count of a window.
+func (s *Store) Merge(window uint64, counts IncarnationCounts) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.windows[window] == nil {
+		s.windows[window] = IncarnationCounts{}
+	}
+	s.windows[window].merge(counts)
+	s.changed[window] = true
+}
+
+// TakeChanged returns the windows, from first on, that have changed since the last call, in
+// no order.
+func (s *Store) TakeChanged(first uint64) []uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var windows []uint64
+	for window := range s.changed {
+		if window >= first {
+			windows = append(windows, window)
+		}
+	}
+	clear(s.changed)
+	return windows
+}
+
+// Window returns a copy of the counts of a window.
+func (s *Store) Window(window uint64) IncarnationCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := IncarnationCounts{}
+	counts.merge(s.windows[window])
+	return counts
+}
+
+// WindowsFrom returns the windows, from first on, that have counts, in no order.
+func (s *Store) WindowsFrom(first uint64) []uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var windows []uint64
+	for window := range s.windows {
+		if window >= first {
+			windows = append(windows, window)
+		}
+	}
+	return windows
+}
+
+// RemoveOld forgets the windows long before the current one.
+func (s *Store) RemoveOld(current uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for window := range s.windows {
+		if window+retainedWindows < current {
+			delete(s.windows, window)
+		}
+	}
+}
