--- a/internal/latencyestimate/collector.go
+++ b/internal/latencyestimate/collector.go
@@ -1,100 +1,68 @@
 package latencyestimate
 
 import (
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Bounds of a collector. Nothing that comes in ever waits: what does not fit is dropped
-// and counted.
+// Bounds of a Collector. No caller ever waits: what doesn't fit is dropped and counted.
 const (
-	maxQueuedSamples    = 512
-	maxSamplesPerSecond = 1000 // samples taken in; its share of the processor
+	maxQueuedSamples = 512
+	// maxSamplesPerSecond bounds the collector's use of the processor.
+	maxSamplesPerSecond = 1000
 	workInterval        = 20 * time.Millisecond
 	samplesPerInterval  = maxSamplesPerSecond / int(time.Second/workInterval)
-	thresholdLifetime   = 64   // samples of a key after which its usual time is worked out anew
-	maxKeys             = 1024 // sketches of one generation
-	maxSlowLookups      = 256  // slow lookups remembered
-	generationLength    = time.Minute
-	slowFactor          = 3 // times the usual at this copy from which a lookup is slow
-	maxPartBytes        = 256 << 10
+	// thresholdLifetime is after how many samples the threshold of a key is worked out anew.
+	thresholdLifetime = 64
+	maxKeys           = 1024 // sketches of one generation
+	maxSlowLookups    = 256
+	// generationLength is after how long samples are no longer added to a sketch. They are
+	// forgotten with the generation after it.
+	generationLength = time.Minute
+	// slowFactor times the median of a replica is the duration from which on a lookup is
+	// slow.
+	slowFactor   = 3
+	maxPartBytes = 256 << 10
 )
 
-// AnswerPair is two answers of copies to one lookup.
-type AnswerPair struct {
-	First, Second         Sample
-	FirstPart, SecondPart []byte
-}
-
-// ReplicaEstimate is what another copy would have taken, as estimated, and did take, if it was
-// asked too.
-type ReplicaEstimate struct {
-	Endpoint   string        `json:"leaf" cbor:"1,keyasint"`
-	Estimate   Estimate      `json:"estimate" cbor:"2,keyasint"`
-	Actual     time.Duration `json:"real,omitempty" cbor:"3,keyasint,omitempty"`
-	Difference string        `json:"part,omitempty" cbor:"4,keyasint,omitempty"`
-}
-
-// SlowLookup is a lookup that was slow or stalled.
-type SlowLookup struct {
-	At       time.Time         `json:"at" cbor:"1,keyasint"`
-	Key      Key               `json:"lookup" cbor:"2,keyasint"`
-	Duration time.Duration     `json:"took" cbor:"3,keyasint"`
-	Censored bool              `json:"givenUp,omitempty" cbor:"4,keyasint,omitempty"`
-	Replicas []ReplicaEstimate `json:"others" cbor:"5,keyasint"`
-}
-
-// Counters counts pairs whose real time was compared with its estimate, and differences.
-type Counters struct {
-	Compared    uint64            `json:"compared" cbor:"1,keyasint"`
-	Covered     uint64            `json:"covered" cbor:"2,keyasint"`
-	Differences map[string]uint64 `json:"parts" cbor:"3,keyasint"` // "leaf kind": how often
-	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"`
-}
-
-// Snapshot is all that one node, or several merged, know.
-type Snapshot struct {
-	Sketches    []KeyedSketch `cbor:"1,keyasint"`
-	SlowLookups []SlowLookup  `cbor:"2,keyasint"`
-	Counters    Counters      `cbor:"3,keyasint"`
-}
-
-// KeyedSketch is a sketch with its key.
-type KeyedSketch struct {
-	Key    Key     `cbor:"1,keyasint"`
-	Sketch *Sketch `cbor:"2,keyasint"`
-}
-
-// Collector takes samples of requests without ever holding one up.
+// Collector takes the samples of requests without ever delaying one. Run has to work for it.
+// It is safe for concurrent use.
 type Collector struct {
-	queue          chan AnswerPair // a sample alone has no B
+	queue          chan AnswerPair
 	dropped        atomic.Uint64
-	intervalBudget atomic.Int32 // samples that this turn takes in
+	intervalBudget atomic.Int32 // samples that this interval still takes
 
-	mu                sync.Mutex
-	current, previous map[Key]*Sketch // this generation and the one before
-	rotatedAt         time.Time
+	mu                sync.Mutex      // guards the fields below
+	current, previous map[Key]*Sketch // by generation
+	rotatedAt         time.Time       // when the current generation began
 	thresholds        map[Key]*slowThreshold
-	slowLookups       []SlowLookup
-	counters          Counters
+	slowLookups       []SlowLookup // oldest first
+	counters          Counters     // Dropped is counted in dropped
 }
 
-// slowThreshold is from when on a lookup is slow, and for how many samples that stands.
+// slowThreshold is the duration from which on a lookup of a key is slow.
 type slowThreshold struct {
 	duration    time.Duration // 0: not known
-	samplesLeft int
+	samplesLeft int           // until it is worked out anew
 }
 
-// NewCollector makes a collector; Run has to work for it.
+// NewCollector returns a collector without samples.
 func NewCollector(now time.Time) *Collector {
-	c := &Collector{queue: make(chan AnswerPair, maxQueuedSamples), current: map[Key]*Sketch{}, previous: map[Key]*Sketch{}, rotatedAt: now, thresholds: map[Key]*slowThreshold{},
-		counters: Counters{Differences: map[string]uint64{}}}
+	c := &Collector{
+		queue:      make(chan AnswerPair, maxQueuedSamples),
+		current:    map[Key]*Sketch{},
+		previous:   map[Key]*Sketch{},
+		rotatedAt:  now,
+		thresholds: map[Key]*slowThreshold{},
+		counters:   Counters{Differences: map[string]uint64{}},
+	}
 	c.intervalBudget.Store(int32(samplesPerInterval))
 	return c
 }
 
-// Submit hands a sample in. Beyond what a turn takes it costs one addition.
+// Submit queues a sample for Run. Beyond what an interval takes it costs one addition.
 func (c *Collector) Submit(s Sample) {
 	if c.intervalBudget.Add(-1) < 0 {
 		c.dropped.Add(1)
@@ -103,7 +71,8 @@
 	c.enqueue(AnswerPair{First: s})
 }
 
-// SubmitPair hands in two answers to one lookup, whose samples were noted before.
+// SubmitPair queues two answers to one lookup, whose samples were submitted before. Answers
+// that are too large are not compared.
 func (c *Collector) SubmitPair(p AnswerPair) {
 	if len(p.FirstPart) <= maxPartBytes && len(p.SecondPart) <= maxPartBytes {
 		c.enqueue(p)
@@ -118,30 +87,30 @@
 	}
 }
 
-// Run works off what comes in until quit, within its share of the processor.
-func (c *Collector) Run(quit <-chan struct{}) {
-	t := time.NewTicker(workInterval)
-	defer t.Stop()
+// Run processes what is queued until done is closed, within its share of the processor.
+func (c *Collector) Run(done <-chan struct{}) {
+	ticker := time.NewTicker(workInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-t.C:
+		case now := <-ticker.C:
 			c.intervalBudget.Store(int32(samplesPerInterval))
 			c.processQueue(now, samplesPerInterval)
-		case <-quit:
+		case <-done:
 			return
 		}
 	}
 }
 
-// processQueue takes in so much of what waits.
-func (c *Collector) processQueue(now time.Time, most int) {
-	for range most {
+// processQueue processes up to limit queued samples and pairs.
+func (c *Collector) processQueue(now time.Time, limit int) {
+	for range limit {
 		select {
-		case p := <-c.queue:
-			if p.Second.Key.Endpoint == "" {
-				c.Add(p.First, now)
+		case pair := <-c.queue:
+			if pair.hasSecond() {
+				c.AddPair(pair)
 			} else {
-				c.AddPair(p)
+				c.Add(pair.First, now)
 			}
 		default:
 			return
@@ -149,173 +118,165 @@
 	}
 }
 
-func (c *Collector) rotateLocked(now time.Time) {
-	if now.Sub(c.rotatedAt) >= generationLength {
-		if now.Sub(c.rotatedAt) >= 2*generationLength {
-			c.current = map[Key]*Sketch{}
-		}
-		c.previous, c.current, c.rotatedAt = c.current, map[Key]*Sketch{}, now
-		clear(c.thresholds)
-	}
-}
-
-// Add takes a sample in at once.
+// Add takes a sample at once.
 func (c *Collector) Add(s Sample, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rotateLocked(now)
-	u := c.thresholds[s.Key]
-	if u == nil {
-		u = &slowThreshold{}
-		if len(c.thresholds) < maxKeys {
-			c.thresholds[s.Key] = u
-		}
-	}
-	if u.samplesLeft--; u.samplesLeft < 0 {
-		u.duration, u.samplesLeft = 0, minSamples
-		if e := c.estimateLocked(s.Key); e.Known() {
-			u.duration, u.samplesLeft = slowFactor*e.Median, thresholdLifetime
-		}
-	}
-	if s.Censored || u.duration > 0 && s.Duration > u.duration {
+	if c.isSlowLocked(s) {
 		c.recordSlowLocked(s, now)
 	}
-	k := c.current[s.Key]
-	if k == nil {
+	sketch := c.current[s.Key]
+	if sketch == nil {
 		if len(c.current) >= maxKeys {
 			c.dropped.Add(1)
 			return
 		}
-		k = NewSketch()
-		c.current[s.Key] = k
+		sketch = NewSketch()
+		c.current[s.Key] = sketch
+	}
+	sketch.Add(s.Duration, s.Censored)
+}
+
+// AddPair compares two answers to one lookup at once: the second one's duration with its
+// estimate, and the answers with each other.
+func (c *Collector) AddPair(p AnswerPair) {
+	ofFirst, ofSecond := CompareParts(p.FirstPart, p.SecondPart)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.checkEstimateLocked(p.Second)
+	c.countDifferenceLocked(p.First.Key.Endpoint, ofFirst)
+	c.countDifferenceLocked(p.Second.Key.Endpoint, ofSecond)
+	c.completeSlowLocked(p, ofSecond)
+}
+
+// rotateLocked begins a new generation when the current one is over.
+func (c *Collector) rotateLocked(now time.Time) {
+	age := now.Sub(c.rotatedAt)
+	if age < generationLength {
+		return
+	}
+	c.previous = c.current
+	if age >= 2*generationLength {
+		c.previous = map[Key]*Sketch{}
+	}
+	c.current = map[Key]*Sketch{}
+	c.rotatedAt = now
+	clear(c.thresholds)
+}
+
+// generationsLocked returns the sketches of both generations, the current one first.
+func (c *Collector) generationsLocked() []map[Key]*Sketch {
+	return []map[Key]*Sketch{c.current, c.previous}
+}
+
+// isSlowLocked reports whether a lookup was slow for its replica, or abandoned.
+func (c *Collector) isSlowLocked(s Sample) bool {
+	threshold := c.thresholds[s.Key]
+	if threshold == nil {
+		threshold = &slowThreshold{}
+		if len(c.thresholds) < maxKeys {
+			c.thresholds[s.Key] = threshold
+		}
+	}
+	threshold.samplesLeft--
+	if threshold.samplesLeft < 0 {
+		c.updateThresholdLocked(threshold, s.Key)
 	}
-	k.Add(s.Duration, s.Censored)
+	return s.Censored || threshold.duration > 0 && s.Duration > threshold.duration
 }
 
-func (c *Collector) estimateLocked(k Key) Estimate {
-	a, b := c.current[k], c.previous[k]
+func (c *Collector) updateThresholdLocked(threshold *slowThreshold, key Key) {
+	estimate := c.estimateLocked(key)
+	if !estimate.Known() {
+		*threshold = slowThreshold{samplesLeft: minSamples}
+		return
+	}
+	*threshold = slowThreshold{duration: slowFactor * estimate.Median, samplesLeft: thresholdLifetime}
+}
+
+// estimateLocked returns the estimate of a key out of both generations.
+func (c *Collector) estimateLocked(key Key) Estimate {
+	current, previous := c.current[key], c.previous[key]
 	switch {
-	case a == nil && b == nil:
+	case current == nil && previous == nil:
 		return Estimate{UnknownReason: "never asked"}
-	case a == nil:
-		return b.Estimate()
-	case b == nil:
-		return a.Estimate()
+	case current == nil:
+		return previous.Estimate()
+	case previous == nil:
+		return current.Estimate()
 	}
 	both := NewSketch()
-	both.Merge(a)
-	both.Merge(b)
+	both.Merge(current)
+	both.Merge(previous)
 	return both.Estimate()
 }
 
-// recordSlowLocked remembers a slow lookup with the estimates for the other copies as of now.
+// recordSlowLocked remembers a slow lookup with the estimates for the other replicas as of
+// now.
 func (c *Collector) recordSlowLocked(s Sample, now time.Time) {
-	one := SlowLookup{At: now, Key: s.Key, Duration: s.Duration, Censored: s.Censored, Replicas: []ReplicaEstimate{}}
+	lookup := SlowLookup{
+		At:       now,
+		Key:      s.Key,
+		Duration: s.Duration,
+		Censored: s.Censored,
+		Replicas: []ReplicaEstimate{},
+	}
 	seen := map[string]bool{s.Key.Endpoint: true}
-	for _, gen := range []map[Key]*Sketch{c.current, c.previous} {
-		for k := range gen {
-			if k.Service == s.Key.Service && k.Class == s.Key.Class && k.Load == s.Key.Load && !seen[k.Endpoint] {
-				seen[k.Endpoint] = true
-				one.Replicas = append(one.Replicas, ReplicaEstimate{Endpoint: k.Endpoint, Estimate: c.estimateLocked(k)})
+	for _, generation := range c.generationsLocked() {
+		for key := range generation {
+			sameLookups := key.Service == s.Key.Service && key.Class == s.Key.Class && key.Load == s.Key.Load
+			if !sameLookups || seen[key.Endpoint] {
+				continue
 			}
+			seen[key.Endpoint] = true
+			lookup.Replicas = append(lookup.Replicas, ReplicaEstimate{
+				Endpoint: key.Endpoint,
+				Estimate: c.estimateLocked(key),
+			})
 		}
 	}
-	if c.slowLookups = append(c.slowLookups, one); len(c.slowLookups) > maxSlowLookups {
-		c.slowLookups = append([]SlowLookup(nil), c.slowLookups[len(c.slowLookups)-maxSlowLookups:]...)
+	c.slowLookups = append(c.slowLookups, lookup)
+	if excess := len(c.slowLookups) - maxSlowLookups; excess > 0 {
+		c.slowLookups = slices.Clone(c.slowLookups[excess:])
 	}
 }
 
-// AddPair compares two answers to one lookup: what the second copy took with what was
-// estimated of it, and their parts.
-func (c *Collector) AddPair(p AnswerPair) {
-	ofA, ofB := CompareParts(p.FirstPart, p.SecondPart)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !p.Second.Censored {
-		if e := c.estimateLocked(p.Second.Key); e.Known() {
-			c.counters.Compared++
-			if e.Covers(p.Second.Duration) {
-				c.counters.Covered++
-			}
-		}
-	}
-	for _, d := range []struct {
-		leaf string
-		d    Difference
-	}{{p.First.Key.Endpoint, ofA}, {p.Second.Key.Endpoint, ofB}} {
-		if d.d != Same && len(c.counters.Differences) < maxKeys {
-			c.counters.Differences[d.leaf+" "+d.d.String()]++
-		}
+// checkEstimateLocked counts whether an actual duration lies in the interval of its
+// estimate. A censored sample has none.
+func (c *Collector) checkEstimateLocked(s Sample) {
+	if s.Censored {
+		return
 	}
-	for i := len(c.slowLookups) - 1; i >= 0; i-- { // the slow lookup that this was the second try of
-		s := &c.slowLookups[i]
-		if s.Key != p.First.Key || s.Duration != p.First.Duration {
-			continue
-		}
-		for j := range s.Replicas {
-			if o := &s.Replicas[j]; o.Endpoint == p.Second.Key.Endpoint {
-				o.Actual, o.Difference = p.Second.Duration, ofB.String()
-			}
-		}
+	estimate := c.estimateLocked(s.Key)
+	if !estimate.Known() {
 		return
 	}
+	c.counters.Compared++
+	if estimate.Covers(s.Duration) {
+		c.counters.Covered++
+	}
 }
 
-// Snapshot returns all that is known, for one service and class, or all if empty.
-func (c *Collector) Snapshot(service, class string) Snapshot {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	fits := func(k Key) bool {
-		return (service == "" || k.Service == service) && (class == "" || k.Class == class)
-	}
-	v := Snapshot{Counters: Counters{Compared: c.counters.Compared, Covered: c.counters.Covered, Dropped: c.dropped.Load(), Differences: map[string]uint64{}}}
-	for k, n := range c.counters.Differences {
-		v.Counters.Differences[k] = n
-	}
-	both := map[Key]*Sketch{}
-	for _, gen := range []map[Key]*Sketch{c.current, c.previous} {
-		for k, s := range gen {
-			if fits(k) {
-				if both[k] == nil {
-					both[k] = NewSketch()
-				}
-				both[k].Merge(s)
-			}
-		}
-	}
-	for k, s := range both {
-		v.Sketches = append(v.Sketches, KeyedSketch{k, s})
+func (c *Collector) countDifferenceLocked(endpoint string, d Difference) {
+	if d != Same && len(c.counters.Differences) < maxKeys {
+		c.counters.Differences[endpoint+" "+d.String()]++
 	}
-	for _, s := range c.slowLookups {
-		if fits(s.Key) {
-			s.Replicas = append([]ReplicaEstimate(nil), s.Replicas...)
-			v.SlowLookups = append(v.SlowLookups, s)
-		}
-	}
-	return v
 }
 
-// MergeSnapshots joins what several nodes know.
-func MergeSnapshots(views ...Snapshot) Snapshot {
-	out := Snapshot{Counters: Counters{Differences: map[string]uint64{}}}
-	by := map[Key]*Sketch{}
-	for _, v := range views {
-		for _, k := range v.Sketches {
-			if by[k.Key] == nil {
-				by[k.Key] = NewSketch()
-			}
-			by[k.Key].Merge(k.Sketch)
+// completeSlowLocked adds the second answer to the slow lookup that it was a retry of.
+func (c *Collector) completeSlowLocked(p AnswerPair, ofSecond Difference) {
+	for i := len(c.slowLookups) - 1; i >= 0; i-- {
+		lookup := &c.slowLookups[i]
+		if lookup.Key != p.First.Key || lookup.Duration != p.First.Duration {
+			continue
 		}
-		out.SlowLookups = append(out.SlowLookups, v.SlowLookups...)
-		out.Counters.Compared += v.Counters.Compared
-		out.Counters.Covered += v.Counters.Covered
-		out.Counters.Dropped += v.Counters.Dropped
-		for k, n := range v.Counters.Differences {
-			out.Counters.Differences[k] += n
+		for j := range lookup.Replicas {
+			if r := &lookup.Replicas[j]; r.Endpoint == p.Second.Key.Endpoint {
+				r.Actual = p.Second.Duration
+				r.Difference = ofSecond.String()
+			}
 		}
+		return
 	}
-	for k, s := range by {
-		out.Sketches = append(out.Sketches, KeyedSketch{k, s})
-	}
-	return out
 }
--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -1,262 +1,136 @@
-// Package estimate works out how long a slow lookup would have taken on the other copies
-// of its shard, from what lookups of its class took there of late, and finds copies that
-// answer otherwise than their fellows. The package does no input or output; Collector is
-// what requests hand their samples to.
 package latencyestimate
 
 import (
-	"bytes"
-	"errors"
-	"fmt"
-	"math"
-	"math/rand/v2"
+	"cmp"
 	"slices"
 	"time"
 
-	"comethold/internal/rpc"
-
 	"github.com/caio/go-tdigest/v4"
 )
 
-// ErrInvalidSketch is the error of this layer.
-var ErrInvalidSketch = errors.New("estimate: the sketch cannot be read")
-
-// The classes of lookups, apart from one another.
 const (
-	ClassUrgent  = "urgent"
-	ClassBulk    = "bulk"
-	ClassArchive = "archive"
+	// minSamples is how many samples an estimate needs.
+	minSamples = 20
+	// lowQuantile and highQuantile are the ends of an estimate's interval.
+	lowQuantile    = 0.1
+	medianQuantile = 0.5
+	highQuantile   = 0.9
+	// quantileTolerance absorbs rounding where a quantile falls on a sample.
+	quantileTolerance = 1e-12
 )
 
-// Load is how busy a copy was as it was asked.
-type Load uint8
-
-// A copy is Idle, or has others' calls of this node at work or turns calls away.
-const (
-	Idle Load = iota
-	Busy
-)
-
-// Key names what samples belong together.
-type Key struct {
-	Service  string `cbor:"1,keyasint" json:"service"`
-	Endpoint string `cbor:"2,keyasint" json:"leaf"`
-	Class    string `cbor:"3,keyasint" json:"class"`
-	Load     Load   `cbor:"4,keyasint,omitempty" json:"busy"`
-}
-
-// Sample is one lookup at one copy. One that was given up on after Took is Cut: it would
-// have taken longer, nobody knows how long.
-type Sample struct {
-	Key      Key
-	Duration time.Duration
-	Censored bool
-}
-
-const (
-	compression  = 20
-	minSamples   = 20 // below that an estimate says "unknown"
-	lowQuantile  = 0.1
-	highQuantile = 0.9 // of lookups lie between the ends of an interval: it claims 80 in 100
-)
-
-// NominalCoverage is the share of lookups that an interval claims to cover.
+// NominalCoverage is the share of lookups that an estimate's interval claims to cover.
 const NominalCoverage = highQuantile - lowQuantile
 
-// Sketch holds the samples of one key, mergeable with others of its kind.
-type Sketch struct {
-	completed, censored *tdigest.TDigest // nil: none
-}
-
-// sharedRandom is one source for all digests: one of its own takes 5 KB and is slow to make.
-type sharedRandom struct{}
-
-func (sharedRandom) Float32() float32 { return rand.Float32() }
-func (sharedRandom) Intn(n int) int   { return rand.IntN(n) }
-
-func newDigest() *tdigest.TDigest {
-	d, err := tdigest.New(tdigest.Compression(compression), tdigest.RandomNumberGenerator(sharedRandom{}))
-	if err != nil {
-		panic(err) // the compression is ours
-	}
-	return d
+// Estimate is how long a lookup would take: half of them Median or less, 80 in 100 between
+// Low and High.
+type Estimate struct {
+	Median time.Duration `json:"median"`
+	Low    time.Duration `json:"low"`
+	High   time.Duration `json:"high"`
+	// HighOpen says that so many samples are censored that High can't be told.
+	HighOpen bool   `json:"highOpen,omitempty"`
+	Samples  uint64 `json:"samples"` // completed
+	Censored uint64 `json:"givenUp"`
+	// UnknownReason says why there is no estimate; empty if there is one.
+	UnknownReason string `json:"unknown,omitempty"`
 }
 
-// NewSketch makes an empty sketch.
-func NewSketch() *Sketch { return &Sketch{} }
-
-func sampleCount(d *tdigest.TDigest) uint64 {
-	if d == nil {
-		return 0
-	}
-	return d.Count()
-}
+// Known reports whether there is an estimate.
+func (e Estimate) Known() bool { return e.UnknownReason == "" }
 
-func mergeDigests(d, o *tdigest.TDigest) *tdigest.TDigest {
-	switch {
-	case o == nil:
-		return d
-	case d == nil:
-		return o.Clone()
-	}
-	_ = d.Merge(o)
-	return d
+// Covers reports whether a duration lies in the interval.
+func (e Estimate) Covers(duration time.Duration) bool {
+	return e.Known() && duration >= e.Low && (e.HighOpen || duration <= e.High)
 }
 
-// Add takes a sample in.
-func (s *Sketch) Add(took time.Duration, cut bool) {
-	d := &s.completed
-	if cut {
-		d = &s.censored
+// Estimate returns the estimate of a lookup's duration from the samples, by the
+// product-limit (Kaplan-Meier) method: a censored sample counts among those that took longer
+// for as long as it was followed.
+func (s *Sketch) Estimate() Estimate {
+	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
+	if e.Samples+e.Censored < minSamples {
+		e.UnknownReason = "too few samples"
+		return e
 	}
-	if *d == nil {
-		*d = newDigest()
+	quantiles := s.quantiles(lowQuantile, medianQuantile, highQuantile)
+	e.Low = quantiles[0].duration
+	e.Median = quantiles[1].duration
+	e.High = quantiles[2].duration
+	e.HighOpen = !quantiles[2].known
+	if !quantiles[1].known {
+		e.UnknownReason = "more than half were given up on"
 	}
-	_ = (*d).Add(max(took.Seconds(), 1e-6))
-}
-
-// Merge takes all samples of another sketch in.
-func (s *Sketch) Merge(o *Sketch) {
-	s.completed, s.censored = mergeDigests(s.completed, o.completed), mergeDigests(s.censored, o.censored)
-}
-
-// encodedSketch is a sketch between processes.
-type encodedSketch struct {
-	Completed []byte `cbor:"1,keyasint"`
-	Censored  []byte `cbor:"2,keyasint"`
+	return e
 }
 
-// MarshalCBOR and UnmarshalCBOR carry a sketch between processes.
-func (s *Sketch) MarshalCBOR() ([]byte, error) {
-	write := func(d *tdigest.TDigest) ([]byte, error) {
-		if d == nil {
-			return nil, nil
-		}
-		return d.AsBytes()
-	}
-	done, err := write(s.completed)
-	cut, err2 := write(s.censored)
-	if err := errors.Join(err, err2); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalidSketch, err)
-	}
-	return rpc.Marshal(encodedSketch{done, cut})
+// quantile is the duration that a share of lookups doesn't exceed, if it can be told.
+type quantile struct {
+	duration time.Duration
+	known    bool
 }
 
-// UnmarshalCBOR reads a sketch.
-func (s *Sketch) UnmarshalCBOR(raw []byte) error {
-	var e encodedSketch
-	if err := rpc.Unmarshal(raw, &e); err != nil {
-		return fmt.Errorf("%w: %v", ErrInvalidSketch, err)
-	}
-	read := func(b []byte) (*tdigest.TDigest, error) {
-		if len(b) == 0 {
-			return nil, nil
-		}
-		if len(b) > 64<<10 {
-			return nil, ErrInvalidSketch
+// quantiles returns the product-limit estimates of the quantiles at the given shares.
+func (s *Sketch) quantiles(shares ...float64) []quantile {
+	result := make([]quantile, len(shares))
+	atRisk := float64(sampleCount(s.completed) + sampleCount(s.censored))
+	surviving := 1.0 // share of lookups that take longer than previous
+	previous := 0.0  // seconds
+	for _, c := range s.centroids() {
+		if c.completed {
+			next := surviving * (1 - c.count/atRisk)
+			for i, share := range shares {
+				if result[i].known || next > 1-share+quantileTolerance {
+					continue
+				}
+				// Within a centroid durations are spread evenly from the one before.
+				part := 1.0
+				if c.count > 1 && surviving > next {
+					part = (surviving - (1 - share)) / (surviving - next)
+				}
+				seconds := previous + (c.seconds-previous)*min(1, 0.5+part/2)
+				result[i] = quantile{duration: time.Duration(seconds * float64(time.Second)), known: true}
+			}
+			surviving = next
+			previous = c.seconds
 		}
-		return tdigest.FromBytes(bytes.NewReader(b), tdigest.Compression(compression), tdigest.RandomNumberGenerator(sharedRandom{}))
-	}
-	done, err := read(e.Completed)
-	cut, err2 := read(e.Censored)
-	if err := errors.Join(err, err2); err != nil {
-		return fmt.Errorf("%w: %v", ErrInvalidSketch, err)
+		atRisk -= c.count
 	}
-	s.completed, s.censored = done, cut
-	return nil
-}
-
-// Estimate is how long a lookup would take: half of them Median or less, 80 in 100
-// between Low and High. Where so many were given up on that High can't be told, it is
-// Open. Unknown says why there is no estimate.
-type Estimate struct {
-	Median        time.Duration `json:"median"`
-	Low           time.Duration `json:"low"`
-	High          time.Duration `json:"high"`
-	HighOpen      bool          `json:"highOpen,omitempty"`
-	Samples       uint64        `json:"samples"`
-	Censored      uint64        `json:"givenUp"`
-	UnknownReason string        `json:"unknown,omitempty"`
+	return result
 }
 
-// Known reports whether there is an estimate.
-func (e Estimate) Known() bool { return e.UnknownReason == "" }
-
-// Covers reports whether a time lies in the interval.
-func (e Estimate) Covers(took time.Duration) bool {
-	return e.Known() && took >= e.Low && (e.HighOpen || took <= e.High)
+// centroid is a number of samples of about the same duration.
+type centroid struct {
+	seconds   float64
+	count     float64
+	completed bool
 }
 
-// Estimate works the estimate out. A lookup that was given up on counts among those that
-// took longer, for as long as it was followed (the product-limit method): leaving it out
-// would make a copy that stalls look quick.
-func (s *Sketch) Estimate() Estimate {
-	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
-	if e.Samples+e.Censored < minSamples {
-		e.UnknownReason = "too few samples"
-		return e
-	}
-	type point struct {
-		at   float64
-		n    float64
-		done bool
-	}
-	var all []point
-	for _, d := range []struct {
-		t    *tdigest.TDigest
-		done bool
-	}{{s.completed, true}, {s.censored, false}} {
-		if d.t == nil {
-			continue
+// centroids returns the centroids of both digests by duration. Of equal ones the completed
+// come first: what ended at a moment was not abandoned before.
+func (s *Sketch) centroids() []centroid {
+	var all []centroid
+	collect := func(digest *tdigest.TDigest, completed bool) {
+		if digest == nil {
+			return
 		}
-		d.t.ForEachCentroid(func(mean float64, count uint64) bool {
-			all = append(all, point{mean, float64(count), d.done})
+		digest.ForEachCentroid(func(mean float64, count uint64) bool {
+			all = append(all, centroid{seconds: mean, count: float64(count), completed: completed})
 			return true
 		})
 	}
-	slices.SortFunc(all, func(a, b point) int {
+	collect(s.completed, true)
+	collect(s.censored, false)
+	slices.SortFunc(all, func(a, b centroid) int {
 		switch {
-		case a.at < b.at:
-			return -1
-		case a.at > b.at:
-			return 1
-		case a.done == b.done:
+		case a.seconds != b.seconds:
+			return cmp.Compare(a.seconds, b.seconds)
+		case a.completed == b.completed:
 			return 0
-		case a.done:
-			return -1 // what ended at a moment was not given up on before
+		case a.completed:
+			return -1
 		}
 		return 1
 	})
-	left, alive, before := float64(e.Samples+e.Censored), 1.0, 0.0
-	quantile := map[float64]float64{}
-	for _, p := range all {
-		if p.done {
-			next := alive * (1 - p.n/left)
-			for _, q := range []float64{lowQuantile, 0.5, highQuantile} {
-				if _, ok := quantile[q]; !ok && next <= 1-q+1e-12 {
-					// Within a centroid times are spread evenly from the one before.
-					part := 1.0
-					if p.n > 1 && alive > next {
-						part = (alive - (1 - q)) / (alive - next)
-					}
-					quantile[q] = before + (p.at-before)*math.Min(1, 0.5+part/2)
-				}
-			}
-			alive, before = next, p.at
-		}
-		left -= p.n
-	}
-	at := func(q float64) (time.Duration, bool) {
-		v, ok := quantile[q]
-		return time.Duration(v * float64(time.Second)), ok
-	}
-	var known, high bool
-	e.Low, _ = at(lowQuantile)
-	e.Median, known = at(0.5)
-	e.High, high = at(highQuantile)
-	e.HighOpen = !high
-	if !known {
-		e.UnknownReason = "more than half were given up on"
-	}
-	return e
+	return all
 }
--- /dev/null
+++ b/internal/latencyestimate/sketch.go
@@ -0,0 +1,147 @@
+package latencyestimate
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"comethold/internal/rpc"
+
+	"github.com/caio/go-tdigest/v4"
+)
+
+// ErrInvalidSketch says that an encoded sketch can't be read.
+var ErrInvalidSketch = errors.New("latencyestimate: the sketch cannot be read")
+
+const (
+	// digestCompression sets the size and precision of a digest.
+	digestCompression = 20
+	// minSampleSeconds is the least duration that a digest takes.
+	minSampleSeconds = 1e-6
+	// maxEncodedDigest bounds the bytes of an encoded digest.
+	maxEncodedDigest = 64 << 10
+)
+
+// Sketch condenses the durations of the samples of one key. Sketches can be merged. It is
+// not safe for concurrent use.
+type Sketch struct {
+	// completed and censored are the digests of the samples, in seconds; nil: none.
+	completed, censored *tdigest.TDigest
+}
+
+// NewSketch returns an empty sketch.
+func NewSketch() *Sketch { return &Sketch{} }
+
+// Add takes a sample.
+func (s *Sketch) Add(duration time.Duration, censored bool) {
+	digest := &s.completed
+	if censored {
+		digest = &s.censored
+	}
+	if *digest == nil {
+		*digest = newDigest()
+	}
+	_ = (*digest).Add(max(duration.Seconds(), minSampleSeconds)) // fails for no number of seconds
+}
+
+// Merge takes all samples of another sketch, which stays as it is.
+func (s *Sketch) Merge(other *Sketch) {
+	s.completed = mergeDigests(s.completed, other.completed)
+	s.censored = mergeDigests(s.censored, other.censored)
+}
+
+// encodedSketch is a sketch between processes.
+type encodedSketch struct {
+	Completed []byte `cbor:"1,keyasint"`
+	Censored  []byte `cbor:"2,keyasint"`
+}
+
+// MarshalCBOR encodes the sketch.
+func (s *Sketch) MarshalCBOR() ([]byte, error) {
+	completed, completedErr := encodeDigest(s.completed)
+	censored, censoredErr := encodeDigest(s.censored)
+	if err := errors.Join(completedErr, censoredErr); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSketch, err)
+	}
+	return rpc.Marshal(encodedSketch{Completed: completed, Censored: censored})
+}
+
+// UnmarshalCBOR decodes a sketch. It returns ErrInvalidSketch if it can't.
+func (s *Sketch) UnmarshalCBOR(raw []byte) error {
+	var encoded encodedSketch
+	if err := rpc.Unmarshal(raw, &encoded); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidSketch, err)
+	}
+	completed, completedErr := decodeDigest(encoded.Completed)
+	censored, censoredErr := decodeDigest(encoded.Censored)
+	if err := errors.Join(completedErr, censoredErr); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidSketch, err)
+	}
+	s.completed = completed
+	s.censored = censored
+	return nil
+}
+
+// sharedRandom is one random source for all digests: one of its own would take each digest
+// 5 KB and is slow to make.
+type sharedRandom struct{}
+
+func (sharedRandom) Float32() float32 { return rand.Float32() }
+func (sharedRandom) Intn(n int) int   { return rand.IntN(n) }
+
+func newDigest() *tdigest.TDigest {
+	digest, err := tdigest.New(
+		tdigest.Compression(digestCompression),
+		tdigest.RandomNumberGenerator(sharedRandom{}),
+	)
+	if err != nil {
+		panic(err) // only for an invalid compression, which is a constant
+	}
+	return digest
+}
+
+// sampleCount returns the number of samples of a digest, which may be nil.
+func sampleCount(digest *tdigest.TDigest) uint64 {
+	if digest == nil {
+		return 0
+	}
+	return digest.Count()
+}
+
+// mergeDigests adds the samples of other to digest and returns it. Both may be nil; other
+// stays as it is.
+func mergeDigests(digest, other *tdigest.TDigest) *tdigest.TDigest {
+	switch {
+	case other == nil:
+		return digest
+	case digest == nil:
+		return other.Clone()
+	}
+	_ = digest.Merge(other) // fails for no digest of ours
+	return digest
+}
+
+// encodeDigest encodes a digest; nil has no bytes.
+func encodeDigest(digest *tdigest.TDigest) ([]byte, error) {
+	if digest == nil {
+		return nil, nil
+	}
+	return digest.AsBytes()
+}
+
+// decodeDigest decodes a digest; no bytes are nil.
+func decodeDigest(encoded []byte) (*tdigest.TDigest, error) {
+	if len(encoded) == 0 {
+		return nil, nil
+	}
+	if len(encoded) > maxEncodedDigest {
+		return nil, ErrInvalidSketch
+	}
+	return tdigest.FromBytes(
+		bytes.NewReader(encoded),
+		tdigest.Compression(digestCompression),
+		tdigest.RandomNumberGenerator(sharedRandom{}),
+	)
+}
