--- /dev/null
+++ b/internal/controlclient/applied_state.go
@@ -0,0 +1,236 @@
+package controlclient
+
+import (
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/retrybudget"
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
+)
+
+// sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control plane node
+// asked for it: it asks at most once in that time.
+const sendMarkIndexesFor = 10 * time.Second
+
+// appliedState is what updates have brought to this node. Each part only moves forward. The
+// callbacks are set before the first update and are called under mu.
+type appliedState struct {
+	log         *logging.Logger
+	upstreams   *upstream.ClusterManager
+	retryBudget *retrybudget.Budget
+
+	onNodes          func([]distribution.Node)
+	onRouteTable     func(*routing.RouteTable)
+	onPurges         func(*distribution.PurgeUpdate)
+	onTenantsChanged func(tenants []string)
+	// sharingNodes returns how many nodes share the endpoints with this one; nil: all data
+	// plane nodes do.
+	sharingNodes func() int
+
+	// These are written under mu and read without it.
+	routeTable atomic.Pointer[routing.RouteTable] // nil until the first configuration
+	purgeIndex atomic.Uint64
+	// confirmed says that an update came from a node in contact with the majority.
+	confirmed atomic.Bool
+
+	mu        sync.Mutex // guards the fields below
+	contactAt time.Time  // when the last such update came
+
+	endpointRevision distribution.Revision
+	hasEndpoints     bool
+	endpoints        map[string]distribution.Endpoint // by ID
+
+	ejectionMarks        map[string]distribution.EjectionMarks // by search index
+	marksDigest          uint64                                // of ejectionMarks
+	sendMarkIndexesUntil time.Time
+
+	nodesIndex     uint64                       // log index of the directory
+	nodes          map[string]distribution.Node // by name
+	dataPlaneCount int
+	nodeCounts     []nodeCount // oldest first
+
+	purges     []distribution.Purge // the newest, in order
+	purgeFloor uint64               // purges up to this log index are not in purges
+
+	inbox             *outbox.Inbox
+	notificationIndex uint64                            // log index of the newest notification received
+	deferred          []distribution.OutboxNotification // early ones, in order
+}
+
+func newAppliedState(
+	log *logging.Logger, upstreams *upstream.ClusterManager, budget *retrybudget.Budget,
+) *appliedState {
+	return &appliedState{
+		log:              log,
+		upstreams:        upstreams,
+		retryBudget:      budget,
+		onNodes:          func([]distribution.Node) {},
+		onRouteTable:     func(*routing.RouteTable) {},
+		onPurges:         func(*distribution.PurgeUpdate) {},
+		onTenantsChanged: func([]string) {},
+		contactAt:        time.Now(),
+		endpoints:        map[string]distribution.Endpoint{},
+		ejectionMarks:    map[string]distribution.EjectionMarks{},
+		nodes:            map[string]distribution.Node{},
+		inbox:            outbox.NewInbox(),
+	}
+}
+
+// ready reports whether there is all that serving needs.
+func (s *appliedState) ready() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.routeTable.Load() != nil && s.hasEndpoints
+}
+
+// disconnected reports whether the last update from a node in contact with the majority is
+// older than span.
+func (s *appliedState) disconnected(span time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Since(s.contactAt) > span
+}
+
+// heldVersions returns what to name in the next update request.
+func (s *appliedState) heldVersions() distribution.HeldVersions {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	held := distribution.HeldVersions{
+		NodesIndex:        s.nodesIndex,
+		DataPlaneCount:    s.dataPlaneCount,
+		PurgeIndex:        s.purgeIndex.Load(),
+		NotificationIndex: s.notificationIndex,
+		MarksDigest:       s.marksDigest,
+	}
+	if table := s.routeTable.Load(); table != nil {
+		held.ConfigVersion = table.Version
+	}
+	if s.hasEndpoints {
+		held.EndpointRevision = s.endpointRevision
+	}
+	if time.Now().Before(s.sendMarkIndexesUntil) {
+		held.MarkIndexes = s.markIndexesLocked()
+	}
+	return held
+}
+
+// apply applies the parts of an update that are newer than what is held.
+func (s *appliedState) apply(u *distribution.Update) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if u.Purges != nil {
+		s.applyPurgesLocked(u.Purges)
+	}
+	if u.Config != nil {
+		s.applyConfigLocked(u.Config)
+	}
+	if u.Endpoints != nil {
+		s.applyEndpointsLocked(u.Endpoints)
+	}
+	if u.NeedMarkIndexes {
+		s.sendMarkIndexesUntil = time.Now().Add(sendMarkIndexesFor)
+	}
+	if len(u.EjectionMarks) > 0 || len(u.RemovedIndexes) > 0 {
+		s.applyEjectionMarksLocked(u.EjectionMarks, u.RemovedIndexes)
+	}
+	if u.Nodes != nil {
+		s.applyNodesLocked(u.Nodes)
+	}
+	// After the rest of the update: notifications wait for the state that they speak of.
+	s.applyNotificationsLocked(u.Notifications)
+	s.updateNodeCountLocked(time.Now())
+	if !u.Stale {
+		s.confirmed.Store(true)
+		s.contactAt = time.Now()
+	}
+}
+
+func (s *appliedState) applyConfigLocked(u *distribution.ConfigUpdate) {
+	var old *routing.Configuration
+	if table := s.routeTable.Load(); table != nil {
+		old = table.Config
+	}
+	config, ok := u.ApplyTo(old)
+	if !ok {
+		return
+	}
+	table := routing.Compile(config)
+	connectionLimits := map[string]int{}
+	healthPaths := map[string]string{}
+	for name, service := range table.Services {
+		connectionLimits[name] = service.ConnectionLimit
+		healthPaths[name] = service.HealthPath
+	}
+	s.upstreams.SetServices(connectionLimits, healthPaths)
+	s.routeTable.Store(table)
+	s.onRouteTable(table)
+	s.log.Info(logging.ConfigApplied).
+		Uint64("version", table.Version).
+		Int("routes", len(config.Routes)).
+		Msg("configuration in force")
+}
+
+func (s *appliedState) applyEndpointsLocked(l *distribution.EndpointList) {
+	if !l.AppliesTo(s.endpointRevision, s.hasEndpoints) {
+		return
+	}
+	s.endpointRevision = l.Revision
+	s.hasEndpoints = true
+	s.endpoints = distribution.ApplyChanges(s.endpoints, l.Endpoints, l.Removed, l.Delta,
+		func(e distribution.Endpoint) string { return e.ID })
+	s.upstreams.SetEndpoints(s.endpoints)
+}
+
+func (s *appliedState) applyEjectionMarksLocked(changed []distribution.EjectionMarks, removedIndexes []string) {
+	for _, marks := range changed {
+		if old, ok := s.ejectionMarks[marks.IndexName]; !ok || old.LogIndex < marks.LogIndex {
+			s.ejectionMarks[marks.IndexName] = marks
+		}
+	}
+	for _, name := range removedIndexes {
+		delete(s.ejectionMarks, name)
+	}
+	s.marksDigest = distribution.MarksDigest(s.markIndexesLocked())
+	s.upstreams.SetFleetEjections(s.ejectedLocked())
+}
+
+// ejectedLocked returns the ejected endpoints of all search indexes by ID. Where two have
+// marked one, ReasonDraining goes before other reasons.
+func (s *appliedState) ejectedLocked() map[string]distribution.EjectionMark {
+	ejected := map[string]distribution.EjectionMark{}
+	for _, marks := range s.ejectionMarks {
+		for id, mark := range marks.Ejected {
+			if ejected[id].Reason != distribution.ReasonDraining {
+				ejected[id] = mark
+			}
+		}
+	}
+	return ejected
+}
+
+// markIndexesLocked returns the log index of the marks of each search index.
+func (s *appliedState) markIndexesLocked() map[string]uint64 {
+	indexes := make(map[string]uint64, len(s.ejectionMarks))
+	for name, marks := range s.ejectionMarks {
+		indexes[name] = marks.LogIndex
+	}
+	return indexes
+}
+
+func (s *appliedState) applyNodesLocked(l *distribution.NodeList) {
+	if !l.AppliesTo(s.nodesIndex) {
+		return
+	}
+	s.nodesIndex = l.LogIndex
+	s.dataPlaneCount = l.DataPlaneCount
+	s.nodes = distribution.ApplyChanges(s.nodes, l.Nodes, l.Removed, l.Delta,
+		func(n distribution.Node) string { return n.Name })
+	s.onNodes(slices.Collect(maps.Values(s.nodes)))
+}
--- /dev/null
+++ b/internal/controlclient/datagrams.go
@@ -0,0 +1,82 @@
+package controlclient
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/quota"
+	"comethold/internal/rpc"
+	"comethold/internal/usage"
+)
+
+const (
+	maxDatagramBytes  = 16 << 10
+	receiveRetryPause = 50 * time.Millisecond // after an error of the socket
+)
+
+// datagramSocket sends datagrams, and hands on those that are received.
+type datagramSocket struct {
+	onTokenGrant func(*quota.TokenGrant) // set before open
+	onUsageAck   func(*usage.CountAck)   // set before open
+
+	mu   sync.Mutex // guards the field below
+	conn net.PacketConn
+}
+
+func newDatagramSocket() *datagramSocket {
+	return &datagramSocket{
+		onTokenGrant: func(*quota.TokenGrant) {},
+		onUsageAck:   func(*usage.CountAck) {},
+	}
+}
+
+// open has send use conn.
+func (s *datagramSocket) open(conn net.PacketConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conn = conn
+}
+
+// send sends a datagram, if the socket is open. It may be lost.
+func (s *datagramSocket) send(to net.Addr, d *distribution.Datagram) {
+	s.mu.Lock()
+	conn := s.conn
+	s.mu.Unlock()
+	if conn == nil {
+		return
+	}
+	if encoded, err := rpc.Marshal(d); err == nil {
+		_, _ = conn.WriteTo(encoded, to) // the receiver doesn't rely on any datagram
+	}
+}
+
+// receive hands on what comes on conn until done is closed and the socket fails. What can't
+// be decoded is dropped.
+func (s *datagramSocket) receive(conn net.PacketConn, onHeartbeat func(node string), done <-chan struct{}) {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, _, err := conn.ReadFrom(buffer)
+		if err != nil {
+			select {
+			case <-done:
+				return
+			case <-time.After(receiveRetryPause):
+			}
+			continue
+		}
+		var d distribution.Datagram
+		if rpc.Unmarshal(buffer[:n], &d) != nil {
+			continue
+		}
+		switch {
+		case d.TokenGrant != nil:
+			s.onTokenGrant(d.TokenGrant)
+		case d.UsageAck != nil:
+			s.onUsageAck(d.UsageAck)
+		case d.Heartbeat != "":
+			onHeartbeat(d.Heartbeat)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlclient/heartbeats.go
@@ -0,0 +1,126 @@
+package controlclient
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+)
+
+// heartbeats sends this node's heartbeats to the nodes that watch it, and notes those of the
+// nodes that it watches. All of them are nodes of its own zone, so that failure detection
+// costs each node the same, however many zones there are.
+type heartbeats struct {
+	settings *settings.Settings
+	interval time.Duration
+
+	mu       sync.Mutex // guards the fields below
+	detector *heartbeat.Detector
+	nodes    []distribution.Node
+}
+
+func newHeartbeats(set *settings.Settings) *heartbeats {
+	interval := set.HeartbeatInterval()
+	return &heartbeats{
+		settings: set,
+		interval: interval,
+		detector: heartbeat.NewDetector(set.NodeName, interval),
+	}
+}
+
+// setNodes takes a new directory of nodes.
+func (h *heartbeats) setNodes(nodes []distribution.Node) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.nodes = nodes
+	h.detector.SetNodes(h.zoneNodeNamesLocked(), time.Now())
+}
+
+// suspects returns the names of the watched nodes whose heartbeats are missing.
+func (h *heartbeats) suspects() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.detector.Suspects(time.Now())
+}
+
+// record notes a heartbeat of a node.
+func (h *heartbeats) record(node string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.detector.RecordHeartbeat(node, time.Now())
+}
+
+// send sends heartbeats on conn until done is closed.
+func (h *heartbeats) send(conn net.PacketConn, done <-chan struct{}) error {
+	message, err := rpc.Marshal(&distribution.Datagram{Heartbeat: h.settings.NodeName})
+	if err != nil {
+		return err
+	}
+	ticker := time.NewTicker(h.interval)
+	defer ticker.Stop()
+	lastTick := time.Now()
+	for {
+		select {
+		case <-done:
+			return nil
+		case <-ticker.C:
+		}
+		now := time.Now()
+		if now.Sub(lastTick) > 2*h.interval {
+			h.forgive(now)
+		}
+		lastTick = now
+		for _, watcher := range h.watcherAddrs() {
+			_, _ = conn.WriteTo(message, watcher) // a lost heartbeat is followed by the next
+		}
+	}
+}
+
+// forgive counts all watched nodes as heard now: this node itself was stopped for a while.
+func (h *heartbeats) forgive(now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.detector.Reset(now)
+}
+
+// watcherAddrs returns the addresses of the nodes that watch this one, each once.
+func (h *heartbeats) watcherAddrs() []net.Addr {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	ports := map[string]int{} // by IP address
+	watchers, _ := heartbeat.Assign(h.settings.NodeName, h.zoneNodeNamesLocked())
+	for _, watcher := range watchers {
+		for _, n := range h.nodes {
+			if n.Name != watcher || n.ControlPlane {
+				continue
+			}
+			program := settings.DataPlane
+			if n.ObjectCache {
+				program = settings.ObjectCache
+			}
+			ports[n.Addr] = h.settings.PortOf(program)
+		}
+	}
+	var addresses []net.Addr
+	for address, port := range ports {
+		if ip := net.ParseIP(address); ip != nil {
+			addresses = append(addresses, &net.UDPAddr{IP: ip, Port: port})
+		}
+	}
+	return addresses
+}
+
+// zoneNodeNamesLocked returns the nodes of this zone that take part in failure detection.
+func (h *heartbeats) zoneNodeNamesLocked() []string {
+	var names []string
+	for _, n := range h.nodes {
+		if !n.ControlPlane && !n.Down && n.Zone == h.settings.AvailabilityZone {
+			names = append(names, n.Name)
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/controlclient/internal_api.go
@@ -0,0 +1,47 @@
+package controlclient
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+
+	"comethold/internal/distribution"
+	"comethold/internal/rpc"
+
+	"github.com/labstack/echo/v4"
+)
+
+// Paths of the internal API.
+const (
+	updatePath    = "/feed" // also that of the control plane
+	reachablePath = "/here" // by which others check that this node is reachable
+)
+
+// InternalHandler returns the internal API for other nodes: updates for those that find no
+// control plane, and an answer to those that check whether this node is reachable.
+func (c *Client) InternalHandler() *echo.Echo {
+	e := echo.New()
+	e.HideBanner = true
+	e.HidePort = true
+	e.POST(reachablePath, func(ec echo.Context) error { return ec.NoContent(http.StatusNoContent) })
+	e.POST(updatePath, c.handleUpdateRequest)
+	return e
+}
+
+// InternalAddress returns the address at which this program listens for other nodes.
+func (c *Client) InternalAddress() string {
+	return net.JoinHostPort(c.Settings.IPAddress, strconv.Itoa(c.Settings.PortOf(c.program)))
+}
+
+func (c *Client) handleUpdateRequest(ec echo.Context) error {
+	var request distribution.UpdateRequest
+	if err := rpc.DecodeRequest(ec.Request().Body, &request); err != nil {
+		return ec.NoContent(http.StatusBadRequest)
+	}
+	sameZone := request.Node.Zone == c.Settings.AvailabilityZone
+	encoded, err := rpc.Marshal(c.state.updateFor(request.Held, sameZone))
+	if err != nil {
+		return err
+	}
+	return ec.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeBody(encoded))
+}
--- /dev/null
+++ b/internal/controlclient/notifications.go
@@ -0,0 +1,74 @@
+package controlclient
+
+import (
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/rpc"
+)
+
+// maxDeferredNotifications bounds the early notifications that a node keeps.
+const maxDeferredNotifications = 128
+
+// applyNotificationsLocked decides the deferred notifications and those of an update, which
+// may be nil, and acts on those that apply. The state that they speak of must have been
+// applied before.
+func (s *appliedState) applyNotificationsLocked(u *distribution.NotificationUpdate) {
+	heldVersions := map[string]uint64{outbox.AggregatePurges: s.purgeIndex.Load()}
+	if table := s.routeTable.Load(); table != nil {
+		heldVersions[outbox.AggregateConfiguration] = table.Version
+	}
+	undecided := s.deferred
+	if u != nil && u.LogIndex > s.notificationIndex {
+		if u.Reset {
+			undecided = nil
+			for aggregate, version := range u.BaseVersions {
+				s.inbox.SetBaseVersion(aggregate, version)
+			}
+		}
+		undecided = append(undecided, u.Notifications...)
+		s.notificationIndex = u.LogIndex
+	}
+	s.deferred = nil
+	for i := range undecided {
+		n := &undecided[i]
+		s.decideNotificationLocked(n, heldVersions[n.Notification.Aggregate])
+	}
+}
+
+// decideNotificationLocked decides one notification; held is the version that is held of its
+// aggregate.
+func (s *appliedState) decideNotificationLocked(n *distribution.OutboxNotification, held uint64) {
+	message := &n.Notification
+	if message.Version <= held {
+		// Notifications come in order: one that is missing before this one will not come,
+		// but what it told is in the state that is here.
+		s.inbox.SetBaseVersion(message.Aggregate, message.PreviousVersion)
+	}
+	switch decision, err := s.inbox.Decide(message, held); decision {
+	case outbox.Applied:
+		s.actOnNotificationLocked(message)
+	case outbox.Duplicate:
+	case outbox.Deferred:
+		if len(s.deferred) < maxDeferredNotifications {
+			s.deferred = append(s.deferred, *n)
+		}
+	case outbox.Quarantined:
+		s.log.Error(logging.NotificationQuarantined).
+			Str("eventId", message.EventID).
+			Err(err).
+			Msg("a notification is quarantined")
+	}
+}
+
+// actOnNotificationLocked acts on a notification that applies: of a configuration's change,
+// what depends on the changed tenants is told.
+func (s *appliedState) actOnNotificationLocked(message *outbox.Notification) {
+	if message.Aggregate != outbox.AggregateConfiguration {
+		return
+	}
+	var change outbox.ConfigurationChange
+	if rpc.Unmarshal(message.Payload, &change) == nil {
+		s.onTenantsChanged(change.Tenants)
+	}
+}
--- /dev/null
+++ b/internal/controlclient/update_source.go
@@ -0,0 +1,156 @@
+package controlclient
+
+import (
+	"sort"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+)
+
+const (
+	// avoidDuration is how long a control plane node that failed or is stale is asked last.
+	avoidDuration = 3 * time.Second
+	// minSwitchInterval bounds how often the stream switches to another node because others
+	// hold newer state: behind a network partition no node may hold any.
+	minSwitchInterval = 600 * time.Millisecond
+)
+
+// sourceRank orders the control plane nodes to poll; the least comes first.
+type sourceRank int
+
+const (
+	rankSameZone sourceRank = iota
+	rankSameRegion
+	rankOtherRegion
+	rankSeed // not in the directory of nodes, or there is none yet
+	rankDown
+
+	// rankAvoided is added for a node to avoid, which comes after all others.
+	rankAvoided sourceRank = 10
+)
+
+// updateSource is a control plane node that may be polled.
+type updateSource struct {
+	host string
+	rank sourceRank
+	// preference orders nodes of one rank: each node prefers another one, and keeps to it.
+	preference uint64
+}
+
+// rankedHosts returns the control plane nodes to poll, the best first.
+func (s *updateStream) rankedHosts() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var sources []updateSource
+	known := map[string]bool{}
+	now := time.Now()
+	add := func(host string, rank sourceRank) {
+		if known[host] {
+			return
+		}
+		known[host] = true
+		if until, ok := s.avoidUntil[host]; ok && now.Before(until) {
+			rank += rankAvoided
+		}
+		preference := heartbeat.Hash(s.self.Name, host)
+		sources = append(sources, updateSource{host: host, rank: rank, preference: preference})
+	}
+	for _, n := range s.controlNodes {
+		add(n.Addr, s.rankOf(n))
+	}
+	for _, host := range s.seeds {
+		if host == s.self.Addr {
+			add(host, rankSameZone)
+		} else {
+			add(host, rankSeed)
+		}
+	}
+	sort.Slice(sources, func(i, j int) bool {
+		if sources[i].rank != sources[j].rank {
+			return sources[i].rank < sources[j].rank
+		}
+		return sources[i].preference < sources[j].preference
+	})
+	hosts := make([]string, len(sources))
+	for i, source := range sources {
+		hosts[i] = source.host
+	}
+	return hosts
+}
+
+// rankOf returns the rank of a control plane node in the directory.
+func (s *updateStream) rankOf(n distribution.Node) sourceRank {
+	switch {
+	case n.Down:
+		return rankDown
+	case n.Zone == s.self.Zone:
+		return rankSameZone
+	case s.settings.RegionOf(n.Zone) == s.settings.RegionName:
+		return rankSameRegion
+	}
+	return rankOtherRegion
+}
+
+// avoid has a control plane node asked last for a while.
+func (s *updateStream) avoid(host string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.avoidUntil[host] = time.Now().Add(avoidDuration)
+}
+
+// switchSource ends the open poll and avoids its node: another node holds newer state than it
+// has sent.
+func (s *updateStream) switchSource() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	if s.cancelPoll == nil || now.Sub(s.switchedAt) < minSwitchInterval {
+		return
+	}
+	s.switchedAt = now
+	s.avoidUntil[s.polledHost] = now.Add(avoidDuration)
+	s.cancelPoll()
+	s.cancelPoll = nil
+}
+
+// setNodes takes a new directory of nodes.
+func (s *updateStream) setNodes(nodes []distribution.Node) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.controlNodes = nil
+	s.dataPlaneNodes = nil
+	for _, n := range nodes {
+		switch {
+		case n.ControlPlane:
+			s.controlNodes = append(s.controlNodes, n)
+		case n.ServesClients() && n.Name != s.self.Name:
+			s.dataPlaneNodes = append(s.dataPlaneNodes, n)
+		}
+	}
+}
+
+// setSeeds takes new seed nodes.
+func (s *updateStream) setSeeds(hosts []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.seeds = hosts
+}
+
+// peerHosts returns the data plane nodes of this zone and the seed nodes.
+func (s *updateStream) peerHosts() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var hosts []string
+	for _, n := range s.dataPlaneNodes {
+		if n.Zone == s.self.Zone {
+			hosts = append(hosts, n.Addr)
+		}
+	}
+	for _, host := range s.seeds {
+		if host != s.self.Addr {
+			hosts = append(hosts, host)
+		}
+	}
+	return hosts
+}
--- /dev/null
+++ b/internal/controlclient/update_stream.go
@@ -0,0 +1,291 @@
+package controlclient
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+)
+
+// Timing of the update stream; see docs/design.md.
+const (
+	// pollTimeout bounds a poll: the control plane answers within a second.
+	pollTimeout = 1800 * time.Millisecond
+	// retryPause is the mean pause after a poll that failed or brought stale state.
+	retryPause = 60 * time.Millisecond
+
+	// Until the first configuration is here, all control plane nodes are polled at once:
+	// each with firstPollTimeout, the next one firstStagger later, and again after
+	// firstPollPause if it has no configuration yet.
+	firstPollTimeout = 800 * time.Millisecond
+	firstStagger     = 60 * time.Millisecond
+	firstPollPause   = 400 * time.Millisecond
+
+	// reportDelay is how long a health report waits for others to go with it: faults
+	// seldom come to one endpoint alone.
+	reportDelay = 30 * time.Millisecond
+	maxReports  = 64
+
+	// failuresBeforePeers is after how many failed polls in a row other nodes are asked.
+	failuresBeforePeers = 4
+	maxPeersAsked       = 2
+	peerPollTimeout     = 500 * time.Millisecond
+)
+
+// errPollInterrupted says that a poll was ended on purpose, so that the next one can carry
+// reports or go to another node.
+var errPollInterrupted = errors.New("controlclient: the poll was interrupted")
+
+// updateStream keeps the applied state up to date: one long poll at a time waits at a control
+// plane node, the one of this zone if it is healthy.
+type updateStream struct {
+	settings *settings.Settings
+	state    *appliedState
+	log      *logging.Logger
+	client   *rpc.Client
+	self     distribution.Node
+	suspects func() []string // the nodes whose heartbeats are missing
+
+	// Used by run alone.
+	firstPolls sync.WaitGroup
+	failures   int    // polls that failed in a row
+	lastHost   string // whose poll succeeded last
+
+	mu             sync.Mutex // guards the fields below
+	seeds          []string
+	controlNodes   []distribution.Node
+	dataPlaneNodes []distribution.Node // without this node
+	avoidUntil     map[string]time.Time
+	reports        []distribution.HealthReport // for the next poll
+	cancelPoll     func()                      // ends the open long poll; nil if there is none
+	polledHost     string                      // where that poll waits
+	switchedAt     time.Time
+}
+
+func newUpdateStream(o Options, state *appliedState) *updateStream {
+	set := o.Settings
+	return &updateStream{
+		settings: set,
+		state:    state,
+		log:      o.Log,
+		client:   rpc.NewClient(o.Network),
+		self: distribution.Node{
+			Name:        set.NodeName,
+			Addr:        set.IPAddress,
+			Zone:        set.AvailabilityZone,
+			ObjectCache: o.Program == settings.ObjectCache,
+		},
+		suspects:   func() []string { return nil },
+		seeds:      set.SeedHosts(),
+		avoidUntil: map[string]time.Time{},
+	}
+}
+
+// run polls for updates and applies them until done is closed.
+func (s *updateStream) run(done <-chan struct{}) {
+	defer s.firstPolls.Wait()
+	s.fetchFirstConfig(done)
+	for {
+		select {
+		case <-done:
+			return
+		default:
+		}
+		host := s.rankedHosts()[0]
+		update, err := s.poll(host, settings.ControlPlane, pollTimeout)
+		switch {
+		case err == nil:
+			s.handleUpdate(host, update, done)
+		case errors.Is(err, errPollInterrupted):
+		default:
+			s.handleFailure(host, err, done)
+		}
+	}
+}
+
+// handleUpdate applies what a control plane node answered.
+func (s *updateStream) handleUpdate(host string, update *distribution.Update, done <-chan struct{}) {
+	s.state.apply(update)
+	if update.Stale {
+		s.avoid(host)
+	}
+	if s.failures > 0 || host != s.lastHost {
+		s.log.Info(logging.ControlPlaneConnected).
+			Str("controlPlane", host).
+			Bool("stale", update.Stale).
+			Msg("updates come from a control plane node")
+	}
+	s.failures = 0
+	s.lastHost = host
+	if update.Stale {
+		pause(retryPause, done)
+	}
+}
+
+// handleFailure avoids a control plane node whose poll failed, and now and then asks other
+// nodes for what they hold.
+func (s *updateStream) handleFailure(host string, err error, done <-chan struct{}) {
+	s.avoid(host)
+	s.failures++
+	if s.failures == 1 {
+		s.log.Warn(logging.ControlPlaneLost).
+			Str("controlPlane", host).
+			Err(err).
+			Msg("a control plane node sends no updates")
+	}
+	if s.failures%failuresBeforePeers == 0 {
+		s.pollPeers()
+	}
+	pause(retryPause, done)
+}
+
+// fetchFirstConfig gets the first configuration after a start. It polls every control plane
+// node that it knows of, the near ones first, and each again as soon as it has answered
+// without one: those that don't answer delay nothing.
+func (s *updateStream) fetchFirstConfig(done <-chan struct{}) {
+	updates := make(chan *distribution.Update)
+	fetched := make(chan struct{})
+	defer close(fetched)
+	polled := map[string]bool{}
+	peerTicker := time.NewTicker(firstPollTimeout)
+	defer peerTicker.Stop()
+	for s.state.routeTable.Load() == nil {
+		delay := time.Duration(0)
+		for _, host := range s.rankedHosts() {
+			if polled[host] {
+				continue
+			}
+			polled[host] = true
+			firstDelay := delay
+			s.firstPolls.Go(func() { s.pollRepeatedly(host, firstDelay, updates, fetched) })
+			delay += firstStagger
+		}
+		select {
+		case update := <-updates:
+			s.state.apply(update)
+		case <-peerTicker.C:
+			s.pollPeers()
+		case <-done:
+			return
+		}
+	}
+}
+
+// pollRepeatedly polls one control plane node, for the first time after delay, and sends what
+// it answers to updates, until fetched is closed.
+func (s *updateStream) pollRepeatedly(
+	host string, delay time.Duration, updates chan<- *distribution.Update, fetched <-chan struct{},
+) {
+	for {
+		select {
+		case <-time.After(delay):
+		case <-fetched:
+			return
+		}
+		update, err := s.poll(host, settings.ControlPlane, firstPollTimeout)
+		delay = jitter(firstPollPause) // it has no configuration yet
+		if err != nil {
+			update = &distribution.Update{Stale: true}
+			delay = jitter(retryPause) // it may be about to start
+		}
+		select {
+		case updates <- update:
+		case <-fetched:
+			return
+		}
+	}
+}
+
+// poll asks the program on a host for an update. It returns errPollInterrupted if the poll
+// was ended on purpose before an answer came.
+func (s *updateStream) poll(
+	host string, program settings.Program, timeout time.Duration,
+) (*distribution.Update, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	request := distribution.UpdateRequest{
+		Node:     s.self,
+		Held:     s.state.heldVersions(),
+		Suspects: s.suspects(),
+	}
+	interrupted := false // guarded by mu
+	s.mu.Lock()
+	request.Reports = s.reports
+	s.reports = nil
+	request.Immediate = len(request.Reports) > 0 || request.Held.ConfigVersion == 0
+	if !request.Immediate {
+		s.polledHost = host
+		s.cancelPoll = func() {
+			interrupted = true
+			cancel()
+		}
+	}
+	s.mu.Unlock()
+	var update distribution.Update
+	address := net.JoinHostPort(host, strconv.Itoa(s.settings.PortOf(program)))
+	err := s.client.Call(ctx, address, updatePath, &request, &update)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cancelPoll = nil
+	switch {
+	case err == nil:
+		return &update, nil
+	case interrupted:
+		return nil, errPollInterrupted
+	}
+	return nil, err
+}
+
+// pollPeers gets what other data plane nodes hold, when no control plane node answers.
+func (s *updateStream) pollPeers() {
+	hosts := s.peerHosts()
+	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
+	for _, host := range hosts[:min(len(hosts), maxPeersAsked)] {
+		if update, err := s.poll(host, settings.DataPlane, peerPollTimeout); err == nil {
+			s.state.apply(update)
+			return
+		}
+	}
+}
+
+// queueReport queues a health report and has it sent soon.
+func (s *updateStream) queueReport(r distribution.HealthReport) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.reports) < maxReports {
+		s.reports = append(s.reports, r)
+	}
+	if len(s.reports) == 1 { // the next ones go with it
+		time.AfterFunc(reportDelay, s.flushReports)
+	}
+}
+
+// flushReports ends the open poll, so that the next one carries the reports.
+func (s *updateStream) flushReports() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cancelPoll != nil && len(s.reports) > 0 {
+		s.cancelPoll()
+	}
+}
+
+// jitter returns a random duration between half and one and a half times d.
+func jitter(d time.Duration) time.Duration {
+	return time.Duration((0.5 + rand.Float64()) * float64(d))
+}
+
+// pause waits for about d, or until done is closed.
+func pause(d time.Duration, done <-chan struct{}) {
+	select {
+	case <-time.After(jitter(d)):
+	case <-done:
+	}
+}
--- a/internal/objectcache/announce.go
+++ b/internal/objectcache/announce.go
@@ -59,7 +59,7 @@
 
 // New makes an announcer; dir holds its copies on disk, if not empty.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network) *Server {
-	o := controlclient.New(set, log, settings.ObjectCache, n)
+	o := controlclient.New(controlclient.Options{Settings: set, Log: log, Program: settings.ObjectCache, Network: n})
 	room := defaultCacheBytes
 	if set.Limits.MemoryMb > 0 {
 		room = int(cacheMemoryFraction * float64(set.Limits.MemoryMb<<20))
--- a/internal/proxy/switchboard.go
+++ b/internal/proxy/switchboard.go
@@ -43,7 +43,7 @@
 
 // New puts a data plane together that reaches others by n.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network) *Server {
-	o := controlclient.New(set, log, settings.DataPlane, n)
+	o := controlclient.New(controlclient.Options{Settings: set, Log: log, Program: settings.DataPlane, Network: n})
 	asker := scatter.NewDispatcher(o.Upstreams, o.RetryBudget)
 	if set.Estimates.Enabled {
 		asker.Latencies, asker.ShadowShare = latencyestimate.NewCollector(time.Now()), set.Estimates.ShadowShare
