--- /dev/null
+++ b/internal/objectcache/cache_client.go
@@ -0,0 +1,198 @@
+package objectcache
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"slices"
+	"sort"
+	"strconv"
+	"sync"
+	"time"
+
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
+	"comethold/internal/heartbeat"
+	"comethold/internal/responsecache"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+)
+
+// Timing and bounds of calls to servers; see docs/design.md.
+const (
+	dialTimeout        = 400 * time.Millisecond
+	silenceTimeout     = 900 * time.Millisecond
+	maxIdleConnections = 16
+	// failureBackoff is how long a server that failed is asked last.
+	failureBackoff = 1500 * time.Millisecond
+	maxWait        = 4 * time.Second
+	// deadlineMargin is kept of a request's time for its answer.
+	deadlineMargin = 20 * time.Millisecond
+	// maxCachesTried bounds the servers that are asked for one object.
+	maxCachesTried = 3
+)
+
+// errDisconnected says that a server has lost contact with the control plane; another one may
+// serve.
+var errDisconnected = errors.New("objectcache: the server has lost contact with the control plane")
+
+// cacheClient calls the servers.
+type cacheClient struct {
+	control   *controlclient.Client
+	rpcClient *rpc.Client
+
+	mu          sync.Mutex // guards the field below
+	failedUntil map[string]time.Time
+}
+
+func newCacheClient(control *controlclient.Client) *cacheClient {
+	return &cacheClient{
+		control:     control,
+		rpcClient:   rpc.NewClientWithLimits(control.Network, dialTimeout, silenceTimeout, maxIdleConnections),
+		failedUntil: map[string]time.Time{},
+	}
+}
+
+// cacheRank orders the servers of a key; the least comes first.
+type cacheRank int
+
+const (
+	rankHealthy cacheRank = iota
+	rankOtherRegion
+	rankFailed
+)
+
+// rankedCaches returns the servers for a key, in the order of rendezvous hashing. Those that
+// just failed come last, and with nearFirst those of other regions before them.
+func (c *cacheClient) rankedCaches(key string, nearFirst bool) []distribution.Node {
+	caches := slices.Clone(c.control.ObjectCaches())
+	ranks := c.ranks(caches, nearFirst)
+	sort.Slice(caches, func(i, j int) bool {
+		a, b := caches[i].Name, caches[j].Name
+		if ranks[a] != ranks[b] {
+			return ranks[a] < ranks[b]
+		}
+		return heartbeat.Hash(a, key) > heartbeat.Hash(b, key)
+	})
+	return caches
+}
+
+// ranks returns the rank of each server by name.
+func (c *cacheClient) ranks(caches []distribution.Node, nearFirst bool) map[string]cacheRank {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	set := c.control.Settings
+	ranks := make(map[string]cacheRank, len(caches))
+	for _, n := range caches {
+		switch {
+		case now.Before(c.failedUntil[n.Name]):
+			ranks[n.Name] = rankFailed
+		case nearFirst && set.RegionOf(n.Zone) != set.RegionName:
+			ranks[n.Name] = rankOtherRegion
+		}
+	}
+	return ranks
+}
+
+// markFailed has a server asked last for a while.
+func (c *cacheClient) markFailed(n distribution.Node) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failedUntil[n.Name] = time.Now().Add(failureBackoff)
+}
+
+// call calls a server, with an address that follows the settings.
+func (c *cacheClient) call(ctx context.Context, n distribution.Node, path string, in, out any) error {
+	port := strconv.Itoa(c.control.Settings.PortOf(settings.ObjectCache))
+	return c.rpcClient.Call(ctx, net.JoinHostPort(n.Addr, port), path, in, out)
+}
+
+// fetchFrom is a fetch of an object from a server.
+type fetchFrom struct {
+	request    Request
+	cached     *responsecache.Response // held by the caller; nil: none
+	purgeIndex uint64                  // that the server must know of
+	originOnly bool
+}
+
+// fetch fetches an object from one server. An error says that another server may serve; a
+// failure is what the server answered.
+func (c *cacheClient) fetch(n distribution.Node, f fetchFrom) (*responsecache.Response, *Failure, error) {
+	start := time.Now()
+	wait := min(f.request.Deadline.Sub(start)-deadlineMargin, maxWait)
+	if wait <= 0 {
+		return nil, newFailure(http.StatusGatewayTimeout, reasonNoTime), nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), wait+deadlineMargin)
+	defer cancel()
+	var reply objectReply
+	if err := c.call(ctx, n, objectPath, c.objectCall(f, wait), &reply); err != nil {
+		return nil, nil, err
+	}
+	if reply.Disconnected {
+		return nil, nil, errDisconnected
+	}
+	if reply.Status != 0 {
+		return nil, failureOf(&reply), nil
+	}
+	return objectOf(&reply, f, start)
+}
+
+// objectCall returns the call for an object that waits for so long.
+func (c *cacheClient) objectCall(f fetchFrom, wait time.Duration) *objectCall {
+	call := &objectCall{
+		Host:       f.request.Host,
+		Target:     f.request.Target,
+		PurgeIndex: f.purgeIndex,
+		WaitMs:     wait.Milliseconds(),
+		OriginOnly: f.originOnly,
+	}
+	if f.request.allWaiters != nil {
+		call.Waiters = f.request.allWaiters()
+	}
+	if table := c.control.RouteTable(); table != nil {
+		call.ConfigVersion = table.Version
+	}
+	if f.cached != nil {
+		call.ETag = f.cached.ETag
+	}
+	return call
+}
+
+// objectOf returns the object of a reply to a call that began at start. All the time that
+// the call took counts as age: the object may have been on its way for that long.
+func objectOf(reply *objectReply, f fetchFrom, start time.Time) (*responsecache.Response, *Failure, error) {
+	now := time.Now()
+	validatedAt := start.Add(-time.Duration(reply.AgeUs) * time.Microsecond)
+	if validatedAt.After(now) {
+		validatedAt = now
+	}
+	if !reply.NotModified {
+		return &responsecache.Response{
+			Host:        f.request.Host,
+			Target:      f.request.Target,
+			Service:     reply.Service,
+			ETag:        reply.ETag,
+			Labels:      reply.Labels,
+			Header:      reply.Header,
+			Body:        reply.Body,
+			ValidatedAt: validatedAt,
+			PurgeIndex:  reply.PurgeIndex,
+		}, nil, nil
+	}
+	if f.cached == nil {
+		return nil, newFailure(http.StatusBadGateway, reasonNothingToConfirm), nil
+	}
+	return revalidated(f.cached, validatedAt, reply.PurgeIndex), nil, nil
+}
+
+// revalidated returns the object as it was found to be current at a time, with the purges
+// known then.
+func revalidated(object *responsecache.Response, at time.Time, purgeIndex uint64) *responsecache.Response {
+	current := *object
+	current.ValidatedAt = at
+	current.PurgeIndex = purgeIndex
+	return &current
+}
--- /dev/null
+++ b/internal/objectcache/client.go
@@ -0,0 +1,74 @@
+package objectcache
+
+import (
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"comethold/internal/controlclient"
+	"comethold/internal/responsecache"
+)
+
+// Client is a data plane node's side of the object cache: a small cache in front of the
+// servers. It is safe for concurrent use.
+type Client struct {
+	control      *controlclient.Client
+	servers      *cacheClient
+	fetcher      *Fetcher
+	permitsAsked atomic.Int64
+}
+
+// NewClient returns a client with a cache of so many bytes. It takes the OnPurges function of
+// control.
+func NewClient(control *controlclient.Client, cacheBytes int) *Client {
+	c := &Client{control: control, servers: newCacheClient(control)}
+	c.fetcher = NewFetcher(responsecache.New(cacheBytes), control, c.fetch, FetcherOptions{
+		StaleSlack:      control.Settings.Bounds.StaleSlack(),
+		RefreshFraction: 1,
+	})
+	control.OnPurges(c.fetcher.ApplyPurges)
+	return c
+}
+
+// Get returns an object for a client's request.
+func (c *Client) Get(r Request) (*responsecache.Response, *Failure) { return c.fetcher.Get(r) }
+
+// fetch gets an object from the servers, one after the other.
+func (c *Client) fetch(
+	r Request, cached *responsecache.Response, purgeIndex uint64,
+) (*responsecache.Response, *Failure) {
+	for i, server := range c.servers.rankedCaches(r.key(), true) {
+		if i == maxCachesTried || time.Until(r.Deadline) < deadlineMargin {
+			break
+		}
+		object, failure, err := c.servers.fetch(server, fetchFrom{request: r, cached: cached, purgeIndex: purgeIndex})
+		if err == nil {
+			return object, failure
+		}
+		c.servers.markFailed(server)
+	}
+	return nil, newUnavailable(reasonNoServer, noServerRetryDelay)
+}
+
+// Permit waits until a call may be made to a service, at most until the deadline. If it may
+// not, retryAfter is when to ask again.
+func (c *Client) Permit(service string, deadline time.Time) (ok bool, retryAfter time.Duration) {
+	table := c.control.RouteTable()
+	if table == nil || table.Services[service] == nil || table.Services[service].RatePerSecond <= 0 {
+		return true, 0
+	}
+	// Each server has its share of the rate, so the calls go to all of them in turn.
+	turn := strconv.FormatInt(c.permitsAsked.Add(1), 36)
+	for i, server := range c.servers.rankedCaches(turn, true) {
+		wait := time.Until(deadline) - deadlineMargin
+		if i == maxCachesTried || wait <= 0 {
+			break
+		}
+		reply, err := c.servers.requestPermit(server, service, wait)
+		if err == nil {
+			return reply.Granted, time.Duration(reply.RetryMs) * time.Millisecond
+		}
+		c.servers.markFailed(server)
+	}
+	return false, permitRetryDelay
+}
--- /dev/null
+++ b/internal/objectcache/message.go
@@ -0,0 +1,54 @@
+package objectcache
+
+import "net/http"
+
+// Paths of the internal API. The share request is answered by the control plane.
+const (
+	objectPath = "/object"
+	permitPath = "/errand"
+	sharePath  = "/ration"
+)
+
+// objectCall asks a server for an object.
+type objectCall struct {
+	Host   string `cbor:"1,keyasint"`
+	Target string `cbor:"2,keyasint"`
+	ETag   string `cbor:"3,keyasint,omitempty"` // of the object that the caller holds
+	// PurgeIndex and ConfigVersion are what the server must know of to answer.
+	PurgeIndex    uint64 `cbor:"4,keyasint,omitempty"`
+	ConfigVersion uint64 `cbor:"5,keyasint,omitempty"`
+	WaitMs        int64  `cbor:"6,keyasint"` // how long the caller waits
+	// OriginOnly has the server read the origin rather than ask another server.
+	OriginOnly bool `cbor:"7,keyasint,omitempty"`
+	Waiters    int  `cbor:"8,keyasint,omitempty"` // requests that wait for the object
+}
+
+// objectReply holds an object, or the reason why there is none.
+type objectReply struct {
+	NotModified bool        `cbor:"1,keyasint,omitempty"` // the caller's object is current
+	Service     string      `cbor:"2,keyasint,omitempty"`
+	ETag        string      `cbor:"3,keyasint,omitempty"`
+	Labels      []string    `cbor:"4,keyasint,omitempty"`
+	Header      http.Header `cbor:"5,keyasint,omitempty"`
+	Body        []byte      `cbor:"6,keyasint,omitempty"`
+	AgeUs       int64       `cbor:"7,keyasint,omitempty"` // since it was read from the origin
+	PurgeIndex  uint64      `cbor:"8,keyasint,omitempty"` // known when it was read
+	Status      int         `cbor:"9,keyasint,omitempty"` // of a failure; 0: there is an object
+	Reason      string      `cbor:"10,keyasint,omitempty"`
+	RetryMs     int64       `cbor:"11,keyasint,omitempty"`
+	// Disconnected says that the server has lost contact with the control plane; another
+	// one may serve.
+	Disconnected bool `cbor:"12,keyasint,omitempty"`
+}
+
+// permitRequest asks a server whether a call may be made to a service with a rate.
+type permitRequest struct {
+	Service string `cbor:"1,keyasint"`
+	WaitMs  int64  `cbor:"2,keyasint"` // how long the caller waits
+}
+
+// permitReply answers a permitRequest.
+type permitReply struct {
+	Granted bool  `cbor:"1,keyasint,omitempty"`
+	RetryMs int64 `cbor:"2,keyasint,omitempty"` // if not granted: when to ask again
+}
--- /dev/null
+++ b/internal/objectcache/read_scheduler.go
@@ -0,0 +1,224 @@
+package objectcache
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"comethold/internal/ratelimit"
+	"comethold/internal/upstream"
+)
+
+const (
+	queuePollInterval = 4 * time.Millisecond
+	// minQueueLength is how many reads of a service may wait, however low its rate is.
+	minQueueLength = 16
+	// minRetryDelay and maxRetryDelay bound when rejected reads are told to come back.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
+	// unknownRateRetryDelay is that delay while the node has no share of the rate.
+	unknownRateRetryDelay = 3 * minRetryDelay
+)
+
+// readScheduler lets the reads of origins begin one by one: when the node's share of the rate
+// and an endpoint have room, the read that most requests wait for goes first. A read that
+// can't begin in time is rejected at once, with when to come back. It is safe for concurrent
+// use.
+type readScheduler struct {
+	limiter   *ratelimit.Limiter
+	upstreams endpointReserver
+
+	mu     sync.Mutex               // guards the field below
+	queues map[string][]*queuedRead // by service, oldest first
+}
+
+// endpointReserver reserves places of a service's endpoints.
+type endpointReserver interface {
+	// Reserve reserves a place at an endpoint that was not tried, or returns nil.
+	Reserve(service string, tried []*upstream.Endpoint, once bool) *upstream.Endpoint
+	// Release gives a place back.
+	Release(*upstream.Endpoint)
+}
+
+// queuedRead is a read that waits to begin.
+type queuedRead struct {
+	service  string
+	rate     float64    // of the service, in requests a second; 0: no limit
+	waiters  func() int // requests that wait for the read
+	tried    []*upstream.Endpoint
+	deadline time.Time // until when the read may wait to begin
+	// permitOnly marks a call that a data plane node makes, to an endpoint that it chooses.
+	permitOnly bool
+
+	// Set by admit.
+	enqueuedAt time.Time
+	result     chan admission
+}
+
+// admission is the end of a read's wait.
+type admission struct {
+	granted    bool
+	endpoint   *upstream.Endpoint // reserved, unless permitOnly
+	retryAfter time.Duration      // if not granted: when to come back
+}
+
+func newReadScheduler(limiter *ratelimit.Limiter, upstreams endpointReserver) *readScheduler {
+	return &readScheduler{limiter: limiter, upstreams: upstreams, queues: map[string][]*queuedRead{}}
+}
+
+// admit waits until the read may begin, or is rejected.
+func (s *readScheduler) admit(r *queuedRead) admission {
+	r.enqueuedAt = time.Now()
+	r.result = make(chan admission, 1)
+	s.mu.Lock()
+	s.queues[r.service] = append(s.queues[r.service], r)
+	s.dispatchLocked(r.service, r.enqueuedAt)
+	if len(s.queues[r.service]) == 1 {
+		go s.pollQueue(r.service) // ends when no read waits any more
+	}
+	s.mu.Unlock()
+	return <-r.result
+}
+
+// pollQueue dispatches a service's queue until it is empty.
+func (s *readScheduler) pollQueue(service string) {
+	for {
+		time.Sleep(queuePollInterval)
+		s.mu.Lock()
+		s.dispatchLocked(service, time.Now())
+		if len(s.queues[service]) == 0 {
+			delete(s.queues, service)
+			s.mu.Unlock()
+			return
+		}
+		s.mu.Unlock()
+	}
+}
+
+// dispatchLocked begins the reads that may begin now, and rejects those that can't in time.
+func (s *readScheduler) dispatchLocked(service string, now time.Time) {
+	queue := s.startLocked(s.queues[service], now)
+	queue = s.rejectOverdueLocked(queue, now)
+	s.queues[service] = s.rejectExcessLocked(queue, now)
+}
+
+// startLocked begins reads while there is room, and returns those left.
+func (s *readScheduler) startLocked(queue []*queuedRead, now time.Time) []*queuedRead {
+	for len(queue) > 0 {
+		next := firstOf(queue)
+		endpoint, ok := s.reserve(queue[next])
+		if !ok {
+			break
+		}
+		if ok, _ := s.limiter.Take(queue[next].service, queue[next].rate, now); !ok {
+			if endpoint != nil {
+				s.upstreams.Release(endpoint)
+			}
+			break
+		}
+		queue[next].result <- admission{granted: true, endpoint: endpoint}
+		queue = without(queue, next)
+	}
+	return queue
+}
+
+// reserve reserves an endpoint for a read, if possible one that it has not tried. One that
+// needs a permit only needs none.
+func (s *readScheduler) reserve(r *queuedRead) (endpoint *upstream.Endpoint, ok bool) {
+	if r.permitOnly {
+		return nil, true
+	}
+	endpoint = s.upstreams.Reserve(r.service, r.tried, false)
+	if endpoint == nil && len(r.tried) > 0 {
+		endpoint = s.upstreams.Reserve(r.service, nil, false)
+	}
+	return endpoint, endpoint != nil
+}
+
+// rejectOverdueLocked rejects the reads whose deadline has passed, and returns those left.
+func (s *readScheduler) rejectOverdueLocked(queue []*queuedRead, now time.Time) []*queuedRead {
+	var left []*queuedRead
+	for _, r := range queue {
+		if now.After(r.deadline) {
+			s.rejectLocked(r, len(queue), now)
+		} else {
+			left = append(left, r)
+		}
+	}
+	return left
+}
+
+// rejectExcessLocked rejects the last reads of a queue that is longer than what can begin in
+// the time of the newest one, now rather than at their deadline, and returns those left.
+func (s *readScheduler) rejectExcessLocked(queue []*queuedRead, now time.Time) []*queuedRead {
+	for len(queue) > s.maxLength(queue, now) {
+		last := lastOf(queue)
+		s.rejectLocked(queue[last], len(queue), now)
+		queue = without(queue, last)
+	}
+	return queue
+}
+
+// maxLength returns how many reads of a queue may wait.
+func (s *readScheduler) maxLength(queue []*queuedRead, now time.Time) int {
+	if len(queue) == 0 {
+		return minQueueLength
+	}
+	newest := queue[len(queue)-1]
+	if newest.rate <= 0 {
+		return minQueueLength
+	}
+	wait := newest.deadline.Sub(newest.enqueuedAt).Seconds()
+	return max(minQueueLength, int(s.limiter.RatePerSecond(newest.rate, now)*wait))
+}
+
+// rejectLocked rejects a read out of a queue of the given length.
+func (s *readScheduler) rejectLocked(r *queuedRead, queueLength int, now time.Time) {
+	r.result <- admission{retryAfter: s.retryDelay(r.rate, queueLength, now)}
+}
+
+// retryDelay returns how long a queue takes to empty, within bounds.
+func (s *readScheduler) retryDelay(rate float64, queueLength int, now time.Time) time.Duration {
+	allowed := s.limiter.RatePerSecond(rate, now)
+	if rate <= 0 || allowed <= 0 {
+		return unknownRateRetryDelay
+	}
+	delay := time.Duration(float64(queueLength) / allowed * float64(time.Second))
+	return min(maxRetryDelay, max(minRetryDelay, delay))
+}
+
+// goesBefore reports whether a read goes before another: the one that more requests wait for,
+// then the newer one, whose requests have the most time left.
+func (r *queuedRead) goesBefore(other *queuedRead) bool {
+	if a, b := r.waiters(), other.waiters(); a != b {
+		return a > b
+	}
+	return r.enqueuedAt.After(other.enqueuedAt)
+}
+
+// firstOf returns the position of the read that goes before all others.
+func firstOf(queue []*queuedRead) int {
+	first := 0
+	for i := range queue {
+		if queue[i].goesBefore(queue[first]) {
+			first = i
+		}
+	}
+	return first
+}
+
+// lastOf returns the position of the read that all others go before.
+func lastOf(queue []*queuedRead) int {
+	last := 0
+	for i := range queue {
+		if queue[last].goesBefore(queue[i]) {
+			last = i
+		}
+	}
+	return last
+}
+
+// without returns a new queue without the read at a position.
+func without(queue []*queuedRead, position int) []*queuedRead {
+	return slices.Concat(queue[:position], queue[position+1:])
+}
--- /dev/null
+++ b/internal/objectcache/serve.go
@@ -0,0 +1,142 @@
+package objectcache
+
+import (
+	"net/http"
+	"strings"
+	"time"
+
+	"comethold/internal/responsecache"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
+
+	"github.com/labstack/echo/v4"
+)
+
+const (
+	// maxCatchUpWait bounds how long a call waits for this node to learn what the caller
+	// knows; half of the call's own time does too.
+	maxCatchUpWait      = 400 * time.Millisecond
+	catchUpPollInterval = 5 * time.Millisecond
+	// switchSourceAfter is after how much of that wait another control plane node is asked.
+	switchSourceAfter = 100 * time.Millisecond
+	// disconnectedAfter is how long a node without contact with the control plane goes on:
+	// its share of the rates has ended by then.
+	disconnectedAfter = 3500 * time.Millisecond
+)
+
+func (s *Server) handleObject(c echo.Context) error {
+	var call objectCall
+	if err := rpc.DecodeRequest(c.Request().Body, &call); err != nil {
+		return c.NoContent(http.StatusBadRequest)
+	}
+	encoded, err := rpc.Marshal(s.serveObject(&call))
+	if err != nil {
+		return err
+	}
+	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeUncompressedBody(encoded))
+}
+
+// serveObject answers a call for an object.
+func (s *Server) serveObject(call *objectCall) *objectReply {
+	start := time.Now()
+	wait := time.Duration(call.WaitMs) * time.Millisecond
+	table := s.waitUntilCurrent(call, start.Add(min(maxCatchUpWait, wait/2)))
+	if table == nil {
+		failure := newUnavailable(reasonBehind, behindRetryDelay)
+		failure.disconnected = s.Disconnected(disconnectedAfter)
+		return failure.reply()
+	}
+	route := cacheableRoute(table, call.Host, call.Target)
+	if route == nil {
+		return newUnavailable(reasonRouteRemoved, behindRetryDelay).reply()
+	}
+	object, failure := s.fetcher.Get(Request{
+		Host:       call.Host,
+		Target:     call.Target,
+		TTL:        route.CacheTTL(),
+		Deadline:   start.Add(wait),
+		OriginOnly: call.OriginOnly,
+		Waiters:    call.Waiters,
+	})
+	if failure != nil {
+		return failure.reply()
+	}
+	return replyWith(object, call.ETag)
+}
+
+// replyWith returns the answer with an object, without its content if the caller holds the
+// object with the ETag. The caller knows of a purge that came since by the reply's log index,
+// or will compare the purge with it when it comes.
+func replyWith(object *responsecache.Response, heldETag string) *objectReply {
+	reply := &objectReply{
+		Service:    object.Service,
+		ETag:       object.ETag,
+		PurgeIndex: object.PurgeIndex,
+		AgeUs:      object.Age(time.Now()).Microseconds(),
+	}
+	if heldETag != "" && heldETag == object.ETag {
+		reply.NotModified = true
+		return reply
+	}
+	reply.Labels = object.Labels
+	reply.Header = object.Header
+	reply.Body = object.Body
+	return reply
+}
+
+// waitUntilCurrent waits until this node knows of what the caller knows, and returns the
+// route table, or nil if that takes too long.
+func (s *Server) waitUntilCurrent(call *objectCall, deadline time.Time) *routing.RouteTable {
+	start := time.Now()
+	switched := false
+	for {
+		table := s.RouteTable()
+		if table != nil && table.Version >= call.ConfigVersion &&
+			s.PurgeIndex() >= call.PurgeIndex && s.Ready() && s.Confirmed() {
+			return table
+		}
+		if !time.Now().Before(deadline) {
+			return nil
+		}
+		if !switched && time.Since(start) > switchSourceAfter && s.Ready() {
+			switched = true
+			s.SwitchSource()
+		}
+		time.Sleep(catchUpPollInterval)
+	}
+}
+
+// cacheableRoute returns the cacheable route of a target, or nil.
+func cacheableRoute(table *routing.RouteTable, host, target string) *routing.CompiledRoute {
+	path, _, _ := strings.Cut(target, "?")
+	route := table.Match(host, path)
+	if route == nil || route.RouteKind != routing.KindCacheable {
+		return nil
+	}
+	return route
+}
+
+// fetchObject gets an object from the first of its servers, or from the origin.
+func (s *Server) fetchObject(
+	r Request, cached *responsecache.Response, purgeIndex uint64,
+) (*responsecache.Response, *Failure) {
+	if r.OriginOnly {
+		return s.readOrigin(r, cached)
+	}
+	for i, server := range s.servers.rankedCaches(r.key(), false) {
+		if server.Name == s.Settings.NodeName || i == maxCachesTried {
+			break
+		}
+		object, failure, err := s.servers.fetch(server, fetchFrom{
+			request:    r,
+			cached:     cached,
+			purgeIndex: purgeIndex,
+			originOnly: true,
+		})
+		if err == nil {
+			return object, failure
+		}
+		s.servers.markFailed(server)
+	}
+	return s.readOrigin(r, cached)
+}
--- /dev/null
+++ b/internal/objectcache/server.go
@@ -0,0 +1,144 @@
+package objectcache
+
+import (
+	"time"
+
+	"comethold/internal/controlclient"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/ratelimit"
+	"comethold/internal/responsecache"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+	"comethold/internal/storage"
+
+	"github.com/labstack/echo/v4"
+)
+
+const (
+	statisticsInterval = 5 * time.Second
+	// refreshFraction is the part of its TTL after which an object that is asked for is
+	// refreshed.
+	refreshFraction = 0.8
+	// cacheMemoryFraction is the part of the process's memory for objects.
+	cacheMemoryFraction = 0.45
+	defaultCacheBytes   = 64 << 20
+	// slotOvercommit is how many reads may be in flight for each slot of an endpoint, over
+	// all servers.
+	slotOvercommit = 1.6
+)
+
+// Server is an object cache node. A program makes one with New, runs the embedded client's
+// RunUpdates and RunHeartbeats, RunShareRenewal and RunStatistics, serves InternalHandler,
+// and ends all of them with Shutdown.
+type Server struct {
+	*controlclient.Client
+
+	servers    *cacheClient
+	fetcher    *Fetcher
+	limiter    *ratelimit.Limiter
+	scheduler  *readScheduler
+	latency    *latencyTracker
+	statistics *originStatistics
+	store      *diskStore // nil without a data directory
+	rpcClient  *rpc.Client
+}
+
+// New returns a server that holds what its data directory keeps, if the settings name one.
+func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
+	control := controlclient.New(controlclient.Options{
+		Settings: set,
+		Log:      log,
+		Program:  settings.ObjectCache,
+		Network:  network,
+	})
+	limiter := ratelimit.New()
+	s := &Server{
+		Client:     control,
+		servers:    newCacheClient(control),
+		limiter:    limiter,
+		scheduler:  newReadScheduler(limiter, control.Upstreams),
+		latency:    newLatencyTracker(),
+		statistics: &originStatistics{},
+		rpcClient:  rpc.NewClient(network),
+	}
+	control.Upstreams.SetSlotOvercommit(slotOvercommit)
+	cache := responsecache.New(cacheBytes(set.Limits.MemoryMb))
+	options := FetcherOptions{StaleSlack: set.Bounds.StaleSlack(), RefreshFraction: refreshFraction}
+	if set.DataDirectory != "" {
+		s.store = s.openStore(cache)
+		options.OnCached = s.store.put
+	}
+	s.fetcher = NewFetcher(cache, control, s.fetchObject, options)
+	control.OnPurges(s.applyPurges)
+	return s
+}
+
+// cacheBytes returns the size of the cache in memory, by the process's memory; 0: unknown.
+func cacheBytes(memoryMb int64) int {
+	if memoryMb <= 0 {
+		return defaultCacheBytes
+	}
+	return int(cacheMemoryFraction * float64(memoryMb<<20))
+}
+
+// openStore opens the objects on disk and loads them into the cache.
+func (s *Server) openStore(cache *responsecache.Cache) *diskStore {
+	set := s.Settings
+	store, purgeIndex := openDiskStore(set.DataDirectory, storeCapacity(set.Limits.DiskMb), storage.LocalDisk{}, s.Log)
+	store.load(cache.Put)
+	s.SetInitialPurgeIndex(purgeIndex)
+	s.Log.Info(logging.DiskCacheOpened).
+		Int("objects", cache.Len()).
+		Uint64("purgeIndex", purgeIndex).
+		Msg("objects found on disk")
+	return store
+}
+
+func (s *Server) applyPurges(u *distribution.PurgeUpdate) {
+	s.fetcher.ApplyPurges(u)
+	if s.store != nil {
+		s.store.applyPurges(u)
+	}
+}
+
+// InternalHandler returns the internal API for other nodes.
+func (s *Server) InternalHandler() *echo.Echo {
+	e := s.Client.InternalHandler()
+	e.POST(objectPath, s.handleObject)
+	e.POST(permitPath, s.handlePermit)
+	return e
+}
+
+// RunStatistics logs now and then how the reads of origins go, until the node ends.
+func (s *Server) RunStatistics() error {
+	ticker := time.NewTicker(statisticsInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+		case <-s.Done():
+			return nil
+		}
+		counts := s.statistics.take()
+		if counts.empty() {
+			continue
+		}
+		s.Log.Info(logging.OriginReadStatistics).
+			Int("reads", counts.reads).
+			Int("revalidated", counts.revalidated).
+			Int("rejected", counts.rejected).
+			Dur("readMs", meanOf(counts.readTime, counts.reads)).
+			Dur("revalidateMs", meanOf(counts.revalidateTime, counts.revalidated)).
+			Dur("waitMs", meanOf(counts.waitTime, counts.reads+counts.revalidated)).
+			Msg("reads of origins")
+	}
+}
+
+// Shutdown ends the server and closes its disk store.
+func (s *Server) Shutdown() {
+	s.Close()
+	if s.store != nil {
+		s.store.close()
+	}
+}
--- /dev/null
+++ b/internal/objectcache/timestamp.go
@@ -0,0 +1,61 @@
+package objectcache
+
+import (
+	"os"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxClockDisagreement is how far the two clocks of a timestamp may differ over a span before
+// neither is believed.
+const maxClockDisagreement = 1500 * time.Millisecond
+
+// timestamp is a moment that a later process on the same machine may be able to compare with
+// its own: by the machine's monotonic clock within one boot, confirmed by the time of day.
+// The zero value is no known moment.
+type timestamp struct {
+	BootID      string `cbor:"1,keyasint,omitempty"`
+	MonotonicNs int64  `cbor:"2,keyasint,omitempty"`
+	WallNs      int64  `cbor:"3,keyasint,omitempty"` // since 1970
+}
+
+// readBootID returns what identifies the machine's boot, or "" if that can't be told.
+func readBootID() string {
+	content, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil {
+		return ""
+	}
+	return strings.TrimSpace(string(content))
+}
+
+// currentTimestamp returns the moment now.
+func currentTimestamp(bootID string) timestamp {
+	var monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
+		return timestamp{}
+	}
+	return timestamp{BootID: bootID, MonotonicNs: monotonic.Nano(), WallNs: time.Now().UnixNano()}
+}
+
+// minus returns the moment that was so long before t.
+func (t timestamp) minus(d time.Duration) timestamp {
+	if t.BootID == "" {
+		return timestamp{}
+	}
+	return timestamp{BootID: t.BootID, MonotonicNs: t.MonotonicNs - int64(d), WallNs: t.WallNs - int64(d)}
+}
+
+// elapsedSince returns the time from an earlier moment to t, if it can be told.
+func (t timestamp) elapsedSince(earlier timestamp) (time.Duration, bool) {
+	if t.BootID == "" || earlier.BootID != t.BootID || t.MonotonicNs < earlier.MonotonicNs {
+		return 0, false
+	}
+	monotonic := time.Duration(t.MonotonicNs - earlier.MonotonicNs)
+	wall := time.Duration(t.WallNs - earlier.WallNs)
+	if (monotonic - wall).Abs() > maxClockDisagreement {
+		return 0, false
+	}
+	return max(monotonic, wall), true
+}
