--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -251,7 +251,8 @@
 		w.Header().Set("Retry-After", "0.5")
 		return f.writeError(w, http.StatusServiceUnavailable, "no word of which keys are still good")
 	}
-	tenant, own, known := plan.Authenticate(line, r.Header[headerAuthorization])
+	identity, known := plan.Authenticate(line, r.Header[headerAuthorization])
+	tenant, own := identity.Tenant, identity.OwnCredentials
 	if !known {
 		w.Header().Set("WWW-Authenticate", "Token")
 		return f.writeError(w, http.StatusUnauthorized, "needs a key that is known")
--- /dev/null
+++ b/internal/routing/configuration.go
@@ -0,0 +1,115 @@
+package routing
+
+import "time"
+
+// The kinds of route.
+const (
+	KindSafe      = "safe"      // requests may be executed more than once
+	KindUnsafe    = "unsafe"    // requests must not be executed twice
+	KindCacheable = "cacheable" // responses may be cached and given to others
+)
+
+// Configuration is one whole configuration of the operator.
+type Configuration struct {
+	Version  uint64    `json:"version" validate:"required,max=4611686018427387904"`
+	Routes   []Route   `json:"routes" validate:"dive"`
+	Services []Service `json:"services" validate:"unique=Name,dive"`
+	// Tenants, if there are any, are who may send requests.
+	Tenants []Tenant `json:"tenants,omitempty" validate:"dive"`
+	Limits  Limits   `json:"limits"`
+}
+
+// WeightedService is one service of a route that splits its requests.
+type WeightedService struct {
+	Service string `json:"service" validate:"required"`
+	Weight  int64  `json:"weight" validate:"min=0,max=1000000000"`
+}
+
+// Route sends the requests of a host and path prefix to services: to one service,
+// to one of several by weight, or to all of a fan-out.
+type Route struct {
+	Name             string            `json:"name" validate:"required"`
+	Hostname         string            `json:"hostname" validate:"required"`
+	PathPrefix       string            `json:"pathPrefix" validate:"required,startswith=/,endswith=/"`
+	RouteKind        string            `json:"routeKind" validate:"oneof=safe unsafe cacheable"`
+	TimeoutMs        int64             `json:"timeoutMs" validate:"min=1,max=86400000"`
+	TargetLatencyMs  int64             `json:"targetLatencyMs" validate:"min=0"`
+	Priority         int64             `json:"priority" validate:"min=0"`
+	MaxAttempts      int64             `json:"maxAttempts" validate:"min=0"`
+	CacheTTLSeconds  float64           `json:"cacheTtlS,omitempty" validate:"min=0,max=31536000"`
+	Service          string            `json:"service,omitempty"`
+	WeightedServices []WeightedService `json:"weightedServices,omitempty" validate:"dive"`
+	FanoutServices   []string          `json:"fanoutServices,omitempty" validate:"unique,dive,required"`
+	// ResultCount is how many records the merged response of a fan-out has at most.
+	ResultCount int64 `json:"resultCount,omitempty" validate:"min=0,max=10000000"`
+	// MinimumShardShare is the share of a fan-out's services that a success needs.
+	MinimumShardShare float64 `json:"minimumShardShare,omitempty" validate:"min=0,max=1"`
+	// LookupClass, if given, is the class of lookups that latency estimates keep apart.
+	LookupClass string `json:"lookupClass,omitempty" validate:"omitempty,oneof=urgent bulk archive"`
+	// Public routes serve requests without a key.
+	Public bool `json:"public,omitempty"`
+}
+
+// CacheTTL is how long a response on the route may be cached.
+func (r *Route) CacheTTL() time.Duration {
+	return time.Duration(r.CacheTTLSeconds * float64(time.Second))
+}
+
+// Idempotent reports whether a request on the route may be executed more than once.
+func (r *Route) Idempotent() bool { return r.RouteKind != KindUnsafe }
+
+// IsFanOut reports whether a request on the route goes to several services at once.
+func (r *Route) IsFanOut() bool { return len(r.FanoutServices) > 0 }
+
+// ServiceNames lists every service that the route may use.
+func (r *Route) ServiceNames() []string {
+	switch {
+	case r.IsFanOut():
+		return r.FanoutServices
+	case len(r.WeightedServices) > 0:
+		names := make([]string, 0, len(r.WeightedServices))
+		for _, weighted := range r.WeightedServices {
+			names = append(names, weighted.Service)
+		}
+		return names
+	case r.Service != "":
+		return []string{r.Service}
+	}
+	return nil
+}
+
+// Tenant is one who may send requests, known by any of its keys.
+type Tenant struct {
+	Name    string   `json:"name" validate:"required"`
+	APIKeys []string `json:"apiKeys"`
+	// RatePerSecond and BurstSize bound what all nodes together forward for the
+	// tenant; a rate of 0 sets no bound.
+	RatePerSecond float64 `json:"ratePerS,omitempty" validate:"min=0,max=1000000000"`
+	BurstSize     float64 `json:"burstSize,omitempty" validate:"min=0,max=1000000000"`
+	// Priority, if given, takes precedence over that of the route.
+	Priority *int64 `json:"priority,omitempty" validate:"omitempty,min=0"`
+}
+
+// Service is a set of leaf servers that answer alike.
+type Service struct {
+	Name string `json:"name" validate:"required"`
+	// HealthPath is the path of health checks; without one there are none.
+	HealthPath string `json:"healthPath" validate:"omitempty,startswith=/"`
+	// ConnectionLimit is how many connections each leaf accepts from all nodes
+	// together; 0 sets no bound.
+	ConnectionLimit int `json:"connectionLimit" validate:"min=0"`
+	// RatePerSecond bounds the requests that all leafs of the service together get;
+	// 0 sets no bound.
+	RatePerSecond float64 `json:"ratePerS,omitempty" validate:"min=0"`
+	Protocol      string  `json:"protocol" validate:"omitempty,oneof=h1"`
+	TLSEnabled    bool    `json:"tlsEnabled" validate:"eq=false"`
+}
+
+// Limits bound what a client may send and how long it may take. A limit of 0 means
+// the default.
+type Limits struct {
+	MaxHeaderBytes  int64 `json:"maxHeaderBytes" validate:"min=0"`
+	MaxBodyBytes    int64 `json:"maxBodyBytes" validate:"min=0"`
+	HeaderTimeoutMs int64 `json:"headerTimeoutMs" validate:"min=0"`
+	IdleTimeoutMs   int64 `json:"idleTimeoutMs" validate:"min=0"`
+}
--- a/internal/routing/read_test.go
+++ b/internal/routing/parse_test.go
@@ -10,7 +10,8 @@
 // shape, and says what is wrong.
 func TestParse(t *testing.T) {
 	route := func(fields string) string {
-		return `{"version":3,"services":[{"name":"s"}],"routes":[{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
+		return `{"version":3,"services":[{"name":"s"}],"routes":[` +
+			`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
 	}
 	tenants := func(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
 	for _, c := range []struct {
@@ -25,7 +26,11 @@
 		{"nothing", "", ErrMalformed, ""},
 		{"a list", "[]", ErrMalformed, ""},
 		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
-		{"nested deeply", `{"version":3,"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + "}", ErrMalformed, ""},
+		{
+			"nested deeply",
+			`{"version":3,"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + "}",
+			ErrMalformed, "",
+		},
 		{"bytes that are no text", "{\"version\":\xff\xfe}", ErrMalformed, ""},
 		{"a version that is a text", `{"version":"3"}`, ErrMalformed, ""},
 		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
@@ -36,16 +41,28 @@
 		{"no time", strings.Replace(route(`"service":"s"`), `"timeoutMs":9`, `"timeoutMs":0`, 1), ErrInvalid, "timeoutMs"},
 		{"two targets", route(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
 		{"a shard twice", route(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
-		{"tenants", tenants(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`), nil, ""},
-		{"a shared key", tenants(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`), ErrInvalid, `tenants[1].apiKeys[1]: "b" shares it with "a"`},
+		{
+			"tenants",
+			tenants(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
+			nil, "",
+		},
+		{
+			"a shared key",
+			tenants(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
+			ErrInvalid, `tenants[1].apiKeys[1]: "b" shares it with "a"`,
+		},
 		{"one key twice", tenants(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
 		{"a tenant twice", tenants(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
 		{"a tenant without a name", tenants(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
 		{"a rate below 0", tenants(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
 		{"a burst below 0", tenants(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
-		{"the same route many times", `{"version":3,"services":[{"name":"s"}],"routes":[` +
-			strings.Repeat(`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,"service":"s"},`, 5000) +
-			`{"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"safe","timeoutMs":9,"service":"s"}]}`, ErrInvalid, "host and prefix"},
+		{
+			"the same route many times",
+			`{"version":3,"services":[{"name":"s"}],"routes":[` + strings.Repeat(
+				`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,"service":"s"},`, 5000) +
+				`{"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"safe","timeoutMs":9,"service":"s"}]}`,
+			ErrInvalid, "host and prefix",
+		},
 	} {
 		_, err := Parse([]byte(c.raw))
 		if !errors.Is(err, c.want) || err != nil && (!strings.Contains(err.Error(), c.says) || len(err.Error()) > 16<<10) {
