--- /dev/null
+++ b/internal/responsecache/cache.go
@@ -0,0 +1,117 @@
+package responsecache
+
+import (
+	"container/list"
+	"sync"
+
+	"comethold/internal/distribution"
+)
+
+// maxResponseShare is the part of a cache, as a divisor, that one response may take.
+const maxResponseShare = 4
+
+// Cache holds responses up to a number of bytes; the least recently used are evicted
+// first. It is safe for concurrent use.
+type Cache struct {
+	maxBytes int
+
+	mu        sync.Mutex // guards the fields below
+	usedBytes int
+	entries   map[string]*list.Element // by key, in recency
+	recency   *list.List               // of *Response, the most recently used in front
+}
+
+// New makes a cache for maxBytes bytes.
+func New(maxBytes int) *Cache {
+	return &Cache{maxBytes: maxBytes, entries: map[string]*list.Element{}, recency: list.New()}
+}
+
+func responseOf(element *list.Element) *Response {
+	response, _ := element.Value.(*Response) // the list holds nothing else
+	return response
+}
+
+// Get returns the response of a key, or nil.
+func (c *Cache) Get(key string) *Response {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	element := c.entries[key]
+	if element == nil {
+		return nil
+	}
+	c.recency.MoveToFront(element)
+	return responseOf(element)
+}
+
+// Put keeps a response in place of an older version. One that is too large for the
+// cache is not kept, nor is the older version.
+func (c *Cache) Put(response *Response) {
+	size := response.memorySize()
+	key := response.Key()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.removeLocked(key)
+	if size > c.maxBytes/maxResponseShare {
+		return
+	}
+	c.entries[key] = c.recency.PushFront(response)
+	c.usedBytes += size
+	for c.usedBytes > c.maxBytes {
+		c.removeLocked(responseOf(c.recency.Back()).Key())
+	}
+}
+
+// Remove drops a response, unless another version took its place.
+func (c *Cache) Remove(response *Response) {
+	key := response.Key()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if element := c.entries[key]; element != nil && responseOf(element) == response {
+		c.removeLocked(key)
+	}
+}
+
+// ApplyPurges drops the responses that newer purges name, or everything where the
+// purges missed can't be told.
+func (c *Cache) ApplyPurges(update *distribution.PurgeUpdate) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if update.Reset {
+		c.entries = map[string]*list.Element{}
+		c.usedBytes = 0
+		c.recency.Init()
+		return
+	}
+	for key, element := range c.entries {
+		if isPurged(responseOf(element), update.Purges) {
+			c.removeLocked(key)
+		}
+	}
+}
+
+// isPurged reports whether a purge that the response does not know of names it.
+func isPurged(response *Response, purges []distribution.Purge) bool {
+	for _, purge := range purges {
+		if purge.LogIndex > response.PurgeIndex && response.MatchesPurge(purge) {
+			return true
+		}
+	}
+	return false
+}
+
+// Len is the number of responses.
+func (c *Cache) Len() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.entries)
+}
+
+func (c *Cache) removeLocked(key string) {
+	element := c.entries[key]
+	if element == nil {
+		return
+	}
+	c.usedBytes -= responseOf(element).memorySize()
+	c.recency.Remove(element)
+	delete(c.entries, key)
+}
--- a/internal/routing/parse_test.go
+++ b/internal/routing/parse_test.go
@@ -6,23 +6,27 @@
 	"testing"
 )
 
+// routeConfiguration is a configuration with a service s and a route with some fields.
+func routeConfiguration(fields string) string {
+	return `{"version":3,"services":[{"name":"s"}],"routes":[` +
+		`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
+}
+
+// tenantConfiguration is a configuration with tenants and nothing else.
+func tenantConfiguration(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
+
 // TestParse: what can't be read whole or breaks a rule is refused, whatever its
 // shape, and says what is wrong.
 func TestParse(t *testing.T) {
-	route := func(fields string) string {
-		return `{"version":3,"services":[{"name":"s"}],"routes":[` +
-			`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
-	}
-	tenants := func(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
 	for _, c := range []struct {
 		why, raw string
 		want     error
 		says     string
 	}{
-		{"well", route(`"service":"s"`), nil, ""},
-		{"a brace too many", route(`"service":"s"`) + "}", ErrMalformed, ""},
-		{"two in a row", route(`"service":"s"`) + route(`"service":"s"`), ErrMalformed, ""},
-		{"cut short", route(`"service":"s"`)[:80], ErrMalformed, ""},
+		{"well", routeConfiguration(`"service":"s"`), nil, ""},
+		{"a brace too many", routeConfiguration(`"service":"s"`) + "}", ErrMalformed, ""},
+		{"two in a row", routeConfiguration(`"service":"s"`) + routeConfiguration(`"service":"s"`), ErrMalformed, ""},
+		{"cut short", routeConfiguration(`"service":"s"`)[:80], ErrMalformed, ""},
 		{"nothing", "", ErrMalformed, ""},
 		{"a list", "[]", ErrMalformed, ""},
 		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
@@ -36,26 +40,26 @@
 		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
 		{"no version", `{"routes":[]}`, ErrInvalid, "version"},
 		{"a version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
-		{"an unknown service", route(`"service":"z"`), ErrInvalid, `unknown service "z"`},
-		{"weights of 0", route(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
-		{"no time", strings.Replace(route(`"service":"s"`), `"timeoutMs":9`, `"timeoutMs":0`, 1), ErrInvalid, "timeoutMs"},
-		{"two targets", route(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
-		{"a shard twice", route(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
+		{"an unknown service", routeConfiguration(`"service":"z"`), ErrInvalid, `unknown service "z"`},
+		{"weights of 0", routeConfiguration(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
+		{"no time", strings.Replace(routeConfiguration(`"service":"s"`), `"timeoutMs":9`, `"timeoutMs":0`, 1), ErrInvalid, "timeoutMs"},
+		{"two targets", routeConfiguration(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
+		{"a shard twice", routeConfiguration(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
 		{
 			"tenants",
-			tenants(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
+			tenantConfiguration(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
 			nil, "",
 		},
 		{
 			"a shared key",
-			tenants(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
+			tenantConfiguration(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
 			ErrInvalid, `tenants[1].apiKeys[1]: "b" shares it with "a"`,
 		},
-		{"one key twice", tenants(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
-		{"a tenant twice", tenants(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
-		{"a tenant without a name", tenants(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
-		{"a rate below 0", tenants(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
-		{"a burst below 0", tenants(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
+		{"one key twice", tenantConfiguration(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
+		{"a tenant twice", tenantConfiguration(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
+		{"a tenant without a name", tenantConfiguration(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
+		{"a rate below 0", tenantConfiguration(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
+		{"a burst below 0", tenantConfiguration(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
 		{
 			"the same route many times",
 			`{"version":3,"services":[{"name":"s"}],"routes":[` + strings.Repeat(
