--- a/internal/routing/parse_test.go
+++ b/internal/routing/parse_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// routeConfiguration is a configuration with a service s and a route with some fields.
-func routeConfiguration(fields string) string {
+// routeWith is a configuration with a service s and a route with some fields.
+func routeWith(fields string) string {
 	return `{"version":3,"services":[{"name":"s"}],"routes":[` +
 		`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
 }
 
-// tenantConfiguration is a configuration with tenants and nothing else.
-func tenantConfiguration(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
+// tenantsOnly is a configuration with tenants and nothing else.
+func tenantsOnly(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
 
 // TestParse: what can't be read whole or breaks a rule is refused, whatever its
 // shape, and says what is wrong.
@@ -23,10 +23,10 @@
 		want     error
 		says     string
 	}{
-		{"well", routeConfiguration(`"service":"s"`), nil, ""},
-		{"a brace too many", routeConfiguration(`"service":"s"`) + "}", ErrMalformed, ""},
-		{"two in a row", routeConfiguration(`"service":"s"`) + routeConfiguration(`"service":"s"`), ErrMalformed, ""},
-		{"cut short", routeConfiguration(`"service":"s"`)[:80], ErrMalformed, ""},
+		{"well", routeWith(`"service":"s"`), nil, ""},
+		{"a brace too many", routeWith(`"service":"s"`) + "}", ErrMalformed, ""},
+		{"two in a row", routeWith(`"service":"s"`) + routeWith(`"service":"s"`), ErrMalformed, ""},
+		{"cut short", routeWith(`"service":"s"`)[:80], ErrMalformed, ""},
 		{"nothing", "", ErrMalformed, ""},
 		{"a list", "[]", ErrMalformed, ""},
 		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
@@ -40,26 +40,26 @@
 		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
 		{"no version", `{"routes":[]}`, ErrInvalid, "version"},
 		{"a version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
-		{"an unknown service", routeConfiguration(`"service":"z"`), ErrInvalid, `unknown service "z"`},
-		{"weights of 0", routeConfiguration(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
-		{"no time", strings.Replace(routeConfiguration(`"service":"s"`), `"timeoutMs":9`, `"timeoutMs":0`, 1), ErrInvalid, "timeoutMs"},
-		{"two targets", routeConfiguration(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
-		{"a shard twice", routeConfiguration(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
+		{"an unknown service", routeWith(`"service":"z"`), ErrInvalid, `unknown service "z"`},
+		{"weights of 0", routeWith(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
+		{"no time", routeWith(`"service":"s","timeoutMs":0`), ErrInvalid, "timeoutMs"},
+		{"two targets", routeWith(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
+		{"a shard twice", routeWith(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
 		{
 			"tenants",
-			tenantConfiguration(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
+			tenantsOnly(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
 			nil, "",
 		},
 		{
 			"a shared key",
-			tenantConfiguration(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
+			tenantsOnly(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
 			ErrInvalid, `tenants[1].apiKeys[1]: "b" shares it with "a"`,
 		},
-		{"one key twice", tenantConfiguration(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
-		{"a tenant twice", tenantConfiguration(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
-		{"a tenant without a name", tenantConfiguration(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
-		{"a rate below 0", tenantConfiguration(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
-		{"a burst below 0", tenantConfiguration(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
+		{"one key twice", tenantsOnly(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
+		{"a tenant twice", tenantsOnly(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
+		{"a tenant without a name", tenantsOnly(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
+		{"a rate below 0", tenantsOnly(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
+		{"a burst below 0", tenantsOnly(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
 		{
 			"the same route many times",
 			`{"version":3,"services":[{"name":"s"}],"routes":[` + strings.Repeat(
