--- /dev/null
+++ b/internal/upstream/call.go
@@ -0,0 +1,151 @@
+package upstream
+
+import (
+	"context"
+	"time"
+
+	"comethold/internal/logging"
+)
+
+// Availability reports, for one request, how many of the services have an
+// endpoint that would accept a call now, and for each service the share of
+// requests, from 0 to 1, that its endpoints have the capacity for.
+func (m *ClusterManager) Availability(services []string) (available int, admitRates []float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	admitRates = make([]float64, len(services))
+	now := time.Now()
+	for i, service := range services {
+		admitRates[i] = 1
+		cluster := m.clusters[service]
+		if cluster == nil {
+			continue
+		}
+		admitRates[i] = min(1, cluster.load.admitRate)
+		if m.balancer.anyAccepts(cluster, now) {
+			available++
+		}
+	}
+	return available, admitRates
+}
+
+// Reserve reserves the best endpoint of a service for one call, leaving out those
+// already tried, or returns nil. nonIdempotent says that the call must not be
+// executed twice. The reservation ends with Call or Release.
+func (m *ClusterManager) Reserve(service string, tried []*Endpoint, nonIdempotent bool) *Endpoint {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cluster := m.clusters[service]
+	if cluster == nil {
+		return nil
+	}
+	endpoint := m.balancer.pick(cluster, tried, nonIdempotent, time.Now())
+	if endpoint != nil {
+		endpoint.activeCalls++
+	}
+	return endpoint
+}
+
+// Release gives up a reservation that was not used.
+func (m *ClusterManager) Release(endpoint *Endpoint) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	endpoint.activeCalls--
+}
+
+// Call sends a request to an endpoint that Reserve returned, and ends the
+// reservation. The endpoint is named, so that another one at its address rejects
+// the request. The error wraps ErrNotSent, ErrResponseLost or ErrTimeout.
+func (m *ClusterManager) Call(endpoint *Endpoint, request *Request) (*Response, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
+	defer cancel()
+	conn, err := m.connect(ctx, endpoint, request.NonIdempotent)
+	start := time.Now()
+	if err != nil {
+		m.recordCall(endpoint, nil, err, start, 0)
+		return nil, err
+	}
+	response, reuse, err := conn.roundTrip(request, endpoint.info.Load().ID)
+	duration := time.Since(start)
+	if reuse {
+		endpoint.pool.put(conn)
+	} else {
+		conn.close()
+	}
+	m.recordCall(endpoint, response, err, start, duration)
+	return response, err
+}
+
+// connect takes an idle connection of the endpoint or opens a new one.
+func (m *ClusterManager) connect(ctx context.Context, endpoint *Endpoint, nonIdempotent bool) (*connection, error) {
+	for {
+		conn := endpoint.pool.take()
+		if conn == nil {
+			return m.dialer.connect(ctx, endpoint.info.Load())
+		}
+		if conn.reusable(nonIdempotent, time.Now()) {
+			return conn, nil
+		}
+		if conn.unexpectedBytes {
+			m.log.Warn(logging.EndpointSurplusData).Str("upstream", endpoint.info.Load().ID).
+				Msg("unexpected bytes after a complete response; connection closed")
+		}
+		conn.close()
+	}
+}
+
+// recordCall ends a reservation and takes in how its call ended, in one step.
+func (m *ClusterManager) recordCall(
+	endpoint *Endpoint, response *Response, err error, start time.Time, duration time.Duration,
+) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := time.Now()
+	endpoint.activeCalls--
+	result := classifyCall(response, err)
+	switch result {
+	case callSucceeded:
+		endpoint.load.recordLatency(duration.Seconds())
+		endpoint.cluster.load.recordSuccess(duration.Seconds())
+	case callRejected:
+		endpoint.load.lastRejectedAt = now
+		endpoint.cluster.load.recordRejection()
+	default: // says nothing of the load
+	}
+	m.outliers.observe(endpoint, result, err, start, now)
+}
+
+// ReportOverdue takes in that a call sent at sentAt has waited longer than usual,
+// which may eject its endpoint.
+func (m *ClusterManager) ReportOverdue(endpoint *Endpoint, sentAt time.Time, usual time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.outliers.observeOverdue(endpoint, sentAt, time.Now(), usual)
+}
+
+// Overloaded reports whether the endpoints of a service reject calls as full.
+func (m *ClusterManager) Overloaded(service string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cluster := m.clusters[service]
+	return cluster != nil && cluster.load.rejectionRate > overloadRejectionRate
+}
+
+// Contended reports whether this node has other calls under way at an endpoint, or
+// its service rejects calls as full.
+func (m *ClusterManager) Contended(endpoint *Endpoint) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return endpoint.activeCalls > 1 || endpoint.cluster.load.rejectionRate > overloadRejectionRate
+}
+
+// MeanLatency is how long calls of a service take on average, 0 if unknown.
+func (m *ClusterManager) MeanLatency(service string) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cluster := m.clusters[service]
+	if cluster == nil {
+		return 0
+	}
+	return time.Duration(cluster.load.meanLatency * float64(time.Second))
+}
--- /dev/null
+++ b/internal/upstream/dialer.go
@@ -0,0 +1,75 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+)
+
+const (
+	dialTimeout = 600 * time.Millisecond
+	// unknownDialLatency is assumed for a zone to which no connection was opened
+	// yet, in seconds.
+	unknownDialLatency = 0.02
+	// dialLatencyWeight is the weight of a new measurement that is above the
+	// known latency. One below replaces it: only queues make it longer.
+	dialLatencyWeight = 0.01
+)
+
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// dialer opens connections to endpoints and measures how long that takes.
+type dialer struct {
+	dial    DialFunc
+	latency zoneLatency
+}
+
+// connect opens a connection to an endpoint. Its error wraps ErrNotSent.
+func (d *dialer) connect(ctx context.Context, endpoint *distribution.Endpoint) (*connection, error) {
+	start := time.Now()
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	conn, err := d.dial(dialCtx, "tcp4", endpoint.Addr)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	d.latency.record(endpoint.Zone, time.Since(start).Seconds())
+	return newConnection(conn), nil
+}
+
+// zoneLatency knows how long opening a connection to each zone takes. It is safe
+// for concurrent use.
+type zoneLatency struct {
+	mu     sync.Mutex         // guards the fields below
+	byZone map[string]float64 // seconds
+}
+
+// record takes in a measurement in seconds.
+func (l *zoneLatency) record(zone string, seconds float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byZone == nil {
+		l.byZone = map[string]float64{}
+	}
+	known, ok := l.byZone[zone]
+	if !ok || seconds < known {
+		l.byZone[zone] = seconds
+		return
+	}
+	l.byZone[zone] = known + dialLatencyWeight*(seconds-known)
+}
+
+// seconds returns the latency of a zone.
+func (l *zoneLatency) seconds(zone string) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if known, ok := l.byZone[zone]; ok {
+		return known
+	}
+	return unknownDialLatency
+}
--- /dev/null
+++ b/internal/upstream/outlier.go
@@ -0,0 +1,221 @@
+package upstream
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+)
+
+const (
+	// maxConsecutiveFailures is how many calls without a response in a row eject
+	// an endpoint.
+	maxConsecutiveFailures = 3
+	// ejectionErrorRate is the share of errors from which an endpoint is ejected.
+	ejectionErrorRate = 0.6
+	baseEjectionTime  = 400 * time.Millisecond
+	maxEjectionTime   = 3 * time.Second
+	maxProbeInterval  = time.Second
+
+	// probationPatience is after what time a call that is not idempotent may end
+	// a probation too.
+	probationPatience = time.Second
+	// overdueFactor is after how many times the usual latency an endpoint from
+	// which nothing came counts as unresponsive.
+	overdueFactor = 3
+)
+
+// healthState is whether an endpoint may get calls from this node.
+type healthState uint8
+
+// States of health. A healthy endpoint that fails is ejected; one that answers a
+// probe then gets one call at a time until one of them shows how it is.
+const (
+	stateHealthy   healthState = iota // gets calls
+	stateEjected                      // gets none
+	stateProbation                    // gets one at a time
+)
+
+// endpointHealth is the health of one endpoint and what led to it.
+type endpointHealth struct {
+	state               healthState
+	healthySince        time.Time
+	probationSince      time.Time
+	lastAnswerAt        time.Time // of any response that shows that it is at work
+	consecutiveFailures int
+	ejectionTime        time.Duration // of the latest ejection, which grows; 0 before the first
+	probing             bool          // a probe is scheduled or under way
+}
+
+// mayTry reports whether a call may be the one that ends the probation.
+func (h *endpointHealth) mayTry(nonIdempotent bool, now time.Time) bool {
+	return !nonIdempotent || now.Sub(h.probationSince) > probationPatience
+}
+
+// callResult is how a call ended, as far as the endpoint's health and load are concerned.
+type callResult uint8
+
+const (
+	callSucceeded  callResult = iota
+	callMisrouted             // another endpoint has the address now
+	callRejected              // the endpoint is full
+	callAnswered              // a response that is neither a success nor a server error
+	callServerFail            // a server error
+	callFailed                // no response
+)
+
+func classifyCall(response *Response, err error) callResult {
+	switch {
+	case err != nil:
+		return callFailed
+	case isSuccessStatus(response.Status):
+		return callSucceeded
+	case response.Status == http.StatusMisdirectedRequest:
+		return callMisrouted
+	case response.NotExecuted():
+		return callRejected
+	case response.Status < http.StatusInternalServerError:
+		return callAnswered
+	default:
+		return callServerFail
+	}
+}
+
+// outlierDetector ejects endpoints that fail and reinstates those that recover.
+// Callers hold ClusterManager.mu.
+type outlierDetector struct {
+	log *logging.Logger
+	// report is told of ejected and reinstated endpoints. It must not block.
+	report func(distribution.HealthReport)
+	// scheduleProbe has an ejected endpoint probed after about the given time.
+	scheduleProbe func(endpoint *Endpoint, after time.Duration)
+}
+
+// observe takes in how a call that was sent at start ended.
+func (d *outlierDetector) observe(endpoint *Endpoint, result callResult, err error, start, now time.Time) {
+	health := &endpoint.health
+	switch result {
+	case callSucceeded:
+		health.consecutiveFailures = 0
+		health.lastAnswerAt = now
+		endpoint.errors.record(now, 0)
+		d.reinstateUnlessHealthy(endpoint, now)
+	case callMisrouted:
+		d.eject(endpoint, "another leaf has its address")
+	case callRejected:
+		if health.state == stateProbation {
+			d.eject(endpoint, "rejected a call on probation")
+		}
+	case callAnswered:
+		health.lastAnswerAt = now
+		d.reinstateUnlessHealthy(endpoint, now)
+	case callServerFail:
+		health.lastAnswerAt = now
+		endpoint.errors.record(now, 1)
+		failing := endpoint.errors.current(now) > ejectionErrorRate && canEject(endpoint.cluster)
+		if health.state == stateProbation || failing {
+			d.eject(endpoint, "server errors")
+		}
+	case callFailed:
+		health.consecutiveFailures++
+		endpoint.errors.record(now, 1)
+		if shouldEjectFailed(health, err, start) {
+			d.eject(endpoint, err.Error())
+		}
+	}
+}
+
+// shouldEjectFailed decides whether a call without a response ejects its endpoint.
+func shouldEjectFailed(health *endpointHealth, err error, start time.Time) bool {
+	unreachable := errors.Is(err, ErrNotSent)
+	unresponsive := errors.Is(err, ErrTimeout) && health.lastAnswerAt.Before(start)
+	return health.state == stateProbation ||
+		health.consecutiveFailures >= maxConsecutiveFailures ||
+		unreachable ||
+		unresponsive
+}
+
+// canEject reports whether enough endpoints of a cluster are healthy for one more
+// to be ejected for its errors: if most fail, that is how the service is.
+func canEject(cluster *Cluster) bool {
+	healthy := 0
+	for _, endpoint := range cluster.endpoints {
+		if endpoint.health.state == stateHealthy && !endpoint.fleetEjected && !endpoint.info.Load().Draining {
+			healthy++
+		}
+	}
+	return 2*(healthy-1) >= len(cluster.endpoints)
+}
+
+// observeOverdue takes in that a call sent at sentAt has waited longer than usual.
+// An endpoint from which nothing came in all that time counts as unresponsive.
+func (d *outlierDetector) observeOverdue(endpoint *Endpoint, sentAt, now time.Time, usual time.Duration) {
+	if endpoint.health.lastAnswerAt.Before(sentAt) && now.Sub(sentAt) >= overdueFactor*usual {
+		d.eject(endpoint, "unresponsive")
+	}
+}
+
+// eject takes an endpoint out of service for a time that grows from ejection to
+// ejection.
+func (d *outlierDetector) eject(endpoint *Endpoint, cause string) {
+	if endpoint.health.state == stateEjected || endpoint.removed {
+		return
+	}
+	endpoint.health.state = stateEjected
+	endpoint.health.ejectionTime = min(max(baseEjectionTime, 2*endpoint.health.ejectionTime), maxEjectionTime)
+	endpoint.cluster.invalidateSubset()
+	endpoint.pool.closeIdle()
+	info := endpoint.info.Load()
+	d.log.Info(logging.EndpointEjected).Str("upstream", info.ID).Str("service", info.Service).Str("cause", cause).
+		Msg("endpoint ejected by this node")
+	d.report(distribution.HealthReport{EndpointID: info.ID, Service: info.Service})
+	d.scheduleProbe(endpoint, endpoint.health.ejectionTime)
+}
+
+func (d *outlierDetector) reinstateUnlessHealthy(endpoint *Endpoint, now time.Time) {
+	if endpoint.health.state != stateHealthy {
+		d.reinstate(endpoint, now)
+	}
+}
+
+// reinstate puts an endpoint back in service, with a slow start. It also tells the
+// control plane, which may have ejected it for all nodes.
+func (d *outlierDetector) reinstate(endpoint *Endpoint, now time.Time) {
+	if endpoint.health.state == stateHealthy && !endpoint.fleetEjected {
+		return
+	}
+	endpoint.health.state = stateHealthy
+	endpoint.health.healthySince = now
+	endpoint.health.consecutiveFailures = 0
+	endpoint.cluster.invalidateSubset()
+	endpoint.resetStatistics()
+	info := endpoint.info.Load()
+	d.log.Info(logging.EndpointRestored).Str("upstream", info.ID).Str("service", info.Service).
+		Msg("endpoint reinstated by this node")
+	d.report(distribution.HealthReport{EndpointID: info.ID, Service: info.Service, Healthy: true})
+}
+
+// observeProbe takes in the result of a probe. One that failed is repeated.
+func (d *outlierDetector) observeProbe(endpoint *Endpoint, answered bool, now time.Time) {
+	endpoint.health.probing = false
+	if endpoint.removed || endpoint.health.state != stateEjected {
+		return
+	}
+	if answered {
+		d.beginProbation(endpoint, now)
+		return
+	}
+	endpoint.health.ejectionTime = min(2*endpoint.health.ejectionTime, maxEjectionTime)
+	d.scheduleProbe(endpoint, min(endpoint.health.ejectionTime, maxProbeInterval))
+}
+
+// beginProbation lets an ejected endpoint get single calls until one of them
+// succeeds or fails.
+func (d *outlierDetector) beginProbation(endpoint *Endpoint, now time.Time) {
+	endpoint.health.state = stateProbation
+	endpoint.health.probationSince = now
+	endpoint.cluster.invalidateSubset()
+	endpoint.resetStatistics()
+}
--- /dev/null
+++ b/internal/upstream/roundtrip.go
@@ -0,0 +1,163 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	maxResponseBytes = 32 << 20
+
+	// defaultIdleTimeout is how long an idle connection is reused when the
+	// endpoint states no keep-alive time.
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutMargin is how long before the stated keep-alive time ends a
+	// connection is no longer reused.
+	idleTimeoutMargin = 600 * time.Millisecond
+	// maxKeepAliveSeconds bounds the keep-alive times that are believed.
+	maxKeepAliveSeconds = 1 << 20
+)
+
+// roundTrip sends the request and reads the complete response. expectedInstance,
+// if given, is named to the endpoint, so that another one at the same address
+// rejects the request. reuse reports whether the connection may carry another
+// request. Errors wrap ErrTimeout or ErrResponseLost.
+func (c *connection) roundTrip(request *Request, expectedInstance string) (response *Response, reuse bool, err error) {
+	start := time.Now()
+	_ = c.conn.SetDeadline(request.Deadline) // a broken connection shows in the write below
+	if err := c.writeRequest(request, expectedInstance, request.Deadline.Sub(start)); err != nil {
+		return nil, false, wrapIOError(err)
+	}
+	received, err := c.readHead(request.Method)
+	if err != nil {
+		return nil, false, err
+	}
+	body, err := readBody(received, request.Method)
+	if err != nil {
+		return nil, false, err
+	}
+	response = &Response{Status: received.StatusCode, Header: received.Header, Body: body}
+	if !c.belongsTo(request, response) {
+		return nil, false, fmt.Errorf("%w: it belongs to another request", ErrResponseLost)
+	}
+	if c.reader.Buffered() > 0 {
+		c.unexpectedBytes = true
+	}
+	c.reusableUntil = start.Add(defaultIdleTimeout)
+	if stated, ok := parseKeepAlive(received.Header.Get("Keep-Alive")); ok {
+		c.reusableUntil = time.Now().Add(stated - min(idleTimeoutMargin, stated/2))
+	}
+	identified := c.noteIdentity(response.Header)
+	return response, !received.Close && !c.unexpectedBytes && identified, nil
+}
+
+// writeRequest sends the request. Writes go to a buffer whose first error stays
+// and is returned by Flush.
+func (c *connection) writeRequest(request *Request, expectedInstance string, remaining time.Duration) error {
+	w := c.writer
+	_, _ = w.WriteString(request.Method)
+	_ = w.WriteByte(' ')
+	_, _ = w.WriteString(request.Target)
+	_, _ = w.WriteString(" HTTP/1.1\r\n")
+	writeHeaderField(w, "Host", request.Host)
+	_ = request.Header.Write(w)
+	if request.ID != "" {
+		writeHeaderField(w, HeaderRequestID, request.ID)
+		writeHeaderField(w, HeaderDeadlineRemaining, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	}
+	if expectedInstance != "" {
+		writeHeaderField(w, HeaderExpectedInstance, expectedInstance)
+	}
+	if request.HasBody || len(request.Body) > 0 {
+		writeHeaderField(w, "Content-Length", strconv.Itoa(len(request.Body)))
+	}
+	_, _ = w.WriteString("\r\n")
+	_, _ = w.Write(request.Body)
+	return w.Flush()
+}
+
+func writeHeaderField(w *bufio.Writer, name, value string) {
+	_, _ = w.WriteString(name)
+	_, _ = w.WriteString(": ")
+	_, _ = w.WriteString(value)
+	_, _ = w.WriteString("\r\n")
+}
+
+// readHead reads the status line and headers of the final response, past
+// informational ones.
+func (c *connection) readHead(method string) (*http.Response, error) {
+	request := &http.Request{Method: method}
+	for {
+		received, err := http.ReadResponse(c.reader, request)
+		if err != nil {
+			return nil, wrapIOError(err)
+		}
+		if received.StatusCode >= http.StatusOK {
+			return received, nil
+		}
+		if received.StatusCode == http.StatusSwitchingProtocols {
+			return nil, fmt.Errorf("%w: the endpoint switched protocols unasked", ErrResponseLost)
+		}
+	}
+}
+
+// readBody reads the body to its marked end.
+func readBody(received *http.Response, method string) ([]byte, error) {
+	bodiless := method == http.MethodHead ||
+		received.StatusCode == http.StatusNoContent ||
+		received.StatusCode == http.StatusNotModified
+	var body []byte
+	var err error
+	if !bodiless && received.ContentLength > 0 && received.ContentLength <= maxResponseBytes {
+		body = make([]byte, received.ContentLength)
+		_, err = io.ReadFull(received.Body, body)
+	} else {
+		body, err = io.ReadAll(io.LimitReader(received.Body, maxResponseBytes+1))
+	}
+	if err == nil {
+		err = received.Body.Close()
+	}
+	if err != nil {
+		return nil, wrapIOError(err)
+	}
+	if len(body) > maxResponseBytes {
+		return nil, fmt.Errorf("%w: it is too large", ErrResponseLost)
+	}
+	chunked := len(received.TransferEncoding) > 0
+	if received.ContentLength < 0 && !chunked && !bodiless {
+		// Only the close of the connection ends it: a truncated body would look complete.
+		return nil, fmt.Errorf("%w: its end is not marked", ErrResponseLost)
+	}
+	return body, nil
+}
+
+// wrapIOError wraps an error of the connection as ErrTimeout or ErrResponseLost.
+func wrapIOError(err error) error {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return fmt.Errorf("%w: %w", ErrTimeout, err)
+	}
+	return fmt.Errorf("%w: %w", ErrResponseLost, err)
+}
+
+// parseKeepAlive reads the timeout of a Keep-Alive header.
+func parseKeepAlive(value string) (time.Duration, bool) {
+	for _, parameter := range strings.Split(value, ",") {
+		name, text, ok := strings.Cut(strings.TrimSpace(parameter), "=")
+		if !ok || !strings.EqualFold(name, "timeout") {
+			continue
+		}
+		seconds, err := strconv.Atoi(strings.TrimSpace(text))
+		if err == nil && seconds >= 0 && seconds < maxKeepAliveSeconds {
+			return time.Duration(seconds) * time.Second, true
+		}
+	}
+	return 0, false
+}
