--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -4,6 +4,9 @@
 	"testing"
 
 	"comethold/internal/compat"
+	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -23,9 +26,9 @@
 		{Name: "index-cut", Value: schema.ShardSetRecord{Version: 8, Services: []string{"s1"}, Routes: []string{"r1"}}},
 		{Name: "receipt-archive", Value: []schema.ArchivedReceipt{{Version: 8, Base: 7, Fingerprint: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
 		{Name: "duty-lease", Value: schema.LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
-		{Name: "quarantine", Value: QuarantineRecord{Notification: n, Reason: "no event id", ReportedBy: "n1"}},
-		{Name: "redrive", Value: RedriveRequest{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: RedriveResend}},
-		{Name: "redrive-close", Value: RedriveRequest{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: RedriveClose}},
+		{Name: "quarantine", Value: schema.QuarantineRecord{Notification: n, Reason: "no event id", ReportedBy: "n1"}},
+		{Name: "redrive", Value: schema.RedriveRequest{EventID: "configuration/8", Operator: "o", CorrelationID: "c", Action: schema.RedriveResend}},
+		{Name: "redrive-close", Value: schema.RedriveRequest{EventID: "configuration/9", Operator: "o", CorrelationID: "c", Action: schema.RedriveClose}},
 		{Name: "quota-floors", Value: map[string]float64{"t": 12.5}},
 		{Name: "kept-usage", Value: persistedWindow{Window: 1234, Counts: usage.IncarnationCounts{6: usage.Counts{"t": 56}}}},
 		{Name: "usage-request", Value: WindowRequest{Window: 1234}},
@@ -35,7 +38,7 @@
 				{Kind: paxos.OpSetVoters, Voters: []paxos.Voter{seat}}}}}},
 		{Name: "verdict", Value: replicahost.ProposeResult{Committed: true, Busy: true, Unknown: true, NoLeader: true, Index: 12,
 			Grant: distribution.ShareGrant{Permille: 251, FairPermille: 333, Granted: true, Uninterrupted: true}}},
-		{Name: "move", Value: MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
+		{Name: "move", Value: placement.MoveRequest{Cell: "x1", Remove: "10.0.0.9", Add: seat}},
 	})
 }
 
@@ -48,7 +51,7 @@
 		schema.ReceiptsForgottenKey: "receipt-forgotten", schema.NodeKeyPrefix: "node/", schema.IndexKeyPrefix: "index/", schema.NextIndexIDKey: "index-next", schema.LeaseKeyPrefix: "duty/",
 		schema.PurgeKeyPrefix: "recall/", schema.PurgeCompactedKey: "recall-floor", schema.RateSharesKey: "shares", schema.QuotaSharesKey: "quota-shares", schema.UsageReportKeyPrefix: "usage/",
 		schema.OutboxKeyPrefix: "outbox/", schema.QuarantineKeyPrefix: "quarantine/", schema.RedriveKeyPrefix: "redrive/", schema.ShardSetKey: "cut", schema.EjectionKeyPrefix: "mark/",
-		replicahost.IdentityKey: "identity", InboxStorageKey: "inbox", WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
+		replicahost.IdentityKey: "identity", outboxpublisher.InboxStorageKey: "inbox", allocation.WatermarkStorageKey: "quota-floors", persistedWindowKey(persistedWindows + 3): "usage/3",
 		schema.ReceiptKey(5, 3): "receipt/configuration/00000000000000000005/3", schema.ReceiptArchiveKey(7): "receipt-archive/00000000000000000007",
 		schema.UsageReportKey(9):                             "usage/00000000000000000009",
 		paxos.AppendedKey(schema.PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
--- a/internal/controlplane/usage.go
+++ b/internal/controlplane/usage.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
+	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -136,7 +136,7 @@
 		}
 		pause = minPersistInterval
 		if at, ok := r.usages.clock.Now(time.Now()); ok {
-			n := r.usages.persist(r.host.Storage, usage.WindowAt(at, r.settings.Bounds.UsageWindow()))
+			n := r.usages.persist(r.storage, usage.WindowAt(at, r.settings.Bounds.UsageWindow()))
 			pause = max(pause, time.Duration(float64(n)/persistBytesPerSecond*float64(time.Second)))
 		}
 	}
@@ -160,7 +160,7 @@
 			return
 		}
 		now := time.Now()
-		seats := VotersFor(r.settings.Tolerance.MachineLosses)
+		seats := placement.VotersFor(r.settings.Tolerance.MachineLosses)
 		r.usages.clock.Update(now.UnixNano(), seats, now.Sub(last), now)
 		last = now
 		at, ok := r.usages.clock.Now(now)
@@ -178,10 +178,8 @@
 
 // reportRows lists the rows of the reports, oldest first.
 func (r *Server) reportRows() (rows []schema.StoredRow) {
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			rows = schema.UsageReportRows(m)
-		}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		rows = schema.UsageReportRows(m)
 	})
 	return rows
 }
@@ -265,7 +263,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 			defer cancel()
 			var lives usage.IncarnationCounts
-			err := r.host.Client.Call(ctx, internalAddress(addr, r.host.Port), "/usage", WindowRequest{window}, &lives)
+			err := r.host.CallPeer(ctx, addr, "/usage", WindowRequest{window}, &lives)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -455,8 +453,3 @@
 	}
 	return fmt.Errorf("%w: %s", ErrReportRejected, strings.TrimSpace(resp.Status))
 }
-
-// receiveCounts takes a datagram of counts.
-func (r *Server) receiveCounts(t *usage.CountReport, from net.Addr) {
-	r.quotas.sendDatagram(from, &distribution.Datagram{UsageAck: r.usages.Record(t)})
-}
