--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -5,6 +5,7 @@
 	"net/http"
 
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
@@ -70,13 +71,7 @@
 		}
 		return c.NoContent(http.StatusNotFound)
 	})
-	e.POST("/usage", func(c echo.Context) error {
-		var a WindowRequest
-		if err := rpc.DecodeRequest(c.Request().Body, &a); err != nil {
-			return c.NoContent(http.StatusBadRequest)
-		}
-		return writeCBOR(c, r.usages.store.Window(a.Window))
-	})
+	e.POST(metering.WindowPath, r.handleUsageWindow)
 	e.POST(outboxpublisher.DeliverPath, func(c echo.Context) error {
 		var list []outbox.Notification
 		if err := rpc.DecodeRequest(c.Request().Body, &list); err != nil {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -11,6 +11,7 @@
 
 	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/outboxpublisher"
@@ -18,7 +19,6 @@
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/discovery"
 	"comethold/internal/logging"
-	"comethold/internal/paxos"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
 	"comethold/internal/storage"
@@ -37,33 +37,25 @@
 	usageRole     = "usage"
 )
 
-// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
-type usageLease interface {
-	Run(stop <-chan struct{})
-	Held() (term uint64, held bool)
-	Remaining(term uint64) time.Duration
-	FenceCondition(term uint64) (condition paxos.Condition, held bool)
-	Forfeit()
-}
-
 var errStopped = errors.New("registrar: told to end")
 
 // Server is the control plane of one node.
 type Server struct {
-	settings *settings.Settings
-	log      *logging.Logger
-	disk     storage.Disk
-	network  rpc.Network
-	ready    chan struct{} // closed once the vault is open: what follows is there
-	storage  *storage.Store
-	client   *rpc.Client
-	host     *replicahost.Host
-	board    *Distributor
-	platform *discovery.Client
+	settings  *settings.Settings
+	log       *logging.Logger
+	disk      storage.Disk
+	network   rpc.Network
+	ready     chan struct{} // closed once the vault is open: what follows is there
+	storage   *storage.Store
+	client    *rpc.Client
+	startedAt time.Time
+	host      *replicahost.Host
+	board     *Distributor
+	platform  *discovery.Client
 
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
-	usageLease     usageLease
+	usageLease     *lease.Lease
 	mover          *placement.Mover
 	operator       *operatorapi.Handler
 	shares         *allocation.ShareService
@@ -72,7 +64,7 @@
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
-	usages         *Collector
+	usage          usageMetering
 
 	quit     chan struct{}
 	stopOnce sync.Once
@@ -90,7 +82,8 @@
 	r := &Server{settings: set, log: log, disk: disk, network: n, client: rpc.NewClient(n), ready: make(chan struct{}), board: NewDistributor(), quit: make(chan struct{}),
 		reports:       nodereports.NewTracker(),
 		reconcileWake: make(chan struct{}, 1),
-		usages:        NewCollector(n),
+		usage:         usageMetering{collector: metering.NewCollector()},
+		startedAt:     time.Now(),
 	}
 	if set.Platform.Address != "" {
 		r.platform = discovery.NewClient(n, set.Platform.Address, set.Platform.RatePerS)
@@ -125,12 +118,15 @@
 		func() { r.quotas.watermarks.Run(ctx) },
 		func() { r.consumer.Run(ctx) },
 		func() { r.publisher.Run(ctx) },
-		r.reportUsageLoop,
 		r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
 	}
+	if r.settings.ReportsUsage() {
+		r.wg.Go(func() { r.usage.reporter.Run(ctx) })
+		r.wg.Go(func() { r.usage.counts.Run(ctx) })
+	}
 	return r.host.Run()
 }
 
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
@@ -91,11 +92,8 @@
 		RegisteredAddresses:    r.board.ControlAddresses,
 	}
 	if set.ReportsUsage() {
-		r.usages.Restore(v)
-		hooks.ReadClocks = r.usages.Times
-		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
-			r.usages.clock.Observe(peer, wall, agreed, time.Now())
-		}
+		hooks.ReadClocks = r.usage.collector.ReadClocks
+		hooks.OnPeerClocks = r.usage.collector.ObservePeerClocks
 	}
 	r.host = replicahost.New(replicahost.Options{
 		Self:    self,
@@ -119,7 +117,8 @@
 	}
 	r.discoveryLease = newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
-	r.usageLease = newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	r.usageLease = newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
+	r.openMetering(v)
 	r.openAllocation(v)
 	r.openOutbox(self, v)
 	r.mover = placement.NewMover(placement.Options{
