--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -5,6 +5,7 @@
 
 	"comethold/internal/compat"
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/latency"
 	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
@@ -47,7 +48,7 @@
 // what data directories hold.
 func TestStoredNames(t *testing.T) {
 	for name, want := range map[string]string{
-		schema.MetaCell: "exchange", exportFileName: "estimates.jsonl",
+		schema.MetaCell: "exchange", latency.FileName: "estimates.jsonl",
 		schema.ConfigVersionKey: "config/version", schema.ConfigDataKey: "config/raw", schema.ReceiptKeyPrefix: "receipt/", schema.ReceiptArchiveKeyPrefix: "receipt-archive/",
 		schema.ReceiptsForgottenKey: "receipt-forgotten", schema.NodeKeyPrefix: "node/", schema.IndexKeyPrefix: "index/", schema.NextIndexIDKey: "index-next", schema.LeaseKeyPrefix: "duty/",
 		schema.PurgeKeyPrefix: "recall/", schema.PurgeCompactedKey: "recall-floor", schema.RateSharesKey: "shares", schema.QuotaSharesKey: "quota-shares", schema.UsageReportKeyPrefix: "usage/",
--- a/internal/controlplane/http.go
+++ b/internal/controlplane/http.go
@@ -30,8 +30,8 @@
 	e.GET("/Configuration.Read", func(c echo.Context) error { return r.operator.Read(c) })
 	e.GET("/Notices.Read", func(c echo.Context) error { return r.operator.ReadOutbox(c) })
 	e.GET("/Duties.Read", func(c echo.Context) error { return r.operator.ReadLeases(c) })
-	e.GET("/Estimates.Read", r.readEstimates)
-	e.GET("/Estimates.Saved", r.readSavedEstimates)
+	e.GET("/Estimates.Read", r.handleReadEstimates)
+	e.GET("/Estimates.Saved", r.handleReadSavedEstimates)
 	e.POST("/Notices.Redrive", func(c echo.Context) error { return r.operator.Redrive(c) })
 	return e
 }
--- /dev/null
+++ b/internal/controlplane/latency.go
@@ -0,0 +1,52 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"comethold/internal/controlplane/latency"
+	"comethold/internal/distribution"
+	"comethold/internal/settings"
+
+	"github.com/labstack/echo/v4"
+)
+
+// estimatesTimeout is how long an operator waits for estimates at most.
+const estimatesTimeout = 4 * time.Second
+
+// latencyEstimates is what collects and exports latency estimates.
+type latencyEstimates struct {
+	collector *latency.Collector
+	file      *latency.File
+	exporter  *latency.Exporter
+}
+
+// openLatencyEstimates makes what collects and exports latency estimates.
+func (r *Server) openLatencyEstimates() {
+	collector := latency.NewCollector(r.board.Nodes, r.settings.PortOf(settings.DataPlane), r.client)
+	file := latency.NewFile(r.settings.DataDirectory, r.disk)
+	r.estimates = latencyEstimates{
+		collector: collector,
+		file:      file,
+		exporter:  latency.NewExporter(collector, file, r.settings.AvailabilityZone, r.log),
+	}
+}
+
+// handleReadEstimates answers with what all data plane nodes know: of ?service= and ?class=,
+// and of the last ?seconds= of slow lookups, where they are given.
+func (r *Server) handleReadEstimates(c echo.Context) error {
+	request := distribution.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), estimatesTimeout)
+	defer cancel()
+	view := r.estimates.collector.CollectAll(ctx, request)
+	if age, err := time.ParseDuration(c.QueryParam("seconds") + "s"); err == nil {
+		view.KeepRecent(age)
+	}
+	return c.JSON(http.StatusOK, view)
+}
+
+// handleReadSavedEstimates answers with what this control node has exported, oldest first.
+func (r *Server) handleReadSavedEstimates(c echo.Context) error {
+	return c.JSON(http.StatusOK, r.estimates.file.Lines())
+}
--- /dev/null
+++ b/internal/controlplane/latency/collector.go
@@ -0,0 +1,139 @@
+package latency
+
+import (
+	"cmp"
+	"context"
+	"net"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/latencyestimate"
+)
+
+// estimatesPath is where data plane nodes tell what they know.
+const estimatesPath = "/estimates"
+
+const (
+	maxConcurrentQueries = 16
+	queryTimeout         = 800 * time.Millisecond // of one node
+)
+
+// View is what an operator sees of lookups.
+type View struct {
+	At         time.Time                    `json:"at"`
+	Nodes      int                          `json:"nodes"`      // data plane nodes that answered
+	Unanswered int                          `json:"unanswered"` // data plane nodes that did not
+	Replicas   []ReplicaEstimate            `json:"copies"`
+	Slow       []latencyestimate.SlowLookup `json:"slow"` // oldest first
+	Counters   latencyestimate.Counters     `json:"tally"`
+}
+
+// dropSlowUntil drops slow lookups up to a time.
+func (v *View) dropSlowUntil(until time.Time) {
+	first := slices.IndexFunc(v.Slow, func(lookup latencyestimate.SlowLookup) bool { return lookup.At.After(until) })
+	if first < 0 {
+		first = len(v.Slow)
+	}
+	v.Slow = v.Slow[first:]
+}
+
+// KeepRecent drops slow lookups that are older than an age.
+func (v *View) KeepRecent(age time.Duration) { v.dropSlowUntil(v.At.Add(-age)) }
+
+// ReplicaEstimate is the estimate for one replica.
+type ReplicaEstimate struct {
+	latencyestimate.Key
+	Estimate latencyestimate.Estimate `json:"estimate"`
+}
+
+// Caller makes RPCs.
+type Caller interface {
+	// Call posts in to the path at an address and decodes the answer into out.
+	Call(ctx context.Context, address, path string, in, out any) error
+}
+
+// Collector asks data plane nodes for their estimates.
+type Collector struct {
+	nodes  func() map[string]distribution.Node // by name; not to be changed
+	port   int                                 // where data plane nodes take RPCs
+	caller Caller
+}
+
+// NewCollector returns a Collector that asks the nodes which a function lists by name.
+func NewCollector(nodes func() map[string]distribution.Node, port int, caller Caller) *Collector {
+	return &Collector{nodes: nodes, port: port, caller: caller}
+}
+
+// CollectAll asks all data plane nodes.
+func (c *Collector) CollectAll(ctx context.Context, request distribution.EstimatesRequest) View {
+	return c.collect(ctx, request, func(distribution.Node) bool { return true })
+}
+
+// CollectZone asks the data plane nodes of a zone for all that they know.
+func (c *Collector) CollectZone(ctx context.Context, zone string) View {
+	inZone := func(node distribution.Node) bool { return node.Zone == zone }
+	return c.collect(ctx, distribution.EstimatesRequest{}, inZone)
+}
+
+func (c *Collector) collect(
+	ctx context.Context, request distribution.EstimatesRequest, wanted func(distribution.Node) bool,
+) View {
+	view := View{At: time.Now().UTC(), Replicas: []ReplicaEstimate{}, Slow: []latencyestimate.SlowLookup{}}
+	var mu sync.Mutex // guards view and snapshots
+	var snapshots []latencyestimate.Snapshot
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentQueries)
+	for _, node := range c.nodes() {
+		if !node.ServesClients() || node.Down || !wanted(node) {
+			continue
+		}
+		slots <- struct{}{}
+		queries.Go(func() {
+			defer func() { <-slots }()
+			snapshot, err := c.query(ctx, node.Addr, request)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				view.Unanswered++
+				return
+			}
+			view.Nodes++
+			snapshots = append(snapshots, snapshot)
+		})
+	}
+	queries.Wait()
+	view.add(latencyestimate.MergeSnapshots(snapshots...))
+	return view
+}
+
+// query asks one node.
+func (c *Collector) query(
+	ctx context.Context, host string, request distribution.EstimatesRequest,
+) (snapshot latencyestimate.Snapshot, err error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	address := net.JoinHostPort(host, strconv.Itoa(c.port))
+	err = c.caller.Call(ctx, address, estimatesPath, request, &snapshot)
+	return snapshot, err
+}
+
+// add puts what nodes know into the view, in order.
+func (v *View) add(merged latencyestimate.Snapshot) {
+	for _, keyed := range merged.Sketches {
+		v.Replicas = append(v.Replicas, ReplicaEstimate{Key: keyed.Key, Estimate: keyed.Sketch.Estimate()})
+	}
+	slices.SortFunc(v.Replicas, func(a, b ReplicaEstimate) int {
+		return cmp.Or(
+			cmp.Compare(a.Service, b.Service),
+			cmp.Compare(a.Class, b.Class),
+			cmp.Compare(a.Endpoint, b.Endpoint),
+			cmp.Compare(a.Load, b.Load),
+		)
+	})
+	v.Slow = append(v.Slow, merged.SlowLookups...)
+	slices.SortFunc(v.Slow, func(a, b latencyestimate.SlowLookup) int { return a.At.Compare(b.At) })
+	v.Counters = merged.Counters
+}
--- /dev/null
+++ b/internal/controlplane/latency/file_test.go
@@ -0,0 +1,61 @@
+package latency
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"comethold/internal/simulation"
+	"comethold/internal/storage"
+)
+
+// TestSavedEstimates: a line that was torn costs no other line, and what was saved before
+// a loss of power is there after it, also right after the file was rotated.
+func TestSavedEstimates(t *testing.T) {
+	dir := t.TempDir()
+	disk := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
+	file := NewFile(dir, disk)
+	path := filepath.Join(dir, FileName)
+	torn := `{"nodes":7,"una`
+	for i, before := range []string{"", torn, strings.Repeat(" ", maxFileSize) + "\n", ""} {
+		appendRaw(t, path, before)
+		if err := file.Append(View{Nodes: i + 1}); err != nil {
+			t.Fatal(err)
+		}
+		disk.LosePower()
+	}
+	if got := savedNodes(t, file); fmt.Sprint(got) != "[1 2 3 4]" {
+		t.Errorf("saved are %v", got)
+	}
+}
+
+func appendRaw(t *testing.T, path, text string) {
+	t.Helper()
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err = file.WriteString(text); err != nil || file.Close() != nil {
+		t.Fatal(err)
+	}
+}
+
+// savedNodes reads the views back as an operator gets them.
+func savedNodes(t *testing.T, file *File) (nodes []int) {
+	t.Helper()
+	raw, err := json.Marshal(file.Lines())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var views []View
+	if err := json.Unmarshal(raw, &views); err != nil {
+		t.Fatal(err)
+	}
+	for _, view := range views {
+		nodes = append(nodes, view.Nodes)
+	}
+	return nodes
+}
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/registrar_test.go
@@ -1,16 +1,11 @@
 package controlplane
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"sort"
 	"strconv"
-	"strings"
 	"testing"
 	"time"
 
@@ -18,10 +13,6 @@
 	"comethold/internal/distribution"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
-	"comethold/internal/simulation"
-	"comethold/internal/storage"
-
-	"github.com/labstack/echo/v4"
 )
 
 // TestNodeDeltas: whatever a holder has, what the board tells brings it to the
@@ -150,41 +141,3 @@
 		t.Errorf("%d sums are known", len(b.markDigests.versions))
 	}
 }
-
-// TestSavedEstimates: a line that was torn costs no other line, and what was saved before
-// a loss of power is there after it, also right after the file was put aside.
-func TestSavedEstimates(t *testing.T) {
-	dir := t.TempDir()
-	d := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
-	r := &Server{settings: &settings.Settings{DataDirectory: dir}, disk: d}
-	saved := func() (nodes []int) {
-		w := httptest.NewRecorder()
-		if err := r.readSavedEstimates(echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/", nil), w)); err != nil {
-			t.Fatal(err)
-		}
-		var all []EstimatesView
-		if err := json.Unmarshal(w.Body.Bytes(), &all); err != nil {
-			t.Fatal(err)
-		}
-		for _, v := range all {
-			nodes = append(nodes, v.Nodes)
-		}
-		return nodes
-	}
-	path := filepath.Join(dir, exportFileName)
-	torn := `{"nodes":7,"una`
-	for i, before := range []string{"", torn, strings.Repeat(" ", maxExportFileSize) + "\n", ""} {
-		if f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
-			t.Fatal(err)
-		} else if _, err = f.WriteString(before); err != nil || f.Close() != nil {
-			t.Fatal(err)
-		}
-		if err := r.appendEstimates(EstimatesView{Nodes: i + 1}); err != nil {
-			t.Fatal(err)
-		}
-		d.LosePower()
-	}
-	if got := saved(); fmt.Sprint(got) != "[1 2 3 4]" {
-		t.Errorf("saved are %v", got)
-	}
-}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -64,6 +64,7 @@
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
+	estimates      latencyEstimates
 	usage          usageMetering
 
 	quit     chan struct{}
@@ -118,7 +119,6 @@
 		func() { r.quotas.watermarks.Run(ctx) },
 		func() { r.consumer.Run(ctx) },
 		func() { r.publisher.Run(ctx) },
-		r.exportLoop,
 	} {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); f() }()
@@ -127,6 +127,9 @@
 		r.wg.Go(func() { r.usage.reporter.Run(ctx) })
 		r.wg.Go(func() { r.usage.counts.Run(ctx) })
 	}
+	if r.settings.Estimates.Enabled {
+		r.wg.Go(func() { r.estimates.exporter.Run(ctx) })
+	}
 	return r.host.Run()
 }
 
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -119,6 +119,7 @@
 	r.placementLease = newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	r.usageLease = newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
 	r.openMetering(v)
+	r.openLatencyEstimates()
 	r.openAllocation(v)
 	r.openOutbox(self, v)
 	r.mover = placement.NewMover(placement.Options{
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/latency"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -833,7 +834,7 @@
 		f.estimate = true
 	case "want-estimates": // want-estimates NODES SAMPLES AT: so many switches answer, and know of so many lookups at least
 		_, raw := f.call(f.machinesNamed(c.Word(2))[0], http.MethodGet, "/Estimates.Read?class=urgent", 0, "")
-		var v controlplane.EstimatesView
+		var v latency.View
 		if err := json.Unmarshal([]byte(raw), &v); err != nil {
 			return err
 		}
@@ -846,7 +847,7 @@
 		}
 	case "want-saved": // want-saved LINES AT: so many exports are on that disk at least
 		_, raw := f.call(f.machinesNamed(c.Word(1))[0], http.MethodGet, "/Estimates.Saved", 0, "")
-		var lines []controlplane.EstimatesView
+		var lines []latency.View
 		if err := json.Unmarshal([]byte(raw), &lines); err != nil {
 			return err
 		}
