--- a/internal/controlplane/http.go
+++ b/internal/controlplane/http.go
@@ -30,8 +30,8 @@
 	e.GET("/Configuration.Read", func(c echo.Context) error { return s.operator.Read(c) })
 	e.GET("/Notices.Read", func(c echo.Context) error { return s.operator.ReadOutbox(c) })
 	e.GET("/Duties.Read", func(c echo.Context) error { return s.operator.ReadLeases(c) })
-	e.GET("/Estimates.Read", s.readEstimates)
-	e.GET("/Estimates.Saved", s.readSavedEstimates)
+	e.GET("/Estimates.Read", s.handleReadEstimates)
+	e.GET("/Estimates.Saved", s.handleReadSavedEstimates)
 	e.POST("/Notices.Redrive", func(c echo.Context) error { return s.operator.Redrive(c) })
 	return e
 }
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -79,6 +79,7 @@
 	s.openMetering(store)
 	s.openAllocation(store)
 	s.openOutbox(self, store)
+	s.openLatencyEstimates()
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
