--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -1,6 +1,8 @@
 package controlplane
 
 import (
+	"time"
+
 	"comethold/internal/controlplane/distributor"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
@@ -14,7 +16,7 @@
 // openDistributor makes what hands out updates to nodes. The endpoint list of the node's
 // former incarnation serves until the platform has been asked: endpoints are called by ID,
 // so one that is gone does no harm.
-func (r *Server) openDistributor(store *storage.Store) {
+func (s *Server) openDistributor(store *storage.Store) {
 	var saved *distribution.EndpointList
 	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
 		list := &distribution.EndpointList{}
@@ -22,7 +24,7 @@
 			saved = list
 		}
 	}
-	r.distributor = distributor.New(distributor.Options{
+	s.distributor = distributor.New(distributor.Options{
 		SavedEndpoints: saved,
 		SaveEndpoints: func(list *distribution.EndpointList) {
 			if raw, err := rpc.Marshal(list); err == nil {
@@ -30,10 +32,17 @@
 			}
 		},
 	})
-	r.longPoll = &distributor.LongPoll{
-		Distributor: r.distributor,
-		IsStale:     func() bool { return r.host.QuorumContactAge() > replicahost.StaleAfter },
-		Record:      r.recordNodeCall,
-		Stopping:    r.quit,
+	s.longPoll = &distributor.LongPoll{
+		Distributor: s.distributor,
+		IsStale:     func() bool { return s.host.QuorumContactAge() > replicahost.StaleAfter },
+		Record:      s.recordNodeCall,
+		Stopping:    s.quit,
+	}
+}
+
+// recordNodeCall notes who calls and what they report.
+func (s *Server) recordNodeCall(request *distribution.UpdateRequest) {
+	if s.reports.Record(request, time.Now()) {
+		s.wakeReconciler()
 	}
 }
--- /dev/null
+++ b/internal/controlplane/internalapi.go
@@ -0,0 +1,87 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/distribution"
+	"comethold/internal/outbox"
+	"comethold/internal/rpc"
+
+	"github.com/labstack/echo/v4"
+)
+
+// RequestTimeout bounds what a request between control nodes waits for.
+const RequestTimeout = 1500 * time.Millisecond
+
+// InternalHandler serves what the system's own processes call.
+func (s *Server) InternalHandler() *echo.Echo {
+	e := newRouter(s.log)
+	e.Use(s.requireReady)
+	s.registerPeerCalls(e)
+	e.POST("/feed", func(c echo.Context) error { return s.longPoll.Handle(c) })
+	e.POST("/ration", s.handleRateShare)
+	return e
+}
+
+// registerPeerCalls adds what control nodes call on one another.
+func (s *Server) registerPeerCalls(e *echo.Echo) {
+	e.POST(replicahost.PathMessages, handleRPC(func(_ context.Context, batch *replicahost.Batch) any {
+		s.host.Receive(batch)
+		return nil
+	}))
+	e.POST(replicahost.PathPropose, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+		return s.host.ProposeLocal(ctx, request.Cell, request.Txn)
+	}))
+	e.POST(replicahost.PathConfirm, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+		return s.host.ReadIndexLocal(ctx, request.Cell)
+	}))
+	e.POST(placement.PathMove, handleRPC(func(ctx context.Context, request *placement.MoveRequest) any {
+		return s.mover.MoveLocal(ctx, request)
+	}))
+	e.POST(allocation.LeaderPath, s.handleShareDecision)
+	e.POST("/list", handleRPC(s.receiveEndpoints))
+	e.POST("/list/read", func(c echo.Context) error {
+		if list := s.distributor.Endpoints(); list != nil {
+			return writeCBOR(c, list)
+		}
+		return c.NoContent(http.StatusNotFound)
+	})
+	e.POST("/usage", handleRPC(func(_ context.Context, request *WindowRequest) any {
+		return s.usages.store.Window(request.Window)
+	}))
+	e.POST(outboxpublisher.DeliverPath, handleRPC(func(_ context.Context, list *[]outbox.Notification) any {
+		return s.consumer.Receive(*list)
+	}))
+}
+
+// receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
+// revision, and answers with the revision that is held then.
+func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
+	if list.Endpoints != nil {
+		return s.distributor.SetEndpoints(list)
+	}
+	return s.distributor.EndpointsRevision()
+}
+
+// handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
+// can't be decoded, 204 if there is no response, else 200.
+func handleRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		var request Request
+		if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
+			return c.NoContent(http.StatusBadRequest)
+		}
+		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+		defer cancel()
+		if response := answer(ctx, &request); response != nil {
+			return writeCBOR(c, response)
+		}
+		return c.NoContent(http.StatusNoContent)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/server.go
@@ -0,0 +1,201 @@
+// Package controlplane is the control plane of one node. It hosts the node's replicas of the
+// replicated state, takes the operator's configuration, keeps the state up to date with the
+// platform and the nodes, and distributes it to them.
+//
+// The Server starts, wires and stops what the packages below it do: one package for each
+// concern, over small interfaces. Nothing else is decided here.
+package controlplane
+
+import (
+	"context"
+	"errors"
+	"net"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/distributor"
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/operatorapi"
+	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/placement"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/taskgroup"
+	"comethold/internal/discovery"
+	"comethold/internal/logging"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+	"comethold/internal/storage"
+)
+
+// stopTimeout is how long Stop waits for what runs, such as leases that are given back.
+const stopTimeout = time.Second
+
+// errStopped says that the server was stopped while it started.
+var errStopped = errors.New("controlplane: stopped")
+
+// Server is the control plane of one node.
+type Server struct {
+	settings *settings.Settings
+	log      *logging.Logger
+	disk     storage.Disk
+	network  rpc.Network
+	client   *rpc.Client
+	platform *discovery.Client // nil if the node knows no platform
+	reports  *nodereports.Tracker
+	usages   *Collector
+
+	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
+
+	storage        *storage.Store
+	host           *replicahost.Host
+	distributor    *distributor.Distributor
+	longPoll       *distributor.LongPoll
+	discoveryLease *lease.Lease
+	placementLease *lease.Lease
+	usageLease     usageLease
+	mover          *placement.Mover
+	operator       *operatorapi.Handler
+	shares         *allocation.ShareService
+	quotas         quotaAllocation
+	consumer       *outboxpublisher.Consumer
+	publisher      *outboxpublisher.Publisher
+	quarantine     *outboxpublisher.Quarantine
+
+	quit     chan struct{} // closed by Stop
+	stopOnce sync.Once
+	loops    sync.WaitGroup  // of Run
+	tasks    taskgroup.Group // short ones, started as the state changes
+
+	fetchingList  atomic.Bool // a list that another node holds is being fetched
+	reconcileWake chan struct{}
+
+	mu               sync.Mutex         // guards the fields below
+	reloadedSettings *settings.Settings // the last that were reloaded
+	stopped          bool
+}
+
+// New makes a server. It asks nothing of the disk; Run does.
+func New(set *settings.Settings, log *logging.Logger, network rpc.Network, disk storage.Disk) *Server {
+	s := &Server{
+		settings:      set,
+		log:           log,
+		disk:          disk,
+		network:       network,
+		client:        rpc.NewClient(network),
+		reports:       nodereports.NewTracker(),
+		usages:        NewCollector(network),
+		ready:         make(chan struct{}),
+		quit:          make(chan struct{}),
+		reconcileWake: make(chan struct{}, 1),
+	}
+	if set.Platform.Address != "" {
+		s.platform = discovery.NewClient(network, set.Platform.Address, set.Platform.RatePerS)
+	}
+	return s
+}
+
+// Run opens the storage and does the work of the control plane until Stop.
+func (s *Server) Run() error {
+	s.tasks.Go(s.openStorage)
+	select {
+	case <-s.ready:
+	case <-s.quit:
+		if !s.isReady() {
+			return nil
+		}
+	}
+	s.startLoops()
+	return s.host.Run()
+}
+
+func (s *Server) startLoops() {
+	ctx, cancel := context.WithCancel(context.Background())
+	s.loops.Go(func() {
+		defer cancel()
+		<-s.quit
+	})
+	for _, loop := range []func(){
+		func() { s.discoveryLease.Run(s.quit) },
+		func() { s.placementLease.Run(s.quit) },
+		func() { s.mover.Run(s.quit) },
+		s.discoveryLoop,
+		s.reconcileLoop,
+		func() { s.operator.Run(ctx) },
+		func() { s.shares.Run(ctx) },
+		func() { s.quotas.renewer.Run(ctx) },
+		func() { s.quotas.watermarks.Run(ctx) },
+		func() { s.consumer.Run(ctx) },
+		func() { s.publisher.Run(ctx) },
+		s.reportUsageLoop,
+		s.exportLoop,
+	} {
+		s.loops.Go(loop)
+	}
+}
+
+// Stop ends what runs and gives leases back, then ends the replicas and closes the storage.
+// A disk that has not answered yet can't be waited for.
+func (s *Server) Stop() {
+	s.stopOnce.Do(func() {
+		s.mu.Lock()
+		s.stopped = true
+		close(s.quit)
+		isOpen := s.isReady()
+		s.mu.Unlock()
+		if !isOpen {
+			return
+		}
+		s.waitForLoops()
+		s.host.Stop()
+		s.distributor.Close()
+		_ = s.storage.Close()
+		s.host.Wait()
+	})
+}
+
+// waitForLoops waits until all that was started has ended, for stopTimeout at the most: a
+// call may hang on a peer that is down.
+func (s *Server) waitForLoops() {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.loops.Wait()
+		s.tasks.Close()
+	}()
+	select {
+	case <-ended:
+	case <-time.After(stopTimeout):
+	}
+}
+
+// Reload takes new settings: the seeds may have changed.
+func (s *Server) Reload(set *settings.Settings) {
+	s.mu.Lock()
+	s.reloadedSettings = set
+	s.mu.Unlock()
+	if s.isReady() {
+		s.host.SetSeeds(set.SeedHosts())
+	}
+}
+
+func (s *Server) isReady() bool {
+	select {
+	case <-s.ready:
+		return true
+	default:
+		return false
+	}
+}
+
+func internalAddress(host string, port int) string {
+	return net.JoinHostPort(host, strconv.Itoa(port))
+}
+
+// InternalAddress is where a control node listens for the system's own processes.
+func InternalAddress(set *settings.Settings) string {
+	return internalAddress(set.IPAddress, set.PortOf(settings.ControlPlane))
+}
--- /dev/null
+++ b/internal/controlplane/startup.go
@@ -0,0 +1,197 @@
+package controlplane
+
+import (
+	"errors"
+	"time"
+
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/operatorapi"
+	"comethold/internal/controlplane/placement"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
+	"comethold/internal/settings"
+	"comethold/internal/storage"
+)
+
+// Roles under which leases are stored.
+const (
+	discoveryRole = "directory"
+	placementRole = "mover"
+	usageRole     = "usage"
+)
+
+// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
+type usageLease interface {
+	Run(stop <-chan struct{})
+	Held() (term uint64, held bool)
+	Remaining(term uint64) time.Duration
+	FenceCondition(term uint64) (condition paxos.Condition, held bool)
+	Forfeit()
+}
+
+// openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
+// Until then this node says nothing to the others and rejects calls.
+func (s *Server) openStorage() {
+	for ; ; time.Sleep(storage.RetryDelay) {
+		select {
+		case <-s.quit:
+			return
+		default:
+		}
+		err := s.tryOpenStorage()
+		if err == nil {
+			return
+		}
+		s.logDiskFault(err)
+	}
+}
+
+func (s *Server) tryOpenStorage() error {
+	late := time.AfterFunc(storage.UnresponsiveAfter, func() { s.logDiskFault(storage.ErrUnresponsive) })
+	defer late.Stop()
+	store, err := storage.Open(s.settings.DataDirectory, s.disk, s.logDiskFault)
+	if err != nil {
+		return err
+	}
+	if err := s.startReplicas(store); err != nil {
+		_ = store.Close()
+		return err
+	}
+	return nil
+}
+
+func (s *Server) logDiskFault(err error) {
+	if errors.Is(err, storage.ErrCorrupt) {
+		s.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the replicas is corrupt and was put aside")
+		return
+	}
+	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+}
+
+// startReplicas makes what needs the storage and opens the replicas. The names of the
+// storage's files are synced by now.
+func (s *Server) startReplicas(store *storage.Store) error {
+	founders := s.founders()
+	self, err := s.identify(store, founders)
+	if err != nil {
+		return err
+	}
+	s.storage = store
+	s.openDistributor(store)
+	s.host = s.newHost(self, store)
+	s.discoveryLease = s.newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
+	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	s.usageLease = s.newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	s.openAllocation(store)
+	s.openOutbox(self, store)
+	s.mover = placement.NewMover(placement.Options{
+		Host:     s.host,
+		Lease:    s.placementLease,
+		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
+		RegionOf: s.settings.RegionOf,
+		Log:      s.log,
+	})
+	s.operator = operatorapi.New(operatorapi.Options{
+		Cells:               s.host,
+		Log:                 s.log,
+		IsForming:           s.isForming,
+		LatestConfiguration: s.distributor.LatestConfiguration,
+		Quarantine:          s.quarantine.Add,
+		AppliedVersions:     s.consumer.AppliedVersions,
+	})
+	for _, role := range s.settings.UnknownDuties() {
+		s.log.Warn(logging.UnknownDuty).
+			Str("duty", role).
+			Msg("the settings name a duty that this version does not know; it is not done")
+	}
+	s.host.Open(schema.MetaCell, founders)
+	return s.becomeReady()
+}
+
+// founders are the first voters of the meta cell; none unless this is the first start of
+// the system.
+func (s *Server) founders() (founders []paxos.Voter) {
+	if !s.settings.FirstStart {
+		return nil
+	}
+	for _, address := range s.settings.SeedHosts() {
+		founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
+	}
+	return founders
+}
+
+// identify returns how this node introduces itself to the others.
+func (s *Server) identify(store *storage.Store, founders []paxos.Voter) (self replicahost.PeerInfo, err error) {
+	set := s.settings
+	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
+		Address:    set.IPAddress,
+		FirstStart: set.FirstStart,
+		SetAside:   storage.HasCorruptFile(set.DataDirectory),
+		Founders:   founders,
+	})
+	if err != nil {
+		return self, err
+	}
+	if isNew && !set.FirstStart {
+		s.log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new replica")
+	}
+	return replicahost.PeerInfo{
+		ID:   id,
+		Addr: set.IPAddress,
+		Zone: set.AvailabilityZone,
+		Name: set.NodeName,
+	}, nil
+}
+
+func (s *Server) newHost(self replicahost.PeerInfo, store *storage.Store) *replicahost.Host {
+	hooks := replicahost.Hooks{
+		OnApply:                s.onApply,
+		EndpointRevision:       s.distributor.EndpointsRevision,
+		OnPeerEndpointRevision: s.onPeerEndpoints,
+		RegisteredAddresses:    s.distributor.ControlAddresses,
+	}
+	if s.settings.ReportsUsage() {
+		s.usages.Restore(store)
+		hooks.ReadClocks = s.usages.Times
+		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
+			s.usages.clock.Observe(peer, wall, agreed, time.Now())
+		}
+	}
+	return replicahost.New(replicahost.Options{
+		Self:    self,
+		Port:    s.settings.PortOf(settings.ControlPlane),
+		Seeds:   s.settings.SeedHosts(),
+		Storage: store,
+		Client:  s.client,
+		Network: s.network,
+		Log:     s.log,
+		Hooks:   hooks,
+	})
+}
+
+func (s *Server) newLease(role string, duration time.Duration, skewFactor int) *lease.Lease {
+	return lease.New(lease.Options{
+		Role:       role,
+		Self:       s.host.Self.ID,
+		Duration:   duration,
+		SkewFactor: skewFactor,
+		Cell:       s.host,
+		Log:        s.log,
+	})
+}
+
+// becomeReady lets Run and callers go on, unless the server was stopped meanwhile.
+func (s *Server) becomeReady() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped {
+		return errStopped
+	}
+	if s.reloadedSettings != nil {
+		s.host.SetSeeds(s.reloadedSettings.SeedHosts())
+	}
+	close(s.ready)
+	return nil
+}
