--- a/internal/controlplane/schema/configuration.go
+++ b/internal/controlplane/schema/configuration.go
@@ -6,6 +6,7 @@
 
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
+	"comethold/internal/paxos/statemachine"
 	"comethold/internal/routing"
 )
 
@@ -38,7 +39,7 @@
 		txn.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Absent: true}}
 		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: ConfigDataKey, Value: paxos.Bytes(raw)})
 	} else {
-		patch := paxos.Bytes(paxos.MakePatch(old, raw))
+		patch := paxos.Bytes(statemachine.MakePatch(old, raw))
 		txn.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Equals: UintValue(base)}}
 		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: patch})
 	}
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
@@ -22,15 +23,6 @@
 	usageRole     = "usage"
 )
 
-// usageLease is what the usage reporter needs of its lease. *lease.Lease implements it.
-type usageLease interface {
-	Run(stop <-chan struct{})
-	Held() (term uint64, held bool)
-	Remaining(term uint64) time.Duration
-	FenceCondition(term uint64) (condition paxos.Condition, held bool)
-	Forfeit()
-}
-
 // openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
 // Until then this node says nothing to the others and rejects calls.
 func (s *Server) openStorage() {
@@ -83,7 +75,8 @@
 	s.host = s.newHost(self, store)
 	s.discoveryLease = s.newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
 	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
-	s.usageLease = s.newLease(usageRole, ReporterLeaseDuration, lease.ClockSkewFactor)
+	s.usageLease = s.newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
+	s.openMetering(store)
 	s.openAllocation(store)
 	s.openOutbox(self, store)
 	s.mover = placement.NewMover(placement.Options{
@@ -153,11 +146,8 @@
 		RegisteredAddresses:    s.distributor.ControlAddresses,
 	}
 	if s.settings.ReportsUsage() {
-		s.usages.Restore(store)
-		hooks.ReadClocks = s.usages.Times
-		hooks.OnPeerClocks = func(peer string, wall, agreed int64) {
-			s.usages.clock.Observe(peer, wall, agreed, time.Now())
-		}
+		hooks.ReadClocks = s.usage.collector.ReadClocks
+		hooks.OnPeerClocks = s.usage.collector.ObservePeerClocks
 	}
 	return replicahost.New(replicahost.Options{
 		Self:    self,
