--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -66,6 +66,7 @@
 	consumer       *outboxpublisher.Consumer
 	publisher      *outboxpublisher.Publisher
 	quarantine     *outboxpublisher.Quarantine
+	estimates      latencyEstimates
 
 	quit     chan struct{} // closed by Stop
 	stopOnce sync.Once
@@ -133,7 +134,6 @@
 		func() { s.quotas.watermarks.Run(ctx) },
 		func() { s.consumer.Run(ctx) },
 		func() { s.publisher.Run(ctx) },
-		s.exportLoop,
 	} {
 		s.loops.Go(loop)
 	}
@@ -141,6 +141,9 @@
 		s.loops.Go(func() { s.usage.reporter.Run(ctx) })
 		s.loops.Go(func() { s.usage.counts.Run(ctx) })
 	}
+	if s.settings.Estimates.Enabled {
+		s.loops.Go(func() { s.estimates.exporter.Run(ctx) })
+	}
 }
 
 // Stop ends what runs and gives leases back, then ends the replicas and closes the storage.
