--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -13,12 +13,18 @@
 	"comethold/internal/storage"
 )
 
-// TestNotificationsInOrder: nodes ask for what is after the newest position that they know, so
-// a notice that waits for its state is not overtaken, and two at one position are told
+// TestNotificationsInOrder: nodes ask for what comes after the newest log index that they
+// know, so a notification that waits for its state is not overtaken, and two at one index go
 // together.
 func TestNotificationsInOrder(t *testing.T) {
-	r := New(&settings.Settings{NodeName: "n", IPAddress: "10.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true,
-		SeedNodes: []string{"10.0.0.1:1"}}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
+	r := New(&settings.Settings{
+		NodeName:          "n",
+		IPAddress:         "10.0.0.1",
+		InternalPortRange: []int{7120, 7135},
+		DataDirectory:     t.TempDir(),
+		FirstStart:        true,
+		SeedNodes:         []string{"10.0.0.1:1"},
+	}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
@@ -30,29 +36,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(slot uint64, id string, n outbox.Notification) paxos.Op {
-		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.OutboxKeyPrefix, slot, id), Value: schema.MustEncode(outbox.Row{Notification: n})}
+	row := func(index uint64, id string, notification outbox.Notification) paxos.Op {
+		return paxos.Op{
+			Kind:  paxos.OpPut,
+			Key:   paxos.AppendedKey(schema.OutboxKeyPrefix, index, id),
+			Value: schema.MustEncode(outbox.Row{Notification: notification}),
+		}
+	}
+	purged := paxos.Op{
+		Kind:  paxos.OpPut,
+		Key:   paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"),
+		Value: schema.MustEncode([]distribution.Purge{{Label: "l"}}),
 	}
-	purged := paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"), Value: schema.MustEncode([]distribution.Purge{{Label: "l"}})}
-	if !r.propose(schema.MetaCell, paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges), purged}}) {
-		t.Fatal("not taken")
+	if !r.propose(schema.MetaCell, paxos.Txn{Ops: []paxos.Op{
+		row(8, "a", purges),
+		row(9, "a", purges),
+		row(9, "b", change),
+		row(10, "a", purges),
+		purged,
+	}}) {
+		t.Fatal("not committed")
 	}
-	have := uint64(1)
-	tell := func(want int) {
+	known := uint64(1)
+	expect := func(want int) {
 		t.Helper()
 		r.consumer.Apply()
-		n := r.distributor.Changes(&distribution.UpdateRequest{Held: distribution.HeldVersions{NotificationIndex: have}})
-		if n.Notifications == nil && want == 0 {
+		held := distribution.HeldVersions{NotificationIndex: known}
+		update := r.distributor.Changes(&distribution.UpdateRequest{Held: held})
+		if update.Notifications == nil && want == 0 {
 			return
 		}
-		if n.Notifications == nil || len(n.Notifications.Notifications) != want {
-			t.Fatalf("told are %v, not %d", n.Notifications, want)
+		if update.Notifications == nil || len(update.Notifications.Notifications) != want {
+			t.Fatalf("an update has %v, not %d", update.Notifications, want)
 		}
-		have = n.Notifications.LogIndex
+		known = update.Notifications.LogIndex
 	}
-	tell(1) // the configuration is not here
-	tell(0)
+	expect(1) // the configuration is not here
+	expect(0)
 	r.distributor.SetConfiguration(3, []byte(`{"version":3}`))
-	tell(3)
-	tell(0)
+	expect(3)
+	expect(0)
 }
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -75,7 +75,7 @@
 func (h *Host) ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) ProposeResult {
 	waiter := make(chan paxos.Outcome, 1)
 	var err error
-	h.loop.do(func() { //nolint:contextcheck // the senders that it may start outlive the call
+	h.loop.do(func() {
 		hosted := h.replicas[cell]
 		if hosted == nil {
 			err = paxos.ErrNotLeader
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -50,7 +50,7 @@
 	waiter := make(chan uint64, 1)
 	var readID uint64
 	var err error
-	h.loop.do(func() { //nolint:contextcheck // the senders that it may start outlive the call
+	h.loop.do(func() {
 		hosted := h.replicas[cell]
 		if hosted == nil {
 			err = paxos.ErrNotLeader
--- a/internal/controlplane/replicahost/transport.go
+++ b/internal/controlplane/replicahost/transport.go
@@ -57,6 +57,7 @@
 	bulkClient *rpc.Client
 	port       int
 	newBatch   func([]paxos.Message) *Batch
+	deliver    deliverFunc // sendBatch, unless a test replaces it
 
 	quit    chan struct{}      // closed by stop
 	sending context.Context    // ends with the senders
@@ -68,6 +69,9 @@
 	peers   map[string]*peerQueues // by address
 }
 
+// deliverFunc sends messages to a peer, at a minimal rate in bytes a second.
+type deliverFunc func(client *rpc.Client, rate float64, address string, messages []paxos.Message)
+
 type peerQueues struct {
 	small *sendQueue
 	bulk  *bulkQueue
@@ -80,7 +84,7 @@
 func newTransport(network rpc.Network, client *rpc.Client, port int, newBatch func([]paxos.Message) *Batch) *transport {
 	sending, abort := context.WithCancel(context.Background())
 	bulkNetwork := rpc.WithSendBuffer(network, bulkUnsentBytes)
-	return &transport{
+	t := &transport{
 		client:     client,
 		bulkClient: rpc.NewClientWithLimits(bulkNetwork, bulkDialTimeout, bulkSilenceTimeout, bulkIdleConns),
 		port:       port,
@@ -90,6 +94,8 @@
 		abort:      abort,
 		peers:      map[string]*peerQueues{},
 	}
+	t.deliver = t.sendBatch
+	return t
 }
 
 // send queues messages to the peer at an address. Without messages it sends a hello.
@@ -163,14 +169,14 @@
 		case <-t.quit:
 			return
 		}
-		t.sendBatch(t.client, minSendRate, address, queue.nextBatch())
+		t.deliver(t.client, minSendRate, address, queue.nextBatch())
 	}
 }
 
 func (t *transport) bulkLoop(address string, queue *bulkQueue) {
 	for {
 		if message := queue.next(); message != nil {
-			t.sendBatch(t.bulkClient, minBulkSendRate, address, []paxos.Message{*message})
+			t.deliver(t.bulkClient, minBulkSendRate, address, []paxos.Message{*message})
 			continue
 		}
 		select {
