--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -24,7 +24,7 @@
 
 // openLatencyEstimates makes what collects and exports latency estimates.
 func (r *Server) openLatencyEstimates() {
-	collector := latency.NewCollector(r.board.Nodes, r.settings.PortOf(settings.DataPlane), r.client)
+	collector := latency.NewCollector(r.distributor.Nodes, r.settings.PortOf(settings.DataPlane), r.client)
 	file := latency.NewFile(r.settings.DataDirectory, r.disk)
 	r.estimates = latencyEstimates{
 		collector: collector,
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -40,7 +40,7 @@
 		Lease:   r.usageLease,
 		State:   metaCell{r.host},
 		Peers:   r.host,
-		Nodes:   r.board.Nodes,
+		Nodes:   r.distributor.Nodes,
 		Address: r.settings.IPAddress,
 		Voters:  placement.VotersFor(r.settings.Tolerance.MachineLosses),
 		Window:  bounds.UsageWindow(),
