--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -40,22 +40,22 @@
 
 // Server is the control plane of one node.
 type Server struct {
-	settings    *settings.Settings
-	log         *logging.Logger
-	disk        storage.Disk
-	network     rpc.Network
-	client      *rpc.Client
-	distributor *distributor.Distributor
-	longPoll    *distributor.LongPoll
-	platform    *discovery.Client // nil if the node knows no platform
-	reports     *nodereports.Tracker
-	usage       usageMetering
-	startedAt   time.Time
+	settings  *settings.Settings
+	log       *logging.Logger
+	disk      storage.Disk
+	network   rpc.Network
+	client    *rpc.Client
+	platform  *discovery.Client // nil if the node knows no platform
+	reports   *nodereports.Tracker
+	usage     usageMetering
+	startedAt time.Time
 
 	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
 
 	storage        *storage.Store
 	host           *replicahost.Host
+	distributor    *distributor.Distributor
+	longPoll       *distributor.LongPoll
 	discoveryLease *lease.Lease
 	placementLease *lease.Lease
 	usageLease     *lease.Lease
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -77,6 +77,7 @@
 	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
 	s.usageLease = s.newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
 	s.openMetering(store)
+	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
 	s.openLatencyEstimates()
