--- /dev/null
+++ b/internal/controlplane/outboxpublisher/fixture_test.go
@@ -0,0 +1,195 @@
+package outboxpublisher
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/schematest"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/outbox"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+)
+
+const selfAddress = "10.0.0.1"
+
+var errUnreachable = errors.New("unreachable")
+
+// fakeDistributor notes what it is given.
+type fakeDistributor struct {
+	configuration *routing.Configuration
+	purgePosition uint64
+	added         []distribution.OutboxNotification
+}
+
+func (d *fakeDistributor) LatestConfiguration() *routing.Configuration { return d.configuration }
+
+func (d *fakeDistributor) PurgePosition() uint64 { return d.purgePosition }
+
+func (d *fakeDistributor) AddNotifications(notifications []distribution.OutboxNotification) {
+	for _, added := range notifications {
+		isKnown := func(known distribution.OutboxNotification) bool {
+			return known.Notification.EventID == added.Notification.EventID
+		}
+		if !slices.ContainsFunc(d.added, isKnown) {
+			d.added = append(d.added, added)
+		}
+	}
+}
+
+// memoryStorage keeps values in memory.
+type memoryStorage struct {
+	mu     sync.Mutex // guards values
+	values map[string][]byte
+}
+
+func newMemoryStorage() *memoryStorage { return &memoryStorage{values: map[string][]byte{}} }
+
+func (s *memoryStorage) NodeValue(key string) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.values[key]
+}
+
+func (s *memoryStorage) QueueNodeValue(key string, value []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.values[key] = value
+}
+
+// fakePeers are control nodes, this one among them, that are done with some notifications.
+type fakePeers struct {
+	done map[string][]string // event IDs by address; an address without an entry is down
+}
+
+func (p *fakePeers) LivePeers(time.Duration) map[string]replicahost.PeerInfo {
+	live := map[string]replicahost.PeerInfo{selfAddress: {Addr: selfAddress}}
+	for address := range p.done {
+		live[address] = replicahost.PeerInfo{Addr: address}
+	}
+	return live
+}
+
+func (p *fakePeers) CallPeer(_ context.Context, address, _ string, request, response any) error {
+	done := p.done[address]
+	notifications, isList := request.([]outbox.Notification)
+	answer, takesList := response.(*[]bool)
+	if done == nil || !isList || !takesList {
+		return errUnreachable
+	}
+	for _, notification := range notifications {
+		*answer = append(*answer, slices.Contains(done, notification.EventID))
+	}
+	return nil
+}
+
+// fixture is a control node with an outbox.
+type fixture struct {
+	t              *testing.T
+	cell           *schematest.Cell
+	distributor    *fakeDistributor
+	storage        *memoryStorage
+	configurations []uint64 // versions that came into force
+	consumer       *Consumer
+	peers          *fakePeers
+	publisher      *Publisher
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := &fixture{
+		t:           t,
+		cell:        schematest.NewCell(t),
+		distributor: &fakeDistributor{},
+		storage:     newMemoryStorage(),
+		peers:       &fakePeers{done: map[string][]string{}},
+	}
+	f.restart()
+	f.publisher = NewPublisher(PublisherOptions{
+		State: f.cell,
+		Peers: f.peers,
+		Local: f.consumer,
+		Self:  replicahost.PeerInfo{ID: "a", Addr: selfAddress},
+		Log:   logging.Nop(),
+	})
+	return f
+}
+
+// restart makes a new consumer over what is stored.
+func (f *fixture) restart() {
+	f.consumer = NewConsumer(ConsumerOptions{
+		State:       f.cell,
+		Distributor: f.distributor,
+		Storage:     f.storage,
+		Quarantine:  NewQuarantine(f.cell, "n1"),
+		OnConfiguration: func(configuration *routing.Configuration) {
+			f.configurations = append(f.configurations, configuration.Version)
+		},
+		Log: logging.Nop(),
+	})
+}
+
+// change commits the notification of a configuration change.
+func (f *fixture) change(eventID string, version, previous uint64) {
+	f.t.Helper()
+	notification, err := outbox.NewNotification(eventID, outbox.AggregateConfiguration, version, previous, nil)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.add(notification)
+}
+
+func (f *fixture) add(notification outbox.Notification) {
+	f.t.Helper()
+	row := schema.MustEncode(outbox.Row{Notification: notification})
+	appendRow := paxos.Op{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: row}
+	if !f.cell.Commit(paxos.Txn{Ops: []paxos.Op{appendRow}}) {
+		f.t.Fatalf("%s is not committed", notification.EventID)
+	}
+}
+
+// hold has this node hold a configuration.
+func (f *fixture) hold(version uint64) {
+	f.distributor.configuration = &routing.Configuration{Version: version}
+}
+
+func (f *fixture) wantNotified(eventIDs ...string) {
+	f.t.Helper()
+	var got []string
+	for _, added := range f.distributor.added {
+		got = append(got, added.Notification.EventID)
+	}
+	if !slices.Equal(got, eventIDs) {
+		f.t.Errorf("nodes are notified of %v, not of %v", got, eventIDs)
+	}
+}
+
+func (f *fixture) wantApplied(version uint64) {
+	f.t.Helper()
+	if got := f.consumer.AppliedVersions()[outbox.AggregateConfiguration]; got != version {
+		f.t.Errorf("configurations are applied up to %d, not %d", got, version)
+	}
+}
+
+// rows are those of the outbox, by event ID.
+func (f *fixture) rows() map[string]outbox.Row {
+	rows := map[string]outbox.Row{}
+	for _, stored := range outboxRows(f.cell) {
+		rows[stored.Row.Notification.EventID] = stored.Row
+	}
+	return rows
+}
+
+func (f *fixture) quarantined() (keys []string) {
+	f.cell.View(func(replica *paxos.Replica) {
+		keys = replica.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
+	})
+	return keys
+}
--- /dev/null
+++ b/internal/controlplane/schematest/cell.go
@@ -0,0 +1,93 @@
+// Package schematest has a meta cell for tests: one replica, without a disk or a network.
+package schematest
+
+import (
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/paxos"
+)
+
+// step is by how much the clock moves with each transaction.
+const step = 50 * time.Millisecond
+
+// Cell is a meta cell of one replica. It is safe for concurrent use.
+type Cell struct {
+	tb testing.TB
+
+	mu        sync.Mutex // guards the fields below
+	replica   *paxos.Replica
+	now       time.Duration
+	proposals int
+}
+
+// NewCell returns a Cell whose replica leads.
+func NewCell(tb testing.TB) *Cell {
+	tb.Helper()
+	founders := []paxos.Voter{{ID: "a", Addr: "a"}}
+	snapshot := &paxos.Snapshot{
+		State:       map[string]paxos.Value{},
+		Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: founders}},
+	}
+	config := paxos.Config{
+		Cell:              schema.MetaCell,
+		Self:              "a",
+		Alpha:             3,
+		MaxQueue:          8,
+		MaxBatch:          4,
+		RetainedEntries:   16,
+		HeartbeatInterval: 2 * step,
+		ElectionTimeout:   8 * step,
+		Jitter:            func() float64 { return 0.5 },
+	}
+	cell := &Cell{tb: tb, replica: paxos.NewReplica(config, paxos.PersistedState{Snapshot: snapshot}, 0)}
+	for range 20 {
+		cell.stepLocked()
+	}
+	return cell
+}
+
+// View runs a function that looks at the state.
+func (c *Cell) View(read func(*paxos.Replica)) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	read(c.replica)
+	return true
+}
+
+// Commit applies a transaction and reports whether it was committed.
+func (c *Cell) Commit(txn paxos.Txn) bool {
+	c.tb.Helper()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.proposals++
+	txn.ID = strconv.Itoa(c.proposals)
+	if err := c.replica.Propose(c.now, txn); err != nil {
+		c.tb.Errorf("transaction %s: %v", txn.ID, err)
+		return false
+	}
+	return c.stepLocked()
+}
+
+// stepLocked has the replica do all that it wants done, and reports whether that committed a
+// transaction.
+func (c *Cell) stepLocked() (committed bool) {
+	c.now += step
+	c.replica.Tick(c.now)
+	for {
+		ready := c.replica.Ready()
+		for _, outcome := range ready.Outcomes {
+			committed = committed || outcome.Committed
+		}
+		messages := append(ready.Messages, ready.MessagesAfterSync...)
+		if len(messages) == 0 {
+			return committed
+		}
+		for _, message := range messages {
+			c.replica.Step(c.now, message)
+		}
+	}
+}
