--- /dev/null
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -0,0 +1,156 @@
+package allocation
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"comethold/internal/controlplane/lease"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/schematest"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+	"comethold/internal/ratelimit"
+)
+
+// leaderState is the replicated state at the leader.
+type leaderState struct {
+	cell *schematest.Cell
+
+	mu        sync.Mutex // guards the fields below
+	commits   int
+	conflicts int // how many commits are still to fail since the table has changed
+}
+
+func (s *leaderState) View(_ string, read func(*paxos.Replica)) bool { return s.cell.View(read) }
+
+func (s *leaderState) ProposeLocal(_ context.Context, _ string, txn paxos.Txn) replicahost.ProposeResult {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conflicts > 0 {
+		s.conflicts--
+		return replicahost.ProposeResult{}
+	}
+	s.commits++
+	return replicahost.ProposeResult{Committed: s.cell.Commit(txn)}
+}
+
+func (s *leaderState) CallLeader(
+	ctx context.Context, _, _ string, _ any, local func(context.Context) replicahost.ProposeResult,
+) (replicahost.ProposeResult, error) {
+	result := local(ctx)
+	if result.Busy {
+		return result, replicahost.ErrBusy
+	}
+	return result, nil
+}
+
+// startShareService returns a service that runs until the test ends.
+func startShareService(t *testing.T) (*ShareService, *leaderState) {
+	t.Helper()
+	state := &leaderState{cell: schematest.NewCell(t)}
+	service := NewShareService(state, lease.ClockSkewFactor)
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { service.Run(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+	return service, state
+}
+
+// TestSharesAreCommitted: shares that many nodes ask for at once never exceed the whole, and
+// stand in the replicated state, each table for itself.
+func TestSharesAreCommitted(t *testing.T) {
+	service, _ := startShareService(t)
+	var requests sync.WaitGroup
+	for i := range 20 {
+		requests.Go(func() {
+			table := distribution.RateShares
+			if i%2 == 1 {
+				table = distribution.QuotaShares
+			}
+			request := distribution.ShareRequest{Table: table, Node: fmt.Sprint("n", i), HoldsNone: true}
+			if grant, err := service.Request(t.Context(), request); err != nil || !grant.Granted {
+				t.Errorf("%s: %+v, %v", request.Node, grant, err)
+			}
+		})
+	}
+	requests.Wait()
+	for _, key := range []string{schema.RateSharesKey, schema.QuotaSharesKey} {
+		table, _ := service.readTable(key)
+		sum := 0
+		for _, share := range table {
+			sum += share.Permille
+		}
+		if len(table) != 10 || sum > ratelimit.FullShare {
+			t.Errorf("%s: %d shares of %d in all", key, len(table), sum)
+		}
+	}
+}
+
+// TestChangedTableIsReadAgain: a table that has changed meanwhile is decided anew, up to a
+// number of times.
+func TestChangedTableIsReadAgain(t *testing.T) {
+	service, state := startShareService(t)
+	request := distribution.ShareRequest{Table: distribution.RateShares, Node: "n", HoldsNone: true}
+	for conflicts, wantErr := range map[int]bool{maxCommitAttempts - 1: false, maxCommitAttempts: true} {
+		state.mu.Lock()
+		state.conflicts = conflicts
+		state.mu.Unlock()
+		grant, err := service.Request(t.Context(), request)
+		if (err != nil) != wantErr || grant.Granted == wantErr {
+			t.Errorf("%d conflicts: %+v, %v", conflicts, grant, err)
+		}
+	}
+}
+
+// TestStoppedServiceAnswersUnknown: once the service has stopped, nobody waits for it.
+func TestStoppedServiceAnswersUnknown(t *testing.T) {
+	service := NewShareService(&leaderState{cell: schematest.NewCell(t)}, lease.ClockSkewFactor)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	service.Run(ctx)
+	waiting, cancelWait := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancelWait()
+	result := service.DecideLocal(waiting, distribution.ShareRequest{Node: "n"})
+	if !result.Unknown || waiting.Err() != nil {
+		t.Errorf("the result is %+v, %v", result, waiting.Err())
+	}
+}
+
+// TestFullQueueIsBusy: more requests than can wait are refused at once.
+func TestFullQueueIsBusy(t *testing.T) {
+	service := NewShareService(nil, lease.ClockSkewFactor)
+	for range cap(service.waiting) {
+		service.waiting <- &pendingShareRequest{}
+	}
+	if result := service.DecideLocal(t.Context(), distribution.ShareRequest{Node: "n"}); !result.Busy {
+		t.Errorf("the result is %+v", result)
+	}
+}
+
+// TestValidShareRequests: a request names its node, a table and a part of the whole.
+func TestValidShareRequests(t *testing.T) {
+	service := NewShareService(nil, lease.ClockSkewFactor)
+	for _, c := range []struct {
+		name    string
+		request distribution.ShareRequest
+		want    bool
+	}{
+		{"all of it", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare}, true},
+		{"quotas", distribution.ShareRequest{Node: "n", Table: distribution.QuotaShares}, true},
+		{"no node", distribution.ShareRequest{}, false},
+		{"less than nothing", distribution.ShareRequest{Node: "n", Permille: -1}, false},
+		{"more than all", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare + 1}, false},
+		{"another table", distribution.ShareRequest{Node: "n", Table: 99}, false},
+	} {
+		if got := service.IsValid(&c.request); got != c.want {
+			t.Errorf("%s: valid is %v", c.name, got)
+		}
+	}
+}
