--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -29,11 +29,11 @@
 	}
 	if changed.AnyWithPrefix(schema.NodeKeyPrefix) {
 		s.distributor.SetNodes(replica.AppliedIndex(), schema.ReadNodes(replica))
-		s.wakeReconciler()
+		s.reconciler.Wake()
 	}
 	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.openListedIndexes(schema.ReadIndexes(replica))
-		s.wakeReconciler()
+		s.reconciler.Wake()
 	}
 }
 
@@ -43,7 +43,7 @@
 	if s.distributor.SetConfiguration(version, raw) {
 		s.consumer.Wake()
 	}
-	s.wakeReconciler()
+	s.reconciler.Wake()
 }
 
 // openListedIndexes opens and closes replicas of index cells as the meta cell lists them.
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -1,8 +1,6 @@
 package controlplane
 
 import (
-	"time"
-
 	"comethold/internal/controlplane/distributor"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/distribution"
@@ -35,14 +33,7 @@
 	s.longPoll = &distributor.LongPoll{
 		Distributor: s.distributor,
 		IsStale:     func() bool { return s.host.QuorumContactAge() > replicahost.StaleAfter },
-		Record:      s.recordNodeCall,
+		Record:      s.reconciler.Record,
 		Stopping:    s.quit,
 	}
 }
-
-// recordNodeCall notes who calls and what they report.
-func (s *Server) recordNodeCall(request *distribution.UpdateRequest) {
-	if s.reports.Record(request, time.Now()) {
-		s.wakeReconciler()
-	}
-}
--- /dev/null
+++ b/internal/controlplane/endpointlist/poller.go
@@ -0,0 +1,229 @@
+// Package endpointlist keeps the platform's list of endpoints on the control nodes. One of
+// them, which holds a lease, polls the platform and broadcasts what it gets; the others take
+// the list from it, or fetch it from a peer that has a newer one.
+//
+// A list bears the term of the lease and a sequence number, so of two lists all nodes keep
+// the same.
+package endpointlist
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/discovery"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+)
+
+// Paths between control nodes.
+const (
+	PathPush  = "/list"      // takes a list, or a revision alone, and answers with the one held
+	PathFetch = "/list/read" // answers with the list held
+)
+
+// Times of the poller. The reasons for these values are in docs/design.md.
+const (
+	minPollInterval = 800 * time.Millisecond
+	// leaseCheckInterval is how often a node that doesn't poll looks whether it should.
+	leaseCheckInterval = minPollInterval / 4
+	// pollFraction is the part of the time within which draining must be heeded that passes
+	// between two polls.
+	pollFraction = 0.3
+	// listTimeout is for all pages of a list; each has a time-out of its own.
+	listTimeout = 10 * time.Second
+	// revisionInterval is how often peers are told the revision of a list that is unchanged.
+	revisionInterval = time.Second
+	callTimeout      = time.Second
+)
+
+// maxPollFailures is after how many polls in a row that failed another node may try.
+const maxPollFailures = 3
+
+// Platform lists the endpoints. *discovery.Client implements it.
+type Platform interface {
+	List(ctx context.Context) ([]distribution.Endpoint, error)
+}
+
+// Lease tells whether this node is the one that polls.
+type Lease interface {
+	Held() (term uint64, held bool)
+	// Yield gives the lease back and lets others go first.
+	Yield()
+}
+
+// Store holds the list on this node. *distributor.Distributor implements it.
+type Store interface {
+	Endpoints() *distribution.EndpointList
+	EndpointsRevision() distribution.Revision
+	SetEndpoints(list *distribution.EndpointList) distribution.Revision
+}
+
+// Peers are the other control nodes. *replicahost.Host implements it.
+type Peers interface {
+	Do(task func())
+	PeerAddresses() []string
+	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
+	CallPeer(ctx context.Context, address, path string, request, response any) error
+}
+
+// PollerOptions are what a Poller is made from.
+type PollerOptions struct {
+	Platform Platform
+	Lease    Lease
+	Store    Store
+	Peers    Peers
+	// SelfAddress is that of this node, which is not called.
+	SelfAddress string
+	// DrainTimeout is the time within which it must be heeded that an endpoint drains.
+	DrainTimeout time.Duration
+	// OnChange is called when the list has changed.
+	OnChange func()
+	Log      *logging.Logger
+}
+
+// Poller polls the platform while its node holds the lease.
+type Poller struct {
+	options      PollerOptions
+	interval     time.Duration
+	broadcasting sync.WaitGroup
+
+	// The fields below belong to Run.
+
+	failures    int // polls in a row
+	broadcastAt time.Time
+}
+
+// NewPoller makes a poller. Run starts it.
+func NewPoller(options PollerOptions) *Poller {
+	interval := time.Duration(pollFraction * float64(options.DrainTimeout))
+	return &Poller{options: options, interval: max(minPollInterval, interval)}
+}
+
+// Run polls until ctx is done.
+func (p *Poller) Run(ctx context.Context) {
+	defer p.broadcasting.Wait()
+	pause := p.interval
+	for {
+		select {
+		case <-time.After(pause):
+		case <-ctx.Done():
+			return
+		}
+		pause = p.poll(ctx)
+	}
+}
+
+// poll asks the platform for its list, if this node is to, and returns when to do so next.
+func (p *Poller) poll(ctx context.Context) (pause time.Duration) {
+	term, held := p.options.Lease.Held()
+	if !held {
+		p.failures = 0
+		return leaseCheckInterval
+	}
+	endpoints, err := p.list(ctx)
+	if err != nil {
+		p.handleFailure(err)
+		return p.interval / 2
+	}
+	p.failures = 0
+	if now, held := p.options.Lease.Held(); !held || now != term {
+		return p.interval // too late: the lease ended before the platform answered
+	}
+	isNew := p.update(term, endpoints)
+	if isNew || time.Since(p.broadcastAt) >= revisionInterval {
+		p.broadcastAt = time.Now()
+		list := p.options.Store.Endpoints()
+		p.broadcasting.Go(func() { p.broadcast(ctx, list, isNew) })
+	}
+	return p.interval
+}
+
+// list calls the platform. A call that was begun is brought to its end when the node stops.
+func (p *Poller) list(ctx context.Context) ([]distribution.Endpoint, error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), listTimeout)
+	defer cancel()
+	return p.options.Platform.List(ctx)
+}
+
+func (p *Poller) handleFailure(err error) {
+	p.failures++
+	p.options.Log.Warn(logging.EndpointListFailed).
+		Err(err).
+		Int("failures", p.failures).
+		Msg("the platform's endpoint list could not be read")
+	if p.failures >= maxPollFailures && !errors.Is(err, discovery.ErrRateLimited) {
+		p.options.Lease.Yield() // another node may reach the platform
+		p.failures = 0
+	}
+}
+
+// update stores a list and reports whether it differs from the one held.
+func (p *Poller) update(term uint64, endpoints []distribution.Endpoint) bool {
+	if endpoints == nil {
+		endpoints = []distribution.Endpoint{} // on the wire, a list without any differs from a revision alone
+	}
+	next := &distribution.EndpointList{
+		Revision:  distribution.Revision{Term: term, Sequence: 1},
+		Endpoints: endpoints,
+	}
+	if current := p.options.Store.Endpoints(); current != nil && current.Revision.Term == term {
+		if schema.EqualEncoding(current.Endpoints, next.Endpoints) {
+			return false
+		}
+		next.Revision.Sequence = current.Revision.Sequence + 1
+	}
+	p.options.Store.SetEndpoints(next)
+	p.options.Log.Debug(logging.EndpointListChanged).
+		Int("endpoints", len(endpoints)).
+		Uint64("term", term).
+		Uint64("sequence", next.Revision.Sequence).
+		Msg("the endpoint list changed")
+	p.options.OnChange()
+	return true
+}
+
+// broadcast hands a list to the other control nodes: whole if it is new, or else its
+// revision, followed by the whole where a node holds an older one.
+func (p *Poller) broadcast(ctx context.Context, list *distribution.EndpointList, isNew bool) {
+	var calls sync.WaitGroup
+	defer calls.Wait()
+	for address := range p.peerAddresses() {
+		calls.Go(func() {
+			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+			defer cancel()
+			p.push(callCtx, address, list, isNew)
+		})
+	}
+}
+
+func (p *Poller) push(ctx context.Context, address string, list *distribution.EndpointList, isNew bool) {
+	var held distribution.Revision
+	if isNew {
+		_ = p.options.Peers.CallPeer(ctx, address, PathPush, list, &held) // it fetches the list if this fails
+		return
+	}
+	revisionOnly := &distribution.EndpointList{Revision: list.Revision}
+	err := p.options.Peers.CallPeer(ctx, address, PathPush, revisionOnly, &held)
+	if err == nil && held.Less(list.Revision) {
+		_ = p.options.Peers.CallPeer(ctx, address, PathPush, list, &held)
+	}
+}
+
+// peerAddresses is the set of the other control nodes that are known or were heard.
+func (p *Poller) peerAddresses() map[string]bool {
+	addresses := map[string]bool{}
+	p.options.Peers.Do(func() {
+		for _, address := range p.options.Peers.PeerAddresses() {
+			addresses[address] = true
+		}
+		for address := range p.options.Peers.LivePeers(replicahost.LearnerTimeout) {
+			addresses[address] = true
+		}
+	})
+	delete(addresses, p.options.SelfAddress)
+	return addresses
+}
--- a/internal/controlplane/formation.go
+++ b/internal/controlplane/formation.go
@@ -5,8 +5,6 @@
 
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
-	"comethold/internal/controlplane/schema"
-	"comethold/internal/paxos"
 )
 
 // Times of the formation of the meta cell. The reasons for these values are in
@@ -40,8 +38,3 @@
 	}
 	return false
 }
-
-// viewMetaCell looks at this node's replica of the meta cell; see replicahost.Host.View.
-func (r *Server) viewMetaCell(read func(*paxos.Replica)) bool {
-	return r.host.View(schema.MetaCell, read)
-}
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"comethold/internal/controlplane/allocation"
+	"comethold/internal/controlplane/endpointlist"
 	"comethold/internal/controlplane/metering"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
-	"comethold/internal/distribution"
 	"comethold/internal/outbox"
 	"comethold/internal/rpc"
 
@@ -46,28 +46,14 @@
 		return s.mover.MoveLocal(ctx, request)
 	}))
 	e.POST(allocation.LeaderPath, s.handleShareDecision)
-	e.POST("/list", handleRPC(s.receiveEndpoints))
-	e.POST("/list/read", func(c echo.Context) error {
-		if list := s.distributor.Endpoints(); list != nil {
-			return writeCBOR(c, list)
-		}
-		return c.NoContent(http.StatusNotFound)
-	})
+	e.POST(endpointlist.PathPush, handleRPC(s.receiveEndpoints))
+	e.POST(endpointlist.PathFetch, s.handleFetchEndpoints)
 	e.POST(metering.WindowPath, s.handleUsageWindow)
 	e.POST(outboxpublisher.DeliverPath, handleRPC(func(_ context.Context, list *[]outbox.Notification) any {
 		return s.consumer.Receive(*list)
 	}))
 }
 
-// receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
-// revision, and answers with the revision that is held then.
-func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
-	if list.Endpoints != nil {
-		return s.distributor.SetEndpoints(list)
-	}
-	return s.distributor.EndpointsRevision()
-}
-
 // handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
 // can't be decoded, 204 if there is no response, else 200.
 func handleRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
--- a/internal/controlplane/late_test.go
+++ b/internal/controlplane/late_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"comethold/internal/controlplane/outboxpublisher"
+	"comethold/internal/controlplane/reconcile"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
@@ -18,13 +19,13 @@
 	c := newSingleReplica(t)
 	held := func(key string) (paxos.Value, bool) { return c.replica.Get(key) }
 	mark := func(why string, next *distribution.EjectionMark) paxos.Txn {
-		todo := map[string]*paxos.Txn{}
-		AddMarkChange(todo, "i", "l", distribution.EjectionMark{Reason: why}, next)
-		return *todo["i"]
+		var txn paxos.Txn
+		reconcile.AddMarkChange(&txn, "l", distribution.EjectionMark{Reason: why}, next)
+		return txn
 	}
 	cut := func(version uint64, shard string) paxos.Txn {
 		v, known := held(schema.ShardSetKey)
-		txn, due := ShardSetTxn(v, known, schema.ShardSetRecord{Version: version, Services: []string{shard}})
+		txn, due := reconcile.ShardSetTxn(v, known, schema.ShardSetRecord{Version: version, Services: []string{shard}})
 		if !due {
 			t.Errorf("the cut of %d is not due", version)
 		}
@@ -32,7 +33,7 @@
 	}
 	forget := func(upTo uint64) paxos.Txn {
 		v, known := held(schema.PurgeCompactedKey)
-		return ForgetPurgesTxn(v, known, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
+		return reconcile.ForgetPurgesTxn(v, known, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 	}
 	again := func(eventID, action, correlation string) paxos.Txn {
 		txn, known, done := schema.RedriveTransaction(c.replica, &schema.RedriveRequest{EventID: eventID, Operator: "op", CorrelationID: correlation, Action: action})
@@ -95,7 +96,7 @@
 		t.Error("a redrive that was taken is not known when it is sent again")
 	}
 	if v, known := held(schema.ShardSetKey); known {
-		if _, due := ShardSetTxn(v, known, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
+		if _, due := reconcile.ShardSetTxn(v, known, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
 			t.Error("an older cut is due")
 		}
 	}
--- a/internal/controlplane/metacell.go
+++ b/internal/controlplane/metacell.go
@@ -2,12 +2,16 @@
 
 import (
 	"context"
+	"time"
 
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/paxos"
 )
 
+// proposalTimeout bounds the proposals of the control plane's own concerns.
+const proposalTimeout = 1200 * time.Millisecond
+
 // metaCell is the replicated state of the meta cell, as the packages of the control plane's
 // concerns see it.
 type metaCell struct {
@@ -21,9 +25,9 @@
 }
 
 // Commit proposes a transaction and reports whether it was surely committed. It gives up
-// after ProposalTimeout and is not cancelled when the node stops.
+// after proposalTimeout and is not cancelled when the node stops.
 func (c metaCell) Commit(txn paxos.Txn) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), ProposalTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), proposalTimeout)
 	defer cancel()
 	committed, err := c.host.Propose(ctx, schema.MetaCell, txn)
 	return committed && err == nil
--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -34,7 +34,7 @@
 		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.OutboxKeyPrefix, slot, id), Value: schema.MustEncode(outbox.Row{Notification: n})}
 	}
 	purged := paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"), Value: schema.MustEncode([]distribution.Purge{{Label: "l"}})}
-	if !r.propose(schema.MetaCell, paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges), purged}}) {
+	if !(metaCell{r.host}).Commit(paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges), purged}}) {
 		t.Fatal("not taken")
 	}
 	have := uint64(1)
--- a/internal/controlplane/orders_test.go
+++ b/internal/controlplane/orders_test.go
@@ -162,7 +162,7 @@
 		if err := try(r, e.NewContext(req, w)); err != nil || w.Code != http.StatusServiceUnavailable {
 			t.Errorf("%d %s %v", w.Code, w.Body, err)
 		}
-		if r.viewMetaCell(func(*paxos.Replica) {}) != (i >= 2) {
+		if r.host.View(schema.MetaCell, func(*paxos.Replica) {}) != (i >= 2) {
 			t.Error("the node did not end")
 		}
 		r.Stop()
--- /dev/null
+++ b/internal/controlplane/reconcile.go
@@ -0,0 +1,66 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+
+	"comethold/internal/controlplane/endpointlist"
+	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/reconcile"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/distribution"
+	"comethold/internal/settings"
+
+	"github.com/labstack/echo/v4"
+)
+
+// openReconciler makes what keeps the replicated state up to date with the platform and the
+// nodes. The host, the leases and the distributor must be made and not run yet.
+func (s *Server) openReconciler(self replicahost.PeerInfo) {
+	s.reconciler = reconcile.New(reconcile.Options{
+		Self:    self,
+		Cells:   s.host,
+		Peers:   s.host,
+		Lists:   s.distributor,
+		Reports: nodereports.NewTracker(),
+		Prober: reconcile.RPCProber{
+			Client:          s.client,
+			DataPlanePort:   s.settings.PortOf(settings.DataPlane),
+			ObjectCachePort: s.settings.PortOf(settings.ObjectCache),
+		},
+		DiscoveryLease: s.discoveryLease,
+		PlacementLease: s.placementLease,
+		Log:            s.log,
+	})
+	s.endpointFetcher = endpointlist.NewFetcher(s.distributor, s.host)
+	if s.platform == nil {
+		return
+	}
+	s.endpointPoller = endpointlist.NewPoller(endpointlist.PollerOptions{
+		Platform:     s.platform,
+		Lease:        s.discoveryLease,
+		Store:        s.distributor,
+		Peers:        s.host,
+		SelfAddress:  self.Addr,
+		DrainTimeout: s.settings.Bounds.DrainTimeout(),
+		OnChange:     s.reconciler.Wake,
+		Log:          s.log,
+	})
+}
+
+// receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
+// revision, and answers with the revision that is held then.
+func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
+	if list.Endpoints != nil {
+		return s.distributor.SetEndpoints(list)
+	}
+	return s.distributor.EndpointsRevision()
+}
+
+// handleFetchEndpoints answers with the endpoint list that is held here.
+func (s *Server) handleFetchEndpoints(c echo.Context) error {
+	if list := s.distributor.Endpoints(); list != nil {
+		return writeCBOR(c, list)
+	}
+	return c.NoContent(http.StatusNotFound)
+}
--- /dev/null
+++ b/internal/controlplane/reconcile/marks.go
@@ -0,0 +1,247 @@
+package reconcile
+
+import (
+	"context"
+	"maps"
+	"sort"
+	"time"
+
+	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/paxos"
+)
+
+const (
+	// maxMarkAttempts is how often changes of marks are worked out anew in a round, on top of
+	// changes that other control nodes made.
+	maxMarkAttempts = 3
+	// maxEjectionTime is after which an unresponsive endpoint must be found so anew.
+	maxEjectionTime = 30 * time.Second
+)
+
+// markReconciler keeps the marks of endpoints that are ejected or drain, in the index cells
+// of all services that use them.
+type markReconciler struct {
+	cells    committer
+	lists    Lists
+	reports  *nodereports.Tracker
+	reporter string // name of this node
+
+	// ejectedSince is when this node first saw the mark of an unresponsive endpoint.
+	ejectedSince map[markID]time.Time
+}
+
+// markID names a mark.
+type markID struct {
+	indexName string
+	endpoint  string
+}
+
+func newMarkReconciler(options Options, cells committer) *markReconciler {
+	return &markReconciler{
+		cells:        cells,
+		lists:        options.Lists,
+		reports:      options.Reports,
+		reporter:     options.Self.Name,
+		ejectedSince: map[markID]time.Time{},
+	}
+}
+
+// applyReports ejects endpoints that enough nodes report as faulty, and lifts the ejection
+// of those that are reported as well. Other control nodes get the same reports: where one was
+// first, what is left is worked out again.
+func (m *markReconciler) applyReports(ctx context.Context) {
+	agreed := m.reports.Health(time.Now())
+	if agreed.IsEmpty() {
+		return
+	}
+	isDone := false
+	for attempt := 0; attempt < maxMarkAttempts && !isDone; attempt++ {
+		isDone = true
+		for indexName, txn := range m.reportedChanges(agreed).txns {
+			isDone = m.cells.commit(ctx, indexName, *txn) && isDone
+		}
+	}
+	if isDone {
+		m.reports.Resolve(agreed)
+	}
+}
+
+func (m *markReconciler) reportedChanges(agreed nodereports.Health) *markChanges {
+	indexes := m.readIndexes()
+	changes := newMarkChanges()
+	ejected := &distribution.EjectionMark{
+		Reason:   distribution.ReasonUnresponsive,
+		Reporter: m.reporter,
+	}
+	for _, report := range agreed.Faults {
+		for _, indexName := range indexes.byService[report.Service] {
+			if held := indexes.mark(indexName, report.EndpointID); held.Reason == "" {
+				changes.add(markID{indexName, report.EndpointID}, held, ejected)
+			}
+		}
+	}
+	for _, report := range agreed.Recoveries {
+		for _, indexName := range indexes.byService[report.Service] {
+			held := indexes.mark(indexName, report.EndpointID)
+			if held.Reason == distribution.ReasonUnresponsive {
+				changes.add(markID{indexName, report.EndpointID}, held, nil)
+			}
+		}
+	}
+	return changes
+}
+
+// applyEndpointList marks the endpoints that drain by the platform's list, and drops the
+// marks of endpoints that are not listed any more. It also drops those of unresponsive
+// endpoints after maxEjectionTime: the report that one is well may have been lost.
+func (m *markReconciler) applyEndpointList(ctx context.Context) {
+	list := m.lists.Endpoints()
+	if list == nil {
+		return
+	}
+	for range maxMarkAttempts {
+		hasConflict := false
+		for indexName, txn := range m.listedChanges(list).txns {
+			committed, err := m.cells.propose(ctx, indexName, *txn)
+			if err == nil && !committed {
+				hasConflict = true // another control node changed a mark meanwhile
+			}
+		}
+		if !hasConflict {
+			return
+		}
+	}
+}
+
+func (m *markReconciler) listedChanges(list *distribution.EndpointList) *markChanges {
+	indexes := m.readIndexes()
+	changes := newMarkChanges()
+	isListed := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		isListed[endpoint.ID] = true
+		if !endpoint.Draining {
+			continue
+		}
+		for _, indexName := range indexes.byService[endpoint.Service] {
+			held := indexes.mark(indexName, endpoint.ID)
+			if held.Reason != distribution.ReasonDraining {
+				draining := &distribution.EjectionMark{Reason: distribution.ReasonDraining}
+				changes.add(markID{indexName, endpoint.ID}, held, draining)
+			}
+		}
+	}
+	held := indexes.allMarks()
+	now := time.Now()
+	m.observeEjections(held, now)
+	for id, mark := range held {
+		since, isEjected := m.ejectedSince[id]
+		hasExpired := isEjected && now.Sub(since) > maxEjectionTime
+		if !isListed[id.endpoint] || hasExpired {
+			changes.add(id, mark, nil)
+		}
+	}
+	return changes
+}
+
+// observeEjections notes since when endpoints have been ejected as unresponsive.
+func (m *markReconciler) observeEjections(held map[markID]distribution.EjectionMark, now time.Time) {
+	for id, mark := range held {
+		_, isKnown := m.ejectedSince[id]
+		if mark.Reason == distribution.ReasonUnresponsive && !isKnown {
+			m.ejectedSince[id] = now
+		}
+	}
+	maps.DeleteFunc(m.ejectedSince, func(id markID, _ time.Time) bool {
+		return held[id].Reason != distribution.ReasonUnresponsive
+	})
+}
+
+// indexMarks is which index cells hold the shards of a service, and the marks in them.
+type indexMarks struct {
+	cells     Cells
+	byService map[string][]string                             // names of indexes, sorted
+	marks     map[string]map[string]distribution.EjectionMark // by index, read when needed
+}
+
+func (m *markReconciler) readIndexes() *indexMarks {
+	indexes := &indexMarks{
+		cells:     m.cells,
+		byService: map[string][]string{},
+		marks:     map[string]map[string]distribution.EjectionMark{},
+	}
+	m.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+		for name, index := range schema.ReadIndexes(replica) {
+			for _, service := range index.Services {
+				indexes.byService[service] = append(indexes.byService[service], name)
+			}
+		}
+	})
+	for _, names := range indexes.byService {
+		sort.Strings(names)
+	}
+	return indexes
+}
+
+// marksOf returns the marks in an index by endpoint.
+func (x *indexMarks) marksOf(indexName string) map[string]distribution.EjectionMark {
+	if x.marks[indexName] == nil {
+		x.cells.View(indexName, func(replica *paxos.Replica) {
+			x.marks[indexName] = schema.ReadEjections(indexName, replica).Ejected
+		})
+	}
+	return x.marks[indexName]
+}
+
+// mark returns the mark of an endpoint in an index; its reason is empty if there is none.
+func (x *indexMarks) mark(indexName, endpoint string) distribution.EjectionMark {
+	return x.marksOf(indexName)[endpoint]
+}
+
+// allMarks returns the marks in all indexes.
+func (x *indexMarks) allMarks() map[markID]distribution.EjectionMark {
+	all := map[markID]distribution.EjectionMark{}
+	for _, names := range x.byService {
+		for _, indexName := range names {
+			for endpoint, mark := range x.marksOf(indexName) {
+				all[markID{indexName, endpoint}] = mark
+			}
+		}
+	}
+	return all
+}
+
+// markChanges collects one transaction for each index whose marks are to change.
+type markChanges struct {
+	txns map[string]*paxos.Txn
+}
+
+func newMarkChanges() *markChanges { return &markChanges{txns: map[string]*paxos.Txn{}} }
+
+// add has a mark, held as it was read, replaced by the next one, or dropped if that is nil.
+func (c *markChanges) add(id markID, held distribution.EjectionMark, next *distribution.EjectionMark) {
+	txn := c.txns[id.indexName]
+	if txn == nil {
+		txn = &paxos.Txn{}
+		c.txns[id.indexName] = txn
+	}
+	AddMarkChange(txn, id.endpoint, held, next)
+}
+
+// AddMarkChange adds to an index's transaction that the mark of an endpoint, held as it was
+// read, becomes next, or goes if that is nil. held has no reason if there was no mark. A
+// transaction that is late finds another mark there, and changes nothing.
+func AddMarkChange(txn *paxos.Txn, endpoint string, held distribution.EjectionMark, next *distribution.EjectionMark) {
+	key := schema.EjectionKeyPrefix + endpoint
+	condition := paxos.Condition{Key: key, Absent: true}
+	if held.Reason != "" {
+		condition = paxos.Condition{Key: key, Equals: schema.MustEncode(held)}
+	}
+	op := deleteOp(key)
+	if next != nil {
+		op = putOp(key, *next)
+	}
+	txn.Conditions = append(txn.Conditions, condition)
+	txn.Ops = append(txn.Ops, op)
+}
--- /dev/null
+++ b/internal/controlplane/reconcile/nodes.go
@@ -0,0 +1,219 @@
+package reconcile
+
+import (
+	"context"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
+	"comethold/internal/rpc"
+)
+
+const (
+	probeTimeout = 700 * time.Millisecond
+	// downNodeRetention is how long a node that is down is kept in the list.
+	downNodeRetention = 2 * time.Minute
+	// controlNodeSuffix makes the name of a control node in the node list: it bears the name
+	// of its machine, as the data plane there does.
+	controlNodeSuffix = "/registrar"
+)
+
+// pathProbe is where nodes answer probes.
+const pathProbe = "/here"
+
+// controlNode is how a control node stands in the node list.
+func controlNode(info replicahost.PeerInfo) distribution.Node {
+	return distribution.Node{
+		Name:         info.Name + controlNodeSuffix,
+		Addr:         info.Addr,
+		Zone:         info.Zone,
+		ControlPlane: true,
+	}
+}
+
+// RPCProber probes nodes by a call.
+type RPCProber struct {
+	Client          *rpc.Client
+	DataPlanePort   int
+	ObjectCachePort int
+}
+
+// Probe returns nil if the node answers.
+func (p RPCProber) Probe(ctx context.Context, node distribution.Node) error {
+	port := p.DataPlanePort
+	if node.ObjectCache {
+		port = p.ObjectCachePort
+	}
+	address := net.JoinHostPort(node.Addr, strconv.Itoa(port))
+	return p.Client.Call(ctx, address, pathProbe, distribution.UpdateRequest{}, nil)
+}
+
+// nodeReconciler keeps the node list.
+type nodeReconciler struct {
+	cells   committer
+	peers   Peers
+	lists   Lists
+	reports *nodereports.Tracker
+	prober  Prober
+	log     *logging.Logger
+
+	// downSince is when this node first saw a node of the list as down, by name.
+	downSince map[string]time.Time
+}
+
+func newNodeReconciler(options Options, cells committer) *nodeReconciler {
+	return &nodeReconciler{
+		cells:     cells,
+		peers:     options.Peers,
+		lists:     options.Lists,
+		reports:   options.Reports,
+		prober:    options.Prober,
+		log:       options.Log,
+		downSince: map[string]time.Time{},
+	}
+}
+
+// unlistedPeers returns control nodes that are heard and not listed. They can't have
+// themselves listed while no node that could send them the state knows of them.
+func (n *nodeReconciler) unlistedPeers() (unlisted []distribution.Node) {
+	listed := n.lists.Nodes()
+	for _, peer := range n.peers.LivePeers(nodereports.ContactLifetime) {
+		node := controlNode(peer)
+		if _, isListed := listed[node.Name]; !isListed {
+			unlisted = append(unlisted, node)
+		}
+	}
+	return unlisted
+}
+
+// reconcile lists the nodes that called, and marks as down those that their neighbours miss
+// and that don't answer this node either.
+func (n *nodeReconciler) reconcile(ctx context.Context) {
+	listed := n.lists.Nodes()
+	now := time.Now()
+	contacts := n.reports.Contacts(now)
+	var txn paxos.Txn
+	for name, node := range contacts {
+		old, isListed := listed[name]
+		if !isListed {
+			addNode(&txn, node)
+		} else if old != node {
+			replaceNode(&txn, old, node)
+		}
+	}
+	for _, node := range n.unreachable(ctx, n.suspects(listed, contacts, now)) {
+		replaceNode(&txn, node, downNode(node))
+		n.log.Warn(logging.NodeDown).Str("peer", node.Name).Msg("a node is missed by its neighbours and does not answer")
+	}
+	n.commit(ctx, txn)
+}
+
+// suspects returns the listed nodes that don't call and that enough neighbours miss.
+func (n *nodeReconciler) suspects(listed, contacts map[string]distribution.Node, now time.Time) (suspects []distribution.Node) {
+	required := min(nodereports.WitnessesRequired, len(listed)-1)
+	for name, witnesses := range n.reports.Suspects(now) {
+		_, calls := contacts[name]
+		node, isListed := listed[name]
+		if isListed && !node.Down && !calls && witnesses >= required {
+			suspects = append(suspects, node)
+		}
+	}
+	return suspects
+}
+
+// unreachable returns those of the nodes that don't answer this node either. A node may get
+// its updates from another control node, and a congested link loses its heartbeats: those
+// that answer are not suspected any more.
+func (n *nodeReconciler) unreachable(ctx context.Context, suspects []distribution.Node) (unreachable []distribution.Node) {
+	answers := make([]bool, len(suspects))
+	var probes sync.WaitGroup
+	for i, node := range suspects {
+		probes.Go(func() {
+			probeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
+			defer cancel()
+			answers[i] = n.prober.Probe(probeCtx, node) == nil
+		})
+	}
+	probes.Wait()
+	for i, node := range suspects {
+		if answers[i] {
+			n.reports.ClearSuspicion(node.Name)
+		} else {
+			unreachable = append(unreachable, node)
+		}
+	}
+	return unreachable
+}
+
+// expire marks control nodes that nobody hears as down, and removes nodes that have been
+// down for downNodeRetention.
+func (n *nodeReconciler) expire(ctx context.Context) {
+	now := time.Now()
+	listed := n.lists.Nodes()
+	silent := n.silentControlNodes(listed)
+	var txn paxos.Txn
+	for name, node := range listed {
+		since, isWaiting := n.downSince[name]
+		switch {
+		case !node.Down:
+			delete(n.downSince, name)
+			if silent[name] {
+				replaceNode(&txn, node, downNode(node))
+			}
+		case !isWaiting:
+			n.downSince[name] = now
+		case now.Sub(since) > downNodeRetention:
+			delete(n.downSince, name)
+			removeNode(&txn, node)
+		}
+	}
+	n.commit(ctx, txn)
+}
+
+// silentControlNodes is the set of the names of those that were not heard for long.
+func (n *nodeReconciler) silentControlNodes(listed map[string]distribution.Node) map[string]bool {
+	silent := map[string]bool{}
+	n.peers.Do(func() {
+		for name, node := range listed {
+			if node.ControlPlane && !node.Down {
+				silent[name] = n.peers.SilenceOf(node.Addr) > replicahost.DownTimeout
+			}
+		}
+	})
+	return silent
+}
+
+func (n *nodeReconciler) commit(ctx context.Context, txn paxos.Txn) {
+	if len(txn.Ops) > 0 {
+		n.cells.commit(ctx, schema.MetaCell, txn) // if it fails, the next round sees the same
+	}
+}
+
+func downNode(node distribution.Node) distribution.Node {
+	node.Down = true
+	return node
+}
+
+func nodeKey(node distribution.Node) string { return schema.NodeKeyPrefix + node.Name }
+
+func addNode(txn *paxos.Txn, node distribution.Node) {
+	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(node), Absent: true})
+	txn.Ops = append(txn.Ops, putOp(nodeKey(node), node))
+}
+
+func replaceNode(txn *paxos.Txn, old, next distribution.Node) {
+	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(old), Equals: schema.MustEncode(old)})
+	txn.Ops = append(txn.Ops, putOp(nodeKey(next), next))
+}
+
+func removeNode(txn *paxos.Txn, node distribution.Node) {
+	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(node), Equals: schema.MustEncode(node)})
+	txn.Ops = append(txn.Ops, deleteOp(nodeKey(node)))
+}
--- a/internal/controlplane/registrar_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package reconcile
 
 import (
 	"net"
@@ -9,7 +9,6 @@
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/distribution"
 	"comethold/internal/rpc"
-	"comethold/internal/settings"
 )
 
 // TestProbeUnreachable: a node that its watchers miss and that this registrar does not
@@ -24,14 +23,16 @@
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	}()
 	port := l.Addr().(*net.TCPAddr).Port
-	r := &Server{settings: &settings.Settings{InternalPortRange: []int{port - int(settings.DataPlane), port + 9}}, client: rpc.NewClient(rpc.TCPNetwork),
-		reports: nodereports.NewTracker()}
-	r.reports.Record(&distribution.UpdateRequest{Node: distribution.Node{Name: "w"}, Suspects: []string{"a", "b"}}, time.Now())
-	out := r.probeUnreachable([]distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
+	reconciler := newNodeReconciler(Options{
+		Reports: nodereports.NewTracker(),
+		Prober:  RPCProber{Client: rpc.NewClient(rpc.TCPNetwork), DataPlanePort: port},
+	}, committer{})
+	reconciler.reports.Record(&distribution.UpdateRequest{Node: distribution.Node{Name: "w"}, Suspects: []string{"a", "b"}}, time.Now())
+	out := reconciler.unreachable(t.Context(), []distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
 	if len(out) != 1 || out[0].Name != "b" {
 		t.Errorf("not reached: %v", out)
 	}
-	if suspects := r.reports.Suspects(time.Now()); suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
+	if suspects := reconciler.reports.Suspects(time.Now()); suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
 		t.Errorf("suspected: %v", suspects)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -0,0 +1,194 @@
+// Package reconcile brings the replicated state up to date with what this control node
+// knows: the node list with who calls and who is missed, the ejection marks with what nodes
+// and the platform report of endpoints, the index cells with the configuration.
+//
+// All control nodes do so. Each change is a transaction that is conditioned on what it
+// replaces, so one that is late, or that another node made first, changes nothing; what is
+// left is worked out again in the next round. What one node alone should do is left to the
+// holder of a lease.
+package reconcile
+
+import (
+	"context"
+	"time"
+
+	"comethold/internal/controlplane/nodereports"
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/paxos"
+)
+
+// Times of the rounds. The reasons for these values are in docs/design.md.
+const (
+	roundInterval   = 400 * time.Millisecond
+	wakeDelay       = 30 * time.Millisecond // in which more may come in
+	proposalTimeout = 1200 * time.Millisecond
+)
+
+// Cells is what reconcilers need of the replicated cells. *replicahost.Host implements it.
+type Cells interface {
+	View(cell string, read func(*paxos.Replica)) bool
+	Get(cell, key string) (value paxos.Value, found bool)
+	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
+	QuorumContactAge() time.Duration
+}
+
+// Peers are the other control nodes. *replicahost.Host implements it.
+type Peers interface {
+	Do(task func())
+	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
+	// SilenceOf must be called in a function that is passed to Do.
+	SilenceOf(address string) time.Duration
+}
+
+// Lists are what nodes are told of. *distributor.Distributor implements it.
+type Lists interface {
+	Nodes() map[string]distribution.Node
+	Endpoints() *distribution.EndpointList
+	EndpointsRevision() distribution.Revision
+}
+
+// Lease tells whether this node holds a singleton role.
+type Lease interface {
+	Held() (term uint64, held bool)
+}
+
+// Prober asks a node whether it is there.
+type Prober interface {
+	Probe(ctx context.Context, node distribution.Node) error
+}
+
+// Options are what a Reconciler is made from. All are required.
+type Options struct {
+	Self    replicahost.PeerInfo
+	Cells   Cells
+	Peers   Peers
+	Lists   Lists
+	Reports *nodereports.Tracker
+	Prober  Prober
+	// DiscoveryLease is that of the node that polls the platform's endpoint list.
+	DiscoveryLease Lease
+	// PlacementLease is that of the node that looks after the index cells.
+	PlacementLease Lease
+	Log            *logging.Logger
+}
+
+// Reconciler runs the reconcilers of a node, one after the other.
+type Reconciler struct {
+	options Options
+	wake    chan struct{} // has room for one signal
+
+	nodes     *nodeReconciler
+	marks     *markReconciler
+	shardSets *shardSetReconciler
+	purges    *purgeCompactor
+}
+
+// New makes a Reconciler. Run starts it.
+func New(options Options) *Reconciler {
+	state := committer{options.Cells}
+	return &Reconciler{
+		options:   options,
+		wake:      make(chan struct{}, 1),
+		nodes:     newNodeReconciler(options, state),
+		marks:     newMarkReconciler(options, state),
+		shardSets: &shardSetReconciler{cells: state},
+		purges:    newPurgeCompactor(state),
+	}
+}
+
+// Wake has a round begin soon. It doesn't wait.
+func (r *Reconciler) Wake() {
+	select {
+	case r.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Record takes what a node reports, and wakes the reconciler if that is urgent.
+func (r *Reconciler) Record(request *distribution.UpdateRequest) {
+	if r.options.Reports.Record(request, time.Now()) {
+		r.Wake()
+	}
+}
+
+// Run does a round every roundInterval, or when it is woken, until ctx is done.
+func (r *Reconciler) Run(ctx context.Context) {
+	for r.wait(ctx) {
+		if r.options.Cells.QuorumContactAge() > replicahost.StaleAfter {
+			continue // what is held here may be outdated, and nothing would be committed
+		}
+		r.round(ctx)
+	}
+}
+
+// wait returns when the next round is due; false if ctx is done.
+func (r *Reconciler) wait(ctx context.Context) bool {
+	select {
+	case <-time.After(roundInterval):
+		return true
+	case <-r.wake:
+	case <-ctx.Done():
+		return false
+	}
+	select {
+	case <-time.After(wakeDelay):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (r *Reconciler) round(ctx context.Context) {
+	r.Record(&distribution.UpdateRequest{Node: controlNode(r.options.Self)})
+	for _, node := range r.nodes.unlistedPeers() {
+		r.Record(&distribution.UpdateRequest{Node: node})
+	}
+	r.nodes.reconcile(ctx)
+	r.marks.applyReports(ctx)
+	// Only by a list of this term: the one of a former incarnation is outdated.
+	term, held := r.options.DiscoveryLease.Held()
+	if held && r.options.Lists.EndpointsRevision().Term == term {
+		r.marks.applyEndpointList(ctx)
+	}
+	if _, held := r.options.PlacementLease.Held(); held {
+		r.shardSets.reconcile(ctx)
+		r.purges.compact(ctx)
+		r.nodes.expire(ctx)
+	}
+}
+
+// committer proposes the transactions of reconcilers.
+type committer struct {
+	Cells
+}
+
+// commit proposes a transaction and reports whether it was surely committed. A proposal that
+// was made is not cancelled when the node stops.
+func (c committer) commit(ctx context.Context, cell string, txn paxos.Txn) bool {
+	committed, err := c.propose(ctx, cell, txn)
+	return committed && err == nil
+}
+
+func (c committer) propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposalTimeout)
+	defer cancel()
+	return c.Propose(ctx, cell, txn)
+}
+
+// unchangedCondition is that a key holds what was read: a value, or none.
+func unchangedCondition(key string, value paxos.Value, exists bool) paxos.Condition {
+	if exists {
+		return paxos.Condition{Key: key, Equals: value}
+	}
+	return paxos.Condition{Key: key, Absent: true}
+}
+
+// putOp puts a record under a key.
+func putOp(key string, record any) paxos.Op {
+	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(record)}
+}
+
+func deleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
--- /dev/null
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -0,0 +1,128 @@
+package reconcile
+
+import (
+	"context"
+	"strings"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/paxos"
+	"comethold/internal/routing"
+	"comethold/internal/rpc"
+)
+
+// serviceSeparator stands between the services in the keys of schema.GroupRoutesByServices.
+const serviceSeparator = "\x00"
+
+// shardSetReconciler makes the index cells follow the committed configuration: which there
+// are, as the meta cell lists them, and which shard set each holds.
+type shardSetReconciler struct {
+	cells       committer
+	doneVersion uint64 // of the configuration that all index cells follow
+}
+
+// indexState is what the meta cell says of the index cells.
+type indexState struct {
+	version     uint64 // of the configuration
+	raw         []byte
+	indexes     map[string]schema.IndexRecord // by name
+	nextID      paxos.Value
+	nextIDFound bool
+	voters      []paxos.Voter // of the meta cell
+}
+
+func (s *shardSetReconciler) readState() (state indexState) {
+	s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
+		state.version, state.raw = schema.ReadConfig(replica)
+		state.indexes = schema.ReadIndexes(replica)
+		state.nextID, _ = replica.Get(schema.NextIndexIDKey)
+		state.nextIDFound = state.nextID.Int != nil
+		state.voters, _ = replica.Voters()
+	})
+	return state
+}
+
+// reconcile does nothing if the index cells follow the committed configuration already.
+func (s *shardSetReconciler) reconcile(ctx context.Context) {
+	state := s.readState()
+	if state.version == 0 || state.version == s.doneVersion {
+		return
+	}
+	configuration, err := routing.Parse(state.raw)
+	if err != nil {
+		return // it was checked before it was committed
+	}
+	indexes, txn := planIndexes(state, configuration)
+	if len(txn.Ops) > 0 && !s.cells.commit(ctx, schema.MetaCell, txn) {
+		return
+	}
+	for name, index := range indexes {
+		want := schema.ShardSetRecord{
+			Version:  state.version,
+			Services: index.Services,
+			Routes:   index.Routes,
+		}
+		held, exists := s.cells.Get(name, schema.ShardSetKey)
+		txn, isDue := ShardSetTxn(held, exists, want)
+		if isDue && !s.cells.commit(ctx, name, txn) {
+			return // the index cell lags; the configuration is in force all the same
+		}
+	}
+	s.doneVersion = state.version
+}
+
+// planIndexes returns the index cells that there should be, by name, and the transaction
+// that makes the meta cell list them; it has no operations if they are listed already.
+func planIndexes(state indexState, configuration *routing.Configuration) (map[string]schema.IndexRecord, paxos.Txn) {
+	routes := schema.GroupRoutesByServices(configuration)
+	kept, added, removed := schema.AssignIndexes(state.indexes, routes)
+	services := func(group string) []string { return strings.Split(group, serviceSeparator) }
+	indexes := map[string]schema.IndexRecord{}
+	txn := paxos.Txn{Conditions: []paxos.Condition{
+		{Key: schema.ConfigVersionKey, Equals: schema.UintValue(state.version)},
+		unchangedCondition(schema.NextIndexIDKey, state.nextID, state.nextIDFound),
+	}}
+	for name, group := range kept {
+		old := state.indexes[name]
+		indexes[name] = schema.IndexRecord{Voters: old.Voters, Routes: routes[group], Services: services(group)}
+		if !schema.EqualEncoding(indexes[name], old) {
+			txn.Ops = append(txn.Ops, putOp(schema.IndexKeyPrefix+name, indexes[name]))
+		}
+	}
+	lastID := int64(0)
+	if state.nextIDFound {
+		lastID = state.nextID.Int.Int64()
+	}
+	for _, group := range added {
+		lastID++
+		name := schema.IndexCellName(lastID)
+		indexes[name] = schema.IndexRecord{Voters: state.voters, Routes: routes[group], Services: services(group)}
+		txn.Ops = append(txn.Ops, putOp(schema.IndexKeyPrefix+name, indexes[name]))
+	}
+	for _, name := range removed {
+		txn.Ops = append(txn.Ops, deleteOp(schema.IndexKeyPrefix+name))
+	}
+	if len(added) > 0 {
+		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NextIndexIDKey, Value: paxos.Int(lastID)})
+	}
+	return indexes, txn
+}
+
+// ShardSetTxn puts a shard set in the place of the one that an index cell holds. It is not
+// due if that is newer, or the same. One that is late finds another there, and changes
+// nothing.
+func ShardSetTxn(held paxos.Value, exists bool, want schema.ShardSetRecord) (txn paxos.Txn, isDue bool) {
+	var current schema.ShardSetRecord
+	if exists && rpc.Unmarshal(held.Bytes, &current) == nil {
+		if current.Version > want.Version {
+			return paxos.Txn{}, false
+		}
+		current.Version = want.Version
+		if schema.EqualEncoding(current, want) {
+			return paxos.Txn{}, false
+		}
+	}
+	return paxos.Txn{
+		Conditions: []paxos.Condition{unchangedCondition(schema.ShardSetKey, held, exists)},
+		Ops:        []paxos.Op{putOp(schema.ShardSetKey, want)},
+	}, true
+}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,17 +12,17 @@
 	"net"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"comethold/internal/controlplane/allocation"
 	"comethold/internal/controlplane/distributor"
+	"comethold/internal/controlplane/endpointlist"
 	"comethold/internal/controlplane/lease"
 	"comethold/internal/controlplane/metering"
-	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/outboxpublisher"
 	"comethold/internal/controlplane/placement"
+	"comethold/internal/controlplane/reconcile"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/taskgroup"
 	"comethold/internal/discovery"
@@ -46,36 +46,35 @@
 	network   rpc.Network
 	client    *rpc.Client
 	platform  *discovery.Client // nil if the node knows no platform
-	reports   *nodereports.Tracker
 	usage     usageMetering
 	startedAt time.Time
 
 	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
 
-	storage        *storage.Store
-	host           *replicahost.Host
-	distributor    *distributor.Distributor
-	longPoll       *distributor.LongPoll
-	discoveryLease *lease.Lease
-	placementLease *lease.Lease
-	usageLease     *lease.Lease
-	mover          *placement.Mover
-	operator       *operatorapi.Handler
-	shares         *allocation.ShareService
-	quotas         quotaAllocation
-	consumer       *outboxpublisher.Consumer
-	publisher      *outboxpublisher.Publisher
-	quarantine     *outboxpublisher.Quarantine
-	estimates      latencyEstimates
+	storage         *storage.Store
+	host            *replicahost.Host
+	distributor     *distributor.Distributor
+	longPoll        *distributor.LongPoll
+	reconciler      *reconcile.Reconciler
+	endpointPoller  *endpointlist.Poller // nil if the node knows no platform
+	endpointFetcher *endpointlist.Fetcher
+	discoveryLease  *lease.Lease
+	placementLease  *lease.Lease
+	usageLease      *lease.Lease
+	mover           *placement.Mover
+	operator        *operatorapi.Handler
+	shares          *allocation.ShareService
+	quotas          quotaAllocation
+	consumer        *outboxpublisher.Consumer
+	publisher       *outboxpublisher.Publisher
+	quarantine      *outboxpublisher.Quarantine
+	estimates       latencyEstimates
 
 	quit     chan struct{} // closed by Stop
 	stopOnce sync.Once
 	loops    sync.WaitGroup  // of Run
 	tasks    taskgroup.Group // short ones, started as the state changes
 
-	fetchingList  atomic.Bool // a list that another node holds is being fetched
-	reconcileWake chan struct{}
-
 	mu               sync.Mutex         // guards the fields below
 	reloadedSettings *settings.Settings // the last that were reloaded
 	stopped          bool
@@ -84,17 +83,15 @@
 // New makes a server. It asks nothing of the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network, disk storage.Disk) *Server {
 	s := &Server{
-		settings:      set,
-		log:           log,
-		disk:          disk,
-		network:       network,
-		client:        rpc.NewClient(network),
-		reports:       nodereports.NewTracker(),
-		usage:         usageMetering{collector: metering.NewCollector()},
-		startedAt:     time.Now(),
-		ready:         make(chan struct{}),
-		quit:          make(chan struct{}),
-		reconcileWake: make(chan struct{}, 1),
+		settings:  set,
+		log:       log,
+		disk:      disk,
+		network:   network,
+		client:    rpc.NewClient(network),
+		usage:     usageMetering{collector: metering.NewCollector()},
+		startedAt: time.Now(),
+		ready:     make(chan struct{}),
+		quit:      make(chan struct{}),
 	}
 	if set.Platform.Address != "" {
 		s.platform = discovery.NewClient(network, set.Platform.Address, set.Platform.RatePerS)
@@ -126,8 +123,8 @@
 		func() { s.discoveryLease.Run(s.quit) },
 		func() { s.placementLease.Run(s.quit) },
 		func() { s.mover.Run(s.quit) },
-		s.discoveryLoop,
-		s.reconcileLoop,
+		func() { s.reconciler.Run(ctx) },
+		func() { s.endpointFetcher.Run(ctx) },
 		func() { s.operator.Run(ctx) },
 		func() { s.shares.Run(ctx) },
 		func() { s.quotas.renewer.Run(ctx) },
@@ -137,6 +134,9 @@
 	} {
 		s.loops.Go(loop)
 	}
+	if s.endpointPoller != nil {
+		s.loops.Go(func() { s.endpointPoller.Run(ctx) })
+	}
 	if s.settings.ReportsUsage() {
 		s.loops.Go(func() { s.usage.reporter.Run(ctx) })
 		s.loops.Go(func() { s.usage.counts.Run(ctx) })
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -10,6 +10,7 @@
 	"comethold/internal/controlplane/placement"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
+	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 	"comethold/internal/settings"
@@ -23,6 +24,12 @@
 	usageRole     = "usage"
 )
 
+// Durations of leases. The reasons for these values are in docs/design.md.
+const (
+	discoveryLeaseDuration = 1200 * time.Millisecond
+	placementLeaseDuration = 1200 * time.Millisecond
+)
+
 // openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
 // Until then this node says nothing to the others and rejects calls.
 func (s *Server) openStorage() {
@@ -73,9 +80,10 @@
 	s.storage = store
 	s.openDistributor(store)
 	s.host = s.newHost(self, store)
-	s.discoveryLease = s.newLease(discoveryRole, PollerLeaseDuration, lease.FencedClockSkewFactor)
-	s.placementLease = s.newLease(placementRole, MoverLeaseDuration, lease.FencedClockSkewFactor)
+	s.discoveryLease = s.newLease(discoveryRole, discoveryLeaseDuration, lease.FencedClockSkewFactor)
+	s.placementLease = s.newLease(placementRole, placementLeaseDuration, lease.FencedClockSkewFactor)
 	s.usageLease = s.newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
+	s.openReconciler(self)
 	s.openMetering(store)
 	s.openLatencyEstimates()
 	s.openAllocation(store)
@@ -141,10 +149,12 @@
 
 func (s *Server) newHost(self replicahost.PeerInfo, store *storage.Store) *replicahost.Host {
 	hooks := replicahost.Hooks{
-		OnApply:                s.onApply,
-		EndpointRevision:       s.distributor.EndpointsRevision,
-		OnPeerEndpointRevision: s.onPeerEndpoints,
-		RegisteredAddresses:    s.distributor.ControlAddresses,
+		OnApply:          s.onApply,
+		EndpointRevision: s.distributor.EndpointsRevision,
+		OnPeerEndpointRevision: func(address string, revision distribution.Revision) {
+			s.endpointFetcher.OnPeerRevision(address, revision)
+		},
+		RegisteredAddresses: s.distributor.ControlAddresses,
 	}
 	if s.settings.ReportsUsage() {
 		hooks.ReadClocks = s.usage.collector.ReadClocks
