--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -57,7 +57,7 @@
 	<-s.stopping
 	err := s.conn.Close()
 	readers.Wait()
-	s.tokens.Wait()
+	s.tokens.Close()
 	return err
 }
 
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"comethold/internal/controlplane/replicatest"
+	"comethold/internal/controlplane/schematest"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 )
@@ -17,18 +17,18 @@
 
 // sharedCell is the meta cell as several nodes see it.
 type sharedCell struct {
-	mu      sync.Mutex // guards the fields below
-	replica *replicatest.SingleReplica
-	cutOff  map[paxos.ReplicaID]bool // nodes whose proposals fail
-	lost    map[paxos.ReplicaID]bool // replicas that are gone for good
+	mu     sync.Mutex // guards the fields below
+	state  *schematest.Cell
+	cutOff map[paxos.ReplicaID]bool // nodes whose proposals fail
+	lost   map[paxos.ReplicaID]bool // replicas that are gone for good
 }
 
 func newSharedCell(t *testing.T) *sharedCell {
 	t.Helper()
 	return &sharedCell{
-		replica: replicatest.New(t),
-		cutOff:  map[paxos.ReplicaID]bool{},
-		lost:    map[paxos.ReplicaID]bool{},
+		state:  schematest.NewCell(t),
+		cutOff: map[paxos.ReplicaID]bool{},
+		lost:   map[paxos.ReplicaID]bool{},
 	}
 }
 
@@ -43,7 +43,7 @@
 func (v nodeView) Get(_, key string) (paxos.Value, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.replica.Get(key)
+	return v.state.Replica().Get(key)
 }
 
 func (v nodeView) Propose(_ context.Context, _ string, txn paxos.Txn) (bool, error) {
@@ -52,7 +52,7 @@
 	if v.cutOff[v.self] {
 		return false, errors.New("cut off")
 	}
-	return v.replica.Commit(txn), nil
+	return v.state.Commit(txn), nil
 }
 
 func (v nodeView) IncarnationEnded(id paxos.ReplicaID) bool {
--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -48,7 +48,7 @@
 		Key:   paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"),
 		Value: schema.MustEncode([]distribution.Purge{{Label: "l"}}),
 	}
-	if !r.propose(schema.MetaCell, paxos.Txn{Ops: []paxos.Op{
+	if !(metaCell{r.host}).Commit(paxos.Txn{Ops: []paxos.Op{
 		row(8, "a", purges),
 		row(9, "a", purges),
 		row(9, "b", change),
--- a/internal/controlplane/replay_test.go
+++ b/internal/controlplane/replay_test.go
@@ -4,8 +4,9 @@
 	"testing"
 
 	"comethold/internal/controlplane/outboxpublisher"
-	"comethold/internal/controlplane/replicatest"
+	"comethold/internal/controlplane/reconcile"
 	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/schematest"
 	"comethold/internal/distribution"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -13,7 +14,7 @@
 
 // replayTest makes the transactions that are proposed twice, from the state as it is.
 type replayTest struct {
-	*replicatest.SingleReplica
+	*schematest.Cell
 	t            *testing.T
 	notification outbox.Notification
 }
@@ -27,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &replayTest{SingleReplica: replicatest.New(t), t: t, notification: notification}
+	r := &replayTest{Cell: schematest.NewCell(t), t: t, notification: notification}
 	row := schema.MustEncode(outbox.Row{Notification: notification, State: outbox.Published})
 	for range schema.MaxPublishedRows + 1 {
 		r.Commit(paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: row}}})
@@ -87,7 +88,7 @@
 		},
 		{
 			name:      "the sweep of the outbox",
-			replayed:  func() paxos.Txn { return outboxpublisher.SweepRows(schema.OutboxRows(r.Replica)).Txn },
+			replayed:  func() paxos.Txn { return outboxpublisher.SweepRows(schema.OutboxRows(r.Replica())).Txn },
 			inBetween: r.putPendingRow,
 		},
 		{
@@ -106,10 +107,10 @@
 
 // checkState looks at what the replayed transactions left.
 func (r *replayTest) checkState() {
-	if value, _ := r.Get(schema.PurgeCompactedKey); !value.Equal(schema.UintValue(20)) {
+	if value, _ := r.Replica().Get(schema.PurgeCompactedKey); !value.Equal(schema.UintValue(20)) {
 		r.t.Errorf("purges are forgotten up to %v", value.Int)
 	}
-	_, known, done := schema.RedriveTransaction(r.Replica, &schema.RedriveRequest{
+	_, known, done := schema.RedriveTransaction(r.Replica(), &schema.RedriveRequest{
 		EventID:       r.notification.EventID,
 		Operator:      "op",
 		CorrelationID: "case-1",
@@ -118,11 +119,11 @@
 	if !known || !done {
 		r.t.Error("a redrive that was taken is not known when it is sent again")
 	}
-	held, found := r.Get(schema.ShardSetKey)
+	held, found := r.Replica().Get(schema.ShardSetKey)
 	if !found {
 		return
 	}
-	if _, due := ShardSetTxn(held, found, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
+	if _, due := reconcile.ShardSetTxn(held, found, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
 		r.t.Error("an older shard set is due")
 	}
 }
@@ -133,15 +134,15 @@
 	if to != "" {
 		next = &distribution.EjectionMark{Reason: to}
 	}
-	txns := map[string]*paxos.Txn{}
-	AddMarkChange(txns, "i", "l", distribution.EjectionMark{Reason: from}, next)
-	return *txns["i"]
+	var txn paxos.Txn
+	reconcile.AddMarkChange(&txn, "l", distribution.EjectionMark{Reason: from}, next)
+	return txn
 }
 
 func (r *replayTest) shardSet(version uint64, service string) paxos.Txn {
-	held, found := r.Get(schema.ShardSetKey)
+	held, found := r.Replica().Get(schema.ShardSetKey)
 	record := schema.ShardSetRecord{Version: version, Services: []string{service}}
-	txn, due := ShardSetTxn(held, found, record)
+	txn, due := reconcile.ShardSetTxn(held, found, record)
 	if !due {
 		r.t.Errorf("the shard set of %d is not due", version)
 	}
@@ -149,12 +150,12 @@
 }
 
 func (r *replayTest) forgetPurges(upTo uint64) paxos.Txn {
-	held, found := r.Get(schema.PurgeCompactedKey)
-	return ForgetPurgesTxn(held, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
+	held, found := r.Replica().Get(schema.PurgeCompactedKey)
+	return reconcile.ForgetPurgesTxn(held, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 }
 
 func (r *replayTest) putPendingRow() paxos.Txn {
-	key := r.KeysWithPrefix(schema.OutboxKeyPrefix, schema.OutboxKeyPrefix)[0]
+	key := r.Replica().KeysWithPrefix(schema.OutboxKeyPrefix, schema.OutboxKeyPrefix)[0]
 	row := outbox.Row{Notification: r.notification, State: outbox.Pending}
 	return paxos.Txn{Ops: []paxos.Op{{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(row)}}}
 }
@@ -166,7 +167,7 @@
 }
 
 func (r *replayTest) redrive(eventID, action, correlationID string) paxos.Txn {
-	txn, known, done := schema.RedriveTransaction(r.Replica, &schema.RedriveRequest{
+	txn, known, done := schema.RedriveTransaction(r.Replica(), &schema.RedriveRequest{
 		EventID:       eventID,
 		Operator:      "op",
 		CorrelationID: correlationID,
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"testing"
 
-	"comethold/internal/controlplane/replicatest"
 	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/schematest"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
 	"comethold/internal/routing"
@@ -21,24 +21,25 @@
 // rejected.
 func TestReceiptsOfOldChanges(t *testing.T) {
 	const changes = 5000
-	replica := replicatest.New(t)
+	cell := schematest.NewCell(t)
+	replica := cell.Replica()
 	baseOf := func(version uint64) uint64 { return max(version, 3) - 3 }
 	isAppend := func(op paxos.Op) bool { return op.Kind == paxos.OpAppend }
 	for version := uint64(3); version <= 3*changes; version += 3 {
 		config := &routing.Configuration{Version: version}
-		txn := schema.ConfigTxn(replica.Replica, config, []byte("{}"), fingerprintOf(version), nil)
+		txn := schema.ConfigTxn(replica, config, []byte("{}"), fingerprintOf(version), nil)
 		txn.Ops = slices.DeleteFunc(txn.Ops, isAppend) // nobody sweeps the outbox here
-		if !replica.Commit(txn) {
+		if !cell.Commit(txn) {
 			t.Fatalf("%d is not committed", version)
 		}
 	}
 	known := 0
 	for version := uint64(3); version <= 3*changes; version += 3 {
 		base := baseOf(version)
-		use, forgotten := schema.CheckReplay(replica.Replica, version, base, fingerprintOf(version))
-		otherContent, forgotten2 := schema.CheckReplay(replica.Replica, version, base, fingerprintOf(version+1))
-		otherBase, _ := schema.CheckReplay(replica.Replica, version, base+1, fingerprintOf(version))
-		otherVersion, _ := schema.CheckReplay(replica.Replica, version+1, base, fingerprintOf(version+1))
+		use, forgotten := schema.CheckReplay(replica, version, base, fingerprintOf(version))
+		otherContent, forgotten2 := schema.CheckReplay(replica, version, base, fingerprintOf(version+1))
+		otherBase, _ := schema.CheckReplay(replica, version, base+1, fingerprintOf(version))
+		otherVersion, _ := schema.CheckReplay(replica, version+1, base, fingerprintOf(version+1))
 		if forgotten != forgotten2 || forgotten && known > 0 {
 			t.Fatalf("%d: forgotten is %v, after newer ones", version, forgotten)
 		}
@@ -56,7 +57,7 @@
 	if known < atLeast || known == changes {
 		t.Errorf("%d changes are remembered", known)
 	}
-	size := receiptBytes(replica.Replica)
+	size := receiptBytes(replica)
 	t.Logf("%d changes are remembered in %d bytes", known, size)
 	if size > 128<<10 {
 		t.Errorf("they take %d bytes", size)
