--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -30,6 +30,11 @@
 			}
 		},
 	})
+}
+
+// openLongPoll makes what answers nodes that ask for updates. The distributor, the host and
+// the reconciler must be made.
+func (s *Server) openLongPoll() {
 	s.longPoll = &distributor.LongPoll{
 		Distributor: s.distributor,
 		IsStale:     func() bool { return s.host.QuorumContactAge() > replicahost.StaleAfter },
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -84,6 +84,7 @@
 	s.placementLease = s.newLease(placementRole, placementLeaseDuration, lease.FencedClockSkewFactor)
 	s.usageLease = s.newLease(usageRole, metering.LeaseDuration, lease.ClockSkewFactor)
 	s.openReconciler(self)
+	s.openLongPoll()
 	s.openMetering(store)
 	s.openLatencyEstimates()
 	s.openAllocation(store)
