--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -38,7 +38,7 @@
 	s.longPoll = &distributor.LongPoll{
 		Distributor: s.distributor,
 		IsStale:     func() bool { return s.host.QuorumContactAge() > replicahost.StaleAfter },
-		Record:      func(request *distribution.UpdateRequest) { s.reconciler.Record(request) },
+		Record:      s.reconciler.Record,
 		Stopping:    s.quit,
 	}
 }
