--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -5,23 +5,19 @@
 
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
-	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
 	"comethold/internal/rpc"
-	"comethold/internal/settings"
-	"comethold/internal/storage"
 )
 
-// TestNotificationsInOrder: nodes ask for what is after the newest position that they know, so
-// a notice that waits for its state is not overtaken, and two at one position are told
-// together.
+// TestNotificationsInOrder: nodes ask for what is after the newest log index that they know,
+// so a notification that waits for its state is not overtaken, and two at one log index are
+// distributed together.
 func TestNotificationsInOrder(t *testing.T) {
-	r := New(&settings.Settings{NodeName: "n", IPAddress: "10.0.0.1", InternalPortRange: []int{7120, 7135}, DataDirectory: t.TempDir(), FirstStart: true,
-		SeedNodes: []string{"10.0.0.1:1"}}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
-	r.openStorage()
-	go func() { _ = r.host.Run() }()
-	defer r.Stop()
+	s := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
+	s.openStorage()
+	go func() { _ = s.host.Run() }()
+	defer s.Stop()
 	change, err := outbox.NewNotification("configuration/3", outbox.AggregateConfiguration, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -30,29 +26,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(slot uint64, id string, n outbox.Notification) paxos.Op {
-		return paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.OutboxKeyPrefix, slot, id), Value: schema.MustEncode(outbox.Row{Notification: n})}
+	put := func(prefix string, logIndex uint64, id string, value any) paxos.Op {
+		return paxos.Op{
+			Kind:  paxos.OpPut,
+			Key:   paxos.AppendedKey(prefix, logIndex, id),
+			Value: schema.MustEncode(value),
+		}
 	}
-	purged := paxos.Op{Kind: paxos.OpPut, Key: paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"), Value: schema.MustEncode([]distribution.Purge{{Label: "l"}})}
-	if !(metaCell{r.host}).Commit(paxos.Txn{Ops: []paxos.Op{put(8, "a", purges), put(9, "a", purges), put(9, "b", change), put(10, "a", purges), purged}}) {
-		t.Fatal("not taken")
+	txn := paxos.Txn{Ops: []paxos.Op{
+		put(schema.OutboxKeyPrefix, 8, "a", outbox.Row{Notification: purges}),
+		put(schema.OutboxKeyPrefix, 9, "a", outbox.Row{Notification: purges}),
+		put(schema.OutboxKeyPrefix, 9, "b", outbox.Row{Notification: change}),
+		put(schema.OutboxKeyPrefix, 10, "a", outbox.Row{Notification: purges}),
+		put(schema.PurgeKeyPrefix, 10, "a", []distribution.Purge{{Label: "l"}}),
+	}}
+	if !(metaCell{s.host}).Commit(txn) {
+		t.Fatal("not committed")
 	}
-	have := uint64(1)
-	tell := func(want int) {
+	held := uint64(1)
+	expect := func(want int) {
 		t.Helper()
-		r.consumer.Apply()
-		n := r.distributor.Changes(&distribution.UpdateRequest{Held: distribution.HeldVersions{NotificationIndex: have}})
-		if n.Notifications == nil && want == 0 {
+		s.consumer.Apply()
+		request := &distribution.UpdateRequest{Held: distribution.HeldVersions{NotificationIndex: held}}
+		update := s.distributor.Changes(request).Notifications
+		if update == nil && want == 0 {
 			return
 		}
-		if n.Notifications == nil || len(n.Notifications.Notifications) != want {
-			t.Fatalf("told are %v, not %d", n.Notifications, want)
+		if update == nil || len(update.Notifications) != want {
+			t.Fatalf("distributed are %v, not %d", update, want)
 		}
-		have = n.Notifications.LogIndex
+		held = update.LogIndex
 	}
-	tell(1) // the configuration is not here
-	tell(0)
-	r.distributor.SetConfiguration(3, []byte(`{"version":3}`))
-	tell(3)
-	tell(0)
+	expect(1) // the configuration is not here
+	expect(0)
+	s.distributor.SetConfiguration(3, []byte(`{"version":3}`))
+	expect(3)
+	expect(0)
 }
--- a/internal/controlplane/operatorapi/request_test.go
+++ b/internal/controlplane/operatorapi/request_test.go
@@ -18,7 +18,8 @@
 	h := New(Options{Log: logging.Nop()})
 	h.largeBodySlot <- struct{}{}
 	time.AfterFunc(largeChangeMaxWait/5, func() { <-h.largeBodySlot })
-	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", io.LimitReader(zeros{}, largeChangeBytes+1))
+	body := io.LimitReader(zeros{}, largeChangeBytes+1)
+	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", body)
 	request.ContentLength = largeChangeBytes + 1
 	request.Header.Set(baseVersionHeader, "0")
 	context := echo.New().NewContext(request, httptest.NewRecorder())
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -116,7 +116,9 @@
 }
 
 // suspects returns the listed nodes that don't call and that enough neighbours miss.
-func (n *nodeReconciler) suspects(listed, contacts map[string]distribution.Node, now time.Time) (suspects []distribution.Node) {
+func (n *nodeReconciler) suspects(
+	listed, contacts map[string]distribution.Node, now time.Time,
+) (suspects []distribution.Node) {
 	required := min(nodereports.WitnessesRequired, len(listed)-1)
 	for name, witnesses := range n.reports.Suspects(now) {
 		_, calls := contacts[name]
@@ -131,7 +133,9 @@
 // unreachable returns those of the nodes that don't answer this node either. A node may get
 // its updates from another control node, and a congested link loses its heartbeats: those
 // that answer are not suspected any more.
-func (n *nodeReconciler) unreachable(ctx context.Context, suspects []distribution.Node) (unreachable []distribution.Node) {
+func (n *nodeReconciler) unreachable(
+	ctx context.Context, suspects []distribution.Node,
+) (unreachable []distribution.Node) {
 	answers := make([]bool, len(suspects))
 	var probes sync.WaitGroup
 	for i, node := range suspects {
--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"net/http"
+	"net/http/httptest"
+	"strconv"
 	"testing"
 	"time"
 
@@ -11,28 +13,38 @@
 	"comethold/internal/rpc"
 )
 
-// TestProbeUnreachable: a node that its watchers miss and that this registrar does not
-// feed, but that answers, is not taken for down.
+// TestProbeUnreachable: a node that its neighbours miss and that gets no updates from this
+// control node, but that answers, is not taken for down.
 func TestProbeUnreachable(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusNoContent)
+	}))
+	defer server.Close()
+	_, port, err := net.SplitHostPort(server.Listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	dataPlanePort, err := strconv.Atoi(port)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	go func() {
-		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
-	}()
-	port := l.Addr().(*net.TCPAddr).Port
 	reconciler := newNodeReconciler(Options{
 		Reports: nodereports.NewTracker(),
-		Prober:  RPCProber{Client: rpc.NewClient(rpc.TCPNetwork), DataPlanePort: port},
+		Prober:  RPCProber{Client: rpc.NewClient(rpc.TCPNetwork), DataPlanePort: dataPlanePort},
 	}, committer{})
-	reconciler.reports.Record(&distribution.UpdateRequest{Node: distribution.Node{Name: "w"}, Suspects: []string{"a", "b"}}, time.Now())
-	out := reconciler.unreachable(t.Context(), []distribution.Node{{Name: "a", Addr: "127.0.0.1"}, {Name: "b", Addr: "127.0.0.2"}})
-	if len(out) != 1 || out[0].Name != "b" {
-		t.Errorf("not reached: %v", out)
+	reconciler.reports.Record(&distribution.UpdateRequest{
+		Node:     distribution.Node{Name: "w"},
+		Suspects: []string{"a", "b"},
+	}, time.Now())
+	unreachable := reconciler.unreachable(t.Context(), []distribution.Node{
+		{Name: "a", Addr: "127.0.0.1"},
+		{Name: "b", Addr: "127.0.0.2"},
+	})
+	if len(unreachable) != 1 || unreachable[0].Name != "b" {
+		t.Errorf("unreachable: %v", unreachable)
 	}
-	if suspects := reconciler.reports.Suspects(time.Now()); suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
+	suspects := reconciler.reports.Suspects(time.Now())
+	if suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
 		t.Errorf("suspected: %v", suspects)
 	}
 }
