--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -10,14 +10,14 @@
 	"comethold/internal/rpc"
 )
 
-// TestNotificationsInOrder: nodes ask for what is after the newest log index that they know,
-// so a notification that waits for its state is not overtaken, and two at one log index are
-// distributed together.
+// TestNotificationsInOrder: nodes ask for what comes after the newest log index that they
+// know, so a notification that waits for its state is not overtaken, and two at one index go
+// together.
 func TestNotificationsInOrder(t *testing.T) {
-	s := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
-	s.openStorage()
-	go func() { _ = s.host.Run() }()
-	defer s.Stop()
+	r := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
+	r.openStorage()
+	go func() { _ = r.host.Run() }()
+	defer r.Stop()
 	change, err := outbox.NewNotification("configuration/3", outbox.AggregateConfiguration, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -26,40 +26,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(prefix string, logIndex uint64, id string, value any) paxos.Op {
+	row := func(index uint64, id string, notification outbox.Notification) paxos.Op {
 		return paxos.Op{
 			Kind:  paxos.OpPut,
-			Key:   paxos.AppendedKey(prefix, logIndex, id),
-			Value: schema.MustEncode(value),
+			Key:   paxos.AppendedKey(schema.OutboxKeyPrefix, index, id),
+			Value: schema.MustEncode(outbox.Row{Notification: notification}),
 		}
 	}
-	txn := paxos.Txn{Ops: []paxos.Op{
-		put(schema.OutboxKeyPrefix, 8, "a", outbox.Row{Notification: purges}),
-		put(schema.OutboxKeyPrefix, 9, "a", outbox.Row{Notification: purges}),
-		put(schema.OutboxKeyPrefix, 9, "b", outbox.Row{Notification: change}),
-		put(schema.OutboxKeyPrefix, 10, "a", outbox.Row{Notification: purges}),
-		put(schema.PurgeKeyPrefix, 10, "a", []distribution.Purge{{Label: "l"}}),
-	}}
-	if !(metaCell{s.host}).Commit(txn) {
+	purged := paxos.Op{
+		Kind:  paxos.OpPut,
+		Key:   paxos.AppendedKey(schema.PurgeKeyPrefix, 10, "a"),
+		Value: schema.MustEncode([]distribution.Purge{{Label: "l"}}),
+	}
+	if !(metaCell{r.host}).Commit(paxos.Txn{Ops: []paxos.Op{
+		row(8, "a", purges),
+		row(9, "a", purges),
+		row(9, "b", change),
+		row(10, "a", purges),
+		purged,
+	}}) {
 		t.Fatal("not committed")
 	}
-	held := uint64(1)
+	known := uint64(1)
 	expect := func(want int) {
 		t.Helper()
-		s.consumer.Apply()
-		request := &distribution.UpdateRequest{Held: distribution.HeldVersions{NotificationIndex: held}}
-		update := s.distributor.Changes(request).Notifications
-		if update == nil && want == 0 {
+		r.consumer.Apply()
+		held := distribution.HeldVersions{NotificationIndex: known}
+		update := r.distributor.Changes(&distribution.UpdateRequest{Held: held})
+		if update.Notifications == nil && want == 0 {
 			return
 		}
-		if update == nil || len(update.Notifications) != want {
-			t.Fatalf("distributed are %v, not %d", update, want)
+		if update.Notifications == nil || len(update.Notifications.Notifications) != want {
+			t.Fatalf("an update has %v, not %d", update.Notifications, want)
 		}
-		held = update.LogIndex
+		known = update.Notifications.LogIndex
 	}
 	expect(1) // the configuration is not here
 	expect(0)
-	s.distributor.SetConfiguration(3, []byte(`{"version":3}`))
+	r.distributor.SetConfiguration(3, []byte(`{"version":3}`))
 	expect(3)
 	expect(0)
 }
