--- a/internal/controlplane/schematest/cell.go
+++ b/internal/controlplane/schematest/cell.go
@@ -58,6 +58,9 @@
 	return true
 }
 
+// Replica returns the replica, for tests that use the cell on one goroutine.
+func (c *Cell) Replica() *paxos.Replica { return c.replica }
+
 // Commit applies a transaction and reports whether it was committed.
 func (c *Cell) Commit(txn paxos.Txn) bool {
 	c.tb.Helper()
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -89,7 +89,6 @@
 	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
-	s.openLatencyEstimates()
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
