--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -30,30 +30,30 @@
 
 // openAllocation makes what allocates shares and quotas. The host must be made and not opened
 // yet.
-func (r *Server) openAllocation(store *storage.Store) {
-	r.shares = allocation.NewShareService(r.host, lease.ClockSkewFactor)
+func (s *Server) openAllocation(store *storage.Store) {
+	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
 	watermarks := allocation.NewWatermarkStore(allocator, store)
-	tenants := allocation.NewTenants(r.settings.Bounds.QuotaRules(), allocator)
+	tenants := allocation.NewTenants(s.settings.Bounds.QuotaRules(), allocator)
 	borrower := allocation.NewBorrower(allocation.BorrowerOptions{
 		Allocator: allocator,
-		Peers:     r.host,
-		Address:   r.settings.IPAddress,
-		Port:      r.settings.PortOf(settings.ControlPlane),
-		Region:    r.settings.RegionName,
-		RegionOf:  r.settings.RegionOf,
+		Peers:     s.host,
+		Address:   s.settings.IPAddress,
+		Port:      s.settings.PortOf(settings.ControlPlane),
+		Region:    s.settings.RegionName,
+		RegionOf:  s.settings.RegionOf,
 	})
-	r.quotas = quotaAllocation{
+	s.quotas = quotaAllocation{
 		tenants:    tenants,
 		watermarks: watermarks,
 		borrower:   borrower,
 		renewer: allocation.NewQuotaShareRenewer(allocation.QuotaShareRenewerOptions{
-			NodeName:   r.settings.NodeName,
+			NodeName:   s.settings.NodeName,
 			Allocator:  allocator,
 			Tenants:    tenants,
-			Shares:     r.shares,
+			Shares:     s.shares,
 			Watermarks: watermarks.Load(),
-			Log:        r.log,
+			Log:        s.log,
 		}),
 		tokens: allocation.NewTokenServer(allocation.TokenServerOptions{
 			Allocator:     allocator,
@@ -65,14 +65,14 @@
 
 // handleRateShare renews a node's share of the rate limits. The node tries again if it is
 // granted nothing.
-func (r *Server) handleRateShare(c echo.Context) error {
+func (s *Server) handleRateShare(c echo.Context) error {
 	var request distribution.ShareRequest
-	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !r.shares.IsValid(&request) {
+	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !s.shares.IsValid(&request) {
 		return c.NoContent(http.StatusBadRequest)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), rateShareTimeout)
 	defer cancel()
-	grant, err := r.shares.Request(ctx, request)
+	grant, err := s.shares.Request(ctx, request)
 	if err != nil {
 		grant = distribution.ShareGrant{}
 	}
@@ -81,12 +81,12 @@
 
 // handleShareDecision decides a request for a share that another control node forwards to
 // this one as the leader.
-func (r *Server) handleShareDecision(c echo.Context) error {
+func (s *Server) handleShareDecision(c echo.Context) error {
 	var request distribution.ShareRequest
-	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !r.shares.HasTable(request.Table) {
+	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !s.shares.HasTable(request.Table) {
 		return c.NoContent(http.StatusBadRequest)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
 	defer cancel()
-	return writeCBOR(c, r.shares.DecideLocal(ctx, request))
+	return writeCBOR(c, s.shares.DecideLocal(ctx, request))
 }
--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -33,18 +33,18 @@
 }
 
 // ServeDatagrams answers and sends datagrams until Stop, then closes the connection.
-func (r *Server) ServeDatagrams(conn net.PacketConn) error {
+func (s *Server) ServeDatagrams(conn net.PacketConn) error {
 	select {
-	case <-r.ready:
-	case <-r.quit:
+	case <-s.ready:
+	case <-s.quit:
 		return conn.Close()
 	}
 	server := &datagramServer{
 		conn:     conn,
-		tokens:   r.quotas.tokens,
-		borrower: r.quotas.borrower,
-		counts:   r.usage.collector,
-		stopping: r.quit,
+		tokens:   s.quotas.tokens,
+		borrower: s.quotas.borrower,
+		counts:   s.usage.collector,
+		stopping: s.quit,
 	}
 	return server.run()
 }
--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -23,23 +23,23 @@
 }
 
 // openLatencyEstimates makes what collects and exports latency estimates.
-func (r *Server) openLatencyEstimates() {
-	collector := latency.NewCollector(r.distributor.Nodes, r.settings.PortOf(settings.DataPlane), r.client)
-	file := latency.NewFile(r.settings.DataDirectory, r.disk)
-	r.estimates = latencyEstimates{
+func (s *Server) openLatencyEstimates() {
+	collector := latency.NewCollector(s.distributor.Nodes, s.settings.PortOf(settings.DataPlane), s.client)
+	file := latency.NewFile(s.settings.DataDirectory, s.disk)
+	s.estimates = latencyEstimates{
 		collector: collector,
 		file:      file,
-		exporter:  latency.NewExporter(collector, file, r.settings.AvailabilityZone, r.log),
+		exporter:  latency.NewExporter(collector, file, s.settings.AvailabilityZone, s.log),
 	}
 }
 
 // handleReadEstimates answers with what all data plane nodes know: of ?service= and ?class=,
 // and of the last ?seconds= of slow lookups, where they are given.
-func (r *Server) handleReadEstimates(c echo.Context) error {
+func (s *Server) handleReadEstimates(c echo.Context) error {
 	request := distribution.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), estimatesTimeout)
 	defer cancel()
-	view := r.estimates.collector.CollectAll(ctx, request)
+	view := s.estimates.collector.CollectAll(ctx, request)
 	if age, err := time.ParseDuration(c.QueryParam("seconds") + "s"); err == nil {
 		view.KeepRecent(age)
 	}
@@ -47,6 +47,6 @@
 }
 
 // handleReadSavedEstimates answers with what this control node has exported, oldest first.
-func (r *Server) handleReadSavedEstimates(c echo.Context) error {
-	return c.JSON(http.StatusOK, r.estimates.file.Lines())
+func (s *Server) handleReadSavedEstimates(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.estimates.file.Lines())
 }
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -20,40 +20,40 @@
 
 // openMetering makes what stores and reports the collected counts. The host and the lease must be made
 // and not run yet.
-func (r *Server) openMetering(store *storage.Store) {
-	bounds := &r.settings.Bounds
-	r.usage.counts = metering.NewCountStore(r.usage.collector, store, bounds.UsageWindow())
-	if r.settings.ReportsUsage() {
-		r.usage.counts.Restore()
+func (s *Server) openMetering(store *storage.Store) {
+	bounds := &s.settings.Bounds
+	s.usage.counts = metering.NewCountStore(s.usage.collector, store, bounds.UsageWindow())
+	if s.settings.ReportsUsage() {
+		s.usage.counts.Restore()
 	}
-	r.usage.reporter = metering.NewReporter(metering.ReporterOptions{
-		Collector: r.usage.collector,
+	s.usage.reporter = metering.NewReporter(metering.ReporterOptions{
+		Collector: s.usage.collector,
 		Platform: metering.NewPlatformClient(metering.PlatformClientOptions{
-			Network:           r.network,
-			Address:           r.settings.Platform.Address,
-			NodeName:          r.settings.NodeName,
-			Lease:             r.usageLease,
+			Network:           s.network,
+			Address:           s.settings.Platform.Address,
+			NodeName:          s.settings.NodeName,
+			Lease:             s.usageLease,
 			LeaseDuration:     bounds.Lease(),
-			MaxCallsPerSecond: r.settings.Platform.DutiesPerS / 2,
-			StartedAt:         r.startedAt,
+			MaxCallsPerSecond: s.settings.Platform.DutiesPerS / 2,
+			StartedAt:         s.startedAt,
 		}),
-		Lease:   r.usageLease,
-		State:   metaCell{r.host},
-		Peers:   r.host,
-		Nodes:   r.distributor.Nodes,
-		Address: r.settings.IPAddress,
-		Voters:  placement.VotersFor(r.settings.Tolerance.MachineLosses),
+		Lease:   s.usageLease,
+		State:   metaCell{s.host},
+		Peers:   s.host,
+		Nodes:   s.distributor.Nodes,
+		Address: s.settings.IPAddress,
+		Voters:  placement.VotersFor(s.settings.Tolerance.MachineLosses),
 		Window:  bounds.UsageWindow(),
 		Delay:   bounds.UsageReportDelay(),
-		Log:     r.log,
+		Log:     s.log,
 	})
 }
 
 // handleUsageWindow tells another control node what this one knows of a window.
-func (r *Server) handleUsageWindow(c echo.Context) error {
+func (s *Server) handleUsageWindow(c echo.Context) error {
 	var request metering.WindowRequest
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	return writeCBOR(c, r.usage.collector.Window(request.Window))
+	return writeCBOR(c, s.usage.collector.Window(request.Window))
 }
--- a/internal/controlplane/outbox.go
+++ b/internal/controlplane/outbox.go
@@ -7,23 +7,23 @@
 )
 
 // openOutbox makes what works on the outbox. The host must be made and not opened yet.
-func (r *Server) openOutbox(self replicahost.PeerInfo, store *storage.Store) {
-	state := metaCell{r.host}
-	r.quarantine = outboxpublisher.NewQuarantine(state, r.settings.NodeName)
-	r.consumer = outboxpublisher.NewConsumer(outboxpublisher.ConsumerOptions{
+func (s *Server) openOutbox(self replicahost.PeerInfo, store *storage.Store) {
+	state := metaCell{s.host}
+	s.quarantine = outboxpublisher.NewQuarantine(state, s.settings.NodeName)
+	s.consumer = outboxpublisher.NewConsumer(outboxpublisher.ConsumerOptions{
 		State:           state,
-		Distributor:     r.distributor,
+		Distributor:     s.distributor,
 		Storage:         store,
-		Quarantine:      r.quarantine,
-		OnConfiguration: r.quotas.tenants.SetTenants,
-		Log:             r.log,
+		Quarantine:      s.quarantine,
+		OnConfiguration: s.quotas.tenants.SetTenants,
+		Log:             s.log,
 	})
-	r.publisher = outboxpublisher.NewPublisher(outboxpublisher.PublisherOptions{
+	s.publisher = outboxpublisher.NewPublisher(outboxpublisher.PublisherOptions{
 		State: state,
-		Lease: r.placementLease,
-		Peers: r.host,
-		Local: r.consumer,
+		Lease: s.placementLease,
+		Peers: s.host,
+		Local: s.consumer,
 		Self:  self,
-		Log:   r.log,
+		Log:   s.log,
 	})
 }
