--- /dev/null
+++ b/internal/controlplane/distributor/longpoll_test.go
@@ -0,0 +1,67 @@
+package distributor
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"comethold/internal/distribution"
+)
+
+// TestLongPoll: a node is answered at once if it lacks something, or the state may be stale,
+// or it asks for that; else at the next change, or after longPollTimeout.
+func TestLongPoll(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		request distribution.UpdateRequest
+		isStale bool
+		change  time.Duration // when the endpoint list changes
+		stop    time.Duration // when the node stops
+		want    time.Duration // when it is answered
+		isEmpty bool
+		err     error
+	}{
+		{name: "lacks something", change: 0, want: 0},
+		{name: "change", change: 300 * time.Millisecond, want: 300 * time.Millisecond},
+		{name: "time-out", change: time.Hour, want: longPollTimeout, isEmpty: true},
+		{name: "stale", isStale: true, change: time.Hour, want: 0, isEmpty: true},
+		{
+			name:    "immediate",
+			request: distribution.UpdateRequest{Immediate: true},
+			change:  time.Hour,
+			want:    0,
+			isEmpty: true,
+		},
+		{name: "stop", change: time.Hour, stop: 200 * time.Millisecond, want: 200 * time.Millisecond, err: errStopping},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				stopping := make(chan struct{})
+				d := New(Options{})
+				poll := &LongPoll{Distributor: d, IsStale: func() bool { return c.isStale }, Stopping: stopping}
+				list := &distribution.EndpointList{Revision: distribution.Revision{Term: 1, Sequence: 1}}
+				if c.change == 0 {
+					d.SetEndpoints(list)
+				} else {
+					timer := time.AfterFunc(c.change, func() { d.SetEndpoints(list) })
+					defer timer.Stop()
+				}
+				if c.stop > 0 {
+					time.AfterFunc(c.stop, func() { close(stopping) })
+				}
+				begin := time.Now()
+				update, err := poll.wait(t.Context(), &c.request)
+				if took := time.Since(begin); took != c.want {
+					t.Errorf("answered after %v, not %v", took, c.want)
+				}
+				if !errors.Is(err, c.err) {
+					t.Errorf("the error is %v", err)
+				}
+				if err == nil && update.IsEmpty != c.isEmpty {
+					t.Errorf("empty is %v", update.IsEmpty)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/controlplane/operatorapi/purges_test.go
@@ -0,0 +1,64 @@
+package operatorapi
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+
+	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/schematest"
+	"comethold/internal/distribution"
+	"comethold/internal/logging"
+	"comethold/internal/rpc"
+)
+
+// TestPurgesAreBatched: purges that are pending together are committed together, each once,
+// with one notification.
+func TestPurgesAreBatched(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cells := &testCells{Cell: schematest.NewCell(t)}
+		queue := newPurgeQueue(cells, logging.Nop())
+		outcomes := make(chan error, 3)
+		for _, label := range []string{"a", "b", "a"} {
+			go func() { outcomes <- queue.submit(t.Context(), distribution.Purge{Label: label}) }()
+		}
+		synctest.Wait()
+		ctx, cancel := context.WithCancel(t.Context())
+		go queue.run(ctx)
+		for range cap(outcomes) {
+			if err := <-outcomes; err != nil {
+				t.Error(err)
+			}
+		}
+		cancel()
+		keys := cells.Replica().KeysWithPrefix(schema.PurgeKeyPrefix, schema.PurgeKeyPrefix)
+		if len(keys) != 1 {
+			t.Fatalf("%d batches are committed", len(keys))
+		}
+		var purges []distribution.Purge
+		value, _ := cells.Replica().Get(keys[0])
+		if err := rpc.Unmarshal(value.Bytes, &purges); err != nil || len(purges) != 2 {
+			t.Errorf("committed are %v, %v", purges, err)
+		}
+		if rows := schema.OutboxRows(cells.Replica()); len(rows) != 1 {
+			t.Errorf("%d notifications are in the outbox", len(rows))
+		}
+	})
+}
+
+// TestStoppedPurgeQueue: a purge that is pending when the node stops may or may not be
+// committed, and its caller is told so.
+func TestStoppedPurgeQueue(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		queue := newPurgeQueue(&testCells{Cell: schematest.NewCell(t)}, logging.Nop())
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		queue.run(ctx)
+		err := queue.submit(t.Context(), distribution.Purge{Label: "a"})
+		if !errors.Is(err, replicahost.ErrOutcomeUnknown) {
+			t.Error(err)
+		}
+	})
+}
