--- a/internal/controlplane/distributor/configurations.go
+++ b/internal/controlplane/distributor/configurations.go
@@ -8,7 +8,7 @@
 )
 
 // maxConfigurations is how many configurations are kept, for nodes that hold a former one and
-// need only be told what has changed since.
+// need only what has changed since.
 const maxConfigurations = 4
 
 // configurationHistory holds the last few configurations, newest last.
--- a/internal/controlplane/distributor/distributor.go
+++ b/internal/controlplane/distributor/distributor.go
@@ -15,8 +15,8 @@
 	"comethold/internal/routing"
 )
 
-// nodePublishInterval is how often at most the nodes are told of changes of the node list:
-// when all start, each of them would be told of every other.
+// nodePublishInterval is how often at most changes of the node list are published: when
+// all nodes start, each of them would be sent every other.
 const nodePublishInterval = 300 * time.Millisecond
 
 // Options are what a Distributor is made from.
@@ -28,7 +28,7 @@
 	SaveEndpoints func(*distribution.EndpointList)
 }
 
-// Distributor is what this control node can tell nodes. It is safe for concurrent use.
+// Distributor is what this control node can send to nodes. It is safe for concurrent use.
 type Distributor struct {
 	saveEndpoints func(*distribution.EndpointList)
 
@@ -155,7 +155,7 @@
 	}
 }
 
-// SetNodes takes the node list as of a log index. Nodes are told of it at once, or with the
+// SetNodes takes the node list as of a log index. It is published at once, or with the
 // changes that follow within nodePublishInterval.
 func (d *Distributor) SetNodes(logIndex uint64, nodes []distribution.Node) {
 	d.mu.Lock()
--- a/internal/controlplane/distributor/longpoll.go
+++ b/internal/controlplane/distributor/longpoll.go
@@ -20,8 +20,8 @@
 // LongPoll answers nodes as soon as there is something that they lack.
 type LongPoll struct {
 	Distributor *Distributor
-	// IsStale reports whether this node has lost touch with the quorum. Nodes are told so
-	// at once.
+	// IsStale reports whether this node has lost touch with the quorum. Nodes are
+	// notified of that at once.
 	IsStale func() bool
 	// Record is called with each request, for what the node reports in it.
 	Record func(*distribution.UpdateRequest)
--- a/internal/controlplane/distributor/nodes.go
+++ b/internal/controlplane/distributor/nodes.go
@@ -6,7 +6,7 @@
 	"comethold/internal/distribution"
 )
 
-// nodeTable holds the node list: the newest, and the one that nodes are told of.
+// nodeTable holds the node list: the newest, and the one that is published.
 type nodeTable struct {
 	byName  map[string]distribution.Node // the newest; replaced, never changed
 	pending *nodeList                    // the newest, until it is published
@@ -40,7 +40,8 @@
 	return isAwaited
 }
 
-// publish lets nodes be told of the newest list, and reports whether it differs.
+// publish makes the newest list the one that nodes are sent, and reports whether it differs
+// from the one before.
 func (t *nodeTable) publish(now time.Time) bool {
 	next := t.pending
 	if next == nil {
@@ -56,7 +57,7 @@
 }
 
 // updateFrom returns what a node of a zone lacks, or nil. Of the data planes in other zones
-// it is told the number alone.
+// it gets the number alone.
 func (t *nodeTable) updateFrom(held distribution.HeldVersions, zone string) *distribution.NodeList {
 	logIndex := t.published.Revision().Sequence
 	if t.published.Len() == 0 || logIndex <= held.NodesIndex {
--- a/internal/controlplane/distributor/notifications.go
+++ b/internal/controlplane/distributor/notifications.go
@@ -53,7 +53,7 @@
 }
 
 // updateFrom returns what a node lacks that holds the notifications up to a log index, or
-// nil. A node that holds none, or too old ones, is told the newest versions instead: the
+// nil. A node that holds none, or too old ones, is sent the newest versions instead: the
 // state that it is given says all that the notifications would.
 func (l *notificationLog) updateFrom(held uint64) *distribution.NotificationUpdate {
 	end := len(l.notifications)
--- a/internal/controlplane/endpointlist/fetcher.go
+++ b/internal/controlplane/endpointlist/fetcher.go
@@ -35,7 +35,7 @@
 	f.background.Close()
 }
 
-// OnPeerRevision is told which revision a peer holds. It doesn't wait; a newer list is
+// OnPeerRevision takes the revision that a peer says it holds. It doesn't wait; a newer list is
 // fetched in the background, one at a time.
 func (f *Fetcher) OnPeerRevision(address string, revision distribution.Revision) {
 	if !f.store.EndpointsRevision().Less(revision) || !f.isFetching.CompareAndSwap(false, true) {
--- a/internal/controlplane/endpointlist/poller.go
+++ b/internal/controlplane/endpointlist/poller.go
@@ -35,7 +35,7 @@
 	pollFraction = 0.3
 	// listTimeout is for all pages of a list; each has a time-out of its own.
 	listTimeout = 10 * time.Second
-	// revisionInterval is how often peers are told the revision of a list that is unchanged.
+	// revisionInterval is how often peers are sent the revision of a list that is unchanged.
 	revisionInterval = time.Second
 	callTimeout      = time.Second
 )
--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -84,7 +84,7 @@
 
 // ForgetPurgesTxn drops purges, by their keys in order of log index, and raises the low
 // watermark from where it was read. One that is late would lower it, and a node that lacks
-// what was dropped would not be told; it finds another watermark there, and changes nothing.
+// what was dropped would not notice; it finds another watermark there, and changes nothing.
 func ForgetPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
 	txn.Conditions = []paxos.Condition{unchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -43,7 +43,7 @@
 	SilenceOf(address string) time.Duration
 }
 
-// Lists are what nodes are told of. *distributor.Distributor implements it.
+// Lists are what is distributed to nodes. *distributor.Distributor implements it.
 type Lists interface {
 	Nodes() map[string]distribution.Node
 	Endpoints() *distribution.EndpointList
