--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -170,7 +170,7 @@
 		result := s.state.ProposeLocal(ctx, schema.MetaCell, paxos.Txn{
 			ID:         replicahost.NewTransactionID(),
 			Conditions: []paxos.Condition{unchanged},
-			Ops:        []paxos.Op{{Kind: paxos.OpPut, Key: allocator.tableKey, Value: schema.MustEncode(table)}},
+			Ops:        []paxos.Op{schema.PutOp(allocator.tableKey, table)},
 		})
 		if result.Committed || result.Busy || result.Unknown || result.NoLeader {
 			return result, grants
--- a/internal/controlplane/metering/commit.go
+++ b/internal/controlplane/metering/commit.go
@@ -93,10 +93,10 @@
 	}
 	key := schema.UsageReportKey(window)
 	txn.Conditions = []paxos.Condition{{Key: key, Absent: true}, leaseHeld}
-	txn.Ops = []paxos.Op{putOp(key, row)}
+	txn.Ops = []paxos.Op{schema.PutOp(key, row)}
 	for i := 0; i+maxPublishedReports < len(rows); i++ {
 		if rows[i].Row.State == outbox.Published {
-			txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: rows[i].Key})
+			txn.Ops = append(txn.Ops, schema.DeleteOp(rows[i].Key))
 		}
 	}
 	return txn, true
--- a/internal/controlplane/metering/reporter.go
+++ b/internal/controlplane/metering/reporter.go
@@ -123,11 +123,3 @@
 
 // ownerToken is the claim of a report by the holder of a term.
 func ownerToken(term uint64) string { return "usage/" + strconv.FormatUint(term, 10) }
-
-func ifUnchanged(row schema.StoredRow) paxos.Condition {
-	return paxos.Condition{Key: row.Key, Equals: paxos.Bytes(row.Raw)}
-}
-
-func putOp(key string, record any) paxos.Op {
-	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(record)}
-}
--- a/internal/controlplane/metering/send.go
+++ b/internal/controlplane/metering/send.go
@@ -67,9 +67,9 @@
 	if !ok {
 		return row, false
 	}
-	put := putOp(row.Key, next)
+	put := schema.PutOp(row.Key, next)
 	committed := r.options.State.Commit(paxos.Txn{
-		Conditions: []paxos.Condition{ifUnchanged(row), leaseHeld},
+		Conditions: []paxos.Condition{row.Unchanged(), leaseHeld},
 		Ops:        []paxos.Op{put},
 	})
 	return schema.StoredRow{Key: row.Key, Raw: put.Value.Bytes, Row: next}, committed
@@ -101,7 +101,7 @@
 		return false
 	}
 	return r.options.State.Commit(paxos.Txn{
-		Conditions: []paxos.Condition{ifUnchanged(row)},
-		Ops:        []paxos.Op{putOp(row.Key, next)},
+		Conditions: []paxos.Condition{row.Unchanged()},
+		Ops:        []paxos.Op{schema.PutOp(row.Key, next)},
 	})
 }
--- a/internal/controlplane/outboxpublisher/publisher.go
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -115,8 +115,8 @@
 		if err != nil {
 			continue
 		}
-		txn.Conditions = append(txn.Conditions, ifUnchanged(stored))
-		txn.Ops = append(txn.Ops, putOp(stored.Key, next))
+		txn.Conditions = append(txn.Conditions, stored.Unchanged())
+		txn.Ops = append(txn.Ops, schema.PutOp(stored.Key, next))
 	}
 	p.options.State.Commit(txn)
 }
@@ -135,8 +135,8 @@
 		if err != nil {
 			continue // not due yet
 		}
-		put := putOp(stored.Key, next)
-		txn.Conditions = append(txn.Conditions, ifUnchanged(stored))
+		put := schema.PutOp(stored.Key, next)
+		txn.Conditions = append(txn.Conditions, stored.Unchanged())
 		txn.Ops = append(txn.Ops, put)
 		claimed = append(claimed, schema.StoredRow{Key: stored.Key, Raw: put.Value.Bytes, Row: next})
 	}
--- a/internal/controlplane/outboxpublisher/quarantine.go
+++ b/internal/controlplane/outboxpublisher/quarantine.go
@@ -28,14 +28,14 @@
 	record := schema.QuarantineRecord{Notification: *notification, Reason: reason, ReportedBy: q.nodeName}
 	txn := paxos.Txn{
 		Conditions: []paxos.Condition{{Key: key, Absent: true}},
-		Ops:        []paxos.Op{putOp(key, record)},
+		Ops:        []paxos.Op{schema.PutOp(key, record)},
 	}
 	var keys []string
 	q.state.View(func(replica *paxos.Replica) {
 		keys = replica.KeysWithPrefix(schema.QuarantineKeyPrefix, schema.QuarantineKeyPrefix)
 	})
 	for i := 0; i+maxQuarantined <= len(keys); i++ {
-		txn.Ops = append(txn.Ops, deleteOp(keys[i]))
+		txn.Ops = append(txn.Ops, schema.DeleteOp(keys[i]))
 	}
 	q.state.Commit(txn)
 }
--- a/internal/controlplane/outboxpublisher/state.go
+++ b/internal/controlplane/outboxpublisher/state.go
@@ -26,14 +26,3 @@
 	state.View(func(replica *paxos.Replica) { rows = schema.OutboxRows(replica) })
 	return rows
 }
-
-// ifUnchanged is the condition that a row is as it was read.
-func ifUnchanged(row schema.StoredRow) paxos.Condition {
-	return paxos.Condition{Key: row.Key, Equals: paxos.Bytes(row.Raw)}
-}
-
-func putOp(key string, record any) paxos.Op {
-	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(record)}
-}
-
-func deleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
--- a/internal/controlplane/outboxpublisher/sweep.go
+++ b/internal/controlplane/outboxpublisher/sweep.go
@@ -32,9 +32,9 @@
 			sweep.Remaining = append(sweep.Remaining, stored)
 			continue
 		}
-		sweep.Txn.Ops = append(sweep.Txn.Ops, deleteOp(stored.Key))
+		sweep.Txn.Ops = append(sweep.Txn.Ops, schema.DeleteOp(stored.Key))
 		if isPublished {
-			sweep.Txn.Conditions = append(sweep.Txn.Conditions, ifUnchanged(stored)) // it may be redriven
+			sweep.Txn.Conditions = append(sweep.Txn.Conditions, stored.Unchanged()) // it may be redriven
 		} else { // whatever has become of it: no row comes back under its key
 			sweep.DroppedEvents = append(sweep.DroppedEvents, stored.Row.Notification.EventID)
 		}
