--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -12,20 +13,37 @@
 	"comethold/internal/quota"
 	"comethold/internal/ratelimit"
 	"comethold/internal/routing"
-	"comethold/internal/rpc"
 )
 
 var errNoLeader = errors.New("no leader")
 
-// fakeShares grants a share to one node; nil refuses.
+// fakeShares grants what it is set to.
 type fakeShares struct {
-	grant    *distribution.ShareGrant
+	mu       sync.Mutex               // guards the fields below
+	grant    *distribution.ShareGrant // nil refuses
 	requests []distribution.ShareRequest
 }
 
+func (s *fakeShares) setGrant(grant *distribution.ShareGrant) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.grant = grant
+}
+
+// takeRequests returns the requests since the last call.
+func (s *fakeShares) takeRequests() []distribution.ShareRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	requests := s.requests
+	s.requests = nil
+	return requests
+}
+
 func (s *fakeShares) Request(
 	_ context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.requests = append(s.requests, request)
 	if s.grant == nil {
 		return distribution.ShareGrant{}, errNoLeader
@@ -77,24 +95,24 @@
 		r := newRenewal(nil)
 		r.run(t, func() {
 			time.Sleep(time.Minute)
-			if n := len(r.shares.requests); n != 0 {
+			if n := len(r.shares.takeRequests()); n != 0 {
 				t.Errorf("%d requests without limits", n)
 			}
 			r.limitTenant(1)
 			time.Sleep(time.Minute)
-			synctest.Wait()
-			if n := len(r.shares.requests); n < 300 || !r.shares.requests[n-1].HoldsNone {
+			requests := r.shares.takeRequests()
+			if n := len(requests); n < 300 || !requests[n-1].HoldsNone {
 				t.Errorf("%d requests without a grant", n)
 			}
-			r.shares.grant = &distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500}
+			r.shares.setGrant(&distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500})
 			time.Sleep(time.Second)
-			r.shares.requests = nil
+			r.shares.takeRequests()
 			time.Sleep(time.Minute)
-			synctest.Wait()
-			if n := len(r.shares.requests); n < 30 || n > 48 {
+			requests = r.shares.takeRequests()
+			if n := len(requests); n < 30 || n > 48 {
 				t.Errorf("%d requests in a minute with a fair share", n)
 			}
-			for _, request := range r.shares.requests {
+			for _, request := range requests {
 				if request.HoldsNone || request.Permille != 500 || request.Table != distribution.QuotaShares {
 					t.Fatalf("the request is %+v", request)
 				}
@@ -111,9 +129,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRenewal(nil)
 		r.limitTenant(1)
-		r.shares.grant = &distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500}
+		r.shares.setGrant(&distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500})
 		r.run(t, func() {
-			r.shares.grant = nil
+			r.shares.setGrant(nil)
 			time.Sleep(ratelimit.QuotaLeaseDuration)
 			if _, leased := r.allocator.Share(time.Now()); leased {
 				t.Error("it is held after that")
@@ -129,9 +147,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRenewal(map[string]float64{tenant: 40})
 			r.limitTenant(1)
-			r.shares.grant = &distribution.ShareGrant{
+			r.shares.setGrant(&distribution.ShareGrant{
 				Granted: true, Permille: 500, FairPermille: 500, Uninterrupted: uninterrupted,
-			}
+			})
 			r.run(t, func() {
 				time.Sleep(time.Minute)
 				// Tokens below the low watermark are given once the disk holds another.
@@ -162,77 +180,3 @@
 		t.Error("the limits are there still")
 	}
 }
-
-// fakeStorage keeps one value and may refuse it.
-type fakeStorage struct {
-	value   []byte
-	refuses bool
-	writes  int
-}
-
-func (s *fakeStorage) NodeValue(string) []byte { return s.value }
-
-func (s *fakeStorage) SetNodeValue(_ string, value []byte) error {
-	s.writes++
-	if s.refuses {
-		return errors.ErrUnsupported
-	}
-	s.value = value
-	return nil
-}
-
-// TestWatermarksOutliveRestart: watermarks that are stored are loaded; what can't be read is
-// told from what is empty.
-func TestWatermarksOutliveRestart(t *testing.T) {
-	disk := &fakeStorage{}
-	store := NewWatermarkStore(quota.NewAllocator(), disk)
-	if got := store.Load(); got == nil || len(got) != 0 {
-		t.Errorf("without stored ones: %v", got)
-	}
-	if !store.store(map[string]float64{tenant: 3}) || store.Load()[tenant] != 3 {
-		t.Errorf("loaded are %v", store.Load())
-	}
-	disk.value = []byte("garbled")
-	if got := store.Load(); got != nil {
-		t.Errorf("of garbled ones: %v", got)
-	}
-}
-
-// TestWatermarksAreStoredWhenDue: watermarks are written when they have to move and not
-// otherwise, also after a disk has refused one.
-func TestWatermarksAreStoredWhenDue(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		allocator := quota.NewAllocator()
-		disk := &fakeStorage{refuses: true}
-		store := NewWatermarkStore(allocator, disk)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		go store.Run(ctx)
-		time.Sleep(time.Minute)
-		if disk.writes != 0 {
-			t.Errorf("%d writes without a share", disk.writes)
-		}
-		now := time.Now()
-		limits := quota.BucketLimits{Rate: slowRefillRate, Depth: bucketDepth}
-		allocator.SetTenants(map[string]quota.BucketLimits{tenant: limits}, now)
-		allocator.Renew(1, now.Add(time.Hour), now)
-		allocator.Deposit(tenant, bucketDepth, now)
-		time.Sleep(time.Second)
-		if disk.writes == 0 || disk.value != nil {
-			t.Errorf("%d writes to a disk that refuses", disk.writes)
-		}
-		disk.refuses = false
-		allocator.Withdraw(tenant, 0.9*bucketDepth, time.Now())
-		store.Wake()
-		time.Sleep(time.Second)
-		var watermarks map[string]float64
-		if rpc.Unmarshal(disk.value, &watermarks) != nil || watermarks[tenant] <= 0 {
-			t.Errorf("stored are %v", watermarks)
-		}
-		writes := disk.writes
-		time.Sleep(time.Minute)
-		if disk.writes != writes {
-			t.Errorf("%d writes while nothing moves", disk.writes-writes)
-		}
-	})
-}
