--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -5,26 +5,16 @@
 
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
-	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
 	"comethold/internal/rpc"
-	"comethold/internal/settings"
-	"comethold/internal/storage"
 )
 
 // TestNotificationsInOrder: nodes ask for what comes after the newest log index that they
 // know, so a notification that waits for its state is not overtaken, and two at one index go
 // together.
 func TestNotificationsInOrder(t *testing.T) {
-	r := New(&settings.Settings{
-		NodeName:          "n",
-		IPAddress:         "10.0.0.1",
-		InternalPortRange: []int{7120, 7135},
-		DataDirectory:     t.TempDir(),
-		FirstStart:        true,
-		SeedNodes:         []string{"10.0.0.1:1"},
-	}, logging.Nop(), rpc.TCPNetwork, storage.LocalDisk{})
+	r := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
