--- a/internal/controlplane/reconcile/fixture_test.go
+++ b/internal/controlplane/reconcile/fixture_test.go
@@ -112,7 +112,7 @@
 // addIndex lists an index cell that holds the shards of services.
 func (s *testState) addIndex(name string, services ...string) {
 	s.cell(schema.MetaCell).Commit(paxos.Txn{Ops: []paxos.Op{
-		putOp(schema.IndexKeyPrefix+name, schema.IndexRecord{Services: services}),
+		schema.PutOp(schema.IndexKeyPrefix+name, schema.IndexRecord{Services: services}),
 	}})
 }
 
--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -238,9 +238,9 @@
 	if held.Reason != "" {
 		condition = paxos.Condition{Key: key, Equals: schema.MustEncode(held)}
 	}
-	op := deleteOp(key)
+	op := schema.DeleteOp(key)
 	if next != nil {
-		op = putOp(key, *next)
+		op = schema.PutOp(key, *next)
 	}
 	txn.Conditions = append(txn.Conditions, condition)
 	txn.Ops = append(txn.Ops, op)
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -209,15 +209,15 @@
 
 func addNode(txn *paxos.Txn, node distribution.Node) {
 	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(node), Absent: true})
-	txn.Ops = append(txn.Ops, putOp(nodeKey(node), node))
+	txn.Ops = append(txn.Ops, schema.PutOp(nodeKey(node), node))
 }
 
 func replaceNode(txn *paxos.Txn, old, next distribution.Node) {
 	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(old), Equals: schema.MustEncode(old)})
-	txn.Ops = append(txn.Ops, putOp(nodeKey(next), next))
+	txn.Ops = append(txn.Ops, schema.PutOp(nodeKey(next), next))
 }
 
 func removeNode(txn *paxos.Txn, node distribution.Node) {
 	txn.Conditions = append(txn.Conditions, paxos.Condition{Key: nodeKey(node), Equals: schema.MustEncode(node)})
-	txn.Ops = append(txn.Ops, deleteOp(nodeKey(node)))
+	txn.Ops = append(txn.Ops, schema.DeleteOp(nodeKey(node)))
 }
--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -88,7 +88,7 @@
 func ForgetPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
 	txn.Conditions = []paxos.Condition{unchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
-		txn.Ops = append(txn.Ops, deleteOp(key))
+		txn.Ops = append(txn.Ops, schema.DeleteOp(key))
 	}
 	last := schema.LogIndexOfKey(keys[len(keys)-1], schema.PurgeKeyPrefix)
 	txn.Ops = append(txn.Ops, paxos.Op{
--- a/internal/controlplane/reconcile/purges_test.go
+++ b/internal/controlplane/reconcile/purges_test.go
@@ -19,7 +19,7 @@
 		meta := s.cell(schema.MetaCell)
 		put := func(logIndex uint64) {
 			key := paxos.AppendedKey(schema.PurgeKeyPrefix, logIndex, "x")
-			meta.Commit(paxos.Txn{Ops: []paxos.Op{putOp(key, []distribution.Purge{{Label: "l"}})}})
+			meta.Commit(paxos.Txn{Ops: []paxos.Op{schema.PutOp(key, []distribution.Purge{{Label: "l"}})}})
 		}
 		check := func(when string, keys int, lowWatermark uint64) {
 			t.Helper()
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -14,7 +14,6 @@
 
 	"comethold/internal/controlplane/nodereports"
 	"comethold/internal/controlplane/replicahost"
-	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
@@ -185,10 +184,3 @@
 	}
 	return paxos.Condition{Key: key, Absent: true}
 }
-
-// putOp puts a record under a key.
-func putOp(key string, record any) paxos.Op {
-	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: schema.MustEncode(record)}
-}
-
-func deleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strings"
 
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/paxos"
@@ -10,9 +9,6 @@
 	"comethold/internal/rpc"
 )
 
-// serviceSeparator stands between the services in the keys of schema.GroupRoutesByServices.
-const serviceSeparator = "\x00"
-
 // shardSetReconciler makes the index cells follow the committed configuration: which there
 // are, as the meta cell lists them, and which shard set each holds.
 type shardSetReconciler struct {
@@ -75,7 +71,6 @@
 func planIndexes(state indexState, configuration *routing.Configuration) (map[string]schema.IndexRecord, paxos.Txn) {
 	routes := schema.GroupRoutesByServices(configuration)
 	kept, added, removed := schema.AssignIndexes(state.indexes, routes)
-	services := func(group string) []string { return strings.Split(group, serviceSeparator) }
 	indexes := map[string]schema.IndexRecord{}
 	txn := paxos.Txn{Conditions: []paxos.Condition{
 		{Key: schema.ConfigVersionKey, Equals: schema.UintValue(state.version)},
@@ -83,9 +78,13 @@
 	}}
 	for name, group := range kept {
 		old := state.indexes[name]
-		indexes[name] = schema.IndexRecord{Voters: old.Voters, Routes: routes[group], Services: services(group)}
+		indexes[name] = schema.IndexRecord{
+			Voters:   old.Voters,
+			Routes:   routes[group],
+			Services: schema.ServicesOfGroup(group),
+		}
 		if !schema.EqualEncoding(indexes[name], old) {
-			txn.Ops = append(txn.Ops, putOp(schema.IndexKeyPrefix+name, indexes[name]))
+			txn.Ops = append(txn.Ops, schema.PutOp(schema.IndexKeyPrefix+name, indexes[name]))
 		}
 	}
 	lastID := int64(0)
@@ -95,11 +94,15 @@
 	for _, group := range added {
 		lastID++
 		name := schema.IndexCellName(lastID)
-		indexes[name] = schema.IndexRecord{Voters: state.voters, Routes: routes[group], Services: services(group)}
-		txn.Ops = append(txn.Ops, putOp(schema.IndexKeyPrefix+name, indexes[name]))
+		indexes[name] = schema.IndexRecord{
+			Voters:   state.voters,
+			Routes:   routes[group],
+			Services: schema.ServicesOfGroup(group),
+		}
+		txn.Ops = append(txn.Ops, schema.PutOp(schema.IndexKeyPrefix+name, indexes[name]))
 	}
 	for _, name := range removed {
-		txn.Ops = append(txn.Ops, deleteOp(schema.IndexKeyPrefix+name))
+		txn.Ops = append(txn.Ops, schema.DeleteOp(schema.IndexKeyPrefix+name))
 	}
 	if len(added) > 0 {
 		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NextIndexIDKey, Value: paxos.Int(lastID)})
@@ -123,6 +126,6 @@
 	}
 	return paxos.Txn{
 		Conditions: []paxos.Condition{unchangedCondition(schema.ShardSetKey, held, exists)},
-		Ops:        []paxos.Op{putOp(schema.ShardSetKey, want)},
+		Ops:        []paxos.Op{schema.PutOp(schema.ShardSetKey, want)},
 	}, true
 }
--- a/internal/controlplane/schema/redrive.go
+++ b/internal/controlplane/schema/redrive.go
@@ -59,7 +59,7 @@
 	if _, isQuarantined := replica.Get(quarantineKey); isQuarantined {
 		known = true
 		if request.Action == RedriveClose {
-			txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: quarantineKey})
+			txn.Ops = append(txn.Ops, DeleteOp(quarantineKey))
 		}
 	}
 	for _, row := range OutboxRows(replica) {
@@ -68,12 +68,12 @@
 		}
 		known = true
 		if request.Action == RedriveResend {
-			txn.Conditions = append(txn.Conditions, paxos.Condition{Key: row.Key, Equals: paxos.Bytes(row.Raw)})
-			txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: row.Key, Value: MustEncode(row.Row.Redrive())})
+			txn.Conditions = append(txn.Conditions, row.Unchanged())
+			txn.Ops = append(txn.Ops, PutOp(row.Key, row.Row.Redrive()))
 		}
 	}
 	for i := 0; i+MaxRedriveRecords <= len(records); i++ {
-		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: records[i]})
+		txn.Ops = append(txn.Ops, DeleteOp(records[i]))
 	}
 	return txn, known, false
 }
