--- /dev/null
+++ b/internal/simulation/command.go
@@ -0,0 +1,92 @@
+package simulation
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// ErrUnknownCommand is returned for a verb that a world does not know.
+var ErrUnknownCommand = errors.New("unknown command")
+
+// Command is one line of a scenario: a verb, words, and key=value options.
+type Command struct {
+	Line    string
+	Verb    string
+	Words   []string
+	Options map[string]string
+}
+
+// Parse reads a line; ok is false for one that is empty or a comment.
+func Parse(line string) (c Command, ok bool) {
+	line, _, _ = strings.Cut(line, "#")
+	fields := strings.Fields(line)
+	if len(fields) == 0 {
+		return c, false
+	}
+	c = Command{Line: strings.TrimSpace(line), Verb: fields[0], Options: map[string]string{}}
+	for _, field := range fields[1:] {
+		key, value, isOption := strings.Cut(field, "=")
+		if isOption {
+			c.Options[key] = value
+		} else {
+			c.Words = append(c.Words, field)
+		}
+	}
+	return c, true
+}
+
+// Word returns the i-th word or "".
+func (c Command) Word(i int) string {
+	if i < len(c.Words) {
+		return c.Words[i]
+	}
+	return ""
+}
+
+// Uint returns a word as a whole number, 0 if it is none.
+func (c Command) Uint(i int) uint64 {
+	n, _ := strconv.ParseUint(c.Word(i), 10, 64)
+	return n
+}
+
+// Int returns a word as a count, 0 if it is none.
+func (c Command) Int(i int) int { return int(c.Uint(i)) }
+
+// Float returns a word as a number, 0 if it is none.
+func (c Command) Float(i int) float64 {
+	v, _ := strconv.ParseFloat(c.Word(i), 64)
+	return v
+}
+
+// Milliseconds returns a word as a span of so many milliseconds.
+func (c Command) Milliseconds(i int) time.Duration {
+	return time.Duration(c.Float(i) * float64(time.Millisecond))
+}
+
+// Number returns an option as a number, or what stands for it when absent.
+func (c Command) Number(key string, absent float64) float64 {
+	v, err := strconv.ParseFloat(c.Options[key], 64)
+	if err != nil {
+		return absent
+	}
+	return v
+}
+
+// Span returns an option as so many milliseconds, or what stands for it when absent.
+func (c Command) Span(key string, absentMilliseconds float64) time.Duration {
+	return time.Duration(c.Number(key, absentMilliseconds) * float64(time.Millisecond))
+}
+
+// CommandTable says which function of a world carries out which verb.
+type CommandTable[W any] map[string]func(W, Command) error
+
+// Do carries out a command, or returns ErrUnknownCommand.
+func (t CommandTable[W]) Do(world W, c Command) error {
+	carryOut := t[c.Verb]
+	if carryOut == nil {
+		return ErrUnknownCommand
+	}
+	return carryOut(world, c)
+}
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,36 +11,48 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// FaultyDisk is a folder's disk in trouble: it refuses, hangs, and at a loss of power forgets
-// names that were not synced. What it does for real it has Under do.
+// FaultyDisk is a folder's disk with faults: it rejects writes, hangs, and at a loss of power
+// forgets names that were not synced. Everything else its Base does.
 type FaultyDisk struct {
-	Base interface {
-		Open(path string) (*bolt.DB, error)
-		Update(db *bolt.DB, f func(*bolt.Tx) error) error
-		Rename(from, to string) error
-		Remove(path string) error
-		SyncDir(dir string) error
-	}
+	// Base does for real what is not rejected.
+	Base Disk
+	// Random draws from 0 to 1.
 	Random func() float64
-	// SyncFailureRate is the share of syncs of the folder that are refused.
+	// SyncFailureRate is the share of syncs of the folder that are rejected.
 	SyncFailureRate float64
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards the fields below
 	full             bool
 	hanging          bool
 	incarnation      int // a process that was ended does nothing more
 	stepsToPowerLoss int // the step at which the power fails, counted down; 0: never
-	unsynced         map[string]string
-	backups          int
 	powerLost        bool
+	// unsynced has, for each name that was changed since the last sync of the folder, a
+	// link to what it stood for, or "" for nothing.
+	unsynced map[string]string
+	backups  int // links that were made
+}
+
+// Disk is what a FaultyDisk stands for, as storage.Disk.
+type Disk interface {
+	Open(path string) (*bolt.DB, error)
+	Update(db *bolt.DB, f func(*bolt.Tx) error) error
+	Rename(from, to string) error
+	Remove(path string) error
+	SyncDir(dir string) error
 }
 
-// Errors of a disk in trouble.
+// Errors of a faulty disk.
 var (
-	ErrDiskFull  = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
+	// ErrDiskFull is the answer of a full disk to every write.
+	ErrDiskFull = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
+	// ErrPowerLost is the answer to whatever comes after the power has failed.
 	ErrPowerLost = errors.New("disk: no power")
 )
 
+// hangPollPause is how often a step looks whether the disk still hangs.
+const hangPollPause = 20 * time.Millisecond
+
 // SetFault makes the disk full, or hang, or neither.
 func (d *FaultyDisk) SetFault(full, hangs bool) {
 	d.mu.Lock()
@@ -67,10 +79,10 @@
 func (d *FaultyDisk) beforeStep() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	life := d.incarnation
-	for d.hanging && d.incarnation == life {
+	incarnation := d.incarnation
+	for d.hanging && d.incarnation == incarnation {
 		d.mu.Unlock()
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(hangPollPause)
 		d.mu.Lock()
 	}
 	if d.stepsToPowerLoss > 0 {
@@ -79,7 +91,7 @@
 		}
 	}
 	switch {
-	case d.powerLost || d.incarnation != life:
+	case d.powerLost || d.incarnation != incarnation:
 		return ErrPowerLost
 	case d.full:
 		return ErrDiskFull
@@ -98,36 +110,36 @@
 		return
 	}
 	d.backups++
-	side := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.backups%26))+filepath.Base(path))
-	_ = os.Remove(side)
-	if os.Link(path, side) != nil {
-		side = ""
+	backup := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.backups%26))+filepath.Base(path))
+	_ = os.Remove(backup) // of a former round of letters
+	if os.Link(path, backup) != nil {
+		backup = "" // there was nothing
 	}
-	d.unsynced[path] = side
+	d.unsynced[path] = backup
 }
 
 // LosePower is a loss of power: each name that was not synced is as it is, or as it was.
-// It returns the names that went back.
-func (d *FaultyDisk) LosePower() (back []string) {
+// It returns the names that were reverted.
+func (d *FaultyDisk) LosePower() (reverted []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for path, side := range d.unsynced {
+	for path, backup := range d.unsynced {
 		if d.Random() < 0.5 {
 			_ = os.Remove(path)
-			if side != "" {
-				_ = os.Link(side, path)
+			if backup != "" {
+				_ = os.Link(backup, path)
 			}
-			back = append(back, filepath.Base(path))
+			reverted = append(reverted, filepath.Base(path))
 		}
 	}
 	d.forgetBackups()
-	return back
+	return reverted
 }
 
 func (d *FaultyDisk) forgetBackups() {
-	for _, side := range d.unsynced {
-		if side != "" {
-			_ = os.Remove(side)
+	for _, backup := range d.unsynced {
+		if backup != "" {
+			_ = os.Remove(backup)
 		}
 	}
 	clear(d.unsynced)
--- /dev/null
+++ b/internal/simulation/disks_test.go
@@ -0,0 +1,98 @@
+package simulation_test
+
+import (
+	"fmt"
+	"math/rand"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+
+	"comethold/internal/simulation"
+)
+
+// TestDisks draws faults of disks, links and power, one machine at a time or all power at
+// once, while changes go on; what was acknowledged is there in the end, and everybody has
+// it. COMETHOLD_SEEDS says how many draws.
+func TestDisks(t *testing.T) {
+	for seed := range simulation.SeedCount(1) {
+		t.Run(strconv.Itoa(seed), func(t *testing.T) {
+			t.Parallel()
+			synctest.Test(t, func(t *testing.T) {
+				f := newFleet(t)
+				f.seed = int64(seed)
+				t.Cleanup(f.shutDown)
+				run := &diskFaults{fleet: f, rng: rand.New(rand.NewSource(int64(seed)))}
+				run.play()
+			})
+		})
+	}
+}
+
+// diskFaults draws the commands of one run and plays them.
+type diskFaults struct {
+	fleet *fleet
+	rng   *rand.Rand
+}
+
+func (d *diskFaults) do(format string, args ...any) {
+	c, _ := simulation.Parse(fmt.Sprintf(format, args...))
+	if err := d.fleet.Do(c); err != nil {
+		d.fleet.t.Errorf("%s: %v", c.Line, err)
+	}
+}
+
+func (d *diskFaults) play() {
+	d.do("core a b c")
+	d.do("list l1")
+	d.do("routes 5")
+	d.do("begin")
+	version := 1
+	for range 3 {
+		version += d.playRound(version)
+	}
+	d.do("want-read 9000")
+	d.do("want-applied %d all 9000", version-1)
+}
+
+// playRound has one machine's disk, link or power fail while another takes changes from a
+// version on; it returns how many.
+func (d *diskFaults) playRound(version int) int {
+	bad := d.rng.Intn(3)
+	changes := 1 + d.rng.Intn(90)
+	well := 1 + (bad+1)%3
+	name := fmt.Sprintf("c%d", bad+1)
+	gap := 5 + d.rng.Intn(20)
+	var changing sync.WaitGroup
+	changing.Go(func() { d.do("changes %d %d c%d gap=%d within=30000", version, changes, well, gap) })
+	for range 1 + d.rng.Intn(3) {
+		d.do("run %d", d.rng.Intn(900))
+		d.playFault(name)
+	}
+	changing.Wait()
+	d.do("disk all ok")
+	d.do("start all")
+	d.do("run %d", d.rng.Intn(2000))
+	d.do("slow all 0")
+	return changes
+}
+
+func (d *diskFaults) playFault(name string) {
+	switch d.rng.Intn(7) {
+	case 0:
+		d.do("kill %s", name)
+	case 1:
+		d.do("power %s", name)
+	case 2:
+		d.do("disk %s full", name)
+	case 3:
+		d.do("disk %s hangs", name)
+	case 4:
+		d.do("slow %s %d", name, 50+d.rng.Intn(1000))
+	case 5:
+		d.do("power all")
+		d.do("start all")
+	case 6:
+		d.do("start %s", name)
+	}
+}
--- /dev/null
+++ b/internal/simulation/fleet_config_test.go
@@ -0,0 +1,217 @@
+package simulation_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"comethold/internal/simulation"
+)
+
+// seriesLimit is how long an order of a series may take to be acknowledged.
+const seriesLimit = 8 * time.Second
+
+// configurationBody is a configuration whose first route bears a mark, so that two of one
+// version can differ.
+func (f *fleet) configurationBody(version uint64, mark string) string {
+	tenants := f.tenantsField()
+	var routes, services strings.Builder
+	f.writeExtraRoutes(&routes, version)
+	for i := range f.extraIndexes {
+		fmt.Fprintf(&routes, `{"name":"x%d","hostname":"h.example","pathPrefix":"/x%d/","routeKind":"safe",`+
+			`"timeoutMs":1000,"service":"x%d","maxAttempts":2},`, i, i, i)
+		fmt.Fprintf(&services, `,{"name":"x%d","connectionLimit":40}`, i)
+	}
+	return fmt.Sprintf(`{"version":%d,"routes":[%s{"name":"r%s","hostname":"h.example","pathPrefix":"/",`+
+		`"routeKind":"safe","timeoutMs":1000,"service":"s","maxAttempts":2,"lookupClass":"urgent"}],`+
+		`"services":[{"name":"s","connectionLimit":40}%s],%s"limits":{}}`,
+		version, routes.String(), mark, services.String(), tenants)
+}
+
+// tenantsField is the field of the tenants, or "" without any.
+func (f *fleet) tenantsField() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.tenants) == 0 {
+		return ""
+	}
+	raw, err := json.Marshal(slices.Collect(maps.Values(f.tenants)))
+	if err != nil {
+		panic(err) // made of our own values
+	}
+	return `"tenants":` + string(raw) + `,`
+}
+
+// writeExtraRoutes adds long routes that differ, so that they don't compress to nothing; one
+// of them changes with each version.
+func (f *fleet) writeExtraRoutes(routes *strings.Builder, version uint64) {
+	const pathBytes = 400
+	for i := range f.extraRoutes {
+		seed := int64(i)
+		if i == int(version)%f.extraRoutes {
+			seed = int64(version * 1000)
+		}
+		path := make([]byte, pathBytes)
+		_, _ = rand.New(rand.NewSource(seed)).Read(path) // never fails
+		fmt.Fprintf(routes, `{"name":"m%d","hostname":"h.example","pathPrefix":"/m%d/%x/","routeKind":"safe",`+
+			`"timeoutMs":1000,"service":"s","maxAttempts":2,"lookupClass":"urgent"},`, i, i, path)
+	}
+}
+
+// setExtraRoutes is `routes N`: so many more in the configurations from now on.
+func (f *fleet) setExtraRoutes(c simulation.Command) error {
+	f.extraRoutes = c.Int(0)
+	return nil
+}
+
+// setExtraIndexes is `indexes N`: so many routes more in the configurations from now on,
+// each with an index of its own.
+func (f *fleet) setExtraIndexes(c simulation.Command) error {
+	f.extraIndexes = c.Int(0)
+	return nil
+}
+
+// replace is `replace VERSION BASE AT [mark= within=]`.
+func (f *fleet) replace(c simulation.Command) error {
+	f.replaceAt(f.machineNamed(c.Word(2)), c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
+	return nil
+}
+
+// replaceSeries is `changes FROM N AT [gap= within=]`: so many, one on the other; each is
+// acknowledged.
+func (f *fleet) replaceSeries(c simulation.Command) error {
+	for i := range c.Uint(1) {
+		version := c.Uint(0) + i
+		status := f.replaceAt(f.machineNamed(c.Word(2)), version, f.newest, "", c.Span("within", 8000))
+		if status != http.StatusOK {
+			return fmt.Errorf("version %d: %d", version, status)
+		}
+		time.Sleep(c.Span("gap", 50))
+	}
+	f.replaceStatuses = map[string]int{}
+	return nil
+}
+
+// replaceInTurn is `series N BASE NAMES`: so many in a row, each one number higher, at
+// these machines in turn.
+func (f *fleet) replaceInTurn(c simulation.Command) error {
+	machines := f.machinesNamed(c.Word(2))
+	for i := range c.Uint(0) {
+		base := c.Uint(1) + i
+		m := machines[int(i)%len(machines)]
+		if f.replaceAt(m, base+1, base, "", seriesLimit) != http.StatusOK {
+			return fmt.Errorf("%d is not taken", base+1)
+		}
+	}
+	return nil
+}
+
+// replaceAgain is `again VERSION BASE NAMES [mark= within=]`: the same order, to each of
+// them in turn.
+func (f *fleet) replaceAgain(c simulation.Command) error {
+	for _, m := range f.machinesNamed(c.Word(2)) {
+		f.replaceAt(m, c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
+	}
+	return nil
+}
+
+// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: all at once.
+func (f *fleet) race(c simulation.Command) error {
+	var sending sync.WaitGroup
+	for _, word := range c.Words[1:] {
+		number, at, _ := strings.Cut(word, "@")
+		name, mark, _ := strings.Cut(at, "/")
+		version, err := strconv.ParseUint(number, 10, 64)
+		if err != nil {
+			return err
+		}
+		sending.Go(func() { f.replaceAt(f.machineNamed(name), version, c.Uint(0), mark, c.Span("within", 0)) })
+	}
+	sending.Wait()
+	return nil
+}
+
+// wantStatuses is `want STATUS=N ...`: what the orders since the last such line got.
+func (f *fleet) wantStatuses(c simulation.Command) error {
+	for status, want := range c.Options {
+		if strconv.Itoa(f.replaceStatuses[status]) != want {
+			return fmt.Errorf("got %v", f.replaceStatuses)
+		}
+	}
+	f.replaceStatuses = map[string]int{}
+	return nil
+}
+
+// wantConfig is `want-config VERSION WITHIN`: in force on every proxy that runs.
+func (f *fleet) wantConfig(c simulation.Command) error {
+	return f.until(c.Milliseconds(1), "the version on every proxy", func() bool {
+		for _, m := range f.machines {
+			if m.proxy != nil && f.versionAt(m) != c.Uint(0) {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// wantRead is `want-read WITHIN`: what was acknowledged last is read back.
+func (f *fleet) wantRead(c simulation.Command) error {
+	got := ""
+	return f.until(c.Milliseconds(0), "the newest acknowledged configuration is read back", func() bool {
+		for _, m := range f.machines {
+			if m.controlPlane == nil {
+				continue
+			}
+			status, raw := f.call(m, http.MethodGet, pathRead, 0, "")
+			if status == http.StatusOK {
+				got = raw
+				break
+			}
+		}
+		return got == f.acknowledged[f.newest]
+	})
+}
+
+// wantOrder is `want-order NAMES WITHIN`: each of them takes an order on top of what it reads.
+func (f *fleet) wantOrder(c simulation.Command) error {
+	for _, m := range f.machinesNamed(c.Word(0)) {
+		var seen []string
+		err := f.until(c.Milliseconds(1), "a read and an order at "+m.name, func() bool {
+			version, ok := f.readVersionAt(m)
+			status := 0
+			if ok {
+				status = f.replaceUntilAnswered(m, version, version+1, f.configurationBody(version+1, m.name), 0)
+			}
+			seen = append(seen, fmt.Sprintf("read %d (%v), order %d", version, ok, status))
+			return status == http.StatusOK
+		})
+		if err != nil {
+			return fmt.Errorf("%w: %s", err, strings.Join(seen, "; "))
+		}
+	}
+	return nil
+}
+
+// wantUnclear is `want-unclear NAMES`: neither a read nor an order gets a clear answer there.
+func (f *fleet) wantUnclear(c simulation.Command) error {
+	const farAhead = 1000 // so that no version is used twice
+	for i, m := range f.machinesNamed(c.Word(0)) {
+		if status, _ := f.call(m, http.MethodGet, pathRead, 0, ""); !isUnanswered(status) {
+			return fmt.Errorf("%s answers a read with %d", m.name, status)
+		}
+		for _, base := range []uint64{0, f.newest, f.newest + 1} {
+			body := f.configurationBody(f.newest+farAhead+base+uint64(i), "lesser")
+			if status := f.post(m, pathReplace, base, body); !isUnanswered(status) {
+				return fmt.Errorf("%s answers an order on %d with %d", m.name, base, status)
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/fleet_network_test.go
@@ -0,0 +1,137 @@
+package simulation_test
+
+import (
+	"slices"
+	"time"
+
+	"comethold/internal/simulation"
+)
+
+// cutBothWays is `cut NAMES`: they and the other machines with a disk are cut from each other.
+func (f *fleet) cutBothWays(c simulation.Command) error {
+	f.cutOff(f.machinesNamed(c.Word(0)), true, true)
+	return nil
+}
+
+// cutOutgoing is `mute NAMES`: the others don't hear them.
+func (f *fleet) cutOutgoing(c simulation.Command) error {
+	f.cutOff(f.machinesNamed(c.Word(0)), true, false)
+	return nil
+}
+
+// cutIncoming is `deaf NAMES`: they don't hear the others.
+func (f *fleet) cutIncoming(c simulation.Command) error {
+	f.cutOff(f.machinesNamed(c.Word(0)), false, true)
+	return nil
+}
+
+// cutOff cuts machines from the others with a disk, in one direction or both.
+func (f *fleet) cutOff(apart []*machine, outgoing, incoming bool) {
+	for _, a := range apart {
+		for _, b := range f.machines {
+			if slices.Contains(apart, b) || !b.disk {
+				continue
+			}
+			if outgoing {
+				f.network.block(a.addr, b.addr)
+			}
+			if incoming {
+				f.network.block(b.addr, a.addr)
+			}
+		}
+	}
+}
+
+// silence is `silence NAMES`: nobody hears them, nor they anybody, until join.
+func (f *fleet) silence(c simulation.Command) error {
+	for _, a := range f.machinesNamed(c.Word(0)) {
+		for _, b := range f.machines {
+			if a != b {
+				f.network.blockBothWays(a.addr, b.addr)
+			}
+		}
+	}
+	return nil
+}
+
+// cutFromPlatform is `no-platform NAME`: whoever holds this lease is cut off from the
+// platform alone, until join.
+func (f *fleet) cutFromPlatform(c simulation.Command) error {
+	m, err := f.leaseHolder(c.Word(0))
+	if err != nil {
+		return err
+	}
+	f.network.blockBothWays(m.addr, platformHost)
+	return nil
+}
+
+// cutLeaseHolders is `cut-duty NAME...`: the machines that hold these leases.
+func (f *fleet) cutLeaseHolders(c simulation.Command) error {
+	holders, err := f.leaseHolders(c.Words)
+	if err != nil {
+		return err
+	}
+	f.cutOff(holders, true, true)
+	return nil
+}
+
+// cutReporter is `cut-holder [platform]`: the machine that sent the newest usage report is
+// cut from the other machines with a disk, or from the platform alone.
+func (f *fleet) cutReporter(c simulation.Command) error {
+	m, err := f.reporter()
+	if err != nil {
+		return err
+	}
+	if c.Word(0) == "platform" {
+		f.network.blockBothWays(m.addr, platformHost)
+		return nil
+	}
+	f.cutOff([]*machine{m}, true, true)
+	return nil
+}
+
+// join is `join [after=MS]`: all cuts end.
+func (f *fleet) join(c simulation.Command) error {
+	if after := c.Span("after", 0); after > 0 {
+		time.AfterFunc(after, f.network.heal)
+		return nil
+	}
+	f.network.heal()
+	return nil
+}
+
+// setLossRate is `lossy SHARE`: so many packets are lost.
+func (f *fleet) setLossRate(c simulation.Command) error {
+	f.network.setLossRate(c.Float(0))
+	return nil
+}
+
+// slowLinks is `slow NAMES KBPS`: the links of these machines take so many kilobits a
+// second each way; 0: no bound.
+func (f *fleet) slowLinks(c simulation.Command) error {
+	const bytesPerKilobit = 1000.0 / 8
+	for _, m := range f.machinesNamed(c.Word(0)) {
+		f.network.setBandwidth(m.addr, float64(c.Uint(1))*bytesPerKilobit)
+	}
+	return nil
+}
+
+// resetConnections is `reset NAMES`: all their connections end at once.
+func (f *fleet) resetConnections(c simulation.Command) error {
+	for _, m := range f.machinesNamed(c.Word(0)) {
+		f.network.resetConnections(m.addr)
+	}
+	return nil
+}
+
+// loseAnswers is `lose NAMES`: their answers to operators are lost; `lose none` ends it.
+func (f *fleet) loseAnswers(c simulation.Command) error {
+	var hosts []string
+	if c.Word(0) != "none" {
+		for _, m := range f.machinesNamed(c.Word(0)) {
+			hosts = append(hosts, m.addr)
+		}
+	}
+	f.network.setAnswersLost(hosts)
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/fleet_operator_test.go
@@ -0,0 +1,325 @@
+package simulation_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"comethold/internal/controlplane"
+	"comethold/internal/rpc"
+	"comethold/internal/settings"
+	"comethold/internal/simulation"
+)
+
+// Paths of the operator API.
+const (
+	pathReplace = "/Configuration.Replace"
+	pathRead    = "/Configuration.Read"
+	pathOutbox  = "/Notices.Read"
+)
+
+const orderRetryPause = 150 * time.Millisecond
+
+// call makes one request as the operator, from an address of its own; status 0 is none.
+// Orders and reads of the configuration go into the history.
+func (f *fleet) call(m *machine, method, path string, base uint64, raw string) (status int, answer string) {
+	if path == pathReplace || path == pathRead {
+		from := f.history.tick()
+		defer func() {
+			c := operatorCall{read: path == pathRead, base: base, body: raw}
+			f.history.record(from, c, operatorAnswer{status, answer})
+		}()
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	status, answer, err := f.send(ctx, method, net.JoinHostPort(m.addr, controlPort)+path, base, raw)
+	if err != nil {
+		return 0, ""
+	}
+	return status, answer
+}
+
+// send makes one request from the operator's address, on a connection of its own.
+func (f *fleet) send(ctx context.Context, method, url string, base uint64, raw string) (int, string, error) {
+	transport := &http.Transport{
+		DialContext:       f.network.netOf(operatorAddr)(time.Second, time.Second),
+		DisableKeepAlives: true,
+	}
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+url, strings.NewReader(raw))
+	if err != nil {
+		return 0, "", err
+	}
+	request.Header.Set("X-Comethold-Base-Version", strconv.FormatUint(base, 10))
+	response, err := transport.RoundTrip(request)
+	if err != nil {
+		return 0, "", err
+	}
+	defer func() { _ = response.Body.Close() }()
+	answer, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(answer), err
+}
+
+func (f *fleet) post(m *machine, path string, base uint64, raw string) int {
+	status, _ := f.call(m, http.MethodPost, path, base, raw)
+	return status
+}
+
+// get reads a path of the operator API as JSON into a value; it returns the text too.
+func (f *fleet) get(m *machine, path string, into any) (string, error) {
+	_, raw := f.call(m, http.MethodGet, path, 0, "")
+	return raw, json.Unmarshal([]byte(raw), into)
+}
+
+// isUnanswered reports whether a status says nothing of what became of an order.
+func isUnanswered(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
+
+// replaceAt sends a configuration to a machine, again and again until it is answered or
+// the limit is over.
+func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, limit time.Duration) int {
+	return f.replaceUntilAnswered(m, base, version, f.configurationBody(version, mark), limit)
+}
+
+func (f *fleet) replaceUntilAnswered(m *machine, base, version uint64, raw string, limit time.Duration) int {
+	end := time.Now().Add(limit)
+	status := f.post(m, pathReplace, base, raw)
+	for isUnanswered(status) && !time.Now().After(end) {
+		time.Sleep(orderRetryPause)
+		status = f.post(m, pathReplace, base, raw)
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.replaceStatuses[strconv.Itoa(status)]++
+	if status == http.StatusOK {
+		if old, ok := f.successors[base]; ok && old != version {
+			f.t.Errorf("%d and %d were both acknowledged on top of %d", old, version, base)
+		}
+		f.successors[base] = version
+		f.acknowledged[version] = raw
+		f.newest = max(f.newest, version)
+	}
+	return status
+}
+
+// readVersionAt reads the version of the configuration; ok is false if there was no clear answer.
+func (f *fleet) readVersionAt(m *machine) (version uint64, ok bool) {
+	status, raw := f.call(m, http.MethodGet, pathRead, 0, "")
+	var read struct {
+		Version uint64 `json:"version"`
+	}
+	switch {
+	case status == http.StatusNotFound:
+		return 0, true
+	case status != http.StatusOK || json.Unmarshal([]byte(raw), &read) != nil:
+		return 0, false
+	}
+	return read.Version, true
+}
+
+// leaseHolder is the machine that holds a lease, as any control node that runs says.
+func (f *fleet) leaseHolder(role string) (*machine, error) {
+	for _, m := range f.controlNodes() {
+		var view controlplane.LeasesView
+		if _, err := f.get(m, "/Duties.Read", &view); err != nil {
+			continue
+		}
+		for _, lease := range view.Leases {
+			if holder := f.controlNodeOf(lease.Holder); lease.Role == role && holder != nil {
+				return holder, nil
+			}
+		}
+	}
+	return nil, fmt.Errorf("nobody holds %s", role)
+}
+
+// controlNodeOf is the machine of a replica ID whose control plane runs, or nil.
+func (f *fleet) controlNodeOf(replicaID string) *machine {
+	addr, _, _ := strings.Cut(replicaID, "~")
+	for _, m := range f.machines {
+		if m.addr == addr && m.controlPlane != nil {
+			return m
+		}
+	}
+	return nil
+}
+
+// leaseHolders are the machines that hold these leases, each once.
+func (f *fleet) leaseHolders(roles []string) ([]*machine, error) {
+	var holders []*machine
+	for _, role := range roles {
+		m, err := f.leaseHolder(role)
+		if err != nil {
+			return nil, err
+		}
+		if !slices.Contains(holders, m) {
+			holders = append(holders, m)
+		}
+	}
+	return holders, nil
+}
+
+// leaderMachine finds the control node whose leadership of the meta cell a majority
+// confirms; nil if there is none for long.
+func (f *fleet) leaderMachine() *machine {
+	const (
+		tries = 100
+		pause = 100 * time.Millisecond
+	)
+	client := rpc.NewClient(f.network.netOf(operatorAddr))
+	for range tries {
+		for _, m := range f.controlNodes() {
+			if f.confirmsLeadership(client, m) {
+				return m
+			}
+		}
+		time.Sleep(pause)
+	}
+	return nil
+}
+
+func (f *fleet) confirmsLeadership(client *rpc.Client, m *machine) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	question := struct {
+		Cell string `cbor:"1,keyasint"`
+	}{"exchange"}
+	var answer struct {
+		Confirmed bool `cbor:"1,keyasint"`
+	}
+	err := client.Call(ctx, f.internalAddress(m, settings.ControlPlane), "/confirm", question, &answer)
+	return err == nil && answer.Confirmed
+}
+
+// garble is `garble NAMES`: bytes that are no message, to every listening address of a
+// machine; each of them is to be rejected.
+func (f *fleet) garble(c simulation.Command) error {
+	for _, m := range f.machinesNamed(c.Word(0)) {
+		for _, url := range f.urlsOf(m) {
+			for _, raw := range garbage() {
+				if err := f.wantRejected(url, raw); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// urlsOf are all places where a machine takes messages.
+func (f *fleet) urlsOf(m *machine) []string {
+	var urls []string
+	if m.controlPlane != nil {
+		for _, path := range []string{
+			"/cells", "/propose", "/confirm", "/claim", "/move", "/list", "/feed", "/ration", "/notices",
+		} {
+			urls = append(urls, f.internalAddress(m, settings.ControlPlane)+path)
+		}
+		for _, path := range []string{pathReplace, "/Configuration.Amend", "/purge", "/Notices.Redrive"} {
+			urls = append(urls, net.JoinHostPort(m.addr, controlPort)+path)
+		}
+	}
+	return append(urls, f.internalAddress(m, settings.DataPlane)+"/feed")
+}
+
+// garbage is bytes that are no message, in the encodings that are taken.
+func garbage() []string {
+	const depth = 5000
+	return []string{
+		"", "\x00", "\x01", "\x01\xff\xff\xff", "\x00\xa1\x01",
+		"\x00\xbb\xff\xff\xff\xff\xff\xff\xff\xff", "\x00\x9b\x7f\xff\xff\xff\xff\xff\xff\xff",
+		"\x00" + strings.Repeat("\x81", depth), "\x00\xf6\xf6",
+		strings.Repeat("[", depth), "{\"version\":1e999}",
+	}
+}
+
+func (f *fleet) wantRejected(url, raw string) error {
+	status, _, err := f.send(context.Background(), http.MethodPost, url, 0, raw)
+	if status == 0 {
+		return fmt.Errorf("%s: %.20q: %w", url, raw, err)
+	}
+	if status/100 != 4 {
+		return fmt.Errorf("%s: %.20q: %d", url, raw, status)
+	}
+	return nil
+}
+
+// operator sends orders as they come: on what it has read, or thinks that it knows; with
+// the number that another may pick too; the same ones again, old ones also.
+type operator struct {
+	fleet       *fleet
+	machines    []*machine
+	rng         *rand.Rand
+	name        string
+	maxPause    time.Duration
+	baseVersion uint64
+	sent        []sentReplace
+}
+
+type sentReplace struct {
+	version, base uint64
+	raw           string
+}
+
+// runOperators is `operators N NAMES MS [seed= gap=]`: so many at once send and read what
+// they like to these machines.
+func (f *fleet) runOperators(c simulation.Command) error {
+	var working sync.WaitGroup
+	for i := range c.Int(0) {
+		seed := int64(c.Number("seed", 1))*100 + int64(i)
+		o := &operator{
+			fleet:    f,
+			machines: f.machinesNamed(c.Word(1)),
+			rng:      rand.New(rand.NewSource(seed)),
+			name:     "o" + strconv.Itoa(i),
+			maxPause: c.Span("gap", 300),
+		}
+		working.Go(func() { o.work(time.Now().Add(c.Milliseconds(2))) })
+	}
+	working.Wait()
+	return nil
+}
+
+func (o *operator) work(end time.Time) {
+	for time.Now().Before(end) {
+		if version, ok := o.fleet.readVersionAt(o.drawMachine()); ok {
+			o.baseVersion = version
+		}
+		o.sendUntilClear(o.drawOrder())
+		time.Sleep(time.Duration(o.rng.Float64() * float64(o.maxPause)))
+	}
+}
+
+func (o *operator) drawMachine() *machine { return o.machines[o.rng.Intn(len(o.machines))] }
+
+// drawOrder is a new order, or one of those that were sent.
+func (o *operator) drawOrder() sentReplace {
+	order := sentReplace{version: o.baseVersion + 1 + uint64(o.rng.Intn(2)), base: o.baseVersion}
+	order.raw = o.fleet.configurationBody(order.version, o.name)
+	if n := len(o.sent); n > 0 && o.rng.Intn(4) == 0 {
+		return o.sent[o.rng.Intn(n)]
+	}
+	o.sent = append(o.sent, order)
+	return order
+}
+
+// sendUntilClear sends an order up to three times, each to another machine, until it gets
+// a clear answer.
+func (o *operator) sendUntilClear(order sentReplace) {
+	for range 1 + o.rng.Intn(3) {
+		status := o.fleet.replaceUntilAnswered(o.drawMachine(), order.base, order.version, order.raw, 0)
+		if status == http.StatusOK {
+			o.baseVersion = max(o.baseVersion, order.version)
+		}
+		if !isUnanswered(status) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/fleet_platform_test.go
@@ -0,0 +1,266 @@
+package simulation_test
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/simulation"
+)
+
+// States of a leaf in the platform's list.
+const (
+	leafReady    = "ready"
+	leafDraining = "draining"
+)
+
+// platformInstance is a leaf in the platform's list.
+type platformInstance struct {
+	ID       string `json:"instanceId"`
+	Service  string `json:"service"`
+	Address  string `json:"address"`
+	Zone     string `json:"availabilityZone"`
+	Capacity int    `json:"capacitySlots"`
+	State    string `json:"state"`
+}
+
+// instancePage is the platform's list, which is always one page.
+type instancePage struct {
+	Instances     []platformInstance `json:"instances"`
+	NextPageToken *string            `json:"nextPageToken"`
+}
+
+// servePlatform is the stand-in for the platform: its list of leafs and its side of the reports.
+func (f *fleet) servePlatform(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/usage" {
+		f.serveUsage(w, r)
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	page := instancePage{Instances: []platformInstance{}}
+	for _, id := range slices.Sorted(maps.Keys(f.leafStates)) {
+		page.Instances = append(page.Instances, platformInstance{
+			ID: id, Service: "s", Address: leafAddress, Zone: "a", Capacity: 2, State: f.leafStates[id],
+		})
+	}
+	_ = json.NewEncoder(w).Encode(page) // a caller that is gone asks again
+}
+
+// serveLeaf is the stand-in for every leaf: it notes whose requests run.
+func (f *fleet) serveLeaf(w http.ResponseWriter, r *http.Request) {
+	f.mu.Lock()
+	if tenant := f.tenants[r.Header.Get("X-Comethold-Tenant")]; tenant != nil {
+		tenant.ranAt = append(tenant.ranAt, time.Now())
+	}
+	f.mu.Unlock()
+	w.Header().Set("X-Comethold-Server-Stamp", "s")
+	w.Header().Set("X-Comethold-Request-Id", r.Header.Get("X-Comethold-Request-Id"))
+}
+
+// usageReport is what a report names.
+type usageReport struct {
+	WindowNumber   uint64            `json:"windowNumber"`
+	InstanceCounts map[string]uint64 `json:"instanceCounts"`
+}
+
+// fencedCall is a call of the reporter that reached the platform.
+type fencedCall struct {
+	holder string
+	token  uint64
+	at     time.Time
+}
+
+// serveUsage is the platform's side of the reports; it checks what must hold of them. Calls
+// that come while the platform has a fault don't count.
+func (f *fleet) serveUsage(w http.ResponseWriter, r *http.Request) {
+	raw, readErr := io.ReadAll(r.Body)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	switch f.platformFault {
+	case "busy":
+		w.WriteHeader(http.StatusTooManyRequests)
+		return
+	case "reset":
+		panic(http.ErrAbortHandler)
+	}
+	token, tokenErr := strconv.ParseUint(r.Header.Get("X-Comethold-Fence-Number"), 10, 64)
+	var report usageReport
+	if err := errors.Join(readErr, tokenErr, json.Unmarshal(raw, &report)); err != nil {
+		f.t.Errorf("a report that can't be read: %s: %v", raw, err)
+	}
+	call := fencedCall{r.Header.Get("X-Comethold-Duty-Holder"), token, time.Now()}
+	f.checkFencing(call)
+	f.fencedCalls = append(f.fencedCalls, call)
+	if old, ok := f.reports[report.WindowNumber]; ok && old != string(raw) {
+		f.t.Errorf("two reports of window %d: %s and %s", report.WindowNumber, old, raw)
+	}
+	f.reports[report.WindowNumber] = string(raw)
+	if f.acceptedAt[report.WindowNumber].IsZero() {
+		f.acceptedAt[report.WindowNumber] = call.at
+	}
+	if f.platformFault == "lost" { // accepted, and the answer is lost
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// checkFencing checks a call against those before: tokens only rise, one holder has each,
+// and within a lease no holder acts again after another.
+func (f *fleet) checkFencing(call fencedCall) {
+	lease := time.Duration(f.bounds().LeaseMs) * time.Millisecond
+	otherActed := false
+	for _, earlier := range slices.Backward(f.fencedCalls) {
+		if earlier.token > call.token || earlier.token == call.token && earlier.holder != call.holder {
+			f.t.Errorf("%s calls with %d after %s with %d", call.holder, call.token, earlier.holder, earlier.token)
+			return
+		}
+		if call.at.Sub(earlier.at) > lease {
+			return
+		}
+		otherActed = otherActed || earlier.holder != call.holder
+		if otherActed && earlier.holder == call.holder {
+			f.t.Errorf("%s, another and again %s act within %v", call.holder, call.holder, lease)
+			return
+		}
+	}
+}
+
+// reporter is the machine whose call of the platform came last.
+func (f *fleet) reporter() (*machine, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if n := len(f.fencedCalls); n > 0 {
+		if m := f.machines[f.fencedCalls[n-1].holder]; m != nil && m.stop != nil {
+			return m, nil
+		}
+	}
+	return nil, errors.New("nobody has called yet")
+}
+
+// setPlatformFault is `platform ok|busy|reset|lost`: how it takes reports from now on.
+func (f *fleet) setPlatformFault(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.platformFault = strings.TrimPrefix(c.Word(0), "ok")
+	return nil
+}
+
+// listLeafs is `list ID...`.
+func (f *fleet) listLeafs(c simulation.Command) error {
+	f.setLeafStates(c.Words, leafReady)
+	return nil
+}
+
+// drainLeafs is `drain ID...`.
+func (f *fleet) drainLeafs(c simulation.Command) error {
+	f.setLeafStates(c.Words, leafDraining)
+	return nil
+}
+
+// unlistLeafs is `unlist ID...`.
+func (f *fleet) unlistLeafs(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, id := range c.Words {
+		delete(f.leafStates, id)
+	}
+	return nil
+}
+
+// listManyLeafs is `many PREFIX N`: so many leafs are listed.
+func (f *fleet) listManyLeafs(c simulation.Command) error {
+	f.setLeafStates(numberedLeafs(c.Word(0), c.Int(1)), leafReady)
+	return nil
+}
+
+func (f *fleet) setLeafStates(ids []string, state string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, id := range ids {
+		f.leafStates[id] = state
+	}
+}
+
+// numberedLeafs are the names of so many leafs.
+func numberedLeafs(prefix string, count int) []string {
+	var ids []string
+	for i := range count {
+		ids = append(ids, prefix+strconv.Itoa(i))
+	}
+	return ids
+}
+
+// reportUnhealthy is `bad NAMES PREFIX N`: these proxies find so many leafs unhealthy.
+func (f *fleet) reportUnhealthy(c simulation.Command) error {
+	f.reportHealth(c, false)
+	return nil
+}
+
+// reportHealthy is `well NAMES PREFIX N`: these proxies find so many leafs healthy again.
+func (f *fleet) reportHealthy(c simulation.Command) error {
+	f.reportHealth(c, true)
+	return nil
+}
+
+func (f *fleet) reportHealth(c simulation.Command, healthy bool) {
+	for _, m := range f.machinesNamed(c.Word(0)) {
+		for _, id := range numberedLeafs(c.Word(1), c.Int(2)) {
+			report := distribution.HealthReport{EndpointID: id, Service: "s", Healthy: healthy}
+			m.proxy.Upstreams.OnHealthChange(report)
+		}
+	}
+}
+
+// wantMarks is `want-marks N WITHIN`: so many leafs are marked on every proxy.
+func (f *fleet) wantMarks(c simulation.Command) error {
+	return f.until(c.Milliseconds(1), c.Word(0)+" marks on every proxy", func() bool {
+		for _, m := range f.machines {
+			if m.proxy != nil && len(m.proxy.Ejected()) != c.Int(0) {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// wantList is `want-list WITHIN [at=]`: every proxy, or these, has the platform's list.
+func (f *fleet) wantList(c simulation.Command) error {
+	machines := f.sortedMachines()
+	if names := c.Options["at"]; names != "" {
+		machines = f.machinesNamed(names)
+	}
+	return f.untilNil(c.Milliseconds(0), "the list on every proxy", func() error {
+		f.mu.Lock()
+		want := maps.Clone(f.leafStates)
+		f.mu.Unlock()
+		for _, m := range machines {
+			if m.proxy == nil {
+				continue
+			}
+			if have := listedStates(m); !maps.Equal(have, want) {
+				return fmt.Errorf("%s has %v, listed are %v", m.name, have, want)
+			}
+		}
+		return nil
+	})
+}
+
+// listedStates is the endpoint list as a proxy has it.
+func listedStates(m *machine) map[string]string {
+	states := map[string]string{}
+	for _, endpoint := range m.proxy.Endpoints() {
+		states[endpoint.ID] = leafReady
+		if endpoint.Draining {
+			states[endpoint.ID] = leafDraining
+		}
+	}
+	return states
+}
--- /dev/null
+++ b/internal/simulation/fleet_usage_test.go
@@ -0,0 +1,269 @@
+package simulation_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"comethold/internal/simulation"
+	"comethold/internal/usage"
+)
+
+// fleetTenant is a tenant as the test knows it.
+type fleetTenant struct {
+	Name  string   `json:"name"`
+	Keys  []string `json:"apiKeys"`
+	Rate  float64  `json:"ratePerS"`
+	Burst float64  `json:"burstSize"`
+
+	ranAt    []time.Time   // when its requests ran at a leaf
+	statuses map[int]int   // since the last look
+	latency  time.Duration // the greatest since the last look
+}
+
+// setTenant is `tenant NAME RATE BURST [key=]`: in the configurations from now on.
+func (f *fleet) setTenant(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	tenant := f.tenants[c.Word(0)]
+	if tenant == nil {
+		tenant = &fleetTenant{Name: c.Word(0), Keys: []string{"key-" + c.Word(0)}, statuses: map[int]int{}}
+		f.tenants[tenant.Name] = tenant
+	}
+	tenant.Rate = c.Float(1)
+	tenant.Burst = c.Float(2)
+	if key := c.Options["key"]; key != "" {
+		tenant.Keys = []string{key}
+	}
+	return nil
+}
+
+func (f *fleet) tenantNamed(name string) *fleetTenant {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.tenants[name]
+}
+
+// load is `load NAMES TENANT PERSECOND MS`: requests to these machines in turn; then every
+// window is checked against the limit.
+func (f *fleet) load(c simulation.Command) error {
+	start := time.Now()
+	f.generateLoad(c)
+	return f.checkQuota(f.tenantNamed(c.Word(1)), start.Add(-time.Second))
+}
+
+// startLoad is `load-on NAMES TENANT PERSECOND MS`: as load, while the lines that follow
+// are played, until load-end.
+func (f *fleet) startLoad(c simulation.Command) error {
+	f.loads.Go(func() { f.generateLoad(c) })
+	return nil
+}
+
+// endLoads is `load-end`.
+func (f *fleet) endLoads(simulation.Command) error {
+	f.loads.Wait()
+	return nil
+}
+
+// generateLoad sends so many requests of a tenant a second to machines in turn.
+func (f *fleet) generateLoad(c simulation.Command) {
+	machines := f.machinesNamed(c.Word(0))
+	tenant := f.tenantNamed(c.Word(1))
+	gap := time.Duration(float64(time.Second) / c.Float(2))
+	var running sync.WaitGroup
+	next := 0
+	for end := time.Now().Add(c.Milliseconds(3)); time.Now().Before(end); time.Sleep(gap) {
+		m := machines[next%len(machines)]
+		next++
+		f.mu.Lock()
+		front := m.proxy
+		f.mu.Unlock()
+		if front == nil {
+			continue
+		}
+		handler := front.Handler()
+		request := f.newTenantRequest(tenant)
+		running.Go(func() { f.sendAs(tenant, handler, request) })
+	}
+	running.Wait()
+}
+
+func (f *fleet) newTenantRequest(tenant *fleetTenant) *http.Request {
+	f.requestCount++
+	request := httptest.NewRequestWithContext(context.Background(), http.MethodGet, "/a", nil)
+	request.Host = "h.example"
+	request.RequestURI = "/a"
+	request.Header.Set("X-Comethold-Request-Id", fmt.Sprint("q", f.requestCount))
+	request.Header.Set("X-Comethold-Deadline-Remaining", "1000")
+	request.Header.Set("Authorization", "Token "+tenant.Keys[0])
+	return request
+}
+
+// sendAs sends a request of a tenant and notes its answer.
+func (f *fleet) sendAs(tenant *fleetTenant, handler http.Handler, request *http.Request) {
+	answer := httptest.NewRecorder()
+	start := time.Now()
+	handler.ServeHTTP(answer, request)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	tenant.statuses[answer.Code]++
+	if answer.Code == http.StatusOK {
+		tenant.latency = max(tenant.latency, time.Since(start))
+	}
+	isRejection := answer.Code == http.StatusTooManyRequests || answer.Code == http.StatusServiceUnavailable
+	if isRejection && answer.Header().Get("Retry-After") == "" {
+		f.t.Errorf("%d without word of when to come back", answer.Code)
+	}
+}
+
+// checkQuota checks the rule of quotas, for the limit as it is in force, in the windows that
+// begin after a moment.
+func (f *fleet) checkQuota(tenant *fleetTenant, since time.Time) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	bounds := f.bounds()
+	most := (tenant.Rate*bounds.QuotaWindowS+tenant.Burst)*(1+bounds.QuotaOvershoot) + bounds.QuotaSlack
+	window := time.Duration(bounds.QuotaWindowS * float64(time.Second))
+	for i, from := range tenant.ranAt {
+		ran := 0
+		for _, at := range tenant.ranAt[i:] {
+			if at.Sub(from) <= window {
+				ran++
+			}
+		}
+		if float64(ran) > most && from.After(since) {
+			return fmt.Errorf("%d of %s ran in a window, %v are allowed", ran, tenant.Name, most)
+		}
+	}
+	return nil
+}
+
+// wantServed is `want-served TENANT [least= most= within=]`: of its requests since the last
+// such line, in percent, and how long the slowest may have taken.
+func (f *fleet) wantServed(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	tenant := f.tenants[c.Word(0)]
+	statuses, latency := tenant.statuses, tenant.latency
+	tenant.statuses = map[int]int{}
+	tenant.latency = 0
+	all := 0
+	for _, count := range statuses {
+		all += count
+	}
+	share := 100 * float64(statuses[http.StatusOK]) / float64(all)
+	if share < c.Number("least", 0) || share > c.Number("most", 100) {
+		return fmt.Errorf("%.0f%%, %v", share, statuses)
+	}
+	if latency > c.Span("within", 1e6) {
+		return fmt.Errorf("one took %v", latency)
+	}
+	return nil
+}
+
+// enableUsageReports is `duties`: usage is to be reported.
+func (f *fleet) enableUsageReports(simulation.Command) error {
+	f.reportUsage = true
+	return nil
+}
+
+// awaitWindow is `window MS`: lets time pass until so long after the beginning of a window
+// of usage.
+func (f *fleet) awaitWindow(c simulation.Command) error {
+	length := f.bounds().UsageWindow()
+	at := time.Now().Truncate(length).Add(c.Milliseconds(0))
+	if at.Before(time.Now()) {
+		at = at.Add(length)
+	}
+	time.Sleep(time.Until(at))
+	return nil
+}
+
+// wantTimely is `want-timely TENANT off= [missed=]`: each window since the last such line in
+// which its requests ran, and that has fallen due, was reported before that, and names what
+// ran in it, to so many percent; so many may be missed.
+func (f *fleet) wantTimely(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	tenant := f.tenants[c.Word(0)]
+	bounds := f.bounds()
+	ran := map[uint64]float64{}
+	for _, at := range tenant.ranAt {
+		ran[usage.WindowAt(at, bounds.UsageWindow())]++
+	}
+	var wrong []string
+	last := f.checkedWindow
+	for _, window := range slices.Sorted(maps.Keys(ran)) {
+		due := usage.WindowEnd(window, bounds.UsageWindow()).Add(bounds.UsageReportDelay())
+		if window <= f.checkedWindow || time.Now().Before(due) {
+			continue
+		}
+		last = window
+		reported := f.reportedCount(window, tenant.Name)
+		if f.acceptedAt[window].IsZero() || f.acceptedAt[window].After(due) {
+			wrong = append(wrong, fmt.Sprintf("%d came %v late", window, f.acceptedAt[window].Sub(due)))
+		} else if percentOff(reported, ran[window]) > c.Number("off", 0) {
+			wrong = append(wrong, fmt.Sprintf("%d names %v of %v", window, reported, ran[window]))
+		}
+	}
+	f.checkedWindow = last
+	if len(wrong) > int(c.Number("missed", 0)) {
+		return errors.New(strings.Join(wrong, "; "))
+	}
+	return nil
+}
+
+// percentOff is how far a reported count is from what ran, in percent of that.
+func percentOff(reported, ran float64) float64 { return math.Abs(reported-ran) / ran * 100 }
+
+// reportedCount is what the accepted report of a window names for a tenant; f.mu is held.
+func (f *fleet) reportedCount(window uint64, tenant string) float64 {
+	var report usageReport
+	_ = json.Unmarshal([]byte(f.reports[window]), &report) // checked as it came; none: 0
+	return float64(report.InstanceCounts[tenant])
+}
+
+// wantUsage is `want-usage TENANT off=`: all reports together name the requests that ran, to
+// so many percent.
+func (f *fleet) wantUsage(c simulation.Command) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	reported := 0.0
+	for window := range f.reports {
+		reported += f.reportedCount(window, c.Word(0))
+	}
+	ran := float64(len(f.tenants[c.Word(0)].ranAt))
+	if ran == 0 || percentOff(reported, ran) > c.Number("off", 0) {
+		return fmt.Errorf("reported were %v of %v", reported, ran)
+	}
+	return nil
+}
+
+// wantReports is `want-reports N WITHIN`: so many windows in a row up to now were reported,
+// the last that is due among them.
+func (f *fleet) wantReports(c simulation.Command) error {
+	const (
+		window   = 5 * time.Second
+		dueAfter = 15 * time.Second // the window and the delay
+	)
+	return f.until(c.Milliseconds(1), c.Word(0)+" windows in a row", func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		due := usage.WindowAt(time.Now().Add(-dueAfter), window)
+		for i := range c.Uint(0) {
+			if _, ok := f.reports[due-i]; !ok {
+				return false
+			}
+		}
+		return true
+	})
+}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"slices"
@@ -26,10 +27,10 @@
 	body   string
 }
 
-// history records what operators called and were told. Calls and returns are numbered as
+// history records what operators called and were answered. Calls and returns are numbered as
 // they happen: what came to pass at one moment of simulated time is still in order.
 type history struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	clock int64
 	ops   []porcupine.Operation
 }
@@ -78,7 +79,11 @@
 
 // isUnclear reports whether an answer leaves it open what became of an order.
 func (a operatorAnswer) isUnclear() bool {
-	return a.status == 0 || a.status/100 == 5 || a.status == http.StatusRequestTimeout || a.status == http.StatusTooManyRequests
+	switch a.status {
+	case 0, http.StatusRequestTimeout, http.StatusTooManyRequests:
+		return true
+	}
+	return a.status/100 == 5
 }
 
 // configurationModel is the register that the operators should see.
@@ -87,7 +92,8 @@
 	return porcupine.Model{
 		Init: func() any { return (*configurationChain)(nil) },
 		Step: func(state, input, output any) (bool, any) {
-			s, c, a := state.(*configurationChain), input.(operatorCall), output.(operatorAnswer)
+			s, _ := state.(*configurationChain) // nil at the beginning
+			c, a := inputOf(input), outputOf(output)
 			current, body := uint64(0), ""
 			if s != nil {
 				current, body = s.version, s.body
@@ -118,19 +124,32 @@
 	}
 }
 
+// inputOf and outputOf are what record put into an operation.
+func inputOf(input any) operatorCall {
+	c, _ := input.(operatorCall)
+	return c
+}
+
+func outputOf(output any) operatorAnswer {
+	a, _ := output.(operatorAnswer)
+	return a
+}
+
 // operations makes one call of all unclear ones of the same order: it may come into force at
 // any time after the first, or never.
 func (h *history) operations() []porcupine.Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []porcupine.Operation
-	first := map[operatorCall]int{}
-	for _, op := range slices.SortedFunc(slices.Values(h.ops), func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) }) {
-		if op.Output.(operatorAnswer).isUnclear() {
-			if _, ok := first[op.Input.(operatorCall)]; ok {
+	seen := map[operatorCall]bool{}
+	byCall := func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) }
+	for _, op := range slices.SortedFunc(slices.Values(h.ops), byCall) {
+		if outputOf(op.Output).isUnclear() {
+			c := inputOf(op.Input)
+			if seen[c] {
 				continue
 			}
-			first[op.Input.(operatorCall)] = len(out)
+			seen[c] = true
 			op.Return = h.clock + 1
 		}
 		out = append(out, op)
@@ -148,7 +167,7 @@
 	}
 	var b strings.Builder
 	for _, op := range ops {
-		c, a := op.Input.(operatorCall), op.Output.(operatorAnswer)
+		c, a := inputOf(op.Input), outputOf(op.Output)
 		_, mark, _ := strings.Cut(c.body, `"name":`)
 		what := fmt.Sprintf("replace %d on %d (%.6s)", c.version, c.base, mark)
 		if c.read {
@@ -164,7 +183,7 @@
 // TestHistory: the checker finds what must not be, and nothing else. A call is
 // FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS.
 func TestHistory(t *testing.T) {
-	for _, c := range []struct {
+	cases := []struct {
 		why, calls string
 		ok         bool
 	}{
@@ -191,29 +210,39 @@
 		{"a read at the same time", "1-2:3/0/a=200 3-6:5/3/a=200 4-5:3/a=200", true},
 		{"another content", "1-2:3/0/a=200 3-4:3/b=200", false},
 		{"no later number", "1-2:5/0/a=200 3-4:4/5/a=400 5-6:4/5/b=200", false},
-	} {
+	}
+	for _, c := range cases {
 		h := &history{clock: 99}
-		for _, w := range strings.Fields(c.calls) {
-			times, rest, _ := strings.Cut(w, ":")
-			what, status, _ := strings.Cut(rest, "=")
-			op := porcupine.Operation{}
-			var a operatorAnswer
-			_, _ = fmt.Sscanf(times, "%d-%d", &op.Call, &op.Return)
-			_, _ = fmt.Sscan(status, &a.status)
-			switch f := strings.Split(what, "/"); len(f) {
-			case 2:
-				op.Input, a.body = operatorCall{read: true}, what
-			default:
-				in := operatorCall{body: f[0] + "/" + f[2]}
-				_, _ = fmt.Sscan(f[0], &in.version)
-				_, _ = fmt.Sscan(f[1], &in.base)
-				op.Input = in
-			}
-			op.Output = a
-			h.ops = append(h.ops, op)
+		for _, word := range strings.Fields(c.calls) {
+			h.ops = append(h.ops, parseOperation(t, word))
 		}
 		if err := h.check(); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.why, err)
 		}
 	}
 }
+
+// parseOperation reads FROM-TO:VERSION/BASE/MARK=STATUS, or FROM-TO:VERSION/MARK=STATUS.
+func parseOperation(t *testing.T, word string) porcupine.Operation {
+	t.Helper()
+	times, rest, _ := strings.Cut(word, ":")
+	what, status, _ := strings.Cut(rest, "=")
+	var op porcupine.Operation
+	var answer operatorAnswer
+	_, timesErr := fmt.Sscanf(times, "%d-%d", &op.Call, &op.Return)
+	_, statusErr := fmt.Sscan(status, &answer.status)
+	call := operatorCall{read: true}
+	var callErr error
+	if fields := strings.Split(what, "/"); len(fields) == 2 {
+		answer.body = what
+	} else {
+		call = operatorCall{body: fields[0] + "/" + fields[2]}
+		_, callErr = fmt.Sscan(fields[0]+" "+fields[1], &call.version, &call.base)
+	}
+	if err := errors.Join(timesErr, statusErr, callErr); err != nil {
+		t.Fatalf("%s: %v", word, err)
+	}
+	op.Input = call
+	op.Output = answer
+	return op
+}
--- /dev/null
+++ b/internal/simulation/network_test.go
@@ -0,0 +1,399 @@
+package simulation_test
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"comethold/internal/rpc"
+)
+
+const (
+	// resendDelay is how long a lost packet holds its connection up.
+	resendDelay = 250 * time.Millisecond
+	// blockedPollPause is how often a writer looks whether a cut has ended.
+	blockedPollPause = 20 * time.Millisecond
+	// segmentBytes is what goes over a link at a time: connections share it.
+	segmentBytes = 4 << 10
+)
+
+var (
+	errRefused  = errors.New("network: refused")
+	errNoAnswer = errors.New("network: no answer")
+)
+
+// link is one direction between two hosts.
+type link struct{ from, to string }
+
+// interfaceSide is one side of a host's own link.
+type interfaceSide struct {
+	host     string
+	incoming bool
+}
+
+// network is a network of addresses on simulated time. A machine that is down refuses
+// connections; behind a cut nothing arrives, and what was written is held up until
+// the cut ends or the writer gives up.
+type network struct {
+	mu             sync.Mutex // guards the fields below
+	listeners      map[string]*listener
+	packetConns    map[string]*simulatedPacketConn
+	conns          []*simulatedConn
+	incarnations   map[string]int // of a machine: one that was killed, or lost power, calls nobody any more
+	blocked        map[link]bool
+	answersLost    map[string]bool             // hosts whose answers to operators are lost
+	bytesPerSecond map[string]float64          // each way, of a host's own link; 0: no bound
+	busyUntil      map[interfaceSide]time.Time // until when a host's link is taken
+	lossRate       float64
+	random         func() float64
+}
+
+func newNetwork(random func() float64) *network {
+	return &network{
+		listeners:      map[string]*listener{},
+		packetConns:    map[string]*simulatedPacketConn{},
+		incarnations:   map[string]int{},
+		blocked:        map[link]bool{},
+		answersLost:    map[string]bool{},
+		bytesPerSecond: map[string]float64{},
+		busyUntil:      map[interfaceSide]time.Time{},
+		random:         random,
+	}
+}
+
+func hostOf(addr string) string {
+	host, _, _ := net.SplitHostPort(addr)
+	return host
+}
+
+func (n *network) isBlocked(from, to string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.blocked[link{from, to}]
+}
+
+// block cuts one direction until heal.
+func (n *network) block(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.blocked[link{from, to}] = true
+}
+
+func (n *network) blockBothWays(a, b string) {
+	n.block(a, b)
+	n.block(b, a)
+}
+
+// heal ends all cuts.
+func (n *network) heal() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	clear(n.blocked)
+}
+
+func (n *network) setLossRate(rate float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.lossRate = rate
+}
+
+// setBandwidth bounds a host's link, each way; 0 takes the bound away.
+func (n *network) setBandwidth(host string, bytesPerSecond float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.bytesPerSecond[host] = bytesPerSecond
+}
+
+// setAnswersLost says whose answers to operators are lost from now on.
+func (n *network) setAnswersLost(hosts []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	clear(n.answersLost)
+	for _, host := range hosts {
+		n.answersLost[host] = true
+	}
+}
+
+// delay holds up what a lost packet was part of.
+func (n *network) delay() {
+	n.mu.Lock()
+	isLost := n.random() < n.lossRate
+	n.mu.Unlock()
+	if isLost {
+		time.Sleep(resendDelay)
+	}
+}
+
+// netOf is the network as a machine sees it in the incarnation that begins now.
+func (n *network) netOf(host string) rpc.Network {
+	n.mu.Lock()
+	incarnation := n.incarnations[host]
+	n.mu.Unlock()
+	return func(limit, silence time.Duration) func(context.Context, string, string) (net.Conn, error) {
+		return func(ctx context.Context, _, addr string) (net.Conn, error) {
+			n.delay()
+			ctx, cancel := context.WithTimeout(ctx, limit)
+			defer cancel()
+			if err := n.awaitBothWays(ctx, host, hostOf(addr)); err != nil {
+				return nil, err
+			}
+			n.mu.Lock()
+			server := n.listeners[addr]
+			isOver := n.incarnations[host] != incarnation
+			n.mu.Unlock()
+			if server == nil || isOver {
+				return nil, errRefused
+			}
+			return n.connect(ctx, server, host, silence)
+		}
+	}
+}
+
+// awaitBothWays waits until both directions are open, as a connection needs them.
+func (n *network) awaitBothWays(ctx context.Context, a, b string) error {
+	for n.isBlocked(a, b) || n.isBlocked(b, a) {
+		select {
+		case <-ctx.Done():
+			return errNoAnswer
+		case <-time.After(blockedPollPause):
+		}
+	}
+	return nil
+}
+
+// connect makes a connection from a host to a listener.
+func (n *network) connect(ctx context.Context, server *listener, host string, silence time.Duration) (net.Conn, error) {
+	near, far := net.Pipe()
+	ours := &simulatedConn{Conn: near, network: n, from: host, to: hostOf(server.addr), timeout: silence}
+	theirs := &simulatedConn{Conn: far, network: n, from: ours.to, to: host, timeout: silence}
+	select {
+	case server.incoming <- theirs:
+	case <-server.done:
+		return nil, errRefused
+	case <-ctx.Done():
+		return nil, errNoAnswer
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.conns = append(n.conns, ours, theirs)
+	return ours, nil
+}
+
+// reserveLink has bytes go over the links of both hosts, and returns for how long these are
+// taken then.
+func (n *network) reserveLink(from, to string, bytes int) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := time.Now()
+	var wait time.Duration
+	for _, side := range []interfaceSide{{from, false}, {to, true}} {
+		rate := n.bytesPerSecond[side.host]
+		if rate <= 0 {
+			continue
+		}
+		if n.busyUntil[side].Before(now) {
+			n.busyUntil[side] = now
+		}
+		n.busyUntil[side] = n.busyUntil[side].Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
+		wait = max(wait, n.busyUntil[side].Sub(now))
+	}
+	return wait
+}
+
+// closeHost takes a machine off the network at once, or all of them ("").
+func (n *network) closeHost(host string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for addr, server := range n.listeners {
+		if hostOf(addr) == host {
+			delete(n.listeners, addr)
+			_ = server.Close()
+		}
+	}
+	var kept []*simulatedConn
+	for _, conn := range n.conns {
+		if host == "" || conn.isOf(host) {
+			_ = conn.Close()
+		} else {
+			kept = append(kept, conn)
+		}
+	}
+	n.conns = kept
+}
+
+// killMachine takes a machine off the network whose processes run on for a while in the
+// test: what they still do reaches nobody, also once the machine is back.
+func (n *network) killMachine(host string) {
+	n.mu.Lock()
+	n.incarnations[host]++
+	n.mu.Unlock()
+	n.closeHost(host)
+}
+
+// resetConnections ends every connection of a machine, which runs on.
+func (n *network) resetConnections(host string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, conn := range n.conns {
+		if conn.isOf(host) {
+			_ = conn.Close()
+		}
+	}
+}
+
+// simulatedConn is one end of a connection.
+type simulatedConn struct {
+	net.Conn
+	network  *network
+	from, to string
+	timeout  time.Duration // after which a writer behind a cut gives up
+}
+
+func (c *simulatedConn) isOf(host string) bool { return c.from == host || c.to == host }
+
+func (c *simulatedConn) Write(b []byte) (int, error) {
+	c.network.delay()
+	if c.isAnswerLost() {
+		_ = c.Close()
+		return 0, errNoAnswer
+	}
+	for end := time.Now().Add(c.timeout); c.network.isBlocked(c.from, c.to); time.Sleep(blockedPollPause) {
+		if time.Now().After(end) {
+			_ = c.Close()
+			return 0, errNoAnswer
+		}
+	}
+	written := 0
+	for len(b) > 0 {
+		c.waitForLink(0)
+		n, err := c.Conn.Write(b[:min(len(b), segmentBytes)])
+		written += n
+		if err != nil {
+			return written, err
+		}
+		b = b[n:]
+		c.waitForLink(n)
+	}
+	return written, nil
+}
+
+// isAnswerLost reports whether what is written here is an answer to an operator that is lost.
+func (c *simulatedConn) isAnswerLost() bool {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	return c.to == operatorAddr && c.network.answersLost[c.from]
+}
+
+// waitForLink waits while the links are taken once so many bytes more go over them; a link
+// that is quick again holds nobody up.
+func (c *simulatedConn) waitForLink(bytes int) {
+	for wait := c.network.reserveLink(c.from, c.to, bytes); wait > 0; wait = c.network.reserveLink(c.from, c.to, 0) {
+		time.Sleep(min(wait, blockedPollPause))
+	}
+}
+
+// listener takes the connections to one address.
+type listener struct {
+	addr     string
+	incoming chan net.Conn
+	done     chan struct{}
+	once     sync.Once
+}
+
+func (n *network) listen(addr string) net.Listener {
+	l := &listener{addr: addr, incoming: make(chan net.Conn), done: make(chan struct{})}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.listeners[addr] = l
+	return l
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.incoming:
+		return conn, nil
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.once.Do(func() { close(l.done) })
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return simulatedAddr(l.addr) }
+
+type simulatedAddr string
+
+func (a simulatedAddr) Network() string { return "simulated" }
+
+func (a simulatedAddr) String() string { return string(a) }
+
+// simulatedPacketConn carries datagrams.
+type simulatedPacketConn struct {
+	network  *network
+	addr     string
+	incoming chan datagram
+	done     chan struct{}
+	once     sync.Once
+}
+
+type datagram struct {
+	from    string
+	payload []byte
+}
+
+// maxQueuedDatagrams wait for a reader; further ones are lost.
+const maxQueuedDatagrams = 64
+
+func (n *network) listenPacket(addr string) net.PacketConn {
+	c := &simulatedPacketConn{
+		network: n, addr: addr, incoming: make(chan datagram, maxQueuedDatagrams), done: make(chan struct{}),
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.packetConns[addr] = c
+	return c
+}
+
+func (c *simulatedPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
+	select {
+	case received := <-c.incoming:
+		return copy(b, received.payload), simulatedAddr(received.from), nil
+	case <-c.done:
+		return 0, nil, net.ErrClosed
+	}
+}
+
+func (c *simulatedPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
+	if c.network.isBlocked(hostOf(c.addr), hostOf(to.String())) {
+		return len(b), nil
+	}
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	receiver := c.network.packetConns[to.String()]
+	if receiver == nil || c.network.random() < c.network.lossRate {
+		return len(b), nil
+	}
+	select {
+	case receiver.incoming <- datagram{c.addr, append([]byte(nil), b...)}:
+	default:
+	}
+	return len(b), nil
+}
+
+func (c *simulatedPacketConn) Close() error {
+	c.once.Do(func() { close(c.done) })
+	return nil
+}
+
+func (c *simulatedPacketConn) LocalAddr() net.Addr { return simulatedAddr(c.addr) }
+
+func (c *simulatedPacketConn) SetDeadline(time.Time) error { return nil }
+
+func (c *simulatedPacketConn) SetReadDeadline(time.Time) error { return nil }
+
+func (c *simulatedPacketConn) SetWriteDeadline(time.Time) error { return nil }
--- /dev/null
+++ b/internal/simulation/plane_clients_test.go
@@ -0,0 +1,136 @@
+package simulation_test
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"comethold/internal/simulation"
+)
+
+// Addresses of the proxy and its clients.
+const (
+	proxyHost      = "10.0.0.1"
+	proxyAddress   = proxyHost + ":80"
+	clientHost     = "10.250.0.1"
+	noWholeAnswer  = "0" // a status for a connection that ended without one
+	gracePeriodS   = 6
+	neverDropsRate = 1 // what a network's random source draws to lose nothing
+)
+
+// clients talk to a proxy through its own server, on connections that they keep.
+type clients struct {
+	network *network
+	conns   map[string]net.Conn
+	idleMs  int64 // limit in the configurations
+}
+
+// serveClients is `serve`: from here on connections are taken.
+func (p *plane) serveClients(simulation.Command) error {
+	p.clients.network = newNetwork(func() float64 { return neverDropsRate })
+	p.clients.conns = map[string]net.Conn{}
+	p.settings.Bounds.GracePeriodS = gracePeriodS
+	listener := p.clients.network.listen(proxyAddress)
+	go func() { _ = p.proxy.Serve(listener) }()
+	go func() { _ = p.proxy.RunMaintenance() }()
+	return nil
+}
+
+// setIdleLimit is `idle MS`: the limit of idle connections, with the next feed.
+func (p *plane) setIdleLimit(c simulation.Command) error {
+	p.clients.idleMs = int64(c.Int(0))
+	return nil
+}
+
+// openConnection is `open NAME`: a connection without a request.
+func (p *plane) openConnection(c simulation.Command) error {
+	dial := p.clients.network.netOf(clientHost)(time.Second, time.Second)
+	conn, err := dial(context.Background(), "", proxyAddress)
+	if err != nil {
+		return err
+	}
+	p.clients.conns[c.Word(0)] = conn
+	return nil
+}
+
+// say is `say NAME HOST PATH [method=]`: a request on that connection.
+func (p *plane) say(c simulation.Command) error {
+	p.sendOnConnection(c, writeAtOnce)
+	return nil
+}
+
+// sayOn is `say-on NAME HOST PATH [method=]`: the same, not waiting for the answer.
+func (p *plane) sayOn(c simulation.Command) error {
+	p.running.Go(func() { p.sendOnConnection(c, writeAtOnce) })
+	return nil
+}
+
+// sayLate is `say-late NAME HOST PATH MS`: the last byte of the request comes so much later;
+// not waiting for the answer.
+func (p *plane) sayLate(c simulation.Command) error {
+	p.running.Go(func() { p.sendOnConnection(c, writeSlowly) })
+	return nil
+}
+
+// leave is `leave [after=MS]`: SIGTERM; returns when the process ends, so long after all was
+// answered.
+func (p *plane) leave(c simulation.Command) error {
+	p.proxy.Shutdown()
+	time.Sleep(c.Span("after", 0))
+	p.clients.network.closeHost(proxyHost)
+	p.running.Wait()
+	return nil
+}
+
+// sendOnConnection makes one request on a client's connection and counts its status.
+func (p *plane) sendOnConnection(c simulation.Command, write func(net.Conn, simulation.Command, string) error) {
+	conn := p.clients.conns[c.Word(0)]
+	status := noWholeAnswer
+	if write(conn, c, p.newRequestID()) == nil {
+		if code, err := readWholeAnswer(conn); err == nil {
+			status = strconv.Itoa(code)
+		}
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.statuses[status]++
+}
+
+// requestHead is a request line and the headers that all requests have.
+func requestHead(c simulation.Command, id string) string {
+	method := http.MethodGet
+	if m := c.Options["method"]; m != "" {
+		method = m
+	}
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Comethold-Request-Id: %s\r\n",
+		method, c.Word(2), c.Word(1), id)
+}
+
+func writeAtOnce(conn net.Conn, c simulation.Command, id string) error {
+	_, err := io.WriteString(conn, requestHead(c, id)+"\r\n")
+	return err
+}
+
+// writeSlowly writes a request whose body, one byte, comes late.
+func writeSlowly(conn net.Conn, c simulation.Command, id string) error {
+	// The proxy may end the connection meanwhile; writing the last byte shows it.
+	_, _ = io.WriteString(conn, requestHead(c, id)+"Content-Length: 1\r\n\r\n")
+	time.Sleep(c.Milliseconds(3))
+	_, err := io.WriteString(conn, "x")
+	return err
+}
+
+func readWholeAnswer(conn net.Conn) (status int, err error) {
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
+}
--- /dev/null
+++ b/internal/simulation/plane_commands_test.go
@@ -0,0 +1,249 @@
+package simulation_test
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"comethold/internal/distribution"
+	"comethold/internal/routing"
+	"comethold/internal/simulation"
+)
+
+// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= times= cold=]`.
+func (p *plane) addLeaf(c simulation.Command) error {
+	l := &leaf{
+		Endpoint: distribution.Endpoint{
+			ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a",
+			Slots: int(c.Number("slots", 4)), WarmingUp: c.Options["cold"] != "",
+		},
+		workTime: c.Span("work", 10),
+		mode:     c.Options["mode"],
+		modeUses: int(c.Number("times", 0)),
+	}
+	if zone := c.Options["zone"]; zone != "" {
+		l.Zone = zone
+	}
+	p.leafs[l.ID] = l
+	return nil
+}
+
+// setLeaf is `set ID [mode= times= work= draining=]`.
+func (p *plane) setLeaf(c simulation.Command) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	l := p.leafs[c.Word(0)]
+	l.mode = c.Options["mode"]
+	l.calls = 0
+	l.modeUses = int(c.Number("times", float64(l.modeUses)))
+	l.workTime = c.Span("work", float64(l.workTime.Milliseconds()))
+	l.Draining = c.Options["draining"] != ""
+	return nil
+}
+
+// addRoute is `route HOST PREFIX KIND SERVICE,... [gather= target= tries= least= public= class=]`.
+func (p *plane) addRoute(c simulation.Command) error {
+	route := routing.Route{
+		Name:            fmt.Sprint("r", len(p.routes)),
+		Hostname:        c.Word(0),
+		PathPrefix:      c.Word(1),
+		RouteKind:       c.Word(2),
+		TimeoutMs:       int64(c.Number("timeout", 5000)),
+		TargetLatencyMs: int64(c.Number("target", 200)),
+		MaxAttempts:     int64(c.Number("tries", 2)),
+		Public:          c.Options["public"] != "",
+	}
+	if c.Options["gather"] == "" {
+		route.Service = c.Word(3)
+	} else {
+		route.FanoutServices = strings.Split(c.Word(3), ",")
+		route.ResultCount = int64(c.Number("gather", 1))
+		route.MinimumShardShare = c.Number("least", 1)
+		route.LookupClass = c.Options["class"]
+	}
+	p.routes = append(p.routes, route)
+	return nil
+}
+
+// setTenant is `tenant NAME KEY,...`: its keys from now on; without keys it is gone.
+func (p *plane) setTenant(c simulation.Command) error {
+	p.tenants = slices.DeleteFunc(p.tenants, func(t routing.Tenant) bool { return t.Name == c.Word(0) })
+	if c.Word(1) != "" {
+		p.tenants = append(p.tenants, routing.Tenant{Name: c.Word(0), APIKeys: strings.Split(c.Word(1), ",")})
+	}
+	return nil
+}
+
+// mark is `mark ID`: the index cell holds an ejection mark.
+func (p *plane) mark(c simulation.Command) error {
+	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
+	return nil
+}
+
+// unmark is `unmark ID`.
+func (p *plane) unmark(c simulation.Command) error {
+	delete(p.ejected, c.Word(0))
+	return nil
+}
+
+// feed is `feed`: the proxy gets an update.
+func (p *plane) feed(simulation.Command) error {
+	p.publish()
+	return nil
+}
+
+// letTimePass is `run MS`.
+func (p *plane) letTimePass(c simulation.Command) error {
+	time.Sleep(c.Milliseconds(0))
+	return nil
+}
+
+// ask is `ask HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
+// one after the other.
+func (p *plane) ask(c simulation.Command) error {
+	method := http.MethodGet
+	if c.Options["post"] != "" {
+		method = http.MethodPost
+	}
+	for range int(c.Number("n", 1)) {
+		p.request(c.Word(0), c.Word(1), method, c.Options["body"], c.Options)
+		time.Sleep(c.Span("gap", 0))
+	}
+	return nil
+}
+
+// crowd is `crowd HOST PATH n=`: requests, all at once.
+func (p *plane) crowd(c simulation.Command) error {
+	for range int(c.Number("n", 1)) {
+		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
+	}
+	p.running.Wait()
+	return nil
+}
+
+// enableEstimates is `estimates SHADOW`: from the start, latencies of lookups are collected;
+// leafs hold the same records.
+func (p *plane) enableEstimates(c simulation.Command) error {
+	p.sameRecords = true
+	p.settings.Estimates.Enabled = true
+	p.settings.Estimates.ShadowShare = c.Float(0)
+	p.newProxy()
+	go func() { _ = p.proxy.CollectLatencies() }()
+	return nil
+}
+
+// wantStatuses is `want STATUS=COUNT ...` or `STATUS>=COUNT`; it clears the counts.
+func (p *plane) wantStatuses(c simulation.Command) error {
+	for key, value := range c.Options {
+		status, isLeast := strings.CutSuffix(key, ">")
+		want, err := strconv.Atoi(value)
+		if err != nil {
+			return err
+		}
+		if have := p.statuses[status]; isLeast && have < want || !isLeast && have != want {
+			return fmt.Errorf("got %v", p.statuses)
+		}
+	}
+	p.statuses = map[string]int{}
+	return nil
+}
+
+// wantHeader is `want-header KEY=VALUE ...`, of the last answer.
+func (p *plane) wantHeader(c simulation.Command) error {
+	for key, want := range c.Options {
+		if got := p.last.Header().Get(key); got != want {
+			return fmt.Errorf("%s is %q", key, got)
+		}
+	}
+	return nil
+}
+
+// wantWithin is `want-within MS`: no request since the last such line took longer.
+func (p *plane) wantWithin(c simulation.Command) error {
+	if p.latency > c.Milliseconds(0) {
+		return fmt.Errorf("one took %v", p.latency)
+	}
+	p.latency = 0
+	return nil
+}
+
+// wantRuns is `want-runs ID [least= most=]`; it clears the count.
+func (p *plane) wantRuns(c simulation.Command) error {
+	time.Sleep(time.Millisecond) // a leaf may have yet to take in what it was sent before the answer ended
+	p.mu.Lock()
+	l := p.leafs[c.Word(0)]
+	runs := l.runs
+	l.runs = 0
+	p.mu.Unlock()
+	if float64(runs) < c.Number("least", 0) || float64(runs) > c.Number("most", 1e9) {
+		return fmt.Errorf("it ran %d", runs)
+	}
+	return nil
+}
+
+// wantTenants is `want-tenants LEAF NAME,...`: what it was sent since the last such line; -
+// for none.
+func (p *plane) wantTenants(c simulation.Command) error {
+	p.mu.Lock()
+	got := strings.Join(p.tenantsSeen[c.Word(0)], ",")
+	p.tenantsSeen[c.Word(0)] = nil
+	p.mu.Unlock()
+	if got != strings.ReplaceAll(c.Word(1), "-", "") {
+		return fmt.Errorf("it was sent %q", got)
+	}
+	return nil
+}
+
+// wantEstimate is `want-estimate LEAF CLASS MS`: the median of an idle replica to within a
+// fifth, 0 for unknown.
+func (p *plane) wantEstimate(c simulation.Command) error {
+	snapshot := p.proxy.LatencyEstimates(distribution.EstimatesRequest{Class: c.Word(1)})
+	for _, keyed := range snapshot.Sketches {
+		if keyed.Key.Endpoint != c.Word(0) || keyed.Key.Load != 0 {
+			continue
+		}
+		estimate := keyed.Sketch.Estimate()
+		want := c.Milliseconds(2)
+		isNear := estimate.Known() && estimate.Median >= want*4/5 && estimate.Median <= want*6/5
+		if want == 0 && estimate.Known() || want > 0 && !isNear {
+			return fmt.Errorf("%+v", estimate)
+		}
+		return nil
+	}
+	return errors.New("nothing is known of it")
+}
+
+// wantSlow is `want-slow LEAF OTHER`: a slow lookup there, with an estimate for the other
+// that covers what it really took.
+func (p *plane) wantSlow(c simulation.Command) error {
+	slow := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups
+	for _, lookup := range slow {
+		for _, other := range lookup.Replicas {
+			isPair := lookup.Key.Endpoint == c.Word(0) && other.Endpoint == c.Word(1)
+			if isPair && other.Estimate.Known() && other.Estimate.Covers(other.Actual) {
+				return nil
+			}
+		}
+	}
+	return fmt.Errorf("none: %+v", slow)
+}
+
+// wantParts is `want-parts LEAF KIND ...`: exactly these differ.
+func (p *plane) wantParts(c simulation.Command) error {
+	got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
+	for pair := range slices.Chunk(c.Words, 2) {
+		key := strings.Join(pair, " ")
+		if got[key] == 0 {
+			return fmt.Errorf("no %s: %v", key, got)
+		}
+		delete(got, key)
+	}
+	if len(got) > 0 {
+		return fmt.Errorf("and %v", got)
+	}
+	return nil
+}
