--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -35,6 +35,7 @@
 	dottedName   = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*){1,2}$`)
 	testName     = regexp.MustCompile(`^(Test|Benchmark|Example|Fuzz)[A-Z]\w*(/[\w-]+)?$`)
 	scenarioName = regexp.MustCompile(`^[a-z0-9]+(-[a-z0-9]+)+$`)
+	sourceFile   = regexp.MustCompile(`^[\w-]+\.(go|txt|md)$`)
 	sourcePath   = regexp.MustCompile(`^(\.\./)*(internal|cmd|docs|deploy|examples|tools|\.ci)(/[\w.*-]+)*(/\.\.\.)?/?$`)
 	identifier   = regexp.MustCompile(`[A-Za-z_]\w*`)
 	hyphenated   = regexp.MustCompile(`[a-z0-9]+(?:-[a-z0-9]+)+`)
@@ -122,6 +123,10 @@
 		return s.checkTest(name)
 	case sourcePath.MatchString(name):
 		return checkPath(name)
+	case sourceFile.MatchString(name):
+		if !s.files[name] {
+			return "no such file"
+		}
 	case strings.Contains(name, " "):
 		return "" // a command or a line of a file
 	case dottedName.MatchString(name):
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/rpc"
 	"comethold/internal/settings"
 	"comethold/internal/simulation"
@@ -127,7 +127,7 @@
 // leaseHolder is the machine that holds a lease, as any control node that runs says.
 func (f *fleet) leaseHolder(role string) (*machine, error) {
 	for _, m := range f.controlNodes() {
-		var view controlplane.LeasesView
+		var view operatorapi.LeasesView
 		if _, err := f.get(m, "/Duties.Read", &view); err != nil {
 			continue
 		}
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/rpc"
 	"comethold/internal/simulation"
@@ -147,7 +148,7 @@
 func (f *fleet) wantApplied(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(2), "the version at "+c.Word(1), func() error {
 		for _, m := range f.machinesNamed(c.Word(1)) {
-			var view controlplane.OutboxView
+			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || view.AppliedVersions["configuration"] < c.Uint(0) {
 				return fmt.Errorf("%.200s", raw)
@@ -162,7 +163,7 @@
 func (f *fleet) wantBacklog(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(1), "the outbox", func() error {
 		for _, m := range f.controlNodes() {
-			var view controlplane.OutboxView
+			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || view.Backlog != c.Int(0) || view.AppliedVersions["configuration"] != f.newest {
 				return fmt.Errorf("%s: %s", m.name, raw)
@@ -177,7 +178,7 @@
 func (f *fleet) wantQuarantine(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(2), "the quarantine", func() error {
 		for _, m := range f.controlNodes() {
-			var view controlplane.OutboxView
+			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || len(view.Quarantine) != c.Int(0) || len(view.Redrives) != c.Int(1) {
 				return fmt.Errorf("%s: %s", m.name, raw)
@@ -190,7 +191,7 @@
 // redrive is `redrive EVENT ACTION AT`: the last case whose event ID begins so, or the event.
 func (f *fleet) redrive(c simulation.Command) error {
 	m := f.machineNamed(c.Word(2))
-	var view controlplane.OutboxView
+	var view operatorapi.OutboxView
 	if _, err := f.get(m, pathOutbox, &view); err != nil {
 		return err
 	}
