--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -120,8 +120,8 @@
 
 // heal ends all faults but those of lost answers.
 func (c *chaos) heal() {
-	c.do("join")
-	c.do("lossy 0")
+	c.do("heal")
+	c.do("packet-loss 0")
 	c.do("slow core 0")
 	c.do("disk c1,c2,c3,c4,c5,c6 ok")
 	c.do("start all")
@@ -137,7 +137,7 @@
 	c.do("losses 2")
 	c.do("core a b c a b c")
 	machines := c.fleet.sortedMachines()
-	c.do("switches a 1")
+	c.do("proxies a 1")
 	c.do("list l1")
 	founding, early := c.drawFounding()
 	c.do("begin")
@@ -155,7 +155,7 @@
 	operators.Wait()
 	c.playClosingFault()
 	c.heal()
-	c.do("lose none")
+	c.do("lose-answers none")
 	c.run(3000)
 	c.do("want-order c1,c2,c3,c4,c5,c6 15000")
 	c.do("want-read 2000")
@@ -192,7 +192,7 @@
 	if kind == foundingCut {
 		early = c.oneOf("c1,c2", "c2,c3", "c1,c4", "c2,c5")
 		for name := range strings.SplitSeq(early, ",") {
-			c.do("%s %s", c.oneOf("cut", "cut", "mute", "deaf"), name)
+			c.do("%s %s", c.oneOf("cut", "cut", "cut-outgoing", "cut-incoming"), name)
 		}
 	}
 	return kind, early
@@ -202,18 +202,18 @@
 	switch kind {
 	case foundingCut:
 		c.run(c.rng.Intn(8000))
-		c.do("join")
+		c.do("heal")
 		c.runToAcknowledgement(9000)
 		if c.rng.Intn(2) == 0 {
-			c.do("%s", c.oneOf("kill all", "power all"))
-			c.do("wipe %s", early)
+			c.do("%s", c.oneOf("kill all", "lose-power all"))
+			c.do("lose-disk %s", early)
 			c.do("start all")
 			c.run(12000)
 			c.lastLoss = time.Now()
 		}
 	case foundingRolled:
 		c.run(c.rng.Intn(2000))
-		c.do("roll %s gap=%d", early, c.rng.Intn(300))
+		c.do("restart-in-turn %s gap=%d", early, c.rng.Intn(300))
 	default:
 		c.run(3000)
 	}
@@ -226,27 +226,27 @@
 	some := strings.Join(names[:1+c.rng.Intn(2)], ",")
 	switch k := c.rng.Intn(16); {
 	case k < 2:
-		c.do("%s %s", c.oneOf("cut", "mute", "deaf", "silence"), some)
+		c.do("%s %s", c.oneOf("cut", "cut-outgoing", "cut-incoming", "isolate"), some)
 	case k < 4:
-		c.do("%s %s", c.oneOf("cut", "mute", "deaf"), strings.Join(names[:3], ","))
+		c.do("%s %s", c.oneOf("cut", "cut-outgoing", "cut-incoming"), strings.Join(names[:3], ","))
 	case k < 6:
-		c.do("join")
+		c.do("heal")
 	case k < 7:
-		c.do("%s %s", c.oneOf("kill", "power"), some)
+		c.do("%s %s", c.oneOf("kill", "lose-power"), some)
 		c.run(c.rng.Intn(3000))
 		c.do("start %s", some)
 	case k < 8:
-		c.do("%s all", c.oneOf("kill", "power"))
+		c.do("%s all", c.oneOf("kill", "lose-power"))
 		c.run(c.rng.Intn(500))
 		c.do("start all")
 	case k < 9:
-		c.do("lose %s", c.oneOf(some, "core", "none"))
+		c.do("lose-answers %s", c.oneOf(some, "core", "none"))
 	case k < 10:
 		c.do("disk %s %s", some, c.oneOf("full", "hangs", "ok"))
 	case k < 11:
 		c.do("slow %s %d", some, 100+c.rng.Intn(2000))
 	case k < 12:
-		c.do("lossy 0.%02d", c.rng.Intn(15))
+		c.do("packet-loss 0.%02d", c.rng.Intn(15))
 	case k < 13:
 		c.do("reset %s", c.oneOf(some, "core"))
 	case k < 14: // eight orders at once
@@ -256,7 +256,7 @@
 	case time.Since(c.lastLoss) > lossesApart:
 		c.heal()
 		c.do("kill %s", c.oneOf(some, "all"))
-		c.do("wipe %s", some)
+		c.do("lose-disk %s", some)
 		c.do("start all")
 		c.run(12000) // and other replicas become voters
 		c.lastLoss = time.Now()
@@ -267,7 +267,7 @@
 // every proxy has the newest configuration in time.
 func (c *chaos) checkInContact(name string) {
 	c.heal()
-	c.do("lose none")
+	c.do("lose-answers none")
 	c.run(5000)
 	c.do("want-order %s 5000", name)
 	c.fleet.mu.Lock()
@@ -302,9 +302,9 @@
 	}
 	c.heal()
 	c.run(4000)
-	c.do("lose none")
+	c.do("lose-answers none")
 	c.do("want-order c%d 8000", 1+c.rng.Intn(6))
-	c.do("%s", c.oneOf("kill all", "power all"))
-	c.do("wipe %s", c.oneOf("c1,c2", "c3", "c4,c5", "c2,c6", "c1,c5"))
+	c.do("%s", c.oneOf("kill all", "lose-power all"))
+	c.do("lose-disk %s", c.oneOf("c1,c2", "c3", "c4,c5", "c2,c6", "c1,c5"))
 	c.do("start all")
 }
--- a/internal/simulation/disks_test.go
+++ b/internal/simulation/disks_test.go
@@ -64,7 +64,7 @@
 	name := fmt.Sprintf("c%d", bad+1)
 	gap := 5 + d.rng.Intn(20)
 	var changing sync.WaitGroup
-	changing.Go(func() { d.do("changes %d %d c%d gap=%d within=30000", version, changes, well, gap) })
+	changing.Go(func() { d.do("replace-series %d %d c%d gap=%d within=30000", version, changes, well, gap) })
 	for range 1 + d.rng.Intn(3) {
 		d.do("run %d", d.rng.Intn(900))
 		d.playFault(name)
@@ -82,7 +82,7 @@
 	case 0:
 		d.do("kill %s", name)
 	case 1:
-		d.do("power %s", name)
+		d.do("lose-power %s", name)
 	case 2:
 		d.do("disk %s full", name)
 	case 3:
@@ -90,7 +90,7 @@
 	case 4:
 		d.do("slow %s %d", name, 50+d.rng.Intn(1000))
 	case 5:
-		d.do("power all")
+		d.do("lose-power all")
 		d.do("start all")
 	case 6:
 		d.do("start %s", name)
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// replaceSeries is `changes FROM N AT [gap= within=]`: so many, one on the other; each is
+// replaceSeries is `replace-series FROM N AT [gap= within=]`: so many, one on the other; each is
 // acknowledged.
 func (f *fleet) replaceSeries(c simulation.Command) error {
 	for i := range c.Uint(1) {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// replaceInTurn is `series N BASE NAMES`: so many in a row, each one number higher, at
+// replaceInTurn is `replace-in-turn N BASE NAMES`: so many in a row, each one number higher, at
 // these machines in turn.
 func (f *fleet) replaceInTurn(c simulation.Command) error {
 	machines := f.machinesNamed(c.Word(2))
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// replaceAgain is `again VERSION BASE NAMES [mark= within=]`: the same order, to each of
+// replaceAgain is `replace-again VERSION BASE NAMES [mark= within=]`: the same order, to each of
 // them in turn.
 func (f *fleet) replaceAgain(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(2)) {
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// addProxies is `switches ZONE N`: so many machines without a disk, also later in a run.
+// addProxies is `proxies ZONE N`: so many machines without a disk, also later in a run.
 func (f *fleet) addProxies(c simulation.Command) error {
 	for range c.Int(1) {
 		n := len(f.machines) + 1
@@ -98,7 +98,7 @@
 	ending.Wait()
 }
 
-// roll is `roll NAMES [gap=]`: each is ended and started again in turn.
+// roll is `restart-in-turn NAMES [gap=]`: each is ended and started again in turn.
 func (f *fleet) roll(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		m.stop()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// wipeCommand is `wipe NAMES`: machines that are down lose their disks.
+// wipeCommand is `lose-disk NAMES`: machines that are down lose their disks.
 func (f *fleet) wipeCommand(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		if err := f.wipe(m); err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// wipeDead is `wipe-dead`: all machines that are down lose their disks.
+// wipeDead is `lose-disks-of-dead`: all machines that are down lose their disks.
 func (f *fleet) wipeDead(simulation.Command) error {
 	for _, m := range f.sortedMachines() {
 		if !m.disk || m.stop != nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// losePower is `power NAMES`: they lose power, and names that were not synced may be lost.
+// losePower is `lose-power NAMES`: they lose power, and names that were not synced may be lost.
 func (f *fleet) losePower(c simulation.Command) error {
 	var ending sync.WaitGroup
 	for _, m := range f.machinesNamed(c.Word(0)) {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// tear is `tear NAMES garbage|half|short|nothing|gone`: what is left of the file of the
+// tear is `damage-file NAMES garbage|half|short|nothing|gone`: what is left of the file of the
 // cells on machines that are down.
 func (f *fleet) tear(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// nameMachine is `let NAME proposer|follower`: from now on the leader's machine, or a
+// nameMachine is `name NAME leader|follower`: from now on the leader's machine, or a
 // control node that is neither the leader nor has another name yet, has this name.
 func (f *fleet) nameMachine(c simulation.Command) error {
 	leader := f.leaderMachine()
@@ -220,7 +220,7 @@
 			isNamed = isNamed || other == m
 		}
 		isFollower := m != leader && m.controlPlane != nil && !isNamed
-		if c.Word(1) == "proposer" && m == leader || c.Word(1) == "follower" && isFollower {
+		if c.Word(1) == "leader" && m == leader || c.Word(1) == "follower" && isFollower {
 			f.aliases[c.Word(0)] = m
 			return nil
 		}
@@ -228,7 +228,7 @@
 	return errors.New("there is no such machine")
 }
 
-// haveLead is `lead NAMES WITHIN`: one of them is the leader in the end; others that lead
+// haveLead is `make-leader NAMES WITHIN`: one of them is the leader in the end; others that lead
 // first are cut off for a while.
 func (f *fleet) haveLead(c simulation.Command) error {
 	return f.until(c.Milliseconds(1), "one of them leads", func() bool {
@@ -244,7 +244,7 @@
 	})
 }
 
-// killLeaseHolders is `kill-duty NAME...`: the machines that hold these leases.
+// killLeaseHolders is `kill-lease-holder NAME...`: the machines that hold these leases.
 func (f *fleet) killLeaseHolders(c simulation.Command) error {
 	holders, err := f.leaseHolders(c.Words)
 	if err != nil {
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// killReporter is `kill-holder`: the machine that sent the newest usage report.
+// killReporter is `kill-reporter`: the machine that sent the newest usage report.
 func (f *fleet) killReporter(simulation.Command) error {
 	m, err := f.reporter()
 	if err != nil {
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -13,13 +13,13 @@
 	return nil
 }
 
-// cutOutgoing is `mute NAMES`: the others don't hear them.
+// cutOutgoing is `cut-outgoing NAMES`: the others don't hear them.
 func (f *fleet) cutOutgoing(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), true, false)
 	return nil
 }
 
-// cutIncoming is `deaf NAMES`: they don't hear the others.
+// cutIncoming is `cut-incoming NAMES`: they don't hear the others.
 func (f *fleet) cutIncoming(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), false, true)
 	return nil
@@ -42,7 +42,7 @@
 	}
 }
 
-// silence is `silence NAMES`: nobody hears them, nor they anybody, until join.
+// silence is `isolate NAMES`: nobody hears them, nor they anybody, until join.
 func (f *fleet) silence(c simulation.Command) error {
 	for _, a := range f.machinesNamed(c.Word(0)) {
 		for _, b := range f.machines {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// cutFromPlatform is `no-platform NAME`: whoever holds this lease is cut off from the
+// cutFromPlatform is `cut-from-platform NAME`: whoever holds this lease is cut off from the
 // platform alone, until join.
 func (f *fleet) cutFromPlatform(c simulation.Command) error {
 	m, err := f.leaseHolder(c.Word(0))
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// cutLeaseHolders is `cut-duty NAME...`: the machines that hold these leases.
+// cutLeaseHolders is `cut-lease-holder NAME...`: the machines that hold these leases.
 func (f *fleet) cutLeaseHolders(c simulation.Command) error {
 	holders, err := f.leaseHolders(c.Words)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// cutReporter is `cut-holder [platform]`: the machine that sent the newest usage report is
+// cutReporter is `cut-reporter [platform]`: the machine that sent the newest usage report is
 // cut from the other machines with a disk, or from the platform alone.
 func (f *fleet) cutReporter(c simulation.Command) error {
 	m, err := f.reporter()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// join is `join [after=MS]`: all cuts end.
+// join is `heal [after=MS]`: all cuts end.
 func (f *fleet) join(c simulation.Command) error {
 	if after := c.Span("after", 0); after > 0 {
 		time.AfterFunc(after, f.network.heal)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// setLossRate is `lossy SHARE`: so many packets are lost.
+// setLossRate is `packet-loss SHARE`: so many packets are lost.
 func (f *fleet) setLossRate(c simulation.Command) error {
 	f.network.setLossRate(c.Float(0))
 	return nil
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// loseAnswers is `lose NAMES`: their answers to operators are lost; `lose none` ends it.
+// loseAnswers is `lose-answers NAMES`: their answers to operators are lost; `lose-answers none` ends it.
 func (f *fleet) loseAnswers(c simulation.Command) error {
 	var hosts []string
 	if c.Word(0) != "none" {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -198,7 +198,7 @@
 	return err == nil && answer.Confirmed
 }
 
-// garble is `garble NAMES`: bytes that are no message, to every listening address of a
+// garble is `send-garbage NAMES`: bytes that are no message, to every listening address of a
 // machine; each of them is to be rejected.
 func (f *fleet) garble(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// listManyLeafs is `many PREFIX N`: so many leafs are listed.
+// listManyLeafs is `list-many PREFIX N`: so many leafs are listed.
 func (f *fleet) listManyLeafs(c simulation.Command) error {
 	f.setLeafStates(numberedLeafs(c.Word(0), c.Int(1)), leafReady)
 	return nil
@@ -198,13 +198,13 @@
 	return ids
 }
 
-// reportUnhealthy is `bad NAMES PREFIX N`: these proxies find so many leafs unhealthy.
+// reportUnhealthy is `report-unhealthy NAMES PREFIX N`: these proxies find so many leafs unhealthy.
 func (f *fleet) reportUnhealthy(c simulation.Command) error {
 	f.reportHealth(c, false)
 	return nil
 }
 
-// reportHealthy is `well NAMES PREFIX N`: these proxies find so many leafs healthy again.
+// reportHealthy is `report-healthy NAMES PREFIX N`: these proxies find so many leafs healthy again.
 func (f *fleet) reportHealthy(c simulation.Command) error {
 	f.reportHealth(c, true)
 	return nil
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -26,7 +26,7 @@
 // cellViews are the replicas of the machines that run, by address and cell.
 type cellViews map[string]map[string]controlplane.CellView
 
-// wantWhole is `want-whole WITHIN [lost=]`: every cell has all its voters, at machines that
+// wantWhole is `want-all-voters WITHIN [lost=]`: every cell has all its voters, at machines that
 // run and have caught up, but for so many voters.
 func (f *fleet) wantWhole(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(0), "all cells are whole", func() error {
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -61,14 +61,14 @@
 	return f.checkQuota(f.tenantNamed(c.Word(1)), start.Add(-time.Second))
 }
 
-// startLoad is `load-on NAMES TENANT PERSECOND MS`: as load, while the lines that follow
+// startLoad is `start-load NAMES TENANT PERSECOND MS`: as load, while the lines that follow
 // are played, until load-end.
 func (f *fleet) startLoad(c simulation.Command) error {
 	f.loads.Go(func() { f.generateLoad(c) })
 	return nil
 }
 
-// endLoads is `load-end`.
+// endLoads is `end-loads`.
 func (f *fleet) endLoads(simulation.Command) error {
 	f.loads.Wait()
 	return nil
@@ -170,13 +170,13 @@
 	return nil
 }
 
-// enableUsageReports is `duties`: usage is to be reported.
+// enableUsageReports is `usage-reports`: usage is to be reported.
 func (f *fleet) enableUsageReports(simulation.Command) error {
 	f.reportUsage = true
 	return nil
 }
 
-// awaitWindow is `window MS`: lets time pass until so long after the beginning of a window
+// awaitWindow is `await-window MS`: lets time pass until so long after the beginning of a window
 // of usage.
 func (f *fleet) awaitWindow(c simulation.Command) error {
 	length := f.bounds().UsageWindow()
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// wantTimely is `want-timely TENANT off= [missed=]`: each window since the last such line in
+// wantTimely is `want-reported-in-time TENANT off= [missed=]`: each window since the last such line in
 // which its requests ran, and that has fallen due, was reported before that, and names what
 // ran in it, to so many percent; so many may be missed.
 func (f *fleet) wantTimely(c simulation.Command) error {
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -30,7 +30,7 @@
 	idleMs  int64 // limit in the configurations
 }
 
-// serveClients is `serve`: from here on connections are taken.
+// serveClients is `accept-connections`: from here on connections are taken.
 func (p *plane) serveClients(simulation.Command) error {
 	p.clients.network = newNetwork(func() float64 { return neverDropsRate })
 	p.clients.conns = map[string]net.Conn{}
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// setIdleLimit is `idle MS`: the limit of idle connections, with the next feed.
+// setIdleLimit is `idle-timeout MS`: the limit of idle connections, with the next feed.
 func (p *plane) setIdleLimit(c simulation.Command) error {
 	p.clients.idleMs = int64(c.Int(0))
 	return nil
 }
 
-// openConnection is `open NAME`: a connection without a request.
+// openConnection is `open-connection NAME`: a connection without a request.
 func (p *plane) openConnection(c simulation.Command) error {
 	dial := p.clients.network.netOf(clientHost)(time.Second, time.Second)
 	conn, err := dial(context.Background(), "", proxyAddress)
@@ -58,26 +58,26 @@
 	return nil
 }
 
-// say is `say NAME HOST PATH [method=]`: a request on that connection.
+// say is `send NAME HOST PATH [method=]`: a request on that connection.
 func (p *plane) say(c simulation.Command) error {
 	p.sendOnConnection(c, writeAtOnce)
 	return nil
 }
 
-// sayOn is `say-on NAME HOST PATH [method=]`: the same, not waiting for the answer.
+// sayOn is `send-async NAME HOST PATH [method=]`: the same, not waiting for the answer.
 func (p *plane) sayOn(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeAtOnce) })
 	return nil
 }
 
-// sayLate is `say-late NAME HOST PATH MS`: the last byte of the request comes so much later;
+// sayLate is `send-slowly NAME HOST PATH MS`: the last byte of the request comes so much later;
 // not waiting for the answer.
 func (p *plane) sayLate(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeSlowly) })
 	return nil
 }
 
-// leave is `leave [after=MS]`: SIGTERM; returns when the process ends, so long after all was
+// leave is `shutdown [after=MS]`: SIGTERM; returns when the process ends, so long after all was
 // answered.
 func (p *plane) leave(c simulation.Command) error {
 	p.proxy.Shutdown()
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -14,7 +14,7 @@
 	"comethold/internal/simulation"
 )
 
-// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= times= cold=]`.
+// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`.
 func (p *plane) addLeaf(c simulation.Command) error {
 	l := &leaf{
 		Endpoint: distribution.Endpoint{
@@ -23,7 +23,7 @@
 		},
 		workTime: c.Span("work", 10),
 		mode:     c.Options["mode"],
-		modeUses: int(c.Number("times", 0)),
+		modeUses: int(c.Number("uses", 0)),
 	}
 	if zone := c.Options["zone"]; zone != "" {
 		l.Zone = zone
@@ -32,20 +32,20 @@
 	return nil
 }
 
-// setLeaf is `set ID [mode= times= work= draining=]`.
+// setLeaf is `set ID [mode= uses= work= draining=]`.
 func (p *plane) setLeaf(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.leafs[c.Word(0)]
 	l.mode = c.Options["mode"]
 	l.calls = 0
-	l.modeUses = int(c.Number("times", float64(l.modeUses)))
+	l.modeUses = int(c.Number("uses", float64(l.modeUses)))
 	l.workTime = c.Span("work", float64(l.workTime.Milliseconds()))
 	l.Draining = c.Options["draining"] != ""
 	return nil
 }
 
-// addRoute is `route HOST PREFIX KIND SERVICE,... [gather= target= tries= least= public= class=]`.
+// addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= target= attempts= least= public= class=]`.
 func (p *plane) addRoute(c simulation.Command) error {
 	route := routing.Route{
 		Name:            fmt.Sprint("r", len(p.routes)),
@@ -54,14 +54,14 @@
 		RouteKind:       c.Word(2),
 		TimeoutMs:       int64(c.Number("timeout", 5000)),
 		TargetLatencyMs: int64(c.Number("target", 200)),
-		MaxAttempts:     int64(c.Number("tries", 2)),
+		MaxAttempts:     int64(c.Number("attempts", 2)),
 		Public:          c.Options["public"] != "",
 	}
-	if c.Options["gather"] == "" {
+	if c.Options["scatter"] == "" {
 		route.Service = c.Word(3)
 	} else {
 		route.FanoutServices = strings.Split(c.Word(3), ",")
-		route.ResultCount = int64(c.Number("gather", 1))
+		route.ResultCount = int64(c.Number("scatter", 1))
 		route.MinimumShardShare = c.Number("least", 1)
 		route.LookupClass = c.Options["class"]
 	}
@@ -78,19 +78,19 @@
 	return nil
 }
 
-// mark is `mark ID`: the index cell holds an ejection mark.
+// mark is `eject ID`: the index cell holds an ejection mark.
 func (p *plane) mark(c simulation.Command) error {
 	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	return nil
 }
 
-// unmark is `unmark ID`.
+// unmark is `reinstate ID`.
 func (p *plane) unmark(c simulation.Command) error {
 	delete(p.ejected, c.Word(0))
 	return nil
 }
 
-// feed is `feed`: the proxy gets an update.
+// feed is `update`: the proxy gets an update.
 func (p *plane) feed(simulation.Command) error {
 	p.publish()
 	return nil
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// ask is `ask HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
+// ask is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
 // one after the other.
 func (p *plane) ask(c simulation.Command) error {
 	method := http.MethodGet
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// crowd is `crowd HOST PATH n=`: requests, all at once.
+// crowd is `request-at-once HOST PATH n=`: requests, all at once.
 func (p *plane) crowd(c simulation.Command) error {
 	for range int(c.Number("n", 1)) {
 		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -19,13 +19,13 @@
 	add("losses 2")
 	add("core %s", []string{"a b c a b c", "a b c a b", "a b c d e f a"}[rng.Intn(3)])
 	n := 5 + (len(lines[1])-len("core a b c a b"))/2
-	add("switches a 1")
+	add("proxies a 1")
 	add("list l1")
 	add("indexes %d", rng.Intn(4))
 	add("begin")
 	add("run %d", 200+rng.Intn(1500))
 	add("replace 1 0 c1 within=9000")
-	add("want-whole 9000")
+	add("want-all-voters 9000")
 	version := 1
 	p := rng.Perm(n)
 	order := func() { // to a machine that is well
@@ -39,27 +39,27 @@
 		case 0, 1: // both disks at once, right after an acknowledgement
 			order()
 			add("kill %s,%s", a, b)
-			add("wipe %s,%s", a, b)
+			add("lose-disk %s,%s", a, b)
 		case 2: // one after the other, the second while the first comes back
 			add("kill %s", a)
-			add("wipe %s", a)
+			add("lose-disk %s", a)
 			add("run %d", rng.Intn(7000))
 			add("start %s", a)
 			add("run %d", rng.Intn(1500))
 			add("kill %s,%s", a, b)
-			add("wipe %s", []string{a, b, a + "," + b}[rng.Intn(3)])
+			add("lose-disk %s", []string{a, b, a + "," + b}[rng.Intn(3)])
 		case 3: // cut off for long, with an index cell founded meanwhile
 			add("cut %s,%s", a, b)
 			add("run %d", rng.Intn(9000))
 			add("indexes %d", rng.Intn(5))
-			add("join")
+			add("heal")
 			order()
 		case 4: // the mover, and one without its disk
 			add("kill %s", a)
-			add("wipe %s", a)
+			add("lose-disk %s", a)
 			add("start %s", a)
 			add("run %d", rng.Intn(800))
-			add("kill-duty mover")
+			add("kill-lease-holder mover")
 		case 5: // back with the disk while the seat is given away
 			add("kill %s", a)
 			add("run %d", 4000+rng.Intn(2500))
@@ -68,7 +68,7 @@
 			add("start %s", a)
 			add("run %d", rng.Intn(600))
 			add("kill %s", b)
-			add("wipe %s", b)
+			add("lose-disk %s", b)
 		}
 		add("want-read 9000")
 		add("run %d", rng.Intn(800))
@@ -76,7 +76,7 @@
 		if rng.Intn(2) == 0 {
 			order()
 		}
-		add("want-whole 4000") // the shortest time after which a loss stops counting
+		add("want-all-voters 4000") // the shortest time after which a loss stops counting
 	}
 	add("kill all")
 	add("start all")
