--- a/internal/objectcache/disk_store.go
+++ b/internal/objectcache/diskstore/store.go
@@ -1,4 +1,10 @@
-package objectcache
+// Package diskstore keeps the objects of an object cache on disk, so that a node that restarts
+// need not read them all from their origins again.
+//
+// Open a Store, Load its objects, Put new ones and ApplyPurges; it writes behind, and drops
+// its oldest objects when there is no room. The file is a bbolt database: bucket names, keys
+// and cbor numbers must not change.
+package diskstore
 
 import (
 	"encoding/binary"
@@ -15,8 +21,8 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// storeFileName is the name of the store's file in the data directory.
-const storeFileName = "copies.db"
+// fileName is the name of the store's file in the data directory.
+const fileName = "copies.db"
 
 // The buckets and keys of the store's file.
 var (
@@ -39,56 +45,65 @@
 	defaultStoreBytes = 32 << 20
 )
 
-// diskStore keeps a server's objects on disk, written behind. It only ever helps: an object
+// Store keeps objects on disk, written behind. It only ever helps: an object
 // whose age can't be told after a restart is revalidated before it is served, and all objects
-// are dropped unless the purges since the store's log index can still be told.
-type diskStore struct {
-	dir    string
-	disk   storage.Disk
-	log    *logging.Logger
-	bootID string
+// are dropped unless the purges since the store's log index can still be told. It is safe for
+// concurrent use.
+type Store struct {
+	directory string
+	disk      storage.Disk
+	log       *logging.Logger
+	bootID    string
 
 	opened     chan *bolt.DB // the file, once the disk has opened it
 	writerDone chan struct{} // closed when the writer has ended
 
 	mu          sync.Mutex // guards the fields below
 	wakeWriter  *sync.Cond // of mu: queue or closed has changed
-	queue       []storeJob
+	queue       []operation
 	queuedBytes int
 	closed      bool
 
 	// Used by the writer alone once it runs.
 	db        *bolt.DB // nil until opened
-	contents  *storeContents
+	contents  *contents
 	mustClear bool // the objects on disk may lack a purge: they go before anything is written
 }
 
-// storeJob is an object to store, or purges to apply.
-type storeJob struct {
+// operation is an object to store, or purges to apply.
+type operation struct {
 	object *responsecache.Response
 	purges *distribution.PurgeUpdate
 }
 
-// storeCapacity returns the size of the store, by that of the disk; 0: unknown.
-func storeCapacity(diskMb int64) int {
-	if diskMb <= 0 {
+// Options are what Open needs.
+type Options struct {
+	Directory string
+	DiskMb    int64 // size of the disk; 0: unknown
+	Disk      storage.Disk
+	Log       *logging.Logger
+}
+
+// maxBytes returns how many bytes of objects the store keeps.
+func (o *Options) maxBytes() int {
+	if o.DiskMb <= 0 {
 		return defaultStoreBytes
 	}
-	return int(diskFraction * float64(diskMb<<20))
+	return int(diskFraction * float64(o.DiskMb<<20))
 }
 
-// openDiskStore opens the store in dir, and returns it with the log index of the purges that
+// Open opens the store in the directory, and returns it with the log index of the purges that
 // were applied to it. A file that can't be read is dropped. A disk that fails or doesn't
 // answer keeps no server from its start: the store is opened later then, without objects.
-func openDiskStore(dir string, maxBytes int, disk storage.Disk, log *logging.Logger) (*diskStore, uint64) {
-	s := &diskStore{
-		dir:        dir,
-		disk:       disk,
-		log:        log,
+func Open(o Options) (store *Store, purgeIndex uint64) {
+	s := &Store{
+		directory:  o.Directory,
+		disk:       o.Disk,
+		log:        o.Log,
 		bootID:     readBootID(),
 		opened:     make(chan *bolt.DB, 1),
 		writerDone: make(chan struct{}),
-		contents:   newStoreContents(maxBytes),
+		contents:   newContents(o.maxBytes()),
 	}
 	s.wakeWriter = sync.NewCond(&s.mu)
 	go s.openFile() // ends with the file, or when the store is closed
@@ -102,8 +117,8 @@
 }
 
 // openFile opens the store's file, again and again until the disk does.
-func (s *diskStore) openFile() {
-	path := filepath.Join(s.dir, storeFileName)
+func (s *Store) openFile() {
+	path := filepath.Join(s.directory, fileName)
 	for ; !s.isClosed(); time.Sleep(openRetryInterval) {
 		db, err := s.disk.Open(path)
 		if errors.Is(err, storage.ErrCorrupt) {
@@ -136,8 +151,8 @@
 	return index
 }
 
-// load calls onObject with every intact object, and then starts the writer.
-func (s *diskStore) load(onObject func(*responsecache.Response)) {
+// Load calls onObject with every intact object, and then starts the writer.
+func (s *Store) Load(onObject func(*responsecache.Response)) {
 	if s.db != nil {
 		s.readObjects(onObject)
 	}
@@ -145,7 +160,7 @@
 }
 
 // readObjects calls onObject with every intact object up to the first damaged page.
-func (s *diskStore) readObjects(onObject func(*responsecache.Response)) {
+func (s *Store) readObjects(onObject func(*responsecache.Response)) {
 	defer func() { _ = recover() }() // bbolt panics on a damaged page
 	now, at := currentTimestamp(s.bootID), time.Now()
 	_ = s.db.View(func(tx *bolt.Tx) error {
@@ -166,28 +181,28 @@
 	})
 }
 
-// put queues an object. It is left out if too much is queued already.
-func (s *diskStore) put(object *responsecache.Response) {
+// Put queues an object. It is left out if too much is queued already.
+func (s *Store) Put(object *responsecache.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || object.ETag == "" || s.queuedBytes+len(object.Body) > maxQueuedBytes {
 		return
 	}
 	s.queuedBytes += len(object.Body)
-	s.queue = append(s.queue, storeJob{object: object})
+	s.queue = append(s.queue, operation{object: object})
 	s.wakeWriter.Signal()
 }
 
-// applyPurges queues purges, which are never left out.
-func (s *diskStore) applyPurges(u *distribution.PurgeUpdate) {
+// ApplyPurges queues purges, which are never left out.
+func (s *Store) ApplyPurges(u *distribution.PurgeUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue = append(s.queue, storeJob{purges: u})
+	s.queue = append(s.queue, operation{purges: u})
 	s.wakeWriter.Signal()
 }
 
-// close ends the store. It doesn't wait for a disk that hangs.
-func (s *diskStore) close() {
+// Close ends the store. It doesn't wait for a disk that hangs.
+func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.wakeWriter.Broadcast()
@@ -201,7 +216,7 @@
 	}
 }
 
-func (s *diskStore) isClosed() bool {
+func (s *Store) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
--- a/internal/objectcache/timestamp.go
+++ b/internal/objectcache/diskstore/timestamp.go
@@ -1,4 +1,4 @@
-package objectcache
+package diskstore
 
 import (
 	"os"
--- a/internal/objectcache/disk_writer.go
+++ b/internal/objectcache/diskstore/writer.go
@@ -1,4 +1,4 @@
-package objectcache
+package diskstore
 
 import (
 	"encoding/binary"
@@ -12,9 +12,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// storeContents is what the writer remembers of the objects on disk: enough to evict the
+// contents is what the writer remembers of the objects on disk: enough to evict the
 // oldest and to find those that a purge matches.
-type storeContents struct {
+type contents struct {
 	maxBytes    int
 	storedBytes int
 	objects     map[string]storedObject
@@ -27,12 +27,12 @@
 	metadata responsecache.Response // without header and body
 }
 
-func newStoreContents(maxBytes int) *storeContents {
-	return &storeContents{maxBytes: maxBytes, objects: map[string]storedObject{}}
+func newContents(maxBytes int) *contents {
+	return &contents{maxBytes: maxBytes, objects: map[string]storedObject{}}
 }
 
 // track remembers an object of the given size on disk.
-func (c *storeContents) track(key string, size int, object *responsecache.Response) {
+func (c *contents) track(key string, size int, object *responsecache.Response) {
 	if old, ok := c.objects[key]; ok {
 		c.storedBytes -= old.size
 	} else {
@@ -46,20 +46,20 @@
 }
 
 // untrack forgets an object.
-func (c *storeContents) untrack(key string) {
+func (c *contents) untrack(key string) {
 	c.storedBytes -= c.objects[key].size
 	delete(c.objects, key)
 }
 
 // clear forgets all objects.
-func (c *storeContents) clear() {
+func (c *contents) clear() {
 	c.objects = map[string]storedObject{}
 	c.order = nil
 	c.storedBytes = 0
 }
 
 // evictOldest forgets the oldest object if there are too many bytes, and returns its key.
-func (c *storeContents) evictOldest() (key string, ok bool) {
+func (c *contents) evictOldest() (key string, ok bool) {
 	for c.storedBytes > c.maxBytes && len(c.order) > 0 {
 		key = c.order[0]
 		c.order = c.order[1:]
@@ -82,17 +82,17 @@
 }
 
 // runWriter writes what is queued until the store is closed.
-func (s *diskStore) runWriter() {
+func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	if !s.waitForFile() {
 		return
 	}
 	for {
-		jobs, closed := s.takeJobs()
+		operations, closed := s.takeOperations()
 		if closed {
 			return
 		}
-		if err := s.writeBatch(jobs); err == nil {
+		if err := s.writeBatch(operations); err == nil {
 			s.mustClear = false
 		} else {
 			// The file may lack a purge now: it must not outlive this process.
@@ -107,7 +107,7 @@
 }
 
 // waitForFile waits until the file is open, and reports false if the store is closed before.
-func (s *diskStore) waitForFile() bool {
+func (s *Store) waitForFile() bool {
 	for s.db == nil {
 		select {
 		case s.db = <-s.opened:
@@ -120,21 +120,21 @@
 	return true
 }
 
-// takeJobs waits for jobs and takes all that are queued.
-func (s *diskStore) takeJobs() (jobs []storeJob, closed bool) {
+// takeOperations waits for operations and takes all that are queued.
+func (s *Store) takeOperations() (operations []operation, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.queue) == 0 && !s.closed {
 		s.wakeWriter.Wait()
 	}
-	jobs = s.queue
+	operations = s.queue
 	s.queue = nil
 	s.queuedBytes = 0
-	return jobs, s.closed
+	return operations, s.closed
 }
 
-// writeBatch carries out jobs in one transaction.
-func (s *diskStore) writeBatch(jobs []storeJob) error {
+// writeBatch carries out operations in one transaction.
+func (s *Store) writeBatch(operations []operation) error {
 	now, at := currentTimestamp(s.bootID), time.Now()
 	return s.disk.Update(s.db, func(tx *bolt.Tx) error {
 		if s.mustClear && tx.Bucket(objectBucket) != nil {
@@ -145,8 +145,8 @@
 		if _, err := tx.CreateBucketIfNotExists(objectBucket); err != nil {
 			return err
 		}
-		for _, job := range jobs {
-			if err := s.writeJob(tx, job, now, at); err != nil {
+		for _, op := range operations {
+			if err := s.writeOperation(tx, op, now, at); err != nil {
 				return err
 			}
 		}
@@ -154,12 +154,12 @@
 	})
 }
 
-// writeJob carries out one job. now and at are the same moment by both clocks.
-func (s *diskStore) writeJob(tx *bolt.Tx, job storeJob, now timestamp, at time.Time) error {
-	if job.purges != nil {
-		return s.writePurges(tx, job.purges)
+// writeOperation carries out one operation. now and at are the same moment by both clocks.
+func (s *Store) writeOperation(tx *bolt.Tx, op operation, now timestamp, at time.Time) error {
+	if op.purges != nil {
+		return s.writePurges(tx, op.purges)
 	}
-	value := encodeObject(job.object, now, at)
+	value := encodeObject(op.object, now, at)
 	if value == nil {
 		return nil
 	}
@@ -167,15 +167,15 @@
 	if objects == nil {
 		return os.ErrInvalid
 	}
-	if err := objects.Put([]byte(job.object.Key()), value); err != nil {
+	if err := objects.Put([]byte(op.object.Key()), value); err != nil {
 		return err
 	}
-	s.contents.track(job.object.Key(), len(value), job.object)
+	s.contents.track(op.object.Key(), len(value), op.object)
 	return nil
 }
 
 // writePurges drops the objects that purges match, and moves the store's log index.
-func (s *diskStore) writePurges(tx *bolt.Tx, u *distribution.PurgeUpdate) error {
+func (s *Store) writePurges(tx *bolt.Tx, u *distribution.PurgeUpdate) error {
 	var err error
 	if u.Reset {
 		err = s.dropAll(tx)
@@ -192,7 +192,7 @@
 	return node.Put(purgeIndexKey, binary.BigEndian.AppendUint64(nil, u.LogIndex))
 }
 
-func (s *diskStore) dropAll(tx *bolt.Tx) error {
+func (s *Store) dropAll(tx *bolt.Tx) error {
 	if err := tx.DeleteBucket(objectBucket); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	return nil
 }
 
-func (s *diskStore) dropMatching(tx *bolt.Tx, purges []distribution.Purge) error {
+func (s *Store) dropMatching(tx *bolt.Tx, purges []distribution.Purge) error {
 	objects := tx.Bucket(objectBucket)
 	for key, object := range s.contents.objects {
 		if !object.matches(purges) {
@@ -218,7 +218,7 @@
 }
 
 // evict drops the oldest objects while there are too many bytes.
-func (s *diskStore) evict(tx *bolt.Tx) error {
+func (s *Store) evict(tx *bolt.Tx) error {
 	objects := tx.Bucket(objectBucket)
 	for {
 		key, ok := s.contents.evictOldest()
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -6,6 +6,7 @@
 	"comethold/internal/controlclient"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
+	"comethold/internal/objectcache/diskstore"
 	"comethold/internal/ratelimit"
 	"comethold/internal/responsecache"
 	"comethold/internal/rpc"
@@ -40,7 +41,7 @@
 	scheduler  *readScheduler
 	latency    *latencyTracker
 	statistics *originStatistics
-	store      *diskStore // nil without a data directory
+	store      *diskstore.Store // nil without a data directory
 	rpcClient  *rpc.Client
 }
 
@@ -67,7 +68,7 @@
 	options := FetcherOptions{StaleSlack: set.Bounds.StaleSlack(), RefreshFraction: refreshFraction}
 	if set.DataDirectory != "" {
 		s.store = s.openStore(cache)
-		options.OnCached = s.store.put
+		options.OnCached = s.store.Put
 	}
 	s.fetcher = NewFetcher(cache, control, s.fetchObject, options)
 	control.OnPurges(s.applyPurges)
@@ -83,10 +84,14 @@
 }
 
 // openStore opens the objects on disk and loads them into the cache.
-func (s *Server) openStore(cache *responsecache.Cache) *diskStore {
-	set := s.Settings
-	store, purgeIndex := openDiskStore(set.DataDirectory, storeCapacity(set.Limits.DiskMb), storage.LocalDisk{}, s.Log)
-	store.load(cache.Put)
+func (s *Server) openStore(cache *responsecache.Cache) *diskstore.Store {
+	store, purgeIndex := diskstore.Open(diskstore.Options{
+		Directory: s.Settings.DataDirectory,
+		DiskMb:    s.Settings.Limits.DiskMb,
+		Disk:      storage.LocalDisk{},
+		Log:       s.Log,
+	})
+	store.Load(cache.Put)
 	s.SetInitialPurgeIndex(purgeIndex)
 	s.Log.Info(logging.DiskCacheOpened).
 		Int("objects", cache.Len()).
@@ -98,7 +103,7 @@
 func (s *Server) applyPurges(u *distribution.PurgeUpdate) {
 	s.fetcher.ApplyPurges(u)
 	if s.store != nil {
-		s.store.applyPurges(u)
+		s.store.ApplyPurges(u)
 	}
 }
 
@@ -139,6 +144,6 @@
 func (s *Server) Shutdown() {
 	s.Close()
 	if s.store != nil {
-		s.store.close()
+		s.store.Close()
 	}
 }
