--- a/internal/controlplane/replicahost/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -1,23 +1,22 @@
 package replicahost
 
 import (
-	"comethold/internal/controlplane/schema"
-	"comethold/internal/distribution"
-	"comethold/internal/paxos"
-	"comethold/internal/storage"
 	"fmt"
 	"os"
 	"path/filepath"
 	"sort"
 	"strings"
 	"testing"
-	"time"
+
+	"comethold/internal/controlplane/schema"
+	"comethold/internal/paxos"
+	"comethold/internal/storage"
 )
 
 // TestBulkQueueSendsNothingTwice: of what is large, nothing goes a second time while it is under way, and a
 // promise goes without the snapshot that is.
 func TestBulkQueueSendsNothingTwice(t *testing.T) {
-	l := bulkQueue{wake: make(chan struct{}, 1)}
+	l := newBulkQueue()
 	snap := func() *paxos.Snapshot {
 		return &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}
 	}
@@ -32,7 +31,9 @@
 		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
 		l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Accept, Entries: large(7)})
 	}
-	if rest := l.enqueue(paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: paxos.ProposalNumber{Term: 2}, Snapshot: snap()}); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
+	number := paxos.ProposalNumber{Term: 2}
+	promise := paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: number, Snapshot: snap()}
+	if rest := l.enqueue(promise); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
 		t.Errorf("of the promise goes %v", rest)
 	}
 	l.enqueue(paxos.Message{Cell: "b", Kind: paxos.CatchUpResponse, Snapshot: snap()})
@@ -41,7 +42,12 @@
 	for m := l.next(); m != nil; m = l.next() {
 		got = append(got, fmt.Sprint(m.Cell, m.Kind, len(m.Entries)))
 	}
-	if want := fmt.Sprint([]string{fmt.Sprint("a", paxos.Accept, 1), fmt.Sprint("b", paxos.CatchUpResponse, 0), fmt.Sprint("a", paxos.Accept, 1)}); fmt.Sprint(got) != want {
+	want := fmt.Sprint([]string{
+		fmt.Sprint("a", paxos.Accept, 1),
+		fmt.Sprint("b", paxos.CatchUpResponse, 0),
+		fmt.Sprint("a", paxos.Accept, 1),
+	})
+	if fmt.Sprint(got) != want {
 		t.Errorf("sent are %v, not %v", got, want)
 	}
 	l.enqueue(paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: snap()})
@@ -53,31 +59,35 @@
 // TestSendQueueBounds: what one tick says in many cells finds room, and what is oldest makes
 // room for what is newest.
 func TestSendQueueBounds(t *testing.T) {
-	p := &peer{wake: make(chan struct{}, 1), bulk: bulkQueue{wake: make(chan struct{}, 1)}}
-	h := &Host{peers: map[string]*peer{"b": p}}
+	queues := newPeerQueues()
+	h := &transport{peers: map[string]*peerQueues{"b": queues}}
+	p := queues.small
 	const cells = 1000
-	h.enqueueForPeer("b", make([]paxos.Message, cells))
-	if len(p.queue) != cells {
-		t.Errorf("%d of %d messages wait", len(p.queue), cells)
+	h.send("b", make([]paxos.Message, cells))
+	if len(p.messages) != cells {
+		t.Errorf("%d of %d messages wait", len(p.messages), cells)
 	}
 	half := paxos.Message{Entries: []paxos.Entry{{Txns: []paxos.Txn{{ID: strings.Repeat("x", bulkThresholdBytes/2)}}}}}
 	for i := range 2 * maxQueueBytes / half.Size() {
 		half.HeartbeatSequence = uint64(i)
-		h.enqueueForPeer("b", []paxos.Message{half})
+		h.send("b", []paxos.Message{half})
 	}
-	if n := len(p.queue); p.queuedBytes > maxQueueBytes || n < maxQueueBytes/half.Size() || p.queue[n-1].HeartbeatSequence != half.HeartbeatSequence {
-		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.queuedBytes, p.queue[n-1].HeartbeatSequence, half.HeartbeatSequence)
+	n := len(p.messages)
+	last := p.messages[n-1].HeartbeatSequence
+	if p.bytes > maxQueueBytes || n < maxQueueBytes/half.Size() || last != half.HeartbeatSequence {
+		t.Errorf("%d messages, %d bytes, the last %d of %d", n, p.bytes, last, half.HeartbeatSequence)
 	}
 }
 
 // TestLargeBatchCarriesNoClocks: what may be long under way tells no time of day, which would be taken for
 // that of its arrival.
 func TestLargeBatchCarriesNoClocks(t *testing.T) {
-	h := &Host{EndpointListVersion: func() distribution.Revision { return distribution.Revision{} }, ReadClocks: func() (int64, int64) { return 7, 8 }}
+	h := New(Options{Hooks: Hooks{ReadClocks: func() (int64, int64) { return 7, 8 }}, Network: unreachable})
 	if b := h.newBatch([]paxos.Message{{}}); b.WallTime != 7 || b.AgreedTime != 8 {
 		t.Errorf("a greeting says %d and %d", b.WallTime, b.AgreedTime)
 	}
-	large := paxos.Message{Snapshot: &paxos.Snapshot{State: map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}}}
+	state := map[string]paxos.Value{"k": paxos.Bytes(make([]byte, bulkThresholdBytes))}
+	large := paxos.Message{Snapshot: &paxos.Snapshot{State: state}}
 	if b := h.newBatch([]paxos.Message{large}); b.WallTime != 0 || b.AgreedTime != 0 {
 		t.Errorf("a snapshot says %d and %d", b.WallTime, b.AgreedTime)
 	}
@@ -86,9 +96,14 @@
 // TestPeerAddresses: a registrar that knows no seats greets, besides its seeds, whoever greets it
 // and whoever is listed: the proposer need not be a seed, and only it teaches.
 func TestPeerAddresses(t *testing.T) {
-	h := &Host{Self: PeerInfo{ID: "1~a", Addr: "1"}, Seeds: []string{"1", "2"}, start: time.Now(), Replicas: map[string]*paxos.Replica{},
-		RegisteredAddresses: func() []string { return []string{"3", "1"} }, peers: map[string]*peer{
-			"4": {info: PeerInfo{ID: "4", Addr: "4"}}, "5": {info: PeerInfo{ID: "5", Addr: "5"}, lastHeard: -2 * LearnerTimeout}}}
+	h := New(Options{
+		Self:    PeerInfo{ID: "1~a", Addr: "1"},
+		Seeds:   []string{"1", "2"},
+		Hooks:   Hooks{RegisteredAddresses: func() []string { return []string{"3", "1"} }},
+		Network: unreachable,
+	})
+	h.peers.record(PeerInfo{ID: "4", Addr: "4"}, 0)
+	h.peers.record(PeerInfo{ID: "5", Addr: "5"}, -2*LearnerTimeout)
 	got := h.PeerAddresses()
 	sort.Strings(got)
 	if fmt.Sprint(got) != "[2 3 4]" {
@@ -105,13 +120,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer v.Close()
-		id, _, err := LoadOrCreateIdentity(v, "a", first, storage.HasCorruptFile(dir), seats)
+		defer func() { _ = v.Close() }()
+		id, _, err := LoadOrCreateIdentity(v, NewNode{
+			Address:    "a",
+			FirstStart: first,
+			SetAside:   storage.HasCorruptFile(dir),
+			Founders:   seats,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, found, err := v.LoadReplica(schema.MetaCell)
-		return id, err == nil && found && s.Snapshot != nil && (paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}).Contains(id)
+		if err != nil || !found || s.Snapshot == nil {
+			return id, false
+		}
+		return id, paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}.Contains(id)
 	}
 	dir := t.TempDir()
 	for _, first := range []bool{true, false} {
--- /dev/null
+++ b/internal/paxos/state_machine.go
@@ -0,0 +1,60 @@
+package paxos
+
+import "comethold/internal/paxos/statemachine"
+
+// The state machine is package statemachine: it owns the key-value state and the memberships,
+// and keeps the invariant that they are a function of the applied entries alone. The owner of
+// a replica needs one import, since what entries are made of goes by these names as well.
+type (
+	// ReplicaID names one incarnation of one disk.
+	ReplicaID = statemachine.ReplicaID
+	// Voter is one place in a membership.
+	Voter = statemachine.Voter
+	// Membership is the set of voters from one log index on.
+	Membership = statemachine.Membership
+	// Snapshot is the state after an entry.
+	Snapshot = statemachine.Snapshot
+	// Value is a byte array, an integer or a boolean.
+	Value = statemachine.Value
+	// Condition must hold when its transaction is applied.
+	Condition = statemachine.Condition
+	// Op is one change of one key, or of the membership.
+	Op = statemachine.Op
+	// Txn is a transaction: conditions and operations.
+	Txn = statemachine.Txn
+	// ChangedKeys names keys that were changed.
+	ChangedKeys = statemachine.ChangedKeys
+)
+
+// The operations of a transaction, and the key that counts membership changes.
+const (
+	OpPut                = statemachine.OpPut
+	OpDelete             = statemachine.OpDelete
+	OpAdd                = statemachine.OpAdd
+	OpPatch              = statemachine.OpPatch
+	OpSetVoters          = statemachine.OpSetVoters
+	OpAppend             = statemachine.OpAppend
+	MembershipVersionKey = statemachine.MembershipVersionKey
+)
+
+// Bytes makes a byte array value.
+func Bytes(b []byte) Value { return statemachine.Bytes(b) }
+
+// Int makes an integer value.
+func Int(i int64) Value { return statemachine.Int(i) }
+
+// AppendedKey is the key that OpAppend makes at a log index for the transaction id.
+func AppendedKey(prefix string, index uint64, id string) string {
+	return statemachine.AppendedKey(prefix, index, id)
+}
+
+// Get returns a value of the applied state, maybe an old one; see Read.
+func (r *Replica) Get(key string) (Value, bool) { return r.state.Get(key) }
+
+// Keys returns the keys of the applied state in order.
+func (r *Replica) Keys() []string { return r.state.Keys() }
+
+// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
+func (r *Replica) KeysWithPrefix(prefix, from string) []string {
+	return r.state.KeysWithPrefix(prefix, from)
+}
