--- a/internal/controlclient/applied_state.go
+++ b/internal/controlclient/applied_state.go
@@ -15,7 +15,7 @@
 	"comethold/internal/upstream"
 )
 
-// sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control plane node
+// sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control node
 // asked for it: it asks at most once in that time.
 const sendMarkIndexesFor = 10 * time.Second
 
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -137,8 +137,8 @@
 // Apply applies an update as RunUpdates does.
 func (c *Client) Apply(u *distribution.Update) { c.state.apply(u) }
 
-// SwitchSource has the update stream ask another control plane node, since another node
-// holds newer state than this one got: its control plane node may have lost contact.
+// SwitchSource has the update stream ask another control node, since another node
+// holds newer state than this one got: its control node may have lost contact.
 func (c *Client) SwitchSource() { c.updates.switchSource() }
 
 // Reload takes new settings: the seed nodes may have changed.
@@ -167,8 +167,8 @@
 // PurgeIndex returns the log index of the newest purge known here.
 func (c *Client) PurgeIndex() uint64 { return c.state.purgeIndex.Load() }
 
-// PurgedSince reports whether a purge after the log index matches, or whether that can't be
-// told any more.
+// PurgedSince reports whether a purge after the log index matches, or whether that is no
+// longer known.
 func (c *Client) PurgedSince(index uint64, matches func(distribution.Purge) bool) bool {
 	return c.state.purgedSince(index, matches)
 }
@@ -194,7 +194,7 @@
 // ObjectCaches returns the object caches that are not down. Callers must not change it.
 func (c *Client) ObjectCaches() []distribution.Node { return *c.objectCaches.Load() }
 
-// ControlPlaneHosts returns the addresses (host and port) of the control plane nodes, the
+// ControlPlaneHosts returns the addresses (host and port) of the control nodes, the
 // one to ask first in front.
 func (c *Client) ControlPlaneHosts() []string {
 	var addresses []string
@@ -205,7 +205,7 @@
 	return addresses
 }
 
-// ControlPlaneAddrs returns where the control plane nodes take datagrams, in the order of
+// ControlPlaneAddrs returns where the control nodes take datagrams, in the order of
 // ControlPlaneHosts.
 func (c *Client) ControlPlaneAddrs() []net.Addr {
 	var addresses []net.Addr
--- a/internal/controlclient/notifications.go
+++ b/internal/controlclient/notifications.go
@@ -42,7 +42,7 @@
 	message := &n.Notification
 	if message.Version <= held {
 		// Notifications come in order: one that is missing before this one will not come,
-		// but what it told is in the state that is here.
+		// but its change is in the state that is here.
 		s.inbox.SetBaseVersion(message.Aggregate, message.PreviousVersion)
 	}
 	switch decision, err := s.inbox.Decide(message, held); decision {
@@ -61,8 +61,8 @@
 	}
 }
 
-// actOnNotificationLocked acts on a notification that applies: of a configuration's change,
-// what depends on the changed tenants is told.
+// actOnNotificationLocked acts on a notification that applies: after a change of the
+// configuration it calls onTenantsChanged.
 func (s *appliedState) actOnNotificationLocked(message *outbox.Notification) {
 	if message.Aggregate != outbox.AggregateConfiguration {
 		return
--- a/internal/controlclient/purges.go
+++ b/internal/controlclient/purges.go
@@ -33,8 +33,8 @@
 	s.purgeIndex.Store(u.LogIndex)
 }
 
-// purgedSince reports whether a purge after the log index matches, or whether that can't be
-// told any more.
+// purgedSince reports whether a purge after the log index matches, or whether that is no
+// longer known.
 func (s *appliedState) purgedSince(index uint64, matches func(distribution.Purge) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_source.go
+++ b/internal/controlclient/update_source.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// avoidDuration is how long a control plane node that failed or is stale is asked last.
+	// avoidDuration is how long a control node that failed or is stale is asked last.
 	avoidDuration = 3 * time.Second
 	// minSwitchInterval bounds how often the stream switches to another node because others
 	// hold newer state: behind a network partition no node may hold any.
 	minSwitchInterval = 600 * time.Millisecond
 )
 
-// sourceRank orders the control plane nodes to poll; the least comes first.
+// sourceRank orders the control nodes to poll; the least comes first.
 type sourceRank int
 
 const (
@@ -30,7 +30,7 @@
 	rankAvoided sourceRank = 10
 )
 
-// updateSource is a control plane node that may be polled.
+// updateSource is a control node that may be polled.
 type updateSource struct {
 	host string
 	rank sourceRank
@@ -38,7 +38,7 @@
 	preference uint64
 }
 
-// rankedHosts returns the control plane nodes to poll, the best first.
+// rankedHosts returns the control nodes to poll, the best first.
 func (s *updateStream) rankedHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	return hosts
 }
 
-// rankOf returns the rank of a control plane node in the directory.
+// rankOf returns the rank of a control node in the directory.
 func (s *updateStream) rankOf(n distribution.Node) sourceRank {
 	switch {
 	case n.Down:
@@ -92,7 +92,7 @@
 	return rankOtherRegion
 }
 
-// avoid has a control plane node asked last for a while.
+// avoid has a control node asked last for a while.
 func (s *updateStream) avoid(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -22,7 +22,7 @@
 	// retryPause is the mean pause after a poll that failed or brought stale state.
 	retryPause = 60 * time.Millisecond
 
-	// Until the first configuration is here, all control plane nodes are polled at once:
+	// Until the first configuration is here, all control nodes are polled at once:
 	// each with firstPollTimeout, the next one firstStagger later, and again after
 	// firstPollPause if it has no configuration yet.
 	firstPollTimeout = 800 * time.Millisecond
@@ -111,7 +111,7 @@
 	}
 }
 
-// handleUpdate applies what a control plane node answered.
+// handleUpdate applies what a control node answered.
 func (s *updateStream) handleUpdate(host string, update *distribution.Update, done <-chan struct{}) {
 	s.state.apply(update)
 	if update.Stale {
@@ -119,9 +119,9 @@
 	}
 	if s.failures > 0 || host != s.lastHost {
 		s.log.Info(logging.ControlPlaneConnected).
-			Str("controlPlane", host).
+			Str("controlNode", host).
 			Bool("stale", update.Stale).
-			Msg("updates come from a control plane node")
+			Msg("updates come from a control node")
 	}
 	s.failures = 0
 	s.lastHost = host
@@ -130,16 +130,16 @@
 	}
 }
 
-// handleFailure avoids a control plane node whose poll failed, and now and then asks other
+// handleFailure avoids a control node whose poll failed, and now and then asks other
 // nodes for what they hold.
 func (s *updateStream) handleFailure(host string, err error, done <-chan struct{}) {
 	s.avoid(host)
 	s.failures++
 	if s.failures == 1 {
 		s.log.Warn(logging.ControlPlaneLost).
-			Str("controlPlane", host).
+			Str("controlNode", host).
 			Err(err).
-			Msg("a control plane node sends no updates")
+			Msg("a control node sends no updates")
 	}
 	if s.failures%failuresBeforePeers == 0 {
 		s.pollPeers()
@@ -179,7 +179,7 @@
 	}
 }
 
-// pollRepeatedly polls one control plane node, for the first time after delay, and sends what
+// pollRepeatedly polls one control node, for the first time after delay, and sends what
 // it answers to updates, until fetched is closed.
 func (s *updateStream) pollRepeatedly(
 	host string, delay time.Duration, updates chan<- *distribution.Update, fetched <-chan struct{},
@@ -244,7 +244,7 @@
 	return nil, err
 }
 
-// pollPeers gets what other data plane nodes hold, when no control plane node answers.
+// pollPeers gets what other data plane nodes hold, when no control node answers.
 func (s *updateStream) pollPeers() {
 	hosts := s.peerHosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
--- a/internal/controlclient/update_stream_test.go
+++ b/internal/controlclient/update_stream_test.go
@@ -68,13 +68,13 @@
 	case host := <-p.polls:
 		return host
 	case <-time.After(5 * time.Second):
-		t.Fatal("no control plane node is polled")
+		t.Fatal("no control node is polled")
 		return ""
 	}
 }
 
-// TestSwitchSource: a node keeps to one control plane node while that one sends updates. Told
-// that others hold newer state, it ends the poll that waits there and polls another, but not
+// TestSwitchSource: a node keeps to one control node while that one sends updates. When
+// others hold newer state, it ends the poll that waits there and polls another, but not
 // again at once.
 func TestSwitchSource(t *testing.T) {
 	p := startTestControlPlane(t, "127.0.0.1", "127.0.0.2")
--- a/internal/distribution/delta_table_test.go
+++ b/internal/distribution/delta_table_test.go
@@ -11,7 +11,7 @@
 
 func endpointID(e Endpoint) string { return e.ID }
 
-// testSender is a control plane node that sends endpoint lists out of its DeltaTable.
+// testSender is a control node that sends endpoint lists out of its DeltaTable.
 type testSender struct {
 	table  DeltaTable[Endpoint]
 	stored Revision // the revision that it starts again with
--- a/internal/distribution/ejection.go
+++ b/internal/distribution/ejection.go
@@ -16,7 +16,7 @@
 // EjectionMark says why an endpoint takes no requests.
 type EjectionMark struct {
 	Reason string `cbor:"1,keyasint"` // one of the Reason constants
-	// Reporter is the control plane node that set a mark for ReasonUnresponsive.
+	// Reporter is the control node that set a mark for ReasonUnresponsive.
 	Reporter string `cbor:"2,keyasint,omitempty"`
 }
 
--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -8,14 +8,14 @@
 const (
 	// RateShares are the shares of the services' rates, leased by object caches.
 	RateShares ShareTable = iota
-	// QuotaShares are the shares of the tenants' quotas, leased by control plane nodes.
+	// QuotaShares are the shares of the tenants' quotas, leased by control nodes.
 	QuotaShares
 )
 
 // ShareLease is the stored lease of one node on a part of every rate that the nodes share.
 type ShareLease struct {
 	Permille int `cbor:"1,keyasint"` // thousandths of the rates
-	// Renewals grows with each renewal: a lease whose count stands still runs out.
+	// Renewals grows with each renewal: a lease whose count doesn't grow runs out.
 	Renewals uint64 `cbor:"2,keyasint"`
 	// Request is the number of the request that was granted last.
 	Request RequestNumber `cbor:"3,keyasint,omitzero"`
--- a/internal/latencyestimate/difference.go
+++ b/internal/latencyestimate/difference.go
@@ -22,7 +22,7 @@
 	// Stale answers lack records of the other one.
 	Stale
 	// Conflicting answers each have records that the other one lacks: which one is wrong
-	// can't be told.
+	// isn't known.
 	Conflicting
 )
 
--- a/internal/latencyestimate/difference_test.go
+++ b/internal/latencyestimate/difference_test.go
@@ -15,7 +15,7 @@
 	return answer.Bytes()
 }
 
-// TestCompareParts: each way in which a replica's answer may be wrong is told apart, and
+// TestCompareParts: each way in which a replica's answer may be wrong has its own name, and
 // answers in another order are the same.
 func TestCompareParts(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -28,7 +28,7 @@
 	Median time.Duration `json:"median"`
 	Low    time.Duration `json:"low"`
 	High   time.Duration `json:"high"`
-	// HighOpen says that so many samples are censored that High can't be told.
+	// HighOpen says that so many samples are censored that High isn't known.
 	HighOpen bool   `json:"highOpen,omitempty"`
 	Samples  uint64 `json:"samples"` // completed
 	Censored uint64 `json:"givenUp"`
@@ -64,7 +64,7 @@
 	return e
 }
 
-// quantile is the duration that a share of lookups doesn't exceed, if it can be told.
+// quantile is the duration that a share of lookups doesn't exceed, if it is known.
 type quantile struct {
 	duration time.Duration
 	known    bool
--- a/internal/objectcache/diskstore/object_record.go
+++ b/internal/objectcache/diskstore/object_record.go
@@ -49,8 +49,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(encoded)), encoded...)
 }
 
-// decodeObject decodes an object. It returns nil if it is damaged. An object whose age can't
-// be told has no time of validation: it is revalidated before it is served.
+// decodeObject decodes an object. It returns nil if it is damaged. An object whose age isn't
+// known has no time of validation: it is revalidated before it is served.
 func decodeObject(value []byte, now timestamp, at time.Time) *responsecache.Response {
 	if len(value) < checksumBytes {
 		return nil
--- a/internal/objectcache/diskstore/store.go
+++ b/internal/objectcache/diskstore/store.go
@@ -46,8 +46,8 @@
 )
 
 // Store keeps objects on disk, written behind. It only ever helps: an object
-// whose age can't be told after a restart is revalidated before it is served, and all objects
-// are dropped unless the purges since the store's log index can still be told. It is safe for
+// whose age isn't known after a restart is revalidated before it is served, and all objects
+// are dropped unless the purges since the store's log index are still known. It is safe for
 // concurrent use.
 type Store struct {
 	directory string
--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// TestTimestampElapsed: an age is told only within one boot, by a monotonic clock that went
+// TestTimestampElapsed: an age is known only within one boot, by a monotonic clock that went
 // on and a time of day that agrees.
 func TestTimestampElapsed(t *testing.T) {
 	seconds := func(bootID string, monotonic, wall int64) timestamp {
--- a/internal/objectcache/diskstore/timestamp.go
+++ b/internal/objectcache/diskstore/timestamp.go
@@ -21,7 +21,7 @@
 	WallNs      int64  `cbor:"3,keyasint,omitempty"` // since 1970
 }
 
-// readBootID returns what identifies the machine's boot, or "" if that can't be told.
+// readBootID returns what identifies the machine's boot, or "" if that isn't known.
 func readBootID() string {
 	content, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return timestamp{BootID: t.BootID, MonotonicNs: t.MonotonicNs - int64(d), WallNs: t.WallNs - int64(d)}
 }
 
-// elapsedSince returns the time from an earlier moment to t, if it can be told.
+// elapsedSince returns the time from an earlier moment to t, if it is known.
 func (t timestamp) elapsedSince(earlier timestamp) (time.Duration, bool) {
 	if t.BootID == "" || earlier.BootID != t.BootID || t.MonotonicNs < earlier.MonotonicNs {
 		return 0, false
--- a/internal/objectcache/doc.go
+++ b/internal/objectcache/doc.go
@@ -1,6 +1,6 @@
 // Package objectcache is the cache of the objects of cacheable routes, in two tiers.
 //
-// A Server is an object cache node. It keeps objects for all data plane nodes, in memory and
+// A Server is a cache node. It keeps objects for all data plane nodes, in memory and
 // on disk, and reads them from their origins. A Client is a data plane node's side: a small
 // cache of its own in front of the servers. Each object has its servers in an order that all
 // nodes agree on (rendezvous hashing); the first one that is healthy is asked.
--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -19,7 +19,7 @@
 	// PurgeIndex returns the log index of the newest purge known.
 	PurgeIndex() uint64
 	// PurgedSince reports whether a purge after the log index matches, or whether that
-	// can't be told any more.
+	// is no longer known.
 	PurgedSince(index uint64, matches func(distribution.Purge) bool) bool
 }
 
@@ -166,7 +166,7 @@
 	return started
 }
 
-// run carries out a fetch and caches its object. Those who wait for it are told by done.
+// run carries out a fetch and caches its object. Closing done wakes those who wait for it.
 func (f *Fetcher) run(current *fetch, r Request, cached *responsecache.Response) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// resetPurges: purges-reset; the purges before can't be told any more.
+// resetPurges: purges-reset; the purges before are no longer known.
 func (w *cacheWorld) resetPurges(simulation.Command) error {
 	w.purgeIndex++
 	w.server.Apply(&distribution.Update{
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -17,7 +17,7 @@
 	// knows; half of the call's own time does too.
 	maxCatchUpWait      = 400 * time.Millisecond
 	catchUpPollInterval = 5 * time.Millisecond
-	// switchSourceAfter is after how much of that wait another control plane node is asked.
+	// switchSourceAfter is after how much of that wait another control node is asked.
 	switchSourceAfter = 100 * time.Millisecond
 	// disconnectedAfter is how long a node without contact with the control plane goes on:
 	// its share of the rates has ended by then.
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -29,7 +29,7 @@
 	slotOvercommit = 1.6
 )
 
-// Server is an object cache node. A program makes one with New, runs the embedded client's
+// Server is a cache node. A program makes one with New, runs the embedded client's
 // RunUpdates and RunHeartbeats, RunShareRenewal and RunStatistics, serves InternalHandler,
 // and ends all of them with Shutdown.
 type Server struct {
--- a/internal/objectcache/share.go
+++ b/internal/objectcache/share.go
@@ -44,7 +44,7 @@
 }
 
 // renewShare asks for the share that was fair at the last renewal, and returns the one that
-// is fair now. skip is how many of the best control plane nodes to pass over.
+// is fair now. skip is how many of the best control nodes to pass over.
 func (s *Server) renewShare(fair, skip int, number distribution.RequestNumber) (nextFair int, ok bool) {
 	// What is given up must be unused from before the request is sent.
 	s.limiter.Shrink(fair)
--- a/internal/outbox/notification.go
+++ b/internal/outbox/notification.go
@@ -21,7 +21,7 @@
 // digestBytes is the length that SHA-256 digests are cut to.
 const digestBytes = 16
 
-// Notification tells that a change was committed. It is immutable.
+// Notification says that a change was committed. It is immutable.
 type Notification struct {
 	EventID   string `cbor:"1,keyasint"`
 	TenantID  string `cbor:"2,keyasint,omitempty"` // empty: it concerns all tenants
--- a/internal/outbox/receipt_test.go
+++ b/internal/outbox/receipt_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestReceiptKeyUse: a receipt tells the same request from another one under its key.
+// TestReceiptKeyUse: a receipt distinguishes the same request from another one under its key.
 func TestReceiptKeyUse(t *testing.T) {
 	same, other := Digest([]byte("a")), Digest([]byte("b"))
 	receipt := &Receipt{Fingerprint: same, Status: 200}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -10,11 +10,11 @@
 	// the share must have been held to know that a tenant is new: one that was not seen in
 	// that time finds its slice full, others find what is left.
 	bucketMemory = 30 * time.Second
-	// maxRetryDelay bounds how long refused requesters are told to wait.
+	// maxRetryDelay bounds the RetryAfterMs of grants.
 	maxRetryDelay = 2 * time.Second
 )
 
-// Allocator is one control plane node's slice of every tenant's bucket. It is safe for
+// Allocator is one control node's slice of every tenant's bucket. It is safe for
 // concurrent use.
 type Allocator struct {
 	mu          sync.Mutex // guards the fields below
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -7,11 +7,11 @@
 	MaxTokensPerDemand = 1 << 12
 )
 
-// TokenRequest asks a control plane node for tokens.
+// TokenRequest asks a control node for tokens.
 type TokenRequest struct {
 	ID      uint64         `cbor:"1,keyasint"` // repeated in the answer
 	Demands []TenantDemand `cbor:"2,keyasint"`
-	// Loan marks a request of one control plane node to another, which grants out of its
+	// Loan marks a request of one control node to another, which grants out of its
 	// own slices and asks no one else.
 	Loan bool `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/quota/sliding_window_test.go
+++ b/internal/quota/sliding_window_test.go
@@ -9,7 +9,7 @@
 
 const testTenant = "t"
 
-// testFleet is a set of control plane nodes that hold equal shares of one tenant's bucket,
+// testFleet is a set of control nodes that hold equal shares of one tenant's bucket,
 // and of data plane nodes that draw from them.
 type testFleet struct {
 	rng        *rand.Rand
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestSlidingWindows has control plane nodes hold shares, lend, lose their leases and
+// TestSlidingWindows has control nodes hold shares, lend, lose their leases and
 // restart, and data plane nodes draw ahead, keep tokens to the last moment and spend them at
 // once: in no window more is spent than the rules allow.
 func TestSlidingWindows(t *testing.T) {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -14,7 +14,7 @@
 	// LeaseDuration is how long a node holds its share of the services' rates, by its own
 	// clock, counted from before it asked.
 	LeaseDuration = 3 * time.Second
-	// QuotaLeaseDuration is how long a control plane node holds its share of the tenants'
+	// QuotaLeaseDuration is how long a control node holds its share of the tenants'
 	// quotas. It is longer than a meta cell takes to elect a leader after losses, since
 	// without a share all requests of tenants would be refused meanwhile.
 	QuotaLeaseDuration = 8 * time.Second
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -65,7 +65,7 @@
 }
 
 // Update brings the agreed time up to date. wall is this machine's time of day in
-// nanoseconds since 1970, members the number of control plane nodes, heard or not, and
+// nanoseconds since 1970, members the number of control nodes, heard or not, and
 // elapsed the time since the last update.
 func (c *Clock) Update(wall int64, members int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
--- a/internal/usage/clock_test.go
+++ b/internal/usage/clock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testClocks are the clocks of some control plane nodes that exchange their times.
+// testClocks are the clocks of some control nodes that exchange their times.
 type testClocks struct {
 	clocks  []*Clock
 	skews   []time.Duration // of the nodes' times of day
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -24,7 +24,7 @@
 	sequence uint64 // of the last report
 	// unacknowledged holds the counts of reports by sequence number.
 	unacknowledged map[uint64]Windows
-	// acknowledgedBy is the incarnation of the control plane node that holds what is
+	// acknowledgedBy is the incarnation of the control node that holds what is
 	// acknowledged.
 	acknowledgedBy uint64
 }
@@ -81,7 +81,7 @@
 	c.sequence++
 	report := &CountReport{Incarnation: c.incarnation, Sequence: c.sequence, Windows: Windows{}}
 	counts := 0
-	// Newest first: after a change of the control plane node everything is reported again,
+	// Newest first: after a change of the control node everything is reported again,
 	// and the oldest windows went to the platform long ago.
 	for _, window := range slices.Backward(slices.Sorted(maps.Keys(c.windows))) {
 		for tenant, counted := range c.windows[window] {
@@ -102,7 +102,7 @@
 	return report
 }
 
-// Acknowledge takes an answer to a report. Another incarnation of a control plane node, or
+// Acknowledge takes an answer to a report. Another incarnation of a control node, or
 // another node, holds nothing of what was acknowledged before.
 func (c *Counter) Acknowledge(ack *CountAck) {
 	c.mu.Lock()
--- a/internal/usage/counter_test.go
+++ b/internal/usage/counter_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestNewestWindowsReportedFirst: a counter whose control plane node is another one reports
+// TestNewestWindowsReportedFirst: a counter whose control node is another one reports
 // the newest windows first.
 func TestNewestWindowsReportedFirst(t *testing.T) {
 	counter := NewCounter(1, time.Second)
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -1,6 +1,6 @@
 package usage
 
-// CountReport is a datagram of a data plane node to a control plane node: the counts that
+// CountReport is a datagram of a data plane node to a control node: the counts that
 // the latter may not know. Each count is the total so far, not what was added. A report
 // without counts asks for the time alone.
 type CountReport struct {
@@ -13,7 +13,7 @@
 // node.
 type CountAck struct {
 	Sequence    uint64 `cbor:"1,keyasint"` // of the report
-	Incarnation uint64 `cbor:"2,keyasint"` // of the control plane node
+	Incarnation uint64 `cbor:"2,keyasint"` // of the control node
 	// UnixNanos is the agreed true time in nanoseconds since 1970; 0 if there is none yet.
 	UnixNanos int64 `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/usage/store.go
+++ b/internal/usage/store.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Store holds the counts that a control plane node has received. It is safe for concurrent
+// Store holds the counts that a control node has received. It is safe for concurrent
 // use.
 type Store struct {
 	mu      sync.Mutex // guards the fields below
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -28,7 +28,7 @@
 	return time.Unix(0, int64(window+1)*int64(length))
 }
 
-// Total adds up what several control plane nodes hold of a window: of each incarnation the
+// Total adds up what several control nodes hold of a window: of each incarnation the
 // greatest count that any of them received.
 func Total(held ...IncarnationCounts) Counts {
 	all := IncarnationCounts{}
