--- a/internal/controlclient/notifications_test.go
+++ b/internal/controlclient/notifications_test.go
@@ -3,14 +3,10 @@
 import (
 	"fmt"
 	"testing"
-	"time"
 
 	"comethold/internal/distribution"
-	"comethold/internal/logging"
 	"comethold/internal/outbox"
-	"comethold/internal/retrybudget"
 	"comethold/internal/routing"
-	"comethold/internal/upstream"
 )
 
 // newTestNotification returns the notification that a configuration changed a tenant.
@@ -30,8 +26,7 @@
 // TestNotificationDecisions: notifications that are repeated, early, forged or missing change
 // nothing that they should not, and valid ones are acted on.
 func TestNotificationDecisions(t *testing.T) {
-	upstreams := upstream.NewClusterManager(upstream.Locality{Node: "n"}, nil, logging.Nop())
-	s := newAppliedState(logging.Nop(), upstreams, retrybudget.New(retrybudget.Config{}, time.Now()))
+	s := newTestState()
 	var applied []string
 	s.onTenantsChanged = func(tenants []string) { applied = append(applied, fmt.Sprint(tenants)) }
 	config := func(version uint64) *distribution.ConfigUpdate {
