--- /dev/null
+++ b/internal/simulation/fleet_commands_test.go
@@ -0,0 +1,100 @@
+package simulation_test
+
+import (
+	"comethold/internal/simulation"
+)
+
+// fleetCommands are the commands of fleet scenarios; docs/testing.md explains them.
+var fleetCommands = simulation.CommandTable[*fleet]{
+	// The machines.
+	"losses":      (*fleet).setMachineLosses,
+	"core":        (*fleet).addControlNodes,
+	"proxies":     (*fleet).addProxies,
+	"add":         (*fleet).addControlNode,
+	"begin":       (*fleet).begin,
+	"run":         (*fleet).letTimePass,
+	"seeds":       (*fleet).changeSeeds,
+	"name":        (*fleet).nameMachine,
+	"make-leader": (*fleet).haveLead,
+
+	// Faults of machines and disks.
+	"kill":               (*fleet).killCommand,
+	"start":              (*fleet).startCommand,
+	"restart-in-turn":    (*fleet).roll,
+	"lose-disk":          (*fleet).wipeCommand,
+	"lose-disks-of-dead": (*fleet).wipeDead,
+	"disk":               (*fleet).setDiskFault,
+	"lose-power":         (*fleet).losePower,
+	"damage-file":        (*fleet).tear,
+	"kill-lease-holder":  (*fleet).killLeaseHolders,
+	"kill-reporter":      (*fleet).killReporter,
+
+	// Faults of the network.
+	"cut":               (*fleet).cutBothWays,
+	"cut-outgoing":      (*fleet).cutOutgoing,
+	"cut-incoming":      (*fleet).cutIncoming,
+	"isolate":           (*fleet).silence,
+	"cut-from-platform": (*fleet).cutFromPlatform,
+	"cut-lease-holder":  (*fleet).cutLeaseHolders,
+	"cut-reporter":      (*fleet).cutReporter,
+	"heal":              (*fleet).join,
+	"packet-loss":       (*fleet).setLossRate,
+	"slow":              (*fleet).slowLinks,
+	"reset":             (*fleet).resetConnections,
+	"lose-answers":      (*fleet).loseAnswers,
+
+	// The platform's list and the marks.
+	"list":             (*fleet).listLeafs,
+	"drain":            (*fleet).drainLeafs,
+	"unlist":           (*fleet).unlistLeafs,
+	"list-many":        (*fleet).listManyLeafs,
+	"report-unhealthy": (*fleet).reportUnhealthy,
+	"report-healthy":   (*fleet).reportHealthy,
+	"want-marks":       (*fleet).wantMarks,
+	"want-list":        (*fleet).wantList,
+
+	// Orders and configurations.
+	"routes":          (*fleet).setExtraRoutes,
+	"indexes":         (*fleet).setExtraIndexes,
+	"replace":         (*fleet).replace,
+	"replace-series":  (*fleet).replaceSeries,
+	"replace-in-turn": (*fleet).replaceInTurn,
+	"replace-again":   (*fleet).replaceAgain,
+	"race":            (*fleet).race,
+	"operators":       (*fleet).runOperators,
+	"send-garbage":    (*fleet).garble,
+	"want":            (*fleet).wantStatuses,
+	"want-config":     (*fleet).wantConfig,
+	"want-read":       (*fleet).wantRead,
+	"want-order":      (*fleet).wantOrder,
+	"want-unclear":    (*fleet).wantUnclear,
+
+	// The replicated state and the outbox.
+	"want-all-voters": (*fleet).wantWhole,
+	"want-state":      (*fleet).wantState,
+	"want-applied":    (*fleet).wantApplied,
+	"want-backlog":    (*fleet).wantBacklog,
+	"want-quarantine": (*fleet).wantQuarantine,
+	"redrive":         (*fleet).redrive,
+
+	// Tenants, quotas, usage reports.
+	"tenant":                (*fleet).setTenant,
+	"load":                  (*fleet).load,
+	"start-load":            (*fleet).startLoad,
+	"end-loads":             (*fleet).endLoads,
+	"await-window":          (*fleet).awaitWindow,
+	"usage-reports":         (*fleet).enableUsageReports,
+	"platform":              (*fleet).setPlatformFault,
+	"want-served":           (*fleet).wantServed,
+	"want-reported-in-time": (*fleet).wantTimely,
+	"want-reports":          (*fleet).wantReports,
+	"want-usage":            (*fleet).wantUsage,
+
+	// Estimates.
+	"estimates":      (*fleet).enableEstimates,
+	"want-estimates": (*fleet).wantEstimates,
+	"want-saved":     (*fleet).wantSaved,
+}
+
+// Do carries out a command.
+func (f *fleet) Do(c simulation.Command) error { return fleetCommands.Do(f, c) }
