--- a/internal/proxy/switchboard.go
+++ b/internal/proxy/switchboard.go
@@ -44,16 +44,18 @@
 // New puts a data plane together that reaches others by n.
 func New(set *settings.Settings, log *logging.Logger, n rpc.Network) *Server {
 	o := controlclient.New(set, log, settings.DataPlane, n)
-	asker := scatter.NewDispatcher(o.Upstreams, o.RetryBudget)
+	options := scatter.Options{Clusters: o.Upstreams, RetryBudget: o.RetryBudget}
 	if set.Estimates.Enabled {
-		asker.Latencies, asker.ShadowShare = latencyestimate.NewCollector(time.Now()), set.Estimates.ShadowShare
+		options.Latencies = latencyestimate.NewCollector(time.Now())
+		options.ShadowShare = set.Estimates.ShadowShare
 	}
-	s := &Server{Client: o, dispatcher: asker}
 	var objects *objectcache.Client
 	if set.DeploymentMode == settings.ContentMode {
 		objects = objectcache.NewClient(o, objectCacheBytes)
-		asker.AwaitRate = objects.Permit
+		options.AwaitRate = objects.Permit
 	}
+	asker := scatter.NewDispatcher(options)
+	s := &Server{Client: o, dispatcher: asker}
 	s.frontend = newFrontend(o, asker, objects, log)
 	s.httpServer = s.frontend.newHTTPServer()
 	o.OnRouteTable(asker.RetainRoutes)
--- /dev/null
+++ b/internal/scatter/attempt.go
@@ -0,0 +1,76 @@
+package scatter
+
+import (
+	"sync/atomic"
+	"time"
+
+	"comethold/internal/upstream"
+)
+
+// attemptState is where an attempt is in its life:
+//
+//	queued ──► sent ───────────► completed
+//	   │         └──► hedged ──►
+//	   └──► cancelled
+type attemptState int32
+
+const (
+	attemptQueued    attemptState = iota // has its endpoint reserved, and waits for the service's rate limit
+	attemptSent                          // is under way at the endpoint
+	attemptHedged                        // is overdue and still under way; another one was sent beside it
+	attemptCompleted                     // ended, with a response or an error
+	attemptCancelled                     // was given up before it was sent, by the rate limit
+)
+
+// attempt is one try to get a shard's response from one endpoint.
+type attempt struct {
+	shard     *shard
+	endpoint  *upstream.Endpoint
+	startedAt time.Time
+	state     atomic.Int32 // an attemptState
+
+	// The result. The attempt's goroutine sets it before it hands the attempt to
+	// the fan-out, and nobody changes it after that.
+
+	response   *upstream.Response
+	err        error
+	duration   time.Duration // of the call
+	retryAfter time.Duration // when the rate limit allows more, if the attempt was cancelled
+}
+
+func (a *attempt) current() attemptState { return attemptState(a.state.Load()) }
+
+func (a *attempt) enter(state attemptState) { a.state.Store(int32(state)) }
+
+// hedge records that another attempt was sent beside this one. One that is still
+// queued, or that ended meanwhile, keeps its state.
+func (a *attempt) hedge() {
+	a.state.CompareAndSwap(int32(attemptSent), int32(attemptHedged))
+}
+
+// perform makes the call of an attempt and hands the attempt to the fan-out. It
+// runs in a goroutine of its own, which ends by the request's deadline, and may
+// outlast the fan-out: the results channel has room for every attempt.
+func (f *fanOut) perform(a *attempt) {
+	if f.AwaitRate != nil {
+		ok, retryAfter := f.AwaitRate(a.endpoint.Info().Service, f.request.Deadline)
+		if !ok {
+			f.Clusters.Release(a.endpoint)
+			a.retryAfter = retryAfter
+			a.enter(attemptCancelled)
+			f.results <- a
+			return
+		}
+	}
+	a.enter(attemptSent)
+	sentAt := time.Now()
+	pair := a.shard.pair
+	contended := pair != nil && f.Clusters.Contended(a.endpoint)
+	a.response, a.err = f.Clusters.Call(a.endpoint, f.request)
+	a.duration = time.Since(sentAt)
+	a.enter(attemptCompleted)
+	f.results <- a
+	if pair != nil {
+		f.recordSample(a, contended)
+	}
+}
--- /dev/null
+++ b/internal/scatter/dispatcher.go
@@ -0,0 +1,113 @@
+package scatter
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"comethold/internal/latencyestimate"
+	"comethold/internal/retrybudget"
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
+)
+
+// Options are what a Dispatcher works with.
+type Options struct {
+	Clusters    *upstream.ClusterManager
+	RetryBudget *retrybudget.Budget
+
+	// AwaitRate, if set, waits until a call may be made to a service whose rate is
+	// limited. If it may not be made before the deadline, it returns false and
+	// after what time to come back.
+	AwaitRate func(service string, deadline time.Time) (ok bool, retryAfter time.Duration)
+
+	// Latencies, if set, gets the latencies of requests on routes that have a
+	// lookup class. ShadowShare is the share of them that is sent to a second
+	// replica too, for comparison only.
+	Latencies   *latencyestimate.Collector
+	ShadowShare float64
+}
+
+// Dispatcher carries requests to endpoints. It is safe for concurrent use.
+type Dispatcher struct {
+	Options
+
+	mu         sync.Mutex                   // guards the field below
+	histograms map[string]*latencyHistogram // by route name
+}
+
+// NewDispatcher makes a dispatcher.
+func NewDispatcher(options Options) *Dispatcher {
+	return &Dispatcher{Options: options, histograms: map[string]*latencyHistogram{}}
+}
+
+// RetainRoutes forgets the latencies of routes that the table has no more.
+func (d *Dispatcher) RetainRoutes(table *routing.RouteTable) {
+	live := map[string]bool{}
+	table.ForEachRoute(func(route *routing.CompiledRoute) { live[route.Name] = true })
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for name := range d.histograms {
+		if !live[name] {
+			delete(d.histograms, name)
+		}
+	}
+}
+
+func (d *Dispatcher) histogram(route string) *latencyHistogram {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	histogram := d.histograms[route]
+	if histogram == nil {
+		histogram = &latencyHistogram{}
+		d.histograms[route] = histogram
+	}
+	return histogram
+}
+
+// Dispatch carries a request that arrived at start to the endpoints of its route
+// and returns the reply. onExecuted, if given, is called once if an endpoint
+// executed the request or may have, with the moment at which that endpoint got it.
+func (d *Dispatcher) Dispatch(
+	route *routing.CompiledRoute, request *upstream.Request, start time.Time, onExecuted func(at time.Time),
+) *Reply {
+	isFanOut := route.IsFanOut()
+	services := route.FanoutServices
+	required := route.RequiredShards
+	if !isFanOut {
+		services = []string{route.PickService(rand.Float64())}
+		required = 1
+	}
+	for _, service := range services {
+		d.RetryBudget.Deposit(service, start)
+	}
+	available, admitRates := d.Clusters.Availability(services)
+	if isFanOut && available < required {
+		return retryLaterReply("too few shards have a leaf")
+	}
+	if !admitRequest(admitRates, required) {
+		return retryLaterReply("the leafs are full")
+	}
+	request.NonIdempotent = !route.Idempotent()
+	request.FanOut = isFanOut
+	f := newFanOut(d, route, request, services, start)
+	f.required = required
+	f.onExecuted = onExecuted
+	f.startAll()
+	f.run()
+	f.markPossiblyExecuted()
+	if isFanOut {
+		return f.mergedReply()
+	}
+	return f.singleReply()
+}
+
+// admitRequest decides whether a request is begun. Where endpoints reject calls,
+// what is begun beyond their capacity takes slots and is lost all the same, so a
+// share of the requests is rejected before anything of them is executed.
+func admitRequest(admitRates []float64, required int) bool {
+	slices.Sort(admitRates)
+	share := admitRates[len(admitRates)-required]
+	return share >= 1 || rand.Float64() < share
+}
--- /dev/null
+++ b/internal/scatter/fanout.go
@@ -0,0 +1,213 @@
+package scatter
+
+import (
+	"time"
+
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
+)
+
+const (
+	// maxUnsentAttempts is how many attempts of a shard that could not be sent are
+	// replaced. They don't count against the route's attempt limit.
+	maxUnsentAttempts = 3
+	// deliveryMargin is how long before the target latency a reply is made, to
+	// get it to the client in time.
+	deliveryMargin = 12 * time.Millisecond
+	// lateCutoffFactor is after how many target latencies a reply that missed its
+	// target is made with the shards that answered.
+	lateCutoffFactor = 3
+	// idleTimerInterval is for a timer that is reset before it matters.
+	idleTimerInterval = time.Hour
+)
+
+// fanOut is one request under way. It belongs to the goroutine that runs it.
+type fanOut struct {
+	*Dispatcher
+	route   *routing.CompiledRoute
+	request *upstream.Request
+	latency *latencyHistogram // of the route
+
+	start      time.Time
+	hedgeDelay time.Duration // after which an attempt counts as overdue
+	cutoff     time.Time     // when a reply is made with the shards that answered
+	required   int           // shards that a success needs
+
+	shards         []shard
+	results        chan *attempt // attempts that ended
+	completeShards int           // shards that have a response
+	openShards     int           // shards that may still get one
+	nextDue        time.Time     // not after the next moment at which a shard needs something done
+
+	retryAfter      time.Duration      // when a rate limit that was in the way allows more
+	onExecuted      func(at time.Time) // nil once it was called
+	maybeExecutedAt time.Time          // when an endpoint got the request that may have executed it
+}
+
+func newFanOut(
+	d *Dispatcher, route *routing.CompiledRoute, request *upstream.Request, services []string, start time.Time,
+) *fanOut {
+	latency := d.histogram(route.Name)
+	f := &fanOut{
+		Dispatcher: d,
+		route:      route,
+		request:    request,
+		latency:    latency,
+		start:      start,
+		hedgeDelay: latency.hedgeDelay(route.TargetLatency),
+		cutoff:     start.Add(route.TargetLatency - deliveryMargin),
+		shards:     make([]shard, len(services)),
+		results:    make(chan *attempt, len(services)*(route.AttemptLimit+maxUnsentAttempts)),
+		openShards: len(services),
+	}
+	sampled := d.samplesLatency(route)
+	for i, service := range services {
+		f.shards[i].service = service
+		if sampled {
+			f.shards[i].pair = &replicaPair{}
+		}
+	}
+	return f
+}
+
+// startAll starts the first attempt of every shard.
+func (f *fanOut) startAll() {
+	for i := range f.shards {
+		f.startAttempt(&f.shards[i], f.start)
+	}
+}
+
+// run follows the attempts until the reply can be made. A result concerns one
+// shard; all of them are looked at only when one is due.
+func (f *fanOut) run() {
+	timer := time.NewTimer(idleTimerInterval)
+	defer timer.Stop()
+	var armedFor time.Time
+	for {
+		now := time.Now()
+		if !f.nextDue.After(now) {
+			f.handleDue(now)
+		}
+		if f.settled(now) || f.cutOff(now) {
+			return
+		}
+		if wakeAt := f.wakeAt(); !wakeAt.Equal(armedFor) {
+			timer.Reset(max(wakeAt.Sub(now), 0))
+			armedFor = wakeAt
+		}
+		select {
+		case ended := <-f.results:
+			f.handleResult(ended)
+			f.handleWaitingResults()
+		case <-timer.C:
+			armedFor = time.Time{}
+		}
+	}
+}
+
+// handleWaitingResults takes in results that came meanwhile.
+func (f *fanOut) handleWaitingResults() {
+	for {
+		select {
+		case ended := <-f.results:
+			f.handleResult(ended)
+		default:
+			return
+		}
+	}
+}
+
+// settled reports whether no more responses can come, or they are of no use.
+func (f *fanOut) settled(now time.Time) bool {
+	return f.openShards == 0 ||
+		f.completeShards+f.openShards < f.required ||
+		!f.request.Deadline.After(now)
+}
+
+// awaitsCutoff reports whether the fan-out has a success already, and waits for
+// more shards only until its cutoff.
+func (f *fanOut) awaitsCutoff() bool {
+	return f.request.FanOut && f.completeShards >= f.required && f.route.TargetLatency > 0
+}
+
+// cutOff decides whether to make the reply with the shards that answered: in time
+// for the target latency, it is worth more now than a complete one later. If the
+// target was missed, the fan-out goes on to a late cutoff.
+func (f *fanOut) cutOff(now time.Time) bool {
+	if !f.awaitsCutoff() || f.cutoff.After(now) {
+		return false
+	}
+	lateCutoff := f.start.Add(lateCutoffFactor * f.route.TargetLatency)
+	if now.Sub(f.cutoff) < deliveryMargin || !lateCutoff.After(now) {
+		return true
+	}
+	f.cutoff = lateCutoff
+	return false
+}
+
+// wakeAt is when the fan-out has something to do if no result comes.
+func (f *fanOut) wakeAt() time.Time {
+	wakeAt := f.request.Deadline
+	if !f.nextDue.IsZero() && f.nextDue.Before(wakeAt) {
+		wakeAt = f.nextDue
+	}
+	if f.awaitsCutoff() && f.cutoff.Before(wakeAt) {
+		wakeAt = f.cutoff
+	}
+	return wakeAt
+}
+
+// scheduleBy has handleDue run at the given time or before.
+func (f *fanOut) scheduleBy(at time.Time) {
+	if f.nextDue.IsZero() || at.Before(f.nextDue) {
+		f.nextDue = at
+	}
+}
+
+// handleDue does what is due at the open shards, and finds out what is due next.
+func (f *fanOut) handleDue(now time.Time) {
+	f.nextDue = time.Time{}
+	for i := range f.shards {
+		if s := &f.shards[i]; s.isOpen() {
+			f.handleDueShard(s, now)
+		}
+	}
+}
+
+func (f *fanOut) handleDueShard(s *shard, now time.Time) {
+	if !s.retryAt.IsZero() && !s.retryAt.After(now) {
+		s.retryAt = time.Time{}
+		if !f.retry(s, 0, now) {
+			f.failIfExhausted(s)
+			return
+		}
+	}
+	if s.pendingAttempts == 0 {
+		f.scheduleBy(s.retryAt)
+		return
+	}
+	if !s.hedgeAt.After(now) {
+		f.handleOverdue(s, now)
+	}
+	f.scheduleBy(s.hedgeAt)
+}
+
+// complete gives the shard its response; the first one stays.
+func (f *fanOut) complete(s *shard, response *upstream.Response) {
+	if s.response != nil {
+		return
+	}
+	s.response = response
+	f.completeShards++
+	if !s.failed {
+		f.openShards--
+	}
+}
+
+// failIfExhausted has the shard fail if it is open and no attempt is under way.
+func (f *fanOut) failIfExhausted(s *shard) {
+	if s.isIdle() && !s.failed {
+		s.failed = true
+		f.openShards--
+	}
+}
--- /dev/null
+++ b/internal/scatter/histogram.go
@@ -0,0 +1,92 @@
+package scatter
+
+import (
+	"math"
+	"sync"
+	"time"
+)
+
+const (
+	// The buckets' bounds grow by a fifth from firstBucketBound, in nanoseconds.
+	bucketCount      = 80
+	firstBucketBound = float64(500 * time.Microsecond)
+	bucketGrowth     = 1.2
+
+	// maxHistogramWeight is the number of samples after which older ones are halved.
+	maxHistogramWeight = 600
+	// minHistogramSamples is the number of samples from which the quantile counts.
+	minHistogramSamples = 40
+	// quantileInterval is after how many samples the quantile is computed anew.
+	quantileInterval = 16
+
+	// hedgeQuantile is the share of responses that come before an attempt counts
+	// as overdue.
+	hedgeQuantile = 0.95
+	// The least delay before a hedge, where the quantile is known and where not.
+	minHedgeDelay        = 5 * time.Millisecond
+	minUnknownHedgeDelay = 10 * time.Millisecond
+)
+
+// latencyHistogram learns how long the responses of a route take; old ones fade.
+// It is safe for concurrent use.
+type latencyHistogram struct {
+	mu           sync.Mutex // guards the fields below
+	buckets      [bucketCount]float64
+	total        float64 // of the buckets
+	samples      int     // ever recorded
+	hedgeLatency time.Duration
+}
+
+// record takes in the latency of one response.
+func (h *latencyHistogram) record(latency time.Duration) {
+	bucket := bucketOf(latency)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.buckets[bucket]++
+	h.total++
+	h.samples++
+	if h.total > maxHistogramWeight {
+		h.halveLocked()
+	}
+	if h.samples%quantileInterval == 0 {
+		h.hedgeLatency = h.quantileLocked(hedgeQuantile)
+	}
+}
+
+func bucketOf(latency time.Duration) int {
+	nanoseconds := float64(latency)
+	if nanoseconds <= firstBucketBound {
+		return 0
+	}
+	return min(bucketCount-1, 1+int(math.Log(nanoseconds/firstBucketBound)/math.Log(bucketGrowth)))
+}
+
+func (h *latencyHistogram) halveLocked() {
+	h.total = 0
+	for i := range h.buckets {
+		h.buckets[i] /= 2
+		h.total += h.buckets[i]
+	}
+}
+
+// quantileLocked returns the upper bound of the bucket that holds a quantile.
+func (h *latencyHistogram) quantileLocked(quantile float64) time.Duration {
+	bucket := 0
+	for left := quantile * h.total; bucket < bucketCount; bucket++ {
+		left -= h.buckets[bucket]
+		if left <= 0 {
+			break
+		}
+	}
+	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(bucket)))
+}
+
+// hedgeDelay is how long an attempt may take before it counts as overdue.
+func (h *latencyHistogram) hedgeDelay(targetLatency time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.samples < minHistogramSamples || h.hedgeLatency == 0 {
+		return max(targetLatency/2, minUnknownHedgeDelay)
+	}
+	return max(h.hedgeLatency, minHedgeDelay)
+}
--- a/internal/scatter/merge.go
+++ b/internal/scatter/merge.go
@@ -1,4 +1,3 @@
-// Package gather asks one leaf of each shard of one plan and joins the parts.
 package scatter
 
 import (
@@ -6,63 +5,77 @@
 	"slices"
 )
 
+// recordSize is the size of a record in the responses of shards, in bytes.
 const recordSize = 16
 
-// Merge returns the n greatest records of the bodies, greatest first. Bytes
-// past the last whole record of a body are none. Equal records all count.
+// Merge returns the n greatest records of the bodies, greatest first. Bytes past
+// the last whole record of a body are ignored. Equal records all count.
 func Merge(bodies [][]byte, n int) []byte {
+	kept := greatest(bodies, n)
+	slices.SortFunc(kept, func(a, b []byte) int { return bytes.Compare(b, a) })
+	merged := make([]byte, 0, len(kept)*recordSize)
+	for _, record := range kept {
+		merged = append(merged, record...)
+	}
+	return merged
+}
+
+// greatest returns the n greatest records of the bodies.
+func greatest(bodies [][]byte, n int) recordHeap {
 	total := 0
-	for _, b := range bodies {
-		total += len(b) / recordSize
+	for _, body := range bodies {
+		total += len(body) / recordSize
 	}
-	heap := make([][]byte, 0, min(n, total)) // the least kept record on top
-	for _, b := range bodies {
-		for len(b) >= recordSize {
-			rec := b[:recordSize]
-			b = b[recordSize:]
-			switch {
-			case n <= 0:
-			case len(heap) < n:
-				heap = append(heap, rec)
-				siftUp(heap)
-			case bytes.Compare(rec, heap[0]) > 0:
-				heap[0] = rec
-				siftDown(heap)
+	kept := make(recordHeap, 0, min(n, total))
+	if n <= 0 {
+		return kept
+	}
+	for _, body := range bodies {
+		for len(body) >= recordSize {
+			record := body[:recordSize]
+			body = body[recordSize:]
+			if len(kept) < n {
+				kept = append(kept, record)
+				kept.siftUp()
+			} else if bytes.Compare(record, kept[0]) > 0 {
+				kept[0] = record
+				kept.siftDown()
 			}
 		}
 	}
-	slices.SortFunc(heap, func(a, b []byte) int { return bytes.Compare(b, a) })
-	out := make([]byte, 0, len(heap)*recordSize)
-	for _, r := range heap {
-		out = append(out, r...)
-	}
-	return out
+	return kept
 }
 
-func siftUp(h [][]byte) {
+// recordHeap is a heap of records with the least on top. It is written out because
+// container/heap costs a conversion for each record.
+type recordHeap [][]byte
+
+// siftUp moves the last record up to its place.
+func (h recordHeap) siftUp() {
 	for i := len(h) - 1; i > 0; {
-		p := (i - 1) / 2
-		if bytes.Compare(h[i], h[p]) >= 0 {
+		parent := (i - 1) / 2
+		if bytes.Compare(h[i], h[parent]) >= 0 {
 			return
 		}
-		h[i], h[p] = h[p], h[i]
-		i = p
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 }
 
-func siftDown(h [][]byte) {
+// siftDown moves the first record down to its place.
+func (h recordHeap) siftDown() {
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= len(h) {
+		child := 2*i + 1
+		if child >= len(h) {
 			return
 		}
-		if c+1 < len(h) && bytes.Compare(h[c+1], h[c]) < 0 {
-			c++
+		if child+1 < len(h) && bytes.Compare(h[child+1], h[child]) < 0 {
+			child++
 		}
-		if bytes.Compare(h[i], h[c]) <= 0 {
+		if bytes.Compare(h[i], h[child]) <= 0 {
 			return
 		}
-		h[i], h[c] = h[c], h[i]
-		i = c
+		h[i], h[child] = h[child], h[i]
+		i = child
 	}
 }
--- /dev/null
+++ b/internal/scatter/sampling.go
@@ -0,0 +1,73 @@
+package scatter
+
+import (
+	"errors"
+	"sync"
+
+	"comethold/internal/latencyestimate"
+	"comethold/internal/routing"
+	"comethold/internal/upstream"
+)
+
+// replicaPair joins the responses of two replicas to one lookup.
+type replicaPair struct {
+	mu        sync.Mutex // guards the fields below
+	first     *latencyestimate.Sample
+	firstBody []byte
+	done      bool
+}
+
+// samplesLatency reports whether the latencies of lookups on the route are sampled.
+func (d *Dispatcher) samplesLatency(route *routing.CompiledRoute) bool {
+	return d.Latencies != nil && route.LookupClass != ""
+}
+
+// recordSample hands on how long a call took. It runs in the attempt's own
+// goroutine, after the fan-out got the attempt, and does not block.
+func (f *fanOut) recordSample(ended *attempt, contended bool) {
+	timedOut := errors.Is(ended.err, upstream.ErrTimeout)
+	if !timedOut && (ended.err != nil || !ended.response.IsSuccess()) {
+		return // it says nothing of how long a lookup takes
+	}
+	info := ended.endpoint.Info()
+	sample := latencyestimate.Sample{
+		Key:      latencyestimate.Key{Service: info.Service, Endpoint: info.ID, Class: f.route.LookupClass},
+		Duration: ended.duration,
+		Censored: timedOut,
+	}
+	if contended {
+		sample.Key.Load = latencyestimate.Busy
+	}
+	f.Latencies.Submit(sample)
+	if timedOut {
+		return
+	}
+	if pair, ok := ended.shard.pair.add(sample, ended.response.Body); ok {
+		f.Latencies.SubmitPair(pair)
+	}
+}
+
+// add takes in the response of a replica, and returns the pair once two different
+// replicas answered.
+func (p *replicaPair) add(sample latencyestimate.Sample, body []byte) (pair latencyestimate.AnswerPair, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.first == nil {
+		p.first = &sample
+		p.firstBody = body
+		return pair, false
+	}
+	if p.done || p.first.Key.Endpoint == sample.Key.Endpoint {
+		return pair, false
+	}
+	p.done = true
+	// The slower one is the lookup, the other shows what a second replica took.
+	if sample.Duration > p.first.Duration {
+		return latencyestimate.AnswerPair{
+			First: sample, Second: *p.first, FirstPart: body, SecondPart: p.firstBody,
+		}, true
+	}
+	return latencyestimate.AnswerPair{
+		First: *p.first, Second: sample, FirstPart: p.firstBody, SecondPart: body,
+	}, true
+}
