--- /dev/null
+++ b/internal/proxy/exchange.go
@@ -0,0 +1,212 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"comethold/internal/logging"
+	"comethold/internal/routing"
+	"comethold/internal/scatter"
+	"comethold/internal/upstream"
+)
+
+const (
+	headerAuthorization = "Authorization"
+
+	// deadlineMarginPerHop is what a hop takes of the time that a client gives.
+	deadlineMarginPerHop = 2 * time.Millisecond
+	// maxDeadlineMs bounds the time that a client may give, in milliseconds.
+	maxDeadlineMs = 1e12
+	// revocationMargin is how old what the control plane passes on may be, and the
+	// time that passing it on takes.
+	revocationMargin = 2500 * time.Millisecond
+	// minRetryAfter is the least time that a client at its limit is asked to wait.
+	minRetryAfter = time.Millisecond
+	// unreadyRetryAfter is for how long clients of a node that may not serve wait,
+	// in seconds.
+	unreadyRetryAfter = "0.5"
+)
+
+// exchange is one request of a client and its reply. It keeps the route table that
+// was in force when the request arrived.
+type exchange struct {
+	*frontend
+	start   time.Time
+	writer  http.ResponseWriter
+	request *http.Request
+
+	table     *routing.RouteTable
+	route     *routing.CompiledRoute
+	identity  routing.Identity
+	forwarded *upstream.Request
+	pending   *pendingRequest // nil until the request was read
+}
+
+// handle answers the request.
+func (x *exchange) handle() {
+	if x.draining.Load() {
+		x.writer.Header().Set("Connection", "close")
+	}
+	target, path := requestTarget(x.request)
+	if rejected := x.findRoute(path); rejected != nil {
+		x.reject(rejected)
+		return
+	}
+	if rejected := x.authenticate(); rejected != nil {
+		x.reject(rejected)
+		return
+	}
+	forwarded, rejected := readRequest(x.writer, x.request, x.table.Limits, target)
+	if rejected != nil {
+		x.reject(rejected)
+		return
+	}
+	x.forwarded = forwarded
+	pending, ok := x.frontend.pending.register(x.writer)
+	x.pending = pending
+	defer x.frontend.pending.unregister(pending)
+	if !ok {
+		return
+	}
+	x.identifyTenant()
+	remaining, rejected := x.setDeadline()
+	if rejected != nil {
+		x.reject(rejected)
+		return
+	}
+	if rejected := x.spendToken(remaining); rejected != nil {
+		x.reject(rejected)
+		return
+	}
+	x.dispatch()
+}
+
+// findRoute finds the route in the table that is in force.
+func (x *exchange) findRoute(path string) *rejection {
+	x.table = x.client.RouteTable()
+	if x.table == nil {
+		return unavailable("no configuration yet", unreadyRetryAfter)
+	}
+	x.route = x.table.Match(x.request.Host, path)
+	if x.route == nil {
+		return &rejection{status: http.StatusNotFound, reason: "no route"}
+	}
+	return nil
+}
+
+// authenticate finds the tenant. Where nobody said lately which keys are revoked,
+// none is accepted.
+func (x *exchange) authenticate() *rejection {
+	revocation := x.client.Settings.Bounds.RevocationTimeout()
+	if revocation > 0 && x.table.RequiresKey() && x.client.Disconnected(revocation-revocationMargin) {
+		return unavailable("no word of which keys are still good", unreadyRetryAfter)
+	}
+	identity, ok := x.table.Authenticate(x.route, x.request.Header[headerAuthorization])
+	if !ok {
+		return &rejection{
+			status: http.StatusUnauthorized, reason: "needs a key that is known",
+			header: "WWW-Authenticate", value: "Token",
+		}
+	}
+	x.identity = identity
+	return nil
+}
+
+// identifyTenant tells the endpoint whose request it is, whatever the client sent.
+func (x *exchange) identifyTenant() {
+	header := x.forwarded.Header
+	delete(header, upstream.HeaderTenant)
+	if x.identity.OwnCredentials {
+		delete(header, headerAuthorization)
+	}
+	if x.identity.Tenant != nil {
+		header[upstream.HeaderTenant] = []string{x.identity.Tenant.Name}
+	}
+}
+
+// setDeadline sets the deadline by the route and by what the client gives, and
+// returns the time that remains.
+func (x *exchange) setDeadline() (remaining time.Duration, rejected *rejection) {
+	remaining = x.route.Timeout
+	if given := x.request.Header.Get(upstream.HeaderDeadlineRemaining); given != "" {
+		milliseconds, err := strconv.ParseFloat(given, 64)
+		if err != nil || !(milliseconds > 0) || milliseconds > maxDeadlineMs {
+			return 0, &rejection{
+				status: http.StatusBadRequest,
+				reason: upstream.HeaderDeadlineRemaining + " holds no time",
+			}
+		}
+		remaining = min(remaining, time.Duration(milliseconds*float64(time.Millisecond))-deadlineMarginPerHop)
+	}
+	x.forwarded.Deadline = x.start.Add(max(remaining, time.Millisecond))
+	return remaining, nil
+}
+
+// spendToken spends a token of the tenant's quota.
+func (x *exchange) spendToken(remaining time.Duration) *rejection {
+	if x.identity.Tenant == nil {
+		return nil
+	}
+	admission := x.tokens.admit(x.identity.Tenant, x.route.TargetLatency, remaining, x.start)
+	retryAfter := max(admission.retryAfter, minRetryAfter)
+	switch admission.verdict {
+	case tenantLimited:
+		return &rejection{
+			status: http.StatusTooManyRequests, reason: "the tenant is at its limit",
+			header: headerRetryAfter, value: formatSeconds(retryAfter),
+		}
+	case quotaUnavailable:
+		return unavailable("no word of what the tenant may send", formatSeconds(retryAfter))
+	default:
+		return nil
+	}
+}
+
+// dispatch carries the request to its endpoints, or answers it from the object
+// cache, and writes the reply.
+func (x *exchange) dispatch() {
+	if !x.pending.markDispatched() {
+		return
+	}
+	var reply *scatter.Reply
+	if x.isCacheable() {
+		reply = x.objectReply()
+		if reply.Status/100 == 2 {
+			x.recordExecuted(time.Now()) // on these routes what counts is a success
+		}
+	} else {
+		reply = x.dispatcher.Dispatch(x.route, x.forwarded, x.start, x.recordExecuted)
+	}
+	if x.pending.claimAnswer() {
+		writeReply(x.writer, x.request.Method, reply)
+	}
+}
+
+func (x *exchange) isCacheable() bool {
+	return x.objects != nil && x.route.RouteKind == routing.KindCacheable && x.request.Method == http.MethodGet
+}
+
+// recordExecuted counts the request for its tenant.
+func (x *exchange) recordExecuted(at time.Time) {
+	if x.identity.Tenant != nil && x.usage != nil {
+		x.usage.recordExecuted(x.identity.Tenant.Name, at)
+	}
+}
+
+// reject answers the request, unless it was answered already.
+func (x *exchange) reject(rejected *rejection) {
+	if x.pending == nil || x.pending.claimAnswer() {
+		rejected.write(x.writer)
+	}
+}
+
+// recoverPanic answers a request whose handling panicked. It must be deferred itself.
+func (x *exchange) recoverPanic() {
+	cause := recover()
+	if cause == nil {
+		return
+	}
+	x.log.Error(logging.RequestPanic).Any("panic", cause).Msg("request handler panicked")
+	x.reject(&rejection{status: http.StatusInternalServerError, reason: "internal failure"})
+}
--- a/internal/proxy/object.go
+++ b/internal/proxy/object.go
@@ -7,88 +7,107 @@
 	"strings"
 
 	"comethold/internal/objectcache"
-	"comethold/internal/routing"
+	"comethold/internal/responsecache"
 	"comethold/internal/scatter"
 	"comethold/internal/upstream"
 )
 
-// serveObject answers a client's request for an object of a cacheable route.
-func (f *frontend) serveObject(line *routing.CompiledRoute, req *upstream.Request, h http.Header) *scatter.Reply {
-	rec, no := f.objects.Get(objectcache.Request{Host: req.Host, Target: req.Target, TTL: line.CacheTTL(), Deadline: req.Deadline})
-	if no != nil {
-		return &scatter.Reply{Status: no.Status, Header: withRequestID(no.Header, req.ID), Body: no.Body, Reason: no.Reason, RetryAfter: no.RetryAfter}
+// objectReply makes the reply to a request for an object of a cacheable route.
+func (x *exchange) objectReply() *scatter.Reply {
+	object, failure := x.objects.Get(objectcache.Request{
+		Host:     x.forwarded.Host,
+		Target:   x.forwarded.Target,
+		TTL:      x.route.CacheTTL(),
+		Deadline: x.forwarded.Deadline,
+	})
+	if failure != nil {
+		return &scatter.Reply{
+			Status:     failure.Status,
+			Header:     withRequestID(failure.Header, x.forwarded.ID),
+			Body:       failure.Body,
+			Reason:     failure.Reason,
+			RetryAfter: failure.RetryAfter,
+		}
 	}
-	out := withRequestID(rec.Header, req.ID)
-	if rec.ETag != "" && etagMatches(h.Get("If-None-Match"), rec.ETag) {
-		return &scatter.Reply{Status: http.StatusNotModified, Header: out}
+	return conditionalReply(object, x.request.Header, x.forwarded.ID)
+}
+
+// conditionalReply makes the reply to a request that may name the version that the
+// client has, or a range.
+func conditionalReply(object *responsecache.Response, requested http.Header, requestID string) *scatter.Reply {
+	header := withRequestID(object.Header, requestID)
+	if object.ETag != "" && etagMatches(requested.Get("If-None-Match"), object.ETag) {
+		return &scatter.Reply{Status: http.StatusNotModified, Header: header}
 	}
-	reply := &scatter.Reply{Status: http.StatusOK, Header: out, Body: rec.Body}
-	ranges := h["Range"]
-	if len(ranges) != 1 || (h.Get("If-Range") != "" && h.Get("If-Range") != rec.ETag) {
-		return reply
+	whole := &scatter.Reply{Status: http.StatusOK, Header: header, Body: object.Body}
+	ranges := requested["Range"]
+	condition := requested.Get("If-Range")
+	if len(ranges) != 1 || condition != "" && condition != object.ETag {
+		return whole
 	}
-	from, to, ok := parseRange(ranges[0], len(rec.Body))
+	size := len(object.Body)
+	first, last, ok := parseRange(ranges[0], size)
 	if !ok {
-		return reply
+		return whole
 	}
-	if from >= len(rec.Body) {
-		out.Set("Content-Range", "bytes */"+strconv.Itoa(len(rec.Body)))
-		reply.Status, reply.Body = http.StatusRequestedRangeNotSatisfiable, nil
-		return reply
+	if first >= size {
+		header.Set("Content-Range", "bytes */"+strconv.Itoa(size))
+		return &scatter.Reply{Status: http.StatusRequestedRangeNotSatisfiable, Header: header}
 	}
-	out.Set("Content-Range", fmt.Sprintf("bytes %d-%d/%d", from, to, len(rec.Body)))
-	reply.Status, reply.Body = http.StatusPartialContent, rec.Body[from:to+1]
-	return reply
+	header.Set("Content-Range", fmt.Sprintf("bytes %d-%d/%d", first, last, size))
+	return &scatter.Reply{Status: http.StatusPartialContent, Header: header, Body: object.Body[first : last+1]}
 }
 
-// withRequestID makes a kept header the answer to one request.
-func withRequestID(h http.Header, id string) http.Header {
-	if h == nil {
+// withRequestID makes a cached header that of the reply to one request.
+func withRequestID(cached http.Header, requestID string) http.Header {
+	if cached == nil {
 		return nil
 	}
-	out := h.Clone()
-	out[upstream.HeaderRequestID] = []string{id}
-	return out
+	header := cached.Clone()
+	header[upstream.HeaderRequestID] = []string{requestID}
+	return header
 }
 
-// parseRange reads a single range that names its first byte; any other form is
-// as if it were not there. to is inclusive and within size.
-func parseRange(v string, size int) (from, to int, ok bool) {
-	spec, found := strings.CutPrefix(strings.TrimSpace(v), "bytes=")
-	first, last, dash := strings.Cut(strings.TrimSpace(spec), "-")
-	if !found || !dash {
+// parseRange reads a single range that names its first byte; any other form counts as
+// none. last is inclusive and within size.
+func parseRange(value string, size int) (first, last int, ok bool) {
+	spec, isBytes := strings.CutPrefix(strings.TrimSpace(value), "bytes=")
+	firstText, lastText, isRange := strings.Cut(strings.TrimSpace(spec), "-")
+	if !isBytes || !isRange {
 		return 0, 0, false
 	}
-	from, ok = parseDigits(first)
+	first, ok = parseDigits(firstText)
 	if !ok {
 		return 0, 0, false
 	}
-	to = size - 1
-	if last != "" {
-		n, ok := parseDigits(last)
-		if !ok || n < from {
-			return 0, 0, false
-		}
-		to = min(to, n)
+	last = size - 1
+	if lastText == "" {
+		return first, last, true
+	}
+	given, ok := parseDigits(lastText)
+	if !ok || given < first {
+		return 0, 0, false
 	}
-	return from, to, true
+	return first, min(last, given), true
 }
 
-func parseDigits(s string) (int, bool) {
-	if s == "" || strings.Trim(s, "0123456789") != "" {
+// parseDigits reads a number without sign or spaces.
+func parseDigits(text string) (int, bool) {
+	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, false
 	}
-	n, err := strconv.Atoi(s)
-	return n, err == nil
+	number, err := strconv.Atoi(text)
+	return number, err == nil
 }
 
-// etagMatches reports whether an If-None-Match names the tag.
-func etagMatches(v, tag string) bool {
-	if strings.TrimSpace(v) == "*" {
+// etagMatches reports whether an If-None-Match names the tag, by weak comparison.
+func etagMatches(value, tag string) bool {
+	if strings.TrimSpace(value) == "*" {
 		return true
 	}
-	for _, t := range strings.Split(v, ",") {
-		if t = strings.TrimPrefix(strings.TrimSpace(t), "W/"); t != "" && t == strings.TrimPrefix(tag, "W/") {
+	for _, listed := range strings.Split(value, ",") {
+		listed = strings.TrimPrefix(strings.TrimSpace(listed), "W/")
+		if listed != "" && listed == strings.TrimPrefix(tag, "W/") {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/proxy/token_target.go
@@ -0,0 +1,57 @@
+package proxy
+
+import (
+	"net"
+	"time"
+)
+
+const (
+	// avoidDuration is for how long a control plane node is avoided that did not
+	// answer or has no share of the quota.
+	avoidDuration = time.Second
+	// targetsMaxAge is how long the order of the control plane nodes is kept.
+	targetsMaxAge = 250 * time.Millisecond
+)
+
+// targetSelector picks the control plane node that tokens are requested from. It is
+// guarded by tokenClient.mu.
+type targetSelector struct {
+	list       func() []net.Addr // the control plane nodes, the preferred first
+	targets    []net.Addr
+	listedAt   time.Time
+	avoidUntil map[string]time.Time // by address
+}
+
+// pick returns the first target that is not avoided, or the one that is avoided for
+// the shortest time, or nil if there is none.
+func (s *targetSelector) pick(now time.Time) net.Addr {
+	if now.Sub(s.listedAt) > targetsMaxAge {
+		s.targets = s.list()
+		s.listedAt = now
+	}
+	var best net.Addr
+	for _, target := range s.targets {
+		until, avoided := s.avoidUntil[target.String()]
+		if !avoided || now.After(until) {
+			return target
+		}
+		if best == nil || until.Before(s.avoidUntil[best.String()]) {
+			best = target
+		}
+	}
+	return best
+}
+
+// avoid has other targets picked for a while.
+func (s *targetSelector) avoid(target net.Addr, now time.Time) {
+	s.avoidUntil[target.String()] = now.Add(avoidDuration)
+	s.listedAt = time.Time{}
+}
+
+func (s *targetSelector) removeExpired(now time.Time) {
+	for target, until := range s.avoidUntil {
+		if now.After(until) {
+			delete(s.avoidUntil, target)
+		}
+	}
+}
