--- a/internal/controlplane/marks.go
+++ b/internal/controlplane/marks.go
@@ -14,12 +14,10 @@
 // indexesByService names, for each service, the index cells whose cut holds it.
 func (r *Server) indexesByService() map[string][]string {
 	out := map[string][]string{}
-	r.host.Do(func() {
-		if m := r.host.Replicas[schema.MetaCell]; m != nil {
-			for ix, rec := range schema.ReadIndexes(m) {
-				for _, s := range rec.Services {
-					out[s] = append(out[s], ix)
-				}
+	r.host.View(schema.MetaCell, func(m *paxos.Replica) {
+		for ix, rec := range schema.ReadIndexes(m) {
+			for _, s := range rec.Services {
+				out[s] = append(out[s], ix)
 			}
 		}
 	})
@@ -31,41 +29,16 @@
 
 func (r *Server) marksOfIndex(ix string) map[string]distribution.EjectionMark {
 	var out map[string]distribution.EjectionMark
-	r.host.Do(func() {
-		if m := r.host.Replicas[ix]; m != nil {
-			out = schema.ReadEjections(ix, m).Ejected
-		}
+	r.host.View(ix, func(m *paxos.Replica) {
+		out = schema.ReadEjections(ix, m).Ejected
 	})
 	return out
 }
 
 // applyReports turns what several switches noticed into marks.
 func (r *Server) applyReports() {
-	now := time.Now()
-	r.mu.Lock()
-	var bad, well []distribution.HealthReport
-	for leaf, by := range r.faultReports {
-		for w, at := range by {
-			if now.Sub(at) > reportLifetime {
-				delete(by, w)
-			}
-		}
-		if len(by) == 0 {
-			delete(r.faultReports, leaf)
-			delete(r.lastFaultReport, leaf)
-		} else if len(by) >= witnessesRequired {
-			bad = append(bad, r.lastFaultReport[leaf])
-		}
-	}
-	for leaf, w := range r.recoveryReports {
-		if now.Sub(w.reportedAt) > reportLifetime {
-			delete(r.recoveryReports, leaf)
-		} else {
-			well = append(well, w.report)
-		}
-	}
-	r.mu.Unlock()
-	if len(bad)+len(well) == 0 {
+	agreed := r.reports.Health(time.Now())
+	if agreed.IsEmpty() {
 		return
 	}
 	// Other registrars hear the same: where one was first, what is left is worked
@@ -73,21 +46,14 @@
 	done := false
 	for try := 0; try < maxMarkAttempts && !done; try++ {
 		done = true
-		for ix, t := range r.reportedMarkTxns(bad, well) {
+		for ix, t := range r.reportedMarkTxns(agreed.Faults, agreed.Recoveries) {
 			done = r.propose(ix, *t) && done
 		}
 	}
 	if !done {
 		return // next time
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, rep := range bad {
-		delete(r.faultReports, rep.EndpointID)
-	}
-	for _, rep := range well {
-		delete(r.recoveryReports, rep.EndpointID)
-	}
+	r.reports.Resolve(agreed)
 }
 
 // reportedMarkTxns makes one transaction for each index whose marks are to change.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -46,7 +46,12 @@
 
 // New puts a data plane together that reaches other processes by network.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
-	client := controlclient.New(set, log, settings.DataPlane, network)
+	client := controlclient.New(controlclient.Options{
+		Settings: set,
+		Log:      log,
+		Program:  settings.DataPlane,
+		Network:  network,
+	})
 	options := scatter.Options{Clusters: client.Upstreams, RetryBudget: client.RetryBudget}
 	if set.Estimates.Enabled {
 		options.Latencies = latencyestimate.NewCollector(time.Now())
