--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// identifyTenant tells the endpoint whose request it is, whatever the client sent.
+// identifyTenant names the tenant to the endpoint, whatever the client sent.
 func (x *exchange) identifyTenant() {
 	header := x.forwarded.Header
 	delete(header, upstream.HeaderTenant)
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -84,7 +84,7 @@
 }
 
 // closeExpired closes connections whose idle timeout has passed. After a standstill of
-// this node it gives them a turn first: their requests may be here and not read yet.
+// this node it spares them once: their requests may be here and not read yet.
 func (t *idleTracker) closeExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,7 +12,7 @@
 
 const headerRetryAfter = "Retry-After"
 
-// rejection is why a request is not forwarded, and what its client is told.
+// rejection is why a request is not forwarded, and the response to its client.
 type rejection struct {
 	status int
 	reason string
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -16,7 +16,7 @@
 	// Reports are spread over reportJitter of their interval, from reportJitterMin on.
 	reportJitterMin = 0.9
 	reportJitter    = 0.2
-	// clockSyncInterval is the longest time between two reports, whose answers tell
+	// clockSyncInterval is the longest time between two reports. Their answers carry
 	// the control plane's time.
 	clockSyncInterval = 2 * time.Second
 	// clockSampleMaxAge is after what time a sample of the control plane's time gives
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -5,7 +5,7 @@
 // apiKeyScheme is the scheme of the credentials that hold a tenant's key.
 const apiKeyScheme = "Token"
 
-// Identity is who sent a request, as far as its credentials tell.
+// Identity is who sent a request, as far as its credentials show.
 type Identity struct {
 	// Tenant is nil where requests need no key or the route is public.
 	Tenant *Tenant
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -158,6 +158,20 @@
 	return mean * slowStartCost * (1 - float64(since)/float64(slowStartWindow))
 }
 
+// observe takes in how a call ended and how long it took, as far as that shows the
+// load.
+func (b *loadBalancer) observe(endpoint *Endpoint, result callResult, duration time.Duration, now time.Time) {
+	switch result {
+	case callSucceeded:
+		endpoint.load.recordLatency(duration.Seconds())
+		endpoint.cluster.load.recordSuccess(duration.Seconds())
+	case callRejected:
+		endpoint.load.lastRejectedAt = now
+		endpoint.cluster.load.recordRejection()
+	default:
+	}
+}
+
 // reuseRarity is how rarely, from 0 to 1, this node reuses a connection of the
 // cluster: the more nodes share each endpoint, the longer connections are idle,
 // the more of them are opened for a single call, and the less any one node can
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -103,15 +103,7 @@
 	now := time.Now()
 	endpoint.activeCalls--
 	result := classifyCall(response, err)
-	switch result {
-	case callSucceeded:
-		endpoint.load.recordLatency(duration.Seconds())
-		endpoint.cluster.load.recordSuccess(duration.Seconds())
-	case callRejected:
-		endpoint.load.lastRejectedAt = now
-		endpoint.cluster.load.recordRejection()
-	default: // says nothing of the load
-	}
+	m.balancer.observe(endpoint, result, duration, now)
 	m.outliers.observe(endpoint, result, err, start, now)
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -34,8 +34,8 @@
 	// belong to no request, so the connection is given up.
 	unexpectedBytes bool
 
-	// What tells a response to the current request from a late one to an earlier
-	// request; see belongsTo.
+	// What distinguishes a response to the current request from a late one to an
+	// earlier request; see belongsTo.
 
 	lastUnidentified bool   // the last response had neither request id nor server stamp
 	echoedKinds      []int  // kinds of responses that named their request; see responseKind
@@ -89,8 +89,8 @@
 	return err == nil && open
 }
 
-// responseKind tells apart the responses of which an endpoint either always or
-// never names the request: by status, and negative for those to a fan-out.
+// responseKind groups the responses of which an endpoint either always or never names
+// the request: by status, and negative for those to a fan-out.
 func responseKind(request *Request, response *Response) int {
 	if request.FanOut {
 		return -response.Status
@@ -132,7 +132,7 @@
 	return true
 }
 
-// noteIdentity records whether the response can be told from the next one and
+// noteIdentity records whether the response can be distinguished from the next one and
 // reports whether the connection may be reused. Two unidentified responses in a
 // row may be one that came twice; then the next request would get a response
 // that isn't its own.
--- a/internal/upstream/manager.go
+++ b/internal/upstream/manager.go
@@ -24,8 +24,8 @@
 	log    *logging.Logger
 	dialer dialer
 
-	// OnHealthChange is told of endpoints that this node ejects or reinstates. It
-	// must not block, and is set before the first call.
+	// OnHealthChange is called when this node ejects or reinstates an endpoint. It
+	// runs under mu and must not block. It is set before the first call.
 	OnHealthChange func(distribution.HealthReport)
 
 	mu               sync.Mutex // guards the fields below and those of clusters and endpoints
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -87,7 +87,7 @@
 // Callers hold ClusterManager.mu.
 type outlierDetector struct {
 	log *logging.Logger
-	// report is told of ejected and reinstated endpoints. It must not block.
+	// report is called for each ejected or reinstated endpoint. It must not block.
 	report func(distribution.HealthReport)
 	// scheduleProbe has an ejected endpoint probed after about the given time.
 	scheduleProbe func(endpoint *Endpoint, after time.Duration)
@@ -180,8 +180,8 @@
 	}
 }
 
-// reinstate puts an endpoint back in service, with a slow start. It also tells the
-// control plane, which may have ejected it for all nodes.
+// reinstate puts an endpoint back in service, with a slow start. It also reports
+// that to the control plane, which may have ejected it for all nodes.
 func (d *outlierDetector) reinstate(endpoint *Endpoint, now time.Time) {
 	if endpoint.health.state == stateHealthy && !endpoint.fleetEjected {
 		return
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -32,8 +32,8 @@
 	if !needed {
 		return
 	}
-	// What the endpoint says of itself is not believed, either way: one that
-	// answers at all goes on probation with a call that is idempotent.
+	// The status of a health check is not trusted, either way: an endpoint that
+	// answers at all goes on probation, with calls that are idempotent.
 	answered := path == ""
 	if path != "" && !endpoint.info.Load().Draining {
 		answered = m.sendProbe(endpoint, path)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -33,7 +33,7 @@
 	Deadline time.Time
 	// NonIdempotent says that the request must not be executed twice. It is sent
 	// on no connection that was idle for long, since the endpoint may have closed
-	// it, and on none whose last response can't be told from the next one's.
+	// it, and on none whose last response can't be distinguished from the next one's.
 	NonIdempotent bool
 	// FanOut says that the response is one of several to be merged: its server
 	// stamp belongs to this request alone.
