--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"comethold/internal/controlplane"
+	"comethold/internal/controlplane/latency"
 	"comethold/internal/controlplane/operatorapi"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/rpc"
@@ -218,7 +219,7 @@
 // wantEstimates is `want-estimates NODES SAMPLES AT`: so many proxies answer, and know of so
 // many lookups at least.
 func (f *fleet) wantEstimates(c simulation.Command) error {
-	var view controlplane.EstimatesView
+	var view latency.View
 	raw, err := f.get(f.machineNamed(c.Word(2)), "/Estimates.Read?class=urgent", &view)
 	if err != nil {
 		return err
@@ -235,7 +236,7 @@
 
 // wantSaved is `want-saved LINES AT`: so many exports are on that disk at least.
 func (f *fleet) wantSaved(c simulation.Command) error {
-	var lines []controlplane.EstimatesView
+	var lines []latency.View
 	if _, err := f.get(f.machineNamed(c.Word(1)), "/Estimates.Saved", &lines); err != nil {
 		return err
 	}
