--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -91,8 +91,10 @@
 
 // run polls for updates and applies them until done is closed.
 func (s *updateStream) run(done <-chan struct{}) {
+	ctx, cancel := context.WithCancel(context.Background())
 	defer s.firstPolls.Wait()
-	s.fetchFirstConfig(done)
+	defer cancel() // no one waits for the first polls that are still in flight
+	s.fetchFirstConfig(ctx, done)
 	for {
 		select {
 		case <-done:
@@ -100,13 +102,13 @@
 		default:
 		}
 		host := s.rankedHosts()[0]
-		update, err := s.poll(host, settings.ControlPlane, pollTimeout)
+		update, err := s.poll(ctx, host, settings.ControlPlane, pollTimeout)
 		switch {
 		case err == nil:
 			s.handleUpdate(host, update, done)
 		case errors.Is(err, errPollInterrupted):
 		default:
-			s.handleFailure(host, err, done)
+			s.handleFailure(ctx, host, err, done)
 		}
 	}
 }
@@ -132,7 +134,7 @@
 
 // handleFailure avoids a control node whose poll failed, and now and then asks other
 // nodes for what they hold.
-func (s *updateStream) handleFailure(host string, err error, done <-chan struct{}) {
+func (s *updateStream) handleFailure(ctx context.Context, host string, err error, done <-chan struct{}) {
 	s.avoid(host)
 	s.failures++
 	if s.failures == 1 {
@@ -142,15 +144,16 @@
 			Msg("a control node sends no updates")
 	}
 	if s.failures%failuresBeforePeers == 0 {
-		s.pollPeers()
+		s.pollPeers(ctx)
 	}
 	pause(retryPause, done)
 }
 
 // fetchFirstConfig gets the first configuration after a start. It polls every control plane
 // node that it knows of, the near ones first, and each again as soon as it has answered
-// without one: those that don't answer delay nothing.
-func (s *updateStream) fetchFirstConfig(done <-chan struct{}) {
+// without one: those that don't answer delay nothing. Polls that are in flight when it returns
+// end with ctx.
+func (s *updateStream) fetchFirstConfig(ctx context.Context, done <-chan struct{}) {
 	updates := make(chan *distribution.Update)
 	fetched := make(chan struct{})
 	defer close(fetched)
@@ -164,41 +167,48 @@
 				continue
 			}
 			polled[host] = true
-			firstDelay := delay
-			s.firstPolls.Go(func() { s.pollRepeatedly(host, firstDelay, updates, fetched) })
+			first := firstPoll{host: host, delay: delay, updates: updates, fetched: fetched}
+			s.firstPolls.Go(func() { s.pollRepeatedly(ctx, first) })
 			delay += firstStagger
 		}
 		select {
 		case update := <-updates:
 			s.state.apply(update)
 		case <-peerTicker.C:
-			s.pollPeers()
+			s.pollPeers(ctx)
 		case <-done:
 			return
 		}
 	}
 }
 
-// pollRepeatedly polls one control node, for the first time after delay, and sends what
-// it answers to updates, until fetched is closed.
-func (s *updateStream) pollRepeatedly(
-	host string, delay time.Duration, updates chan<- *distribution.Update, fetched <-chan struct{},
-) {
+// firstPoll is the polling of one control node until the first configuration is here.
+type firstPoll struct {
+	host    string
+	delay   time.Duration // before the first poll
+	updates chan<- *distribution.Update
+	fetched <-chan struct{} // closed when the configuration is here
+}
+
+// pollRepeatedly polls one control node and sends what it answers to updates, until fetched
+// is closed.
+func (s *updateStream) pollRepeatedly(ctx context.Context, p firstPoll) {
+	delay := p.delay
 	for {
 		select {
 		case <-time.After(delay):
-		case <-fetched:
+		case <-p.fetched:
 			return
 		}
-		update, err := s.poll(host, settings.ControlPlane, firstPollTimeout)
+		update, err := s.poll(ctx, p.host, settings.ControlPlane, firstPollTimeout)
 		delay = jitter(firstPollPause) // it has no configuration yet
 		if err != nil {
 			update = &distribution.Update{Stale: true}
 			delay = jitter(retryPause) // it may be about to start
 		}
 		select {
-		case updates <- update:
-		case <-fetched:
+		case p.updates <- update:
+		case <-p.fetched:
 			return
 		}
 	}
@@ -207,9 +217,9 @@
 // poll asks the program on a host for an update. It returns errPollInterrupted if the poll
 // was ended on purpose before an answer came.
 func (s *updateStream) poll(
-	host string, program settings.Program, timeout time.Duration,
+	ctx context.Context, host string, program settings.Program, timeout time.Duration,
 ) (*distribution.Update, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request := distribution.UpdateRequest{
 		Node:     s.self,
@@ -245,11 +255,11 @@
 }
 
 // pollPeers gets what other data plane nodes hold, when no control node answers.
-func (s *updateStream) pollPeers() {
+func (s *updateStream) pollPeers(ctx context.Context) {
 	hosts := s.peerHosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	for _, host := range hosts[:min(len(hosts), maxPeersAsked)] {
-		if update, err := s.poll(host, settings.DataPlane, peerPollTimeout); err == nil {
+		if update, err := s.poll(ctx, host, settings.DataPlane, peerPollTimeout); err == nil {
 			s.state.apply(update)
 			return
 		}
--- a/internal/controlclient/update_stream_test.go
+++ b/internal/controlclient/update_stream_test.go
@@ -1,8 +1,10 @@
 package controlclient
 
 import (
+	"io"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"strconv"
 	"testing"
 	"time"
@@ -101,3 +103,40 @@
 	case <-time.After(minSwitchInterval / 3):
 	}
 }
+
+// TestCloseDuringFirstPolls: a node that ends while its first polls get no answer ends at once:
+// it waits for their goroutines, not for their time-outs.
+func TestCloseDuringFirstPolls(t *testing.T) {
+	polled := make(chan struct{}, 16)
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // only then the end of the connection is noticed
+		polled <- struct{}{}
+		<-r.Context().Done()
+	}))
+	defer server.Close()
+	address, ok := server.Listener.Addr().(*net.TCPAddr)
+	if !ok {
+		t.Fatalf("the server has the address %v", server.Listener.Addr())
+	}
+	set := &settings.Settings{
+		NodeName:          "n1",
+		IPAddress:         "127.0.0.9",
+		AvailabilityZone:  "a",
+		RegionName:        "r",
+		InternalPortRange: []int{address.Port, address.Port + 3},
+		SeedNodes:         []string{"127.0.0.1:1"},
+	}
+	c := New(Options{Settings: set, Log: logging.Nop(), Program: settings.DataPlane, Network: rpc.TCPNetwork})
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = c.RunUpdates()
+	}()
+	<-polled
+	c.Close()
+	select {
+	case <-ended:
+	case <-time.After(firstPollTimeout / 2):
+		t.Error("the end waits for polls that get no answer")
+	}
+}
