--- a/internal/usage/counter_test.go
+++ b/internal/usage/counter_test.go
@@ -15,7 +15,8 @@
 	late         []*CountReport
 }
 
-func (l *testLink) deliver(counter *Counter) {
+// deliver sends the counter's next report to a store, and returns which one it was.
+func (l *testLink) deliver(counter *Counter) (store int) {
 	report := counter.NextReport()
 	i := l.rng.Intn(len(l.stores))
 	switch l.rng.Intn(5) {
@@ -29,12 +30,12 @@
 		l.stores[i].Add(report)
 		counter.Acknowledge(&CountAck{Sequence: report.Sequence, Incarnation: l.incarnations[i]})
 	}
+	return i
 }
 
 // restart has a store's node restart now and then, which loses its counts.
-func (l *testLink) restart() {
+func (l *testLink) restart(i int) {
 	if l.rng.Intn(60) == 0 {
-		i := l.rng.Intn(len(l.stores))
 		l.stores[i] = NewStore()
 		l.incarnations[i] = uint64(l.rng.Int63())
 	}
@@ -66,8 +67,8 @@
 				counted[window] = Counts{}
 			}
 			counted[window][tenant]++
-			link.deliver(counter)
-			link.restart()
+			store := link.deliver(counter)
+			link.restart(store) // the last report may be acknowledged and lost
 		}
 		for _, report := range link.late {
 			link.stores[0].Add(report)
