--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -10,7 +10,7 @@
 	// maxSampleAge is how long a peer's sample counts.
 	maxSampleAge = 5 * time.Second
 	// initialAgreementWait is how long the first agreement waits for peers even if all
-	// have been heard.
+	// have answered.
 	initialAgreementWait = 1500 * time.Millisecond
 	// maxInitialWait is how long it waits for all of them; after that a majority is enough,
 	// and after twice as long this node's own time of day.
@@ -20,8 +20,8 @@
 	// maxWallDisagreement is how far the median time of day may be from the agreed time and
 	// still lead it.
 	maxWallDisagreement = 200 * time.Millisecond
-	// wallGain is the part of that difference that is corrected at each update.
-	wallGain = 8
+	// wallCorrectionDivisor: each update corrects this part of that difference.
+	wallCorrectionDivisor = 8
 )
 
 // Clock is the true time as the control plane agrees on it: an offset to this node's
@@ -65,7 +65,7 @@
 }
 
 // Update brings the agreed time up to date. wall is this machine's time of day in
-// nanoseconds since 1970, members the number of control nodes, heard or not, and
+// nanoseconds since 1970, members the number of control nodes, observed or not, and
 // elapsed the time since the last update.
 func (c *Clock) Update(wall int64, members int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
@@ -129,7 +129,7 @@
 	// The times of day lead only while most of them are near: a jump of many machines is no
 	// reason to follow.
 	if wall := median(walls); (wall - target).Abs() < maxWallDisagreement {
-		target += (wall - target) / wallGain
+		target += (wall - target) / wallCorrectionDivisor
 	}
 	step := time.Duration(float64(maxSlewPerSecond) * elapsed.Seconds())
 	c.offset += min(max(target-c.offset, -step), step)
@@ -137,11 +137,11 @@
 
 // enoughForFirstAgreement reports whether so many times of day, this node's own included,
 // are enough after the time since the start.
-func enoughForFirstAgreement(heard, members int, age time.Duration) bool {
+func enoughForFirstAgreement(observed, members int, age time.Duration) bool {
 	switch {
-	case heard >= members && age >= initialAgreementWait:
+	case observed >= members && age >= initialAgreementWait:
 		return true
-	case 2*heard > members && age >= maxInitialWait:
+	case 2*observed > members && age >= maxInitialWait:
 		return true
 	}
 	return age >= 2*maxInitialWait
--- a/internal/usage/clock_test.go
+++ b/internal/usage/clock_test.go
@@ -32,7 +32,7 @@
 // wall is what a node's time of day says.
 func (c *testClocks) wall(node int) int64 { return c.truth().Add(c.skews[node]).UnixNano() }
 
-// run lets time pass; every node hears of all others and updates its clock each 100 ms.
+// run lets time pass; every node observes all others and updates its clock each 100 ms.
 func (c *testClocks) run(span time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(step) {
