--- a/internal/objectcache/diskstore/compat_test.go
+++ b/internal/objectcache/diskstore/compat_test.go
@@ -68,7 +68,7 @@
 	}
 	s.Put(&responsecache.Response{Host: "h.example", Target: "/gone", ETag: `"t"`, PurgeIndex: 6})
 	s.ApplyPurges(purgesUpTo(7, distribution.Purge{LogIndex: 7, Host: "h.example", Path: "/gone"}))
-	s.waitForWrites()
+	s.waitForPurges(t, 7)
 	s.Close()
 	compat.Pack(t, filepath.Join(directory, fileName), record)
 }
@@ -96,7 +96,7 @@
 	}
 	s.Put(&responsecache.Response{Host: "h.example", Target: "/new", ETag: `"tn"`, PurgeIndex: 7})
 	s.ApplyPurges(purgesUpTo(8, distribution.Purge{LogIndex: 8, Label: "l3"}))
-	s.waitForWrites()
+	s.waitForPurges(t, 8)
 	s.Close()
 	s, purgeIndex, objects = openTestStore(t, directory)
 	s.Close()
--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -4,6 +4,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -13,16 +14,52 @@
 	"comethold/internal/responsecache"
 	"comethold/internal/simulation"
 	"comethold/internal/storage"
+
+	bolt "go.etcd.io/bbolt"
 )
 
+// observedDisk is the disk of the machine. It notes the log index of the purges committed.
+type observedDisk struct {
+	storage.LocalDisk
+	purgeIndex atomic.Uint64
+}
+
+func (d *observedDisk) Update(db *bolt.DB, change func(*bolt.Tx) error) error {
+	err := d.LocalDisk.Update(db, change)
+	if err == nil {
+		d.purgeIndex.Store(readPurgeIndex(db))
+	}
+	return err
+}
+
+// testStore is a store on the disk of the machine.
+type testStore struct {
+	*Store
+	disk *observedDisk
+}
+
 // openTestStore opens the store in a directory, and returns it with its log index and its
 // objects by target.
-func openTestStore(t *testing.T, directory string) (*Store, uint64, map[string]*responsecache.Response) {
+func openTestStore(t *testing.T, directory string) (testStore, uint64, map[string]*responsecache.Response) {
 	t.Helper()
-	s, purgeIndex := Open(Options{Directory: directory, DiskMb: 2, Disk: storage.LocalDisk{}, Log: logging.Nop()})
+	disk := &observedDisk{}
+	s, purgeIndex := Open(Options{Directory: directory, DiskMb: 2, Disk: disk, Log: logging.Nop()})
 	objects := map[string]*responsecache.Response{}
 	s.Load(func(r *responsecache.Response) { objects[r.Target] = r })
-	return s, purgeIndex, objects
+	return testStore{Store: s, disk: disk}, purgeIndex, objects
+}
+
+// waitForPurges waits until the purges up to a log index, and all that was queued before them,
+// are committed. On a busy disk that may take longer than Close waits, and until then the file
+// is locked for the next store.
+func (s testStore) waitForPurges(t *testing.T, logIndex uint64) {
+	t.Helper()
+	for deadline := time.Now().Add(time.Minute); s.disk.purgeIndex.Load() < logIndex; {
+		if time.Now().After(deadline) {
+			t.Fatalf("the purges up to %d are not committed", logIndex)
+		}
+		time.Sleep(writeInterval / 10)
+	}
 }
 
 // waitForWrites waits until all that is queued has been written.
@@ -67,7 +104,7 @@
 		})
 	}
 	s.ApplyPurges(purgesUpTo(7, purgePath(6, "/a"), distribution.Purge{LogIndex: 7, Label: "l/b"}))
-	s.waitForWrites()
+	s.waitForPurges(t, 7)
 	s.Close()
 
 	s, purgeIndex, objects := openTestStore(t, directory)
@@ -78,7 +115,7 @@
 		t.Fatalf("the age of the object is %v", age)
 	}
 	s.ApplyPurges(&distribution.PurgeUpdate{LogIndex: 9, Reset: true})
-	s.waitForWrites()
+	s.waitForPurges(t, 9)
 	s.Close()
 	s, purgeIndex, objects = openTestStore(t, directory)
 	s.Close()
