--- a/internal/objectcache/diskstore/store.go
+++ b/internal/objectcache/diskstore/store.go
@@ -45,10 +45,9 @@
 	defaultStoreBytes = 32 << 20
 )
 
-// Store keeps objects on disk, written behind. It only ever helps: an object
-// whose age isn't known after a restart is revalidated before it is served, and all objects
-// are dropped unless the purges since the store's log index are still known. It is safe for
-// concurrent use.
+// Store keeps objects on disk, written behind. It only ever helps: an object whose age isn't
+// known after a restart is revalidated before it is served, and all objects are dropped unless
+// the purges since the store's log index are still known. It is safe for concurrent use.
 type Store struct {
 	directory string
 	disk      storage.Disk
@@ -156,7 +155,7 @@
 	if s.db != nil {
 		s.readObjects(onObject)
 	}
-	go s.runWriter() // close waits for it
+	go s.runWriter() // Close waits for it
 }
 
 // readObjects calls onObject with every intact object up to the first damaged page.
--- a/internal/objectcache/diskstore/writer.go
+++ b/internal/objectcache/diskstore/writer.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"os"
 	"time"
 
 	"comethold/internal/distribution"
@@ -154,7 +153,8 @@
 	})
 }
 
-// writeOperation carries out one operation. now and at are the same moment by both clocks.
+// writeOperation carries out one operation; objectBucket is there. now and at are the same
+// moment by both clocks.
 func (s *Store) writeOperation(tx *bolt.Tx, op operation, now timestamp, at time.Time) error {
 	if op.purges != nil {
 		return s.writePurges(tx, op.purges)
@@ -163,11 +163,7 @@
 	if value == nil {
 		return nil
 	}
-	objects := tx.Bucket(objectBucket)
-	if objects == nil {
-		return os.ErrInvalid
-	}
-	if err := objects.Put([]byte(op.object.Key()), value); err != nil {
+	if err := tx.Bucket(objectBucket).Put([]byte(op.object.Key()), value); err != nil {
 		return err
 	}
 	s.contents.track(op.object.Key(), len(value), op.object)
