--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -58,6 +58,7 @@
 
 // fetch is one fetch of an object. Its result is set when done is closed.
 type fetch struct {
+	key        string       // flightKey of its requests
 	purgeIndex uint64       // known when it began
 	waiters    atomic.Int64 // requests that wait for it
 	done       chan struct{}
@@ -109,10 +110,11 @@
 
 // Get returns an object that is good for a request made now.
 func (f *Fetcher) Get(r Request) (*responsecache.Response, *Failure) {
+	key := r.key()
 	for range maxFetchAttempts {
 		now := time.Now()
 		purgeIndex := f.purges.PurgeIndex()
-		cached := f.cache.Get(r.key())
+		cached := f.cache.Get(key)
 		if cached != nil && r.TTL > 0 {
 			age := cached.Age(now)
 			if age < time.Duration(f.options.RefreshFraction*float64(r.TTL)) {
@@ -154,14 +156,15 @@
 
 // startOrJoin begins a fetch, or joins the one in flight.
 func (f *Fetcher) startOrJoin(r Request, cached *responsecache.Response, purgeIndex uint64) *fetch {
+	key := r.flightKey()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if current := f.inFlight[r.flightKey()]; current != nil {
+	if current := f.inFlight[key]; current != nil {
 		return current
 	}
-	started := &fetch{purgeIndex: purgeIndex, done: make(chan struct{})}
+	started := &fetch{key: key, purgeIndex: purgeIndex, done: make(chan struct{})}
 	r.allWaiters = func() int { return int(started.waiters.Load()) }
-	f.inFlight[r.flightKey()] = started
+	f.inFlight[key] = started
 	go f.run(started, r, cached)
 	return started
 }
@@ -174,8 +177,8 @@
 			current.failure = newFailure(http.StatusBadGateway, reasonPanic)
 		}
 		f.mu.Lock()
-		if f.inFlight[r.flightKey()] == current {
-			delete(f.inFlight, r.flightKey())
+		if f.inFlight[current.key] == current {
+			delete(f.inFlight, current.key)
 		}
 		f.mu.Unlock()
 		close(current.done)
