--- a/cmd/comethold/command_test.go
+++ b/cmd/comethold/command_test.go
@@ -23,10 +23,12 @@
 		t.Fatal(err)
 	}
 	cases := map[string]int{
-		"":        0,
-		"version": 0,
-		"--help":  0,
-		"outbox":  0,
+		"":                    0,
+		"version":             0,
+		"--help":              0,
+		"outbox":              0,
+		"help":                0,
+		"help outbox redrive": 0,
 		"check ../../examples/settings.toml ../../examples/configuration.json": 0,
 		"check " + faulty:         exitFailure,
 		"data-plane":              exitFailure, // no settings are named
@@ -35,6 +37,8 @@
 		"leases":                  exitFailure, // no control node is named
 		"bogus":                   exitUsage,
 		"--bogus":                 exitUsage,
+		"help bogus":              exitUsage,
+		"help outbox bogus":       exitUsage,
 		"version extra":           exitUsage,
 		"version -x":              exitUsage,
 		"data-plane extra":        exitUsage,
--- a/cmd/comethold/root.go
+++ b/cmd/comethold/root.go
@@ -1,6 +1,9 @@
 package main
 
 import (
+	"fmt"
+	"strings"
+
 	"github.com/spf13/cobra"
 )
 
@@ -47,5 +50,24 @@
 		newEstimatesCommand(),
 		newVersionCommand(),
 	)
+	configureHelp(root)
 	return root
 }
+
+// configureHelp gives the help command an example, and makes help for an unknown command a
+// usage error: by itself cobra shows the help of the root command instead.
+func configureHelp(root *cobra.Command) {
+	root.InitDefaultHelpCmd()
+	for _, c := range root.Commands() {
+		if c.Name() != "help" {
+			continue
+		}
+		c.Example = "  comethold help outbox redrive"
+		c.Args = usageArgs(func(_ *cobra.Command, topic []string) error {
+			if _, rest, err := root.Find(topic); err != nil || len(rest) > 0 {
+				return fmt.Errorf("unknown help topic %q", strings.Join(topic, " "))
+			}
+			return nil
+		})
+	}
+}
