--- a/internal/controlplane/cells.go
+++ b/internal/controlplane/cells.go
@@ -16,12 +16,12 @@
 }
 
 // Cells returns the state of the cells by name. It is empty until the storage is open.
-func (r *Server) Cells() map[string]CellView {
+func (s *Server) Cells() map[string]CellView {
 	views := map[string]CellView{}
-	if !r.isReady() {
+	if !s.isReady() {
 		return views
 	}
-	r.host.ViewAll(func(open replicahost.OpenReplica) {
+	s.host.ViewAll(func(open replicahost.OpenReplica) {
 		voters, settled := open.Replica.Voters()
 		views[open.Cell] = CellView{
 			Voters:  voters,
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -80,7 +80,7 @@
 type Hooks struct {
 	// OnApply is called on the event loop when the applied state of a cell has changed.
 	OnApply func(cell string, changed paxos.ChangedKeys)
-	// EndpointRevision is the revision of the endpoint list held here, which peers are told.
+	// EndpointRevision is the revision of the endpoint list held here, for the peers.
 	EndpointRevision func() distribution.Revision
 	// OnPeerEndpointRevision is called on the event loop with that of a peer.
 	OnPeerEndpointRevision func(address string, revision distribution.Revision)
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -12,7 +12,7 @@
 // Bounds of the outbox.
 const (
 	MaxPublishedRows = 128 // rows that every control node has
-	// MaxUnsentRows bounds those that not every one has; what older ones told is in the
+	// MaxUnsentRows bounds those that not every one has; what older ones say is in the
 	// state all the same.
 	MaxUnsentRows = 128
 	// MaxOutboxRows bounds all rows, between two sweeps of the publisher.
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -89,17 +89,18 @@
 	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
+	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
-		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
+		Voters:   voters,
 		RegionOf: s.settings.RegionOf,
 		Log:      s.log,
 	})
 	s.operator = operatorapi.New(operatorapi.Options{
 		Cells:               s.host,
 		Log:                 s.log,
-		IsForming:           s.isForming,
+		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine:          s.quarantine.Add,
 		AppliedVersions:     s.consumer.AppliedVersions,
