--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -20,13 +20,19 @@
 // RequestTimeout bounds what a request between control nodes waits for.
 const RequestTimeout = 1500 * time.Millisecond
 
+// Paths that nodes call.
+const (
+	updatesPath   = "/feed"
+	rateSharePath = "/ration"
+)
+
 // InternalHandler serves what the system's own processes call.
 func (s *Server) InternalHandler() *echo.Echo {
 	e := newRouter(s.log)
 	e.Use(s.requireReady)
 	s.registerPeerCalls(e)
-	e.POST("/feed", func(c echo.Context) error { return s.longPoll.Handle(c) })
-	e.POST("/ration", s.handleRateShare)
+	e.POST(updatesPath, func(c echo.Context) error { return s.longPoll.Handle(c) })
+	e.POST(rateSharePath, s.handleRateShare)
 	return e
 }
 
