--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -227,7 +227,7 @@
 	if err != nil {
 		// What cannot be read must not vote: the replica stays away, the
 		// others go on, and the node's log says so.
-		h.log.Error(logging.ReplicaCorrupt).Str("cell", cell).Err(err).Msg("the cell on this disk cannot be read")
+		h.log.Error(logging.ReplicaCorrupt).Str("cell", cell).Err(err).Msg("the replica on this disk cannot be read; it stays closed")
 		return
 	}
 	if !found && (paxos.Membership{Voters: founders}).Contains(h.Self.ID) {
@@ -241,7 +241,7 @@
 		Str("cell", cell).
 		Bool("voter", replica.IsVoter()).
 		Uint64("applied", replica.AppliedIndex()).
-		Msg("cell opened")
+		Msg("replica opened")
 	h.recordVoterAddresses(replica)
 	h.hooks.OnApply(cell, paxos.ChangedKeys{All: true})
 }
--- a/internal/controlplane/replicahost/ready.go
+++ b/internal/controlplane/replicahost/ready.go
@@ -81,7 +81,7 @@
 		Str("cell", cell).
 		Stringer("role", role).
 		Uint64("applied", hosted.replica.AppliedIndex()).
-		Msg("role changed")
+		Msg("replica role changed")
 }
 
 func (h *Host) recordVoterAddresses(replica *paxos.Replica) {
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -66,7 +66,7 @@
 		s.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the replicas is corrupt and was put aside")
 		return
 	}
-	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk rejects a write or does not answer; it is retried")
 }
 
 // startReplicas makes what needs the storage and opens the replicas. The names of the
