--- a/internal/controlplane/outboxpublisher/consumer.go
+++ b/internal/controlplane/outboxpublisher/consumer.go
@@ -8,6 +8,7 @@
 	"sync"
 
 	"comethold/internal/controlplane/schema"
+	"comethold/internal/controlplane/taskgroup"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
@@ -55,11 +56,11 @@
 	options ConsumerOptions
 	wakeup  chan struct{} // holds an element when the outbox may have changed
 
+	quarantining taskgroup.Group // commits to the quarantine
+
 	mu                sync.Mutex // guards the fields below
 	inbox             *outbox.Inbox
 	loggedQuarantines map[string]bool // event IDs whose quarantine was logged
-	stopped           bool            // Run waits for quarantining, so none may begin
-	quarantining      sync.WaitGroup
 }
 
 // NewConsumer returns a Consumer that goes on from the stored inbox.
@@ -95,7 +96,7 @@
 
 // Run applies notifications as the outbox changes, until the context ends.
 func (c *Consumer) Run(ctx context.Context) {
-	defer c.stop()
+	defer c.quarantining.Close()
 	for {
 		select {
 		case <-c.wakeup:
@@ -106,14 +107,6 @@
 	}
 }
 
-// stop waits for what Apply has begun.
-func (c *Consumer) stop() {
-	c.mu.Lock()
-	c.stopped = true
-	c.mu.Unlock()
-	c.quarantining.Wait()
-}
-
 // Receive takes notifications from a publisher. It reports, for each of them, whether this
 // node is done with it, now or from before.
 func (c *Consumer) Receive(notifications []outbox.Notification) (done []bool) {
@@ -208,9 +201,6 @@
 	c.loggedQuarantines[notification.EventID] = true
 	c.options.Log.Error(logging.NotificationQuarantined).Str("eventId", notification.EventID).Err(reason).
 		Msg("a notification is quarantined")
-	if c.stopped {
-		return
-	}
 	c.quarantining.Go(func() { c.options.Quarantine.Add(notification, reason.Error()) })
 }
 
