--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"comethold/internal/controlclient"
+	"comethold/internal/routing"
 )
 
 const (
@@ -23,7 +24,8 @@
 // idleTracker closes connections that clients leave idle for too long. It is safe for
 // concurrent use.
 type idleTracker struct {
-	client *controlclient.Client
+	table        func() *routing.RouteTable // in force, or nil
+	applyTimeout func() time.Duration       // in which a configuration is applied
 
 	mu          sync.Mutex // guards the fields below
 	connections map[net.Conn]idleConnection
@@ -43,7 +45,11 @@
 }
 
 func newIdleTracker(client *controlclient.Client) *idleTracker {
-	return &idleTracker{client: client, connections: map[net.Conn]idleConnection{}}
+	return &idleTracker{
+		table:        client.RouteTable,
+		applyTimeout: func() time.Duration { return client.Settings.Bounds.ConfigApplyTimeout() },
+		connections:  map[net.Conn]idleConnection{},
+	}
 }
 
 // connectionChanged takes in the state of a connection; see http.Server.ConnState.
@@ -62,7 +68,7 @@
 // on, 0 without a route table. Where it has become shorter, clients learn of that
 // later than this node.
 func (t *idleTracker) effectiveTimeoutLocked(now time.Time) time.Duration {
-	table := t.client.RouteTable()
+	table := t.table()
 	if table == nil {
 		return 0
 	}
@@ -74,7 +80,7 @@
 		if now.After(t.previousUntil) || t.previousTimeout < t.timeout {
 			t.previousTimeout = t.timeout
 		}
-		t.previousUntil = now.Add(t.client.Settings.Bounds.ConfigApplyTimeout() + idleTimeoutNotice)
+		t.previousUntil = now.Add(t.applyTimeout() + idleTimeoutNotice)
 	}
 	t.timeout = timeout
 	if now.Before(t.previousUntil) {
