--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -33,6 +33,7 @@
 	markdownLink = regexp.MustCompile(`\]\(([^)#]+)`)
 	plainWord    = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_]*$`)
 	dottedName   = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*){1,2}$`)
+	testMention  = regexp.MustCompile(`\bTest[A-Z]\w*(/[a-z][a-z0-9-]*)?`)
 	testName     = regexp.MustCompile(`^(Test|Benchmark|Example|Fuzz)[A-Z]\w*(/[\w-]+)?$`)
 	scenarioName = regexp.MustCompile(`^[a-z0-9]+(-[a-z0-9]+)+$`)
 	sourceFile   = regexp.MustCompile(`^[\w-]+\.(go|txt|md)$`)
@@ -63,6 +64,11 @@
 			return strings.Repeat("\n", strings.Count(block, "\n"))
 		})
 		for number, line := range strings.Split(text, "\n") {
+			for _, mention := range testMention.FindAllString(line, -1) {
+				if fault := known.checkTest(mention); fault != "" {
+					t.Errorf("%s:%d: %s: %s", filepath.Base(page), number+1, mention, fault)
+				}
+			}
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
 				if fault := known.check(span[1]); fault != "" {
 					t.Errorf("%s:%d: `%s`: %s", filepath.Base(page), number+1, span[1], fault)
