--- a/internal/controlplane/allocation/tokenserver.go
+++ b/internal/controlplane/allocation/tokenserver.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"comethold/internal/controlplane/taskgroup"
 	"comethold/internal/distribution"
 	"comethold/internal/quota"
 )
@@ -29,7 +30,7 @@
 // borrows what is missing. To other control nodes it lends.
 type TokenServer struct {
 	options   TokenServerOptions
-	borrowing sync.WaitGroup
+	borrowing taskgroup.Group // answers that wait for lenders
 }
 
 // NewTokenServer returns a TokenServer.
@@ -37,8 +38,8 @@
 	return &TokenServer{options: options}
 }
 
-// Wait waits for answers that are under way. No call of Answer may begin after it.
-func (s *TokenServer) Wait() { s.borrowing.Wait() }
+// Close waits for answers that are under way. What needs to borrow is not answered after it.
+func (s *TokenServer) Close() { s.borrowing.Close() }
 
 // Answer answers a request: at once if this node has what is asked for or is asked to lend,
 // else after it has tried to borrow, without blocking the caller.
