--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -66,7 +66,7 @@
 		s.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the replicas is corrupt and was put aside")
 		return
 	}
-	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk refuses a write or does not answer; trying again")
+	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk rejects a write or does not answer; it is retried")
 }
 
 // startReplicas makes what needs the storage and opens the replicas. The names of the
@@ -89,17 +89,18 @@
 	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
+	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
-		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
+		Voters:   voters,
 		RegionOf: s.settings.RegionOf,
 		Log:      s.log,
 	})
 	s.operator = operatorapi.New(operatorapi.Options{
 		Cells:               s.host,
 		Log:                 s.log,
-		IsForming:           s.isForming,
+		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine:          s.quarantine.Add,
 		AppliedVersions:     s.consumer.AppliedVersions,
