--- a/internal/controlclient/notifications_test.go
+++ b/internal/controlclient/notifications_test.go
@@ -16,7 +16,12 @@
 	t.Helper()
 	id := fmt.Sprint("c/", version)
 	change := outbox.ConfigurationChange{Tenants: []string{tenant}}
-	n, err := outbox.NewNotification(id, outbox.AggregateConfiguration, version, previous, change)
+	n, err := outbox.Notification{
+		EventID:         id,
+		Aggregate:       outbox.AggregateConfiguration,
+		Version:         version,
+		PreviousVersion: previous,
+	}.WithPayload(change)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -18,11 +18,15 @@
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
-	change, err := outbox.NewNotification("configuration/3", outbox.AggregateConfiguration, 3, 0, nil)
+	change, err := outbox.Notification{
+		EventID:   "configuration/3",
+		Aggregate: outbox.AggregateConfiguration,
+		Version:   3,
+	}.WithPayload(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	purges, err := outbox.NewNotification("", outbox.AggregatePurges, 0, 0, nil)
+	purges, err := outbox.Notification{Aggregate: outbox.AggregatePurges}.WithPayload(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -126,8 +126,12 @@
 		Hex("fingerprint", fingerprint).
 		Msg("a change contradicts the one that was committed under its version and base")
 	eventID := fmt.Sprintf("order/%d/%d/%x", request.version, request.base, fingerprint)
-	notification, err := outbox.NewNotification(
-		eventID, outbox.AggregateConfiguration, request.version, request.base, nil)
+	notification, err := outbox.Notification{
+		EventID:         eventID,
+		Aggregate:       outbox.AggregateConfiguration,
+		Version:         request.version,
+		PreviousVersion: request.base,
+	}.WithPayload(nil)
 	if err == nil {
 		s.quarantine(&notification, outbox.ErrContentMismatch.Error())
 	}
--- a/internal/controlplane/operatorapi/purges.go
+++ b/internal/controlplane/operatorapi/purges.go
@@ -140,7 +140,7 @@
 // unknown they are proposed again.
 func (q *purgeQueue) commit(ctx context.Context, purges []distribution.Purge) error {
 	// The notification gets its version and event ID from its log index; see schema.DecodeRow.
-	notification, err := outbox.NewNotification("", outbox.AggregatePurges, 0, 0, len(purges))
+	notification, err := outbox.Notification{Aggregate: outbox.AggregatePurges}.WithPayload(len(purges))
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/outboxpublisher/consumer_test.go
+++ b/internal/controlplane/outboxpublisher/consumer_test.go
@@ -84,7 +84,12 @@
 	f.hold(3)
 	f.change("configuration/3", 3, 0)
 	applied := f.rows()["configuration/3"].Notification
-	unseen, err := outbox.NewNotification("configuration/5", outbox.AggregateConfiguration, 5, 3, nil)
+	unseen, err := outbox.Notification{
+		EventID:         "configuration/5",
+		Aggregate:       outbox.AggregateConfiguration,
+		Version:         5,
+		PreviousVersion: 3,
+	}.WithPayload(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/outboxpublisher/fixture_test.go
+++ b/internal/controlplane/outboxpublisher/fixture_test.go
@@ -139,7 +139,12 @@
 // change commits the notification of a configuration change.
 func (f *fixture) change(eventID string, version, previous uint64) {
 	f.t.Helper()
-	notification, err := outbox.NewNotification(eventID, outbox.AggregateConfiguration, version, previous, nil)
+	notification, err := outbox.Notification{
+		EventID:         eventID,
+		Aggregate:       outbox.AggregateConfiguration,
+		Version:         version,
+		PreviousVersion: previous,
+	}.WithPayload(nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/controlplane/replay_test.go
+++ b/internal/controlplane/replay_test.go
@@ -24,7 +24,11 @@
 // which does no harm. So is a mark for draining that comes after it was dropped: its
 // endpoint isn't listed, and the next look at the list drops it again.
 func TestReplayedTransactionsChangeNothing(t *testing.T) {
-	notification, err := outbox.NewNotification("configuration/3", outbox.AggregateConfiguration, 3, 0, nil)
+	notification, err := outbox.Notification{
+		EventID:   "configuration/3",
+		Aggregate: outbox.AggregateConfiguration,
+		Version:   3,
+	}.WithPayload(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/schema/configuration.go
+++ b/internal/controlplane/schema/configuration.go
@@ -55,7 +55,12 @@
 func configNotification(version, base uint64, changed []string) outbox.Notification {
 	eventID := fmt.Sprintf("%s/%d", outbox.AggregateConfiguration, version)
 	change := outbox.ConfigurationChange{Tenants: changed}
-	notification, err := outbox.NewNotification(eventID, outbox.AggregateConfiguration, version, base, change)
+	notification, err := outbox.Notification{
+		EventID:         eventID,
+		Aggregate:       outbox.AggregateConfiguration,
+		Version:         version,
+		PreviousVersion: base,
+	}.WithPayload(change)
 	if err != nil {
 		panic(err) // a record of ours can always be encoded
 	}
--- a/internal/outbox/inbox_test.go
+++ b/internal/outbox/inbox_test.go
@@ -8,7 +8,12 @@
 // newTestNotification returns a notification of the configuration.
 func newTestNotification(t *testing.T, id string, version, previous uint64, payload any) *Notification {
 	t.Helper()
-	n, err := NewNotification(id, AggregateConfiguration, version, previous, payload)
+	n, err := Notification{
+		EventID:         id,
+		Aggregate:       AggregateConfiguration,
+		Version:         version,
+		PreviousVersion: previous,
+	}.WithPayload(payload)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/outbox/notification.go
+++ b/internal/outbox/notification.go
@@ -39,21 +39,16 @@
 	Tenants []string `cbor:"1,keyasint,omitempty"`
 }
 
-// NewNotification makes a notification with the encoded payload. It returns
+// WithPayload returns the notification with the encoded payload and its digest. It returns
 // ErrInvalidNotification if the payload can't be encoded.
-func NewNotification(eventID, aggregate string, version, previous uint64, payload any) (Notification, error) {
+func (n Notification) WithPayload(payload any) (Notification, error) {
 	encoded, err := rpc.Marshal(payload)
 	if err != nil {
 		return Notification{}, fmt.Errorf("%w: %w", ErrInvalidNotification, err)
 	}
-	return Notification{
-		EventID:         eventID,
-		Aggregate:       aggregate,
-		Version:         version,
-		PreviousVersion: previous,
-		Payload:         encoded,
-		Digest:          Digest(encoded),
-	}, nil
+	n.Payload = encoded
+	n.Digest = Digest(encoded)
+	return n, nil
 }
 
 // Digest returns what payloads and requests are compared by.
