--- a/cmd/comethold/command_test.go
+++ b/cmd/comethold/command_test.go
@@ -62,6 +62,39 @@
 	}
 }
 
+// TestCheckOutput checks that each fault of a file is printed on a line of its own, and that
+// files without faults are named too.
+func TestCheckOutput(t *testing.T) {
+	faulty := filepath.Join(t.TempDir(), "faulty.json")
+	config := `{"version":1,"routes":[{"name":"r"}],"services":[{"name":""}]}`
+	if err := os.WriteFile(faulty, []byte(config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	fine := "../../examples/configuration.json"
+	root := newRootCommand()
+	var out bytes.Buffer
+	root.SetOut(&out)
+	root.SetArgs([]string{"check", faulty, fine})
+	if err := root.Execute(); err == nil || err.Error() != "1 of 2 files have faults" {
+		t.Errorf("the error is %v", err)
+	}
+	lines := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
+	last := len(lines) - 1
+	if last < 2 || lines[last] != fine+": fine" {
+		t.Fatalf("printed %q", out.String())
+	}
+	for _, line := range lines[:last] {
+		if !strings.HasPrefix(line, faulty+": ") || strings.Contains(line, ";") {
+			t.Errorf("not one fault of the file: %q", line)
+		}
+	}
+	for _, field := range []string{"routes[0].hostname", "services[0].name"} {
+		if !strings.Contains(out.String(), field) {
+			t.Errorf("no fault names %s: %q", field, out.String())
+		}
+	}
+}
+
 // executeCaptured runs a call and returns its exit code and what it wrote to standard error.
 func executeCaptured(t *testing.T, args []string) (code int, stderr string) {
 	t.Helper()
