--- a/internal/controlplane/endpointlist/endpointlist_test.go
+++ b/internal/controlplane/endpointlist/endpointlist_test.go
@@ -40,7 +40,7 @@
 
 func (l *testLease) Held() (uint64, bool) { return l.term, l.term > 0 }
 
-func (l *testLease) Yield() {
+func (l *testLease) Yield(context.Context) {
 	l.yielded++
 	l.term = 0
 }
--- a/internal/controlplane/endpointlist/poller.go
+++ b/internal/controlplane/endpointlist/poller.go
@@ -52,7 +52,7 @@
 type Lease interface {
 	Held() (term uint64, held bool)
 	// Yield gives the lease back and lets others go first.
-	Yield()
+	Yield(ctx context.Context)
 }
 
 // Store holds the list on this node. *distributor.Distributor implements it.
@@ -126,7 +126,7 @@
 	}
 	endpoints, err := p.list(ctx)
 	if err != nil {
-		p.handleFailure(err)
+		p.handleFailure(ctx, err)
 		return p.interval / 2
 	}
 	p.failures = 0
@@ -149,14 +149,14 @@
 	return p.options.Platform.List(ctx)
 }
 
-func (p *Poller) handleFailure(err error) {
+func (p *Poller) handleFailure(ctx context.Context, err error) {
 	p.failures++
 	p.options.Log.Warn(logging.EndpointListFailed).
 		Err(err).
 		Int("failures", p.failures).
 		Msg("the platform's endpoint list could not be read")
 	if p.failures >= maxPollFailures && !errors.Is(err, discovery.ErrRateLimited) {
-		p.options.Lease.Yield() // another node may reach the platform
+		p.options.Lease.Yield(ctx) // another node may reach the platform
 		p.failures = 0
 	}
 }
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -134,23 +134,25 @@
 }
 
 // Yield gives the lease back and lets others try: this node can't do the work.
-func (l *Lease) Yield() {
+func (l *Lease) Yield(ctx context.Context) {
 	l.mu.Lock()
 	l.yieldUntil = time.Now().Add(yieldPeriods * l.duration)
 	l.mu.Unlock()
-	l.release()
+	l.release(context.WithoutCancel(ctx))
 }
 
-// Run acquires the lease when it is free and renews it, until stop is closed. Then it gives
-// it back, so that another node need not wait.
-func (l *Lease) Run(stop <-chan struct{}) {
+// Run acquires the lease when it is free and renews it, until ctx is done. Then it gives it
+// back, so that another node need not wait. A proposal that was made is not cancelled: its
+// outcome would not be known.
+func (l *Lease) Run(ctx context.Context) {
+	proposing := context.WithoutCancel(ctx)
 	for {
-		l.acquireOrRenew()
+		l.acquireOrRenew(proposing)
 		jitter := time.Duration(rand.Float64() * float64(l.duration) / (2 * stepsPerDuration))
 		select {
 		case <-time.After(l.duration/stepsPerDuration + jitter):
-		case <-stop:
-			l.release()
+		case <-ctx.Done():
+			l.release(proposing)
 			return
 		}
 	}
@@ -173,7 +175,7 @@
 	yielding  time.Duration // that others are given to go first
 }
 
-func (l *Lease) acquireOrRenew() {
+func (l *Lease) acquireOrRenew(ctx context.Context) {
 	if !l.cell.IsVoter() {
 		return
 	}
@@ -182,10 +184,10 @@
 	switch {
 	case seen.isHolder:
 		if seen.isDue {
-			l.propose(raw, schema.LeaseRecord{Holder: record.Holder, Term: record.Term, Renewals: record.Renewals + 1})
+			l.propose(ctx, raw, schema.LeaseRecord{Holder: record.Holder, Term: record.Term, Renewals: record.Renewals + 1})
 		}
 	case seen.unrenewed >= seen.yielding && l.isFree(record, seen):
-		l.propose(raw, schema.LeaseRecord{Holder: l.self, Term: record.Term + 1})
+		l.propose(ctx, raw, schema.LeaseRecord{Holder: l.self, Term: record.Term + 1})
 	}
 }
 
@@ -224,9 +226,9 @@
 }
 
 // propose has the record replaced, and notes the lease as held if that is committed.
-func (l *Lease) propose(old []byte, record schema.LeaseRecord) {
+func (l *Lease) propose(ctx context.Context, old []byte, record schema.LeaseRecord) {
 	askedAt := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), l.duration)
+	ctx, cancel := context.WithTimeout(ctx, l.duration)
 	defer cancel()
 	condition := paxos.Condition{Key: l.key, Absent: old == nil}
 	if old != nil {
@@ -255,7 +257,7 @@
 }
 
 // release gives the lease back, if this node holds it.
-func (l *Lease) release() {
+func (l *Lease) release(ctx context.Context) {
 	if _, held := l.Held(); !held {
 		return
 	}
@@ -264,7 +266,7 @@
 	if record.Holder != l.self {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	// If it fails, the lease expires in the end.
 	_, _ = l.cell.Propose(ctx, schema.MetaCell, paxos.Txn{
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -79,17 +79,17 @@
 }
 
 // startNodes runs the lease at a, which acquires it, then at b.
-func startNodes(cell *sharedCell) (a, b *Lease, stopA func(), stopAll func()) {
+func startNodes(ctx context.Context, cell *sharedCell) (a, b *Lease, stopA, stopAll func()) {
 	var running sync.WaitGroup
-	stops := [2]chan struct{}{make(chan struct{}), make(chan struct{})}
+	ctxA, stopA := context.WithCancel(ctx)
+	ctxB, stopB := context.WithCancel(ctx)
 	a, b = cell.newLease("a"), cell.newLease("b")
-	running.Go(func() { a.Run(stops[0]) })
+	running.Go(func() { a.Run(ctxA) })
 	synctest.Wait()
-	running.Go(func() { b.Run(stops[1]) })
-	stopA = sync.OnceFunc(func() { close(stops[0]) })
+	running.Go(func() { b.Run(ctxB) })
 	stopAll = func() {
 		stopA()
-		close(stops[1])
+		stopB()
 		running.Wait()
 	}
 	return a, b, stopA, stopAll
@@ -113,7 +113,7 @@
 // stays.
 func TestLeaseIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, _, stop := startNodes(newSharedCell(t))
+		a, b, _, stop := startNodes(t.Context(), newSharedCell(t))
 		defer stop()
 		waitHeld(t, a)
 		for range 1000 {
@@ -137,7 +137,7 @@
 	for _, isLost := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			cell := newSharedCell(t)
-			a, b, _, stop := startNodes(cell)
+			a, b, _, stop := startNodes(t.Context(), cell)
 			defer stop()
 			waitHeld(t, a)
 			time.Sleep(testDuration)
@@ -166,11 +166,11 @@
 func TestLeaseIsGivenBack(t *testing.T) {
 	for _, yields := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			a, b, stopA, stop := startNodes(newSharedCell(t))
+			a, b, stopA, stop := startNodes(t.Context(), newSharedCell(t))
 			defer stop()
 			waitHeld(t, a)
 			if yields {
-				a.Yield()
+				a.Yield(t.Context())
 			} else {
 				stopA()
 			}
@@ -187,7 +187,7 @@
 // TestForfeit: what a holder has forfeited it holds under another term only.
 func TestForfeit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, _, _, stop := startNodes(newSharedCell(t))
+		a, _, _, stop := startNodes(t.Context(), newSharedCell(t))
 		defer stop()
 		waitHeld(t, a)
 		a.Forfeit()
--- a/internal/controlplane/metering/fixture_test.go
+++ b/internal/controlplane/metering/fixture_test.go
@@ -36,7 +36,7 @@
 	forfeited bool
 }
 
-func (l *reportingLease) Run(stop <-chan struct{}) { <-stop }
+func (l *reportingLease) Run(ctx context.Context) { <-ctx.Done() }
 
 func (l *reportingLease) Held() (uint64, bool) {
 	l.mu.Lock()
--- a/internal/controlplane/metering/reporter.go
+++ b/internal/controlplane/metering/reporter.go
@@ -23,7 +23,7 @@
 type Lease interface {
 	LeaseTimer
 	// Run keeps the lease, or tries to get it, until stop is closed; it then gives it back.
-	Run(stop <-chan struct{})
+	Run(ctx context.Context)
 	// Held returns the term under which this node holds the lease now.
 	Held() (term uint64, held bool)
 	// FenceCondition returns a condition that holds while nobody else has taken the lease.
@@ -85,11 +85,11 @@
 // Run keeps the agreed time, and reports while this node holds the lease, until the context
 // ends. The lease is given back only after the last call has ended.
 func (r *Reporter) Run(ctx context.Context) {
-	stopLease := make(chan struct{})
+	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	var lease sync.WaitGroup
-	lease.Go(func() { r.options.Lease.Run(stopLease) })
+	lease.Go(func() { r.options.Lease.Run(leaseCtx) })
 	defer lease.Wait()
-	defer close(stopLease)
+	defer stopLease()
 	lastUpdate := time.Now()
 	for {
 		select {
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -65,18 +65,19 @@
 // NewMover makes a mover. Run starts it.
 func NewMover(options Options) *Mover { return &Mover{options: options} }
 
-// Run moves voters while this node holds the lease, until stop is closed.
-func (m *Mover) Run(stop <-chan struct{}) {
+// Run moves voters while this node holds the lease, until ctx is done. A move that was begun
+// is brought to its end.
+func (m *Mover) Run(ctx context.Context) {
 	pause := planInterval
 	for {
 		select {
 		case <-time.After(pause):
-		case <-stop:
+		case <-ctx.Done():
 			return
 		}
 		pause = planInterval
 		_, held := m.options.Lease.Held()
-		if held && m.options.Host.QuorumContactAge() <= replicahost.StaleAfter && m.moveVoters() {
+		if held && m.options.Host.QuorumContactAge() <= replicahost.StaleAfter && m.moveVoters(context.WithoutCancel(ctx)) {
 			pause = retryInterval
 		}
 	}
@@ -91,11 +92,11 @@
 
 // moveVoters carries out the moves that the cells need, of each cell one, and reports
 // whether there were any: until all are done a further loss may be one too many.
-func (m *Mover) moveVoters() bool {
+func (m *Mover) moveVoters(ctx context.Context) bool {
 	moves := m.planMoves()
 	var calls sync.WaitGroup
 	for _, planned := range moves {
-		calls.Go(func() { m.carryOut(planned) })
+		calls.Go(func() { m.carryOut(ctx, planned) })
 	}
 	calls.Wait()
 	return len(moves) > 0
@@ -132,8 +133,8 @@
 }
 
 // carryOut asks the leader of the cell. What fails is planned again.
-func (m *Mover) carryOut(planned plannedMove) {
-	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
+func (m *Mover) carryOut(ctx context.Context, planned plannedMove) {
+	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	if planned.isLocal {
 		m.MoveLocal(ctx, &planned.request)
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -227,7 +227,10 @@
 	if err != nil {
 		// What cannot be read must not vote: the replica stays away, the
 		// others go on, and the node's log says so.
-		h.log.Error(logging.ReplicaCorrupt).Str("cell", cell).Err(err).Msg("the replica on this disk cannot be read; it stays closed")
+		h.log.Error(logging.ReplicaCorrupt).
+			Str("cell", cell).
+			Err(err).
+			Msg("the replica on this disk cannot be read; it stays closed")
 		return
 	}
 	if !found && (paxos.Membership{Voters: founders}).Contains(h.Self.ID) {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -120,9 +120,9 @@
 		<-s.quit
 	})
 	for _, loop := range []func(){
-		func() { s.discoveryLease.Run(s.quit) },
-		func() { s.placementLease.Run(s.quit) },
-		func() { s.mover.Run(s.quit) },
+		func() { s.discoveryLease.Run(ctx) },
+		func() { s.placementLease.Run(ctx) },
+		func() { s.mover.Run(ctx) },
 		func() { s.reconciler.Run(ctx) },
 		func() { s.endpointFetcher.Run(ctx) },
 		func() { s.operator.Run(ctx) },
