--- a/internal/heartbeat/detector.go
+++ b/internal/heartbeat/detector.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// SetNodes takes the names of all nodes. A node that was not watched before counts as heard of now.
+// SetNodes takes the names of all nodes. A node that was not watched before counts as if its heartbeat had
+// arrived now.
 func (d *Detector) SetNodes(nodes []string, now time.Time) {
 	watched := map[string]bool{}
 	_, names := Assign(d.self, nodes)
@@ -64,7 +65,8 @@
 	return suspects
 }
 
-// Reset counts every watched node as heard of now: this process was suspended and could receive nothing.
+// Reset counts as if a heartbeat of every watched node had arrived now: this process was suspended and could receive
+// nothing.
 func (d *Detector) Reset(now time.Time) {
 	for name := range d.lastHeartbeat {
 		d.lastHeartbeat[name] = now
--- a/internal/heartbeat/detector_test.go
+++ b/internal/heartbeat/detector_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestSuspects: a watched node is suspected after three missed heartbeats and a half, not before, and no longer once
-// it is heard of, gone from the list, or after this process was suspended itself.
+// a heartbeat arrives, it is gone from the list, or after this process was suspended itself.
 func TestSuspects(t *testing.T) {
 	const interval = time.Second
 	start := time.Unix(1000, 0)
@@ -24,13 +24,13 @@
 	expect("more than three", at(3.6), "b", "c")
 	d.RecordHeartbeat("b", at(3.6))
 	d.RecordHeartbeat("stranger", at(3.6))
-	expect("one is heard of", at(3.7), "c")
+	expect("a heartbeat of one", at(3.7), "c")
 	d.SetNodes([]string{"a", "b"}, at(3.8))
 	expect("the other is gone", at(3.9))
 	d.SetNodes([]string{"a", "b", "c"}, at(7))
 	expect("a node that is new", at(7.2), "b")
 	d.Reset(at(7.3))
-	expect("after this process stood still", at(7.4))
+	expect("after this process was suspended", at(7.4))
 }
 
 // TestHash: other versions must find the same places.
--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -8,7 +8,7 @@
 // acceptor owns the promise of a replica. What it has accepted is in the replica's log.
 //
 // Invariant: promised never decreases, nothing is accepted under an older proposal number,
-// and a Promise or Accepted leaves only after what it says is on disk. Each entry that was
+// and a Promise or Accepted leaves only after what it reports is on disk. Each entry that was
 // accepted above the applied index is in every later Promise, so that a new leader proposes
 // it again.
 type acceptor struct {
@@ -39,7 +39,7 @@
 		return
 	}
 	// Of two that campaign at once the higher goes on: if each gave way to the other,
-	// both campaigns would be lost.
+	// both campaigns would fail.
 	if r.role == Candidate && !own && number.Less(r.proposer.number) {
 		r.sendRejectFor(msg.From, r.proposer.number)
 		return
@@ -87,7 +87,7 @@
 	}
 	after := prepare.Index
 	if after < r.log.compactedIndex {
-		if r.mayTransfer(now, prepare.From, after) {
+		if r.beginTransfer(now, prepare.From, after) {
 			promise.Snapshot = r.state.Snapshot(r.appliedIndex)
 		}
 		after = r.appliedIndex
--- a/internal/paxos/catch_up.go
+++ b/internal/paxos/catch_up.go
@@ -87,22 +87,22 @@
 		segment := r.log.between(msg.Index, r.appliedIndex)
 		size := entriesSize(segment)
 		if size <= r.state.Size() || len(segment) <= minSegmentEntries {
-			if size <= smallTransferBytes || r.mayTransfer(now, msg.From, msg.Index) {
+			if size <= smallTransferBytes || r.beginTransfer(now, msg.From, msg.Index) {
 				response.Entries = segment
 				r.send(response)
 			}
 			return
 		}
 	}
-	if r.mayTransfer(now, msg.From, msg.Index) {
+	if r.beginTransfer(now, msg.From, msg.Index) {
 		response.Snapshot = r.state.Snapshot(r.appliedIndex)
 		r.send(response)
 	}
 }
 
-// mayTransfer reports whether a replica that has applied up to an index is to be sent
-// something large now, and if so takes note that it is.
-func (r *Replica) mayTransfer(now time.Duration, to ReplicaID, index uint64) bool {
+// beginTransfer decides whether a replica that has applied up to an index is sent something
+// large now, and if so records that it is.
+func (r *Replica) beginTransfer(now time.Duration, to ReplicaID, index uint64) bool {
 	last, ok := r.catchUp.transfers[to]
 	backoff := r.config.HeartbeatInterval
 	if ok && last.index == index {
--- a/internal/paxos/chaos_test.go
+++ b/internal/paxos/chaos_test.go
@@ -143,7 +143,7 @@
 // changeID is the transaction of a client's operation.
 func changeID(operation int) string { return fmt.Sprintf("o%d", operation) }
 
-// putTxn gives a value to several keys.
+// putOps gives a value to several keys.
 func putOps(value string, keys ...string) []Op {
 	var ops []Op
 	for _, key := range keys {
--- a/internal/paxos/election.go
+++ b/internal/paxos/election.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// persistTerm has the term of the next campaign written down before anybody is told of it: a
+// persistTerm has the term of the next campaign synced before any message carries it: a
 // later incarnation, which finds on the disk only what was synced, must not use it again.
 func (r *Replica) persistTerm(now time.Duration) {
 	r.role = PersistingTerm
@@ -105,21 +105,21 @@
 // promised. The replica's own promise comes last: while others are still in contact with a
 // leader, it stays free to follow that one.
 func (r *Replica) tryBecomeLeader(now time.Duration) {
-	if !r.openIndexesPromised(true) {
+	if !r.ensurePromises(true) {
 		return
 	}
 	if _, asked := r.proposer.promises[r.config.Self]; !asked {
 		r.proposer.promises[r.config.Self] = false
 		r.send(Message{Kind: Prepare, To: r.config.Self, ProposalNumber: r.proposer.number, Index: r.appliedIndex})
 	}
-	if r.openIndexesPromised(false) {
+	if r.ensurePromises(false) {
 		r.becomeLeader(now)
 	}
 }
 
-// openIndexesPromised reports whether each open index has its majority of promises; countSelf
-// takes the replica's own for given. It asks the voters of the first index that lacks one.
-func (r *Replica) openIndexesPromised(countSelf bool) bool {
+// ensurePromises reports whether each open index has its majority of promises, and otherwise asks
+// the voters of the first that lacks one; countSelf takes the replica's own promise for given.
+func (r *Replica) ensurePromises(countSelf bool) bool {
 	promised := func(id ReplicaID) bool {
 		return r.proposer.promises[id] || (countSelf && id == r.config.Self)
 	}
@@ -221,7 +221,7 @@
 }
 
 // transferLeadership ends the leadership of a replica that was moved out of the cell: the
-// others learn what was committed, and the one with the newest contact is told to campaign.
+// others learn what was committed, and the one with the newest contact is asked to campaign.
 // If that message is lost, or late, they elect after an election timeout.
 func (r *Replica) transferLeadership(now time.Duration, membership Membership) {
 	r.broadcastHeartbeat(now)
--- a/internal/paxos/faults_test.go
+++ b/internal/paxos/faults_test.go
@@ -38,7 +38,7 @@
 	c.runTraffic(span)
 }
 
-// faultPartitionWithLeader: the leader is cut off alone, or with another machine.
+// faultPartitionWithLeader: the leader is partitioned alone, or with another machine.
 func faultPartitionWithLeader(c *chaosRun, machines []string, span time.Duration) {
 	isolated := machines[:1+c.rng.Intn(2)]
 	if leader := c.leader(); leader != nil && !slices.Contains(isolated, machineOf(leader.id)) {
@@ -49,7 +49,7 @@
 	c.healAll()
 }
 
-// faultPause: a process stands still.
+// faultPause: a process is paused.
 func faultPause(c *chaosRun, machines []string, span time.Duration) {
 	c.nodes[machines[0]].paused = true
 	c.runTraffic(span)
@@ -96,7 +96,7 @@
 	c.waitUntilRepaired()
 }
 
-// faultDiskLossDuringPause: a disk is lost while another machine stands still.
+// faultDiskLossDuringPause: a disk is lost while another machine is paused.
 func faultDiskLossDuringPause(c *chaosRun, machines []string, span time.Duration) {
 	c.replaceDisk(machines[0])
 	c.nodes[machines[1]].paused = true
@@ -107,7 +107,7 @@
 	c.waitUntilRepaired()
 }
 
-// faultDiskLossDuringPartition: a disk is lost while another machine is cut off.
+// faultDiskLossDuringPartition: a disk is lost while another machine is partitioned.
 func faultDiskLossDuringPartition(c *chaosRun, machines []string, span time.Duration) {
 	c.setPartitioned(c.nodes[machines[0]], true)
 	c.replaceDisk(machines[1])
--- a/internal/paxos/leader_learning_test.go
+++ b/internal/paxos/leader_learning_test.go
@@ -115,7 +115,7 @@
 	return Message{Cell: testCell, Kind: Prepare, From: "a", To: to, ProposalNumber: c.replicas["a"].proposer.number}
 }
 
-// TestLeaderLearnsAdoptedEntryAndStays: a new leader that hears late, in one more promise,
+// TestLeaderLearnsAdoptedEntryAndStays: a new leader that learns late, from one more promise,
 // that what it is proposing again had been committed already goes on. Stepping down would
 // leave the cell without a leader for a whole election timeout.
 func TestLeaderLearnsAdoptedEntryAndStays(t *testing.T) {
--- a/internal/paxos/learner.go
+++ b/internal/paxos/learner.go
@@ -60,7 +60,7 @@
 
 // mayLearnAsLeader reports whether a leader that learns of committed entries may go on to
 // lead. What was committed under an older proposal number than its own is what it has adopted
-// for that index, so it vouches for nothing else. Anything newer shows that it has been
+// for that index, so its own proposal there is the same. Anything newer shows that it has been
 // deposed, and a snapshot does not say under which proposal numbers it came about.
 func (r *Replica) mayLearnAsLeader(msg Message) bool {
 	if msg.Snapshot != nil && msg.Snapshot.AppliedIndex > r.appliedIndex {
--- a/internal/paxos/severe_faults_test.go
+++ b/internal/paxos/severe_faults_test.go
@@ -81,7 +81,7 @@
 	c.lateRate = 0
 }
 
-// faultOneWayPartition: the leader hears nobody, or nobody hears it.
+// faultOneWayPartition: no message reaches the leader, or none of its own arrives.
 func faultOneWayPartition(c *chaosRun, machines []string, span time.Duration) {
 	leader := c.nodes[c.leaderOr(machines[0])].id
 	inbound := c.rng.Intn(2) == 0
@@ -97,7 +97,7 @@
 	c.healAll()
 }
 
-// faultLongPartition: the leader is cut off for twenty seconds, alone or with another, and
+// faultLongPartition: the leader is partitioned for twenty seconds, alone or with another, and
 // there are clients on both sides.
 func faultLongPartition(c *chaosRun, machines []string, _ time.Duration) {
 	isolated := []string{c.leaderOr(machines[0])}
@@ -255,8 +255,8 @@
 // faultOfChaos is one of the faults of TestChaos.
 func faultOfChaos(c *chaosRun, machines []string, _ time.Duration) { c.injectFault(machines) }
 
-// faultPausedLeaderIsolatedOnResume: the leader stands still with answers on their way, and is
-// cut off when it goes on. It must not confirm a read.
+// faultPausedLeaderIsolatedOnResume: the leader is paused with answers on their way, and is
+// partitioned when it resumes. It must not confirm a read.
 func faultPausedLeaderIsolatedOnResume(c *chaosRun, machines []string, span time.Duration) {
 	leader := c.nodes[c.leaderOr(machines[0])]
 	leader.paused = true
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// What a simulation checks while time passes: agreement, staleness, and what leaders are told
-// of the others' disks.
+// What a simulation checks while time passes: agreement, staleness, and what is reported to
+// leaders of the others' disks.
 
-// acknowledgement is the moment at which a client was told of a commit, and what its node had
+// acknowledgement is the moment at which a client was notified of a commit, and what its node had
 // applied then.
 type acknowledgement struct {
 	at    time.Duration
@@ -63,8 +63,8 @@
 	return acknowledgement{}, false
 }
 
-// checkDurableCommits checks that what a leader was told of a replica's disk is there: a
-// restart would find at least so many entries, and know them to be committed.
+// checkDurableCommits checks that what was reported to a leader of a replica's disk is there:
+// a restart would find at least so many entries, and know them to be committed.
 func (s *cellSimulation) checkDurableCommits() {
 	for _, name := range s.nodeNames() {
 		leader := s.nodes[name]
@@ -77,14 +77,14 @@
 				continue // its disk was lost
 			}
 			if found := node.disk.recoverableIndex(); found < reported {
-				s.t.Fatalf("%s at %v: %s was told that %s holds %d, a restart would find %d",
+				s.t.Fatalf("%s at %v: to %s it was reported that %s holds %d, a restart would find %d",
 					s.name, s.now, leader.id, id, reported, found)
 			}
 		}
 	}
 }
 
-// recordOutcome notes what a client is told of its transaction.
+// recordOutcome notes the outcome that a client gets of its transaction.
 func (s *cellSimulation) recordOutcome(node *simulatedNode, outcome Outcome) {
 	if s.onOutcome != nil {
 		s.onOutcome(node, outcome)
--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -230,8 +230,8 @@
 }
 
 // scheduleLossReports has the others find out, each in its own time, that a replica's
-// incarnation has ended. Some take a late message of the former one for news of the new
-// one's end.
+// incarnation has ended. Some take a late message of the former one for a report
+// that the new one has ended.
 func (s *cellSimulation) scheduleLossReports(node *simulatedNode, former ReplicaID) {
 	for _, name := range s.nodeNames() {
 		recipient := s.nodes[name]
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -54,7 +54,7 @@
 	return milliseconds(b.RevocationMs)
 }
 
-// Lease is the span within which two holders of a duty may not take turns.
+// Lease is the span within which the calls of a duty must not come from two holders in the order A, B, A.
 func (b Bounds) Lease() time.Duration { return milliseconds(b.LeaseMs) }
 
 // UsageWindow is the length of the windows by which usage is counted.
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -63,7 +63,7 @@
 	return err
 }
 
-// verifyFile reads the whole file once. bbolt, when it opens a file for writing, meets pages that are damaged or
+// verifyFile reads the whole file once. bbolt, when it opens a file for writing, reads pages that are damaged or
 // missing in a goroutine of its own, where a panic cannot be recovered.
 func verifyFile(path string, options bolt.Options) (err error) {
 	info, err := os.Stat(path)
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -51,7 +51,7 @@
 	return err == nil
 }
 
-// renameCorruptFile makes room for a new file.
+// renameCorruptFile keeps a corrupt file for the operator under another name, so that a new one can be created.
 func renameCorruptFile(dir string, disk Disk) error {
 	corrupt := filepath.Join(dir, corruptFileName)
 	// An older one may be this very file under both names: renaming would then do nothing.
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -53,7 +53,7 @@
 	return bucket.Put([]byte(key), value)
 }
 
-// putReplicaWrites writes everything that a replica must remember before it may vouch for it.
+// putReplicaWrites writes everything that must be durable before a replica may send messages that rely on it.
 func putReplicaWrites(tx *bolt.Tx, cell string, writes *paxos.Writes) error {
 	if writes.Empty() {
 		return nil
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -11,8 +11,8 @@
 //   - Bootstrap stores the identity of the node and the founding state of its first cell in one transaction. A
 //     founder that is stopped in between has either both or neither.
 //   - Submit calls done only after its writes, and all those submitted before them, are synced. Messages that
-//     vouch for the writes must wait for done. All that is submitted while a sync is under way is written together
-//     with the next one (group commit).
+//     report the writes as durable must wait for done. All that is submitted while a sync is under way is written
+//     together with the next one (group commit).
 //   - A snapshot and the removal of the log entries that it covers are one transaction.
 //   - QueueNodeValue only queues: the value is synced together with the next group, and nothing waits for it.
 //
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -126,6 +126,6 @@
 	}
 	closeStore(t, store)
 	if store.Submit("c", paxos.Writes{CommitIndex: 8}, never) {
-		t.Error("a closed store vouches for writes")
+		t.Error("a closed store reports writes as durable")
 	}
 }
