--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -86,13 +86,13 @@
 		CommitIndex: r.appliedIndex, Index: prepare.Index, EchoTimestamp: r.contact.timestamp(now),
 	}
 	after := prepare.Index
-	if after < r.log.compactedIndex {
+	if after < r.log.CompactedIndex() {
 		if r.beginTransfer(now, prepare.From, after) {
 			promise.Snapshot = r.state.Snapshot(r.appliedIndex)
 		}
 		after = r.appliedIndex
 	}
-	promise.Entries = r.log.between(after, math.MaxUint64)
+	promise.Entries = r.log.Between(after, math.MaxUint64)
 	r.sendAfterSync(promise)
 }
 
--- a/internal/paxos/state_machine.go
+++ b/internal/paxos/aliases.go
@@ -1,11 +1,20 @@
 package paxos
 
-import "comethold/internal/paxos/statemachine"
+import (
+	"comethold/internal/paxos/entrylog"
+	"comethold/internal/paxos/statemachine"
+)
 
-// The state machine is package statemachine: it owns the key-value state and the memberships,
-// and keeps the invariant that they are a function of the applied entries alone. The owner of
-// a replica needs one import, since what entries are made of goes by these names as well.
+// Two packages below this one hold data without knowing of consensus. entrylog owns the log.
+// statemachine owns the key-value state and the memberships, and keeps the invariant that they
+// are a function of the applied entries alone. The owner of a replica needs one import, since
+// what messages are made of goes by these names as well.
 type (
+	// ProposalNumber orders the proposals of all proposers.
+	ProposalNumber = entrylog.ProposalNumber
+	// Entry is the content of one log index.
+	Entry = entrylog.Entry
+
 	// ReplicaID names one incarnation of one disk.
 	ReplicaID = statemachine.ReplicaID
 	// Voter is one place in a membership.
@@ -47,14 +56,3 @@
 func AppendedKey(prefix string, index uint64, id string) string {
 	return statemachine.AppendedKey(prefix, index, id)
 }
-
-// Get returns a value of the applied state, maybe an old one; see Read.
-func (r *Replica) Get(key string) (Value, bool) { return r.state.Get(key) }
-
-// Keys returns the keys of the applied state in order.
-func (r *Replica) Keys() []string { return r.state.Keys() }
-
-// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
-func (r *Replica) KeysWithPrefix(prefix, from string) []string {
-	return r.state.KeysWithPrefix(prefix, from)
-}
--- a/internal/paxos/catch_up.go
+++ b/internal/paxos/catch_up.go
@@ -1,6 +1,10 @@
 package paxos
 
-import "time"
+import (
+	"time"
+
+	"comethold/internal/paxos/entrylog"
+)
 
 // Catch-up, the paper's "teaching" (section 2.4): a replica that lacks committed entries asks
 // the leader, or a candidate's acceptors send them with their promises. It gets a log segment
@@ -83,9 +87,9 @@
 		return
 	}
 	response := Message{Kind: CatchUpResponse, To: msg.From, CommitIndex: r.appliedIndex}
-	if msg.Index >= r.log.compactedIndex && !msg.NeedsSnapshot {
-		segment := r.log.between(msg.Index, r.appliedIndex)
-		size := entriesSize(segment)
+	if msg.Index >= r.log.CompactedIndex() && !msg.NeedsSnapshot {
+		segment := r.log.Between(msg.Index, r.appliedIndex)
+		size := entrylog.Size(segment)
 		if size <= r.state.Size() || len(segment) <= minSegmentEntries {
 			if size <= smallTransferBytes || r.beginTransfer(now, msg.From, msg.Index) {
 				response.Entries = segment
--- /dev/null
+++ b/internal/paxos/entrylog/entry.go
@@ -0,0 +1,46 @@
+package entrylog
+
+import "comethold/internal/paxos/statemachine"
+
+// ProposalNumber orders the proposals of all proposers: by term, then by proposer.
+type ProposalNumber struct {
+	Term     uint64                 `cbor:"1,keyasint,omitempty"`
+	Proposer statemachine.ReplicaID `cbor:"2,keyasint,omitempty"`
+}
+
+// Less reports whether n is older than other.
+func (n ProposalNumber) Less(other ProposalNumber) bool {
+	if n.Term != other.Term {
+		return n.Term < other.Term
+	}
+	return n.Proposer < other.Proposer
+}
+
+// Entry is the content of one log index, and the proposal number under which it was accepted. No
+// transactions make a no-op.
+type Entry struct {
+	Index          uint64             `cbor:"1,keyasint"`
+	ProposalNumber ProposalNumber     `cbor:"2,keyasint"`
+	Txns           []statemachine.Txn `cbor:"3,keyasint,omitempty"`
+}
+
+// entryOverheadBytes stands for the fields of an entry other than its transactions.
+const entryOverheadBytes = 32
+
+// size is about how many bytes an entry takes.
+func (e *Entry) size() int {
+	size := entryOverheadBytes
+	for i := range e.Txns {
+		size += e.Txns[i].Size()
+	}
+	return size
+}
+
+// Size is about how many bytes entries take together.
+func Size(entries []Entry) int {
+	size := 0
+	for i := range entries {
+		size += entries[i].size()
+	}
+	return size
+}
--- a/internal/paxos/learner.go
+++ b/internal/paxos/learner.go
@@ -15,7 +15,7 @@
 
 // storeEntry puts an entry into the log and on disk.
 func (r *Replica) storeEntry(entry Entry) {
-	r.log.store(entry)
+	r.log.Store(entry)
 	r.ready.Writes.Entries = append(r.ready.Writes.Entries, entry)
 }
 
@@ -23,7 +23,7 @@
 // very leader, and asks for the rest.
 func (r *Replica) commitUpTo(now time.Duration, leader ProposalNumber, commitIndex uint64) {
 	for r.appliedIndex < commitIndex && r.state.HasMembership() {
-		entry := r.log.at(r.appliedIndex + 1)
+		entry := r.log.At(r.appliedIndex + 1)
 		if entry == nil || entry.ProposalNumber != leader {
 			break
 		}
@@ -79,13 +79,13 @@
 func (r *Replica) loadSnapshot(snapshot *Snapshot) {
 	r.state.Load(snapshot)
 	r.appliedIndex = snapshot.AppliedIndex
-	r.log.compactTo(snapshot.AppliedIndex)
+	r.log.CompactTo(snapshot.AppliedIndex)
 }
 
 // applyNext applies the log's next entry, which must be there and committed.
 func (r *Replica) applyNext() {
 	index := r.appliedIndex + 1
-	for _, txn := range r.log.at(index).Txns {
+	for _, txn := range r.log.At(index).Txns {
 		committed := r.state.Apply(txn, index, r.config.Alpha)
 		r.reportOutcome(Outcome{TxnID: txn.ID, Committed: committed})
 	}
@@ -98,8 +98,8 @@
 // compact replaces a long log by a snapshot. The snapshot is of the newest state; the entries
 // that stay below it only serve to bring others up to date.
 func (r *Replica) compact() {
-	large := r.log.bytes >= maxLogBytes
-	if !large && r.appliedIndex-r.log.compactedIndex < 2*r.config.RetainedEntries {
+	large := r.log.Bytes() >= maxLogBytes
+	if !large && r.appliedIndex-r.log.CompactedIndex() < 2*r.config.RetainedEntries {
 		return
 	}
 	upTo := r.appliedIndex
@@ -108,5 +108,5 @@
 	}
 	r.ready.Writes.Snapshot = r.state.Snapshot(r.appliedIndex)
 	r.ready.Writes.TruncateTo = r.appliedIndex
-	r.log.compactTo(upTo)
+	r.log.CompactTo(upTo)
 }
--- a/internal/paxos/message.go
+++ b/internal/paxos/message.go
@@ -1,20 +1,9 @@
 package paxos
 
-import "comethold/internal/paxos/statemachine"
-
-// ProposalNumber orders the proposals of all proposers: by term, then by proposer.
-type ProposalNumber struct {
-	Term     uint64    `cbor:"1,keyasint,omitempty"`
-	Proposer ReplicaID `cbor:"2,keyasint,omitempty"`
-}
-
-// Less reports whether n is older than other.
-func (n ProposalNumber) Less(other ProposalNumber) bool {
-	if n.Term != other.Term {
-		return n.Term < other.Term
-	}
-	return n.Proposer < other.Proposer
-}
+import (
+	"comethold/internal/paxos/entrylog"
+	"comethold/internal/paxos/statemachine"
+)
 
 // MessageKind says what a Message is. Its values are part of the wire format.
 type MessageKind uint8
@@ -86,7 +75,7 @@
 
 // Size is about how many bytes a message takes.
 func (msg *Message) Size() int {
-	size := messageOverheadBytes + entriesSize(msg.Entries)
+	size := messageOverheadBytes + entrylog.Size(msg.Entries)
 	if msg.Snapshot != nil {
 		size += statemachine.KeyValuesSize(msg.Snapshot.State)
 	}
--- a/internal/paxos/proposer.go
+++ b/internal/paxos/proposer.go
@@ -249,7 +249,7 @@
 		}
 		entry := proposal.entry
 		r.proposer.drop(entry.Index)
-		own := r.log.at(entry.Index)
+		own := r.log.At(entry.Index)
 		if own == nil || own.ProposalNumber != entry.ProposalNumber {
 			r.storeEntry(entry)
 		}
--- a/internal/paxos/replica.go
+++ b/internal/paxos/replica.go
@@ -4,6 +4,7 @@
 	"errors"
 	"time"
 
+	"comethold/internal/paxos/entrylog"
 	"comethold/internal/paxos/statemachine"
 )
 
@@ -78,7 +79,7 @@
 	followers followerContact // as the leader
 	catchUp   catchUp
 
-	log   replicaLog
+	log   entrylog.Log
 	state statemachine.State
 	// appliedIndex is the last index that state includes; all up to there is committed.
 	appliedIndex uint64
@@ -99,16 +100,16 @@
 		contact:   leaderContact{timestampBase: uint64(config.Jitter() * maxTimestampBase)},
 		followers: newFollowerContact(),
 		catchUp:   catchUp{transfers: map[ReplicaID]transfer{}},
-		log:       replicaLog{entries: map[uint64]*Entry{}},
+		log:       entrylog.New(),
 		state:     statemachine.NewState(),
 	}
 	if persisted.Snapshot != nil {
 		r.loadSnapshot(persisted.Snapshot)
 	}
 	for _, entry := range persisted.Entries {
-		r.log.store(entry)
+		r.log.Store(entry)
 	}
-	for r.appliedIndex < persisted.CommitIndex && r.log.at(r.appliedIndex+1) != nil && r.state.HasMembership() {
+	for r.appliedIndex < persisted.CommitIndex && r.log.At(r.appliedIndex+1) != nil && r.state.HasMembership() {
 		r.applyNext()
 	}
 	r.durableCommitIndex = r.appliedIndex
@@ -128,6 +129,17 @@
 // AppliedIndex returns the last log index that the state includes.
 func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
 
+// Get returns a value of the applied state, maybe an old one; see Read.
+func (r *Replica) Get(key string) (Value, bool) { return r.state.Get(key) }
+
+// Keys returns the keys of the applied state in order.
+func (r *Replica) Keys() []string { return r.state.Keys() }
+
+// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
+func (r *Replica) KeysWithPrefix(prefix, from string) []string {
+	return r.state.KeysWithPrefix(prefix, from)
+}
+
 // Tick lets time pass. It is to be called several times a HeartbeatInterval.
 func (r *Replica) Tick(now time.Duration) {
 	switch r.role {
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -20,7 +20,7 @@
 func (s *cellSimulation) checkAgreement(node *simulatedNode) {
 	for index := node.checkedIndex + 1; index <= node.replica.appliedIndex; index++ {
 		node.checkedIndex = index
-		entry := node.replica.log.at(index)
+		entry := node.replica.log.At(index)
 		if entry == nil {
 			continue
 		}
