--- a/internal/controlplane/allocation/renewer.go
+++ b/internal/controlplane/allocation/renewer.go
@@ -81,13 +81,14 @@
 }
 
 // renew asks for what was fair at the last renewal, and reports whether it was granted a
-// share. What is to be given up is not used any more from before it asks.
+// share. What is to be given up is not used any more from before it asks. A request that is
+// under way when the node stops is brought to its end.
 func (r *QuotaShareRenewer) renew(ctx context.Context) bool {
 	allocator := r.options.Allocator
 	askedAt := time.Now()
 	allocator.Shrink(float64(r.fairPermille)/ratelimit.FullShare, askedAt)
 	share, leased := allocator.Share(askedAt)
-	ctx, cancel := context.WithTimeout(ctx, quotaRequestTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quotaRequestTimeout)
 	defer cancel()
 	grant, err := r.options.Shares.Request(ctx, distribution.ShareRequest{
 		Table:     distribution.QuotaShares,
--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -124,6 +124,47 @@
 	})
 }
 
+// slowShares answers when it is let go.
+type slowShares struct {
+	begun chan context.Context // gets the context of a request
+	goOn  chan struct{}        // closed to let requests go
+}
+
+func (s *slowShares) Request(
+	ctx context.Context, _ distribution.ShareRequest,
+) (distribution.ShareGrant, error) {
+	s.begun <- ctx
+	<-s.goOn
+	return distribution.ShareGrant{}, ctx.Err()
+}
+
+// TestStopLeavesRenewalUnderWay: a request that is under way when the node stops is not
+// cancelled before its time-out.
+func TestStopLeavesRenewalUnderWay(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newRenewal(nil)
+		r.limitTenant(1)
+		shares := &slowShares{begun: make(chan context.Context, 1), goOn: make(chan struct{})}
+		r.renewer.options.Shares = shares
+		ctx, stop := context.WithCancel(t.Context())
+		var running sync.WaitGroup
+		running.Go(func() { r.renewer.Run(ctx) })
+		request := <-shares.begun
+		stop()
+		synctest.Wait()
+		if request.Err() != nil {
+			t.Error("it is cancelled")
+		}
+		time.Sleep(quotaRequestTimeout)
+		synctest.Wait()
+		if request.Err() == nil {
+			t.Error("it has no time-out")
+		}
+		close(shares.goOn)
+		running.Wait()
+	})
+}
+
 // TestShareLapsesWithoutRenewal: the share is over a lease's time after the last grant.
 func TestShareLapsesWithoutRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -44,7 +44,7 @@
 	state      ShareState
 	allocators map[distribution.ShareTable]*ShareAllocator
 	waiting    chan *pendingShareRequest
-	stopped    chan struct{} // closed when Run has ended
+	stopping   chan struct{} // closed as soon as Run is to end
 }
 
 // pendingShareRequest is a request that waits for the leader's goroutine.
@@ -64,8 +64,8 @@
 			distribution.QuotaShares: NewShareAllocator(
 				schema.QuotaSharesKey, ratelimit.QuotaLeaseDuration, clockSkewFactor),
 		},
-		waiting: make(chan *pendingShareRequest, maxWaitingRequests),
-		stopped: make(chan struct{}),
+		waiting:  make(chan *pendingShareRequest, maxWaitingRequests),
+		stopping: make(chan struct{}),
 	}
 }
 
@@ -106,15 +106,16 @@
 	case result := <-pending.result:
 		return result
 	case <-ctx.Done():
-	case <-s.stopped:
+	case <-s.stopping:
 	}
 	return replicahost.ProposeResult{Unknown: true}
 }
 
 // Run decides requests until the context ends. Those that wait are decided together, in one
-// transaction a table.
+// transaction a table. Once the context has ended nobody is kept waiting for a result, also
+// not for that of a batch that is being decided.
 func (s *ShareService) Run(ctx context.Context) {
-	defer close(s.stopped)
+	context.AfterFunc(ctx, func() { close(s.stopping) })
 	for {
 		var batch []*pendingShareRequest
 		select {
--- a/internal/controlplane/allocation/shareservice_test.go
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -123,6 +123,52 @@
 	}
 }
 
+// slowState is the replicated state at a leader whose commits hang until they are let go.
+type slowState struct {
+	leaderState
+	begun chan struct{} // gets an element when a commit has begun
+	goOn  chan struct{} // closed to let commits go
+}
+
+func (s *slowState) ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult {
+	s.begun <- struct{}{}
+	<-s.goOn
+	return s.leaderState.ProposeLocal(ctx, cell, txn)
+}
+
+// TestStopKeepsNobodyWaiting: when the node stops, a request that is being decided is
+// answered at once; the decision is brought to its end.
+func TestStopKeepsNobodyWaiting(t *testing.T) {
+	state := &slowState{
+		leaderState: leaderState{cell: schematest.NewCell(t)},
+		begun:       make(chan struct{}, 1),
+		goOn:        make(chan struct{}),
+	}
+	service := NewShareService(state, lease.ClockSkewFactor)
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { service.Run(ctx) })
+	results := make(chan replicahost.ProposeResult, 1)
+	go func() {
+		results <- service.DecideLocal(t.Context(), distribution.ShareRequest{Node: "n", HoldsNone: true})
+	}()
+	<-state.begun
+	cancel()
+	select {
+	case result := <-results:
+		if !result.Unknown {
+			t.Errorf("the result is %+v", result)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it is kept waiting")
+	}
+	close(state.goOn)
+	running.Wait()
+	if table, _ := service.readTable(schema.RateSharesKey); table["n"].Permille != ratelimit.FullShare {
+		t.Errorf("committed are %v", table)
+	}
+}
+
 // TestFullQueueIsBusy: more requests than can wait are refused at once.
 func TestFullQueueIsBusy(t *testing.T) {
 	service := NewShareService(nil, lease.ClockSkewFactor)
