--- a/internal/controlplane/operatorapi/handler.go
+++ b/internal/controlplane/operatorapi/handler.go
@@ -14,7 +14,6 @@
 
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
-	"comethold/internal/controlplane/taskgroup"
 	"comethold/internal/logging"
 	"comethold/internal/outbox"
 	"comethold/internal/paxos"
@@ -45,7 +44,8 @@
 	IsForming func() bool
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration func() *routing.Configuration
-	// Quarantine keeps a notification for the operator, who sees the reason beside it.
+	// Quarantine keeps a notification for the operator, who sees the reason beside it. It
+	// must not wait for that to be committed: the caller is answered at once.
 	Quarantine func(notification *outbox.Notification, reason string)
 	// AppliedVersions returns up to which version this node has applied each aggregate.
 	AppliedVersions func() map[string]uint64
@@ -60,35 +60,28 @@
 	changes         *changes
 	purges          *purgeQueue
 	largeBodySlot   chan struct{} // holds a token while a large body is read
-	background      taskgroup.Group
 }
 
 // New makes a Handler.
 func New(options Options) *Handler {
-	h := &Handler{
+	return &Handler{
 		cells:           options.Cells,
 		log:             options.Log,
 		appliedVersions: options.AppliedVersions,
 		purges:          newPurgeQueue(options.Cells, options.Log),
 		largeBodySlot:   make(chan struct{}, 1),
-	}
-	h.changes = &changes{
-		cells:               options.Cells,
-		log:                 options.Log,
-		isForming:           options.IsForming,
-		latestConfiguration: options.LatestConfiguration,
-		quarantine: func(notification *outbox.Notification, reason string) {
-			h.background.Go(func() { options.Quarantine(notification, reason) })
+		changes: &changes{
+			cells:               options.Cells,
+			log:                 options.Log,
+			isForming:           options.IsForming,
+			latestConfiguration: options.LatestConfiguration,
+			quarantine:          options.Quarantine,
 		},
 	}
-	return h
 }
 
-// Run commits purges until ctx is done, and waits for what requests have started.
-func (h *Handler) Run(ctx context.Context) {
-	h.purges.run(ctx)
-	h.background.Close()
-}
+// Run commits purges until ctx is done.
+func (h *Handler) Run(ctx context.Context) { h.purges.run(ctx) }
 
 // Replace handles POST /Configuration.Replace: a whole configuration on top of a base version.
 func (h *Handler) Replace(c echo.Context) error { return h.handleChange(c, parseReplacement) }
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -12,6 +12,7 @@
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
 	"comethold/internal/logging"
+	"comethold/internal/outbox"
 	"comethold/internal/paxos"
 	"comethold/internal/settings"
 	"comethold/internal/storage"
@@ -102,8 +103,11 @@
 		Log:                 s.log,
 		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
-		Quarantine:          s.quarantine.Add,
-		AppliedVersions:     s.consumer.AppliedVersions,
+		Quarantine: func(notification *outbox.Notification, reason string) {
+			// A task of the server's own: requests are served until the replicas stop.
+			s.tasks.Go(func() { s.quarantine.Add(notification, reason) })
+		},
+		AppliedVersions: s.consumer.AppliedVersions,
 	})
 	for _, role := range s.settings.UnknownDuties() {
 		s.log.Warn(logging.UnknownDuty).
