--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -38,41 +38,54 @@
 
 // registerPeerCalls adds what control nodes call on one another.
 func (s *Server) registerPeerCalls(e *echo.Echo) {
-	e.POST(replicahost.PathMessages, handleRPC(func(_ context.Context, batch *replicahost.Batch) any {
+	e.POST(replicahost.PathMessages, handleRPC(func(batch *replicahost.Batch) any {
 		s.host.Receive(batch)
 		return nil
 	}))
-	e.POST(replicahost.PathPropose, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+	e.POST(replicahost.PathPropose, handleBoundedRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
 		return s.host.ProposeLocal(ctx, request.Cell, request.Txn)
 	}))
-	e.POST(replicahost.PathConfirm, handleRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+	e.POST(replicahost.PathConfirm, handleBoundedRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
 		return s.host.ReadIndexLocal(ctx, request.Cell)
 	}))
-	e.POST(placement.PathMove, handleRPC(func(ctx context.Context, request *placement.MoveRequest) any {
+	e.POST(placement.PathMove, handleBoundedRPC(func(ctx context.Context, request *placement.MoveRequest) any {
 		return s.mover.MoveLocal(ctx, request)
 	}))
 	e.POST(allocation.LeaderPath, s.handleShareDecision)
 	e.POST(endpointlist.PathPush, handleRPC(s.receiveEndpoints))
 	e.POST(endpointlist.PathFetch, s.handleFetchEndpoints)
 	e.POST(metering.WindowPath, s.handleUsageWindow)
-	e.POST(outboxpublisher.DeliverPath, handleRPC(func(_ context.Context, list *[]outbox.Notification) any {
+	e.POST(outboxpublisher.DeliverPath, handleRPC(func(list *[]outbox.Notification) any {
 		return s.consumer.Receive(*list)
 	}))
 }
 
 // handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
-// can't be decoded, 204 if there is no response, else 200.
-func handleRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
+// can't be decoded, 204 if there is no response, else 200. What answers must not wait: the
+// replicas' messages come this way, so no time-out is set up for each.
+func handleRPC[Request any](answer func(*Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var request Request
 		if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
-		defer cancel()
-		if response := answer(ctx, &request); response != nil {
+		if response := answer(&request); response != nil {
 			return writeCBOR(c, response)
 		}
 		return c.NoContent(http.StatusNoContent)
 	}
 }
+
+// handleBoundedRPC is handleRPC for what waits, for RequestTimeout at the most. It answers
+// 200 with the response.
+func handleBoundedRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		var request Request
+		if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
+			return c.NoContent(http.StatusBadRequest)
+		}
+		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+		defer cancel()
+		return writeCBOR(c, answer(ctx, &request))
+	}
+}
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"context"
 	"net/http"
 
 	"comethold/internal/controlplane/endpointlist"
@@ -50,7 +49,7 @@
 
 // receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
 // revision, and answers with the revision that is held then.
-func (s *Server) receiveEndpoints(_ context.Context, list *distribution.EndpointList) any {
+func (s *Server) receiveEndpoints(list *distribution.EndpointList) any {
 	if list.Endpoints != nil {
 		return s.distributor.SetEndpoints(list)
 	}
--- a/internal/controlplane/replicahost/transport.go
+++ b/internal/controlplane/replicahost/transport.go
@@ -98,13 +98,14 @@
 	return t
 }
 
-// send queues messages to the peer at an address. Without messages it sends a hello.
+// send queues messages to the peer at an address, and takes over the slice. Without messages
+// it sends a hello.
 func (t *transport) send(address string, messages []paxos.Message) {
 	queues := t.queuesFor(address)
 	if queues == nil {
 		return
 	}
-	var small []paxos.Message
+	small := messages[:0]
 	for i := range messages {
 		message := &messages[i]
 		if message.Size() >= bulkThresholdBytes {
