--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -29,10 +29,12 @@
 	}
 	if changed.AnyWithPrefix(schema.NodeKeyPrefix) {
 		s.distributor.SetNodes(replica.AppliedIndex(), schema.ReadNodes(replica))
-		s.reconciler.Wake()
 	}
 	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.openListedIndexes(schema.ReadIndexes(replica))
+	}
+	// Once, and only now: a round that began between the two would be followed by another.
+	if changed.AnyWithPrefix(schema.NodeKeyPrefix) || changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.reconciler.Wake()
 	}
 }
