--- a/internal/controlplane/metering/platform_test.go
+++ b/internal/controlplane/metering/platform_test.go
@@ -118,6 +118,7 @@
 		return false
 	case 5:
 		fmt.Fprint(conn, truncatedHead)
+		return false
 	case 6, 7:
 		status := 301 + 6*(outcome-6)
 		fmt.Fprintf(conn, "HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/elsewhere\r\nContent-Length: 0\r\n\r\n",
