--- a/internal/controlplane/operatorapi/purges.go
+++ b/internal/controlplane/operatorapi/purges.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"comethold/internal/controlplane/batching"
 	"comethold/internal/controlplane/replicahost"
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -93,13 +94,14 @@
 func (q *purgeQueue) run(ctx context.Context) {
 	context.AfterFunc(ctx, func() { close(q.stopping) })
 	for {
-		var first *pendingPurge
+		var batch []*pendingPurge
 		select {
-		case first = <-q.pending:
+		case pending := <-q.pending:
+			batch = append(batch, pending)
 		case <-ctx.Done():
 			return
 		}
-		batch := q.collectBatch(first)
+		batch = batching.Drain(q.pending, batch, maxPurgeBatch)
 		batchCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 		err := q.commit(batchCtx, distinctPurges(batch))
 		cancel()
@@ -109,20 +111,6 @@
 	}
 }
 
-// collectBatch takes what is pending now, the first included.
-func (q *purgeQueue) collectBatch(first *pendingPurge) []*pendingPurge {
-	batch := []*pendingPurge{first}
-	for len(batch) < maxPurgeBatch {
-		select {
-		case pending := <-q.pending:
-			batch = append(batch, pending)
-		default:
-			return batch
-		}
-	}
-	return batch
-}
-
 // distinctPurges lists the purges of a batch in order, each once.
 func distinctPurges(batch []*pendingPurge) []distribution.Purge {
 	seen := map[distribution.Purge]bool{}
