--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -86,7 +86,7 @@
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !s.shares.HasTable(request.Table) {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
 	return writeCBOR(c, s.shares.DecideLocal(ctx, request))
 }
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -17,8 +17,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// RequestTimeout bounds what a request between control nodes waits for.
-const RequestTimeout = 1500 * time.Millisecond
+// requestTimeout bounds what a request between control nodes waits for.
+const requestTimeout = 1500 * time.Millisecond
 
 // Paths that nodes call.
 const (
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleBoundedRPC is handleRPC for what waits, for RequestTimeout at the most. It answers
+// handleBoundedRPC is handleRPC for what waits, for requestTimeout at the most. It answers
 // 200 with the response.
 func handleBoundedRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
@@ -84,7 +84,7 @@
 		if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
 			return c.NoContent(http.StatusBadRequest)
 		}
-		ctx, cancel := context.WithTimeout(c.Request().Context(), RequestTimeout)
+		ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 		defer cancel()
 		return writeCBOR(c, answer(ctx, &request))
 	}
