--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -183,12 +183,12 @@
 // readTable returns a table and the condition that it is as it was read.
 func (s *ShareService) readTable(key string) (shareTable, paxos.Condition) {
 	table := shareTable{}
-	unchanged := paxos.Condition{Key: key, Absent: true}
+	var stored paxos.Value
+	isRead := false
 	s.state.View(schema.MetaCell, func(replica *paxos.Replica) {
-		stored, found := replica.Get(key)
-		if found && rpc.Unmarshal(stored.Bytes, &table) == nil {
-			unchanged = paxos.Condition{Key: key, Equals: stored}
-		}
+		var found bool
+		stored, found = replica.Get(key)
+		isRead = found && rpc.Unmarshal(stored.Bytes, &table) == nil
 	})
-	return table, unchanged
+	return table, schema.UnchangedCondition(key, stored, isRead)
 }
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -228,13 +228,9 @@
 	askedAt := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), l.duration)
 	defer cancel()
-	condition := paxos.Condition{Key: l.key, Absent: old == nil}
-	if old != nil {
-		condition.Equals = paxos.Bytes(old)
-	}
 	committed, err := l.cell.Propose(ctx, schema.MetaCell, paxos.Txn{
-		Conditions: []paxos.Condition{condition},
-		Ops:        []paxos.Op{l.put(record)},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(l.key, paxos.Bytes(old), old != nil)},
+		Ops:        []paxos.Op{schema.PutOp(l.key, record)},
 	})
 	if err != nil || !committed {
 		return
@@ -250,10 +246,6 @@
 	}
 }
 
-func (l *Lease) put(record schema.LeaseRecord) paxos.Op {
-	return paxos.Op{Kind: paxos.OpPut, Key: l.key, Value: schema.MustEncode(record)}
-}
-
 // release gives the lease back, if this node holds it.
 func (l *Lease) release() {
 	if _, held := l.Held(); !held {
@@ -266,10 +258,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
+	free := schema.LeaseRecord{Term: record.Term, Renewals: record.Renewals + 1}
 	// If it fails, the lease expires in the end.
 	_, _ = l.cell.Propose(ctx, schema.MetaCell, paxos.Txn{
-		Conditions: []paxos.Condition{{Key: l.key, Equals: paxos.Bytes(raw)}},
-		Ops:        []paxos.Op{l.put(schema.LeaseRecord{Term: record.Term, Renewals: record.Renewals + 1})},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(l.key, paxos.Bytes(raw), true)},
+		Ops:        []paxos.Op{schema.PutOp(l.key, free)},
 	})
 	l.log.Info(logging.LeaseReleased).Str("lease", l.role).Msg("lease released")
 }
--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -104,11 +104,16 @@
 	if latest := s.latestConfiguration(); latest != nil && latest.Version == state.version {
 		previous = latest
 	}
-	tenants := changedTenants(previous, next)
+	update := &schema.ConfigChange{
+		Config:         next,
+		Raw:            raw,
+		Fingerprint:    fingerprint,
+		ChangedTenants: changedTenants(previous, next),
+	}
 	var txn paxos.Txn
 	s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		if version, _ := schema.ReadConfig(replica); version == state.version {
-			txn = schema.ConfigTxn(replica, next, raw, fingerprint, tenants)
+			txn = schema.ConfigTxn(replica, update)
 		}
 	})
 	if txn.Ops == nil {
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 )
@@ -192,13 +193,10 @@
 	if len(next) > limit || !survivesZoneLoss(next) && survivesZoneLoss(voters) {
 		return txn, false
 	}
-	condition := paxos.Condition{Key: paxos.MembershipVersionKey, Absent: true}
-	if version, found := replica.Get(paxos.MembershipVersionKey); found {
-		condition = paxos.Condition{Key: paxos.MembershipVersionKey, Equals: version}
-	}
+	version, found := replica.Get(paxos.MembershipVersionKey)
 	return paxos.Txn{
 		ID:         replicahost.NewTransactionID(),
-		Conditions: []paxos.Condition{condition},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(paxos.MembershipVersionKey, version, found)},
 		Ops:        []paxos.Op{{Kind: paxos.OpSetVoters, Voters: next}},
 	}, true
 }
--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -184,14 +184,17 @@
 	return indexes
 }
 
-// marksOf returns the marks in an index by endpoint.
+// marksOf returns the marks in an index by endpoint. An index whose cell does not run here
+// has none; it is not asked again.
 func (x *indexMarks) marksOf(indexName string) map[string]distribution.EjectionMark {
-	if x.marks[indexName] == nil {
+	marks, isRead := x.marks[indexName]
+	if !isRead {
 		x.cells.View(indexName, func(replica *paxos.Replica) {
-			x.marks[indexName] = schema.ReadEjections(indexName, replica).Ejected
+			marks = schema.ReadEjections(indexName, replica).Ejected
 		})
+		x.marks[indexName] = marks
 	}
-	return x.marks[indexName]
+	return marks
 }
 
 // mark returns the mark of an endpoint in an index; its reason is empty if there is none.
@@ -234,10 +237,7 @@
 // transaction that is late finds another mark there, and changes nothing.
 func AddMarkChange(txn *paxos.Txn, endpoint string, held distribution.EjectionMark, next *distribution.EjectionMark) {
 	key := schema.EjectionKeyPrefix + endpoint
-	condition := paxos.Condition{Key: key, Absent: true}
-	if held.Reason != "" {
-		condition = paxos.Condition{Key: key, Equals: schema.MustEncode(held)}
-	}
+	condition := schema.UnchangedCondition(key, schema.MustEncode(held), held.Reason != "")
 	op := schema.DeleteOp(key)
 	if next != nil {
 		op = schema.PutOp(key, *next)
--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -86,15 +86,11 @@
 // watermark from where it was read. One that is late would lower it, and a node that lacks
 // what was dropped would not notice; it finds another watermark there, and changes nothing.
 func ForgetPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
-	txn.Conditions = []paxos.Condition{unchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
+	txn.Conditions = []paxos.Condition{schema.UnchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
 		txn.Ops = append(txn.Ops, schema.DeleteOp(key))
 	}
 	last := schema.LogIndexOfKey(keys[len(keys)-1], schema.PurgeKeyPrefix)
-	txn.Ops = append(txn.Ops, paxos.Op{
-		Kind:  paxos.OpPut,
-		Key:   schema.PurgeCompactedKey,
-		Value: schema.UintValue(last),
-	})
+	txn.Ops = append(txn.Ops, schema.PutValueOp(schema.PurgeCompactedKey, schema.UintValue(last)))
 	return txn
 }
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -176,11 +176,3 @@
 	defer cancel()
 	return c.Propose(ctx, cell, txn)
 }
-
-// unchangedCondition is that a key holds what was read: a value, or none.
-func unchangedCondition(key string, value paxos.Value, exists bool) paxos.Condition {
-	if exists {
-		return paxos.Condition{Key: key, Equals: value}
-	}
-	return paxos.Condition{Key: key, Absent: true}
-}
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -74,7 +74,7 @@
 	indexes := map[string]schema.IndexRecord{}
 	txn := paxos.Txn{Conditions: []paxos.Condition{
 		{Key: schema.ConfigVersionKey, Equals: schema.UintValue(state.version)},
-		unchangedCondition(schema.NextIndexIDKey, state.nextID, state.nextIDFound),
+		schema.UnchangedCondition(schema.NextIndexIDKey, state.nextID, state.nextIDFound),
 	}}
 	for name, group := range kept {
 		old := state.indexes[name]
@@ -105,7 +105,7 @@
 		txn.Ops = append(txn.Ops, schema.DeleteOp(schema.IndexKeyPrefix+name))
 	}
 	if len(added) > 0 {
-		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: schema.NextIndexIDKey, Value: paxos.Int(lastID)})
+		txn.Ops = append(txn.Ops, schema.PutValueOp(schema.NextIndexIDKey, paxos.Int(lastID)))
 	}
 	return indexes, txn
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	return paxos.Txn{
-		Conditions: []paxos.Condition{unchangedCondition(schema.ShardSetKey, held, exists)},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(schema.ShardSetKey, held, exists)},
 		Ops:        []paxos.Op{schema.PutOp(schema.ShardSetKey, want)},
 	}, true
 }
--- a/internal/controlplane/reconcile/shardsets_test.go
+++ b/internal/controlplane/reconcile/shardsets_test.go
@@ -29,7 +29,8 @@
 		s.t.Fatal(err)
 	}
 	meta := s.cell(schema.MetaCell)
-	if !meta.Commit(schema.ConfigTxn(meta.Replica(), configuration, raw, []byte("12345678"), nil)) {
+	change := &schema.ConfigChange{Config: configuration, Raw: raw, Fingerprint: []byte("12345678")}
+	if !meta.Commit(schema.ConfigTxn(meta.Replica(), change)) {
 		s.t.Fatal("the configuration is not committed")
 	}
 }
--- a/internal/controlplane/schema/configuration.go
+++ b/internal/controlplane/schema/configuration.go
@@ -20,34 +20,44 @@
 	return value.Int.Uint64(), data.Bytes
 }
 
+// ConfigChange is a change of the configuration that is to be committed.
+type ConfigChange struct {
+	Config         *routing.Configuration
+	Raw            []byte   // its text
+	Fingerprint    []byte   // of the request as it was sent
+	ChangedTenants []string // tenants whose part differs
+}
+
 // ConfigTxn makes the transaction that puts a configuration in the place of the present one:
 // the receipt of the change, the change and the notification of it become durable together,
-// or none does. fingerprint is that of the request as it was sent; changed names the tenants
-// whose part differs.
-func ConfigTxn(
-	replica *paxos.Replica, config *routing.Configuration, raw, fingerprint []byte, changed []string,
-) paxos.Txn {
+// or none does.
+func ConfigTxn(replica *paxos.Replica, change *ConfigChange) paxos.Txn {
 	base, old := ReadConfig(replica)
-	receipt := outbox.Receipt{Fingerprint: fingerprint, Status: http.StatusOK, Version: config.Version}
-	row := outbox.Row{Notification: configNotification(config.Version, base, changed), State: outbox.Pending}
-	txn := paxos.Txn{Ops: []paxos.Op{
-		{Kind: paxos.OpPut, Key: ReceiptKey(config.Version, base), Value: MustEncode(receipt)},
-		{Kind: paxos.OpPut, Key: ConfigVersionKey, Value: UintValue(config.Version)},
-		{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(row)},
-	}}
+	version := change.Config.Version
+	receipt := outbox.Receipt{Fingerprint: change.Fingerprint, Status: http.StatusOK, Version: version}
+	row := outbox.Row{
+		Notification: configNotification(version, base, change.ChangedTenants),
+		State:        outbox.Pending,
+	}
+	txn := paxos.Txn{
+		Conditions: []paxos.Condition{UnchangedCondition(ConfigVersionKey, UintValue(base), base != 0)},
+		Ops: []paxos.Op{
+			PutOp(ReceiptKey(version, base), receipt),
+			PutValueOp(ConfigVersionKey, UintValue(version)),
+			{Kind: paxos.OpAppend, Key: OutboxKeyPrefix, Value: MustEncode(row)},
+		},
+	}
 	if base == 0 {
-		txn.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Absent: true}}
-		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPut, Key: ConfigDataKey, Value: paxos.Bytes(raw)})
+		txn.Ops = append(txn.Ops, PutValueOp(ConfigDataKey, paxos.Bytes(change.Raw)))
 	} else {
-		patch := paxos.Bytes(statemachine.MakePatch(old, raw))
-		txn.Conditions = []paxos.Condition{{Key: ConfigVersionKey, Equals: UintValue(base)}}
+		patch := paxos.Bytes(statemachine.MakePatch(old, change.Raw))
 		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: patch})
 	}
 	txn.Ops = append(txn.Ops, compactReceipts(replica)...)
 	// The publisher sweeps the outbox, but many changes in a row outrun it.
 	rows := replica.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix)
 	for i := 0; i+MaxOutboxRows <= len(rows); i++ {
-		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpDelete, Key: rows[i]})
+		txn.Ops = append(txn.Ops, DeleteOp(rows[i]))
 	}
 	return txn
 }
--- a/internal/controlplane/schema/operations.go
+++ b/internal/controlplane/schema/operations.go
@@ -3,14 +3,26 @@
 import "comethold/internal/paxos"
 
 // PutOp is the operation that stores a record under a key.
-func PutOp(key string, record any) paxos.Op {
-	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: MustEncode(record)}
+func PutOp(key string, record any) paxos.Op { return PutValueOp(key, MustEncode(record)) }
+
+// PutValueOp is the operation that stores a value under a key.
+func PutValueOp(key string, value paxos.Value) paxos.Op {
+	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: value}
 }
 
 // DeleteOp is the operation that removes a key.
 func DeleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
 
+// UnchangedCondition is that a key holds what was read: a value, or none. A transaction that
+// is late, or beaten by another, finds something else there and changes nothing.
+func UnchangedCondition(key string, value paxos.Value, found bool) paxos.Condition {
+	if found {
+		return paxos.Condition{Key: key, Equals: value}
+	}
+	return paxos.Condition{Key: key, Absent: true}
+}
+
 // Unchanged is the condition that a row is stored as it was read.
 func (r StoredRow) Unchanged() paxos.Condition {
-	return paxos.Condition{Key: r.Key, Equals: paxos.Bytes(r.Raw)}
+	return UnchangedCondition(r.Key, paxos.Bytes(r.Raw), true)
 }
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -95,14 +95,14 @@
 	}
 	var archive []ArchivedReceipt
 	for _, key := range keys[:ReceiptsPerArchive] {
-		ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: key})
+		ops = append(ops, DeleteOp(key))
 		if archived, ok := archiveReceipt(replica, key); ok {
 			archive = append(archive, archived)
 		}
 	}
 	if len(archive) > 0 {
 		key := ReceiptArchiveKey(archive[0].Version)
-		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: key, Value: MustEncode(archive)})
+		ops = append(ops, PutOp(key, archive))
 	}
 	return append(ops, forgetOldestArchive(replica)...)
 }
@@ -129,10 +129,10 @@
 	if len(archives) < MaxReceiptArchives {
 		return nil
 	}
-	ops = append(ops, paxos.Op{Kind: paxos.OpDelete, Key: archives[0]})
+	ops = append(ops, DeleteOp(archives[0]))
 	if oldest := readReceiptArchive(replica, archives[0]); len(oldest) > 0 {
 		last := oldest[len(oldest)-1].Version
-		ops = append(ops, paxos.Op{Kind: paxos.OpPut, Key: ReceiptsForgottenKey, Value: UintValue(last)})
+		ops = append(ops, PutValueOp(ReceiptsForgottenKey, UintValue(last)))
 	}
 	return ops
 }
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -26,8 +26,11 @@
 	baseOf := func(version uint64) uint64 { return max(version, 3) - 3 }
 	isAppend := func(op paxos.Op) bool { return op.Kind == paxos.OpAppend }
 	for version := uint64(3); version <= 3*changes; version += 3 {
-		config := &routing.Configuration{Version: version}
-		txn := schema.ConfigTxn(replica, config, []byte("{}"), fingerprintOf(version), nil)
+		txn := schema.ConfigTxn(replica, &schema.ConfigChange{
+			Config:      &routing.Configuration{Version: version},
+			Raw:         []byte("{}"),
+			Fingerprint: fingerprintOf(version),
+		})
 		txn.Ops = slices.DeleteFunc(txn.Ops, isAppend) // nobody sweeps the outbox here
 		if !cell.Commit(txn) {
 			t.Fatalf("%d is not committed", version)
--- a/internal/controlplane/schema/redrive.go
+++ b/internal/controlplane/schema/redrive.go
@@ -53,7 +53,7 @@
 	}
 	recordKey := paxos.AppendedKey(RedriveKeyPrefix, last+1, "")
 	txn.Conditions = []paxos.Condition{{Key: recordKey, Absent: true}}
-	txn.Ops = []paxos.Op{{Kind: paxos.OpPut, Key: recordKey, Value: encoded}}
+	txn.Ops = []paxos.Op{PutValueOp(recordKey, encoded)}
 
 	quarantineKey := QuarantineKeyPrefix + request.EventID
 	if _, isQuarantined := replica.Get(quarantineKey); isQuarantined {
