--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -97,11 +97,13 @@
 	missing := float64(demand.Required - result.Granted)
 	// The part of a token that is here counts.
 	collected := b.options.Allocator.Withdraw(demand.Tenant, missing, time.Now())
-	if collected < missing-rounding {
-		collected += b.borrow(lenders.sameRegion, demand.Tenant, missing-collected, regionalLendTimeout, sender)
-	}
-	if collected < missing-rounding {
-		collected += b.borrow(lenders.otherRegions, demand.Tenant, missing-collected, remoteLendTimeout, sender)
+	for _, from := range []lenderGroup{
+		{lenders.sameRegion, regionalLendTimeout},
+		{lenders.otherRegions, remoteLendTimeout},
+	} {
+		if collected < missing-rounding {
+			collected += b.borrow(from, demand.Tenant, missing-collected, sender)
+		}
 	}
 	added := min(int(collected+rounding), demand.Required-result.Granted)
 	b.options.Allocator.Deposit(demand.Tenant, max(0, collected-float64(added)), time.Now())
@@ -111,20 +113,24 @@
 	}
 }
 
+// lenderGroup is lenders that are asked together, and how long they are waited for.
+type lenderGroup struct {
+	addresses []string
+	timeout   time.Duration
+}
+
 // borrow asks lenders, all at once, for an amount of tokens each, and returns what came in
 // time.
-func (b *Borrower) borrow(
-	addresses []string, tenant string, amount float64, timeout time.Duration, sender Sender,
-) (collected float64) {
-	replies := make(chan quota.TenantGrant, len(addresses)) // room for all answers
-	asked := b.registerLoans(addresses, tenant, replies)
+func (b *Borrower) borrow(from lenderGroup, tenant string, amount float64, sender Sender) (collected float64) {
+	replies := make(chan quota.TenantGrant, len(from.addresses)) // has capacity for all answers
+	asked := b.registerLoans(from.addresses, tenant, replies)
 	for id, address := range asked {
 		demand := quota.TenantDemand{Tenant: tenant, MilliTokens: int64(amount*milli + 0.999)}
 		request := &quota.TokenRequest{ID: id, Loan: true, Demands: []quota.TenantDemand{demand}}
 		to := &net.UDPAddr{IP: net.ParseIP(address), Port: b.options.Port}
 		sender.SendDatagram(to, &distribution.Datagram{TokenRequest: request})
 	}
-	timer := time.NewTimer(timeout)
+	timer := time.NewTimer(from.timeout)
 	defer timer.Stop()
 	timedOut := false
 	for answers := 0; answers < len(asked) && collected < amount && !timedOut; {
@@ -215,7 +221,7 @@
 	switch {
 	case !pending || now.After(loan.deadline): // too late to count on
 	case loan.reply != nil:
-		loan.reply <- lent // it has room for all that were asked
+		loan.reply <- lent // it has capacity for all that were asked
 	default:
 		b.options.Allocator.Deposit(loan.tenant, tokensOf(lent), now)
 	}
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -30,12 +30,8 @@
 	View(cell string, read func(*paxos.Replica)) bool
 	// ProposeLocal proposes a transaction at this node, which must lead the cell.
 	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
-	// CallLeader has the leader of a cell do something: local if this node leads, else what
-	// is posted to the path at the leader.
-	CallLeader(
-		ctx context.Context, cell, path string, request any,
-		local func(context.Context) replicahost.ProposeResult,
-	) (replicahost.ProposeResult, error)
+	// CallLeader makes a call to the leader of a cell, here or at another node.
+	CallLeader(ctx context.Context, call replicahost.LeaderCall) (replicahost.ProposeResult, error)
 }
 
 // ShareService grants shares. The leader of the meta cell decides them, so that requests need
@@ -84,8 +80,14 @@
 func (s *ShareService) Request(
 	ctx context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
-	decide := func(ctx context.Context) replicahost.ProposeResult { return s.DecideLocal(ctx, request) }
-	result, err := s.state.CallLeader(ctx, schema.MetaCell, LeaderPath, &request, decide)
+	result, err := s.state.CallLeader(ctx, replicahost.LeaderCall{
+		Cell:    schema.MetaCell,
+		Path:    LeaderPath,
+		Request: &request,
+		Local: func(ctx context.Context) replicahost.ProposeResult {
+			return s.DecideLocal(ctx, request)
+		},
+	})
 	if err != nil {
 		return distribution.ShareGrant{}, err
 	}
--- a/internal/controlplane/allocation/shareservice_test.go
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -39,9 +39,9 @@
 }
 
 func (s *leaderState) CallLeader(
-	ctx context.Context, _, _ string, _ any, local func(context.Context) replicahost.ProposeResult,
+	ctx context.Context, call replicahost.LeaderCall,
 ) (replicahost.ProposeResult, error) {
-	result := local(ctx)
+	result := call.Local(ctx)
 	if result.Busy {
 		return result, replicahost.ErrBusy
 	}
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -10,7 +10,7 @@
 	"comethold/internal/distribution"
 )
 
-// TestNodeDeltas: whatever a node holds, what it is told brings it to the node list of the
+// TestNodeDeltas: whatever a node holds, what it is sent brings it to the node list of the
 // distributor.
 func TestNodeDeltas(t *testing.T) {
 	d := New(Options{})
--- a/internal/controlplane/endpointlist/endpointlist_test.go
+++ b/internal/controlplane/endpointlist/endpointlist_test.go
@@ -128,7 +128,7 @@
 }
 
 // TestPollerBroadcasts: a list that is new goes to the other control nodes as a whole; of
-// one that is unchanged they are told the revision, and get the whole if theirs is older.
+// one that is unchanged they are sent the revision, and get the whole if theirs is older.
 func TestPollerBroadcasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPoller()
--- a/internal/controlplane/metering/commit.go
+++ b/internal/controlplane/metering/commit.go
@@ -55,7 +55,7 @@
 }
 
 // firstUnreportedWindow is the first window without a report. Where there is no report at
-// all, the first incarnation that holds the lease begins with what it has heard of.
+// all, the first incarnation that holds the lease begins with the oldest that was reported to it.
 func (r *Reporter) firstUnreportedWindow(rows []schema.StoredRow, current uint64) uint64 {
 	if n := len(rows); n > 0 {
 		lastReported := rows[n-1].Row.Notification.Version
--- a/internal/controlplane/metering/fixture_test.go
+++ b/internal/controlplane/metering/fixture_test.go
@@ -124,7 +124,7 @@
 	return f
 }
 
-// record has this node hear of counts in the window.
+// record has this node receive counts in the window.
 func (f *fixture) record(count uint64) {
 	f.collector.Record(&usage.CountReport{
 		Incarnation: 6,
--- a/internal/controlplane/nodereports/tracker.go
+++ b/internal/controlplane/nodereports/tracker.go
@@ -14,8 +14,8 @@
 // Lifetimes of what nodes report. The reasons for these values are in docs/design.md.
 const (
 	ContactLifetime   = 3 * time.Second // of a node that calls
-	SuspicionLifetime = 4 * time.Second // of a neighbour's word that it misses a node
-	ReportLifetime    = 2 * time.Second // of a word on an endpoint's health
+	SuspicionLifetime = 4 * time.Second // of a neighbour's report that it misses a node
+	ReportLifetime    = 2 * time.Second // of a report on an endpoint's health
 )
 
 // WitnessesRequired is how many nodes must agree before a suspicion or a fault counts.
--- a/internal/controlplane/operatorapi/purges.go
+++ b/internal/controlplane/operatorapi/purges.go
@@ -59,7 +59,7 @@
 
 type pendingPurge struct {
 	purge distribution.Purge
-	done  chan error // gets the outcome of the batch; has room for it
+	done  chan error // gets the outcome of the batch; has capacity for it
 }
 
 func newPurgeQueue(cells Cells, log *logging.Logger) *purgeQueue {
--- a/internal/controlplane/outboxpublisher/doc.go
+++ b/internal/controlplane/outboxpublisher/doc.go
@@ -13,6 +13,6 @@
 // A notification that contradicts an earlier one goes to the Quarantine, where an operator
 // finds it.
 //
-// Nothing that a client waits for waits for this package: an order is acknowledged when its
+// Nothing that a client waits for waits for this package: a change is acknowledged when its
 // transaction is committed.
 package outboxpublisher
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -77,7 +77,7 @@
 // Reconciler runs the reconcilers of a node, one after the other.
 type Reconciler struct {
 	options Options
-	wake    chan struct{} // has room for one signal
+	wake    chan struct{} // has capacity for one signal
 
 	nodes     *nodeReconciler
 	marks     *markReconciler
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -63,9 +63,11 @@
 // its conditions did not hold. The error is ErrNoQuorum, ErrBusy or ErrOutcomeUnknown.
 func (h *Host) Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
 	txn.ID = NewTransactionID()
-	request := &ProposeRequest{Cell: cell, Txn: txn}
-	result, err := h.CallLeader(ctx, cell, PathPropose, request, func(ctx context.Context) ProposeResult {
-		return h.ProposeLocal(ctx, cell, txn)
+	result, err := h.CallLeader(ctx, LeaderCall{
+		Cell:    cell,
+		Path:    PathPropose,
+		Request: &ProposeRequest{Cell: cell, Txn: txn},
+		Local:   func(ctx context.Context) ProposeResult { return h.ProposeLocal(ctx, cell, txn) },
 	})
 	return result.Committed, err
 }
@@ -105,17 +107,25 @@
 	return ProposeResult{Unknown: true}
 }
 
-// CallLeader has the leader of a cell do something: local does it if this node leads, else
-// the request is posted to a path at the leader. While there is no leader, or it refuses,
+// LeaderCall is a call to the leader of a cell, wherever it is.
+type LeaderCall struct {
+	Cell string
+	// Path is where the leader takes the request, if it is another node. The response is a
+	// ProposeResult.
+	Path    string
+	Request any
+	// Local does what is asked for if this node leads.
+	Local func(context.Context) ProposeResult
+}
+
+// CallLeader makes a call to the leader of a cell. While there is no leader, or it refuses,
 // the call is retried with an exponential backoff with jitter until the context ends; the
 // error is then ErrNoQuorum or ErrBusy. After ErrOutcomeUnknown the leader may have done it.
-func (h *Host) CallLeader(
-	ctx context.Context, cell, path string, request any, local func(context.Context) ProposeResult,
-) (ProposeResult, error) {
+func (h *Host) CallLeader(ctx context.Context, call LeaderCall) (ProposeResult, error) {
 	backoff := initialRetryBackoff
 	cause := ErrNoQuorum
 	for {
-		result := h.callLeaderOnce(ctx, cell, path, request, local)
+		result := h.callLeaderOnce(ctx, &call)
 		switch {
 		case result.Unknown:
 			return result, ErrOutcomeUnknown
@@ -136,18 +146,16 @@
 	}
 }
 
-func (h *Host) callLeaderOnce(
-	ctx context.Context, cell, path string, request any, local func(context.Context) ProposeResult,
-) ProposeResult {
-	address, isLocal := h.leaderAddress(cell)
+func (h *Host) callLeaderOnce(ctx context.Context, call *LeaderCall) ProposeResult {
+	address, isLocal := h.leaderAddress(call.Cell)
 	if isLocal {
-		return local(ctx)
+		return call.Local(ctx)
 	}
 	if address == "" || address == h.Self.Addr {
 		return ProposeResult{NoLeader: true}
 	}
 	var result ProposeResult
-	if err := h.CallPeer(ctx, address, path, request, &result); err != nil {
+	if err := h.CallPeer(ctx, address, call.Path, call.Request, &result); err != nil {
 		return ProposeResult{Unknown: true}
 	}
 	return result
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -27,10 +27,14 @@
 // readIndex asks the leader up to which index the state must be applied. To ask again does
 // no harm, so it does that while the outcome is not known.
 func (h *Host) readIndex(ctx context.Context, cell string) (uint64, error) {
-	request := &ProposeRequest{Cell: cell}
-	local := func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, cell) }
+	call := LeaderCall{
+		Cell:    cell,
+		Path:    PathConfirm,
+		Request: &ProposeRequest{Cell: cell},
+		Local:   func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, cell) },
+	}
 	for {
-		result, err := h.CallLeader(ctx, cell, PathConfirm, request, local)
+		result, err := h.CallLeader(ctx, call)
 		if err == nil && result.Committed {
 			return result.Index, nil
 		}
--- a/internal/controlplane/schematest/cell.go
+++ b/internal/controlplane/schematest/cell.go
@@ -1,4 +1,6 @@
-// Package schematest has a meta cell for tests: one replica, without a disk or a network.
+// Package schematest has a meta cell for the tests of the control plane's packages: one
+// replica, without a disk or a network. It holds no tests. It is a package of its own, as
+// net/http/httptest is, because test files can't be imported; only they import it.
 package schematest
 
 import (
