--- a/internal/controlplane/allocation/doc.go
+++ b/internal/controlplane/allocation/doc.go
@@ -1,7 +1,7 @@
 // Package allocation divides limits that many nodes share.
 //
 // Shares. A rate limit of a service, or the tenants' quotas, is divided by the leader of the
-// meta cell: each holder leases a number of thousandths. ShareAllocator works out who may have
+// meta cell: each holder leases a number of thousandths. shareAllocator works out who may have
 // how much, and ShareService commits that in the replicated state and answers requests. Data
 // plane nodes and object caches hold shares of the rate limits; control nodes hold shares of
 // the quotas.
--- a/internal/controlplane/allocation/shares.go
+++ b/internal/controlplane/allocation/shares.go
@@ -11,10 +11,10 @@
 // shareTable is, by node, the shares of one table of the replicated state.
 type shareTable map[string]distribution.ShareLease
 
-// ShareAllocator decides requests for shares of one table. It never grants more than what is
+// shareAllocator decides requests for shares of one table. It never grants more than what is
 // left of the whole, and lets a share lapse only after it has itself seen it unrenewed for
 // clockSkewFactor times as long as it is leased.
-type ShareAllocator struct {
+type shareAllocator struct {
 	tableKey        string // of the replicated state
 	leaseDuration   time.Duration
 	clockSkewFactor time.Duration
@@ -29,10 +29,10 @@
 	since time.Time
 }
 
-// NewShareAllocator returns a ShareAllocator that has seen nothing yet. clockSkewFactor is how
+// newShareAllocator returns a shareAllocator that has seen nothing yet. clockSkewFactor is how
 // much faster the fastest clock may run than the slowest.
-func NewShareAllocator(tableKey string, leaseDuration time.Duration, clockSkewFactor int) *ShareAllocator {
-	return &ShareAllocator{
+func newShareAllocator(tableKey string, leaseDuration time.Duration, clockSkewFactor int) *shareAllocator {
+	return &shareAllocator{
 		tableKey:        tableKey,
 		leaseDuration:   leaseDuration,
 		clockSkewFactor: time.Duration(clockSkewFactor),
@@ -42,7 +42,7 @@
 
 // allocate decides a request on a table. It returns the table with what is granted and
 // without shares that have lapsed.
-func (a *ShareAllocator) allocate(
+func (a *shareAllocator) allocate(
 	table shareTable, request distribution.ShareRequest, now time.Time,
 ) (next shareTable, grant distribution.ShareGrant) {
 	a.mu.Lock()
@@ -86,7 +86,7 @@
 
 // observeLocked notes which shares have changed, as each renewal changes them, be it one in
 // the same batch, and forgets those that are gone.
-func (a *ShareAllocator) observeLocked(table shareTable, now time.Time) {
+func (a *shareAllocator) observeLocked(table shareTable, now time.Time) {
 	for node, share := range table {
 		if seen, found := a.observed[node]; !found || seen.share != share {
 			a.observed[node] = observedShare{share: share, since: now}
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -38,7 +38,7 @@
 // not contend; other control nodes forward to it.
 type ShareService struct {
 	state      ShareState
-	allocators map[distribution.ShareTable]*ShareAllocator
+	allocators map[distribution.ShareTable]*shareAllocator
 	waiting    chan *pendingShareRequest
 	stopping   chan struct{} // closed as soon as Run is to end
 }
@@ -54,10 +54,10 @@
 func NewShareService(state ShareState, clockSkewFactor int) *ShareService {
 	return &ShareService{
 		state: state,
-		allocators: map[distribution.ShareTable]*ShareAllocator{
-			distribution.RateShares: NewShareAllocator(
+		allocators: map[distribution.ShareTable]*shareAllocator{
+			distribution.RateShares: newShareAllocator(
 				schema.RateSharesKey, ratelimit.LeaseDuration, clockSkewFactor),
-			distribution.QuotaShares: NewShareAllocator(
+			distribution.QuotaShares: newShareAllocator(
 				schema.QuotaSharesKey, ratelimit.QuotaLeaseDuration, clockSkewFactor),
 		},
 		waiting:  make(chan *pendingShareRequest, maxWaitingRequests),
@@ -161,7 +161,7 @@
 // commit decides requests and commits the table that results. It tries again if the table
 // has changed meanwhile.
 func (s *ShareService) commit(
-	ctx context.Context, allocator *ShareAllocator, requests []*pendingShareRequest,
+	ctx context.Context, allocator *shareAllocator, requests []*pendingShareRequest,
 ) (replicahost.ProposeResult, []distribution.ShareGrant) {
 	for range maxCommitAttempts {
 		table, unchanged := s.readTable(allocator.tableKey)
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("%s%s/%020d/%d", ReceiptKeyPrefix, outbox.AggregateConfiguration, version, base)
 }
 
-// ReadReceipt returns the receipt under a key, or nil.
-func ReadReceipt(replica *paxos.Replica, key string) *outbox.Receipt {
+// readReceipt returns the receipt under a key, or nil.
+func readReceipt(replica *paxos.Replica, key string) *outbox.Receipt {
 	var receipt outbox.Receipt
 	if value, found := replica.Get(key); found && rpc.Unmarshal(value.Bytes, &receipt) == nil {
 		return &receipt
@@ -50,7 +50,7 @@
 func CheckReplay(
 	replica *paxos.Replica, version, base uint64, fingerprint []byte,
 ) (use outbox.KeyUse, forgotten bool) {
-	if receipt := ReadReceipt(replica, ReceiptKey(version, base)); receipt != nil {
+	if receipt := readReceipt(replica, ReceiptKey(version, base)); receipt != nil {
 		return receipt.Compare(fingerprint), false
 	}
 	if current, _ := ReadConfig(replica); version > current {
@@ -109,7 +109,7 @@
 
 // archiveReceipt shortens the receipt under a key; false if it can't be read.
 func archiveReceipt(replica *paxos.Replica, key string) (archived ArchivedReceipt, ok bool) {
-	receipt := ReadReceipt(replica, key)
+	receipt := readReceipt(replica, key)
 	versions := strings.TrimPrefix(key, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/")
 	_, digits, _ := strings.Cut(versions, "/")
 	base, err := strconv.ParseUint(digits, 10, 64)
