--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -30,21 +30,17 @@
 	View(cell string, read func(*paxos.Replica)) bool
 	// ProposeLocal proposes a transaction at this node, which must lead the cell.
 	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
-	// CallLeader has the leader of a cell do something: local if this node leads, else what
-	// is posted to the path at the leader.
-	CallLeader(
-		ctx context.Context, cell, path string, request any,
-		local func(context.Context) replicahost.ProposeResult,
-	) (replicahost.ProposeResult, error)
+	// CallLeader makes a call to the leader of a cell, here or at another node.
+	CallLeader(ctx context.Context, call replicahost.LeaderCall) (replicahost.ProposeResult, error)
 }
 
 // ShareService grants shares. The leader of the meta cell decides them, so that requests need
 // not contend; other control nodes forward to it.
 type ShareService struct {
 	state      ShareState
-	allocators map[distribution.ShareTable]*ShareAllocator
+	allocators map[distribution.ShareTable]*shareAllocator
 	waiting    chan *pendingShareRequest
-	stopped    chan struct{} // closed when Run has ended
+	stopping   chan struct{} // closed as soon as Run is to end
 }
 
 // pendingShareRequest is a request that waits for the leader's goroutine.
@@ -58,14 +54,14 @@
 func NewShareService(state ShareState, clockSkewFactor int) *ShareService {
 	return &ShareService{
 		state: state,
-		allocators: map[distribution.ShareTable]*ShareAllocator{
-			distribution.RateShares: NewShareAllocator(
+		allocators: map[distribution.ShareTable]*shareAllocator{
+			distribution.RateShares: newShareAllocator(
 				schema.RateSharesKey, ratelimit.LeaseDuration, clockSkewFactor),
-			distribution.QuotaShares: NewShareAllocator(
+			distribution.QuotaShares: newShareAllocator(
 				schema.QuotaSharesKey, ratelimit.QuotaLeaseDuration, clockSkewFactor),
 		},
-		waiting: make(chan *pendingShareRequest, maxWaitingRequests),
-		stopped: make(chan struct{}),
+		waiting:  make(chan *pendingShareRequest, maxWaitingRequests),
+		stopping: make(chan struct{}),
 	}
 }
 
@@ -84,8 +80,14 @@
 func (s *ShareService) Request(
 	ctx context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
-	decide := func(ctx context.Context) replicahost.ProposeResult { return s.DecideLocal(ctx, request) }
-	result, err := s.state.CallLeader(ctx, schema.MetaCell, LeaderPath, &request, decide)
+	result, err := s.state.CallLeader(ctx, replicahost.LeaderCall{
+		Cell:    schema.MetaCell,
+		Path:    LeaderPath,
+		Request: &request,
+		Local: func(ctx context.Context) replicahost.ProposeResult {
+			return s.DecideLocal(ctx, request)
+		},
+	})
 	if err != nil {
 		return distribution.ShareGrant{}, err
 	}
@@ -106,15 +108,16 @@
 	case result := <-pending.result:
 		return result
 	case <-ctx.Done():
-	case <-s.stopped:
+	case <-s.stopping:
 	}
 	return replicahost.ProposeResult{Unknown: true}
 }
 
 // Run decides requests until the context ends. Those that wait are decided together, in one
-// transaction a table.
+// transaction a table. Once the context has ended nobody is kept waiting for a result, also
+// not for that of a batch that is being decided.
 func (s *ShareService) Run(ctx context.Context) {
-	defer close(s.stopped)
+	context.AfterFunc(ctx, func() { close(s.stopping) })
 	for {
 		var batch []*pendingShareRequest
 		select {
@@ -158,7 +161,7 @@
 // commit decides requests and commits the table that results. It tries again if the table
 // has changed meanwhile.
 func (s *ShareService) commit(
-	ctx context.Context, allocator *ShareAllocator, requests []*pendingShareRequest,
+	ctx context.Context, allocator *shareAllocator, requests []*pendingShareRequest,
 ) (replicahost.ProposeResult, []distribution.ShareGrant) {
 	for range maxCommitAttempts {
 		table, unchanged := s.readTable(allocator.tableKey)
@@ -182,12 +185,12 @@
 // readTable returns a table and the condition that it is as it was read.
 func (s *ShareService) readTable(key string) (shareTable, paxos.Condition) {
 	table := shareTable{}
-	unchanged := paxos.Condition{Key: key, Absent: true}
+	var stored paxos.Value
+	isRead := false
 	s.state.View(schema.MetaCell, func(replica *paxos.Replica) {
-		stored, found := replica.Get(key)
-		if found && rpc.Unmarshal(stored.Bytes, &table) == nil {
-			unchanged = paxos.Condition{Key: key, Equals: stored}
-		}
+		var found bool
+		stored, found = replica.Get(key)
+		isRead = found && rpc.Unmarshal(stored.Bytes, &table) == nil
 	})
-	return table, unchanged
+	return table, schema.UnchangedCondition(key, stored, isRead)
 }
