--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -77,7 +77,7 @@
 // Reconciler runs the reconcilers of a node, one after the other.
 type Reconciler struct {
 	options Options
-	wake    chan struct{} // has room for one signal
+	wake    chan struct{} // has capacity for one signal
 
 	nodes     *nodeReconciler
 	marks     *markReconciler
@@ -176,11 +176,3 @@
 	defer cancel()
 	return c.Propose(ctx, cell, txn)
 }
-
-// unchangedCondition is that a key holds what was read: a value, or none.
-func unchangedCondition(key string, value paxos.Value, exists bool) paxos.Condition {
-	if exists {
-		return paxos.Condition{Key: key, Equals: value}
-	}
-	return paxos.Condition{Key: key, Absent: true}
-}
