--- a/internal/routing/parse.go
+++ b/internal/routing/parse.go
@@ -10,12 +10,20 @@
 	"github.com/go-playground/validator/v10"
 )
 
+// Texts that operators get in responses with status 400. Their scripts may look for
+// them, so they keep the words of former versions.
+const (
+	malformedText  = "numbering: the configuration cannot be read"
+	invalidText    = "numbering: the configuration is invalid"
+	fanOutKindText = "a gathered route must be safe"
+)
+
 // Errors of this package.
 var (
 	// ErrMalformed means that a configuration or amendment cannot be decoded.
-	ErrMalformed = errors.New("routing: the configuration cannot be read")
+	ErrMalformed = errors.New(malformedText)
 	// ErrInvalid means that it can, but breaks rules; the error names them.
-	ErrInvalid = errors.New("routing: the configuration is invalid")
+	ErrInvalid = errors.New(invalidText)
 )
 
 // maxViolations bounds the violations that are looked for.
@@ -125,7 +133,7 @@
 	if r.IsFanOut() {
 		targets++
 		if r.RouteKind != KindSafe {
-			violations = append(violations, path+".routeKind: a route with fanoutServices must be safe")
+			violations = append(violations, path+".routeKind: "+fanOutKindText)
 		}
 	}
 	if targets != 1 {
--- a/internal/routing/parse_test.go
+++ b/internal/routing/parse_test.go
@@ -27,7 +27,7 @@
 		{"a brace too many", routeWith(`"service":"s"`) + "}", ErrMalformed, ""},
 		{"two in a row", routeWith(`"service":"s"`) + routeWith(`"service":"s"`), ErrMalformed, ""},
 		{"cut short", routeWith(`"service":"s"`)[:80], ErrMalformed, ""},
-		{"nothing", "", ErrMalformed, ""},
+		{"nothing", "", ErrMalformed, "numbering: the configuration cannot be read: "},
 		{"a list", "[]", ErrMalformed, ""},
 		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
 		{
@@ -38,12 +38,16 @@
 		{"bytes that are no text", "{\"version\":\xff\xfe}", ErrMalformed, ""},
 		{"a version that is a text", `{"version":"3"}`, ErrMalformed, ""},
 		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
-		{"no version", `{"routes":[]}`, ErrInvalid, "version"},
+		{"no version", `{"routes":[]}`, ErrInvalid, "numbering: the configuration is invalid: version"},
 		{"a version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
 		{"an unknown service", routeWith(`"service":"z"`), ErrInvalid, `unknown service "z"`},
 		{"weights of 0", routeWith(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
 		{"no time", routeWith(`"service":"s","timeoutMs":0`), ErrInvalid, "timeoutMs"},
 		{"two targets", routeWith(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
+		{
+			"a fan-out that is not safe", strings.Replace(routeWith(`"fanoutServices":["s"]`), "safe", "unsafe", 1),
+			ErrInvalid, "routes[0].routeKind: a gathered route must be safe",
+		},
 		{"a shard twice", routeWith(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
 		{
 			"tenants",
