--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -169,14 +169,15 @@
 	if !x.pending.markDispatched() {
 		return
 	}
+	onExecuted := x.usageCallback()
 	var reply *scatter.Reply
 	if x.isCacheable() {
 		reply = x.objectReply()
-		if reply.Status/100 == 2 {
-			x.recordExecuted(time.Now()) // on these routes what counts is a success
+		if onExecuted != nil && reply.Status/100 == 2 {
+			onExecuted(time.Now()) // on these routes what counts is a success
 		}
 	} else {
-		reply = x.dispatcher.Dispatch(x.route, x.forwarded, x.start, x.recordExecuted)
+		reply = x.dispatcher.Dispatch(x.route, x.forwarded, x.start, onExecuted)
 	}
 	if x.pending.claimAnswer() {
 		writeReply(x.writer, x.request.Method, reply)
@@ -187,11 +188,14 @@
 	return x.objects != nil && x.route.RouteKind == routing.KindCacheable && x.request.Method == http.MethodGet
 }
 
-// recordExecuted counts the request for its tenant.
-func (x *exchange) recordExecuted(at time.Time) {
-	if x.identity.Tenant != nil && x.usage != nil {
-		x.usage.recordExecuted(x.identity.Tenant.Name, at)
+// usageCallback returns what counts the request for its tenant, or nil if nothing does.
+// It does not hold the exchange, which can then stay on the stack.
+func (x *exchange) usageCallback() func(at time.Time) {
+	if x.identity.Tenant == nil || x.usage == nil {
+		return nil
 	}
+	usage, tenant := x.usage, x.identity.Tenant.Name
+	return func(at time.Time) { usage.recordExecuted(tenant, at) }
 }
 
 // reject answers the request, unless it was answered already.
