--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -178,7 +178,8 @@
 	time.AfterFunc(responseTimeout, func() { t.handleTimeout(id) })
 }
 
-// addDemandsLocked adds what the queues need to a request, as far as it has room.
+// addDemandsLocked adds what the queues need to a request, up to quota.MaxDemands; the
+// next request gets the others.
 func (t *tokenClient) addDemandsLocked(request *tokenRequest, table *routing.RouteTable) {
 	now := request.sentAt
 	for name, queue := range t.queues {
--- a/internal/proxy/token_queue.go
+++ b/internal/proxy/token_queue.go
@@ -22,7 +22,7 @@
 
 // waiter is a request that waits for a token.
 type waiter struct {
-	done     chan admission // with room for one
+	done     chan admission // buffered for one
 	attempts int            // requests to the control plane that brought nothing
 }
 
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -50,7 +50,7 @@
 
 // perform makes the call of an attempt and hands the attempt to the fan-out. It
 // runs in a goroutine of its own, which ends by the request's deadline, and may
-// outlast the fan-out: the results channel has room for every attempt.
+// outlast the fan-out: the results channel is buffered for every attempt.
 func (f *fanOut) perform(a *attempt) {
 	if f.AwaitRate != nil {
 		ok, retryAfter := f.AwaitRate(a.endpoint.Info().Service, f.request.Deadline)
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -91,7 +91,7 @@
 	}
 	request.NonIdempotent = !route.Idempotent()
 	request.FanOut = isFanOut
-	f := newFanOut(d, route, request, services, start)
+	f := d.newFanOut(route, request, services, start)
 	f.required = required
 	f.onExecuted = onExecuted
 	f.startAll()
--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -44,8 +44,8 @@
 	maybeExecutedAt time.Time          // when an endpoint got the request that may have executed it
 }
 
-func newFanOut(
-	d *Dispatcher, route *routing.CompiledRoute, request *upstream.Request, services []string, start time.Time,
+func (d *Dispatcher) newFanOut(
+	route *routing.CompiledRoute, request *upstream.Request, services []string, start time.Time,
 ) *fanOut {
 	latency := d.histogram(route.Name)
 	f := &fanOut{
@@ -88,7 +88,7 @@
 		if !f.nextDue.After(now) {
 			f.handleDue(now)
 		}
-		if f.settled(now) || f.cutOff(now) {
+		if f.isOver(now) || f.cutOff(now) {
 			return
 		}
 		if wakeAt := f.wakeAt(); !wakeAt.Equal(armedFor) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// settled reports whether no more responses can come, or they are of no use.
-func (f *fanOut) settled(now time.Time) bool {
+// isOver reports whether no more responses can come, or they are of no use.
+func (f *fanOut) isOver(now time.Time) bool {
 	return f.openShards == 0 ||
 		f.completeShards+f.openShards < f.required ||
 		!f.request.Deadline.After(now)
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -160,11 +160,11 @@
 
 // observe takes in how a call ended and how long it took, as far as that shows the
 // load.
-func (b *loadBalancer) observe(endpoint *Endpoint, result callResult, duration time.Duration, now time.Time) {
-	switch result {
+func (b *loadBalancer) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
+	switch ended.result {
 	case callSucceeded:
-		endpoint.load.recordLatency(duration.Seconds())
-		endpoint.cluster.load.recordSuccess(duration.Seconds())
+		endpoint.load.recordLatency(ended.duration.Seconds())
+		endpoint.cluster.load.recordSuccess(ended.duration.Seconds())
 	case callRejected:
 		endpoint.load.lastRejectedAt = now
 		endpoint.cluster.load.recordRejection()
--- a/internal/upstream/balancer_test.go
+++ b/internal/upstream/balancer_test.go
@@ -186,16 +186,16 @@
 func TestBalancerObserves(t *testing.T) {
 	now := time.Now()
 	for result, want := range map[callResult]struct{ samples, rejections int }{
-		callSucceeded:  {2, 0},
-		callRejected:   {1, 1},
-		callMisrouted:  {1, 0},
-		callAnswered:   {1, 0},
-		callServerFail: {1, 0},
-		callFailed:     {1, 0},
+		callSucceeded:   {2, 0},
+		callRejected:    {1, 1},
+		callMisrouted:   {1, 0},
+		callAnswered:    {1, 0},
+		callServerError: {1, 0},
+		callFailed:      {1, 0},
 	} {
 		balancer, cluster := balancedCluster("e")
 		endpoint := cluster.endpoints[0]
-		balancer.observe(endpoint, result, time.Second, now)
+		balancer.observe(endpoint, callEnd{result: result, duration: time.Second}, now)
 		rejected := endpoint.load.lastRejectedAt.Equal(now) && cluster.load.rejectionRate > 0
 		if endpoint.load.samples != want.samples || rejected != (want.rejections == 1) {
 			t.Errorf("result %d: %+v, %+v", result, endpoint.load, cluster.load)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -62,7 +62,7 @@
 	conn, err := m.connect(ctx, endpoint, request.NonIdempotent)
 	start := time.Now()
 	if err != nil {
-		m.recordCall(endpoint, nil, err, start, 0)
+		m.recordCall(endpoint, callEnd{result: callFailed, err: err, start: start})
 		return nil, err
 	}
 	response, reuse, err := conn.roundTrip(request, endpoint.info.Load().ID)
@@ -72,7 +72,7 @@
 	} else {
 		conn.close()
 	}
-	m.recordCall(endpoint, response, err, start, duration)
+	m.recordCall(endpoint, callEnd{result: classifyCall(response, err), err: err, start: start, duration: duration})
 	return response, err
 }
 
@@ -95,16 +95,13 @@
 }
 
 // recordCall ends a reservation and takes in how its call ended, in one step.
-func (m *ClusterManager) recordCall(
-	endpoint *Endpoint, response *Response, err error, start time.Time, duration time.Duration,
-) {
+func (m *ClusterManager) recordCall(endpoint *Endpoint, ended callEnd) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	endpoint.activeCalls--
-	result := classifyCall(response, err)
-	m.balancer.observe(endpoint, result, duration, now)
-	m.outliers.observe(endpoint, result, err, start, now)
+	m.balancer.observe(endpoint, ended, now)
+	m.outliers.observe(endpoint, ended, now)
 }
 
 // ReportOverdue takes in that a call sent at sentAt has waited longer than usual,
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -58,14 +58,22 @@
 type callResult uint8
 
 const (
-	callSucceeded  callResult = iota
-	callMisrouted             // another endpoint has the address now
-	callRejected              // the endpoint is full
-	callAnswered              // a response that is neither a success nor a server error
-	callServerFail            // a server error
-	callFailed                // no response
+	callSucceeded   callResult = iota
+	callMisrouted              // another endpoint has the address now
+	callRejected               // the endpoint is full
+	callAnswered               // a response that is neither a success nor a server error
+	callServerError            // a server error
+	callFailed                 // no response
 )
 
+// callEnd is how and when a call ended.
+type callEnd struct {
+	result   callResult
+	err      error     // of callFailed
+	start    time.Time // when it was sent
+	duration time.Duration
+}
+
 func classifyCall(response *Response, err error) callResult {
 	switch {
 	case err != nil:
@@ -79,7 +87,7 @@
 	case response.Status < http.StatusInternalServerError:
 		return callAnswered
 	default:
-		return callServerFail
+		return callServerError
 	}
 }
 
@@ -93,10 +101,10 @@
 	scheduleProbe func(endpoint *Endpoint, after time.Duration)
 }
 
-// observe takes in how a call that was sent at start ended.
-func (d *outlierDetector) observe(endpoint *Endpoint, result callResult, err error, start, now time.Time) {
+// observe takes in how a call ended, as far as that shows the endpoint's health.
+func (d *outlierDetector) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
 	health := &endpoint.health
-	switch result {
+	switch ended.result {
 	case callSucceeded:
 		health.consecutiveFailures = 0
 		health.lastAnswerAt = now
@@ -111,7 +119,7 @@
 	case callAnswered:
 		health.lastAnswerAt = now
 		d.reinstateUnlessHealthy(endpoint, now)
-	case callServerFail:
+	case callServerError:
 		health.lastAnswerAt = now
 		endpoint.errors.record(now, 1)
 		failing := endpoint.errors.current(now) > ejectionErrorRate && canEject(endpoint.cluster)
@@ -121,16 +129,16 @@
 	case callFailed:
 		health.consecutiveFailures++
 		endpoint.errors.record(now, 1)
-		if shouldEjectFailed(health, err, start) {
-			d.eject(endpoint, err.Error())
+		if shouldEjectFailed(health, ended) {
+			d.eject(endpoint, ended.err.Error())
 		}
 	}
 }
 
 // shouldEjectFailed decides whether a call without a response ejects its endpoint.
-func shouldEjectFailed(health *endpointHealth, err error, start time.Time) bool {
-	unreachable := errors.Is(err, ErrNotSent)
-	unresponsive := errors.Is(err, ErrTimeout) && health.lastAnswerAt.Before(start)
+func shouldEjectFailed(health *endpointHealth, ended callEnd) bool {
+	unreachable := errors.Is(ended.err, ErrNotSent)
+	unresponsive := errors.Is(ended.err, ErrTimeout) && health.lastAnswerAt.Before(ended.start)
 	return health.state == stateProbation ||
 		health.consecutiveFailures >= maxConsecutiveFailures ||
 		unreachable ||
--- a/internal/upstream/outlier_test.go
+++ b/internal/upstream/outlier_test.go
@@ -36,7 +36,7 @@
 
 // end has a call that began at start end at now.
 func (d *detected) end(endpoint *Endpoint, response *Response, err error, start, now time.Time) {
-	d.observe(endpoint, classifyCall(response, err), err, start, now)
+	d.observe(endpoint, callEnd{result: classifyCall(response, err), err: err, start: start}, now)
 }
 
 var (
