--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"comethold/internal/controlplane/replicahost"
+	"comethold/internal/controlplane/schema"
 	"comethold/internal/logging"
 	"comethold/internal/paxos"
 )
@@ -65,18 +66,19 @@
 // NewMover makes a mover. Run starts it.
 func NewMover(options Options) *Mover { return &Mover{options: options} }
 
-// Run moves voters while this node holds the lease, until stop is closed.
-func (m *Mover) Run(stop <-chan struct{}) {
+// Run moves voters while this node holds the lease, until ctx is done. A move that was begun
+// is brought to its end.
+func (m *Mover) Run(ctx context.Context) {
 	pause := planInterval
 	for {
 		select {
 		case <-time.After(pause):
-		case <-stop:
+		case <-ctx.Done():
 			return
 		}
 		pause = planInterval
 		_, held := m.options.Lease.Held()
-		if held && m.options.Host.QuorumContactAge() <= replicahost.StaleAfter && m.moveVoters() {
+		if held && m.options.Host.QuorumContactAge() <= replicahost.StaleAfter && m.moveVoters(context.WithoutCancel(ctx)) {
 			pause = retryInterval
 		}
 	}
@@ -91,11 +93,11 @@
 
 // moveVoters carries out the moves that the cells need, of each cell one, and reports
 // whether there were any: until all are done a further loss may be one too many.
-func (m *Mover) moveVoters() bool {
+func (m *Mover) moveVoters(ctx context.Context) bool {
 	moves := m.planMoves()
 	var calls sync.WaitGroup
 	for _, planned := range moves {
-		calls.Go(func() { m.carryOut(planned) })
+		calls.Go(func() { m.carryOut(ctx, planned) })
 	}
 	calls.Wait()
 	return len(moves) > 0
@@ -132,8 +134,8 @@
 }
 
 // carryOut asks the leader of the cell. What fails is planned again.
-func (m *Mover) carryOut(planned plannedMove) {
-	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
+func (m *Mover) carryOut(ctx context.Context, planned plannedMove) {
+	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	if planned.isLocal {
 		m.MoveLocal(ctx, &planned.request)
@@ -192,13 +194,10 @@
 	if len(next) > limit || !survivesZoneLoss(next) && survivesZoneLoss(voters) {
 		return txn, false
 	}
-	condition := paxos.Condition{Key: paxos.MembershipVersionKey, Absent: true}
-	if version, found := replica.Get(paxos.MembershipVersionKey); found {
-		condition = paxos.Condition{Key: paxos.MembershipVersionKey, Equals: version}
-	}
+	version, found := replica.Get(paxos.MembershipVersionKey)
 	return paxos.Txn{
 		ID:         replicahost.NewTransactionID(),
-		Conditions: []paxos.Condition{condition},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(paxos.MembershipVersionKey, version, found)},
 		Ops:        []paxos.Op{{Kind: paxos.OpSetVoters, Voters: next}},
 	}, true
 }
