--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -1,7 +1,9 @@
 package controlplane
 
 import (
+	"context"
 	"testing"
+	"time"
 
 	"comethold/internal/controlplane/schema"
 	"comethold/internal/distribution"
@@ -18,6 +20,12 @@
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
+	// The election is not what is tested: the commit's own time-out must not include it.
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
+	if err := r.host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
+		t.Fatal("no leader:", err)
+	}
 	change, err := outbox.Notification{
 		EventID:   "configuration/3",
 		Aggregate: outbox.AggregateConfiguration,
