--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -7,30 +7,29 @@
 
 // acceptor owns the promise of a replica. What it has accepted is in the replica's log.
 //
-// Invariant: promised never decreases, nothing is accepted under an older proposal number,
-// and a Promise or Accepted leaves only after what it reports is on disk. Each entry that was
-// accepted above the applied index is in every later Promise, so that a new leader proposes
-// it again.
+// Invariant: promised never decreases, no entry is accepted under an older proposal number, and
+// a Promise or Accepted is sent only after what it reports is on disk. Every entry accepted
+// above the applied index is in every later Promise, so that a new leader proposes it again.
 type acceptor struct {
 	promised ProposalNumber
 }
 
-// recordPromise promises to accept nothing older than a proposal number.
+// recordPromise records the promise to accept nothing under an older proposal number.
 func (r *Replica) recordPromise(number ProposalNumber) {
 	r.acceptor.promised = number
 	r.proposer.maxTerm = max(r.proposer.maxTerm, number.Term)
 	r.ready.Writes.Promised = &number
 }
 
-// sendReject answers what is older than the promise.
+// sendReject rejects a message whose proposal number is older than the promise.
 func (r *Replica) sendReject(to ReplicaID) { r.sendRejectFor(to, r.acceptor.promised) }
 
-// sendRejectFor turns down a candidate; number raises the term of its next campaign.
+// sendRejectFor rejects a message. The recipient's next campaign has a higher term than number.
 func (r *Replica) sendRejectFor(to ReplicaID, number ProposalNumber) {
 	r.send(Message{Kind: Reject, To: to, ProposalNumber: number, CommitIndex: r.appliedIndex})
 }
 
-// handlePrepare is phase 1b: it promises, unless the promise or a living leader forbids it.
+// handlePrepare is phase 1b: it promises, unless a newer promise or a live leader prevents it.
 func (r *Replica) handlePrepare(now time.Duration, msg Message) {
 	number := msg.ProposalNumber
 	own := number.Proposer == r.config.Self
@@ -38,8 +37,8 @@
 		r.sendReject(msg.From)
 		return
 	}
-	// Of two that campaign at once the higher goes on: if each gave way to the other,
-	// both campaigns would fail.
+	// Of two concurrent campaigns the one with the higher proposal number goes on: if each
+	// candidate promised to the other, both campaigns would fail.
 	if r.role == Candidate && !own && number.Less(r.proposer.number) {
 		r.sendRejectFor(msg.From, r.proposer.number)
 		return
@@ -61,25 +60,25 @@
 	r.sendPromise(now, msg)
 }
 
-// hasLivingLeader reports whether the leader was in contact so lately that a candidate is
-// turned down: a replica that comes back from a partition does not depose it. A leader whose
-// leadership the candidate knows to have ended is not waited for.
+// hasLivingLeader reports whether the leader was in contact recently enough to reject another
+// candidate, so that a replica that returns from a partition does not depose it. A leader whose
+// leadership the candidate knows to have ended does not count.
 func (r *Replica) hasLivingLeader(now time.Duration, prepare Message) bool {
 	if r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
 		return false
 	}
-	mostSilence := r.config.ElectionTimeout * 2 / 3
+	maxContactAge := r.config.ElectionTimeout * 2 / 3
 	if r.role == Leader {
-		return now-r.quorumContactAt() < mostSilence
+		return now-r.quorumContactAt() < maxContactAge
 	}
 	if ended := prepare.EndedLeadership; ended != (ProposalNumber{}) && !ended.Less(r.acceptor.promised) {
 		return false
 	}
-	return now-r.contact.leaderContactAt < mostSilence
+	return now-r.contact.leaderContactAt < maxContactAge
 }
 
-// sendPromise answers a Prepare with all that the log holds after the candidate's applied
-// index, or after a snapshot where that was compacted away.
+// sendPromise answers a Prepare with all entries after the candidate's applied index, or with a
+// snapshot and the entries after it if the log was compacted further.
 func (r *Replica) sendPromise(now time.Duration, prepare Message) {
 	promise := Message{
 		Kind: Promise, To: prepare.From, ProposalNumber: prepare.ProposalNumber,
@@ -96,7 +95,7 @@
 	r.sendAfterSync(promise)
 }
 
-// handleAccept is phase 2b: it accepts entries whose proposal number is not behind the promise.
+// handleAccept is phase 2b: it accepts entries unless it promised a newer proposal number.
 func (r *Replica) handleAccept(now time.Duration, msg Message) {
 	if msg.ProposalNumber.Less(r.acceptor.promised) {
 		r.sendReject(msg.From)
--- a/internal/paxos/aliases.go
+++ b/internal/paxos/aliases.go
@@ -5,10 +5,9 @@
 	"comethold/internal/paxos/statemachine"
 )
 
-// Two packages below this one hold data without knowing of consensus. entrylog owns the log.
-// statemachine owns the key-value state and the memberships, and keeps the invariant that they
-// are a function of the applied entries alone. The owner of a replica needs one import, since
-// what messages are made of goes by these names as well.
+// Two packages below this one hold data and know nothing of consensus. entrylog owns the log.
+// statemachine owns the key-value state and the memberships; its invariant is that they depend
+// on the applied entries alone. The aliases let the owner of a replica import this package only.
 type (
 	// ProposalNumber orders the proposals of all proposers.
 	ProposalNumber = entrylog.ProposalNumber
--- a/internal/paxos/catch_up.go
+++ b/internal/paxos/catch_up.go
@@ -6,31 +6,31 @@
 	"comethold/internal/paxos/entrylog"
 )
 
-// Catch-up, the paper's "teaching" (section 2.4): a replica that lacks committed entries asks
-// the leader, or a candidate's acceptors send them with their promises. It gets a log segment
-// if that is at hand and not larger than the state, else a snapshot.
+// Catch-up, the paper's "teaching" (section 2.4): a replica that lacks committed entries
+// requests them from the leader; a candidate gets them with its acceptors' promises. The answer
+// is a log segment if the entries are still in the log and not larger than the state, else a
+// snapshot.
 //
-// The paper's third mode, a no-op proposed into a hole of the log, is the leader's: it fills
-// gaps below the last adopted index (proposer.nextContent).
+// The paper's third mode, a no-op proposed into a gap of the log, is done by the leader: it
+// fills gaps below the last adopted index (proposer.nextContent).
 
 const (
-	// maxBackoffHeartbeats bounds, in heartbeat intervals, how long a replica that has made no
-	// progress waits until it asks again, or is sent again what is large.
+	// maxBackoffHeartbeats bounds the backoff, in heartbeat intervals, of repeated requests and
+	// of repeated large answers to a replica that has made no progress.
 	maxBackoffHeartbeats = 16
-	// smallTransferBytes is how large a log segment may be to be sent as often as it is asked
-	// for.
+	// smallTransferBytes is the size up to which a log segment is sent without a backoff.
 	smallTransferBytes = 4 << 10
 	// minSegmentEntries is how many entries are sent as a segment even if they are larger
 	// than the state.
 	minSegmentEntries = 4
 )
 
-// catchUp owns the replica's own request for missing entries, and the pace of what it sends
-// to others.
+// catchUp owns the replica's own request for missing entries, and the backoff of its large
+// answers to others.
 //
 // Invariant: a large answer to a replica that has made no progress since the last one is
 // repeated only after a backoff that doubles up to maxBackoffHeartbeats, since the first may
-// still be under way; a replica that has made progress is answered at once.
+// still be in transit; a replica that has made progress is answered at once.
 type catchUp struct {
 	// Of the last request:
 	pending       bool
@@ -49,7 +49,7 @@
 	backoff time.Duration
 }
 
-// finish notes that nothing is missing.
+// finish records that no entry is missing.
 func (c *catchUp) finish() {
 	c.pending = false
 	c.backoff = 0
@@ -60,9 +60,9 @@
 	return min(2*backoff, maxBackoffHeartbeats*r.config.HeartbeatInterval)
 }
 
-// requestCatchUp asks the leader for what is missing up to its commit index. A replica that
-// lacks no more than the pipeline may hold has lost a message or two, and asks with each
-// heartbeat; one that lacks more backs off, since the answer may be large and slow.
+// requestCatchUp asks the leader for the missing entries up to its commit index. A replica that
+// lacks no more than the pipeline may hold has probably lost a message, and asks with each
+// heartbeat; a replica that lacks more backs off, since the answer may be large and slow.
 func (r *Replica) requestCatchUp(now time.Duration, leader ReplicaID, commitIndex uint64) {
 	request := &r.catchUp
 	interval := r.config.HeartbeatInterval
@@ -104,8 +104,8 @@
 	}
 }
 
-// beginTransfer decides whether a replica that has applied up to an index is sent something
-// large now, and if so records that it is.
+// beginTransfer reports whether a replica that has applied up to an index may be sent a large
+// answer now, and if so records that one is sent.
 func (r *Replica) beginTransfer(now time.Duration, to ReplicaID, index uint64) bool {
 	last, ok := r.catchUp.transfers[to]
 	backoff := r.config.HeartbeatInterval
@@ -119,7 +119,7 @@
 	return true
 }
 
-// handleCatchUpResponse takes in what was missing. The next request need not wait.
+// handleCatchUpResponse applies what was missing and lets the next request go out at once.
 func (r *Replica) handleCatchUpResponse(now time.Duration, msg Message) {
 	before := r.appliedIndex
 	r.learn(now, msg)
--- a/internal/paxos/doc.go
+++ b/internal/paxos/doc.go
@@ -10,8 +10,8 @@
 // The package reads no clock, no socket and no file. The owner of a Replica has one goroutine
 // that calls it, and calls Ready after each of these:
 //
-//   - Step hands over a message from another replica.
-//   - Tick lets time pass: it drives heartbeats, elections and retransmission.
+//   - Step delivers a message from another replica.
+//   - Tick passes the current time: it drives heartbeats, elections and retransmission.
 //   - Propose queues a transaction on the leader; its Outcome comes with a later Ready.
 //   - Read asks the leader for a linearizable read: its ticket comes back in
 //     Ready.ConfirmedReads, and from then on Get returns all that was acknowledged before.
@@ -39,5 +39,5 @@
 // i+Alpha on (membership.go, the paper's section 2.4 and figure 6).
 //
 // Each file states what it owns and which invariant it keeps. Nothing in the package is safe
-// for use by several goroutines at once.
+// for concurrent use.
 package paxos
--- a/internal/paxos/election.go
+++ b/internal/paxos/election.go
@@ -5,16 +5,16 @@
 // Elections: the transitions between roles. A follower whose election deadline passes persists
 // a term, campaigns under it (phase 1 of Paxos) and leads when a majority has promised.
 //
-// Invariant: no two campaigns have the same proposal number, not even those of two
-// incarnations of a process on one disk: the term is synced before its first Prepare leaves.
+// Invariant: no two campaigns have the same proposal number, even across restarts of a process
+// on one disk: the term is synced before the first Prepare that carries it is sent.
 
-// resetElectionDeadline gives the leader one to two election timeouts of silence.
+// resetElectionDeadline sets the deadline to one to two election timeouts from now.
 func (r *Replica) resetElectionDeadline(now time.Duration) {
 	timeout := r.config.ElectionTimeout
 	r.electionDeadline = now + timeout + time.Duration(r.config.Jitter()*float64(timeout))
 }
 
-// becomeFollower gives up whatever the replica was proposing.
+// becomeFollower ends any campaign or leadership; the outcome of queued transactions is unknown.
 func (r *Replica) becomeFollower(now time.Duration) {
 	if r.role == Leader {
 		for _, txn := range r.proposer.queue {
@@ -34,8 +34,8 @@
 	r.becomeFollower(now)
 }
 
-// startElection is what a passed election deadline leads to. What the replica knew of the end
-// of a leadership is good for one campaign: if it was wrong, the leader is followed again.
+// startElection handles a passed election deadline. endedLeadership is used for one campaign
+// only: if it was wrong, the replica must be able to follow that leader again.
 func (r *Replica) startElection(now time.Duration) {
 	r.contact.leader = ""
 	if r.role == Candidate || !r.IsVoter() {
@@ -48,8 +48,8 @@
 	}
 }
 
-// persistTerm has the term of the next campaign synced before any message carries it: a
-// later incarnation, which finds on the disk only what was synced, must not use it again.
+// persistTerm writes the term of the next campaign, which is synced before any message carries
+// it: a later incarnation, which knows only what is on disk, must not use the term again.
 func (r *Replica) persistTerm(now time.Duration) {
 	r.role = PersistingTerm
 	r.roleSince = now
@@ -60,7 +60,7 @@
 	r.sendAfterSync(Message{Kind: TermPersisted, To: r.config.Self, ProposalNumber: r.proposer.number})
 }
 
-// handleTermPersisted goes on to campaign, unless another has been followed since.
+// handleTermPersisted starts the campaign, unless the replica follows another leader by now.
 func (r *Replica) handleTermPersisted(now time.Duration, msg Message) {
 	if r.role == PersistingTerm && msg.ProposalNumber == r.proposer.number {
 		r.campaign(now)
@@ -79,11 +79,11 @@
 	r.tryBecomeLeader(now)
 }
 
-// lastOpenIndex is the last index that may be proposed while appliedIndex stands.
+// lastOpenIndex is the last index that may be proposed at the current appliedIndex.
 func (r *Replica) lastOpenIndex() uint64 { return r.appliedIndex + r.config.Alpha }
 
-// sendPrepares asks those voters of an index for a promise that were not asked yet, except
-// the replica itself.
+// sendPrepares asks the voters of an index for a promise, except the replica itself and those
+// already asked.
 func (r *Replica) sendPrepares(index uint64) {
 	for _, voter := range r.state.MembershipAt(index).Voters {
 		if _, asked := r.proposer.promises[voter.ID]; !asked && voter.ID != r.config.Self {
@@ -101,28 +101,30 @@
 	})
 }
 
-// tryBecomeLeader leads when a majority of each membership that the open indexes may need has
-// promised. The replica's own promise comes last: while others are still in contact with a
-// leader, it stays free to follow that one.
+// tryBecomeLeader makes the replica leader once a majority of the voters of each open index has
+// promised. The replica asks itself last: while others are still in contact with a leader, it
+// remains free to follow that leader.
 func (r *Replica) tryBecomeLeader(now time.Duration) {
-	if !r.ensurePromises(true) {
+	if !r.ensurePromises(r.hasPromisedOrIsSelf) {
 		return
 	}
 	if _, asked := r.proposer.promises[r.config.Self]; !asked {
 		r.proposer.promises[r.config.Self] = false
 		r.send(Message{Kind: Prepare, To: r.config.Self, ProposalNumber: r.proposer.number, Index: r.appliedIndex})
 	}
-	if r.ensurePromises(false) {
+	if r.ensurePromises(r.proposer.hasPromised) {
 		r.becomeLeader(now)
 	}
 }
 
-// ensurePromises reports whether each open index has its majority of promises, and otherwise asks
-// the voters of the first that lacks one; countSelf takes the replica's own promise for given.
-func (r *Replica) ensurePromises(countSelf bool) bool {
-	promised := func(id ReplicaID) bool {
-		return r.proposer.promises[id] || (countSelf && id == r.config.Self)
-	}
+// hasPromisedOrIsSelf counts the replica's own promise before it is asked for.
+func (r *Replica) hasPromisedOrIsSelf(id ReplicaID) bool {
+	return r.proposer.hasPromised(id) || id == r.config.Self
+}
+
+// ensurePromises reports whether each open index has a majority of promises. Otherwise it asks
+// the voters of the first index without one.
+func (r *Replica) ensurePromises(promised func(ReplicaID) bool) bool {
 	for index := r.appliedIndex + 1; index <= r.lastOpenIndex(); index++ {
 		if !r.state.MembershipAt(index).IsQuorum(promised) {
 			r.sendPrepares(index)
@@ -132,7 +134,7 @@
 	return true
 }
 
-// becomeLeader starts to propose. The promises count as contact with those who gave them.
+// becomeLeader starts to propose. A promise counts as contact with its acceptor.
 func (r *Replica) becomeLeader(now time.Duration) {
 	for id, promised := range r.proposer.promises {
 		if promised {
@@ -156,7 +158,7 @@
 func (r *Replica) handlePromise(now time.Duration, msg Message) {
 	if !r.isProposing() || msg.ProposalNumber != r.proposer.number || r.proposer.promises[msg.From] {
 		if msg.Snapshot != nil {
-			r.handleCatchUpResponse(now, msg) // too late for the campaign, but still committed
+			r.handleCatchUpResponse(now, msg) // too late for the campaign, but its snapshot is committed state
 		}
 		return
 	}
@@ -167,7 +169,7 @@
 	r.followers.echoTimestamps[msg.From] = msg.EchoTimestamp
 	r.proposer.adopt(msg.Entries, r.appliedIndex)
 	if msg.CommitIndex > r.appliedIndex {
-		return // the acceptor knows more than it could send: its promise is of no use yet
+		return // the acceptor has committed entries that it did not send: its promise can't count yet
 	}
 	r.proposer.promises[msg.From] = true
 	if r.role == Candidate {
@@ -180,9 +182,10 @@
 // isProposing reports whether the replica has a campaign or a leadership under way.
 func (r *Replica) isProposing() bool { return r.role == Candidate || r.role == Leader }
 
-// handleReject notes a newer term. A leader that is rejected may have been deposed; or a voter
-// that was replaced and does not know it has campaigned in vain. The leader then campaigns at
-// once: who knows a newer leader rejects that, else nobody waits for an election timeout.
+// handleReject records a newer term. A rejected leader may have been deposed, or a voter that
+// does not know that it was replaced may have campaigned. The leader steps down and campaigns
+// at once: replicas that know a newer leader reject that, and otherwise the cell need not wait
+// for an election timeout.
 func (r *Replica) handleReject(now time.Duration, msg Message) {
 	r.proposer.maxTerm = max(r.proposer.maxTerm, msg.ProposalNumber.Term)
 	if r.role == Leader && r.proposer.number.Less(msg.ProposalNumber) {
@@ -193,19 +196,19 @@
 	}
 }
 
-// ReportReplicaLost takes note that a replica's incarnation has ended. If it was the leader,
-// there is no silence to wait out: the first to know campaigns, and tells the others in its
-// Prepare. Others that know may campaign as well, so each waits a little; of two campaigns
-// the higher goes on. Like a silence the report proves nothing: a leader that lives is elected
-// again at the worst.
+// ReportReplicaLost records that a replica's incarnation has ended. If it was the leader, this
+// replica campaigns without waiting for the election timeout, and its Prepare names the ended
+// leadership. Other replicas may do the same, so each waits a short random time; of two
+// concurrent campaigns the one with the higher proposal number goes on. A wrong report is
+// harmless: at worst it causes an unnecessary election.
 func (r *Replica) ReportReplicaLost(now time.Duration, id ReplicaID) {
 	if r.contact.leader == id {
 		r.campaignSoon(now, time.Duration(r.config.Jitter()*float64(r.config.HeartbeatInterval)/2))
 	}
 }
 
-// campaignSoon has a follower campaign after a delay: nobody leads any more under the
-// proposal number that it follows.
+// campaignSoon lets a follower campaign after a delay, since the leadership that it follows has
+// ended.
 func (r *Replica) campaignSoon(now, delay time.Duration) {
 	if r.role == Follower && r.state.LatestMembership().Contains(r.config.Self) {
 		r.contact.endedLeadership = r.acceptor.promised
@@ -213,16 +216,16 @@
 	}
 }
 
-// handleLeadershipTransfer campaigns in place of a leader that has lost its vote.
+// handleLeadershipTransfer campaigns to replace a leader that has lost its vote.
 func (r *Replica) handleLeadershipTransfer(now time.Duration, msg Message) {
 	if r.contact.leader == msg.From && r.acceptor.promised == msg.ProposalNumber {
 		r.campaignSoon(now, 0)
 	}
 }
 
-// transferLeadership ends the leadership of a replica that was moved out of the cell: the
-// others learn what was committed, and the one with the newest contact is asked to campaign.
-// If that message is lost, or late, they elect after an election timeout.
+// transferLeadership ends the leadership of a replica that is no longer a voter: it announces
+// the commit index and asks the voter with the newest contact to campaign. If that message is
+// lost or late, the voters elect a leader after an election timeout.
 func (r *Replica) transferLeadership(now time.Duration, membership Membership) {
 	r.broadcastHeartbeat(now)
 	successor := ReplicaID("")
--- a/internal/paxos/entrylog/entry.go
+++ b/internal/paxos/entrylog/entry.go
@@ -16,18 +16,18 @@
 	return n.Proposer < other.Proposer
 }
 
-// Entry is the content of one log index, and the proposal number under which it was accepted. No
-// transactions make a no-op.
+// Entry is the content of one log index, and the proposal number under which it was accepted. An
+// entry without transactions is a no-op.
 type Entry struct {
 	Index          uint64             `cbor:"1,keyasint"`
 	ProposalNumber ProposalNumber     `cbor:"2,keyasint"`
 	Txns           []statemachine.Txn `cbor:"3,keyasint,omitempty"`
 }
 
-// entryOverheadBytes stands for the fields of an entry other than its transactions.
+// entryOverheadBytes estimates the fields of an entry other than its transactions.
 const entryOverheadBytes = 32
 
-// size is about how many bytes an entry takes.
+// size estimates the encoded size of an entry in bytes.
 func (e *Entry) size() int {
 	size := entryOverheadBytes
 	for i := range e.Txns {
@@ -36,7 +36,7 @@
 	return size
 }
 
-// Size is about how many bytes entries take together.
+// Size estimates the encoded size of entries in bytes.
 func Size(entries []Entry) int {
 	size := 0
 	for i := range entries {
--- a/internal/paxos/entrylog/log.go
+++ b/internal/paxos/entrylog/log.go
@@ -1,6 +1,6 @@
 // Package entrylog holds the log of one replica in memory: the entries that it has accepted or
-// learned and not compacted away. Which of them are committed is the concern of package paxos,
-// and keeping them on disk that of its owner.
+// learned and not compacted away. Package paxos decides which of them are committed; the owner
+// of the replica keeps them on disk.
 package entrylog
 
 import "sort"
@@ -22,10 +22,10 @@
 // CompactedIndex returns the last index up to which entries were compacted away.
 func (l *Log) CompactedIndex() uint64 { return l.compactedIndex }
 
-// Bytes is about how many bytes the entries take.
+// Bytes estimates the encoded size of the entries.
 func (l *Log) Bytes() int { return l.bytes }
 
-// Store puts an entry in place of what stood at its index.
+// Store puts an entry at its index, in place of any older one.
 func (l *Log) Store(entry Entry) {
 	if old := l.entries[entry.Index]; old != nil {
 		l.bytes -= old.size()
@@ -48,7 +48,7 @@
 	l.compactedIndex = index
 }
 
-// Between returns in order the entries after one index up to another.
+// Between returns, in order, the entries after one index up to and including another.
 func (l *Log) Between(after, upTo uint64) []Entry {
 	var found []Entry
 	for index, entry := range l.entries {
--- a/internal/paxos/follower_contact.go
+++ b/internal/paxos/follower_contact.go
@@ -12,10 +12,10 @@
 // followerContact owns what a leader knows of its followers: which heartbeats they answered,
 // and what their disks hold. From that follows which reads are linearizable.
 //
-// Invariant: contactProvenAt is a moment at which a follower had not promised anything newer
-// than the leader's proposal number, since it answered what was sent then. A read is
-// confirmed once a majority has answered a heartbeat that was sent after it was asked for: no
-// other leader had committed anything before.
+// Invariant: contactProvenAt is a time at which a follower had not promised a newer proposal
+// number than the leader's, since it answered a message sent then. A read is confirmed once a
+// majority has answered a heartbeat that was sent after the read began: no other leader had
+// committed anything before it.
 type followerContact struct {
 	// Heartbeats of all the leaderships of this incarnation, numbered from 1.
 	heartbeatSequence uint64
@@ -24,11 +24,11 @@
 	firstHeartbeat    uint64                          // of the current leadership
 
 	// Of each follower:
-	ackedHeartbeats map[ReplicaID]uint64        // the newest that it answered
+	ackedHeartbeats map[ReplicaID]uint64        // the newest sequence that it answered
 	ackReceivedAt   map[ReplicaID]time.Duration // when that answer arrived
-	contactProvenAt map[ReplicaID]time.Duration // when what it answered was sent
+	contactProvenAt map[ReplicaID]time.Duration // when the message that it answered was sent
 	echoTimestamps  map[ReplicaID]uint64        // the newest of its timestamps
-	// durableCommitIndexes has up to where the follower's disk holds the log as committed.
+	// durableCommitIndexes has the commit index on the follower's disk.
 	durableCommitIndexes map[ReplicaID]uint64
 
 	// pendingReads has the tickets that wait for a heartbeat to be answered, by its sequence.
@@ -47,13 +47,13 @@
 	}
 }
 
-// recordDurableCommit notes what a follower says that its disk holds.
+// recordDurableCommit records the commit index that a follower reports as durable.
 func (f *followerContact) recordDurableCommit(id ReplicaID, commitIndex uint64) {
 	f.durableCommitIndexes[id] = max(f.durableCommitIndexes[id], commitIndex)
 }
 
-// DurableCommitIndex returns up to where a replica's disk is known to hold the log as
-// committed; only what the leader returns is up to date.
+// DurableCommitIndex returns the commit index that a replica's disk is known to hold. Only the
+// leader's answer is up to date.
 func (r *Replica) DurableCommitIndex(id ReplicaID) uint64 {
 	return r.followers.durableCommitIndexes[id]
 }
@@ -74,7 +74,7 @@
 	return times[len(times)/2]
 }
 
-// newHeartbeat returns a heartbeat without recipient and echo.
+// newHeartbeat returns a heartbeat; the caller sets its recipient and echo.
 func (r *Replica) newHeartbeat(now time.Duration) Message {
 	return Message{
 		Kind: Heartbeat, ProposalNumber: r.proposer.number, CommitIndex: r.appliedIndex,
@@ -84,7 +84,7 @@
 	}
 }
 
-// broadcastHeartbeat sends a heartbeat to all voters, those to come and the learners.
+// broadcastHeartbeat sends a heartbeat to the current voters, the next ones and the learners.
 func (r *Replica) broadcastHeartbeat(now time.Duration) {
 	followers := &r.followers
 	followers.heartbeatSequence++
@@ -120,8 +120,8 @@
 	return recipients
 }
 
-// handleHeartbeatAck notes contact with a follower. The first answer in a leadership brings a
-// heartbeat with its echo at once, so that the follower need not wait for the next one to
+// handleHeartbeatAck records contact with a follower. The first ack in a leadership is answered
+// by a heartbeat with its echo at once, so that the follower need not wait for the next one to
 // know that it is current.
 func (r *Replica) handleHeartbeatAck(now time.Duration, msg Message) {
 	followers := &r.followers
@@ -140,7 +140,7 @@
 	}
 }
 
-// recordHeartbeatAck notes that a replica has answered a heartbeat, and confirms the reads
+// recordHeartbeatAck records that a replica has answered a heartbeat, and confirms the reads
 // that waited for it.
 func (r *Replica) recordHeartbeatAck(id ReplicaID, sequence uint64, now time.Duration) {
 	followers := &r.followers
@@ -155,7 +155,7 @@
 	r.confirmReads()
 }
 
-// confirmReads hands out the tickets of reads whose heartbeat a majority has answered.
+// confirmReads returns the tickets of reads whose heartbeat a majority has answered.
 func (r *Replica) confirmReads() {
 	membership := r.nextMembership()
 	for sequence, tickets := range r.followers.pendingReads {
@@ -167,10 +167,9 @@
 	}
 }
 
-// Read asks for a moment at which the applied state is known to be current: the ticket comes
-// back in Ready.ConfirmedReads once a majority has confirmed the leader. It returns
-// ErrNotLeader, or ErrPipelineFull while the leader has not applied yet what earlier leaders
-// committed.
+// Read starts a linearizable read: its ticket is in Ready.ConfirmedReads once a majority has
+// confirmed the leader, and the applied state may answer it then. It returns ErrNotLeader, or
+// ErrPipelineFull while the leader has not yet applied what earlier leaders committed.
 func (r *Replica) Read(now time.Duration, ticket uint64) error {
 	if r.role != Leader {
 		return ErrNotLeader
@@ -184,7 +183,7 @@
 	return nil
 }
 
-// handleCommitPersisted notes what a learner's disk holds.
+// handleCommitPersisted records the commit index on a learner's disk.
 func (r *Replica) handleCommitPersisted(msg Message) {
 	if r.role == Leader && msg.ProposalNumber == r.proposer.number {
 		r.followers.recordDurableCommit(msg.From, msg.CommitIndex)
--- a/internal/paxos/leader_contact.go
+++ b/internal/paxos/leader_contact.go
@@ -8,36 +8,36 @@
 // maxTimestampBase bounds where the timestamps of an incarnation begin.
 const maxTimestampBase = 1 << 62
 
-// leaderContact owns what a follower knows of its leader, and up to which moment the
+// leaderContact owns what a follower knows about its leader, and the time up to which the
 // follower's state is current.
 //
-// Invariant: the state includes all that was acknowledged before currentUntil, a time of the
-// replica's own clock. The proof: the replica sends a timestamp with each answer, the leader
-// echoes the newest in its heartbeats, and what it had committed when it sent one was all that
-// was acknowledged up to its own last contact with a majority. What arrives late, after a
-// partition or a pause, proves nothing newer.
+// Invariant: the state includes everything that was acknowledged before currentUntil, a time of
+// the replica's own clock. Proof: the replica sends a timestamp with each answer, and the
+// leader echoes the newest one in its heartbeats. The commit index of a heartbeat covers
+// everything that was acknowledged up to the leader's last contact with a majority. A heartbeat
+// that arrives late, after a partition or a pause, echoes an old timestamp and so proves
+// nothing newer.
 type leaderContact struct {
 	leader ReplicaID
 	// leaderContactAt is when the leader was last in contact.
 	leaderContactAt time.Duration
-	// endedLeadership is a proposal number: nobody leads under it, nor under those before,
-	// any more.
+	// endedLeadership is a proposal number: all leaderships up to and including it have ended.
 	endedLeadership ProposalNumber
 
 	announced    commitAnnouncement
 	currentUntil time.Duration
 
-	// timestampBase is where the timestamps of this incarnation begin; it is random, so that
-	// the echo of an earlier incarnation's is not taken for one of this.
+	// timestampBase is where the timestamps of this incarnation begin. It is random, so that
+	// an echo for an earlier incarnation is not mistaken for one of this.
 	timestampBase uint64
 }
 
-// commitAnnouncement is what the last heartbeat said.
+// commitAnnouncement is the content of the last heartbeat.
 type commitAnnouncement struct {
 	commitIndex              uint64
 	completedMembershipIndex uint64
-	// currentUntil is the moment of this replica's clock until which all that was
-	// acknowledged is within commitIndex, or 0.
+	// currentUntil is a time of this replica's clock: everything acknowledged before it is
+	// within commitIndex. 0 if unknown.
 	currentUntil time.Duration
 }
 
@@ -56,8 +56,8 @@
 	return time.Duration(millis) * time.Millisecond, true
 }
 
-// recordAnnouncement takes in what a heartbeat proves: the leader had received the echoed
-// timestamp before it sent it.
+// recordAnnouncement records what a heartbeat proves: the leader had received the echoed
+// timestamp before it sent the heartbeat.
 func (c *leaderContact) recordAnnouncement(now time.Duration, heartbeat Message) {
 	c.announced = commitAnnouncement{
 		commitIndex:              heartbeat.CommitIndex,
@@ -69,16 +69,16 @@
 	}
 }
 
-// advanceCurrentUntil notes until when the state is current, once it includes all that the
-// last heartbeat announced.
+// advanceCurrentUntil updates currentUntil once the state includes everything that the last
+// heartbeat announced.
 func (c *leaderContact) advanceCurrentUntil(appliedIndex uint64) {
 	if appliedIndex >= c.announced.commitIndex && c.announced.currentUntil > c.currentUntil {
 		c.currentUntil = c.announced.currentUntil
 	}
 }
 
-// followLeader takes note of a leader whose proposal number is not behind the promise. What
-// a leader sent before its leadership ended keeps nobody from campaigning.
+// followLeader records contact with a leader whose proposal number is not older than the
+// promise. A message from a leadership that is known to have ended is ignored.
 func (r *Replica) followLeader(number ProposalNumber, now time.Duration) {
 	if !r.contact.endedLeadership.Less(number) {
 		return
@@ -115,9 +115,9 @@
 	}
 }
 
-// reportDurableCommit tells the leader what a learner's disk holds: a learner is made a voter
-// on the strength of that. In a quiet cell nothing more may come that is written, so the
-// commit index gets a write of its own if it is far behind.
+// reportDurableCommit reports the commit index on a learner's disk to the leader: the learner
+// becomes a voter only once that is recent enough. In a cell without traffic there may be no
+// further writes, so the commit index gets a write of its own if the one on disk is far behind.
 func (r *Replica) reportDurableCommit(leader ReplicaID, number ProposalNumber) {
 	if r.durableCommitIndex+r.config.Alpha < r.appliedIndex {
 		r.ready.Writes.PersistCommitIndex = true
@@ -125,9 +125,9 @@
 	r.sendAfterSync(Message{Kind: CommitPersisted, To: leader, ProposalNumber: number, CommitIndex: r.appliedIndex})
 }
 
-// Staleness reports how old the replica's state may be at most: all that was acknowledged
-// before that is in it. A leader knows by what a majority answered, counted from when it
-// asked; the others by their leader's heartbeats.
+// Staleness returns an upper bound of the age of the replica's state: everything acknowledged
+// longer ago is in it. A leader counts from when it sent what a majority has answered; a
+// follower derives it from its leader's heartbeats.
 func (r *Replica) Staleness(now time.Duration) time.Duration {
 	if r.contact.leader == "" {
 		return unboundedStaleness
@@ -138,7 +138,7 @@
 		}
 		return now - r.quorumTime(r.followers.contactProvenAt)
 	}
-	if r.contact.currentUntil == 0 { // started, and not current even once
+	if r.contact.currentUntil == 0 { // not current since the start
 		return unboundedStaleness
 	}
 	return now - r.contact.currentUntil
--- a/internal/paxos/learner.go
+++ b/internal/paxos/learner.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// The learner applies committed entries. It owns the replica's appliedIndex and what of log
-// and state goes to disk with it.
+// The learner applies committed entries. It owns the replica's appliedIndex, and the log entries
+// and snapshots that are written to disk.
 //
 // Invariant: entries are applied in the order of the log, each once, and only if they are
-// known to be committed: the leader's commit index covers them and they were accepted under
-// that leader's proposal number, or another replica sent them as committed. Nothing is
-// applied before the first membership is known, which stands in no log.
+// known to be committed: either the leader's commit index covers them and they were accepted
+// under that leader's proposal number, or another replica sent them as committed. Nothing is
+// applied before the first membership is known; it is in no log entry, only in a snapshot.
 
-// maxLogBytes is the size from which a log is compacted whole, however few its entries.
+// maxLogBytes is the size from which the complete log is compacted, however few entries it has.
 const maxLogBytes = 1 << 20
 
-// storeEntry puts an entry into the log and on disk.
+// storeEntry stores an entry in the log and queues its write.
 func (r *Replica) storeEntry(entry Entry) {
 	r.log.Store(entry)
 	r.ready.Writes.Entries = append(r.ready.Writes.Entries, entry)
 }
 
-// commitUpTo applies what the leader says is committed as far as the log holds it from that
-// very leader, and asks for the rest.
+// commitUpTo applies entries up to the leader's commit index, as far as the log holds them under
+// that leader's proposal number, and requests the rest.
 func (r *Replica) commitUpTo(now time.Duration, leader ProposalNumber, commitIndex uint64) {
 	for r.appliedIndex < commitIndex && r.state.HasMembership() {
 		entry := r.log.At(r.appliedIndex + 1)
@@ -37,7 +37,7 @@
 	r.requestCatchUp(now, leader.Proposer, commitIndex)
 }
 
-// learn takes in committed content: a snapshot, and entries up to msg.CommitIndex.
+// learn applies committed content: a snapshot, and entries up to msg.CommitIndex.
 func (r *Replica) learn(now time.Duration, msg Message) {
 	if r.role == Leader && msg.CommitIndex > r.appliedIndex && !r.mayLearnAsLeader(msg) {
 		r.stepDown(now)
@@ -58,10 +58,10 @@
 	r.proposer.nextIndex = max(r.proposer.nextIndex, r.appliedIndex+1)
 }
 
-// mayLearnAsLeader reports whether a leader that learns of committed entries may go on to
-// lead. What was committed under an older proposal number than its own is what it has adopted
-// for that index, so its own proposal there is the same. Anything newer shows that it has been
-// deposed, and a snapshot does not say under which proposal numbers it came about.
+// mayLearnAsLeader reports whether a leader that learns committed entries may keep leading. An
+// entry committed under an older proposal number is the one that the leader adopted for that
+// index, so its own proposal there is the same. A newer proposal number shows that it has been
+// deposed; a snapshot does not show its proposal numbers, so the leader steps down too.
 func (r *Replica) mayLearnAsLeader(msg Message) bool {
 	if msg.Snapshot != nil && msg.Snapshot.AppliedIndex > r.appliedIndex {
 		return false
@@ -82,7 +82,7 @@
 	r.log.CompactTo(snapshot.AppliedIndex)
 }
 
-// applyNext applies the log's next entry, which must be there and committed.
+// applyNext applies the log's next entry, which must exist and be committed.
 func (r *Replica) applyNext() {
 	index := r.appliedIndex + 1
 	for _, txn := range r.log.At(index).Txns {
@@ -95,8 +95,8 @@
 	r.compact()
 }
 
-// compact replaces a long log by a snapshot. The snapshot is of the newest state; the entries
-// that stay below it only serve to bring others up to date.
+// compact replaces a long log by a snapshot of the newest state. Entries that are kept below the
+// snapshot only serve the catch-up of other replicas.
 func (r *Replica) compact() {
 	large := r.log.Bytes() >= maxLogBytes
 	if !large && r.appliedIndex-r.log.CompactedIndex() < 2*r.config.RetainedEntries {
--- a/internal/paxos/message.go
+++ b/internal/paxos/message.go
@@ -12,7 +12,7 @@
 const (
 	// Prepare (phase 1a) asks for a promise; Index is what the candidate has applied.
 	Prepare MessageKind = iota + 1
-	// Promise (phase 1b) brings the entries that the acceptor holds after that index.
+	// Promise (phase 1b) carries the entries that the acceptor holds after that index.
 	Promise
 	// Reject answers a Prepare, Accept or Heartbeat that is older than a promise.
 	Reject
@@ -26,14 +26,14 @@
 	HeartbeatAck
 	// CatchUpRequest asks for the committed content after Index.
 	CatchUpRequest
-	// CatchUpResponse brings a log segment or a snapshot.
+	// CatchUpResponse carries a log segment or a snapshot.
 	CatchUpResponse
 	// TermPersisted goes from a replica to itself once the term of its campaign is on disk.
 	TermPersisted
-	// CommitPersisted tells the leader up to where a learner's disk holds the log as committed.
+	// CommitPersisted reports to the leader the commit index on a learner's disk.
 	CommitPersisted
-	// LeadershipTransfer comes from a leader that lost its vote: nobody leads under its
-	// proposal number any more, and the recipient is to campaign.
+	// LeadershipTransfer is sent by a leader that lost its vote: the leadership under its
+	// proposal number has ended, and the recipient should campaign.
 	LeadershipTransfer
 )
 
@@ -46,8 +46,8 @@
 	ProposalNumber ProposalNumber `cbor:"5,keyasint,omitempty"`
 	// Index is what the sender of a Prepare or a CatchUpRequest has applied.
 	Index uint64 `cbor:"6,keyasint,omitempty"`
-	// CommitIndex is up to where the sender knows the log to be committed; in Accepted
-	// and CommitPersisted, up to where its disk holds it as committed.
+	// CommitIndex is the sender's commit index; in Accepted and CommitPersisted, the commit
+	// index on its disk.
 	CommitIndex uint64 `cbor:"7,keyasint,omitempty"`
 	// HeartbeatSequence numbers the heartbeats of one leader; the ack repeats it.
 	HeartbeatSequence uint64    `cbor:"8,keyasint,omitempty"`
@@ -56,24 +56,24 @@
 	Snapshot          *Snapshot `cbor:"11,keyasint,omitempty"`
 	// NeedsSnapshot is set in a CatchUpRequest of a replica that knows no membership yet.
 	NeedsSnapshot bool `cbor:"12,keyasint,omitempty"`
-	// EchoTimestamp is a reading of a replica's own clock, in what it answers a leader; a
-	// heartbeat echoes the newest that the leader has received from the recipient.
+	// EchoTimestamp, in a replica's answer to a leader, is a reading of the replica's own
+	// clock. A heartbeat echoes the newest one that the leader received from the recipient.
 	EchoTimestamp uint64 `cbor:"13,keyasint,omitempty"`
-	// QuorumContactAgeMillis, of a heartbeat, is how long ago, in milliseconds, a majority
-	// surely followed the leader.
+	// QuorumContactAgeMillis, in a heartbeat, is the time in milliseconds since the last
+	// moment at which a majority provably followed the leader.
 	QuorumContactAgeMillis uint64 `cbor:"14,keyasint,omitempty"`
-	// CompletedMembershipIndex, of a heartbeat, is where the newest membership begins if the
-	// leader knows that the change to it is complete.
+	// CompletedMembershipIndex, in a heartbeat, is the first index of the newest membership
+	// if the change to it is complete, else 0.
 	CompletedMembershipIndex uint64 `cbor:"15,keyasint,omitempty"`
-	// EndedLeadership, of a Prepare, is the newest proposal number under which the candidate
-	// knows that nobody leads any more.
+	// EndedLeadership, in a Prepare, is the newest proposal number whose leadership the
+	// candidate knows to have ended.
 	EndedLeadership ProposalNumber `cbor:"16,keyasint,omitempty"`
 }
 
-// messageOverheadBytes stands for the fields of a message other than entries and snapshot.
+// messageOverheadBytes estimates the fields of a message other than entries and snapshot.
 const messageOverheadBytes = 64
 
-// Size is about how many bytes a message takes.
+// Size estimates the encoded size of a message in bytes.
 func (msg *Message) Size() int {
 	size := messageOverheadBytes + entrylog.Size(msg.Entries)
 	if msg.Snapshot != nil {
--- a/internal/paxos/proposer.go
+++ b/internal/paxos/proposer.go
@@ -9,17 +9,17 @@
 // proposer owns the current campaign or leadership, and the transactions that were proposed
 // under it.
 //
-// Invariant: under one proposal number there is at most one proposal for each index, and it is
-// made only after a majority of the voters of that index has promised. If one of the promises
-// reported an accepted entry for the index, the proposal is the one of these with the highest
-// proposal number; a new transaction stands only at indexes after all of those.
+// Invariant: under one proposal number there is at most one proposal for each index, made only
+// after a majority of the voters of that index has promised. If promises reported accepted
+// entries for the index, the proposal is the entry with the highest proposal number. New
+// transactions are proposed only at indexes after all reported ones.
 type proposer struct {
 	number ProposalNumber
 	// maxTerm is the highest term that the replica knows of.
 	maxTerm uint64
-	// promises has who was asked for a promise, and whether it came.
+	// promises has an element for each replica that was asked for a promise; true once it promised.
 	promises map[ReplicaID]bool
-	// adopted holds what promises reported for open indexes, to be proposed again.
+	// adopted holds the entries that promises reported for open indexes, to be proposed again.
 	adopted map[uint64]Entry
 	// inFlight holds the proposals after the applied index.
 	inFlight map[uint64]*inFlightProposal
@@ -31,7 +31,8 @@
 	awaitingOutcome map[string]bool
 }
 
-// inFlightProposal is an entry that waits for its majority, or for those before it.
+// inFlightProposal is a proposed entry that is not applied yet: it or an earlier one still
+// lacks a majority.
 type inFlightProposal struct {
 	entry      Entry
 	acceptedBy map[ReplicaID]bool
@@ -51,7 +52,7 @@
 	p.inFlight = map[uint64]*inFlightProposal{}
 }
 
-// stop drops the campaign or leadership.
+// stop ends the campaign or leadership.
 func (p *proposer) stop() {
 	p.queue = nil
 	p.promises = nil
@@ -59,7 +60,7 @@
 	p.inFlight = nil
 }
 
-// hasPromised reports whether a replica's promise came.
+// hasPromised reports whether a replica has promised.
 func (p *proposer) hasPromised(id ReplicaID) bool { return p.promises[id] }
 
 // adopt keeps, of the entries that promises report for each index after appliedIndex, the
@@ -85,7 +86,7 @@
 	return last
 }
 
-// drop forgets an index that is committed.
+// drop removes the proposal of a committed index.
 func (p *proposer) drop(index uint64) {
 	delete(p.inFlight, index)
 	delete(p.adopted, index)
@@ -109,8 +110,8 @@
 	return txns, true
 }
 
-// Propose queues a transaction; its Outcome comes with a later Ready. It returns ErrNotLeader
-// or ErrPipelineFull, and then the transaction was not taken.
+// Propose queues a transaction; a later Ready has its Outcome. If it returns ErrNotLeader or
+// ErrPipelineFull the transaction was not queued.
 func (r *Replica) Propose(now time.Duration, txn Txn) error {
 	if r.role != Leader {
 		return ErrNotLeader
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// ForgetOutcome drops interest in a transaction's outcome.
+// ForgetOutcome keeps a transaction's Outcome from being reported.
 func (r *Replica) ForgetOutcome(txnID string) { delete(r.proposer.awaitingOutcome, txnID) }
 
 // fillPipeline is phase 2a: it proposes while fewer than Alpha entries are in flight. The
@@ -179,7 +180,8 @@
 	}
 }
 
-// retransmit sends again what was not answered for a heartbeat interval.
+// retransmit repeats Accepts that are unanswered for a heartbeat interval, and all unanswered
+// Prepares.
 func (r *Replica) retransmit(now time.Duration) {
 	for index := r.appliedIndex + 1; index < r.proposer.nextIndex; index++ {
 		proposal := r.proposer.inFlight[index]
@@ -257,9 +259,10 @@
 	}
 }
 
-// isCaughtUp reports whether a leader has applied all that earlier ones had committed: what it
-// has adopted, and nothing after that, since a majority of those who vote on the next index
-// has promised. After a membership change that may not be the majority that elected it.
+// isCaughtUp reports whether a leader has applied everything that earlier leaders committed.
+// That is the case once all adopted entries are applied and a majority of the voters of the
+// next index has promised: then no later entry was committed. After a membership change this
+// may be another majority than the one that elected the leader.
 func (r *Replica) isCaughtUp() bool {
 	return r.appliedIndex >= r.proposer.maxAdoptedIndex() && r.nextMembership().IsQuorum(r.proposer.hasPromised)
 }
--- a/internal/paxos/ready.go
+++ b/internal/paxos/ready.go
@@ -1,8 +1,8 @@
 package paxos
 
-// Ready is what a replica wants done since the call before. MessagesAfterSync wait for the
-// sync of Writes and of all Writes before them, since others count on what they say;
-// Messages may leave at once.
+// Ready is the I/O that a replica asks of its owner. MessagesAfterSync must wait until these
+// Writes and all earlier ones are synced, since the recipients rely on what the messages
+// report as durable. Messages may be sent at once.
 type Ready struct {
 	Writes            Writes
 	Messages          []Message
@@ -16,21 +16,21 @@
 	ChangedKeys  ChangedKeys
 }
 
-// Writes must be synced before the MessagesAfterSync of the same Ready may leave.
+// Writes must be synced before the MessagesAfterSync of the same Ready are sent.
 type Writes struct {
 	// Promised is the newest promise, or nil if it is unchanged.
 	Promised *ProposalNumber
-	// Term is one that this replica is about to campaign under, or 0; no later
+	// Term is the term of this replica's next campaign, or 0 if unchanged. No later
 	// incarnation may use it.
 	Term uint64
-	// CommitIndex is up to where the log is known to be committed.
+	// CommitIndex is the last log index that is known to be committed.
 	CommitIndex uint64
 	// Entries replace whatever the disk holds at their indexes.
 	Entries  []Entry
 	Snapshot *Snapshot
 	// TruncateTo is the last index whose entries the snapshot makes unnecessary.
 	TruncateTo uint64
-	// PersistCommitIndex is set if CommitIndex is worth a write of its own.
+	// PersistCommitIndex is set if CommitIndex must be written even if nothing else is.
 	PersistCommitIndex bool
 }
 
@@ -48,18 +48,17 @@
 	Snapshot    *Snapshot
 }
 
-// Outcome tells a proposer what became of its transaction.
+// Outcome is the result of a transaction that was proposed here.
 type Outcome struct {
 	TxnID string
 	// Committed is set if all conditions held and the operations were applied.
 	Committed bool
-	// Unknown means that this replica cannot tell: the transaction may or may not be applied.
+	// Unknown means that this replica cannot tell whether the transaction is or will be applied.
 	Unknown bool
 }
 
-// Ready returns what is to be done since the last call, and starts collecting anew. The
-// commit index that a message reports as durable is at most what these Writes and those
-// before put on disk.
+// Ready returns the I/O collected since the last call. The commit index that a message reports
+// as durable is capped at the one that these and earlier Writes put on disk.
 func (r *Replica) Ready() Ready {
 	ready := r.ready
 	ready.Writes.CommitIndex = r.appliedIndex
@@ -77,21 +76,22 @@
 	return ready
 }
 
-// send has a message leave at once.
+// send queues a message that may be sent at once.
 func (r *Replica) send(msg Message) {
 	msg.Cell = r.config.Cell
 	msg.From = r.config.Self
 	r.ready.Messages = append(r.ready.Messages, msg)
 }
 
-// sendAfterSync has a message leave after the sync, since others will count on it.
+// sendAfterSync queues a message that must wait for the sync of the Writes collected so far.
 func (r *Replica) sendAfterSync(msg Message) {
 	msg.Cell = r.config.Cell
 	msg.From = r.config.Self
 	r.ready.MessagesAfterSync = append(r.ready.MessagesAfterSync, msg)
 }
 
-// reportOutcome tells the owner what became of a transaction, unless it asked to forget it.
+// reportOutcome reports a transaction's outcome to the owner, unless the transaction was
+// proposed elsewhere or the owner called ForgetOutcome.
 func (r *Replica) reportOutcome(outcome Outcome) {
 	if r.proposer.awaitingOutcome[outcome.TxnID] {
 		delete(r.proposer.awaitingOutcome, outcome.TxnID)
--- a/internal/paxos/replica.go
+++ b/internal/paxos/replica.go
@@ -36,38 +36,37 @@
 	return [...]string{"follower", "persisting term", "candidate", "leader"}[role]
 }
 
-// Config is fixed for the life of a replica.
+// Config is constant while a replica runs.
 type Config struct {
 	Cell string
 	Self ReplicaID
 	// Alpha is how many entries may be in flight, and after how many indexes a membership
 	// change takes effect; all replicas of a cell must have the same.
 	Alpha uint64
-	// MaxQueue is how many transactions may wait for the pipeline before Propose refuses.
+	// MaxQueue is how many transactions may wait for the pipeline; Propose rejects more.
 	MaxQueue int
 	// MaxBatch is how many transactions one entry may hold.
 	MaxBatch int
-	// RetainedEntries is how many applied entries stay for catch-up by log segment.
+	// RetainedEntries is how many applied entries are kept for catch-up by log segment.
 	RetainedEntries uint64
 	// HeartbeatInterval is the time between heartbeats, and before a retransmission.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is how long a leader may lack contact; a follower waits for one to two
-	// times as long before it campaigns.
+	// ElectionTimeout is how long a leader may be without contact to a majority before it steps
+	// down. A follower campaigns after one to two times this time without its leader.
 	ElectionTimeout time.Duration
 	// Jitter returns a random number in [0,1).
 	Jitter func() float64
 }
 
 // Replica is one voter or learner of one cell. It owns the roles and their transitions, and
-// hands each message to the part that it concerns.
+// dispatches each message to its handler.
 //
-// Invariant: a replica is a function of its PersistedState and of the calls since, so that
-// the same calls, with the same Jitter, give the same Ready values, but for the order of
-// ChangedKeys and ConfirmedReads. The order of messages matters: nothing here sends while it
-// ranges over a map that isn't sorted.
+// Invariant: a replica is deterministic. The same PersistedState, calls and Jitter give the
+// same Ready values, except for the order of ChangedKeys and ConfirmedReads. The order of
+// messages is part of that: no code here sends messages while it ranges over an unsorted map.
 type Replica struct {
 	config   Config
-	learners []ReplicaID // to be kept current by the leader, besides the voters
+	learners []ReplicaID // the leader replicates to them as to the voters
 
 	role             Role
 	roleSince        time.Duration
@@ -81,10 +80,10 @@
 
 	log   entrylog.Log
 	state statemachine.State
-	// appliedIndex is the last index that state includes; all up to there is committed.
+	// appliedIndex is the last log index that state includes; all entries up to it are committed.
 	appliedIndex uint64
-	// durableCommitIndex is up to where a restart finds the log committed, once all Writes
-	// are synced.
+	// durableCommitIndex is the commit index that a restart finds on disk once all Writes are
+	// synced.
 	durableCommitIndex uint64
 
 	ready Ready
@@ -114,13 +113,13 @@
 	}
 	r.durableCommitIndex = r.appliedIndex
 	r.becomeFollower(now)
-	// After a start nobody may lead: campaign soon. Replicas that are in contact with a leader
-	// reject that, and this one has promised nothing yet.
+	// After a start there may be no leader, so campaign soon. If there is one, the replicas in
+	// contact with it reject the campaign, and this replica has promised nothing yet.
 	r.electionDeadline = now + time.Duration((0.2+config.Jitter())*float64(config.ElectionTimeout)/3)
 	return r
 }
 
-// Role returns the replica's part in the election.
+// Role returns the replica's role in the election.
 func (r *Replica) Role() Role { return r.role }
 
 // Leader returns the leader that the replica knows of, or "".
@@ -129,7 +128,7 @@
 // AppliedIndex returns the last log index that the state includes.
 func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
 
-// Get returns a value of the applied state, maybe an old one; see Read.
+// Get returns a value of the applied state, which may be stale; see Read.
 func (r *Replica) Get(key string) (Value, bool) { return r.state.Get(key) }
 
 // Keys returns the keys of the applied state in order.
@@ -140,13 +139,13 @@
 	return r.state.KeysWithPrefix(prefix, from)
 }
 
-// Tick lets time pass. It is to be called several times a HeartbeatInterval.
+// Tick passes the current time. Its owner calls it several times per HeartbeatInterval.
 func (r *Replica) Tick(now time.Duration) {
 	switch r.role {
 	case Leader:
 		r.tickLeader(now)
 	case PersistingTerm:
-		// The disk is slow, or hangs. What was known of the end of a leadership is too old.
+		// The disk is slow or hangs, so the knowledge that a leadership has ended is too old.
 		if now-r.roleSince > r.config.ElectionTimeout {
 			r.contact.endedLeadership = ProposalNumber{}
 		}
@@ -157,7 +156,7 @@
 	}
 }
 
-// Step takes in a message. One that is addressed to another replica or cell is ignored.
+// Step handles a message. A message for another replica or cell is ignored.
 func (r *Replica) Step(now time.Duration, msg Message) {
 	if msg.To != r.config.Self || msg.Cell != r.config.Cell {
 		return
--- a/internal/paxos/statemachine/membership.go
+++ b/internal/paxos/statemachine/membership.go
@@ -4,7 +4,7 @@
 // another ReplicaID and never votes under the old one.
 type ReplicaID string
 
-// Voter is one place in a cell's membership.
+// Voter is one voting replica in a cell's membership.
 type Voter struct {
 	ID   ReplicaID `cbor:"1,keyasint"`
 	Addr string    `cbor:"2,keyasint"`
@@ -15,9 +15,8 @@
 //
 // The paper's section 2.4 and figure 6: a change that is committed at index i takes effect at
 // i+alpha, since the leader may have up to alpha entries in flight whose voters must be known.
-// Invariant: memberships differ by at most one voter added and one removed, and a change is
-// ignored until the one before it is in effect, so majorities of neighbours intersect in what
-// the log commits in between.
+// Invariant: a membership differs from the one before it by at most one voter added and one
+// removed, and a change is ignored until the one before it is in effect.
 type Membership struct {
 	EffectiveFrom uint64  `cbor:"1,keyasint"`
 	Voters        []Voter `cbor:"2,keyasint"`
@@ -33,7 +32,7 @@
 	return false
 }
 
-// IsQuorum reports whether a majority of the voters has something.
+// IsQuorum reports whether has is true for a majority of the voters.
 func (m Membership) IsQuorum(has func(ReplicaID) bool) bool {
 	count := 0
 	for _, voter := range m.Voters {
@@ -90,7 +89,7 @@
 	return added <= 1 && removed <= 1 && added+removed > 0
 }
 
-// PruneMemberships drops those that no index after appliedIndex can need.
+// PruneMemberships drops the memberships that no index after appliedIndex needs.
 func (s *State) PruneMemberships(appliedIndex uint64) {
 	for len(s.memberships) > 1 && s.memberships[1].EffectiveFrom <= appliedIndex+1 {
 		s.memberships = s.memberships[1:]
--- a/internal/paxos/statemachine/patch.go
+++ b/internal/paxos/statemachine/patch.go
@@ -6,13 +6,13 @@
 	"errors"
 )
 
-// A patch rebuilds a byte array from an older one. Both are seen as chunks that end after
-// each '}': a list of records then changes only in the records that changed. The patch is a
-// run of steps. Each begins with a count of bytes, shifted left by one, as a uvarint: with
-// the lowest bit clear, copy so many bytes from an offset of the old array, which follows as
-// a uvarint; with it set, take so many bytes of the patch as they stand.
+// A patch rebuilds a byte array from an older one. Both arrays are split into chunks after each
+// '}', so that a patch of a list of JSON records holds only the records that changed. The patch
+// is a sequence of steps. Each begins with a uvarint: a count of bytes, shifted left by one, and
+// the literal bit. If the bit is clear, a second uvarint is the offset in the old array from
+// which to copy that many bytes. If it is set, that many literal bytes follow.
 
-// literalBit marks a step that brings its bytes with it.
+// literalBit marks a step whose bytes follow in the patch.
 const literalBit = 1
 
 var errPatchMismatch = errors.New("statemachine: the patch does not fit")
@@ -31,7 +31,7 @@
 	return out
 }
 
-// patchWriter collects the steps of a patch. At most one of the two steps in the making is
+// patchWriter builds a patch. At most one of literal and copyLength, the step being built, is
 // not empty.
 type patchWriter struct {
 	patch      []byte
@@ -40,7 +40,7 @@
 	copyLength int
 }
 
-// flush writes the step in the making.
+// flush writes the step being built.
 func (w *patchWriter) flush() {
 	if len(w.literal) > 0 {
 		w.patch = binary.AppendUvarint(w.patch, uint64(len(w.literal))<<1|literalBit)
@@ -54,7 +54,7 @@
 	}
 }
 
-// extendCopy lengthens the copy in the making if the chunk is what follows it in old.
+// extendCopy extends the copy step being built if the chunk follows it in old.
 func (w *patchWriter) extendCopy(old, chunk []byte) bool {
 	end := w.copyOffset + w.copyLength
 	if w.copyLength == 0 || !bytes.HasPrefix(old[end:], chunk) {
@@ -66,7 +66,7 @@
 
 // MakePatch returns a patch that turns old into new.
 func MakePatch(old, new []byte) []byte {
-	offsets := map[string]int{} // where each chunk of old first stands
+	offsets := map[string]int{} // where each chunk first occurs in old
 	offset := 0
 	for _, chunk := range chunks(old) {
 		if _, ok := offsets[string(chunk)]; !ok {
--- a/internal/paxos/statemachine/state.go
+++ b/internal/paxos/statemachine/state.go
@@ -8,7 +8,7 @@
 )
 
 // MembershipVersionKey holds the number of membership changes of a cell. A change is
-// conditioned on it, so that of two that were decided at the same time one is ignored.
+// conditional on it, so that of two concurrent changes only one is applied.
 const MembershipVersionKey = "@seats"
 
 // Snapshot is the state after the entry at AppliedIndex.
@@ -18,17 +18,17 @@
 	Memberships  []Membership     `cbor:"3,keyasint"`
 }
 
-// State owns the key-value state and the memberships that the committed entries made.
-// Invariant: it is a function of the entries that were applied alone, so replicas that have
-// applied the same entries hold the same state. memberships are in order of EffectiveFrom.
+// State owns the key-value state and the memberships that result from the committed entries.
+// Invariant: it depends on the applied entries alone, so replicas that have applied the same
+// entries hold the same state. memberships are in order of EffectiveFrom.
 type State struct {
 	keyValues   map[string]Value
 	memberships []Membership
-	// changedKeys collects what was changed until the next TakeChangedKeys.
+	// changedKeys collects the changed keys until the next TakeChangedKeys.
 	changedKeys ChangedKeys
 }
 
-// NewState returns a state without keys, and without a membership: that comes with a snapshot.
+// NewState returns a state without keys or membership; a snapshot brings the first membership.
 func NewState() State { return State{keyValues: map[string]Value{}} }
 
 // Get returns a value.
@@ -127,12 +127,12 @@
 	s.keyValues[MembershipVersionKey] = Value{Int: version}
 }
 
-// stagedValues has the keys that a transaction changes, until all of its operations have
-// succeeded; nil deletes one. A value may point into its operation, which nothing changes. It is
-// a map of its own, not a struct with what outlives Apply, so that it need not be on the heap.
+// stagedValues holds the values that a transaction writes, until all of its operations have
+// succeeded; nil deletes the key. A value may point into its operation, which is never modified.
+// It is a separate map that does not outlive Apply, so that it need not be on the heap.
 type stagedValues map[string]*Value
 
-// stage carries out one operation on a single key, and reports whether it was possible.
+// stage performs one operation on a single key, and reports whether it was possible.
 func (s *State) stage(staged stagedValues, op *Op) bool {
 	switch op.Kind {
 	case OpPut:
@@ -154,7 +154,7 @@
 	return true
 }
 
-// stageAdd carries out OpAdd.
+// stageAdd performs OpAdd.
 func (s *State) stageAdd(staged stagedValues, op *Op) bool {
 	old, exists := s.stagedValue(staged, op.Key)
 	if op.Value.Int == nil || (exists && old.Int == nil) {
@@ -168,7 +168,7 @@
 	return true
 }
 
-// stagedValue returns a value as the operations so far have left it.
+// stagedValue returns a value as the operations so far have changed it.
 func (s *State) stagedValue(staged stagedValues, key string) (Value, bool) {
 	if value, ok := staged[key]; ok {
 		if value == nil {
@@ -194,10 +194,10 @@
 	return &Snapshot{AppliedIndex: appliedIndex, State: state, Memberships: slices.Clone(s.memberships)}
 }
 
-// Size is about how many bytes the state takes in a snapshot.
+// Size estimates the size of the state in a snapshot, in bytes.
 func (s *State) Size() int { return KeyValuesSize(s.keyValues) }
 
-// KeyValuesSize is about how many bytes keys and values take.
+// KeyValuesSize estimates the encoded size of keys and values in bytes.
 func KeyValuesSize(keyValues map[string]Value) int {
 	size := 0
 	for key, value := range keyValues {
--- a/internal/paxos/statemachine/transaction.go
+++ b/internal/paxos/statemachine/transaction.go
@@ -30,7 +30,7 @@
 	return other.Int == nil && other.Bool == nil && string(v.Bytes) == string(other.Bytes)
 }
 
-// Condition must hold when its transaction comes to be applied.
+// Condition must hold when its transaction is applied.
 type Condition struct {
 	Key    string `cbor:"1,keyasint"`
 	Absent bool   `cbor:"2,keyasint,omitempty"`
@@ -64,8 +64,9 @@
 	Voters []Voter `cbor:"4,keyasint,omitempty"`
 }
 
-// Txn lists every key it touches and every condition it needs, so that it can be proposed
-// before the state it meets is known. It is committed whole or ignored when it is applied.
+// Txn lists every key that it changes and every condition that must hold, so that it can be
+// proposed optimistically, before the state that it will be applied to is known. When it is
+// applied, all or none of its operations take effect.
 type Txn struct {
 	ID         string      `cbor:"1,keyasint,omitempty"`
 	Conditions []Condition `cbor:"2,keyasint,omitempty"`
@@ -77,13 +78,13 @@
 	return fmt.Sprintf("%s%020d/%s", prefix, index, id)
 }
 
-// What the parts of a transaction count for in estimates of sizes, besides keys and contents.
+// Estimated bytes of the parts of a transaction, besides keys and contents.
 const (
 	itemOverheadBytes = 16 // a condition, an operation, a key and its value
 	voterBytes        = 48
 )
 
-// Size is about how many bytes the transaction takes in a message.
+// Size estimates the size of the transaction in a message, in bytes.
 func (t *Txn) Size() int {
 	size := len(t.ID)
 	for _, condition := range t.Conditions {
