--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -156,10 +156,10 @@
 	s, _, _ := open()
 	s.Put(&responsecache.Response{Host: "h", Target: "/a", ETag: "t", PurgeIndex: 5})
 	s.waitForWrites()
-	disk.SetFault(true, false)
+	disk.SetFault(simulation.Full)
 	s.ApplyPurges(purgesUpTo(6, purgePath(6, "/a")))
 	s.waitForWrites()
-	disk.SetFault(false, false)
+	disk.SetFault(simulation.NoFault)
 	s.ApplyPurges(purgesUpTo(7, purgePath(7, "/b")))
 	s.waitForWrites()
 	s.Close()
@@ -185,12 +185,12 @@
 	}
 	time.Sleep(2 * openRetryInterval)
 	s.waitForWrites()
-	disk.SetFault(false, true)
+	disk.SetFault(simulation.Hanging)
 	s.ApplyPurges(purgesUpTo(10))
 	time.Sleep(2 * writeInterval)
 	s.Close() // doesn't wait for the disk that hangs
 	disk.EndProcess()
-	disk.SetFault(false, false)
+	disk.SetFault(simulation.NoFault)
 	<-s.writerDone
 	_ = s.db.Close()
 	s, purgeIndex, loaded = open()
--- a/internal/simulation/adversary_test.go
+++ b/internal/simulation/adversary_test.go
@@ -17,8 +17,8 @@
 	"comethold/internal/distribution"
 )
 
-// adversary is a set of leafs on real sockets that end calls in every way that leafs and
-// networks do, and note what they ran.
+// adversary is a set of leafs on real sockets. They end calls in all the ways that faulty leafs and
+// networks do, and record the requests that they ran.
 type adversary struct {
 	t         *testing.T
 	seed      int
@@ -31,8 +31,8 @@
 	lastStamp int
 }
 
-// mildEndings are how most calls end: after them a leaf is not ejected, and many others
-// must survive them. "well" stands twice as it is drawn more often.
+// mildEndings are the ways in which most calls end: they do not get a leaf ejected. "well" is
+// listed twice to be drawn more often.
 var mildEndings = []string{"well", "well", "twice-late", "bye", "closing", "hints"}
 
 // callEndings are all ways in which a call may end.
@@ -40,7 +40,7 @@
 	"twice", "alien", "reset-early", "reset", "end", "cut", "stall", "silent", "shed", "shed-twice", "shed-early",
 	"421", "error", "unstamped", "encoded", "unmarked", "garbage", "unrun-503", "unrun-429", "unrun-408")
 
-// shedAnswer says that a request has not run.
+// shedAnswer is an answer that says that the request has not run.
 const shedAnswer = "HTTP/1.1 503 Full\r\nX-Comethold-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 func newAdversary(t *testing.T, seed int) *adversary {
@@ -69,12 +69,12 @@
 	return a.rng.Intn(n)
 }
 
-// pause sleeps for a drawn number of microseconds below most.
+// pause sleeps for a random number of microseconds below most.
 func (a *adversary) pause(most int) {
 	time.Sleep(time.Duration(a.draw(most)) * time.Microsecond)
 }
 
-// leaf starts a leaf of a service; those of services g... answer parts.
+// leaf starts a leaf of a service; leafs of services g... answer with parts.
 func (a *adversary) leaf(id, service string) distribution.Endpoint {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 	return distribution.Endpoint{ID: id, Service: service, Addr: listener.Addr().String(), Zone: "a", Slots: 8}
 }
 
-// bodyOf is what a request carries and what its answer holds.
+// bodyOf returns the body of a request, which its answer repeats.
 func bodyOf(id string, n int) string { return strings.Repeat(fmt.Sprintf("%-*s", recordBytes, id), n) }
 
 // adversaryConn is a leaf's side of one connection.
@@ -145,8 +145,8 @@
 	_, _ = io.WriteString(c, text) // the caller may be gone, as by its deadline
 }
 
-// begin reads a request, checks that it is whole, and counts it if it runs. It returns false
-// if the connection ends at once.
+// begin reads a request, checks that it is complete, and counts it if it runs. It returns false if
+// the connection ends at once.
 func (c *adversaryConn) begin(request *http.Request) (adversaryCall, bool) {
 	a := c.adversary
 	call := adversaryCall{
@@ -180,7 +180,7 @@
 	return call, true
 }
 
-// message is an answer in the name of a request.
+// message is an answer that carries a request's ID.
 func (c *adversaryConn) message(call adversaryCall, status, id, header string) string {
 	body := bodyOf(id, 2)
 	size := len(body)
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -18,17 +18,17 @@
 const (
 	// chaosSpan is how long faults are drawn.
 	chaosSpan = 22 * time.Second
-	// lossesApart is how far losses of disks are apart: by then other replicas are voters.
+	// lossesApart is the least time between losses of disks: by then other replicas are voters.
 	lossesApart = 12 * time.Second
-	// applyLimit is how long a proxy in contact may take to have the newest configuration.
+	// applyLimit is how long a proxy in contact may take to apply the newest configuration.
 	applyLimit = 3 * time.Second
 )
 
 // chaosNodes are the machines with a disk.
 var chaosNodes = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 
-// TestFleetChaos draws faults and orders from seeds, COMETHOLD_SEEDS of them from
-// COMETHOLD_FIRST_SEED on.
+// TestFleetChaos plays random faults and changes, from COMETHOLD_SEEDS seeds beginning at
+// COMETHOLD_FIRST_SEED.
 func TestFleetChaos(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED")) // unset: 0
 	for seed := first; seed < first+simulation.SeedCount(1); seed++ {
@@ -67,7 +67,7 @@
 	return &chaos{fleet: f, rng: rand.New(rand.NewSource(int64(seed))), versions: map[*proxy.Server]uint64{}}
 }
 
-// do plays a command; one that fails ends the run with all lines that were played.
+// do plays a command; if it fails the test ends and prints all lines that were played.
 func (c *chaos) do(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	c.lines = append(c.lines, line)
@@ -86,7 +86,7 @@
 	c.advance(time.Duration(milliseconds)*time.Millisecond, func() bool { return false })
 }
 
-// runToAcknowledgement lets time pass until right after the next acknowledgement.
+// runToAcknowledgement lets time pass until just after the next acknowledgement.
 func (c *chaos) runToAcknowledgement(limitMilliseconds int) {
 	start := time.Now()
 	before := c.acknowledgements()
@@ -101,8 +101,8 @@
 	return len(c.fleet.acknowledged)
 }
 
-// advance lets time pass until the end or until something holds, and checks that no proxy
-// goes back to an older configuration within one incarnation.
+// advance lets time pass until the end or until a condition holds, and checks that no proxy
+// returns to an older configuration within one incarnation.
 func (c *chaos) advance(span time.Duration, holds func() bool) {
 	for end := time.Now().Add(span); time.Now().Before(end) && !holds(); time.Sleep(50 * time.Millisecond) {
 		for _, m := range c.fleet.machines {
@@ -118,7 +118,7 @@
 	}
 }
 
-// heal ends all faults but those of lost answers.
+// heal ends all faults except lost answers.
 func (c *chaos) heal() {
 	c.do("heal")
 	c.do("packet-loss 0")
@@ -127,7 +127,7 @@
 	c.do("start all")
 }
 
-// play draws a founding, then faults while two operators work, then a closing fault.
+// play draws the bootstrap of the cells, then faults while two operators work, then a final fault.
 func (c *chaos) play() {
 	defer func() {
 		if c.fleet.t.Failed() {
@@ -163,7 +163,7 @@
 	c.run(0)
 }
 
-// startOperators has two operators send orders until the end.
+// startOperators starts two operators that send changes until the end.
 func (c *chaos) startOperators(machines []*machine, end time.Time) *sync.WaitGroup {
 	var working sync.WaitGroup
 	for i := range 2 {
@@ -179,14 +179,14 @@
 	return &working
 }
 
-// Kinds of founding.
+// Kinds of bootstrap.
 const (
 	foundingCut = iota
 	foundingRolled
 	foundingKinds = 3
 )
 
-// drawFounding draws how the founding is disturbed, and cuts founders off before it.
+// drawFounding draws the faults of the bootstrap, and cuts off some of the first voters before it.
 func (c *chaos) drawFounding() (kind int, early string) {
 	kind, early = c.rng.Intn(foundingKinds), "c1,c2,c3"
 	if kind == foundingCut {
@@ -219,7 +219,7 @@
 	}
 }
 
-// playFault draws one fault, or an end of faults.
+// playFault draws and plays one fault, or ends all faults.
 func (c *chaos) playFault() {
 	names := append([]string(nil), chaosNodes...)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -249,7 +249,7 @@
 		c.do("packet-loss 0.%02d", c.rng.Intn(15))
 	case k < 13:
 		c.do("reset %s", c.oneOf(some, "core"))
-	case k < 14: // eight orders at once
+	case k < 14: // eight changes at once
 		c.do("operators 6 c1,c2,c3,c4,c5,c6 400 gap=100 seed=%d", c.rng.Intn(1000))
 	case k < 15:
 		c.checkInContact(names[0])
@@ -263,8 +263,8 @@
 	}
 }
 
-// checkInContact ends all faults; once all are in contact, a machine takes an order, and
-// every proxy has the newest configuration in time.
+// checkInContact ends all faults and checks that, once all machines are in contact, one accepts a
+// change and every proxy applies the newest configuration in time.
 func (c *chaos) checkInContact(name string) {
 	c.heal()
 	c.do("lose-answers none")
@@ -285,7 +285,7 @@
 	}
 }
 
-// lateMachine is one that does not have a version yet, or nil.
+// lateMachine returns a machine that has not applied a version yet, or nil.
 func (c *chaos) lateMachine(version uint64) *machine {
 	for _, m := range c.fleet.machines {
 		if c.fleet.versionAt(m) < version {
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// playClosingFault strikes all machines right after an acknowledgement, and takes disks away.
+// playClosingFault stops all machines right after an acknowledgement, and loses some disks.
 func (c *chaos) playClosingFault() {
 	if time.Since(c.lastLoss) <= lossesApart {
 		return
--- a/internal/simulation/command.go
+++ b/internal/simulation/command.go
@@ -45,27 +45,27 @@
 	return ""
 }
 
-// Uint returns a word as a whole number, 0 if it is none.
+// Uint returns a word as a whole number, 0 if it is not one.
 func (c Command) Uint(i int) uint64 {
 	n, _ := strconv.ParseUint(c.Word(i), 10, 64)
 	return n
 }
 
-// Int returns a word as a count, 0 if it is none.
+// Int returns a word as a count, 0 if it is not one.
 func (c Command) Int(i int) int { return int(c.Uint(i)) }
 
-// Float returns a word as a number, 0 if it is none.
+// Float returns a word as a number, 0 if it is not one.
 func (c Command) Float(i int) float64 {
 	v, _ := strconv.ParseFloat(c.Word(i), 64)
 	return v
 }
 
-// Milliseconds returns a word as a span of so many milliseconds.
+// Milliseconds returns a word, a number of milliseconds, as a duration.
 func (c Command) Milliseconds(i int) time.Duration {
 	return time.Duration(c.Float(i) * float64(time.Millisecond))
 }
 
-// Number returns an option as a number, or what stands for it when absent.
+// Number returns an option as a number, or the default if it is absent.
 func (c Command) Number(key string, absent float64) float64 {
 	v, err := strconv.ParseFloat(c.Options[key], 64)
 	if err != nil {
@@ -74,15 +74,15 @@
 	return v
 }
 
-// Span returns an option as so many milliseconds, or what stands for it when absent.
+// Span returns an option, a number of milliseconds, as a duration, or the default if it is absent.
 func (c Command) Span(key string, absentMilliseconds float64) time.Duration {
 	return time.Duration(c.Number(key, absentMilliseconds) * float64(time.Millisecond))
 }
 
-// CommandTable says which function of a world carries out which verb.
+// CommandTable maps verbs to the functions of a world that run them.
 type CommandTable[W any] map[string]func(W, Command) error
 
-// Do carries out a command, or returns ErrUnknownCommand.
+// Do runs a command, or returns ErrUnknownCommand.
 func (t CommandTable[W]) Do(world W, c Command) error {
 	carryOut := t[c.Verb]
 	if carryOut == nil {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,29 +11,41 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// FaultyDisk is a folder's disk with faults: it rejects writes, hangs, and at a loss of power
-// forgets names that were not synced. Everything else its Base does.
+// FaultyDisk wraps the disk of a folder and adds faults: it rejects writes, hangs, and at a loss
+// of power may revert renames and removals that were not synced.
 type FaultyDisk struct {
-	// Base does for real what is not rejected.
+	// Base performs the operations that are not rejected.
 	Base Disk
-	// Random draws from 0 to 1.
+	// Random returns a random number in [0,1).
 	Random func() float64
-	// SyncFailureRate is the share of syncs of the folder that are rejected.
+	// SyncFailureRate is the share of syncs of the folder that fail.
 	SyncFailureRate float64
 
 	mu               sync.Mutex // guards the fields below
-	full             bool
-	hanging          bool
-	incarnation      int // a process that was ended does nothing more
+	fault            DiskFault
+	incarnation      int // of the process that uses the disk; operations of earlier ones fail
 	stepsToPowerLoss int // the step at which the power fails, counted down; 0: never
 	powerLost        bool
 	// unsynced has, for each name that was changed since the last sync of the folder, a
-	// link to what it stood for, or "" for nothing.
+	// link to the file that had this name then, or "" if there was none.
 	unsynced map[string]string
-	backups  int // links that were made
+	backups  int // number of links made for unsynced
 }
 
-// Disk is what a FaultyDisk stands for, as storage.Disk.
+// DiskFault is a lasting fault of a disk.
+type DiskFault uint8
+
+// The faults of SetFault.
+const (
+	// NoFault is a disk that works.
+	NoFault DiskFault = iota
+	// Full makes every write fail with ErrDiskFull.
+	Full
+	// Hanging makes every operation wait until the fault or the process ends.
+	Hanging
+)
+
+// Disk is the interface that a FaultyDisk wraps and implements; it equals storage.Disk.
 type Disk interface {
 	Open(path string) (*bolt.DB, error)
 	Update(db *bolt.DB, f func(*bolt.Tx) error) error
@@ -46,28 +58,28 @@
 var (
 	// ErrDiskFull is the answer of a full disk to every write.
 	ErrDiskFull = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
-	// ErrPowerLost is the answer to whatever comes after the power has failed.
+	// ErrPowerLost is the answer to every operation after the power has failed.
 	ErrPowerLost = errors.New("disk: no power")
 )
 
-// hangPollPause is how often a step looks whether the disk still hangs.
+// hangPollPause is the pause between two checks whether the disk still hangs.
 const hangPollPause = 20 * time.Millisecond
 
-// SetFault makes the disk full, or hang, or neither.
-func (d *FaultyDisk) SetFault(full, hangs bool) {
+// SetFault sets the lasting fault of the disk.
+func (d *FaultyDisk) SetFault(fault DiskFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full, d.hanging = full, hangs
+	d.fault = fault
 }
 
-// LosePowerAfter has the power fail before the n-th step from now.
+// LosePowerAfter makes the power fail before the n-th step from now.
 func (d *FaultyDisk) LosePowerAfter(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stepsToPowerLoss = n
 }
 
-// EndProcess ends the process that uses the disk: what hangs is never done.
+// EndProcess ends the process that uses the disk: its hanging operations fail without effect.
 func (d *FaultyDisk) EndProcess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,12 +87,12 @@
 	d.stepsToPowerLoss, d.powerLost = 0, false
 }
 
-// beforeStep waits until the disk does what it is asked, or says why it does not.
+// beforeStep waits while the disk hangs, and returns the error of the operation if it must fail.
 func (d *FaultyDisk) beforeStep() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	incarnation := d.incarnation
-	for d.hanging && d.incarnation == incarnation {
+	for d.fault == Hanging && d.incarnation == incarnation {
 		d.mu.Unlock()
 		time.Sleep(hangPollPause)
 		d.mu.Lock()
@@ -93,13 +105,13 @@
 	switch {
 	case d.powerLost || d.incarnation != incarnation:
 		return ErrPowerLost
-	case d.full:
+	case d.fault == Full:
 		return ErrDiskFull
 	}
 	return nil
 }
 
-// rememberName remembers what a name stood for at the last sync of the folder.
+// rememberName keeps a link to the file that had a name at the last sync of the folder.
 func (d *FaultyDisk) rememberName(path string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,15 +123,15 @@
 	}
 	d.backups++
 	backup := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.backups%26))+filepath.Base(path))
-	_ = os.Remove(backup) // of a former round of letters
+	_ = os.Remove(backup) // the letters repeat
 	if os.Link(path, backup) != nil {
-		backup = "" // there was nothing
+		backup = "" // no file had the name
 	}
 	d.unsynced[path] = backup
 }
 
-// LosePower is a loss of power: each name that was not synced is as it is, or as it was.
-// It returns the names that were reverted.
+// LosePower simulates a loss of power: each name that was not synced keeps its change or is
+// reverted, at random. It returns the reverted names.
 func (d *FaultyDisk) LosePower() (reverted []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,12 +157,12 @@
 	clear(d.unsynced)
 }
 
-// Open opens a bbolt file; it writes only where it makes one.
+// Open opens a bbolt file; it writes only if it creates the file.
 func (d *FaultyDisk) Open(path string) (*bolt.DB, error) {
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 {
 		d.rememberName(path)
 		if err := d.beforeStep(); err != nil {
-			if errors.Is(err, ErrDiskFull) { // the name may be made all the same
+			if errors.Is(err, ErrDiskFull) { // the name may be created nevertheless
 				_ = os.WriteFile(path, nil, 0o600)
 			}
 			return nil, err
@@ -186,7 +198,7 @@
 	return d.Base.Remove(path)
 }
 
-// SyncDir makes the names in the folder sure.
+// SyncDir makes the names in the folder durable.
 func (d *FaultyDisk) SyncDir(dir string) error {
 	if err := d.beforeStep(); err != nil {
 		return err
--- a/internal/simulation/disks_test.go
+++ b/internal/simulation/disks_test.go
@@ -11,9 +11,9 @@
 	"comethold/internal/simulation"
 )
 
-// TestDisks draws faults of disks, links and power, one machine at a time or all power at
-// once, while changes go on; what was acknowledged is there in the end, and everybody has
-// it. COMETHOLD_SEEDS says how many draws.
+// TestDisks draws faults of disks, links and power, of one machine at a time or a power loss of
+// all, while changes go on. In the end every machine has all acknowledged changes.
+// COMETHOLD_SEEDS is the number of runs.
 func TestDisks(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -55,8 +55,8 @@
 	d.do("want-applied %d all 9000", version-1)
 }
 
-// playRound has one machine's disk, link or power fail while another takes changes from a
-// version on; it returns how many.
+// playRound makes one machine's disk, link or power fail while another accepts changes from a
+// version on; it returns how many changes.
 func (d *diskFaults) playRound(version int) int {
 	bad := d.rng.Intn(3)
 	changes := 1 + d.rng.Intn(90)
--- a/internal/simulation/fleet_commands_test.go
+++ b/internal/simulation/fleet_commands_test.go
@@ -15,17 +15,17 @@
 	"run":         (*fleet).letTimePass,
 	"seeds":       (*fleet).changeSeeds,
 	"name":        (*fleet).nameMachine,
-	"make-leader": (*fleet).haveLead,
+	"make-leader": (*fleet).makeLeader,
 
 	// Faults of machines and disks.
 	"kill":               (*fleet).killCommand,
 	"start":              (*fleet).startCommand,
-	"restart-in-turn":    (*fleet).roll,
-	"lose-disk":          (*fleet).wipeCommand,
-	"lose-disks-of-dead": (*fleet).wipeDead,
+	"restart-in-turn":    (*fleet).restartInTurn,
+	"lose-disk":          (*fleet).loseDiskCommand,
+	"lose-disks-of-dead": (*fleet).loseDisksOfDead,
 	"disk":               (*fleet).setDiskFault,
 	"lose-power":         (*fleet).losePower,
-	"damage-file":        (*fleet).tear,
+	"damage-file":        (*fleet).damageFile,
 	"kill-lease-holder":  (*fleet).killLeaseHolders,
 	"kill-reporter":      (*fleet).killReporter,
 
@@ -33,12 +33,12 @@
 	"cut":               (*fleet).cutBothWays,
 	"cut-outgoing":      (*fleet).cutOutgoing,
 	"cut-incoming":      (*fleet).cutIncoming,
-	"isolate":           (*fleet).silence,
+	"isolate":           (*fleet).isolate,
 	"cut-from-platform": (*fleet).cutFromPlatform,
 	"cut-lease-holder":  (*fleet).cutLeaseHolders,
 	"cut-reporter":      (*fleet).cutReporter,
-	"heal":              (*fleet).join,
-	"packet-loss":       (*fleet).setLossRate,
+	"heal":              (*fleet).heal,
+	"packet-loss":       (*fleet).setPacketLoss,
 	"slow":              (*fleet).slowLinks,
 	"reset":             (*fleet).resetConnections,
 	"lose-answers":      (*fleet).loseAnswers,
@@ -53,7 +53,7 @@
 	"want-marks":       (*fleet).wantMarks,
 	"want-list":        (*fleet).wantList,
 
-	// Orders and configurations.
+	// Configuration changes.
 	"routes":          (*fleet).setExtraRoutes,
 	"indexes":         (*fleet).setExtraIndexes,
 	"replace":         (*fleet).replace,
@@ -62,7 +62,7 @@
 	"replace-again":   (*fleet).replaceAgain,
 	"race":            (*fleet).race,
 	"operators":       (*fleet).runOperators,
-	"send-garbage":    (*fleet).garble,
+	"send-garbage":    (*fleet).sendGarbage,
 	"want":            (*fleet).wantStatuses,
 	"want-config":     (*fleet).wantConfig,
 	"want-read":       (*fleet).wantRead,
@@ -70,7 +70,7 @@
 	"want-unclear":    (*fleet).wantUnclear,
 
 	// The replicated state and the outbox.
-	"want-all-voters": (*fleet).wantWhole,
+	"want-all-voters": (*fleet).wantAllVoters,
 	"want-state":      (*fleet).wantState,
 	"want-applied":    (*fleet).wantApplied,
 	"want-backlog":    (*fleet).wantBacklog,
@@ -86,7 +86,7 @@
 	"usage-reports":         (*fleet).enableUsageReports,
 	"platform":              (*fleet).setPlatformFault,
 	"want-served":           (*fleet).wantServed,
-	"want-reported-in-time": (*fleet).wantTimely,
+	"want-reported-in-time": (*fleet).wantReportedInTime,
 	"want-reports":          (*fleet).wantReports,
 	"want-usage":            (*fleet).wantUsage,
 
@@ -96,5 +96,5 @@
 	"want-saved":     (*fleet).wantSaved,
 }
 
-// Do carries out a command.
+// Do runs a command.
 func (f *fleet) Do(c simulation.Command) error { return fleetCommands.Do(f, c) }
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -15,11 +15,11 @@
 	"comethold/internal/simulation"
 )
 
-// seriesLimit is how long an order of a series may take to be acknowledged.
+// seriesLimit is how long a change of a series may take to be acknowledged.
 const seriesLimit = 8 * time.Second
 
-// configurationBody is a configuration whose first route bears a mark, so that two of one
-// version can differ.
+// configurationBody returns a configuration whose first route contains a mark, so that two
+// configurations of one version can differ.
 func (f *fleet) configurationBody(version uint64, mark string) string {
 	tenants := f.tenantsField()
 	var routes, services strings.Builder
@@ -49,8 +49,8 @@
 	return `"tenants":` + string(raw) + `,`
 }
 
-// writeExtraRoutes adds long routes that differ, so that they don't compress to nothing; one
-// of them changes with each version.
+// writeExtraRoutes adds long routes with random paths, so that they don't compress well; one of
+// them changes with each version.
 func (f *fleet) writeExtraRoutes(routes *strings.Builder, version uint64) {
 	const pathBytes = 400
 	for i := range f.extraRoutes {
@@ -65,14 +65,14 @@
 	}
 }
 
-// setExtraRoutes is `routes N`: so many more in the configurations from now on.
+// setExtraRoutes is `routes N`: adds N routes to the configurations from now on.
 func (f *fleet) setExtraRoutes(c simulation.Command) error {
 	f.extraRoutes = c.Int(0)
 	return nil
 }
 
-// setExtraIndexes is `indexes N`: so many routes more in the configurations from now on,
-// each with an index of its own.
+// setExtraIndexes is `indexes N`: adds N routes, each with an index of its own, to the
+// configurations from now on.
 func (f *fleet) setExtraIndexes(c simulation.Command) error {
 	f.extraIndexes = c.Int(0)
 	return nil
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// replaceSeries is `replace-series FROM N AT [gap= within=]`: so many, one on the other; each is
-// acknowledged.
+// replaceSeries is `replace-series FROM N AT [gap= within=]`: N changes, each based on the one
+// before it; each must be acknowledged.
 func (f *fleet) replaceSeries(c simulation.Command) error {
 	for i := range c.Uint(1) {
 		version := c.Uint(0) + i
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// replaceInTurn is `replace-in-turn N BASE NAMES`: so many in a row, each one number higher, at
-// these machines in turn.
+// replaceInTurn is `replace-in-turn N BASE NAMES`: N changes, each based on the one before it, sent
+// to these machines in turn.
 func (f *fleet) replaceInTurn(c simulation.Command) error {
 	machines := f.machinesNamed(c.Word(2))
 	for i := range c.Uint(0) {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// replaceAgain is `replace-again VERSION BASE NAMES [mark= within=]`: the same order, to each of
-// them in turn.
+// replaceAgain is `replace-again VERSION BASE NAMES [mark= within=]`: sends the same change again,
+// to each of them in turn.
 func (f *fleet) replaceAgain(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(2)) {
 		f.replaceAt(m, c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: all at once.
+// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: sends several changes on one base at once.
 func (f *fleet) race(c simulation.Command) error {
 	var sending sync.WaitGroup
 	for _, word := range c.Words[1:] {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// wantStatuses is `want STATUS=N ...`: what the orders since the last such line got.
+// wantStatuses is `want STATUS=N ...`: the statuses of the changes since the last such line.
 func (f *fleet) wantStatuses(c simulation.Command) error {
 	for status, want := range c.Options {
 		if strconv.Itoa(f.replaceStatuses[status]) != want {
@@ -161,7 +161,7 @@
 	})
 }
 
-// wantRead is `want-read WITHIN`: what was acknowledged last is read back.
+// wantRead is `want-read WITHIN`: the newest acknowledged configuration is read back.
 func (f *fleet) wantRead(c simulation.Command) error {
 	got := ""
 	return f.until(c.Milliseconds(0), "the newest acknowledged configuration is read back", func() bool {
@@ -179,7 +179,8 @@
 	})
 }
 
-// wantOrder is `want-order NAMES WITHIN`: each of them takes an order on top of what it reads.
+// wantOrder is `want-order NAMES WITHIN`: each of them accepts a change based on the configuration
+// that is read there.
 func (f *fleet) wantOrder(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		var seen []string
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// wantUnclear is `want-unclear NAMES`: neither a read nor an order gets a clear answer there.
+// wantUnclear is `want-unclear NAMES`: neither a read nor a change gets a clear answer there.
 func (f *fleet) wantUnclear(c simulation.Command) error {
 	const farAhead = 1000 // so that no version is used twice
 	for i, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -14,7 +14,7 @@
 	"comethold/internal/simulation"
 )
 
-// setMachineLosses is `losses N`: what the cells must bear.
+// setMachineLosses is `losses N`: how many machines the cells must be able to lose.
 func (f *fleet) setMachineLosses(c simulation.Command) error {
 	f.machineLosses = c.Int(0)
 	return nil
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// addProxies is `proxies ZONE N`: so many machines without a disk, also later in a run.
+// addProxies is `proxies ZONE N`: N machines without a disk, also later in a run.
 func (f *fleet) addProxies(c simulation.Command) error {
 	for range c.Int(1) {
 		n := len(f.machines) + 1
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// begin is `begin`: all machines start that have not been started before.
+// begin is `begin`: starts all machines that were not started before.
 func (f *fleet) begin(simulation.Command) error {
 	f.startAll(f.sortedMachines())
 	f.started = true
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// startAll starts those of the machines that are down.
+// startAll starts the machines that are down.
 func (f *fleet) startAll(machines []*machine) {
 	for _, m := range machines {
 		if m.stop == nil {
@@ -98,8 +98,8 @@
 	ending.Wait()
 }
 
-// roll is `restart-in-turn NAMES [gap=]`: each is ended and started again in turn.
-func (f *fleet) roll(c simulation.Command) error {
+// restartInTurn is `restart-in-turn NAMES [gap=]`: each is ended and started again in turn.
+func (f *fleet) restartInTurn(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		m.stop()
 		time.Sleep(c.Span("gap", 300))
@@ -108,40 +108,41 @@
 	return nil
 }
 
-// wipeCommand is `lose-disk NAMES`: machines that are down lose their disks.
-func (f *fleet) wipeCommand(c simulation.Command) error {
+// loseDiskCommand is `lose-disk NAMES`: machines that are down lose their disks.
+func (f *fleet) loseDiskCommand(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
-		if err := f.wipe(m); err != nil {
+		if err := f.loseDisk(m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// wipeDead is `lose-disks-of-dead`: all machines that are down lose their disks.
-func (f *fleet) wipeDead(simulation.Command) error {
+// loseDisksOfDead is `lose-disks-of-dead`: all machines that are down lose their disks.
+func (f *fleet) loseDisksOfDead(simulation.Command) error {
 	for _, m := range f.sortedMachines() {
 		if !m.disk || m.stop != nil {
 			continue
 		}
-		if err := f.wipe(m); err != nil {
+		if err := f.loseDisk(m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) wipe(m *machine) error { return os.RemoveAll(filepath.Join(f.dir, m.name)) }
+func (f *fleet) loseDisk(m *machine) error { return os.RemoveAll(filepath.Join(f.dir, m.name)) }
 
 // setDiskFault is `disk NAMES ok|full|hangs`.
 func (f *fleet) setDiskFault(c simulation.Command) error {
+	faults := map[string]simulation.DiskFault{"full": simulation.Full, "hangs": simulation.Hanging}
 	for _, m := range f.machinesNamed(c.Word(0)) {
-		f.diskOf(m).SetFault(c.Word(1) == "full", c.Word(1) == "hangs")
+		f.diskOf(m).SetFault(faults[c.Word(1)]) // "ok" has none
 	}
 	return nil
 }
 
-// losePower is `lose-power NAMES`: they lose power, and names that were not synced may be lost.
+// losePower is `lose-power NAMES`: they lose power; file names that were not synced may be lost.
 func (f *fleet) losePower(c simulation.Command) error {
 	var ending sync.WaitGroup
 	for _, m := range f.machinesNamed(c.Word(0)) {
@@ -159,9 +160,9 @@
 	return nil
 }
 
-// tear is `damage-file NAMES garbage|half|short|nothing|gone`: what is left of the file of the
-// cells on machines that are down.
-func (f *fleet) tear(c simulation.Command) error {
+// damageFile is `damage-file NAMES garbage|half|short|nothing|gone`: damages the file of the cells
+// on machines that are down; the last word is what is left of it.
+func (f *fleet) damageFile(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		if err := tearFile(filepath.Join(f.dir, m.name, "vault.db"), c.Word(1)); err != nil {
 			return err
@@ -191,8 +192,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// changeSeeds is `seeds NAMES TOLD`: the seeds of the settings from now on; the machines
-// TOLD reload their settings at once.
+// changeSeeds is `seeds NAMES RELOADING`: sets the seeds in the settings; the machines RELOADING
+// reload their settings at once.
 func (f *fleet) changeSeeds(c simulation.Command) error {
 	f.seedNodes = nil
 	for _, m := range f.machinesNamed(c.Word(0)) {
@@ -228,9 +229,9 @@
 	return errors.New("there is no such machine")
 }
 
-// haveLead is `make-leader NAMES WITHIN`: one of them is the leader in the end; others that lead
-// first are cut off for a while.
-func (f *fleet) haveLead(c simulation.Command) error {
+// makeLeader is `make-leader NAMES WITHIN`: makes one of them the leader; other machines that
+// become leader before are cut off for a while.
+func (f *fleet) makeLeader(c simulation.Command) error {
 	return f.until(c.Milliseconds(1), "one of them leads", func() bool {
 		leader := f.leaderMachine()
 		if leader == nil || slices.Contains(f.machinesNamed(c.Word(0)), leader) {
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -7,19 +7,19 @@
 	"comethold/internal/simulation"
 )
 
-// cutBothWays is `cut NAMES`: they and the other machines with a disk are cut from each other.
+// cutBothWays is `cut NAMES`: cuts them from the other machines with a disk, in both directions.
 func (f *fleet) cutBothWays(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), true, true)
 	return nil
 }
 
-// cutOutgoing is `cut-outgoing NAMES`: the others don't hear them.
+// cutOutgoing is `cut-outgoing NAMES`: nothing that they send reaches the other machines with a disk.
 func (f *fleet) cutOutgoing(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), true, false)
 	return nil
 }
 
-// cutIncoming is `cut-incoming NAMES`: they don't hear the others.
+// cutIncoming is `cut-incoming NAMES`: nothing that the other machines with a disk send reaches them.
 func (f *fleet) cutIncoming(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), false, true)
 	return nil
@@ -42,8 +42,8 @@
 	}
 }
 
-// silence is `isolate NAMES`: nobody hears them, nor they anybody, until join.
-func (f *fleet) silence(c simulation.Command) error {
+// isolate is `isolate NAMES`: cuts them from all other machines, in both directions, until heal.
+func (f *fleet) isolate(c simulation.Command) error {
 	for _, a := range f.machinesNamed(c.Word(0)) {
 		for _, b := range f.machines {
 			if a != b {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// cutFromPlatform is `cut-from-platform NAME`: whoever holds this lease is cut off from the
-// platform alone, until join.
+// cutFromPlatform is `cut-from-platform NAME`: cuts the holder of this lease from the platform
+// only, until heal.
 func (f *fleet) cutFromPlatform(c simulation.Command) error {
 	m, err := f.leaseHolder(c.Word(0))
 	if err != nil {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// join is `heal [after=MS]`: all cuts end.
-func (f *fleet) join(c simulation.Command) error {
+// heal is `heal [after=MS]`: ends all cuts.
+func (f *fleet) heal(c simulation.Command) error {
 	if after := c.Span("after", 0); after > 0 {
 		time.AfterFunc(after, f.network.heal)
 		return nil
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// setLossRate is `packet-loss SHARE`: so many packets are lost.
-func (f *fleet) setLossRate(c simulation.Command) error {
+// setPacketLoss is `packet-loss SHARE`: sets the share of packets that are lost.
+func (f *fleet) setPacketLoss(c simulation.Command) error {
 	f.network.setLossRate(c.Float(0))
 	return nil
 }
 
-// slowLinks is `slow NAMES KBPS`: the links of these machines take so many kilobits a
-// second each way; 0: no bound.
+// slowLinks is `slow NAMES KBPS`: limits the links of these machines to KBPS kilobits per second
+// in each direction; 0: no limit.
 func (f *fleet) slowLinks(c simulation.Command) error {
 	const bytesPerKilobit = 1000.0 / 8
 	for _, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -29,8 +29,8 @@
 
 const orderRetryPause = 150 * time.Millisecond
 
-// call makes one request as the operator, from an address of its own; status 0 is none.
-// Orders and reads of the configuration go into the history.
+// call makes one request as the operator, from an address of its own; status 0 means no answer.
+// Changes and reads of the configuration are recorded in the history.
 func (f *fleet) call(m *machine, method, path string, base uint64, raw string) (status int, answer string) {
 	if path == pathReplace || path == pathRead {
 		from := f.history.tick()
@@ -79,11 +79,11 @@
 	return raw, json.Unmarshal([]byte(raw), into)
 }
 
-// isUnanswered reports whether a status says nothing of what became of an order.
+// isUnanswered reports whether a status leaves the outcome of a change open.
 func isUnanswered(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
 
-// replaceAt sends a configuration to a machine, again and again until it is answered or
-// the limit is over.
+// replaceAt sends a configuration to a machine, and repeats it until there is a clear answer or
+// the time is over.
 func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, limit time.Duration) int {
 	return f.replaceUntilAnswered(m, base, version, f.configurationBody(version, mark), limit)
 }
@@ -124,7 +124,7 @@
 	return read.Version, true
 }
 
-// leaseHolder is the machine that holds a lease, as any control node that runs says.
+// leaseHolder returns the machine that holds a lease, according to any running control node.
 func (f *fleet) leaseHolder(role string) (*machine, error) {
 	for _, m := range f.controlNodes() {
 		var view operatorapi.LeasesView
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// leaseHolders are the machines that hold these leases, each once.
+// leaseHolders returns the machines that hold these leases, each once.
 func (f *fleet) leaseHolders(roles []string) ([]*machine, error) {
 	var holders []*machine
 	for _, role := range roles {
@@ -166,8 +166,8 @@
 	return holders, nil
 }
 
-// leaderMachine finds the control node whose leadership of the meta cell a majority
-// confirms; nil if there is none for long.
+// leaderMachine returns the control node whose leadership of the meta cell a majority confirms; nil
+// if there is none for a long time.
 func (f *fleet) leaderMachine() *machine {
 	const (
 		tries = 100
@@ -198,9 +198,9 @@
 	return err == nil && answer.Confirmed
 }
 
-// garble is `send-garbage NAMES`: bytes that are no message, to every listening address of a
-// machine; each of them is to be rejected.
-func (f *fleet) garble(c simulation.Command) error {
+// sendGarbage is `send-garbage NAMES`: sends malformed messages to every listening address of a
+// machine; each must be rejected.
+func (f *fleet) sendGarbage(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		for _, url := range f.urlsOf(m) {
 			for _, raw := range garbage() {
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// urlsOf are all places where a machine takes messages.
+// urlsOf returns all URLs under which a machine accepts messages.
 func (f *fleet) urlsOf(m *machine) []string {
 	var urls []string
 	if m.controlPlane != nil {
@@ -229,7 +229,7 @@
 	return append(urls, f.internalAddress(m, settings.DataPlane)+"/feed")
 }
 
-// garbage is bytes that are no message, in the encodings that are taken.
+// garbage returns malformed messages in the encodings that are accepted.
 func garbage() []string {
 	const depth = 5000
 	return []string{
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// operator sends orders as they come: on what it has read, or thinks that it knows; with
-// the number that another may pick too; the same ones again, old ones also.
+// operator sends random changes: based on a version that it has read or guessed, with a version
+// that another operator may pick too, and sometimes an earlier change again.
 type operator struct {
 	fleet       *fleet
 	machines    []*machine
@@ -268,8 +268,8 @@
 	raw           string
 }
 
-// runOperators is `operators N NAMES MS [seed= gap=]`: so many at once send and read what
-// they like to these machines.
+// runOperators is `operators N NAMES MS [seed= gap=]`: N concurrent operators send random changes
+// and reads to these machines.
 func (f *fleet) runOperators(c simulation.Command) error {
 	var working sync.WaitGroup
 	for i := range c.Int(0) {
@@ -299,7 +299,7 @@
 
 func (o *operator) drawMachine() *machine { return o.machines[o.rng.Intn(len(o.machines))] }
 
-// drawOrder is a new order, or one of those that were sent.
+// drawOrder returns a new change, or one that was sent before.
 func (o *operator) drawOrder() sentReplace {
 	order := sentReplace{version: o.baseVersion + 1 + uint64(o.rng.Intn(2)), base: o.baseVersion}
 	order.raw = o.fleet.configurationBody(order.version, o.name)
@@ -310,8 +310,8 @@
 	return order
 }
 
-// sendUntilClear sends an order up to three times, each to another machine, until it gets
-// a clear answer.
+// sendUntilClear sends a change up to three times, each time to another machine, until it gets a
+// clear answer.
 func (o *operator) sendUntilClear(order sentReplace) {
 	for range 1 + o.rng.Intn(3) {
 		status := o.fleet.replaceUntilAnswered(o.drawMachine(), order.base, order.version, order.raw, 0)
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -66,7 +66,7 @@
 	w.Header().Set("X-Comethold-Request-Id", r.Header.Get("X-Comethold-Request-Id"))
 }
 
-// usageReport is what a report names.
+// usageReport is the content of a usage report.
 type usageReport struct {
 	WindowNumber   uint64            `json:"windowNumber"`
 	InstanceCounts map[string]uint64 `json:"instanceCounts"`
@@ -79,8 +79,8 @@
 	at     time.Time
 }
 
-// serveUsage is the platform's side of the reports; it checks what must hold of them. Calls
-// that come while the platform has a fault don't count.
+// serveUsage is the platform's side of the usage reports; it checks their rules. Calls that arrive
+// while the platform has a fault are not recorded.
 func (f *fleet) serveUsage(w http.ResponseWriter, r *http.Request) {
 	raw, readErr := io.ReadAll(r.Body)
 	f.mu.Lock()
@@ -112,8 +112,8 @@
 	}
 }
 
-// checkFencing checks a call against those before: tokens only rise, one holder has each,
-// and within a lease no holder acts again after another.
+// checkFencing checks a call against earlier ones: tokens never decrease, each token has one
+// holder, and no holder calls again within a lease time after another holder did.
 func (f *fleet) checkFencing(call fencedCall) {
 	lease := time.Duration(f.bounds().LeaseMs) * time.Millisecond
 	otherActed := false
@@ -133,7 +133,7 @@
 	}
 }
 
-// reporter is the machine whose call of the platform came last.
+// reporter returns the machine that called the platform last.
 func (f *fleet) reporter() (*machine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,7 +145,7 @@
 	return nil, errors.New("nobody has called yet")
 }
 
-// setPlatformFault is `platform ok|busy|reset|lost`: how it takes reports from now on.
+// setPlatformFault is `platform ok|busy|reset|lost`: how it answers reports from now on.
 func (f *fleet) setPlatformFault(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// listManyLeafs is `list-many PREFIX N`: so many leafs are listed.
+// listManyLeafs is `list-many PREFIX N`: lists N leafs.
 func (f *fleet) listManyLeafs(c simulation.Command) error {
 	f.setLeafStates(numberedLeafs(c.Word(0), c.Int(1)), leafReady)
 	return nil
@@ -189,7 +189,7 @@
 	}
 }
 
-// numberedLeafs are the names of so many leafs.
+// numberedLeafs returns the names of a number of leafs.
 func numberedLeafs(prefix string, count int) []string {
 	var ids []string
 	for i := range count {
@@ -198,13 +198,13 @@
 	return ids
 }
 
-// reportUnhealthy is `report-unhealthy NAMES PREFIX N`: these proxies find so many leafs unhealthy.
+// reportUnhealthy is `report-unhealthy NAMES PREFIX N`: these proxies report N leafs as unhealthy.
 func (f *fleet) reportUnhealthy(c simulation.Command) error {
 	f.reportHealth(c, false)
 	return nil
 }
 
-// reportHealthy is `report-healthy NAMES PREFIX N`: these proxies find so many leafs healthy again.
+// reportHealthy is `report-healthy NAMES PREFIX N`: these proxies report N leafs as healthy again.
 func (f *fleet) reportHealthy(c simulation.Command) error {
 	f.reportHealth(c, true)
 	return nil
@@ -219,7 +219,7 @@
 	}
 }
 
-// wantMarks is `want-marks N WITHIN`: so many leafs are marked on every proxy.
+// wantMarks is `want-marks N WITHIN`: N leafs have an ejection mark on every proxy.
 func (f *fleet) wantMarks(c simulation.Command) error {
 	return f.until(c.Milliseconds(1), c.Word(0)+" marks on every proxy", func() bool {
 		for _, m := range f.machines {
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -18,24 +18,25 @@
 	"comethold/internal/storage"
 )
 
-// maxLogEntries is what a log may hold beside the state, by the cell's own bound and a pipeline.
+// maxLogEntries is how many entries a log on disk may hold: the cell's own bound and a pipeline.
 const maxLogEntries = 2*64 + 3
 
-// maxLag is how far a replica may be behind and have caught up: the pipeline's length.
+// maxLag is how many entries a replica may lack and still count as caught up: the pipeline's length.
 const maxLag = 3
 
 // cellViews are the replicas of the machines that run, by address and cell.
 type cellViews map[string]map[string]controlplane.CellView
 
-// wantWhole is `want-all-voters WITHIN [lost=]`: every cell has all its voters, at machines that
-// run and have caught up, but for so many voters.
-func (f *fleet) wantWhole(c simulation.Command) error {
+// wantAllVoters is `want-all-voters WITHIN [lost=]`: every cell has all its voters, and all but
+// lost of them run and have caught up.
+func (f *fleet) wantAllVoters(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(0), "all cells are whole", func() error {
 		return f.checkReplicas(int(c.Number("lost", 0)))
 	})
 }
 
-// checkReplicas says what a cell lacks to bear the losses that it must bear.
+// checkReplicas returns an error unless, on every running machine, each cell has all its voters and
+// its replica has caught up.
 func (f *fleet) checkReplicas(lost int) error {
 	live := cellViews{}
 	lastApplied := map[string]uint64{}
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// checkVoters checks that all voters of a cell, as one machine knows them, vote, but for so
-// many whose machines are down.
+// checkVoters checks that all voters of a cell, as one machine knows them, can vote, except for a
+// number whose machines are down.
 func (v cellViews) checkVoters(addr, name string, lost int) error {
 	away := 0
 	for _, voter := range v[addr][name].Voters {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// describe shows how a cell stands at each machine, a line each.
+// describe returns the state of a cell's replica on each machine, one line per machine.
 func (v cellViews) describe(name string) string {
 	var text strings.Builder
 	for _, addr := range slices.Sorted(maps.Keys(v)) {
@@ -90,9 +91,8 @@
 	return text.String()
 }
 
-// wantState is `want-state KILOBYTES NAME [rows=]`: the state of the meta cell on the disk
-// of a machine that is down is no larger, nor its outbox, nor the log beside it longer than
-// it may be.
+// wantState is `want-state KILOBYTES NAME [rows=]`: on the disk of a machine that is down, the
+// state of the meta cell, its outbox and its log are within their limits.
 func (f *fleet) wantState(c simulation.Command) error {
 	stored, err := readStoredState(filepath.Join(f.dir, c.Word(1)))
 	if err != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// storedState is how much state a disk holds of the meta cell, and of what.
+// storedState is the size of the meta cell's state on a disk, and what it consists of.
 type storedState struct {
 	bytes      int
 	outboxRows int
@@ -145,7 +145,7 @@
 	return stored, nil
 }
 
-// wantApplied is `want-applied VERSION NAMES WITHIN`: decided by these control nodes themselves.
+// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have decided the version.
 func (f *fleet) wantApplied(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(2), "the version at "+c.Word(1), func() error {
 		for _, m := range f.machinesNamed(c.Word(1)) {
@@ -159,8 +159,8 @@
 	})
 }
 
-// wantBacklog is `want-backlog N WITHIN`: so many rows are not published, and every control
-// node has decided the newest version.
+// wantBacklog is `want-backlog N WITHIN`: N rows are not published, and every control node has
+// decided the newest version.
 func (f *fleet) wantBacklog(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(1), "the outbox", func() error {
 		for _, m := range f.controlNodes() {
@@ -174,8 +174,8 @@
 	})
 }
 
-// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: so many cases and redrives on every
-// control node.
+// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N cases and
+// REDRIVES redrives.
 func (f *fleet) wantQuarantine(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(2), "the quarantine", func() error {
 		for _, m := range f.controlNodes() {
@@ -189,7 +189,8 @@
 	})
 }
 
-// redrive is `redrive EVENT ACTION AT`: the last case whose event ID begins so, or the event.
+// redrive is `redrive EVENT ACTION AT`: redrives the last case whose event ID begins with EVENT, or
+// the event of that ID.
 func (f *fleet) redrive(c simulation.Command) error {
 	m := f.machineNamed(c.Word(2))
 	var view operatorapi.OutboxView
@@ -216,8 +217,8 @@
 	return nil
 }
 
-// wantEstimates is `want-estimates NODES SAMPLES AT`: so many proxies answer, and know of so
-// many lookups at least.
+// wantEstimates is `want-estimates NODES SAMPLES AT`: NODES proxies answer, and have at least
+// SAMPLES samples.
 func (f *fleet) wantEstimates(c simulation.Command) error {
 	var view latency.View
 	raw, err := f.get(f.machineNamed(c.Word(2)), "/Estimates.Read?class=urgent", &view)
@@ -234,7 +235,7 @@
 	return nil
 }
 
-// wantSaved is `want-saved LINES AT`: so many exports are on that disk at least.
+// wantSaved is `want-saved LINES AT`: at least LINES exports are on that disk.
 func (f *fleet) wantSaved(c simulation.Command) error {
 	var lines []latency.View
 	if _, err := f.get(f.machineNamed(c.Word(1)), "/Estimates.Saved", &lines); err != nil {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -37,20 +37,20 @@
 // maxSeeds is how many of the first machines are the seeds of all.
 const maxSeeds = 3
 
-// fleet is a whole system of control nodes and proxies on simulated time: every program as
-// it is, on a network and a platform of the test's own.
+// fleet is a complete system of control nodes and proxies on simulated time. It runs the real
+// programs on a simulated network, with a stand-in for the platform.
 type fleet struct {
 	t             *testing.T
 	dir           string
 	network       *network
 	machines      map[string]*machine
-	aliases       map[string]*machine // names given to machines by what they were
+	aliases       map[string]*machine // names given by the command `name`
 	seedNodes     []string
 	started       bool
 	machineLosses int
 	seed          int64 // of the disks' faults
 
-	// What is in the settings and configurations from now on.
+	// Content of the settings and configurations from now on.
 	extraRoutes  int
 	extraIndexes int
 	reportUsage  bool
@@ -62,16 +62,16 @@
 
 	mu              sync.Mutex        // guards the fields below, and proxy and stop of each machine
 	leafStates      map[string]string // the platform's list: leaf -> state
-	replaceStatuses map[string]int    // of the newest orders
+	replaceStatuses map[string]int    // status -> count, of the changes since the last `want`
 	acknowledged    map[uint64]string // version -> body that was acknowledged
 	successors      map[uint64]uint64 // base -> version acknowledged on top of it
-	newest          uint64            // version that was acknowledged
+	newest          uint64            // the newest version that was acknowledged
 	tenants         map[string]*fleetTenant
-	platformFault   string            // how the platform takes reports: "" well, busy, lost, reset
+	platformFault   string            // how the platform answers reports: "" (accepts), busy, lost, reset
 	reports         map[uint64]string // window -> report that was accepted
 	acceptedAt      map[uint64]time.Time
-	checkedWindow   uint64       // the windows up to here were looked at
-	fencedCalls     []fencedCall // in the order in which they came
+	checkedWindow   uint64       // the last window that want-reported-in-time has checked
+	fencedCalls     []fencedCall // in the order in which they arrived
 }
 
 // machine is a node with its programs, while they run.
@@ -116,7 +116,7 @@
 	return server
 }
 
-// settingsOf is what a machine's processes are given.
+// settingsOf returns the settings of a machine's processes.
 func (f *fleet) settingsOf(m *machine) *settings.Settings {
 	set := &settings.Settings{
 		NodeName:          m.name,
@@ -150,7 +150,7 @@
 	return set
 }
 
-// bounds are those of every machine.
+// bounds are the timing bounds in the settings of every machine.
 func (f *fleet) bounds() settings.Bounds { return f.settingsOf(f.sortedMachines()[0]).Bounds }
 
 // internalAddress is where a program of a machine listens for other nodes.
@@ -158,7 +158,7 @@
 	return net.JoinHostPort(m.addr, strconv.Itoa(f.settingsOf(m).PortOf(program)))
 }
 
-// diskOf is a machine's disk, with chances of its own.
+// diskOf returns a machine's disk; each has its own random numbers.
 func (f *fleet) diskOf(m *machine) *simulation.FaultyDisk {
 	if m.diskState == nil {
 		random := rand.New(rand.NewSource(f.seed*100 + int64(m.name[1])))
@@ -218,12 +218,12 @@
 	m.stop = nil
 }
 
-// shutDown ends all of a fleet.
+// shutDown stops all machines.
 func (f *fleet) shutDown() {
 	var ending sync.WaitGroup
 	for _, m := range f.machines {
 		if m.diskState != nil {
-			m.diskState.SetFault(false, false)
+			m.diskState.SetFault(simulation.NoFault)
 		}
 		if m.stop != nil {
 			ending.Go(m.stop)
@@ -255,7 +255,8 @@
 	return slices.DeleteFunc(f.sortedMachines(), func(m *machine) bool { return m.controlPlane == nil })
 }
 
-// machinesNamed names machines: one, several by commas, all, or core: control nodes that run.
+// machinesNamed returns machines by one name, several names separated by commas, `all`, or `core`
+// for the running control nodes.
 func (f *fleet) machinesNamed(names string) []*machine {
 	switch names {
 	case "all":
@@ -277,10 +278,10 @@
 	return named
 }
 
-// machineNamed is the first of machinesNamed.
+// machineNamed returns the first of machinesNamed.
 func (f *fleet) machineNamed(names string) *machine { return f.machinesNamed(names)[0] }
 
-// until waits for something to come true.
+// until waits until a condition holds or the time is over.
 func (f *fleet) until(limit time.Duration, what string, holds func() bool) error {
 	for end := time.Now().Add(limit); !holds(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -290,7 +291,7 @@
 	return nil
 }
 
-// untilNil waits for a check to find nothing amiss; the error has what it found last.
+// untilNil waits until a check returns nil or the time is over; it returns the last error.
 func (f *fleet) untilNil(limit time.Duration, what string, check func() error) error {
 	var last error
 	err := f.until(limit, what, func() bool {
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -18,7 +18,7 @@
 	"comethold/internal/usage"
 )
 
-// fleetTenant is a tenant as the test knows it.
+// fleetTenant is a tenant and what the test has recorded of its requests.
 type fleetTenant struct {
 	Name  string   `json:"name"`
 	Keys  []string `json:"apiKeys"`
@@ -30,7 +30,8 @@
 	latency  time.Duration // the greatest since the last look
 }
 
-// setTenant is `tenant NAME RATE BURST [key=]`: in the configurations from now on.
+// setTenant is `tenant NAME RATE BURST [key=]`: adds or changes a tenant in the configurations from
+// now on.
 func (f *fleet) setTenant(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,8 +62,8 @@
 	return f.checkQuota(f.tenantNamed(c.Word(1)), start.Add(-time.Second))
 }
 
-// startLoad is `start-load NAMES TENANT PERSECOND MS`: as load, while the lines that follow
-// are played, until load-end.
+// startLoad is `start-load NAMES TENANT PERSECOND MS`: like load, but the following lines are
+// played meanwhile, until end-loads.
 func (f *fleet) startLoad(c simulation.Command) error {
 	f.loads.Go(func() { f.generateLoad(c) })
 	return nil
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// generateLoad sends so many requests of a tenant a second to machines in turn.
+// generateLoad sends requests of a tenant, at a rate per second, to machines in turn.
 func (f *fleet) generateLoad(c simulation.Command) {
 	machines := f.machinesNamed(c.Word(0))
 	tenant := f.tenantNamed(c.Word(1))
@@ -108,7 +109,7 @@
 	return request
 }
 
-// sendAs sends a request of a tenant and notes its answer.
+// sendAs sends a request of a tenant and records its answer.
 func (f *fleet) sendAs(tenant *fleetTenant, handler http.Handler, request *http.Request) {
 	answer := httptest.NewRecorder()
 	start := time.Now()
@@ -125,8 +126,8 @@
 	}
 }
 
-// checkQuota checks the rule of quotas, for the limit as it is in force, in the windows that
-// begin after a moment.
+// checkQuota checks the quota rule with the limit in force, for the windows that begin after a
+// given time.
 func (f *fleet) checkQuota(tenant *fleetTenant, since time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// wantServed is `want-served TENANT [least= most= within=]`: of its requests since the last
-// such line, in percent, and how long the slowest may have taken.
+// wantServed is `want-served TENANT [least= most= within=]`: the percentage of its requests since
+// the last such line that were served, and the longest time that one may have taken.
 func (f *fleet) wantServed(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,14 +171,13 @@
 	return nil
 }
 
-// enableUsageReports is `usage-reports`: usage is to be reported.
+// enableUsageReports is `usage-reports`: enables usage reports in the settings.
 func (f *fleet) enableUsageReports(simulation.Command) error {
 	f.reportUsage = true
 	return nil
 }
 
-// awaitWindow is `await-window MS`: lets time pass until so long after the beginning of a window
-// of usage.
+// awaitWindow is `await-window MS`: lets time pass until MS after the beginning of a usage window.
 func (f *fleet) awaitWindow(c simulation.Command) error {
 	length := f.bounds().UsageWindow()
 	at := time.Now().Truncate(length).Add(c.Milliseconds(0))
@@ -188,10 +188,10 @@
 	return nil
 }
 
-// wantTimely is `want-reported-in-time TENANT off= [missed=]`: each window since the last such line in
-// which its requests ran, and that has fallen due, was reported before that, and names what
-// ran in it, to so many percent; so many may be missed.
-func (f *fleet) wantTimely(c simulation.Command) error {
+// wantReportedInTime is `want-reported-in-time TENANT off= [missed=]`: since the last such line,
+// each window that is due and in which its requests ran was reported before it was due, with a
+// count that is right to within off percent; up to missed windows may fail this.
+func (f *fleet) wantReportedInTime(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tenant := f.tenants[c.Word(0)]
@@ -222,18 +222,18 @@
 	return nil
 }
 
-// percentOff is how far a reported count is from what ran, in percent of that.
+// percentOff is the difference of a reported count from the true one, in percent of the true one.
 func percentOff(reported, ran float64) float64 { return math.Abs(reported-ran) / ran * 100 }
 
-// reportedCount is what the accepted report of a window names for a tenant; f.mu is held.
+// reportedCount returns a tenant's count in the accepted report of a window; f.mu is held.
 func (f *fleet) reportedCount(window uint64, tenant string) float64 {
 	var report usageReport
-	_ = json.Unmarshal([]byte(f.reports[window]), &report) // checked as it came; none: 0
+	_ = json.Unmarshal([]byte(f.reports[window]), &report) // checked when it arrived; none: 0
 	return float64(report.InstanceCounts[tenant])
 }
 
-// wantUsage is `want-usage TENANT off=`: all reports together name the requests that ran, to
-// so many percent.
+// wantUsage is `want-usage TENANT off=`: all reports together have the count of the requests that
+// ran, to within off percent.
 func (f *fleet) wantUsage(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// wantReports is `want-reports N WITHIN`: so many windows in a row up to now were reported,
-// the last that is due among them.
+// wantReports is `want-reports N WITHIN`: N consecutive windows were reported, including the last
+// one that is due.
 func (f *fleet) wantReports(c simulation.Command) error {
 	const (
 		window   = 5 * time.Second
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operatorCall is an order for a configuration, or a read of it.
+// operatorCall is a change of the configuration, or a read of it.
 type operatorCall struct {
 	read          bool
 	version, base uint64
@@ -27,8 +27,8 @@
 	body   string
 }
 
-// history records what operators called and were answered. Calls and returns are numbered as
-// they happen: what came to pass at one moment of simulated time is still in order.
+// history records the operators' calls and answers. Calls and returns are numbered as they happen,
+// so that those at the same simulated time are still in order.
 type history struct {
 	mu    sync.Mutex // guards the fields below
 	clock int64
@@ -61,7 +61,7 @@
 	h.ops = append(h.ops, porcupine.Operation{Input: c, Call: from, Output: a, Return: to})
 }
 
-// configurationChain is a state of the configuration: the order that was taken last, on top of others.
+// configurationChain is a state of the configuration: the last accepted change and those before it.
 // Equal states are one pointer.
 type configurationChain struct {
 	operatorCall
@@ -77,7 +77,7 @@
 	return false
 }
 
-// isUnclear reports whether an answer leaves it open what became of an order.
+// isUnclear reports whether an answer leaves the outcome of a change open.
 func (a operatorAnswer) isUnclear() bool {
 	switch a.status {
 	case 0, http.StatusRequestTimeout, http.StatusTooManyRequests:
@@ -86,7 +86,7 @@
 	return a.status/100 == 5
 }
 
-// configurationModel is the register that the operators should see.
+// configurationModel is the specification: a register that changes on condition of its version.
 func configurationModel() porcupine.Model {
 	known := map[configurationChain]*configurationChain{}
 	return porcupine.Model{
@@ -114,7 +114,7 @@
 					known[next] = &next
 				}
 				return true, known[next]
-			case a.isUnclear(): // it came to nothing
+			case a.isUnclear(): // it had no effect
 				return true, s
 			case a.status == http.StatusPreconditionFailed:
 				return current != c.base, s
@@ -124,7 +124,7 @@
 	}
 }
 
-// inputOf and outputOf are what record put into an operation.
+// inputOf and outputOf return the input and output that record put into an operation.
 func inputOf(input any) operatorCall {
 	c, _ := input.(operatorCall)
 	return c
@@ -135,8 +135,8 @@
 	return a
 }
 
-// operations makes one call of all unclear ones of the same order: it may come into force at
-// any time after the first, or never.
+// operations merges all unclear calls of the same change into one: it may take effect at any time
+// after the first call, or never.
 func (h *history) operations() []porcupine.Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -157,8 +157,8 @@
 	return out
 }
 
-// check says whether all that operators saw could have come of one register. It is not to
-// run on simulated time, on which no limit would ever be over.
+// check reports whether the history is linearizable. It must not run on simulated time, where its
+// time limit would never expire.
 func (h *history) check() error {
 	ops := h.operations()
 	result := porcupine.CheckOperationsTimeout(configurationModel(), ops, 30*time.Second)
@@ -180,7 +180,7 @@
 	return fmt.Errorf("the history is not linearizable (%s):%s", result, b.String())
 }
 
-// TestHistory: the checker finds what must not be, and nothing else. A call is
+// TestHistory: the checker rejects histories that are not linearizable, and no others. A change is
 // FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS.
 func TestHistory(t *testing.T) {
 	cases := []struct {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// resendDelay is how long a lost packet holds its connection up.
+	// resendDelay is how long a lost packet delays its connection.
 	resendDelay = 250 * time.Millisecond
-	// blockedPollPause is how often a writer looks whether a cut has ended.
+	// blockedPollPause is the pause between a writer's checks whether a cut has ended.
 	blockedPollPause = 20 * time.Millisecond
-	// segmentBytes is what goes over a link at a time: connections share it.
+	// segmentBytes is how much goes over a link at a time, so that connections share it.
 	segmentBytes = 4 << 10
 )
 
@@ -34,18 +34,17 @@
 }
 
 // network is a network of addresses on simulated time. A machine that is down refuses
-// connections; behind a cut nothing arrives, and what was written is held up until
-// the cut ends or the writer gives up.
+// connections. Nothing passes a cut: writes wait until it ends or the writer gives up.
 type network struct {
 	mu             sync.Mutex // guards the fields below
 	listeners      map[string]*listener
 	packetConns    map[string]*simulatedPacketConn
 	conns          []*simulatedConn
-	incarnations   map[string]int // of a machine: one that was killed, or lost power, calls nobody any more
+	incarnations   map[string]int // of each machine; killed ones can no longer call
 	blocked        map[link]bool
 	answersLost    map[string]bool             // hosts whose answers to operators are lost
-	bytesPerSecond map[string]float64          // each way, of a host's own link; 0: no bound
-	busyUntil      map[interfaceSide]time.Time // until when a host's link is taken
+	bytesPerSecond map[string]float64          // of a host's own link, each direction; 0: no limit
+	busyUntil      map[interfaceSide]time.Time // when a host's link is free again
 	lossRate       float64
 	random         func() float64
 }
@@ -99,14 +98,14 @@
 	n.lossRate = rate
 }
 
-// setBandwidth bounds a host's link, each way; 0 takes the bound away.
+// setBandwidth limits a host's link in each direction; 0 removes the limit.
 func (n *network) setBandwidth(host string, bytesPerSecond float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytesPerSecond[host] = bytesPerSecond
 }
 
-// setAnswersLost says whose answers to operators are lost from now on.
+// setAnswersLost sets the hosts whose answers to operators are lost from now on.
 func (n *network) setAnswersLost(hosts []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +115,7 @@
 	}
 }
 
-// delay holds up what a lost packet was part of.
+// delay delays a write if one of its packets is lost.
 func (n *network) delay() {
 	n.mu.Lock()
 	isLost := n.random() < n.lossRate
@@ -126,7 +125,7 @@
 	}
 }
 
-// netOf is the network as a machine sees it in the incarnation that begins now.
+// netOf returns the network for the incarnation of a machine that begins now.
 func (n *network) netOf(host string) rpc.Network {
 	n.mu.Lock()
 	incarnation := n.incarnations[host]
@@ -181,8 +180,7 @@
 	return ours, nil
 }
 
-// reserveLink has bytes go over the links of both hosts, and returns for how long these are
-// taken then.
+// reserveLink sends bytes over the links of both hosts, and returns how long these are busy then.
 func (n *network) reserveLink(from, to string, bytes int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,8 +221,8 @@
 	n.conns = kept
 }
 
-// killMachine takes a machine off the network whose processes run on for a while in the
-// test: what they still do reaches nobody, also once the machine is back.
+// killMachine takes a machine off the network. Its processes run on for a while in the test, but
+// nothing that they send arrives, even once the machine is back.
 func (n *network) killMachine(host string) {
 	n.mu.Lock()
 	n.incarnations[host]++
@@ -232,7 +230,7 @@
 	n.closeHost(host)
 }
 
-// resetConnections ends every connection of a machine, which runs on.
+// resetConnections ends every connection of a machine, which keeps running.
 func (n *network) resetConnections(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -279,22 +277,22 @@
 	return written, nil
 }
 
-// isAnswerLost reports whether what is written here is an answer to an operator that is lost.
+// isAnswerLost reports whether a write at this end is an answer to an operator and must be lost.
 func (c *simulatedConn) isAnswerLost() bool {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	return c.to == operatorAddr && c.network.answersLost[c.from]
 }
 
-// waitForLink waits while the links are taken once so many bytes more go over them; a link
-// that is quick again holds nobody up.
+// waitForLink reserves the links for some bytes and waits while they are busy; it stops waiting
+// if the limit of a link is lifted.
 func (c *simulatedConn) waitForLink(bytes int) {
 	for wait := c.network.reserveLink(c.from, c.to, bytes); wait > 0; wait = c.network.reserveLink(c.from, c.to, 0) {
 		time.Sleep(min(wait, blockedPollPause))
 	}
 }
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	addr     string
 	incoming chan net.Conn
@@ -346,7 +344,7 @@
 	payload []byte
 }
 
-// maxQueuedDatagrams wait for a reader; further ones are lost.
+// maxQueuedDatagrams is how many datagrams wait for a reader; further ones are lost.
 const maxQueuedDatagrams = 64
 
 func (n *network) listenPacket(addr string) net.PacketConn {
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -23,14 +23,14 @@
 	neverDropsRate = 1 // what a network's random source draws to lose nothing
 )
 
-// clients talk to a proxy through its own server, on connections that they keep.
+// clients are connections to a proxy's real server that stay open between requests.
 type clients struct {
 	network *network
 	conns   map[string]net.Conn
 	idleMs  int64 // limit in the configurations
 }
 
-// serveClients is `accept-connections`: from here on connections are taken.
+// serveClients is `accept-connections`: the proxy accepts connections from now on.
 func (p *plane) serveClients(simulation.Command) error {
 	p.clients.network = newNetwork(func() float64 { return neverDropsRate })
 	p.clients.conns = map[string]net.Conn{}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// setIdleLimit is `idle-timeout MS`: the limit of idle connections, with the next feed.
+// setIdleLimit is `idle-timeout MS`: the idle time-out of connections, from the next update on.
 func (p *plane) setIdleLimit(c simulation.Command) error {
 	p.clients.idleMs = int64(c.Int(0))
 	return nil
@@ -58,28 +58,28 @@
 	return nil
 }
 
-// say is `send NAME HOST PATH [method=]`: a request on that connection.
-func (p *plane) say(c simulation.Command) error {
+// send is `send NAME HOST PATH [method=]`: a request on that connection.
+func (p *plane) send(c simulation.Command) error {
 	p.sendOnConnection(c, writeAtOnce)
 	return nil
 }
 
-// sayOn is `send-async NAME HOST PATH [method=]`: the same, not waiting for the answer.
-func (p *plane) sayOn(c simulation.Command) error {
+// sendAsync is `send-async NAME HOST PATH [method=]`: the same, not waiting for the answer.
+func (p *plane) sendAsync(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeAtOnce) })
 	return nil
 }
 
-// sayLate is `send-slowly NAME HOST PATH MS`: the last byte of the request comes so much later;
-// not waiting for the answer.
-func (p *plane) sayLate(c simulation.Command) error {
+// sendSlowly is `send-slowly NAME HOST PATH MS`: like send-async, but the last byte of the request
+// is sent MS later.
+func (p *plane) sendSlowly(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeSlowly) })
 	return nil
 }
 
-// leave is `shutdown [after=MS]`: SIGTERM; returns when the process ends, so long after all was
-// answered.
-func (p *plane) leave(c simulation.Command) error {
+// shutDownCommand is `shutdown [after=MS]`: sends SIGTERM and waits until all requests are answered
+// and the process ends, MS later.
+func (p *plane) shutDownCommand(c simulation.Command) error {
 	p.proxy.Shutdown()
 	time.Sleep(c.Span("after", 0))
 	p.clients.network.closeHost(proxyHost)
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// setTenant is `tenant NAME KEY,...`: its keys from now on; without keys it is gone.
+// setTenant is `tenant NAME KEY,...`: its keys from now on; without keys it is removed.
 func (p *plane) setTenant(c simulation.Command) error {
 	p.tenants = slices.DeleteFunc(p.tenants, func(t routing.Tenant) bool { return t.Name == c.Word(0) })
 	if c.Word(1) != "" {
@@ -78,20 +78,20 @@
 	return nil
 }
 
-// mark is `eject ID`: the index cell holds an ejection mark.
-func (p *plane) mark(c simulation.Command) error {
+// eject is `eject ID`: the index cell holds an ejection mark.
+func (p *plane) eject(c simulation.Command) error {
 	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	return nil
 }
 
-// unmark is `reinstate ID`.
-func (p *plane) unmark(c simulation.Command) error {
+// reinstate is `reinstate ID`.
+func (p *plane) reinstate(c simulation.Command) error {
 	delete(p.ejected, c.Word(0))
 	return nil
 }
 
-// feed is `update`: the proxy gets an update.
-func (p *plane) feed(simulation.Command) error {
+// update is `update`: the proxy gets an update.
+func (p *plane) update(simulation.Command) error {
 	p.publish()
 	return nil
 }
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// ask is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
+// sendRequests is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
 // one after the other.
-func (p *plane) ask(c simulation.Command) error {
+func (p *plane) sendRequests(c simulation.Command) error {
 	method := http.MethodGet
 	if c.Options["post"] != "" {
 		method = http.MethodPost
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// crowd is `request-at-once HOST PATH n=`: requests, all at once.
-func (p *plane) crowd(c simulation.Command) error {
+// sendRequestsAtOnce is `request-at-once HOST PATH n=`: requests, all at once.
+func (p *plane) sendRequestsAtOnce(c simulation.Command) error {
 	for range int(c.Number("n", 1)) {
 		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
 	}
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// wantTenants is `want-tenants LEAF NAME,...`: what it was sent since the last such line; -
-// for none.
+// wantTenants is `want-tenants LEAF NAME,...`: the tenants that it was sent since the last such
+// line; - for none.
 func (p *plane) wantTenants(c simulation.Command) error {
 	p.mu.Lock()
 	got := strings.Join(p.tenantsSeen[c.Word(0)], ",")
@@ -217,8 +217,8 @@
 	return errors.New("nothing is known of it")
 }
 
-// wantSlow is `want-slow LEAF OTHER`: a slow lookup there, with an estimate for the other
-// that covers what it really took.
+// wantSlow is `want-slow LEAF OTHER`: a slow lookup at LEAF is recorded, with an estimate for
+// OTHER that covers the time that OTHER really took.
 func (p *plane) wantSlow(c simulation.Command) error {
 	slow := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups
 	for _, lookup := range slow {
@@ -232,7 +232,7 @@
 	return fmt.Errorf("none: %+v", slow)
 }
 
-// wantParts is `want-parts LEAF KIND ...`: exactly these differ.
+// wantParts is `want-parts LEAF KIND ...`: exactly these kinds of differences were found.
 func (p *plane) wantParts(c simulation.Command) error {
 	got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
 	for pair := range slices.Chunk(c.Words, 2) {
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -25,7 +25,7 @@
 	distribution.Endpoint
 	workTime time.Duration
 	mode     string
-	modeUses int // so many answers by the mode, then well; 0: always
+	modeUses int // how many answers follow the mode before the leaf answers normally; 0: all
 	runs     int
 	calls    int
 }
@@ -137,7 +137,7 @@
 		status, c.leaf.ID, header, len(body), body)
 }
 
-// answerWithoutRunning answers what is not run; goOn is false if the connection ends.
+// answerWithoutRunning answers a request that is not run; goOn is false if the connection ends.
 func (c *leafConn) answerWithoutRunning(call leafCall) (isAnswered, goOn bool) {
 	switch {
 	case call.isForgot:
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -31,10 +31,10 @@
 	settings *settings.Settings
 	clients  clients
 	running  sync.WaitGroup // requests under way
-	quit     chan struct{}  // closed at the end, for leafs that say nothing
-	// sameRecords has all leafs hold the same records.
+	quit     chan struct{}  // closed at the end, for leafs that do not answer
+	// sameRecords makes all leafs hold the same records.
 	sameRecords bool
-	// What the next feed holds.
+	// Content of the next update.
 	routes  []routing.Route
 	tenants []routing.Tenant
 	ejected map[string]distribution.EjectionMark
@@ -77,13 +77,13 @@
 	return p
 }
 
-// newProxy makes the proxy anew, by the settings as they are.
+// newProxy replaces the proxy by a new one with the current settings.
 func (p *plane) newProxy() {
 	dialLeafs := func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial }
 	p.proxy = proxy.New(p.settings, logging.Nop(), dialLeafs)
 }
 
-// shutDown ends all of a plane.
+// shutDown ends the proxy, the clients and the leafs.
 func (p *plane) shutDown() {
 	p.leafs = map[string]*leaf{}
 	p.routes = nil
@@ -101,7 +101,7 @@
 	}
 }
 
-// publish sends the proxy an update with what the scenario has set so far.
+// publish sends the proxy an update with everything that the scenario has set so far.
 func (p *plane) publish() {
 	p.mu.Lock()
 	p.sequence++
@@ -122,7 +122,8 @@
 	p.proxy.Apply(update)
 }
 
-// configuration is what the scenario has set so far, read as an operator's text is; p.mu is held.
+// configuration returns the configuration that the scenario has set so far, parsed like an
+// operator's; p.mu is held.
 func (p *plane) configuration() *routing.Configuration {
 	names := map[string]bool{}
 	for _, l := range p.leafs {
@@ -155,7 +156,7 @@
 	return "q" + strconv.Itoa(p.nextID)
 }
 
-// request sends one request to the proxy and checks what must hold of every answer.
+// request sends one request to the proxy and checks the rules that hold for every answer.
 func (p *plane) request(host, path, method, body string, options map[string]string) {
 	id := p.newRequestID()
 	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body))
@@ -185,8 +186,8 @@
 	p.checkAnswer(id, method, w)
 }
 
-// checkAnswer checks that an answer is the request's own, and that it promises nothing that
-// is not so; p.mu is held.
+// checkAnswer checks that an answer belongs to the request, and that its status and headers are
+// true; p.mu is held.
 func (p *plane) checkAnswer(id, method string, w *httptest.ResponseRecorder) {
 	isRejection := w.Code == http.StatusTooManyRequests || w.Code == http.StatusServiceUnavailable
 	if isRejection && p.runsByRequest[id] > 0 && method == http.MethodPost {
@@ -218,19 +219,19 @@
 	"set":                (*plane).setLeaf,
 	"route":              (*plane).addRoute,
 	"tenant":             (*plane).setTenant,
-	"eject":              (*plane).mark,
-	"reinstate":          (*plane).unmark,
-	"update":             (*plane).feed,
+	"eject":              (*plane).eject,
+	"reinstate":          (*plane).reinstate,
+	"update":             (*plane).update,
 	"run":                (*plane).letTimePass,
-	"request":            (*plane).ask,
-	"request-at-once":    (*plane).crowd,
+	"request":            (*plane).sendRequests,
+	"request-at-once":    (*plane).sendRequestsAtOnce,
 	"accept-connections": (*plane).serveClients,
 	"idle-timeout":       (*plane).setIdleLimit,
 	"open-connection":    (*plane).openConnection,
-	"send":               (*plane).say,
-	"send-async":         (*plane).sayOn,
-	"send-slowly":        (*plane).sayLate,
-	"shutdown":           (*plane).leave,
+	"send":               (*plane).send,
+	"send-async":         (*plane).sendAsync,
+	"send-slowly":        (*plane).sendSlowly,
+	"shutdown":           (*plane).shutDownCommand,
 	"estimates":          (*plane).enableEstimates,
 
 	"want":          (*plane).wantStatuses,
@@ -243,7 +244,7 @@
 	"want-parts":    (*plane).wantParts,
 }
 
-// Do carries out a command.
+// Do runs a command.
 func (p *plane) Do(c simulation.Command) error { return planeCommands.Do(p, c) }
 
 func TestPlane(t *testing.T) {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,6 +1,6 @@
-// Package simulation plays scenario files in tests: small text files, a command a line, '#'
-// before a comment. What the commands do is up to a World; docs/testing.md lists them. It
-// also has a FaultyDisk, which refuses, hangs and loses power.
+// Package simulation plays scenario files in tests: small text files with one command per line
+// and '#' before comments. A World defines the commands; docs/testing.md lists them. The package
+// also has a FaultyDisk, which rejects writes, hangs and loses power.
 //
 // A world usually keeps its commands in a CommandTable:
 //
@@ -22,13 +22,12 @@
 	"testing"
 )
 
-// World carries out commands on simulated time. A command that finds something amiss
-// returns an error.
+// World runs commands on simulated time. A command whose check fails returns an error.
 type World interface {
 	Do(c Command) error
 }
 
-// SeedCount is how many seeds a drawn test plays: what COMETHOLD_SEEDS says, or few.
+// SeedCount returns how many seeds a randomized test plays: COMETHOLD_SEEDS, or few if unset.
 func SeedCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("COMETHOLD_SEEDS")); err == nil && n > 0 {
 		return n
@@ -36,8 +35,8 @@
 	return few
 }
 
-// Play runs every file of a folder in a world of its own, several at once. wrap puts
-// each run into its simulated time.
+// Play runs every scenario file of a folder in a world of its own, several in parallel. wrap
+// runs each in its simulated time; it is synctest.Test.
 func Play(
 	t *testing.T, dir string, wrap func(t *testing.T, run func(t *testing.T)), newWorld func(t *testing.T) World,
 ) {
@@ -61,7 +60,7 @@
 	}
 }
 
-// playLines carries out the lines of a scenario, up to the first that fails.
+// playLines runs the lines of a scenario, up to the first that fails.
 func playLines(t *testing.T, file, text string, world World) {
 	t.Helper()
 	for i, line := range strings.Split(text, "\n") {
@@ -75,7 +74,7 @@
 	}
 }
 
-// perform turns a panic of a command into its error.
+// perform runs a command and turns a panic into its error.
 func perform(world World, c Command) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -11,9 +11,9 @@
 	"comethold/internal/simulation"
 )
 
-// repairScenario draws a day of losses: never more than two at a time, the next ones as soon as all
-// cells are whole. Disks are lost, machines killed and cut off, newcomers killed while they
-// catch up, configurations with other indexes sent meanwhile.
+// repairScenario draws a series of losses: at most two at a time, the next as soon as all cells are
+// complete. Disks are lost, machines are killed or cut off, new replicas are killed while they
+// catch up, and configurations with other indexes are sent meanwhile.
 func repairScenario(rng *rand.Rand) (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	add("losses 2")
@@ -28,7 +28,7 @@
 	add("want-all-voters 9000")
 	version := 1
 	p := rng.Perm(n)
-	order := func() { // to a machine that is well
+	order := func() { // to a machine without a fault
 		version += 2
 		add("replace %d %d c%d within=9000", version, version-2, p[2]+1)
 	}
@@ -84,7 +84,7 @@
 	return lines
 }
 
-// TestRepairs plays such days; COMETHOLD_SEEDS says how many.
+// TestRepairs plays such scenarios; COMETHOLD_SEEDS is their number.
 func TestRepairs(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
--- a/internal/simulation/strange_leafs_test.go
+++ b/internal/simulation/strange_leafs_test.go
@@ -30,9 +30,9 @@
 	scatterHost = "c.example"
 )
 
-// TestStrangeLeafs: many callers at once of one proxy, among leafs that end calls in
-// every way. Each answer is its request's own; what may not be repeated runs once at the
-// most, and not at all where the client is told so.
+// TestStrangeLeafs: many concurrent clients of one proxy, with leafs that end calls in all possible
+// ways. Each answer belongs to its request; a request that may not be repeated runs at most
+// once, and not at all if the client's answer says so.
 func TestStrangeLeafs(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
 		a := newAdversary(t, seed)
@@ -59,7 +59,7 @@
 	}
 }
 
-// strangeServices are the services; those of names g... are the shards of one index.
+// strangeServices are the services; the ones named g... are the shards of one index.
 var strangeServices = []string{"s1", "g1", "g2", "g3"}
 
 func strangeConfiguration(t *testing.T) *routing.Configuration {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// strangeRun is many callers of one proxy.
+// strangeRun is the state of one run: many concurrent clients of one proxy.
 type strangeRun struct {
 	adversary *adversary
 	handler   http.Handler
@@ -127,7 +127,7 @@
 	code   int
 }
 
-// callAll has twelve callers send requests until the end.
+// callAll runs twelve clients that send requests until the end.
 func (s *strangeRun) callAll() {
 	const callers = 12
 	var calling sync.WaitGroup
@@ -142,7 +142,7 @@
 	calling.Wait()
 }
 
-// call sends one request, of the caller's route and method, and judges its answer.
+// call sends one request with the client's route and method, and checks its answer.
 func (s *strangeRun) call(caller int, rng *rand.Rand) {
 	host := []string{unsafeHost, safeHost, scatterHost}[caller%3]
 	id := "q" + strconv.FormatInt(s.nextID.Add(1), 10)
@@ -182,7 +182,7 @@
 	}
 }
 
-// judge looks at one answer.
+// judge checks one answer.
 func (s *strangeRun) judge(host, id string, isHead bool, w *httptest.ResponseRecorder) {
 	fault := func(what string) {
 		s.adversary.t.Errorf("seed %d: %s on %s got %d %s: %v %.80q",
@@ -212,7 +212,7 @@
 	}
 }
 
-// isOwnAnswer reports whether an answer of one leaf is whole and the request's own.
+// isOwnAnswer reports whether an answer of one leaf is complete and belongs to the request.
 func isOwnAnswer(id string, isHead bool, w *httptest.ResponseRecorder) bool {
 	if !strings.HasPrefix(w.Header().Get("X-Comethold-Server-Stamp"), id+".") {
 		return false
@@ -225,7 +225,7 @@
 	return w.Body.String() == body && size == strconv.Itoa(len(body))
 }
 
-// check compares what the clients were answered with what the leafs ran.
+// check compares the answers that clients got with the requests that leafs ran.
 func (s *strangeRun) check(t *testing.T) {
 	t.Helper()
 	a := s.adversary
