--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -6,12 +6,11 @@
 // records under testdata are keyed by these alone: a rename of a Go identifier or a move of
 // a type to another package leaves them as they are.
 //
-// The records are written anew by
+// The records are rewritten by
 //
 //	COMPAT_UPDATE=1 go test ./...
 //
-// which is right only where something was added, or where the old format is given up on
-// purpose.
+// which is right only after something was added, or if an old format is dropped on purpose.
 package compat
 
 import (
@@ -36,27 +35,27 @@
 // Message is one value of a type that is sent or stored.
 type Message struct {
 	Name  string // of its record; never changes
-	Value any    // what the record must decode to; a struct, map or slice, not a pointer
+	Value any    // the value that the record must decode to; a struct, map or slice, not a pointer
 }
 
 // record is the file of a message.
 type record struct {
-	CBOR  string `json:"cbor"`  // the bytes as recorded, in hex
-	Value any    `json:"value"` // the same for the reader, by cbor numbers
+	CBOR  string `json:"cbor"`  // the recorded bytes, in hex
+	Value any    `json:"value"` // the same in readable form, by cbor numbers
 }
 
-// Updating reports whether the records are to be written anew.
+// Updating reports whether the records are to be rewritten.
 func Updating() bool { return os.Getenv("COMPAT_UPDATE") != "" }
 
-// Path is the place of a file of testdata, from whichever package the test runs in.
+// Path returns the path of a file in this package's testdata, whichever package the test runs in.
 func Path(names ...string) string {
 	_, self, _, _ := runtime.Caller(0)
 	return filepath.Join(append([]string{filepath.Dir(self), "testdata"}, names...)...)
 }
 
-// CheckMessages decodes the recorded bytes of every message and compares the result with
-// its value, and compares what this version would send with what was recorded. Together
-// the messages must fill every field of every type that they contain.
+// CheckMessages decodes the recorded bytes of every message and compares the result with its value.
+// It also compares this version's encoding of the value with the record. Together the messages must
+// fill every field of every type that they contain.
 func CheckMessages(t *testing.T, messages []Message) {
 	t.Helper()
 	filled := fields{}
@@ -131,7 +130,7 @@
 	return v
 }
 
-// Text writes bytes as text where they are printable, and in hex otherwise.
+// Text returns bytes as text if they are printable, else in hex.
 func Text(b []byte) string {
 	if utf8.Valid(b) && strings.IndexFunc(string(b), func(r rune) bool { return !unicode.IsPrint(r) }) < 0 {
 		return "text " + string(b)
@@ -152,7 +151,7 @@
 	}
 }
 
-// plain turns a value into what reading its JSON gives.
+// plain encodes a value as JSON and decodes it again.
 func plain(t *testing.T, v any) (out any) {
 	t.Helper()
 	d := json.NewDecoder(strings.NewReader(asJSON(t, v)))
@@ -163,7 +162,7 @@
 	return out
 }
 
-// difference finds a place where two decoded values differ.
+// difference returns a position at which two decoded values differ.
 func difference(at string, got, want any) (string, bool) {
 	switch got := got.(type) {
 	case []any:
--- a/internal/compat/consensus_test.go
+++ b/internal/compat/consensus_test.go
@@ -54,7 +54,7 @@
 // number is the proposal number of the messages.
 func number() paxos.ProposalNumber { return paxos.ProposalNumber{Term: 4, Proposer: "a"} }
 
-// TestConsensusMessages: one recorded message of each kind between replicas, and what stands in their log.
+// TestConsensusMessages: one recorded message of each kind between replicas, and the content of their log.
 func TestConsensusMessages(t *testing.T) {
 	messages := []compat.Message{
 		{Name: "ballot", Value: number()},
@@ -211,7 +211,7 @@
 	}
 }
 
-// catchUpMessages are the messages by which a replica that lags gets what it lacks.
+// catchUpMessages are the messages by which a lagging replica gets the missing entries.
 func catchUpMessages() []compat.Message {
 	return []compat.Message{
 		{
--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -20,7 +20,7 @@
 	"comethold/internal/usage"
 )
 
-// control is the control plane of one machine, alone.
+// control is a system of a single control node.
 type control struct {
 	t         *testing.T
 	settings  *settings.Settings
@@ -30,7 +30,7 @@
 	datagrams net.PacketConn
 }
 
-// start runs a control plane on a data directory. What it calls is the platform alone.
+// start runs a control plane on a data directory. It can call the platform only.
 func start(t *testing.T, dir string, first bool, platform *httptest.Server) *control {
 	t.Helper()
 	set := &settings.Settings{
@@ -81,7 +81,7 @@
 	return c
 }
 
-// platformOnly is a network on which the platform answers, if there is one, and nobody else.
+// platformOnly is a network on which only the platform answers, if there is one.
 func platformOnly(address string, platform *httptest.Server) rpc.Network {
 	return func(time.Duration, time.Duration) rpc.DialFunc {
 		return func(ctx context.Context, network, to string) (net.Conn, error) {
@@ -100,7 +100,7 @@
 	_ = c.datagrams.Close()
 }
 
-// order makes an operator's call until the control plane is ready for it.
+// order makes an operator's call, and repeats it on 503 until the control plane is ready.
 func (c *control) order(path, base, body string) (status int, answer []byte) {
 	c.t.Helper()
 	for range 600 {
@@ -140,7 +140,7 @@
 	return answer
 }
 
-// update returns what the control plane sends to a node that holds nothing yet.
+// update returns the update that the control plane sends to a node without any state.
 func (c *control) update(call distribution.UpdateRequest) distribution.Update {
 	c.t.Helper()
 	var out distribution.Update
@@ -172,7 +172,7 @@
 	return n
 }
 
-// claim renews the share of a node.
+// claim renews a node's share lease.
 func (c *control) claim(table distribution.ShareTable, number uint64) {
 	c.t.Helper()
 	request := distribution.ShareRequest{
@@ -184,7 +184,7 @@
 	c.call("/claim", &request, nil)
 }
 
-// count sends counts of a tenant as a node does, until they were written to the disk.
+// count sends counts of a tenant like a node, for long enough that they are written to disk.
 func (c *control) count() {
 	c.t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(c.t.Context(), "udp4", c.datagrams.LocalAddr().String())
@@ -211,8 +211,8 @@
 	}
 }
 
-// waitForFences waits until leases were taken over under fencing tokens that go on from
-// the recorded ones.
+// waitForFences waits until the leases were acquired with fencing tokens higher than the recorded
+// ones.
 func (c *control) waitForFences() {
 	c.t.Helper()
 	var v struct {
--- a/internal/compat/coverage_test.go
+++ b/internal/compat/coverage_test.go
@@ -10,7 +10,7 @@
 	"comethold/internal/compat"
 )
 
-// TestEveryRecordIsChecked: no record is left behind when tests move.
+// TestEveryRecordIsChecked: every record is checked by a test, even after tests have moved.
 func TestEveryRecordIsChecked(t *testing.T) {
 	var tests strings.Builder
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, _ os.DirEntry, err error) error {
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -25,7 +25,7 @@
 	address  = "10.0.0.1"
 )
 
-// The configurations that the recorded data directory was given, and one that is new.
+// The configurations in the recorded data directory, and a new one.
 const (
 	firstConfiguration = `{"version":3,` +
 		`"routes":[{"name":"r1","hostname":"h.example","pathPrefix":"/","routeKind":"safe",` +
@@ -38,7 +38,7 @@
 	nextAmendment = `{"version":6,"remove":{"routes":["r2"]}}`
 )
 
-// recordedReadings is what the operator reads from the recorded data directory.
+// recordedReadings are the answers that an operator reads from the recorded data directory.
 type recordedReadings struct {
 	Configuration any `json:"configuration"`
 	Quarantine    any `json:"quarantine"`
@@ -54,7 +54,7 @@
 	return slices.ContainsFunc(n.EjectionMarks, func(m distribution.EjectionMarks) bool { return len(m.Ejected) > 0 })
 }
 
-// writeData makes a data directory with something of everything that is stored.
+// writeData makes a data directory that holds every kind of stored record.
 func writeData(t *testing.T, dir string) {
 	t.Helper()
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +100,7 @@
 	time.Sleep(time.Second)
 }
 
-// readings reads what the recorded data must give, whichever node holds the leases now.
+// readings reads the part of the recorded data that does not depend on the current lease holders.
 func (c *control) readings() recordedReadings {
 	c.t.Helper()
 	var r recordedReadings
@@ -132,7 +132,7 @@
 	slices.SortFunc(n.Nodes.Nodes, func(a, b distribution.Node) int { return strings.Compare(a.Name, b.Name) })
 	decode(c.want(http.StatusOK, "/Notices.Read", "", ""), &notices)
 	r.Quarantine, r.Redrives, r.Decided = notices.Quarantine, notices.Redrives, notices.Decided
-	// Positions of the log go on with every start.
+	// Log indexes rise with every start.
 	n.Nodes.LogIndex = 0
 	for i := range n.EjectionMarks {
 		n.EjectionMarks[i].LogIndex = 0
@@ -151,7 +151,7 @@
 	return r
 }
 
-// storedCell is what is on the disk of a cell, by cbor numbers.
+// storedCell is the stored state of a cell, by cbor numbers.
 type storedCell struct {
 	Promised    any    `json:"promised"`
 	Term        uint64 `json:"round"`
@@ -160,8 +160,8 @@
 	Snapshot    any    `json:"snapshot"`
 }
 
-// stored reads a data directory below the control plane: values of the node by their
-// keys, and cells by their names.
+// stored reads a data directory without a control plane: values of the node by their keys, and
+// cells by their names.
 func stored(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
 	v, err := storage.Open(dir, storage.LocalDisk{}, func(err error) { t.Error(err) })
@@ -205,8 +205,7 @@
 	return map[string]any{"node": node, "cells": byName}
 }
 
-// contents lists the keys of the node and the names of the cells in a file of data, as
-// they stand in it.
+// contents lists the keys of the node and the names of the cells in a data file, exactly as stored.
 func contents(t *testing.T, path string) (keys, cells []string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
@@ -245,9 +244,9 @@
 	return dir
 }
 
-// TestRecordedData: a data directory of a control machine that an earlier version wrote
-// is read whole, and the control plane goes on from there: it knows the orders that it
-// took, takes new ones and finds all of it again at its next start.
+// TestRecordedData: this version reads all of a control machine's data directory that an earlier
+// version wrote, and continues from it: it recognizes the changes that were committed, commits new
+// ones and finds all of them again at its next start.
 func TestRecordedData(t *testing.T) {
 	dir := recordedData(t)
 	keys, cells := contents(t, filepath.Join(dir, dataFile))
@@ -264,7 +263,7 @@
 	c := start(t, dir, false, nil)
 	compat.CheckJSON(t, compat.Path("control-plane", "readings.json"), c.readings())
 	c.waitForFences()
-	c.want(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration) // taken before
+	c.want(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration) // committed before
 	c.want(http.StatusOK, "/Configuration.Amend", "3", firstAmendment)
 	c.want(http.StatusPreconditionFailed, "/Configuration.Amend", "3", strings.Replace(firstAmendment, "500", "600", 1))
 	c.want(http.StatusPreconditionFailed, "/Configuration.Amend", "3", nextAmendment)
--- a/internal/compat/distribution_test.go
+++ b/internal/compat/distribution_test.go
@@ -91,7 +91,7 @@
 	return distribution.EjectionMark{Reason: distribution.ReasonUnresponsive, Reporter: "n2"}
 }
 
-// update has every part.
+// update is an update with all of its parts.
 func update() distribution.Update {
 	list, purges := endpointList(), purges()
 	return distribution.Update{
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestUpdateMessages: how nodes ask the control plane for updates, and what they get.
+// TestUpdateMessages: the nodes' requests for updates, and the updates.
 func TestUpdateMessages(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{Name: "update-call", Value: distribution.UpdateRequest{
--- a/internal/compat/fields.go
+++ b/internal/compat/fields.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fields notes which fields of which struct types had a value other than zero.
+// fields records which fields of which struct types had a value other than zero.
 type fields map[reflect.Type]map[string]bool
 
 func (f fields) note(v reflect.Value) {
@@ -39,7 +39,7 @@
 	}
 	for i := range v.NumField() {
 		if field := v.Type().Field(i); field.IsExported() {
-			// What encodes itself has a record of its own.
+			// A type that encodes itself has a record of its own.
 			f[v.Type()][field.Name] = f[v.Type()][field.Name] || !v.Field(i).IsZero() || field.Type.Implements(encodesItself)
 			f.note(v.Field(i))
 		}
--- a/internal/compat/gzip.go
+++ b/internal/compat/gzip.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Pack records a file that this version wrote.
+// Pack compresses a file that this version wrote into a record.
 func Pack(t *testing.T, from, record string) {
 	t.Helper()
 	raw, err := os.ReadFile(from)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Unpack puts a recorded file in the place where this version looks for it.
+// Unpack decompresses a recorded file to a path.
 func Unpack(t *testing.T, record, to string) {
 	t.Helper()
 	raw, err := os.ReadFile(record)
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// TestOutboxRecords: notices, the rows of the outbox in each state, receipts and the inbox.
+// TestOutboxRecords: notifications, outbox rows in each state, receipts and the inbox.
 func TestOutboxRecords(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{
--- a/internal/heartbeat/detector.go
+++ b/internal/heartbeat/detector.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// missedHeartbeats is how many heartbeats in a row must be missed: single datagrams are lost now and then.
+// missedHeartbeats is how many heartbeats in a row must be missing, since single datagrams may get lost.
 const missedHeartbeats = 3
 
-// Detector holds what one node knows of the nodes that it watches. It is not safe for use by several goroutines.
+// Detector records the heartbeats of the nodes that one node watches. It is not safe for concurrent use.
 type Detector struct {
 	self          string
 	interval      time.Duration
@@ -16,7 +16,7 @@
 	lastHeartbeat map[string]time.Time // of the watched nodes
 }
 
-// NewDetector makes a detector for a node that watches nobody yet. interval is the time between two heartbeats.
+// NewDetector makes a detector for a node that watches no other node yet. interval is the time between two heartbeats.
 func NewDetector(self string, interval time.Duration) *Detector {
 	return &Detector{
 		self:          self,
@@ -26,8 +26,7 @@
 	}
 }
 
-// SetNodes takes the names of all nodes. A node that was not watched before counts as if its heartbeat had
-// arrived now.
+// SetNodes sets the names of all nodes. A newly watched node counts as if its heartbeat had arrived now.
 func (d *Detector) SetNodes(nodes []string, now time.Time) {
 	watched := map[string]bool{}
 	_, names := Assign(d.self, nodes)
@@ -45,16 +44,16 @@
 	d.watched = watched
 }
 
-// RecordHeartbeat notes a heartbeat; one of a node that is not watched is ignored.
+// RecordHeartbeat records a heartbeat; heartbeats of nodes that are not watched are ignored.
 func (d *Detector) RecordHeartbeat(name string, now time.Time) {
 	if d.watched[name] {
 		d.lastHeartbeat[name] = now
 	}
 }
 
-// Suspects returns, sorted, the watched nodes whose heartbeats stay away.
+// Suspects returns, sorted, the watched nodes whose heartbeats are missing.
 func (d *Detector) Suspects(now time.Time) []string {
-	limit := missedHeartbeats*d.interval + d.interval/2 // half an interval for delays of the network
+	limit := missedHeartbeats*d.interval + d.interval/2 // half an interval for network delays
 	var suspects []string
 	for name, last := range d.lastHeartbeat {
 		if now.Sub(last) > limit {
@@ -65,8 +64,8 @@
 	return suspects
 }
 
-// Reset counts as if a heartbeat of every watched node had arrived now: this process was suspended and could receive
-// nothing.
+// Reset treats all watched nodes as if their heartbeats had arrived now. It is called after this process was suspended
+// and could not receive.
 func (d *Detector) Reset(now time.Time) {
 	for name := range d.lastHeartbeat {
 		d.lastHeartbeat[name] = now
--- a/internal/heartbeat/detector_test.go
+++ b/internal/heartbeat/detector_test.go
@@ -33,7 +33,7 @@
 	expect("after this process was suspended", at(7.4))
 }
 
-// TestHash: other versions must find the same places.
+// TestHash: all versions must compute the same positions.
 func TestHash(t *testing.T) {
 	for _, c := range []struct {
 		names []string
--- a/internal/heartbeat/hash.go
+++ b/internal/heartbeat/hash.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// Hash maps names to a number. Names that differ little are spread well, so the numbers serve as places on a hash
-// ring and as scores for rendezvous hashing. All nodes must agree on it, also those of other versions.
+// Hash maps names to a number. Similar names get very different numbers, so the numbers serve as positions on a hash
+// ring and as scores for rendezvous hashing. The function must never change: nodes of all versions must agree on it.
 func Hash(names ...string) uint64 {
 	h := fnv.New64a()
 	for i, name := range names {
@@ -12,7 +12,7 @@
 		}
 		_, _ = h.Write([]byte(name))
 	}
-	// The finalizer of MurmurHash3, without its second multiplication: FNV alone spreads the last bytes badly.
+	// The finalizer of MurmurHash3, without its second multiplication: FNV alone mixes the last bytes badly.
 	n := h.Sum64()
 	n ^= n >> 33
 	n *= 0xff51afd7ed558ccd
--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -1,9 +1,9 @@
 package logging
 
-// EventNumber identifies a kind of event. Numbers never change and are not used again: operators match them.
+// EventNumber identifies a kind of event. Numbers never change and are never reused: operators match on them.
 type EventNumber int
 
-// 1xx: life of a process.
+// 1xx: start and end of a process, settings.
 const (
 	Started          EventNumber = 101
 	Stopping         EventNumber = 102
@@ -40,7 +40,7 @@
 	NotificationDropped     EventNumber = 312
 )
 
-// 4xx: nodes, leases and the work that is done under them.
+// 4xx: nodes, leases and the work of lease holders.
 const (
 	NodeDown             EventNumber = 402
 	LeaseAcquired        EventNumber = 403
--- a/internal/rpc/body.go
+++ b/internal/rpc/body.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	minCompressedBytes = 600 // a smaller body gains too little
+	minCompressedBytes = 600 // compressing a smaller body saves too little
 	compressionLevel   = 5
 	maxBodyBytes       = 32 << 20 // decoded
 )
 
-// compressors holds *flate.Writer: one takes hundreds of kilobytes.
+// compressors holds *flate.Writer values for reuse: each takes hundreds of kilobytes.
 var compressors sync.Pool
 
-// EncodeBody makes the body of a request or an answer from encoded cbor, and compresses it where that pays.
+// EncodeBody makes the body of a request or an answer from encoded cbor, and compresses it unless it is small.
 func EncodeBody(raw []byte) []byte {
 	if len(raw) < minCompressedBytes {
 		return EncodeUncompressedBody(raw)
@@ -34,7 +34,7 @@
 	var body bytes.Buffer
 	body.WriteByte(deflateBody)
 	compressor := newCompressor(&body)
-	_, _ = compressor.Write(raw) // a buffer takes every write
+	_, _ = compressor.Write(raw) // writing to a buffer can't fail
 	_ = compressor.Close()
 	compressors.Put(compressor)
 	return body.Bytes()
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -19,7 +19,7 @@
 	bufferBytes = 4 << 10 // of each connection and direction
 )
 
-// Client calls other processes. It is safe for use by several goroutines.
+// Client calls other processes. It is safe for concurrent use.
 type Client struct{ httpClient *http.Client }
 
 // NewClient makes a client with the default limits.
@@ -27,11 +27,11 @@
 	return NewClientWithLimits(network, defaultDialTimeout, defaultSilenceTimeout, defaultMaxIdle)
 }
 
-// NewClientWithLimits makes a client with limits of its own: for an attempt to connect, for a peer that acknowledges
-// nothing, and for the idle connections that are kept to each peer.
+// NewClientWithLimits makes a client. dialTimeout and silenceTimeout are those of Network; maxIdlePerPeer is how many
+// idle connections to each peer are kept open.
 func NewClientWithLimits(network Network, dialTimeout, silenceTimeout time.Duration, maxIdlePerPeer int) *Client {
-	// The transport repeats a POST on its own only if the connection that it had kept was found closed with no byte
-	// of the request written.
+	// The transport repeats a POST only if an idle connection turns out to be closed before any byte of the request
+	// was written, so a call reaches the peer at most once.
 	transport := &http.Transport{
 		DialContext:         network(dialTimeout, silenceTimeout),
 		DisableCompression:  true,
@@ -46,9 +46,8 @@
 // NoRedirect keeps an http.Client from following redirects, which would be a second call.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Call posts a request to the peer's path, at most once, and decodes the answer into what answer points to; nil
-// ignores its body. Errors wrap ErrNoResponse, ErrRejected or ErrMalformed; after ErrNoResponse the peer may have
-// done what it was asked, and may yet do it.
+// Call posts a request to the peer's path, at most once, and decodes the answer into the value that answer points to;
+// if answer is nil, the body is ignored. Errors wrap ErrNoResponse, ErrRejected or ErrMalformed.
 func (c *Client) Call(ctx context.Context, address, path string, request, answer any) error {
 	body, err := EncodeRequest(request)
 	if err != nil {
@@ -68,7 +67,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end, or the connection is given up
+	defer func() { _ = resp.Body.Close() }() // if it was not read to its end, this closes the connection
 	answerBody, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNoResponse, err)
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -21,14 +21,14 @@
 	callTimeout    = 20 * time.Millisecond
 )
 
-// faultyPeer receives calls and ends them in the ways that processes and networks do. Its answer to a call is the
-// number of the call.
+// faultyPeer receives calls and ends them in the ways in which processes and networks fail. Its answer to a call is
+// the number of the call.
 type faultyPeer struct {
 	listener net.Listener
 
 	mu       sync.Mutex  // guards the fields below
 	rng      *rand.Rand  // chooses the fault
-	received map[int]int // by the number of the call: how often it came
+	received map[int]int // by the number of the call: how often it arrived
 }
 
 func (p *faultyPeer) draw(n int) int {
@@ -111,8 +111,7 @@
 	return true
 }
 
-// TestCalls: however a call ends, the peer received it at most once, and a caller that is told of success has the
-// answer to this very call.
+// TestCalls: however a call ends, the peer received it at most once, and a successful call returns its own answer.
 func TestCalls(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
 		listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -16,15 +16,15 @@
 
 // Errors of this package.
 var (
-	// ErrNoResponse says that no complete answer came. The peer may have done what it was asked, and may yet do it.
+	// ErrNoResponse means that no complete answer arrived. The peer may have executed the call, or may still do so.
 	ErrNoResponse = errors.New("rpc: no response")
-	// ErrRejected says that the peer answered with a status other than 2xx.
+	// ErrRejected means that the peer answered with a status other than 2xx.
 	ErrRejected = errors.New("rpc: rejected by the peer")
-	// ErrMalformed says that a message cannot be encoded or decoded.
+	// ErrMalformed means that a message cannot be encoded or decoded.
 	ErrMalformed = errors.New("rpc: malformed message")
 )
 
-// Bounds of what is decoded, so that a malformed message cannot use up the memory.
+// Limits of decoded messages, so that a malformed one cannot exhaust the memory.
 const (
 	maxElements     = 1 << 20
 	maxNestedLevels = 32
--- a/internal/rpc/network.go
+++ b/internal/rpc/network.go
@@ -16,7 +16,7 @@
 // connection fails when the peer acknowledges nothing for silenceTimeout.
 type Network func(dialTimeout, silenceTimeout time.Duration) DialFunc
 
-// TCPNetwork is the Network of this machine.
+// TCPNetwork is the Network of this machine: TCP connections.
 func TCPNetwork(dialTimeout, silenceTimeout time.Duration) DialFunc {
 	return newDialer(dialTimeout, silenceTimeout).DialContext
 }
@@ -24,20 +24,20 @@
 // newDialer makes a dialer whose connections the kernel closes when the peer acknowledges nothing for silenceTimeout.
 func newDialer(dialTimeout, silenceTimeout time.Duration) *net.Dialer {
 	setUserTimeout := func(fd uintptr) {
-		// Without it the connection works as well; it only fails later.
+		// If this fails, the connection still works; it only takes longer to fail.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	}
 	return &net.Dialer{
 		Timeout:   dialTimeout,
-		KeepAlive: -1, // off: the timeout above does the work
+		KeepAlive: -1, // off: the user timeout replaces it
 		Control: func(_, _ string, conn syscall.RawConn) error {
 			return conn.Control(setUserTimeout)
 		},
 	}
 }
 
-// WithSendBuffer limits the bytes that wait in this machine's send buffer of each connection. On a slow link the
-// messages of other connections are then not queued behind a large one.
+// WithSendBuffer limits the kernel's send buffer of each connection to a number of bytes. On a slow link the messages
+// of other connections are then not queued behind a large one.
 func WithSendBuffer(network Network, bytes int) Network {
 	return func(dialTimeout, silenceTimeout time.Duration) DialFunc {
 		dial := network(dialTimeout, silenceTimeout)
--- a/internal/storage/commit.go
+++ b/internal/storage/commit.go
@@ -9,14 +9,14 @@
 	"comethold/internal/paxos"
 )
 
-// pendingWrite is one element of the queue: the writes of a replica, or a value of the node.
+// pendingWrite is one element of the queue: either the writes of a replica or a value of the node.
 type pendingWrite struct {
 	cell   string
 	writes paxos.Writes
 
-	node *nodeValue // if set, nothing of the above is
+	node *nodeValue // if set, cell and writes are not
 
-	done func() // called after the sync; nil if nobody waits
+	done func() // called after the sync; may be nil
 }
 
 type nodeValue struct {
@@ -24,12 +24,12 @@
 	value []byte
 }
 
-// groupCommitter writes what is queued in groups: one transaction, and so one sync, for everything that waits at the
-// moment. Its goroutine runs from newGroupCommitter until close, and closes stopped when it ends. The Store owns it.
+// groupCommitter writes the queue in groups: one transaction, and so one sync, for everything queued at the moment.
+// Its goroutine runs from newGroupCommitter until close, and closes stopped when it ends. The Store owns it.
 type groupCommitter struct {
 	db      *bolt.DB
 	disk    Disk
-	onFault func(error) // called with the fault of every failed or slow write
+	onFault func(error) // called with the error of every failed or slow write
 	stopped chan struct{}
 
 	mu         sync.Mutex // guards the fields below
@@ -46,8 +46,8 @@
 	return c
 }
 
-// addReplicaWrites queues writes and calls queued under the lock. It returns true, without queueing, if there is
-// nothing to write and nothing to wait for.
+// addReplicaWrites queues writes, and then calls queued with the lock held. It returns true, without queueing, if
+// there is nothing to write and nothing to wait for.
 func (c *groupCommitter) addReplicaWrites(cell string, writes paxos.Writes, done, queued func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	return false
 }
 
-// addNodeValue queues a value of the node, or replaces the one that waits under the same key.
+// addNodeValue queues a value of the node; it replaces a queued value of the same key.
 func (c *groupCommitter) addNodeValue(key string, value []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +126,7 @@
 	return group
 }
 
-// commitWithRetry writes a group until the disk accepts it; false if the committer was closed before.
+// commitWithRetry repeats a commit until the disk accepts it; false if the committer was closed before.
 func (c *groupCommitter) commitWithRetry(group []pendingWrite) bool {
 	for {
 		unresponsive := time.AfterFunc(UnresponsiveAfter, func() { c.onFault(ErrUnresponsive) })
@@ -143,7 +143,7 @@
 	}
 }
 
-// commit writes a group in one transaction. A group without anything to write costs no sync.
+// commit writes a group in one transaction. A group without writes needs no sync.
 func (c *groupCommitter) commit(group []pendingWrite) error {
 	empty := true
 	newestSnapshot := map[string]int{} // by cell: the position in the group
@@ -168,7 +168,7 @@
 			}
 			writes := group[i].writes
 			if newest, ok := newestSnapshot[group[i].cell]; ok && i < newest {
-				writes.Snapshot = nil // the newer one replaces it in this very transaction
+				writes.Snapshot = nil // a newer one replaces it in the same transaction
 				writes.TruncateTo = 0
 			}
 			if err := putReplicaWrites(tx, group[i].cell, &writes); err != nil {
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -11,9 +11,9 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// Disk is what this package needs of the file system. Tests replace it by one that fails.
+// Disk is the part of the file system that this package uses. Tests replace it by one with faults.
 type Disk interface {
-	// Open opens a bbolt file, or creates it. An error wraps ErrCorrupt if the content of the file is at fault.
+	// Open opens a bbolt file, or creates it. An error wraps ErrCorrupt if the content of the file is damaged.
 	Open(path string) (*bolt.DB, error)
 	// Update runs a transaction and returns after it is synced.
 	Update(db *bolt.DB, change func(*bolt.Tx) error) error
@@ -21,21 +21,21 @@
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncDir returns after the names in a directory survive a loss of power.
+	// SyncDir returns once the names in a directory survive a loss of power.
 	SyncDir(dir string) error
 }
 
 const (
 	filePermissions = 0o600
-	lockTimeout     = time.Second // for a file that another process holds
+	lockTimeout     = time.Second // for a file that another process has locked
 	growthStep      = 1 << 20     // bytes by which a file grows
-	minMetaPages    = 2           // a shorter file lacks the pages that bbolt begins with
+	minMetaPages    = 2           // every bbolt file begins with two meta pages
 )
 
 // LocalDisk is the Disk of this machine.
 type LocalDisk struct{}
 
-// Open opens a bbolt file, or creates it. An error wraps ErrCorrupt if the content of the file is at fault.
+// Open opens a bbolt file, or creates it. An error wraps ErrCorrupt if the content of the file is damaged.
 func (LocalDisk) Open(path string) (*bolt.DB, error) {
 	options := bolt.Options{Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bolt.FreelistMapType}
 	if err := verifyFile(path, options); err != nil {
@@ -49,7 +49,7 @@
 	return db, nil
 }
 
-// classifyOpenError decides whether the content of the file is at fault (ErrCorrupt) or the disk.
+// classifyOpenError wraps an error in ErrCorrupt if the content of the file caused it, not the disk.
 func classifyOpenError(path string, err error) error {
 	for _, fault := range []error{berrors.ErrInvalid, berrors.ErrVersionMismatch, berrors.ErrChecksum} {
 		if errors.Is(err, fault) {
@@ -63,8 +63,8 @@
 	return err
 }
 
-// verifyFile reads the whole file once. bbolt, when it opens a file for writing, reads pages that are damaged or
-// missing in a goroutine of its own, where a panic cannot be recovered.
+// verifyFile reads the complete file once. When bbolt opens a file for writing it reads pages in a goroutine of its
+// own, where a panic because of a damaged or missing page could not be recovered.
 func verifyFile(path string, options bolt.Options) (err error) {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) || err == nil && info.Size() == 0 {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -12,13 +12,13 @@
 // Names of files in the data directory. They never change.
 const (
 	fileName          = "vault.db"
-	corruptFileName   = fileName + ".damaged" // what a file that cannot be read is renamed to
+	corruptFileName   = fileName + ".damaged" // the new name of a file that cannot be read
 	temporaryFileName = fileName + ".new"     // a file that is being created
 )
 
 // Open opens the file in dir, or creates it, and returns after its name is durable. A file that cannot be read is
-// renamed, and an empty one takes its place; HasCorruptFile then reports true. onFault is called with the
-// fault, and later with that of every write that fails or takes too long; it may be called from several goroutines.
+// renamed and replaced by an empty one; HasCorruptFile then reports true. onFault is called with that error, and later
+// with the error of every write that fails or takes too long; it may be called from several goroutines.
 //
 // If the disk fails, Open returns its error. It may be called again: files that it leaves behind do no harm.
 func Open(dir string, disk Disk, onFault func(error)) (*Store, error) {
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	if err := disk.SyncDir(dir); err != nil {
-		_ = db.Close() // nothing was written yet
+		_ = db.Close() // no data was written yet
 		return nil, err
 	}
 	cells, err := cellNames(db)
@@ -51,18 +51,18 @@
 	return err == nil
 }
 
-// renameCorruptFile keeps a corrupt file for the operator under another name, so that a new one can be created.
+// renameCorruptFile keeps a corrupt file for the operator under another name, so that a new file can be created.
 func renameCorruptFile(dir string, disk Disk) error {
 	corrupt := filepath.Join(dir, corruptFileName)
-	// An older one may be this very file under both names: renaming would then do nothing.
+	// An older corrupt file may be a link to this file; Rename would then do nothing.
 	if err := removeIfExists(disk, corrupt); err != nil {
 		return err
 	}
 	return disk.Rename(filepath.Join(dir, fileName), corrupt)
 }
 
-// openOrCreate opens the file, or creates it under another name first: under its own name it is always complete. A
-// file of no length was left by a process that ended before it sent any message.
+// openOrCreate opens the file. A new file is created under another name and then renamed, so that under its own name
+// it is always complete. An empty file was left by a process that ended before it sent any message.
 func openOrCreate(dir string, disk Disk) (*bolt.DB, error) {
 	path := filepath.Join(dir, fileName)
 	info, err := os.Stat(path)
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -17,8 +17,8 @@
 	"comethold/internal/simulation"
 )
 
-// powerLossRun is one run of TestPowerLossAtOpen: a node that is started several times on a directory whose disk
-// loses power.
+// powerLossRun is one run of TestPowerLossAtOpen: a node is started several times on a directory whose disk loses
+// power.
 type powerLossRun struct {
 	t    *testing.T
 	name string
@@ -32,8 +32,7 @@
 const incarnations = 4 // starts of a run; in the last one the disk works
 
 // TestPowerLossAtOpen: the power fails at any step from opening on, and each name that was not synced is kept or
-// lost. An identity that was given out, and what was promised under it, is found again, whatever the directory held
-// at first.
+// lost. An identity that was sent, and the promises under it, are found again, whatever the directory held at first.
 func TestPowerLossAtOpen(t *testing.T) {
 	const lastStep = 11 // later ones are never reached
 	complete := completeFile(t)
@@ -124,7 +123,7 @@
 	}
 }
 
-// use checks what is found, and goes on from there as a control node does.
+// use checks the stored state, and then writes to the store as a control node does.
 func (r *powerLossRun) use(store *Store, incarnation int) {
 	identity := string(store.NodeValue("identity"))
 	state, _, err := store.LoadReplica("c")
@@ -147,8 +146,7 @@
 	}
 }
 
-// TestTruncatedFile: a file that ends before its pages do, or lacks the content of one, is corrupt; the process goes
-// on.
+// TestTruncatedFile: a file that is truncated, or lacks the content of a page, is reported as corrupt without a crash.
 func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir)
@@ -177,8 +175,8 @@
 	}
 }
 
-// openDamaged opens a file that lacks a page; it reports whether the file was found to be corrupt. If not, nothing of
-// it may be missing.
+// openDamaged opens a file that lacks a page; it reports whether the file was found to be corrupt. If it was not, no
+// data may be missing.
 func openDamaged(t *testing.T, raw []byte, page int) (corrupt bool) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -16,7 +16,7 @@
 //	node                bucket of the node's own values
 //	cell/<name>         bucket of a cell's replica:
 //	    promised        paxos.ProposalNumber in cbor
-//	    round           term that the replica last campaigned under, 8 bytes, big endian
+//	    round           term of the replica's last campaign, 8 bytes, big endian
 //	    chosen          commit index, 8 bytes, big endian
 //	    snapshot        paxos.Snapshot in cbor
 //	    log             bucket of paxos.Entry in cbor, by log index, 8 bytes, big endian
@@ -53,7 +53,7 @@
 	return bucket.Put([]byte(key), value)
 }
 
-// putReplicaWrites writes everything that must be durable before a replica may send messages that rely on it.
+// putReplicaWrites stores the writes of a replica.
 func putReplicaWrites(tx *bolt.Tx, cell string, writes *paxos.Writes) error {
 	if writes.Empty() {
 		return nil
@@ -140,7 +140,7 @@
 	})
 }
 
-// corruptError wraps what was found wrong with the content of a file: an error or the value of a panic.
+// corruptError wraps the cause, an error or the value of a panic, in ErrCorrupt.
 func corruptError(cause any) error {
 	err, ok := cause.(error)
 	switch {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -6,18 +6,18 @@
 //
 // The order in which things become durable is part of the contract:
 //
-//   - Open returns only after the name of the file is durable, so that no identity that is given out later can be
-//     lost together with the file that holds it.
-//   - Bootstrap stores the identity of the node and the founding state of its first cell in one transaction. A
-//     founder that is stopped in between has either both or neither.
-//   - Submit calls done only after its writes, and all those submitted before them, are synced. Messages that
-//     report the writes as durable must wait for done. All that is submitted while a sync is under way is written
-//     together with the next one (group commit).
+//   - Open returns only after the name of the file is durable, so that an identity stored in it later can't be lost
+//     together with the file.
+//   - Bootstrap stores the identity of the node and the first state of its first cell in one transaction. After a
+//     crash the disk has either both or neither.
+//   - Submit calls done only after its writes and all earlier ones are synced. Messages that report the writes as
+//     durable must wait for done. Everything submitted during a sync is written together with the next one (group
+//     commit).
 //   - A snapshot and the removal of the log entries that it covers are one transaction.
-//   - QueueNodeValue only queues: the value is synced together with the next group, and nothing waits for it.
+//   - QueueNodeValue only queues: the value is synced together with the next group, and no caller waits for it.
 //
-// A file that cannot be read is renamed and replaced by an empty one; the node then starts like one whose disk was
-// lost. A disk that refuses writes is retried until it accepts them.
+// A file that cannot be read is renamed and replaced by an empty one; the node then starts as if its disk was lost. A
+// failed write is repeated until the disk accepts it.
 package storage
 
 import (
@@ -30,8 +30,8 @@
 	"comethold/internal/paxos"
 )
 
-// Errors of this package. ErrCorrupt is about the content of the file. Errors of the disk below it are passed on as
-// they are: they may be temporary.
+// Errors of this package. ErrCorrupt means that the content of the file is damaged. Errors of the disk are returned
+// unchanged: they may be temporary.
 var (
 	ErrCorrupt      = errors.New("storage: the file cannot be read")
 	ErrUnresponsive = errors.New("storage: the disk does not respond")
@@ -47,8 +47,8 @@
 	closeTimeout = time.Second // for a disk that hangs
 )
 
-// Store is the durable state of one node. It is safe for use by several goroutines; what is submitted for one cell
-// reaches the disk in order.
+// Store is the durable state of one node. It is safe for concurrent use; the writes of one cell reach the disk in the
+// order of Submit.
 type Store struct {
 	db      *bolt.DB
 	disk    Disk
@@ -75,12 +75,12 @@
 	return s.disk.Update(s.db, func(tx *bolt.Tx) error { return putNodeValue(tx, key, value) })
 }
 
-// QueueNodeValue queues a value of the node itself for the next group commit. Nothing waits for its sync, and a newer
-// value replaces one that was not written yet.
+// QueueNodeValue queues a value of the node itself for the next group commit. It does not wait for the sync. A newer
+// value replaces one that is not written yet.
 func (s *Store) QueueNodeValue(key string, value []byte) { s.commits.addNodeValue(key, value) }
 
-// Bootstrap stores a value of the node and the founding state of a cell in one transaction, and returns after both
-// are synced.
+// Bootstrap stores a value of the node and the first state of a cell in one transaction, and returns after both are
+// synced.
 func (s *Store) Bootstrap(key string, value []byte, cell string, writes paxos.Writes) error {
 	s.addKnownCell(cell)
 	return s.disk.Update(s.db, func(tx *bolt.Tx) error {
@@ -91,8 +91,8 @@
 	})
 }
 
-// LoadReplica reads what the disk holds of a cell's replica; found is false for a cell that is new to this node. For
-// such a cell the disk, which may be hanging, is not accessed. Every error wraps ErrCorrupt.
+// LoadReplica reads the stored state of a cell's replica; found is false for a cell that is new to this node. For
+// such a cell it does not access the disk, which may hang. Every error wraps ErrCorrupt.
 func (s *Store) LoadReplica(cell string) (state paxos.PersistedState, found bool, err error) {
 	if !s.isKnownCell(cell) {
 		return state, false, nil
@@ -117,14 +117,14 @@
 }
 
 // Submit queues writes of a replica. It returns true, and does not call done, if there is nothing to wait for: the
-// writes are empty and so is the queue. Otherwise done is called after these writes, and all those submitted before
-// them, are synced. A disk that fails is retried until it accepts the writes; after Close done is never called.
+// writes and the queue are empty. Otherwise done is called after these writes and all earlier ones are synced. Failed
+// writes are repeated until the disk accepts them; after Close done is never called.
 func (s *Store) Submit(cell string, writes paxos.Writes, done func()) bool {
 	return s.commits.addReplicaWrites(cell, writes, done, func() { s.addKnownCell(cell) })
 }
 
-// Close stops the group commits and closes the file. Writes that are not synced yet are abandoned. A disk that hangs
-// is not waited for: Close then returns ErrUnresponsive, and the file is released when the process exits.
+// Close stops the group commits and closes the file. Writes that are not synced yet are abandoned. If the disk hangs,
+// Close returns ErrUnresponsive after a time-out, and the file is released when the process exits.
 func (s *Store) Close() error {
 	s.commits.close()
 	closed := make(chan error, 1)
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -9,7 +9,7 @@
 	"comethold/internal/paxos"
 )
 
-// openStore opens a store on the local disk; empty says that the node has no identity in it.
+// openStore opens a store on the local disk; empty means that it must hold no identity of the node.
 func openStore(t *testing.T, dir string) (store *Store, empty bool) {
 	t.Helper()
 	store, err := Open(dir, LocalDisk{}, func(err error) { t.Log(err) })
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestReopen: what was synced is found again, a snapshot replaces the log entries that it covers, and a file that
-// cannot be read is renamed and replaced by an empty one.
+// TestReopen: synced data is found again, a snapshot replaces the log entries that it covers, and a file that cannot
+// be read is renamed and replaced by an empty one.
 func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	store, empty := openStore(t, dir)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestQueuedNodeValues: a value that is queued again before it was written replaces the older one, and is durable
-// once a write that was submitted later is synced.
+// TestQueuedNodeValues: a queued value replaces an older one that is not written yet, and is durable once a write
+// submitted later is synced.
 func TestQueuedNodeValues(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir)
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestNothingToWaitFor: empty writes need no sync where nothing is queued, and a closed store takes nothing.
+// TestNothingToWaitFor: empty writes need no sync if the queue is empty, and a closed store accepts no writes.
 func TestNothingToWaitFor(t *testing.T) {
 	store, _ := openStore(t, t.TempDir())
 	never := func() { t.Error("done is called") }
--- a/internal/storage/tornpages_test.go
+++ b/internal/storage/tornpages_test.go
@@ -13,13 +13,13 @@
 const (
 	syncs         = 60
 	snapshotEvery = 20
-	sectorBytes   = 512 // what a disk writes whole or not at all
+	sectorBytes   = 512 // a disk writes a sector completely or not at all
 	metaPages     = 2   // at the begin of the file, with the root of the tree
 )
 
-// TestTornPages: the power fails between two syncs. Of what was written since the last one each sector is there or
-// not. bbolt writes its meta pages only after all others are synced; they may be torn as well. Everything that was
-// acknowledged is found.
+// TestTornPages: the power fails between two syncs. Each sector written since the last sync is either on the disk or
+// not. bbolt writes its meta pages only after all others are synced; they may be torn as well. All acknowledged data
+// must be found.
 func TestTornPages(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	contents := contentsAfterSyncs(t, rng)
@@ -50,7 +50,7 @@
 			Entries:     []paxos.Entry{{Index: index, Txns: []paxos.Txn{txn}}},
 			CommitIndex: index - 1,
 		}
-		if index%snapshotEvery == 0 { // it replaces what came before
+		if index%snapshotEvery == 0 { // it replaces the entries before
 			state := map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 30000))}
 			writes.Snapshot = &paxos.Snapshot{AppliedIndex: index - 1, State: state}
 			writes.TruncateTo = index - 1
@@ -68,8 +68,8 @@
 	return contents
 }
 
-// tear returns what a loss of power may leave between two syncs: the new content with some of the old sectors. With
-// metaTorn all pages but the meta pages are the new ones; without, the meta pages are the old ones.
+// tear returns a possible content of the file after a loss of power between two syncs: the new content with some old
+// sectors. With metaTorn only sectors of the meta pages may be old; without it, all meta pages are old.
 func tear(rng *rand.Rand, before, after []byte, metaTorn bool) []byte {
 	metaBytes := metaPages * os.Getpagesize()
 	torn := append([]byte(nil), after...)
