--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -31,7 +31,7 @@
 	dataPlaneProgram    = "data-plane"
 )
 
-// Cluster is one system. It is used by one goroutine.
+// Cluster is one system. It is not safe for concurrent use.
 type Cluster struct {
 	size        Size
 	dir         string
@@ -48,20 +48,20 @@
 	instances []instance // the platform's list
 }
 
-// hollowNode is a proxy without its requests to leafs.
+// hollowNode is a proxy that sends no requests to leafs.
 type hollowNode struct {
 	proxy *proxy.Server
 	meter byteMeter
 }
 
-// New prepares a system of the binary's programs, with its data below dir. Its ports are
-// drawn, so that two runs on one machine seldom meet.
+// New prepares a system of the binary's programs, with its data below dir. The ports are random,
+// so that two runs on one machine rarely conflict.
 func New(size Size, binary, dir string) *Cluster {
 	basePort := firstBasePort + rand.IntN(basePortChoices)*portsPerCluster
 	return &Cluster{size: size, binary: binary, dir: dir, basePort: basePort}
 }
 
-// Close ends all that was started, and waits for it.
+// Close ends everything that was started, and waits for it.
 func (c *Cluster) Close() {
 	for _, node := range c.hollowNodes {
 		node.proxy.Close()
@@ -71,12 +71,12 @@
 	}
 	for _, process := range c.processes {
 		_ = process.Process.Kill()
-		_ = process.Wait() // killed: the error says no more
+		_ = process.Wait() // the error only says that it was killed
 	}
 	c.running.Wait()
 }
 
-// startProcess runs a program of the binary as a machine, on one processor.
+// startProcess runs a program of the binary as a machine, with one processor.
 func (c *Cluster) startProcess(ctx context.Context, program string, m machine) error {
 	if m.disk {
 		if err := os.MkdirAll(filepath.Join(c.dir, m.name), 0o755); err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// startControlNodes starts the control nodes; the first three are the seeds of all.
+// startControlNodes starts the control nodes; the first three are the seeds of all machines.
 func (c *Cluster) startControlNodes(ctx context.Context, count int) error {
 	for i := range min(maxSeeds, count) {
 		c.seedNodes = append(c.seedNodes, c.address(controlNodeIP(i), controlPort))
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// transferredBytes is what all hollow nodes received and sent so far.
+// transferredBytes is the number of bytes that all hollow nodes received and sent so far.
 func (c *Cluster) transferredBytes() float64 {
 	sum := 0.0
 	for _, node := range c.hollowNodes {
@@ -198,7 +198,7 @@
 	return sum
 }
 
-// bytesPerNode is a number of bytes of all hollow nodes as the mean of one.
+// bytesPerNode divides an amount of all hollow nodes by their number.
 func (c *Cluster) bytesPerNode(bytes float64) float64 {
 	return bytes / float64(max(1, len(c.hollowNodes)))
 }
--- a/internal/loadtest/configuration.go
+++ b/internal/loadtest/configuration.go
@@ -17,7 +17,7 @@
 	hostname      = "h.example"
 	scatterPrefix = "/all/"
 	meteredPrefix = "/metered/"
-	// unservedService has no leafs: what asks it shows only whether a token was granted.
+	// unservedService has no leafs: a request to it only shows whether a token was granted.
 	unservedService = "nobody"
 	// tenantHeadroom is how far a tenant's limit is above its usual load.
 	tenantHeadroom = 1.6
@@ -25,8 +25,8 @@
 
 const configurationRetryPause = 100 * time.Millisecond
 
-// configuration is the next configuration: one route over all shards, one for the tenants'
-// requests, and as many others as the size says.
+// configuration returns the next configuration: one route over all shards, one for the tenants'
+// requests, and size.Routes others.
 func (c *Cluster) configuration() *routing.Configuration {
 	config := &routing.Configuration{Version: c.version}
 	var shards []string
@@ -77,8 +77,8 @@
 	return c.size.PerNode * float64(max(1, c.size.Hollow)) * tenantWeight(i) / sum
 }
 
-// replaceConfiguration sends the next configuration until it is acknowledged and returns
-// when it was.
+// replaceConfiguration sends the next configuration until it is acknowledged, and returns the time
+// of the acknowledgement.
 func (c *Cluster) replaceConfiguration(ctx context.Context) (time.Time, error) {
 	base := c.version
 	c.version++
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	settlePause  = 3 * time.Second // until voters, shares and the list have settled
+	settlePause  = 3 * time.Second // until voters, shares and the endpoint list are stable
 	betweenPause = 300 * time.Millisecond
 )
 
-// Measure starts the system and measures, one after the other: the start of all hollow
-// nodes, all at rest, configuration changes, a leaf that is drained, and all under load.
+// Measure starts the system and measures, one after the other: the start of all hollow nodes, the
+// idle system, configuration changes, the draining of a leaf, and the system under load.
 func (c *Cluster) Measure(ctx context.Context) (*Report, error) {
 	report := &Report{Size: c.size}
 	steps := []func(context.Context, *Report) error{
-		c.startAll, c.measureStart, c.measureRest, c.measureChanges, c.measureDrain, c.measureLoad,
+		c.startAll, c.measureStart, c.measureIdle, c.measureChanges, c.measureDrain, c.measureLoad,
 	}
 	for _, step := range steps {
 		if err := step(ctx, report); err != nil {
@@ -27,8 +27,8 @@
 	return report, nil
 }
 
-// startAll starts the platform, the control nodes and the real proxies, and has a
-// configuration acknowledged.
+// startAll starts the platform, the control nodes and the real proxies, and commits a
+// configuration.
 func (c *Cluster) startAll(ctx context.Context, _ *Report) error {
 	c.listUnreachableLeafs()
 	if err := c.listen(ctx, c.address(platformIP, platformPort), http.HandlerFunc(c.servePlatform)); err != nil {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// measureRest measures all processes without load.
-func (c *Cluster) measureRest(_ context.Context, report *Report) error {
+// measureIdle measures all processes without load.
+func (c *Cluster) measureIdle(_ context.Context, report *Report) error {
 	used, bytes := c.measureUsage(c.size.Rest)
 	report.IdleBytes = bytes
 	report.ControlNodes = used[:c.size.ControlNodes]
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// measureDrain has the platform list a leaf as draining.
+// measureDrain lists a leaf as draining and measures how long it takes to reach all hollow nodes.
 func (c *Cluster) measureDrain(ctx context.Context, report *Report) error {
 	id := c.drainFirst()
 	listed := time.Now()
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// measureUsage measures all processes for a while, and the bytes a second of a hollow node.
+// measureUsage measures all processes for a time, and the bytes per second of a hollow node.
 func (c *Cluster) measureUsage(span time.Duration) (used []Usage, bytesPerSecond float64) {
 	bytesBefore := c.transferredBytes()
 	start := time.Now()
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -14,7 +14,7 @@
 
 func (m *byteMeter) total() int64 { return m.received.Load() + m.sent.Load() }
 
-// network is the machine's network with this node's connections counted.
+// network is the machine's network; it counts the bytes of this node's connections.
 func (m *byteMeter) network(dialLimit, silenceLimit time.Duration) func(
 	ctx context.Context, network, address string,
 ) (net.Conn, error) {
--- a/internal/loadtest/platform.go
+++ b/internal/loadtest/platform.go
@@ -30,7 +30,7 @@
 	WarmupLeftMs     int    `json:"warmupLeftMs"`
 }
 
-// instancePage is an answer of the platform.
+// instancePage is one page of the platform's list.
 type instancePage struct {
 	Instances     []instance `json:"instances"`
 	NextPageToken *string    `json:"nextPageToken"`
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("%s.%d.%d", subnet, i/machinesPerSubnet, i%machinesPerSubnet+1)
 }
 
-// listUnreachableLeafs fills the platform's list with leafs that nobody calls; their names
-// are not in the order of their numbers.
+// listUnreachableLeafs fills the platform's list with leafs that are never called; their names are
+// not in the order of their numbers.
 func (c *Cluster) listUnreachableLeafs() {
 	for i := range c.size.Leafs {
 		c.instances = append(c.instances, instance{
@@ -75,7 +75,7 @@
 // shardName is the service of the i-th leaf.
 func (c *Cluster) shardName(i int) string { return fmt.Sprintf("shard-%d", i%c.size.shards()) }
 
-// drainFirst has the first leaf listed as draining and returns its ID.
+// drainFirst lists the first leaf as draining and returns its ID.
 func (c *Cluster) drainFirst() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 		token := strconv.Itoa(to)
 		page.NextPageToken = &token
 	}
-	_ = json.NewEncoder(w).Encode(page) // a caller that is gone asks again
+	_ = json.NewEncoder(w).Encode(page) // a caller that did not get it asks again
 }
 
 // serveShard is the stand-in for all leafs: it answers at once with records of its own.
--- a/internal/loadtest/procfs.go
+++ b/internal/loadtest/procfs.go
@@ -19,7 +19,7 @@
 	statSystemTicks = 12
 )
 
-// processorSeconds is the processor time that a process has used; 0 if it is gone.
+// processorSeconds returns the processor time that a process has used; 0 if it has ended.
 func processorSeconds(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -31,10 +31,10 @@
 	return (user + system) / ticksPerSecond
 }
 
-// memoryUsage is the memory of a process; its CPU field is left at 0.
+// memoryUsage returns the memory of a process; the CPU field is 0.
 func memoryUsage(pid int) Usage {
 	var used Usage
-	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // gone: 0
+	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // if the process has ended: 0
 	for line := range strings.Lines(string(raw)) {
 		fields := strings.Fields(line)
 		if len(fields) < 2 {
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Size says how large a system is, and how long and with what it is measured.
+// Size is the size of a system, and the load and duration of its measurement.
 type Size struct {
 	// Hollow and Real are the numbers of proxies of each kind.
 	Hollow, Real int
-	// ControlNodes and Zones are the numbers of these.
+	// ControlNodes and Zones are the numbers of control nodes and zones.
 	ControlNodes int `json:"Registrars"`
 	Zones        int
-	// Leafs, Routes and Tenants are the numbers that the platform lists and the
-	// configuration names; six leafs make a shard, and each route is an index.
+	// Leafs is the number of leafs in the platform's list, six to a shard. Routes and Tenants
+	// are their numbers in the configuration; each route has an index of its own.
 	Leafs, Routes, Tenants int
-	// PerNode is how many requests a second ask each hollow node's tenants' quotas.
+	// PerNode is how many requests of tenants each hollow node gets per second.
 	PerNode float64
 	// Changes is how many configuration changes are measured, one after the other.
 	Changes int
-	// Rest is how long what is idle, and then what is loaded, is measured.
+	// Rest is how long the system is measured without load, and then again with load.
 	Rest time.Duration
-	// Estimates has the latencies of lookups collected.
+	// Estimates enables the collection of lookup latencies.
 	Estimates bool
 }
 
@@ -31,31 +31,30 @@
 type Usage struct {
 	CPU   float64 // share of a core
 	RSSMb float64 // resident memory at the end
-	Peak  float64 // resident memory at the most, in MB
+	Peak  float64 // highest resident memory, in MB
 }
 
-// Report is what a run found. Its fields are printed as JSON by the names that earlier
-// reports have.
+// Report is the result of a run. It is printed as JSON with the field names of earlier reports.
 type Report struct {
 	Size         Size
 	Start        time.Duration   // from the start of the hollow nodes until all can serve
-	StartBytes   float64         // a node received and sent until then, mean
+	StartBytes   float64         // received and sent by a node until then, mean
 	ControlNodes []Usage         `json:"Registrars"` // without load
 	Loaded       []Usage         // control nodes with requests of tenants
 	Proxy        Usage           `json:"Switch"` // a real one without requests
 	InForce      []time.Duration // of each change, from the acknowledgement until the last hollow node
 	ChangeBytes  float64         // received and sent by a node for each change, mean
 	Drained      time.Duration   // from the platform's list to the last hollow node
-	IdleBytes    float64         // a second, received and sent by a node without load
+	IdleBytes    float64         // received and sent by a node per second without load, mean
 	LoadBytes    float64         // the same with load
 	Refused      float64         // share of the tenants' requests that got no token
 	HollowMb     float64         // memory of this process for each hollow node
 }
 
-// ScatterReport is what queries over many shards cost one proxy.
+// ScatterReport is the cost of queries over many shards for one proxy.
 type ScatterReport struct {
 	Shards, Leafs int
-	PerS          float64       // queries a second that were answered
+	PerS          float64       // answered queries per second
 	Missing       float64       // parts left out of an answer, mean
 	Median, P99   time.Duration // of the answers
 	Proxy         Usage         `json:"Switch"`
--- a/internal/loadtest/scatter.go
+++ b/internal/loadtest/scatter.go
@@ -25,7 +25,7 @@
 	ok           bool
 }
 
-// queryLoad sends queries to one proxy and keeps what they were answered.
+// queryLoad sends queries to one proxy and keeps their answers.
 type queryLoad struct {
 	url       string
 	client    *http.Client
@@ -36,8 +36,8 @@
 	answers []query
 }
 
-// MeasureScatter measures one real proxy that asks all shards for each of perSecond queries
-// a second. The leafs are stand-ins of this process, which answer at once.
+// MeasureScatter measures one real proxy at perSecond queries per second, each to all shards. The
+// leafs are stand-ins in this process that answer at once.
 func (c *Cluster) MeasureScatter(ctx context.Context, perSecond float64) (*ScatterReport, error) {
 	if err := c.startScatter(ctx); err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	for ctx.Err() == nil && !load.send(ctx).ok {
 		time.Sleep(queryRetryPause)
 	}
-	load.run(ctx, c.size.Rest/2) // connections are opened
+	load.run(ctx, c.size.Rest/2) // warm-up: opens connections
 	load.answers = nil
 	pid := c.processes[1].Process.Pid // after the control node
 	secondsBefore := processorSeconds(pid)
@@ -65,8 +65,8 @@
 	return report, nil
 }
 
-// startScatter starts the leafs, the platform, one control node and one proxy, and has a
-// configuration acknowledged.
+// startScatter starts the leafs, the platform, one control node and one proxy, and commits a
+// configuration.
 func (c *Cluster) startScatter(ctx context.Context) error {
 	leaf := c.address(sharedLeafIP, leafPort)
 	if err := c.listen(ctx, leaf, http.HandlerFunc(serveShard)); err != nil {
@@ -122,7 +122,7 @@
 	return answer
 }
 
-// summarize fills in what the answers show; false if there are none.
+// summarize computes the report from the answers; false if there are none.
 func (r *ScatterReport) summarize(answers []query, elapsedSeconds float64) bool {
 	var durations []time.Duration
 	missing := 0
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Ports, counted from Cluster.basePort. Those before controlPort are the internal range.
+// Ports, as offsets from Cluster.basePort. The internal range is 0 to lastInternalPort.
 const (
 	lastInternalPort = 15
 	controlPort      = 20
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%s:%d", ip, c.basePort+port)
 }
 
-// settingsFile is the content of a machine's settings file.
+// settingsFile returns the content of a machine's settings file.
 func (c *Cluster) settingsFile(m machine) string {
 	var zones strings.Builder
 	for i := range c.size.Zones {
--- a/internal/loadtest/tenantload.go
+++ b/internal/loadtest/tenantload.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// tenantLoad is requests of tenants at every hollow node, on a route that no leaf serves.
+// tenantLoad sends requests of tenants to every hollow node, on a route that no leaf serves.
 type tenantLoad struct {
 	asked, refused atomic.Int64
 	cancel         context.CancelFunc
 	running        sync.WaitGroup
 }
 
-// startTenantLoad begins to send; stop ends it.
+// startTenantLoad starts a tenantLoad; the caller must stop it.
 func (c *Cluster) startTenantLoad(ctx context.Context) *tenantLoad {
 	ctx, cancel := context.WithCancel(ctx)
 	load := &tenantLoad{cancel: cancel}
@@ -30,13 +30,13 @@
 	return load
 }
 
-// stop ends the load and waits for what is under way.
+// stop ends the load and waits for open requests.
 func (l *tenantLoad) stop() {
 	l.cancel()
 	l.running.Wait()
 }
 
-// reset begins to count anew.
+// reset sets the counts to zero.
 func (l *tenantLoad) reset() {
 	l.asked.Store(0)
 	l.refused.Store(0)
@@ -47,7 +47,7 @@
 	return float64(l.refused.Load()) / float64(max(1, l.asked.Load()))
 }
 
-// run sends a node requests at random moments, each of a tenant drawn by its load.
+// run sends requests to a node at random times; tenants are drawn in proportion to their load.
 func (l *tenantLoad) run(ctx context.Context, node *hollowNode, size Size) {
 	cumulative := make([]float64, size.Tenants)
 	sum := 0.0
@@ -75,13 +75,13 @@
 	answer := &bodyRecorder{header: http.Header{}}
 	node.proxy.Handler().ServeHTTP(answer, request)
 	l.asked.Add(1)
-	// With a token it goes on to the service, and the answer says that no leaf is there.
+	// With a token the request gets as far as the service, and the error names its missing leafs.
 	if !strings.Contains(answer.body.String(), "leaf") {
 		l.refused.Add(1)
 	}
 }
 
-// bodyRecorder is a response writer that keeps the body alone.
+// bodyRecorder is a response writer that keeps only the body.
 type bodyRecorder struct {
 	header http.Header
 	body   bytes.Buffer
--- a/internal/paxos/catch_up_test.go
+++ b/internal/paxos/catch_up_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// heartbeatCount is for how many heartbeats the tests of catch-up run.
+// heartbeatCount is the length of the catch-up tests in heartbeats.
 const heartbeatCount = 100
 
 // catchUpConfig is that of replica "a", which never campaigns.
@@ -17,7 +17,7 @@
 
 // newReplicaAt starts replica "a" from a snapshot at an index, and entries after it.
 func newReplicaAt(index uint64, value Value, entries ...Entry) *Replica {
-	snapshot := foundingSnapshot(votersOf("a", "b", "c"))
+	snapshot := initialSnapshot(votersOf("a", "b", "c"))
 	snapshot.AppliedIndex = index
 	snapshot.State["k"] = value
 	commitIndex := index + uint64(len(entries))
@@ -43,14 +43,14 @@
 	}
 }
 
-// catchUpRequestFromB asks replica "a" for what follows an index.
+// catchUpRequestFromB asks replica "a" for the entries after an index.
 func catchUpRequestFromB(index uint64) Message {
 	return Message{Cell: testCell, Kind: CatchUpRequest, From: "b", To: "a", Index: index}
 }
 
-// TestCatchUpBacksOffWithoutProgress: a replica that makes no progress asks for, and is sent,
-// fewer and fewer snapshots; one that makes progress is answered at once. A snapshot that
-// comes with a promise for another campaign is learned all the same.
+// TestCatchUpBacksOffWithoutProgress: a replica that makes no progress requests, and is sent,
+// snapshots less and less often; one that makes progress is answered at once. A snapshot in a
+// promise for another campaign is applied nevertheless.
 func TestCatchUpBacksOffWithoutProgress(t *testing.T) {
 	sender := newReplicaAt(100, Int(1))
 	learner := newReplicaAt(5, Int(1))
@@ -87,8 +87,8 @@
 }
 
 // TestCatchUpOfFewEntriesIsNotDelayed: a replica that lacks no more than the pipeline holds
-// asks with each heartbeat, and is answered each time if that is small; large answers are
-// paced by who sends them.
+// asks with each heartbeat, and is answered each time if the answer is small; the sender backs
+// off with large answers.
 func TestCatchUpOfFewEntriesIsNotDelayed(t *testing.T) {
 	for name, test := range map[string]struct{ bytes, least, most int }{
 		"small": {100, heartbeatCount, heartbeatCount},
--- a/internal/paxos/changed_keys_test.go
+++ b/internal/paxos/changed_keys_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestChangedKeys: the owner of a replica learns which keys a transaction changed, and that
-// all may have been where a snapshot was loaded.
+// TestChangedKeys: Ready names the keys that a transaction changed; after a snapshot was loaded
+// it says that all keys may have changed.
 func TestChangedKeys(t *testing.T) {
-	snapshot := foundingSnapshot(votersOf("a"))
+	snapshot := initialSnapshot(votersOf("a"))
 	snapshot.State["x"] = Int(1)
 	c := newTestCluster([]ReplicaID{"a"}, func(ReplicaID) PersistedState {
 		return PersistedState{Snapshot: snapshot}
--- a/internal/paxos/chaos_test.go
+++ b/internal/paxos/chaos_test.go
@@ -13,11 +13,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// A chaosRun draws faults from a seed, on a cell of five voters among six machines, which
-// bears the loss of two. Clients propose changes and read through whoever takes itself for
-// the leader, on both sides of a partition. Besides the checks of the simulation, in the end
-// every acknowledged change must be there, no two of them may build on the same value, and
-// the history of changes and reads must be linearizable.
+// A chaosRun draws faults from a seed, on a cell of five voters on six machines that tolerates
+// the loss of two. Clients propose changes and read at every replica that considers itself the
+// leader, on both sides of a partition. Besides the checks of the simulation, in the end every
+// acknowledged change must be there, no two of them may build on the same value, and the history
+// of changes and reads must be linearizable.
 type chaosRun struct {
 	*cellSimulation
 	incarnations  int
@@ -35,7 +35,7 @@
 }
 
 const (
-	// voterCount is how many voters the cell is kept at.
+	// voterCount is the number of voters that repairs restore.
 	voterCount = 5
 	// tolerableLosses is how many disks of the cell may be lost at once.
 	tolerableLosses = 2
@@ -61,7 +61,7 @@
 	}
 	c.recordHistory()
 	c.runCommand(fmt.Sprintf("seed %d", seed))
-	c.foundCell([]string{"a", "b", "c"})
+	c.bootstrapCell([]string{"a", "b", "c"})
 	for _, machine := range []string{"d", "e", "f"} {
 		c.addLearner(machine)
 	}
@@ -110,7 +110,7 @@
 	})
 }
 
-// TestChaosIsDeterministic: what a seed draws is the same every time, to the message.
+// TestChaosIsDeterministic: two runs of one seed are identical, message by message.
 func TestChaosIsDeterministic(t *testing.T) {
 	for _, seed := range []int64{9, 13} {
 		first := runChaos(t, seed)
@@ -127,14 +127,14 @@
 	return time.Duration(c.rng.Intn(below)) * time.Millisecond
 }
 
-// shuffled returns the names in an order that is drawn.
+// shuffled returns the names in random order.
 func (c *chaosRun) shuffled(names []string) []string {
 	names = slices.Clone(names)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names
 }
 
-// nextOperation numbers what clients ask for.
+// nextOperation numbers the operations of clients.
 func (c *chaosRun) nextOperation() int {
 	c.lastOperation++
 	return c.lastOperation
@@ -176,7 +176,7 @@
 	return id
 }
 
-// readRegister reads the newest value where a replica takes itself for the leader.
+// readRegister starts a read at a replica that considers itself the leader.
 func (c *chaosRun) readRegister(node *simulatedNode) {
 	ticket := uint64(c.nextOperation())
 	c.startRead(ticket)
@@ -186,7 +186,7 @@
 	c.handleReady(node)
 }
 
-// leaders returns the live nodes that take themselves for the leader.
+// leaders returns the live nodes whose replicas consider themselves the leader.
 func (c *chaosRun) leaders() []*simulatedNode {
 	var leaders []*simulatedNode
 	for _, name := range c.nodeNames() {
@@ -197,7 +197,7 @@
 	return leaders
 }
 
-// runTraffic sends two changes and a read to each leader every now and then.
+// runTraffic lets time pass and periodically sends two changes and a read to each leader.
 func (c *chaosRun) runTraffic(duration time.Duration) {
 	for end := c.now + duration; c.now < end; {
 		for _, leader := range c.leaders() {
@@ -242,8 +242,9 @@
 	return 0
 }
 
-// repairMembership has the leader replace a voter whose disk was lost by the replica that now
-// runs on its machine, and add voters up to voterCount, once the newcomer has caught up.
+// repairMembership proposes, at the leader, to replace a voter whose disk was lost by the replica
+// that now runs on its machine, or to add a voter up to voterCount, once the new replica has
+// caught up.
 func (c *chaosRun) repairMembership() {
 	leader := c.leader()
 	if leader == nil {
@@ -266,7 +267,7 @@
 	c.propose(leader, id, Txn{Conditions: []Condition{condition}, Ops: []Op{{Kind: OpSetVoters, Voters: next}}})
 }
 
-// nextVoters returns the voters that stay, and the replica that is to join them or "".
+// nextVoters returns the voters that stay, and the replica that should join them or "".
 func (c *chaosRun) nextVoters(voters []Voter) (kept []Voter, newcomer ReplicaID) {
 	for _, voter := range voters {
 		if node := c.nodes[machineOf(voter.ID)]; node.id != voter.ID && newcomer == "" {
@@ -284,7 +285,8 @@
 	return kept, newcomer
 }
 
-// hasCaughtUp reports whether a newcomer's disk holds nearly all that the leader has applied.
+// hasCaughtUp reports whether a new replica's disk holds nearly everything that the leader has
+// applied.
 func hasCaughtUp(leader *Replica, newcomer ReplicaID) bool {
 	durable := leader.DurableCommitIndex(newcomer)
 	if durable == 0 && leader.AppliedIndex() > 0 {
@@ -293,7 +295,7 @@
 	return durable+leader.config.Alpha >= leader.AppliedIndex()
 }
 
-// waitUntilRepaired waits until the cell has all its voters, which live and have caught up.
+// waitUntilRepaired waits until the cell has all its voters, and they run and have caught up.
 func (c *chaosRun) waitUntilRepaired() {
 	for range 400 {
 		if leader := c.leader(); leader != nil && c.isRepaired(leader.replica) {
@@ -305,7 +307,8 @@
 	c.t.Fatalf("%s at %v: the membership was not repaired", c.name, c.now)
 }
 
-// isRepaired reports whether to the leader the cell is complete, and all voters are up to date.
+// isRepaired reports whether, according to the leader, the cell is complete and all voters are up
+// to date.
 func (c *chaosRun) isRepaired(leader *Replica) bool {
 	voters, complete := leader.Voters()
 	if !complete || len(voters) != voterCount {
@@ -321,7 +324,7 @@
 	return true
 }
 
-// killNode ends a process. What waits for its disk is not written.
+// killNode ends a process. Writes that are not synced yet are lost.
 func (c *chaosRun) killNode(node *simulatedNode) { node.stop() }
 
 // restartNode starts a replica from its machine's disk.
@@ -349,7 +352,7 @@
 	c.scheduleLossReports(node, former)
 }
 
-// leaderOr names the machine that leads, or another one if there is none.
+// leaderOr returns the name of the leader's machine, or another one if there is no leader.
 func (c *chaosRun) leaderOr(other string) string {
 	if leader := c.leader(); leader != nil {
 		return machineOf(leader.id)
@@ -363,7 +366,7 @@
 	heap.Init(&c.network)
 }
 
-// forceElection has a replica campaign until it leads, or for a while in vain.
+// forceElection makes a replica campaign until it leads or the time is over.
 func (c *chaosRun) forceElection(name string) {
 	node := c.nodes[name]
 	node.replica.electionDeadline = c.now
@@ -372,7 +375,7 @@
 	}
 }
 
-// sortByDisk puts the machines first whose disk meets a condition.
+// sortByDisk sorts the machines whose disk meets a condition first.
 func (c *chaosRun) sortByDisk(names []string, first func(disk *simulatedDisk) bool) {
 	rank := func(name string) int {
 		if first(&c.nodes[name].disk) {
--- a/internal/paxos/example_test.go
+++ b/internal/paxos/example_test.go
@@ -8,7 +8,7 @@
 	"comethold/internal/paxos"
 )
 
-// owner does for a replica what Ready asks for.
+// owner is a minimal owner of a replica: it performs the I/O that Ready asks for.
 type owner struct {
 	replica *paxos.Replica
 	now     time.Duration
@@ -21,7 +21,7 @@
 	o.handleReady()
 }
 
-// handleReady carries out all that the replica wants done until there is nothing left.
+// handleReady performs everything that the replica asks for until there is nothing left.
 func (o *owner) handleReady() {
 	for {
 		ready := o.replica.Ready()
--- a/internal/paxos/faults_test.go
+++ b/internal/paxos/faults_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The faults of TestChaos. Each is a function that gets the machines in an order that was
-// drawn, and a span of time.
+// The faults of TestChaos. Each is a function that gets the machines in random order, and a
+// duration.
 
-// fault is something that goes wrong, and is repaired in the end.
+// fault causes a fault and repairs it in the end.
 type fault func(c *chaosRun, machines []string, span time.Duration)
 
 // faults are drawn by injectFault; the order is part of what a seed draws.
--- a/internal/paxos/lagging_replica_test.go
+++ b/internal/paxos/lagging_replica_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// TestLaggingReplicaIsElected: a voter misses hundreds of changes and comes back under load;
-// soon after, the leader and the voter that knows most besides go, so that the lagging one
-// belongs to the only majority and is made to lead. All that was acknowledged stays, and reads
-// are linearizable.
+// TestLaggingReplicaIsElected: a voter misses hundreds of changes and returns under load. Soon
+// after, the leader and the voter that has applied most are lost, so that the lagging voter
+// belongs to the only majority, and it becomes leader. All acknowledged changes must stay, and
+// reads must be linearizable.
 func TestLaggingReplicaIsElected(t *testing.T) {
 	runSeeds(t, 52, func(t *testing.T, seed int64) {
 		t.Helper()
@@ -30,7 +30,7 @@
 	})
 }
 
-// electLaggingReplica plays the case once, and reports whether the replica came to lead.
+// electLaggingReplica plays the case once, and reports whether the replica became leader.
 func (c *chaosRun) electLaggingReplica() bool {
 	leader := c.leader()
 	voters, _ := leader.replica.Voters()
@@ -81,7 +81,7 @@
 	}
 }
 
-// sortByKnowledge puts the leader first, and the others by what they have applied.
+// sortByKnowledge sorts the leader first, and the others by their applied index.
 func (c *chaosRun) sortByKnowledge(machines []string, leader string) {
 	applied := func(machine string) uint64 {
 		if machine == leader {
@@ -92,7 +92,8 @@
 	slices.SortStableFunc(machines, func(a, b string) int { return cmp.Compare(applied(b), applied(a)) })
 }
 
-// loseDiskOrProcess takes a machine away, with its disk and what it has sent or without.
+// loseDiskOrProcess kills a machine's process, or takes the machine down and loses its disk and its
+// messages in transit.
 func (c *chaosRun) loseDiskOrProcess(machine string) {
 	if c.rng.Intn(2) == 0 {
 		c.dropInTransit(c.nodes[machine].id)
@@ -102,8 +103,8 @@
 	}
 }
 
-// electOneOf has one machine campaign until it leads; of the others, one that was quicker
-// starts anew.
+// electOneOf makes one machine campaign until it leads; another machine that becomes leader first
+// is restarted.
 func (c *chaosRun) electOneOf(machine string, others []string) bool {
 	for range 20 {
 		for _, other := range others {
--- a/internal/paxos/leader_learning_test.go
+++ b/internal/paxos/leader_learning_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A testCluster steps a few replicas by hand, without a network of its own.
+// A testCluster runs a few replicas without a simulated network: the test delivers each message.
 type testCluster struct {
 	ids      []ReplicaID
 	replicas map[ReplicaID]*Replica
@@ -16,7 +16,7 @@
 // fixedJitter takes the place of random numbers.
 func fixedJitter() float64 { return 0.5 }
 
-// votersOf returns voters of the given names.
+// votersOf returns voters with the given names.
 func votersOf(ids ...ReplicaID) []Voter {
 	var voters []Voter
 	for _, id := range ids {
@@ -25,7 +25,7 @@
 	return voters
 }
 
-// putInt is a transaction that gives an integer to a key.
+// putInt is a transaction that sets a key to an integer.
 func putInt(id, key string, value int64) Txn {
 	return Txn{ID: id, Ops: []Op{{Kind: OpPut, Key: key, Value: Int(value)}}}
 }
@@ -39,7 +39,7 @@
 	return c
 }
 
-// takeMessages returns what the replicas send, those of the first first.
+// takeMessages returns the messages that the replicas send, in the order of the replicas.
 func (c *testCluster) takeMessages() []Message {
 	var messages []Message
 	for _, id := range c.ids {
@@ -48,12 +48,13 @@
 	return messages
 }
 
-// allMessages are those of a Ready whose writes are taken for synced.
+// allMessages returns all messages of a Ready, as if its writes were synced.
 func allMessages(ready Ready) []Message {
 	return slices.Concat(ready.Messages, ready.MessagesAfterSync)
 }
 
-// deliver carries messages around to those named; the others' are lost.
+// deliver delivers messages and the answers to them among the named replicas; messages to others
+// are lost.
 func (c *testCluster) deliver(recipients ...ReplicaID) {
 	const rounds = 20
 	for range rounds {
@@ -83,7 +84,7 @@
 	oldLeader := ProposalNumber{Term: 1, Proposer: "c"}
 	entry := Entry{Index: 1, ProposalNumber: oldLeader, Txns: []Txn{putInt("t", "k", 7)}}
 	c := newTestCluster(ids, func(id ReplicaID) PersistedState {
-		persisted := PersistedState{Promised: oldLeader, Snapshot: foundingSnapshot(votersOf(ids...))}
+		persisted := PersistedState{Promised: oldLeader, Snapshot: initialSnapshot(votersOf(ids...))}
 		switch id {
 		case "c":
 			persisted.Entries = []Entry{entry}
@@ -115,9 +116,9 @@
 	return Message{Cell: testCell, Kind: Prepare, From: "a", To: to, ProposalNumber: c.replicas["a"].proposer.number}
 }
 
-// TestLeaderLearnsAdoptedEntryAndStays: a new leader that learns late, from one more promise,
-// that what it is proposing again had been committed already goes on. Stepping down would
-// leave the cell without a leader for a whole election timeout.
+// TestLeaderLearnsAdoptedEntryAndStays: a new leader learns late, from one more promise, that an
+// entry which it proposes again was already committed. It must stay leader: stepping down would
+// leave the cell without a leader for an election timeout.
 func TestLeaderLearnsAdoptedEntryAndStays(t *testing.T) {
 	c := newLeaderOfOldEntry(t)
 	a := c.replicas["a"]
@@ -144,12 +145,12 @@
 	checkDeposedLeaderStepsDown(t, c)
 }
 
-// checkStartedFollowerIsNotCurrent: a replica that has just started and lacks what its leader
-// says is committed does not take itself for current.
+// checkStartedFollowerIsNotCurrent: a replica that has just started and lacks entries up to its
+// leader's commit index does not report its state as current.
 func checkStartedFollowerIsNotCurrent(t *testing.T, c *testCluster) {
 	t.Helper()
 	a := c.replicas["a"]
-	started := NewReplica(testConfig("b", fixedJitter), PersistedState{Snapshot: foundingSnapshot(votersOf(c.ids...))}, 0)
+	started := NewReplica(testConfig("b", fixedJitter), PersistedState{Snapshot: initialSnapshot(votersOf(c.ids...))}, 0)
 	started.Step(c.now, Message{
 		Cell: testCell, Kind: Heartbeat, From: "a", To: "b", ProposalNumber: a.proposer.number,
 		HeartbeatSequence: 99, CommitIndex: a.AppliedIndex(),
@@ -159,8 +160,8 @@
 	}
 }
 
-// checkDeposedLeaderStepsDown: what was committed under a newer proposal number shows a leader
-// that it has been deposed.
+// checkDeposedLeaderStepsDown: a leader steps down when it learns an entry that was committed
+// under a newer proposal number.
 func checkDeposedLeaderStepsDown(t *testing.T, c *testCluster) {
 	t.Helper()
 	a := c.replicas["a"]
--- a/internal/paxos/linearizability_test.go
+++ b/internal/paxos/linearizability_test.go
@@ -9,10 +9,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The history of a chaosRun is checked against a register that changes only on top of what
-// it holds.
+// The history of a chaosRun is checked against a register with compare-and-set: each change names
+// the value that it replaces.
 
-// change is the input of an operation that builds a value on another; a read has none.
+// change is the input of an operation that replaces one value by another; a read has none.
 type change struct{ base, value string }
 
 // changeOutcome is the output of a change; that of a read is the value.
@@ -43,7 +43,7 @@
 	},
 }
 
-// startChange notes that a change is proposed now.
+// startChange records that a change is proposed now.
 func (c *chaosRun) startChange(id string) {
 	c.changes[id] = &porcupine.Operation{
 		Input:  change{c.baseOf[id], c.valueOf[id]},
@@ -53,12 +53,12 @@
 	}
 }
 
-// startRead notes that a read is asked for now.
+// startRead records that a read starts now.
 func (c *chaosRun) startRead(ticket uint64) {
 	c.pendingReads[ticket] = &porcupine.Operation{Call: int64(c.now)}
 }
 
-// recordHistory notes when changes and reads end.
+// recordHistory records when changes and reads end.
 func (c *chaosRun) recordHistory() {
 	c.onOutcome = func(_ *simulatedNode, outcome Outcome) {
 		operation := c.changes[outcome.TxnID]
--- a/internal/paxos/membership_durability_test.go
+++ b/internal/paxos/membership_durability_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestDiskLossRightAfterMembershipChange: at the moment at which a membership change is
-// complete, two disks are lost of those that hold all entries before it, and the other
-// machines are killed or lose power. Messages are lost, duplicated and reordered, some disks
-// are slow, and the cell has no traffic but its repairs.
+// TestDiskLossRightAfterMembershipChange: at the moment at which a membership change is complete,
+// two of the disks that hold all entries before it are lost, and the other machines are killed or
+// lose power. Messages are lost, duplicated and reordered, some disks are slow, and the cell has
+// no traffic except its repairs.
 func TestDiskLossRightAfterMembershipChange(t *testing.T) {
 	runSeeds(t, 90, func(t *testing.T, seed int64) {
 		t.Helper()
--- a/internal/paxos/read_after_membership_change_test.go
+++ b/internal/paxos/read_after_membership_change_test.go
@@ -25,7 +25,7 @@
 		{Index: 4, ProposalNumber: number, Txns: []Txn{putInt("", "k", 7)}},
 	}
 	c := newTestCluster([]ReplicaID{"a", "c", "d", "e", "f"}, func(id ReplicaID) PersistedState {
-		founding := foundingSnapshot(votersOf("a", "b", "c", "d", "e"))
+		founding := initialSnapshot(votersOf("a", "b", "c", "d", "e"))
 		persisted := PersistedState{Promised: number, Snapshot: founding}
 		switch id {
 		case "c", "f":
@@ -41,7 +41,7 @@
 	return &membershipChangeCluster{testCluster: c, candidate: candidate}
 }
 
-// run lets time pass; Prepare messages to those named are lost.
+// run lets time pass; Prepare messages to the named replicas are lost.
 func (c *membershipChangeCluster) run(unprepared ...ReplicaID) {
 	const steps = 40
 	for range steps {
@@ -55,7 +55,8 @@
 	}
 }
 
-// takeMessagesAndReads ticks the candidate, and returns what the replicas send.
+// takeMessagesAndReads ticks the candidate, records confirmed reads, and returns the messages that
+// the replicas send.
 func (c *membershipChangeCluster) takeMessagesAndReads() []Message {
 	var messages []Message
 	for _, id := range c.ids {
@@ -70,9 +71,9 @@
 	return messages
 }
 
-// TestReadWaitsForPromisesAfterMembershipChange: a new leader that was elected by those who
-// vote on the next indexes has not asked those who vote after a membership change. Until a
-// majority of these has promised, the others may hold what was acknowledged.
+// TestReadWaitsForPromisesAfterMembershipChange: a new leader was elected by the voters of the next
+// indexes, and has not asked the voters after a membership change. Until a majority of those has
+// promised, they may hold acknowledged entries that the leader lacks, so it must not confirm reads.
 func TestReadWaitsForPromisesAfterMembershipChange(t *testing.T) {
 	c := newMembershipChangeCluster()
 	d := c.candidate
--- a/internal/paxos/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -12,7 +12,7 @@
 	"comethold/internal/simulation"
 )
 
-// The files of testdata are scenarios: a command a line, played on a simulation.
+// The files of testdata are scenarios, one command per line, played on a simulation.
 
 // scenarioCommand is one line of a scenario.
 type scenarioCommand struct {
@@ -21,7 +21,7 @@
 	words []string // after the verb
 }
 
-// word returns an argument; its lack ends the test.
+// word returns an argument; if it is missing, the test fails.
 func (c scenarioCommand) word(i int) string {
 	if i >= len(c.words) {
 		c.t.Fatalf("%s: %q lacks a word", c.name, c.line)
@@ -46,11 +46,11 @@
 // node returns the node that the first argument names.
 func (c scenarioCommand) node() *simulatedNode { return c.findNode(c.word(0)) }
 
-// scenarioCommands has what each verb does.
+// scenarioCommands maps each verb to its function.
 var scenarioCommands = map[string]func(c scenarioCommand){
 	// The set-up.
 	"seed":        func(c scenarioCommand) { c.rng = rand.New(rand.NewSource(int64(c.number()))) },
-	"cell":        func(c scenarioCommand) { c.foundCell(c.words) },
+	"cell":        func(c scenarioCommand) { c.bootstrapCell(c.words) },
 	"add-learner": func(c scenarioCommand) { c.addLearner(c.word(0)) },
 	"run":         func(c scenarioCommand) { c.run(c.millis()) },
 
@@ -94,7 +94,7 @@
 	"want-acknowledged":        func(c scenarioCommand) { c.settleAndCheckAcknowledged() },
 }
 
-// runCommand carries out one line.
+// runCommand runs one line.
 func (s *cellSimulation) runCommand(line string) {
 	fields := strings.Fields(line)
 	command, ok := scenarioCommands[fields[0]]
@@ -114,14 +114,14 @@
 	c.updateLearners()
 }
 
-// put-many N: so many puts, one after the other.
+// put-many N: N puts, one after the other.
 func putManyCommand(c scenarioCommand) {
 	for i := range int(c.number()) {
 		c.putUntilCommitted(fmt.Sprintf("k%d", i%7), fmt.Sprintf("v%d.%d", i, c.rng.Intn(1000)))
 	}
 }
 
-// propose-burst N: so many proposals at once, named burst0 and so on.
+// propose-burst N: N proposals at once, named burst0 and so on.
 func proposeBurstCommand(c scenarioCommand) {
 	leader := c.findNode("leader")
 	for i := range int(c.number()) {
@@ -244,14 +244,14 @@
 	}
 }
 
-// settleAndCheckAcknowledged lets messages arrive, and then checks that every live voter holds
-// all that was acknowledged.
+// settleAndCheckAcknowledged waits for messages in transit, and then checks that every live voter
+// holds all acknowledged values.
 func (s *cellSimulation) settleAndCheckAcknowledged() {
 	s.run(500 * time.Millisecond)
 	s.checkAcknowledgedValues()
 }
 
-// propose hands a transaction to one node.
+// propose proposes a transaction at one node.
 func (s *cellSimulation) propose(node *simulatedNode, id string, txn Txn) {
 	txn.ID = id
 	err := node.replica.Propose(s.now, txn)
@@ -266,8 +266,7 @@
 	s.handleReady(node)
 }
 
-// putUntilCommitted gives a value to a key through whoever leads, and tries again until it is
-// committed.
+// putUntilCommitted sets a key at the current leader, and repeats that until it is committed.
 func (s *cellSimulation) putUntilCommitted(key, value string) {
 	const attempts = 200
 	for range attempts {
--- a/internal/paxos/severe_faults_test.go
+++ b/internal/paxos/severe_faults_test.go
@@ -81,7 +81,7 @@
 	c.lateRate = 0
 }
 
-// faultOneWayPartition: no message reaches the leader, or none of its own arrives.
+// faultOneWayPartition: no message reaches the leader, or none of its own messages arrives.
 func faultOneWayPartition(c *chaosRun, machines []string, span time.Duration) {
 	leader := c.nodes[c.leaderOr(machines[0])].id
 	inbound := c.rng.Intn(2) == 0
@@ -141,8 +141,8 @@
 	c.waitUntilRepaired()
 }
 
-// waitForRepairOnLeader waits until the leader takes the newest membership change for
-// complete, with voterCount voters whose disks are not lost. The others need not know.
+// waitForRepairOnLeader waits until the leader considers the newest membership change complete,
+// with voterCount voters whose disks are not lost. The other replicas need not know.
 func (c *chaosRun) waitForRepairOnLeader() {
 	for range 20000 {
 		if leader := c.leader(); leader != nil && c.isRepairedOnLeader(leader.replica) {
@@ -226,7 +226,7 @@
 	}
 }
 
-// faultNewcomerLostDuringCatchUp: a newcomer loses power, or its disk again, while it catches
+// faultNewcomerLostDuringCatchUp: a new replica loses power, or its disk again, while it catches
 // up.
 func faultNewcomerLostDuringCatchUp(c *chaosRun, machines []string, _ time.Duration) {
 	c.replaceDisk(machines[0])
@@ -255,8 +255,8 @@
 // faultOfChaos is one of the faults of TestChaos.
 func faultOfChaos(c *chaosRun, machines []string, _ time.Duration) { c.injectFault(machines) }
 
-// faultPausedLeaderIsolatedOnResume: the leader is paused with answers on their way, and is
-// partitioned when it resumes. It must not confirm a read.
+// faultPausedLeaderIsolatedOnResume: the leader is paused while answers to it are in transit, and
+// is partitioned when it resumes. It must not confirm a read.
 func faultPausedLeaderIsolatedOnResume(c *chaosRun, machines []string, span time.Duration) {
 	leader := c.nodes[c.leaderOr(machines[0])]
 	leader.paused = true
--- a/internal/paxos/simulated_disk_test.go
+++ b/internal/paxos/simulated_disk_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pendingSync is what a replica wants on disk and what may be sent once it is there.
+// pendingSync is the writes of one Ready and the messages that wait for their sync.
 type pendingSync struct {
 	dueAt    time.Duration
 	replica  *Replica
@@ -14,13 +14,13 @@
 	messages []Message
 }
 
-// simulatedDisk is what survives a loss of power.
+// simulatedDisk is the durable state of a node.
 type simulatedDisk struct {
 	persisted PersistedState
 	entries   map[uint64]Entry
 }
 
-// write puts on disk what a replica wants there.
+// write applies a replica's writes.
 func (d *simulatedDisk) write(writes Writes) {
 	if d.entries == nil {
 		d.entries = map[uint64]Entry{}
@@ -47,14 +47,14 @@
 	}
 }
 
-// load returns what a replica finds at its start.
+// load returns the state that a replica finds when it starts.
 func (d *simulatedDisk) load() PersistedState {
 	persisted := d.persisted
 	persisted.Entries = slices.Collect(maps.Values(d.entries))
 	return persisted
 }
 
-// recoverableIndex is up to where a restart would apply what is on the disk.
+// recoverableIndex is the applied index of a replica that is restarted from the disk.
 func (d *simulatedDisk) recoverableIndex() uint64 {
 	index := uint64(0)
 	if d.persisted.Snapshot != nil {
@@ -82,8 +82,8 @@
 	return s.randomDuration(2 * s.syncDelay)
 }
 
-// completeSyncs writes what is due on a node's disk, sends what waited for it, and returns
-// the messages to the node itself.
+// completeSyncs applies the syncs of a node that are due, sends the messages that waited for them,
+// and returns the messages to the node itself.
 func (s *cellSimulation) completeSyncs(node *simulatedNode) []Message {
 	var toSelf []Message
 	for len(node.pendingSyncs) > 0 && !node.diskHangs && !node.diskFails && node.pendingSyncs[0].dueAt <= s.now {
@@ -97,7 +97,7 @@
 	return toSelf
 }
 
-// flushDisk completes a node's syncs and lets its replica see what follows.
+// flushDisk completes a node's syncs and delivers the resulting messages to its own replica.
 func (s *cellSimulation) flushDisk(node *simulatedNode) {
 	for _, msg := range s.completeSyncs(node) {
 		node.replica.Step(s.now, msg)
@@ -107,8 +107,8 @@
 	}
 }
 
-// losePower takes a node's power: of what was not synced, the first writes may have reached
-// the disk all the same, and nothing after them.
+// losePower simulates a loss of power at a node: of the writes that are not synced, a random number
+// of the first may have reached the disk, and none after them.
 func (s *cellSimulation) losePower(node *simulatedNode) {
 	if len(node.pendingSyncs) > 0 {
 		for _, sync := range node.pendingSyncs[:s.rng.Intn(len(node.pendingSyncs)+1)] {
@@ -118,14 +118,14 @@
 	node.stop()
 }
 
-// loseDisk replaces a node's disk by an empty one: the machine comes back as another replica.
+// loseDisk replaces a node's disk by an empty one: the machine returns as another replica.
 func (s *cellSimulation) loseDisk(node *simulatedNode, successor ReplicaID) {
 	node.stop()
 	node.disk = simulatedDisk{}
 	node.id = successor
 }
 
-// flushDueDisks completes the syncs whose time has come.
+// flushDueDisks completes the syncs that are due on all nodes.
 func (s *cellSimulation) flushDueDisks() {
 	for _, name := range s.nodeNames() {
 		if node := s.nodes[name]; node.up && !node.paused && len(node.pendingSyncs) > 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// repairDisks lets disks that hang or fail work again.
+// repairDisks repairs disks that hang or fail.
 func (s *cellSimulation) repairDisks() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
--- a/internal/paxos/simulated_network_test.go
+++ b/internal/paxos/simulated_network_test.go
@@ -9,14 +9,14 @@
 // link is one direction between two replicas.
 type link struct{ from, to ReplicaID }
 
-// inTransit is a message on its way.
+// inTransit is a message in transit.
 type inTransit struct {
 	arrivesAt time.Duration
 	sequence  int
 	message   Message
 }
 
-// network is a heap of the messages on their way, the next to arrive first.
+// network is a heap of the messages in transit, by time of arrival.
 type network []inTransit
 
 func (n network) Len() int      { return len(n) }
@@ -43,7 +43,7 @@
 	return last
 }
 
-// sendMessages puts messages on the network, and returns those to the node itself.
+// sendMessages sends messages over the network, and returns the ones to the node itself.
 func (s *cellSimulation) sendMessages(node *simulatedNode, messages []Message) []Message {
 	var toSelf []Message
 	for _, msg := range messages {
@@ -75,7 +75,7 @@
 	heap.Push(&s.network, inTransit{arrivesAt: s.now + delay, sequence: s.messagesSent, message: msg})
 }
 
-// nextArrival takes the next message off the network if its time has come.
+// nextArrival removes the next message from the network if its time of arrival is reached.
 func (s *cellSimulation) nextArrival() (Message, bool) {
 	if len(s.network) == 0 || s.network[0].arrivesAt > s.now {
 		return Message{}, false
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// What a simulation checks while time passes: agreement, staleness, and what is reported to
-// leaders of the others' disks.
+// The checks of a simulation while time passes: agreement, staleness, and the truth of the commit
+// indexes that replicas report as durable.
 
-// acknowledgement is the moment at which a client was notified of a commit, and what its node had
-// applied then.
+// acknowledgement is the time at which a client was notified of a commit, and the applied index of
+// its node at that time.
 type acknowledgement struct {
 	at    time.Duration
 	index uint64
 }
 
-// checkAgreement compares each entry that a replica has applied with what others applied at
-// the same index.
+// checkAgreement compares each entry that a replica has applied with the entry that others applied
+// at the same index.
 func (s *cellSimulation) checkAgreement(node *simulatedNode) {
 	for index := node.checkedIndex + 1; index <= node.replica.appliedIndex; index++ {
 		node.checkedIndex = index
@@ -36,8 +36,8 @@
 	}
 }
 
-// checkStaleness checks that a replica has all that was acknowledged up to the moment until
-// which it takes itself to be current.
+// checkStaleness checks that a replica has everything that was acknowledged up to the time until
+// which it reports its state as current.
 func (s *cellSimulation) checkStaleness() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
@@ -63,8 +63,8 @@
 	return acknowledgement{}, false
 }
 
-// checkDurableCommits checks that what was reported to a leader of a replica's disk is there:
-// a restart would find at least so many entries, and know them to be committed.
+// checkDurableCommits checks the durable commit indexes that replicas reported to a leader: a
+// restart must find the entries up to them, and know them to be committed.
 func (s *cellSimulation) checkDurableCommits() {
 	for _, name := range s.nodeNames() {
 		leader := s.nodes[name]
@@ -84,7 +84,7 @@
 	}
 }
 
-// recordOutcome notes the outcome that a client gets of its transaction.
+// recordOutcome records the outcome that a client gets for its transaction.
 func (s *cellSimulation) recordOutcome(node *simulatedNode, outcome Outcome) {
 	if s.onOutcome != nil {
 		s.onOutcome(node, outcome)
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkAcknowledgedValues checks that every live voter holds all that was acknowledged.
+// checkAcknowledgedValues checks that every live voter holds all acknowledged values.
 func (s *cellSimulation) checkAcknowledgedValues() {
 	voters, _ := s.findNode("leader").replica.Voters()
 	for _, name := range s.nodeNames() {
@@ -119,8 +119,8 @@
 	}
 }
 
-// checkMembershipComplete checks that the newest membership change is complete, and that all
-// live voters know.
+// checkMembershipComplete checks that the newest membership change is complete, and that all live
+// voters know this.
 func (s *cellSimulation) checkMembershipComplete() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -9,8 +9,8 @@
 )
 
 // A cellSimulation runs the replicas of one cell on simulated time, with a network that delays,
-// loses and duplicates messages and disks that take time to sync. All that it draws comes
-// from one seed. While time passes it checks what simulation_checks_test.go lists.
+// loses and duplicates messages and disks that take time to sync. All its random numbers come
+// from one seed. While time passes it runs the checks of simulation_checks_test.go.
 type cellSimulation struct {
 	t    *testing.T
 	name string
@@ -19,7 +19,7 @@
 
 	nodes          map[string]*simulatedNode
 	sortedNames    []string
-	foundingVoters []Voter
+	initialVoters []Voter
 	lossReports    []lossReport
 
 	network       network
@@ -49,7 +49,7 @@
 // keyValue is what a transaction writes.
 type keyValue struct{ key, value string }
 
-// txnStatus is what a client knows of its transaction.
+// txnStatus is a transaction's status as its client knows it.
 type txnStatus string
 
 const (
@@ -92,7 +92,7 @@
 	checkedIndex uint64 // up to which agreement was checked in this incarnation
 }
 
-// stop ends a node's process. What waits for its disk is not written.
+// stop ends a node's process. Writes that are not synced yet are lost.
 func (n *simulatedNode) stop() {
 	n.up = false
 	n.pendingSyncs = nil
@@ -139,25 +139,25 @@
 // testCell is the name of the cell in all tests.
 const testCell = "c"
 
-// foundCell starts the first voters of the cell.
-func (s *cellSimulation) foundCell(names []string) {
+// bootstrapCell starts a new cell with its first voters.
+func (s *cellSimulation) bootstrapCell(names []string) {
 	for _, name := range names {
-		s.foundingVoters = append(s.foundingVoters, Voter{ID: ReplicaID(name), Addr: name, Zone: name})
+		s.initialVoters = append(s.initialVoters, Voter{ID: ReplicaID(name), Addr: name, Zone: name})
 	}
 	for _, name := range names {
 		node := &simulatedNode{id: ReplicaID(name)}
-		node.disk.write(Writes{Snapshot: foundingSnapshot(s.foundingVoters)})
+		node.disk.write(Writes{Snapshot: initialSnapshot(s.initialVoters)})
 		s.nodes[name] = node
 		s.startNode(node)
 	}
 }
 
-// foundingSnapshot is what the disk of a voter of a new cell holds.
-func foundingSnapshot(voters []Voter) *Snapshot {
+// initialSnapshot is the snapshot on the disk of each first voter of a new cell.
+func initialSnapshot(voters []Voter) *Snapshot {
 	return &Snapshot{State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: voters}}}
 }
 
-// addLearner starts an empty machine that the leader keeps current.
+// addLearner starts an empty machine whose replica is a learner.
 func (s *cellSimulation) addLearner(name string) {
 	node := &simulatedNode{id: ReplicaID(name)}
 	s.nodes[name] = node
@@ -174,13 +174,12 @@
 	s.checkAgreement(node)
 }
 
-// updateLearners has each replica, should it lead, keep those current that are not among the
-// founding voters.
+// updateLearners sets, on each replica, the learners: all replicas that are not first voters.
 func (s *cellSimulation) updateLearners() {
 	var ids []ReplicaID
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
-		if !(Membership{Voters: s.foundingVoters}).Contains(node.id) {
+		if !(Membership{Voters: s.initialVoters}).Contains(node.id) {
 			ids = append(ids, node.id)
 		}
 	}
@@ -191,7 +190,7 @@
 	}
 }
 
-// handleReady carries out what a node's replica wants done.
+// handleReady performs the I/O that a node's replica asks for.
 func (s *cellSimulation) handleReady(node *simulatedNode) {
 	for node.up {
 		ready := node.replica.Ready()
@@ -229,9 +228,8 @@
 	return time.Duration(s.rng.Int63n(int64(below)))
 }
 
-// scheduleLossReports has the others find out, each in its own time, that a replica's
-// incarnation has ended. Some take a late message of the former one for a report
-// that the new one has ended.
+// scheduleLossReports schedules reports to the other replicas, each with its own delay, that a
+// replica's incarnation has ended. Some reports are wrong: they name the new incarnation.
 func (s *cellSimulation) scheduleLossReports(node *simulatedNode, former ReplicaID) {
 	for _, name := range s.nodeNames() {
 		recipient := s.nodes[name]
@@ -247,8 +245,7 @@
 	}
 }
 
-// deliverLossReports hands over the reports whose time has come. A node that is down or
-// paused misses them.
+// deliverLossReports delivers the reports that are due. A node that is down or paused misses them.
 func (s *cellSimulation) deliverLossReports() {
 	s.lossReports = slices.DeleteFunc(s.lossReports, func(report lossReport) bool {
 		due := report.arrivesAt <= s.now
@@ -303,7 +300,7 @@
 	}
 }
 
-// nodeNames are the machines in order; callers must not change the list.
+// nodeNames returns the machines in order; callers must not change the list.
 func (s *cellSimulation) nodeNames() []string {
 	if len(s.sortedNames) != len(s.nodes) {
 		s.sortedNames = slices.Sorted(maps.Keys(s.nodes))
--- a/internal/paxos/statemachine/state_test.go
+++ b/internal/paxos/statemachine/state_test.go
@@ -6,8 +6,8 @@
 
 const testAlpha = 3
 
-// newFoundedState returns a state with one key and the voters a, b and c.
-func newFoundedState() State {
+// newInitialState returns a state with one key and the voters a, b and c.
+func newInitialState() State {
 	state := NewState()
 	state.Load(&Snapshot{
 		State:       map[string]Value{"x": Int(1)},
@@ -43,7 +43,7 @@
 		"patch does not fit": {Txn{Ops: []Op{putY, {Kind: OpPatch, Key: "z", Value: Bytes([]byte{200})}}}, false},
 		"unknown operation":  {Txn{Ops: []Op{putY, {Kind: 99}}}, false},
 	} {
-		state := newFoundedState()
+		state := newInitialState()
 		if got := state.Apply(test.txn, 1, testAlpha); got != test.want {
 			t.Errorf("%s: committed is %v", name, got)
 		}
@@ -55,7 +55,7 @@
 
 // TestApplyOperations: operations see what those before them in the transaction did.
 func TestApplyOperations(t *testing.T) {
-	state := newFoundedState()
+	state := newInitialState()
 	txn := Txn{ID: "t", Ops: []Op{
 		{Kind: OpAdd, Key: "x", Value: Int(2)},
 		{Kind: OpAdd, Key: "x", Value: Int(3)},
@@ -98,12 +98,12 @@
 		"twice":        {voters("a", "b", "b"), false},
 		"empty":        {nil, false},
 	} {
-		state := newFoundedState()
+		state := newInitialState()
 		if got := state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: test.next}}}, 5, testAlpha); got != test.want {
 			t.Errorf("%s: committed is %v", name, got)
 		}
 	}
-	state := newFoundedState()
+	state := newInitialState()
 	change := func(index uint64, ids ...ReplicaID) bool {
 		return state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: voters(ids...)}}}, index, testAlpha)
 	}
@@ -122,7 +122,7 @@
 
 // TestSnapshotIsACopy: what is applied later does not change a snapshot.
 func TestSnapshotIsACopy(t *testing.T) {
-	state := newFoundedState()
+	state := newInitialState()
 	snapshot := state.Snapshot(4)
 	state.Apply(Txn{Ops: []Op{{Kind: OpPut, Key: "x", Value: Int(2)}}}, 5, testAlpha)
 	loaded := NewState()
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -139,12 +139,12 @@
 	machines := c.fleet.sortedMachines()
 	c.do("proxies a 1")
 	c.do("list l1")
-	founding, early := c.drawFounding()
+	founding, early := c.drawBootstrap()
 	c.do("begin")
 	end := time.Now().Add(chaosSpan)
 	operators := c.startOperators(machines, end)
 	c.lastLoss = time.Now()
-	c.playFounding(founding, early)
+	c.playBootstrap(founding, early)
 	for time.Now().Before(end) {
 		c.run(300 + c.rng.Intn(2500))
 		if c.rng.Intn(3) == 0 {
@@ -181,15 +181,15 @@
 
 // Kinds of bootstrap.
 const (
-	foundingCut = iota
-	foundingRolled
-	foundingKinds = 3
+	bootstrapCut = iota
+	bootstrapRolled
+	bootstrapKinds = 3
 )
 
-// drawFounding draws the faults of the bootstrap, and cuts off some of the first voters before it.
-func (c *chaos) drawFounding() (kind int, early string) {
-	kind, early = c.rng.Intn(foundingKinds), "c1,c2,c3"
-	if kind == foundingCut {
+// drawBootstrap draws the faults of the bootstrap, and cuts off some of the first voters before it.
+func (c *chaos) drawBootstrap() (kind int, early string) {
+	kind, early = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
+	if kind == bootstrapCut {
 		early = c.oneOf("c1,c2", "c2,c3", "c1,c4", "c2,c5")
 		for name := range strings.SplitSeq(early, ",") {
 			c.do("%s %s", c.oneOf("cut", "cut", "cut-outgoing", "cut-incoming"), name)
@@ -198,9 +198,9 @@
 	return kind, early
 }
 
-func (c *chaos) playFounding(kind int, early string) {
+func (c *chaos) playBootstrap(kind int, early string) {
 	switch kind {
-	case foundingCut:
+	case bootstrapCut:
 		c.run(c.rng.Intn(8000))
 		c.do("heal")
 		c.runToAcknowledgement(9000)
@@ -211,7 +211,7 @@
 			c.run(12000)
 			c.lastLoss = time.Now()
 		}
-	case foundingRolled:
+	case bootstrapRolled:
 		c.run(c.rng.Intn(2000))
 		c.do("restart-in-turn %s gap=%d", early, c.rng.Intn(300))
 	default:
