--- a/internal/paxos/example_test.go
+++ b/internal/paxos/example_test.go
@@ -54,10 +54,10 @@
 		ElectionTimeout:   400 * time.Millisecond,
 		Jitter:            func() float64 { return 0.5 },
 	}
-	founding := &paxos.Snapshot{Memberships: []paxos.Membership{
+	initial := &paxos.Snapshot{Memberships: []paxos.Membership{
 		{EffectiveFrom: 1, Voters: []paxos.Voter{{ID: "a"}}},
 	}}
-	o := &owner{replica: paxos.NewReplica(config, paxos.PersistedState{Snapshot: founding}, 0)}
+	o := &owner{replica: paxos.NewReplica(config, paxos.PersistedState{Snapshot: initial}, 0)}
 
 	for o.replica.Role() != paxos.Leader {
 		o.advance(50 * time.Millisecond)
--- a/internal/paxos/read_after_membership_change_test.go
+++ b/internal/paxos/read_after_membership_change_test.go
@@ -25,8 +25,8 @@
 		{Index: 4, ProposalNumber: number, Txns: []Txn{putInt("", "k", 7)}},
 	}
 	c := newTestCluster([]ReplicaID{"a", "c", "d", "e", "f"}, func(id ReplicaID) PersistedState {
-		founding := initialSnapshot(votersOf("a", "b", "c", "d", "e"))
-		persisted := PersistedState{Promised: number, Snapshot: founding}
+		initial := initialSnapshot(votersOf("a", "b", "c", "d", "e"))
+		persisted := PersistedState{Promised: number, Snapshot: initial}
 		switch id {
 		case "c", "f":
 			persisted.Entries = entries
--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -17,10 +17,10 @@
 	now  time.Duration
 	rng  *rand.Rand
 
-	nodes          map[string]*simulatedNode
-	sortedNames    []string
+	nodes         map[string]*simulatedNode
+	sortedNames   []string
 	initialVoters []Voter
-	lossReports    []lossReport
+	lossReports   []lossReport
 
 	network       network
 	messagesSent  int
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -139,12 +139,12 @@
 	machines := c.fleet.sortedMachines()
 	c.do("proxies a 1")
 	c.do("list l1")
-	founding, early := c.drawBootstrap()
+	kind, early := c.drawBootstrap()
 	c.do("begin")
 	end := time.Now().Add(chaosSpan)
 	operators := c.startOperators(machines, end)
 	c.lastLoss = time.Now()
-	c.playBootstrap(founding, early)
+	c.playBootstrap(kind, early)
 	for time.Now().Before(end) {
 		c.run(300 + c.rng.Intn(2500))
 		if c.rng.Intn(3) == 0 {
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -48,7 +48,7 @@
 			add("run %d", rng.Intn(1500))
 			add("kill %s,%s", a, b)
 			add("lose-disk %s", []string{a, b, a + "," + b}[rng.Intn(3)])
-		case 3: // cut off for long, with an index cell founded meanwhile
+		case 3: // cut off for long, while an index cell is created
 			add("cut %s,%s", a, b)
 			add("run %d", rng.Intn(9000))
 			add("indexes %d", rng.Intn(5))
