--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,11 +1,15 @@
-// Package lease gives work that one node at a time must do to one node: singleton roles
-// such as polling the platform, moving voters or reporting usage.
+// Package lease assigns a singleton role, such as polling the platform, moving voters or
+// reporting usage, to one node at a time.
 //
-// A lease is a record in the meta cell. Its holder renews it there and stops by its own
-// steady clock, counted from before it asked. Another node may take it only after seeing it
-// unrenewed for a multiple of its duration, and only if it is unrenewed still when the
-// change is applied. Each time the lease changes hands its term rises: the fencing token by
-// which others tell a former holder from the present one.
+// A lease is a record in the meta cell. Its owner renews it there and counts its duration on
+// its own monotonic clock from before it sent the proposal. Another node may acquire the
+// lease only after it has seen the record unrenewed for a multiple of the duration, and only
+// if the record is still unrenewed when the transaction is applied. The term rises with each
+// change of owner. It is the fencing token that distinguishes a former owner from the
+// current one.
+//
+// To add a role: name it and make its lease in controlplane/startup.go, and start the
+// lease's Run and the role's loop in controlplane/server.go.
 package lease
 
 import (
@@ -21,25 +25,25 @@
 	"comethold/internal/rpc"
 )
 
-// How long a lease must be seen unrenewed before another node takes it, as a multiple of its
-// duration.
+// How long a lease must be seen unrenewed before another node acquires it, as a multiple of
+// its duration.
 const (
-	// ClockSkewFactor is how much faster the fastest steady clock may run than the slowest
-	// before a lease is unsafe.
+	// ClockSkewFactor is how many times faster the fastest monotonic clock may run than the
+	// slowest before a lease is unsafe.
 	ClockSkewFactor = 3
-	// FencedClockSkewFactor stands in its place where two holders at a time do no harm: what
-	// they do bears the term, or the cell judges it when it is applied. The work of a holder
-	// that is lost must go on before the others are in touch again.
+	// FencedClockSkewFactor is for roles where two owners at a time do no harm: their writes
+	// are fenced by the term or by the conditions of their transactions. It shortens the
+	// time without an owner after a failure.
 	FencedClockSkewFactor = 2
 )
 
 const (
-	// yieldPeriods is for how many durations a node that could not do the work lets others
-	// go first; if none of them takes the lease, it does so all the same.
+	// yieldPeriods is for how many lease durations a node that yielded lets others acquire
+	// the lease first. If none does, it acquires the lease again.
 	yieldPeriods = 10
-	// renewalsPerDuration is how often a holder renews the lease while it lasts.
+	// renewalsPerDuration is how often the owner renews the lease in one duration.
 	renewalsPerDuration = 3
-	// stepsPerDuration is how often a node looks at the lease, at most, while it would last.
+	// stepsPerDuration is how often, at most, a node checks the lease in one duration.
 	stepsPerDuration = 8
 	releaseTimeout   = 300 * time.Millisecond
 )
@@ -51,7 +55,7 @@
 	IsVoter() bool
 	Get(cell, key string) (paxos.Value, bool)
 	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
-	// IncarnationEnded reports whether a replica is gone for good.
+	// IncarnationEnded reports whether a replica never returns, since its node has a new ID.
 	IncarnationEnded(id paxos.ReplicaID) bool
 }
 
@@ -77,12 +81,12 @@
 	log        *logging.Logger
 
 	mu         sync.Mutex // guards the fields below
-	term       uint64     // that this node holds or held last
-	expiresAt  time.Time  // of what this node holds
-	renewedAt  time.Time  // when this node asked for it last
-	observed   []byte     // the record as it was seen last
-	observedAt time.Time  // since when it is seen like that
-	yieldUntil time.Time  // until then others go first: this node could not do the work
+	term       uint64     // the last term under which this node held the lease
+	expiresAt  time.Time  // when this node stops holding it
+	renewedAt  time.Time  // when this node proposed its last committed renewal
+	observed   []byte     // the record as last read
+	observedAt time.Time  // when the record was first read with this content
+	yieldUntil time.Time  // until then this node lets others acquire the lease first
 }
 
 // New makes a lease that this node doesn't hold. Run acquires it.
@@ -116,9 +120,9 @@
 	return time.Until(l.expiresAt)
 }
 
-// FenceCondition returns a condition that holds while nobody else has taken the lease: a
-// transaction under it is one of its holder. It reports false if this node doesn't hold the
-// lease under the term.
+// FenceCondition returns a condition that is true while the lease record is unchanged. A
+// transaction with it commits only if no other node has acquired the lease. It reports false
+// if this node doesn't hold the lease under the term.
 func (l *Lease) FenceCondition(term uint64) (condition paxos.Condition, held bool) {
 	record, raw := l.readRecord()
 	condition = paxos.Condition{Key: l.key, Equals: paxos.Bytes(raw)}
@@ -126,14 +130,16 @@
 	return condition, held
 }
 
-// Forfeit ends what this node holds; it may acquire the lease anew, under another term.
+// Forfeit ends this node's hold on the lease. It may acquire the lease again under a new
+// term.
 func (l *Lease) Forfeit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expiresAt = time.Time{}
 }
 
-// Yield gives the lease back and lets others try: this node can't do the work.
+// Yield releases the lease because this node can't do the work, and lets others acquire it
+// first for yieldPeriods durations.
 func (l *Lease) Yield(ctx context.Context) {
 	l.mu.Lock()
 	l.yieldUntil = time.Now().Add(yieldPeriods * l.duration)
@@ -141,9 +147,9 @@
 	l.release(context.WithoutCancel(ctx))
 }
 
-// Run acquires the lease when it is free and renews it, until ctx is done. Then it gives it
-// back, so that another node need not wait. A proposal that was made is not cancelled: its
-// outcome would not be known.
+// Run acquires the lease when it is free and renews it until ctx is done. Then it releases
+// it, so that another node need not wait for it to expire. A proposal under way is not
+// cancelled, since its outcome would be unknown.
 func (l *Lease) Run(ctx context.Context) {
 	proposing := context.WithoutCancel(ctx)
 	for {
@@ -170,9 +176,9 @@
 // observation is what this node knows of the lease at one time.
 type observation struct {
 	isHolder  bool          // this node holds it
-	isDue     bool          // for renewal
-	unrenewed time.Duration // for how long the record was seen as it is
-	yielding  time.Duration // that others are given to go first
+	isDue     bool          // it is time to renew it
+	unrenewed time.Duration // how long the record has been unchanged
+	yielding  time.Duration // how long this node waits for others to acquire it first
 }
 
 func (l *Lease) acquireOrRenew(ctx context.Context) {
@@ -213,21 +219,22 @@
 
 // isFree reports whether this node may take the lease.
 func (l *Lease) isFree(record schema.LeaseRecord, seen observation) bool {
-	// What is recorded for this very node but not held is of a former incarnation, which is
-	// over, or has expired by its own clock.
+	// A record of this node that it doesn't hold has expired by its own clock, or is of its
+	// former incarnation, which has ended.
 	if record.Holder == "" || record.Holder == l.self {
 		return true
 	}
 	if seen.unrenewed >= time.Duration(l.skewFactor)*l.duration+seen.yielding {
 		return true
 	}
-	// The machine of the holder came back with another disk.
+	// The owner's machine has returned with a new disk: the recorded incarnation has ended.
 	return seen.unrenewed >= l.duration && l.cell.IncarnationEnded(record.Holder)
 }
 
-// propose has the record replaced, and notes the lease as held if that is committed.
+// propose replaces the record old, or creates it if old is nil. If that is committed, this
+// node holds the lease from the time of the proposal.
 func (l *Lease) propose(ctx context.Context, old []byte, record schema.LeaseRecord) {
-	askedAt := time.Now()
+	proposedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, l.duration)
 	defer cancel()
 	committed, err := l.cell.Propose(ctx, schema.MetaCell, paxos.Txn{
@@ -240,15 +247,15 @@
 	l.mu.Lock()
 	isNew := l.term != record.Term
 	l.term = record.Term
-	l.renewedAt = askedAt
-	l.expiresAt = askedAt.Add(l.duration)
+	l.renewedAt = proposedAt
+	l.expiresAt = proposedAt.Add(l.duration)
 	l.mu.Unlock()
 	if isNew {
 		l.log.Info(logging.LeaseAcquired).Str("lease", l.role).Uint64("term", record.Term).Msg("lease acquired")
 	}
 }
 
-// release gives the lease back, if this node holds it.
+// release clears the owner in the record, if this node holds the lease.
 func (l *Lease) release(ctx context.Context) {
 	if _, held := l.Held(); !held {
 		return
@@ -261,7 +268,7 @@
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	free := schema.LeaseRecord{Term: record.Term, Renewals: record.Renewals + 1}
-	// If it fails, the lease expires in the end.
+	// If this fails, the lease expires.
 	_, _ = l.cell.Propose(ctx, schema.MetaCell, paxos.Txn{
 		Conditions: []paxos.Condition{schema.UnchangedCondition(l.key, paxos.Bytes(raw), true)},
 		Ops:        []paxos.Op{schema.PutOp(l.key, free)},
--- a/internal/controlplane/operatorapi/changed_tenants.go
+++ b/internal/controlplane/operatorapi/changed_tenants.go
@@ -8,8 +8,8 @@
 	"comethold/internal/routing"
 )
 
-// changedTenants lists, sorted, the tenants that differ in their keys or limits, or are in
-// one of the configurations only. old may be nil.
+// changedTenants returns the sorted names of the tenants that were added, removed or changed
+// between two configurations. old may be nil.
 func changedTenants(old, next *routing.Configuration) []string {
 	changed := map[string]bool{}
 	previous := map[string]routing.Tenant{}
--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -12,11 +12,12 @@
 	"comethold/internal/routing"
 )
 
-// maxCommitAttempts is how often a change is tried: this node's replica may lag at first,
-// and another change may be committed in between.
+// maxCommitAttempts bounds the attempts to commit a change: this node's replica may lag at
+// first, and another change may be committed in between.
 const maxCommitAttempts = 3
 
-// changes commits changes of the configuration.
+// changes commits changes of the configuration. Why a change is rejected is decided in
+// tryCommit; statusOf and messageOf make the response.
 type changes struct {
 	cells               Cells
 	log                 *logging.Logger
@@ -29,17 +30,17 @@
 type committedState struct {
 	version      uint64 // of the configuration in force
 	raw          []byte
-	receipt      outbox.KeyUse // what the receipts say of the change
+	receipt      outbox.KeyUse // whether the change, or a contradicting one, was committed
 	isForgotten  bool          // the change is older than all receipts
-	isObservable bool
+	isObservable bool          // the replica could be read; otherwise all fields are zero
 }
 
-// commit has a change committed. It returns nil only if a transaction with the change was
+// commit commits a change. It returns nil only if a transaction with the change was
 // committed, by this call or an earlier one.
 func (s *changes) commit(ctx context.Context, request *change) error {
 	fingerprint := outbox.Digest(request.raw)
 	for attempt := range maxCommitAttempts {
-		isCurrent := attempt > 0 // before the first attempt nobody has asked the leader
+		isCurrent := attempt > 0 // WaitLinearizable has run since the last attempt
 		committed, err := s.tryCommit(ctx, request, fingerprint, isCurrent)
 		if err != nil || committed {
 			return err
@@ -51,8 +52,9 @@
 	return errContended
 }
 
-// tryCommit is one attempt. It returns false without an error if the replica here lags, or
-// another change was committed first. isCurrent says that the replica is known not to lag.
+// tryCommit makes one attempt. It returns false without an error if the local replica may
+// lag or another change was committed first. isCurrent says that the replica had caught up
+// with the leader before the attempt.
 func (s *changes) tryCommit(
 	ctx context.Context, request *change, fingerprint []byte, isCurrent bool,
 ) (committed bool, err error) {
@@ -92,7 +94,8 @@
 	return state
 }
 
-// propose has the transaction of a change decided that builds on the state.
+// propose applies a change to the configuration in state and proposes the transaction. It
+// returns false without an error if the configuration is a different one by now.
 func (s *changes) propose(
 	ctx context.Context, request *change, fingerprint []byte, state committedState,
 ) (committed bool, err error) {
@@ -100,7 +103,7 @@
 	if err != nil {
 		return false, &InvalidRequestError{err}
 	}
-	var previous *routing.Configuration // if it is not at hand, any tenant counts as changed
+	var previous *routing.Configuration // if nil, all tenants count as changed
 	if latest := s.latestConfiguration(); latest != nil && latest.Version == state.version {
 		previous = latest
 	}
@@ -122,8 +125,8 @@
 	return s.cells.Propose(ctx, schema.MetaCell, txn)
 }
 
-// quarantineChange keeps a change for the operator that has the version and base of a
-// committed one and other content. Its fingerprint is kept; nothing of it comes into force.
+// quarantineChange records a change whose version and base equal those of a committed change
+// but whose content differs. Only its fingerprint is stored; it is never applied.
 func (s *changes) quarantineChange(request *change, fingerprint []byte) {
 	s.log.Error(logging.IdempotencyConflict).
 		Uint64("version", request.version).
--- a/internal/controlplane/operatorapi/errors.go
+++ b/internal/controlplane/operatorapi/errors.go
@@ -13,10 +13,10 @@
 // retryAfter is what the header Retry-After says on a 503, in seconds.
 const retryAfter = "0.2"
 
-// ErrNotReady answers all requests until this node's storage is open.
+// ErrNotReady rejects all requests until this node's storage is open.
 var ErrNotReady = errors.New("the disk of this node does not answer yet")
 
-// Errors of requests that may be sent again.
+// Errors of requests that may be sent again. Operators read these texts, so they stay.
 var (
 	errForming        = errors.New("the control plane is still being founded")
 	errForgotten      = errors.New("the order is so old that nobody knows whether it was taken")
@@ -26,7 +26,7 @@
 	errTruncatedBody  = errors.New("the body broke off")
 )
 
-// Errors of requests that will not succeed as they are.
+// Errors of requests that fail again if sent unchanged.
 var (
 	errBodyTooLarge    = errors.New("the body is too large")
 	errNoConfiguration = errors.New("no configuration has been taken yet")
@@ -35,7 +35,7 @@
 	errNoBaseVersion   = errors.New(baseVersionHeader + " holds no version")
 )
 
-// ConflictError says that a change builds on a version that is not the current one.
+// ConflictError says that the base version of a change is not the current one.
 type ConflictError struct {
 	Current uint64
 	Base    uint64 // of the change
@@ -65,8 +65,8 @@
 // Unwrap returns what is wrong.
 func (e *InvalidRequestError) Unwrap() error { return e.Err }
 
-// statusOf is the HTTP status of an error. Whatever does not say that the request is wrong
-// says that nothing was decided, or that the outcome is unknown: 503.
+// statusOf returns the HTTP status of an error. Errors that don't fault the request mean
+// that nothing was committed or that the outcome is unknown: 503.
 func statusOf(err error) int {
 	var conflict *ConflictError
 	var reused *VersionReusedError
@@ -86,7 +86,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// messageOf is what the operator reads of an error.
+// messageOf returns the text of an error in the response.
 func messageOf(err error) string {
 	switch {
 	case errors.Is(err, replicahost.ErrBusy):
--- a/internal/controlplane/operatorapi/handler.go
+++ b/internal/controlplane/operatorapi/handler.go
@@ -1,9 +1,9 @@
 // Package operatorapi is the HTTP API of the operators: they replace, amend and read the
-// configuration, purge what caches hold, and look after the outbox and the leases.
+// configuration, purge caches, and inspect the outbox and the leases.
 //
-// Handler holds the HTTP handlers. What they decide stands apart: changes commits
-// configurations, purgeQueue commits purges in batches, and the views read the state. These
-// return typed errors, which writeError alone turns into statuses.
+// Handler holds the HTTP handlers. The logic below them is separate: changes commits
+// configurations, purgeQueue commits purges in batches, and the views read the state. They
+// return typed errors, and only WriteError turns these into HTTP statuses.
 package operatorapi
 
 import (
@@ -22,10 +22,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// requestTimeout bounds what a request waits for. Operators move on after a second.
+// requestTimeout bounds a request. The operator's client gives up after a second.
 const requestTimeout = 1500 * time.Millisecond
 
-// maxRedriveAttempts is how often a redrive is tried anew on top of a change of its row.
+// maxRedriveAttempts bounds the attempts to commit a redrive whose row changes meanwhile.
 const maxRedriveAttempts = 3
 
 // Cells is what the API needs of the replicated cells. *replicahost.Host implements it.
@@ -39,13 +39,13 @@
 type Options struct {
 	Cells Cells
 	Log   *logging.Logger
-	// IsForming reports whether the meta cell has yet to get voters that it is about to get:
-	// what it commits before could be lost with fewer disks than it must bear to lose.
+	// IsForming reports whether the meta cell is still adding its first voters. A change that
+	// it committed now could be lost with fewer disk losses than it must tolerate.
 	IsForming func() bool
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration func() *routing.Configuration
-	// Quarantine keeps a notification for the operator, who sees the reason beside it. It
-	// must not wait for that to be committed: the caller is answered at once.
+	// Quarantine stores a notification, with the reason, for the operator to inspect. It must
+	// not wait until that is committed, since the request waits for it.
 	Quarantine func(notification *outbox.Notification, reason string)
 	// AppliedVersions returns up to which version this node has applied each aggregate.
 	AppliedVersions func() map[string]uint64
@@ -97,7 +97,7 @@
 	return h.commitChange(c, request)
 }
 
-// commitChange has a change committed and answers with its version.
+// commitChange commits a change and responds with its version.
 func (h *Handler) commitChange(c echo.Context, request *change) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
@@ -117,7 +117,7 @@
 	return c.JSON(http.StatusOK, map[string]uint64{"version": request.version})
 }
 
-// Read handles GET /Configuration.Read: the newest configuration that was committed.
+// Read handles GET /Configuration.Read: it returns the newest committed configuration.
 func (h *Handler) Read(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 	defer cancel()
@@ -138,7 +138,7 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, raw)
 }
 
-// Purge handles POST /purge. It answers once a majority keeps the purge.
+// Purge handles POST /purge. It responds once the purge is committed.
 func (h *Handler) Purge(c echo.Context) error {
 	raw, err := readBody(c, maxSmallBodyBytes)
 	if err != nil {
@@ -155,7 +155,8 @@
 	return c.JSON(http.StatusOK, struct{}{})
 }
 
-// ReadLeases handles GET /Duties.Read: who holds which lease, and how the usage reports stand.
+// ReadLeases handles GET /Duties.Read: the owners of the leases and the backlog of usage
+// reports.
 func (h *Handler) ReadLeases(c echo.Context) error {
 	var view LeasesView
 	found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
@@ -180,8 +181,8 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-// Redrive handles POST /Notices.Redrive: it has a notification sent once more, or closes the
-// case of a quarantined one.
+// Redrive handles POST /Notices.Redrive: it sends a notification again, or closes the case
+// of a quarantined one.
 func (h *Handler) Redrive(c echo.Context) error {
 	raw, err := readBody(c, maxSmallBodyBytes)
 	if err != nil {
@@ -202,8 +203,7 @@
 	return c.JSON(http.StatusOK, request)
 }
 
-// commitRedrive has a redrive committed; one that is on record already is not committed
-// again.
+// commitRedrive commits a redrive, unless it is on record already.
 func (h *Handler) commitRedrive(ctx context.Context, request *schema.RedriveRequest) error {
 	for range maxRedriveAttempts {
 		if err := h.cells.WaitLinearizable(ctx, schema.MetaCell); err != nil {
@@ -235,7 +235,7 @@
 				Msg("a notification was redriven")
 			return nil
 		}
-		// The outbox row has changed meanwhile, or another redrive came first.
+		// The outbox row has changed meanwhile, or another redrive was committed first.
 	}
 	return replicahost.ErrBusy
 }
--- a/internal/controlplane/operatorapi/purges.go
+++ b/internal/controlplane/operatorapi/purges.go
@@ -48,8 +48,8 @@
 	return distribution.Purge{}, errInvalidPurge
 }
 
-// purgeQueue commits purges in batches: those that come while a batch is being committed
-// make up the next one, so that a burst takes few entries of the log.
+// purgeQueue commits purges in batches: purges that arrive while a batch is being committed
+// form the next one, so that a burst needs few log entries.
 type purgeQueue struct {
 	cells    Cells
 	log      *logging.Logger
@@ -59,7 +59,7 @@
 
 type pendingPurge struct {
 	purge distribution.Purge
-	done  chan error // gets the outcome of the batch; has capacity for it
+	done  chan error // receives the outcome of the batch; buffered
 }
 
 func newPurgeQueue(cells Cells, log *logging.Logger) *purgeQueue {
@@ -71,8 +71,8 @@
 	}
 }
 
-// submit queues a purge and waits until it is committed. A nil error says that it is;
-// replicahost.ErrOutcomeUnknown, that it may be.
+// submit queues a purge and waits until it is committed. It returns nil if it is, and
+// replicahost.ErrOutcomeUnknown if it may be.
 func (q *purgeQueue) submit(ctx context.Context, purge distribution.Purge) error {
 	pending := &pendingPurge{purge: purge, done: make(chan error, 1)}
 	select {
@@ -89,8 +89,8 @@
 	return replicahost.ErrOutcomeUnknown
 }
 
-// run commits batches until ctx is done. A batch that has been begun is brought to its end,
-// but its callers are not kept waiting for that.
+// run commits batches until ctx is done. It completes the batch under way, but submit
+// returns at once.
 func (q *purgeQueue) run(ctx context.Context) {
 	context.AfterFunc(ctx, func() { close(q.stopping) })
 	for {
@@ -124,8 +124,8 @@
 	return purges
 }
 
-// commit has purges committed. To commit one twice does no harm, so if the outcome is
-// unknown they are proposed again.
+// commit commits purges. Purges are idempotent, so if the outcome is unknown they are
+// proposed again.
 func (q *purgeQueue) commit(ctx context.Context, purges []distribution.Purge) error {
 	// The notification gets its version and event ID from its log index; see schema.DecodeRow.
 	notification, err := outbox.Notification{Aggregate: outbox.AggregatePurges}.WithPayload(len(purges))
--- a/internal/controlplane/operatorapi/request.go
+++ b/internal/controlplane/operatorapi/request.go
@@ -16,7 +16,7 @@
 const (
 	maxSmallBodyBytes  = 64 << 10 // of purges and redrives
 	maxChangeBytes     = 8 << 20
-	largeChangeBytes   = 1 << 20 // larger ones are read one at a time
+	largeChangeBytes   = 1 << 20 // larger changes are read one at a time
 	largeChangeMaxWait = 500 * time.Millisecond
 	bodyReadTimeout    = 10 * time.Second
 )
@@ -29,11 +29,11 @@
 	version uint64
 	base    uint64 // the version that it builds on
 	raw     []byte // as it was sent
-	// apply makes the next configuration, and its encoding, of the one in force.
-	apply func(current []byte) (*routing.Configuration, []byte, error)
+	// apply returns the next configuration and its JSON, given the JSON of the current one.
+	apply func(current []byte) (next *routing.Configuration, raw []byte, err error)
 }
 
-// parseFunc sets the version of a change and how it is applied.
+// parseFunc parses the raw field of a change and sets its version and apply fields.
 type parseFunc func(*change) error
 
 func parseReplacement(request *change) error {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// readChange reads and parses a change. To read and parse a large one takes many times its
-// size in memory, so this is done with one at a time.
+// readChange reads and parses a change. A large change takes many times its size in memory
+// meanwhile, so only one large change is read at a time.
 func (h *Handler) readChange(c echo.Context, parse parseFunc) (*change, error) {
 	if n := c.Request().ContentLength; n < 0 || n > largeChangeBytes {
 		select {
@@ -87,8 +87,8 @@
 	return request, nil
 }
 
-// readBody reads the body of a request. One that is truncated or comes too slowly says
-// nothing of its content: the call failed, and may be made again.
+// readBody reads the body of a request. If it is truncated or arrives too slowly, the error
+// is errTruncatedBody, which lets the client send the request again.
 func readBody(c echo.Context, maxBytes int64) ([]byte, error) {
 	response := http.NewResponseController(c.Response())
 	_ = response.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not all connections have one
--- a/internal/controlplane/operatorapi/views.go
+++ b/internal/controlplane/operatorapi/views.go
@@ -12,7 +12,7 @@
 // OutboxView is what an operator sees of the outbox and of what is quarantined.
 type OutboxView struct {
 	Backlog    int                     `json:"backlog"` // rows that are not published
-	Rows       []OutboxRowView         `json:"rows"`    // those of the backlog, oldest first
+	Rows       []OutboxRowView         `json:"rows"`    // the backlog, oldest first
 	Quarantine []QuarantinedView       `json:"quarantine"`
 	Redrives   []schema.RedriveRequest `json:"redrives"` // oldest first
 	// AppliedVersions is up to which version this node has applied each aggregate.
@@ -37,10 +37,10 @@
 	ReportedBy string `json:"by"`
 }
 
-// LeaseView is who holds the lease of a singleton role.
+// LeaseView is the lease of a singleton role and its owner.
 type LeaseView struct {
 	Role         string `json:"duty"`
-	Holder       string `json:"holder"` // ID of the replica that holds it; empty if none does
+	Holder       string `json:"holder"` // replica ID of the owner; empty if there is none
 	FencingToken uint64 `json:"fence"`
 }
 
--- a/internal/controlplane/schema/configuration.go
+++ b/internal/controlplane/schema/configuration.go
@@ -20,7 +20,7 @@
 	return value.Int.Uint64(), data.Bytes
 }
 
-// ConfigChange is a change of the configuration that is to be committed.
+// ConfigChange is a change of the configuration, not yet committed.
 type ConfigChange struct {
 	Config         *routing.Configuration
 	Raw            []byte   // its text
@@ -28,9 +28,8 @@
 	ChangedTenants []string // tenants whose part differs
 }
 
-// ConfigTxn makes the transaction that puts a configuration in the place of the present one:
-// the receipt of the change, the change and the notification of it become durable together,
-// or none does.
+// ConfigTxn makes the transaction that replaces the current configuration. It stores the
+// receipt of the change, the configuration and the notification atomically.
 func ConfigTxn(replica *paxos.Replica, change *ConfigChange) paxos.Txn {
 	base, old := ReadConfig(replica)
 	version := change.Config.Version
--- a/internal/controlplane/schema/keys.go
+++ b/internal/controlplane/schema/keys.go
@@ -2,18 +2,21 @@
 // records under them and their encoding, and the transactions that change several of them
 // together.
 //
-// There is one meta cell, which holds all that concerns the system as a whole, and an index
-// cell for each set of services that routes share. Functions that take a *paxos.Replica
-// read the state that is applied there; they must run on the goroutine that owns the
-// replica (see replicahost.Host.View). Keys and record numbers are stored: they never
-// change.
+// There is one meta cell, which holds the state of the whole system, and an index cell for
+// each set of services that routes share. Functions that take a *paxos.Replica read the
+// state that is applied there; they must run on the goroutine that owns the replica (see
+// replicahost.Host.View). Keys and cbor field numbers are stored, so they never change.
+//
+// To add a key: name it in keys.go and define its record beside the others, and list it in
+// controlplane/compat_test.go. If nodes must react to its changes, add it to
+// controlplane/applied.go.
 package schema
 
 // MetaCell is the cell that holds the operator's configuration, the registered nodes, the
 // list of index cells, leases, the outbox and purges.
 const MetaCell = "exchange"
 
-// Keys of the meta cell: the configuration and what is remembered of its changes.
+// Keys of the meta cell: the configuration and the receipts of its changes.
 const (
 	ConfigVersionKey = "config/version"
 	ConfigDataKey    = "config/raw"
@@ -22,7 +25,7 @@
 	// ReceiptArchiveKeyPrefix is followed by the first version of an archive. The value is a
 	// list of ArchivedReceipt.
 	ReceiptArchiveKeyPrefix = "receipt-archive/"
-	// ReceiptsForgottenKey holds the version up to which no receipts are kept any more.
+	// ReceiptsForgottenKey holds the version up to which receipts have been deleted.
 	ReceiptsForgottenKey = "receipt-forgotten"
 )
 
@@ -39,7 +42,7 @@
 	// RateSharesKey holds the shares of services' rate limits: a map of node name to
 	// distribution.ShareLease.
 	RateSharesKey = "shares"
-	// QuotaSharesKey holds the shares of tenants' quotas, alike.
+	// QuotaSharesKey holds the shares of tenants' quotas, in the form of RateSharesKey.
 	QuotaSharesKey = "quota-shares"
 )
 
@@ -48,7 +51,7 @@
 const (
 	// PurgeKeyPrefix is followed by a log index. The value is a list of distribution.Purge.
 	PurgeKeyPrefix = "recall/"
-	// PurgeCompactedKey holds the log index up to which purges are forgotten.
+	// PurgeCompactedKey holds the log index up to which purges have been deleted.
 	PurgeCompactedKey = "recall-floor"
 	// OutboxKeyPrefix is followed by a log index. The value is an outbox.Row.
 	OutboxKeyPrefix = "outbox/"
--- a/internal/controlplane/schema/operations.go
+++ b/internal/controlplane/schema/operations.go
@@ -2,19 +2,19 @@
 
 import "comethold/internal/paxos"
 
-// PutOp is the operation that stores a record under a key.
+// PutOp returns the operation that stores a record under a key.
 func PutOp(key string, record any) paxos.Op { return PutValueOp(key, MustEncode(record)) }
 
-// PutValueOp is the operation that stores a value under a key.
+// PutValueOp returns the operation that stores a value under a key.
 func PutValueOp(key string, value paxos.Value) paxos.Op {
 	return paxos.Op{Kind: paxos.OpPut, Key: key, Value: value}
 }
 
-// DeleteOp is the operation that removes a key.
+// DeleteOp returns the operation that removes a key.
 func DeleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
 
-// UnchangedCondition is that a key holds what was read: a value, or none. A transaction that
-// is late, or beaten by another, finds something else there and changes nothing.
+// UnchangedCondition returns the condition that a key still holds the value that was read,
+// or still holds none. A transaction with it changes nothing if another was applied first.
 func UnchangedCondition(key string, value paxos.Value, found bool) paxos.Condition {
 	if found {
 		return paxos.Condition{Key: key, Equals: value}
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -11,9 +11,10 @@
 
 // Bounds of the outbox.
 const (
-	MaxPublishedRows = 128 // rows that every control node has
-	// MaxUnsentRows bounds those that not every one has; what older ones say is in the
-	// state all the same.
+	// MaxPublishedRows bounds the rows that every control node has received.
+	MaxPublishedRows = 128
+	// MaxUnsentRows bounds the other rows. Older ones may be dropped, since the state
+	// already contains the changes that they announce.
 	MaxUnsentRows = 128
 	// MaxOutboxRows bounds all rows, between two sweeps of the publisher.
 	MaxOutboxRows = MaxPublishedRows + MaxUnsentRows + 64
--- a/internal/controlplane/schema/quarantine.go
+++ b/internal/controlplane/schema/quarantine.go
@@ -3,7 +3,7 @@
 import "comethold/internal/outbox"
 
 // QuarantineRecord is a notification, or a configuration change, that contradicts what was
-// committed before under its key. It is kept apart for the operator and never applied.
+// committed before under its key. It is stored for the operator to inspect and never applied.
 type QuarantineRecord struct {
 	Notification outbox.Notification `cbor:"1,keyasint"`
 	Reason       string              `cbor:"2,keyasint"`
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -11,8 +11,8 @@
 	"comethold/internal/rpc"
 )
 
-// Bounds of the memory of configuration changes: it reaches back over
-// MaxReceipts + ReceiptsPerArchive·(MaxReceiptArchives-1) changes at least.
+// Bounds of the receipts. Together they cover at least the last
+// MaxReceipts + ReceiptsPerArchive·(MaxReceiptArchives-1) changes.
 const (
 	MaxReceipts        = 128
 	ReceiptsPerArchive = 64
@@ -22,7 +22,7 @@
 // archivedFingerprintBytes is how much of a fingerprint is archived.
 const archivedFingerprintBytes = 8
 
-// ArchivedReceipt is what is kept of a receipt in the end.
+// ArchivedReceipt is the short form of an old receipt.
 type ArchivedReceipt struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// CheckReplay says what is known of a change: whether it was committed, or one that
-// contradicts it. forgotten says that it is too old to know that.
+// CheckReplay looks up whether a change was committed, or another one under its version and
+// base. forgotten says that the change is older than all receipts, so that neither is known.
 func CheckReplay(
 	replica *paxos.Replica, version, base uint64, fingerprint []byte,
 ) (use outbox.KeyUse, forgotten bool) {
@@ -85,9 +85,9 @@
 	return archive
 }
 
-// compactReceipts archives the oldest receipts once there are enough of them, and forgets
-// the oldest archive where there are too many. It goes with a change that is conditioned on
-// the version, and these tables change only with the version.
+// compactReceipts archives the oldest receipts once there are enough of them, and deletes the
+// oldest archive if there are too many. Its operations need no condition of their own: their
+// transaction is conditioned on the version, and receipts change only with the version.
 func compactReceipts(replica *paxos.Replica) (ops []paxos.Op) {
 	keys := replica.KeysWithPrefix(ReceiptKeyPrefix, ReceiptKeyPrefix)
 	if len(keys) < MaxReceipts+ReceiptsPerArchive {
@@ -107,7 +107,8 @@
 	return append(ops, forgetOldestArchive(replica)...)
 }
 
-// archiveReceipt shortens the receipt under a key; false if it can't be read.
+// archiveReceipt returns the short form of the receipt under a key. It reports false if the
+// receipt can't be read.
 func archiveReceipt(replica *paxos.Replica, key string) (archived ArchivedReceipt, ok bool) {
 	receipt := readReceipt(replica, key)
 	versions := strings.TrimPrefix(key, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/")
@@ -123,7 +124,8 @@
 	}, true
 }
 
-// forgetOldestArchive makes room for an archive where there are too many.
+// forgetOldestArchive deletes the oldest archive if there are too many, and records the last
+// version in it.
 func forgetOldestArchive(replica *paxos.Replica) (ops []paxos.Op) {
 	archives := replica.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
 	if len(archives) < MaxReceiptArchives {
--- a/internal/controlplane/schema/records.go
+++ b/internal/controlplane/schema/records.go
@@ -18,19 +18,19 @@
 	Services []string      `cbor:"3,keyasint"` // that these routes share, sorted
 }
 
-// ShardSetRecord tells an index cell its services as of a configuration.
+// ShardSetRecord lists the services and routes of an index cell as of a configuration.
 type ShardSetRecord struct {
 	Version  uint64   `cbor:"1,keyasint"` // of the configuration
 	Services []string `cbor:"2,keyasint"`
 	Routes   []string `cbor:"3,keyasint"`
 }
 
-// LeaseRecord says who holds a lease.
+// LeaseRecord is a lease and its owner.
 type LeaseRecord struct {
-	Holder paxos.ReplicaID `cbor:"1,keyasint"` // empty if nobody does
-	// Term rises each time the lease is taken: the fencing token.
+	Holder paxos.ReplicaID `cbor:"1,keyasint"` // the owner; empty if the lease is free
+	// Term is the fencing token. It rises each time the lease is acquired.
 	Term uint64 `cbor:"2,keyasint"`
-	// Renewals rises each time it is renewed.
+	// Renewals rises each time the lease is renewed or released.
 	Renewals uint64 `cbor:"3,keyasint"`
 }
 
--- a/internal/controlplane/schema/redrive.go
+++ b/internal/controlplane/schema/redrive.go
@@ -6,7 +6,7 @@
 	"comethold/internal/paxos"
 )
 
-// MaxRedriveRecords is how many redrives are on record; the oldest make room for new ones.
+// MaxRedriveRecords bounds the stored redrives; the oldest are deleted first.
 const MaxRedriveRecords = 256
 
 // Actions of a redrive.
@@ -19,7 +19,7 @@
 var ErrInvalidRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
 
 // RedriveRequest is an operator's request to send a notification once more, or to close the
-// case of one that is quarantined. It is stored as it came.
+// case of one that is quarantined. It is stored unchanged.
 type RedriveRequest struct {
 	EventID       string `json:"eventId" cbor:"1,keyasint"`
 	Operator      string `json:"operator" cbor:"2,keyasint"`
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// RedriveTransaction makes the transaction of a redrive: the record of who requested it, and
-// the outbox row back in the pending state, with its notification untouched. known is false
-// if neither an outbox row nor a quarantined one has this event ID. done says that this very
-// redrive is on record already. A transaction that is late finds the key of its record
-// taken, and changes nothing.
+// RedriveTransaction makes the transaction of a redrive: it stores the request and puts the
+// outbox row back into the pending state, with its notification unchanged. known is false if
+// neither an outbox row nor a quarantined notification has this event ID. done says that the
+// same request is stored already. If another redrive is committed first, the key of the
+// record exists and the transaction changes nothing.
 func RedriveTransaction(replica *paxos.Replica, request *RedriveRequest) (txn paxos.Txn, known, done bool) {
 	encoded := MustEncode(request)
 	records := replica.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
--- a/internal/controlplane/schema/shardsets.go
+++ b/internal/controlplane/schema/shardsets.go
@@ -33,7 +33,7 @@
 // AssignIndexes decides which index cell each group of routes belongs to. An index follows
 // its routes: a group keeps the index with which it shares the most routes, then the one
 // that has its services. It returns the index cells that are kept, with their groups, the
-// groups that need a new one, and the index cells that are no more.
+// groups that need a new index cell, and the index cells to remove.
 func AssignIndexes(
 	old map[string]IndexRecord, groups map[string][]string,
 ) (kept map[string]string, added, removed []string) {
@@ -63,12 +63,11 @@
 // indexCandidate is an index cell that may serve a group.
 type indexCandidate struct {
 	index, group string
-	// weight is twice the number of the routes that they share, and one more if they have
-	// the same services.
+	// weight is twice the number of shared routes, plus one if the services are the same.
 	weight int
 }
 
-// indexCandidates lists all of them, best first.
+// indexCandidates lists the candidates, best first.
 func indexCandidates(old map[string]IndexRecord, groups map[string][]string) []indexCandidate {
 	indexOfRoute := map[string]string{}
 	for index, record := range old {
