--- a/internal/controlplane/replicahost/eventloop.go
+++ b/internal/controlplane/replicahost/eventloop.go
@@ -9,8 +9,8 @@
 // taskQueueLength is how many tasks may wait for the event loop before enqueue blocks.
 const taskQueueLength = 256
 
-// eventLoop runs tasks one after another on the goroutine that called run. What only tasks
-// touch needs no lock.
+// eventLoop runs tasks one after another on the goroutine that called run. State that only
+// tasks access needs no lock.
 type eventLoop struct {
 	tasks    chan func()
 	quit     chan struct{} // closed by stop
@@ -40,13 +40,13 @@
 	}
 }
 
-// stop ends run after the task that is running.
+// stop ends run after the current task.
 func (l *eventLoop) stop() {
 	l.stopOnce.Do(func() { close(l.quit) })
 }
 
-// enqueue has the loop run a task, without waiting for it. After stop the task may be
-// dropped.
+// enqueue queues a task and returns without waiting for it to run. After stop the task may
+// be dropped.
 func (l *eventLoop) enqueue(task func()) {
 	select {
 	case l.tasks <- task:
@@ -54,9 +54,9 @@
 	}
 }
 
-// do has the loop run a task and waits for it. Once the loop has been stopped, the task has
-// either run to its end by the time do returns or never will: the caller may look at what
-// the task sets without a lock.
+// do queues a task and waits until it has run. If the loop is stopped, the task has either
+// completed when do returns or never runs, so the caller may read what the task sets without
+// a lock.
 func (l *eventLoop) do(task func()) {
 	var claimed atomic.Bool
 	done := make(chan struct{})
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -3,8 +3,8 @@
 //
 // A Host owns the replicas. They do no I/O themselves and need no locks: all of them belong
 // to the goroutine of Host.Run, the event loop. The host feeds them with ticks and with
-// messages of the peers, stores what they want stored, sends what they want sent, and tells
-// callers what became of their proposals and reads.
+// messages of the peers, performs their writes and sends, and returns the outcomes of
+// proposals and reads to their callers.
 //
 //	host := replicahost.New(replicahost.Options{Self: self, Storage: store, ...})
 //	host.Open(schema.MetaCell, founders)
@@ -34,8 +34,8 @@
 
 // Errors of proposals and linearizable reads.
 var (
-	// ErrNoQuorum says that no leader answered in time: a majority of the cell's voters is
-	// not in touch, as far as this node can tell. Nothing was changed.
+	// ErrNoQuorum says that no leader answered in time. As far as this node can tell, a
+	// majority of the cell's voters is unreachable. Nothing was changed.
 	ErrNoQuorum = errors.New("replicahost: no leader of the cell answers")
 	// ErrBusy says that the leader's pipeline is full. Nothing was changed.
 	ErrBusy = errors.New("replicahost: the cell refuses more work")
@@ -51,15 +51,15 @@
 	indexHeartbeatInterval = 500 * time.Millisecond
 	indexElectionTimeout   = 1800 * time.Millisecond
 	helloInterval          = 500 * time.Millisecond
-	// stallThreshold is the pause between two ticks after which the silence of others
-	// proves nothing: this node was stopped and could not hear them.
+	// stallThreshold is the pause between two ticks from which this node counts as having
+	// been suspended: it received nothing meanwhile, so its peers' contact ages restart.
 	stallThreshold = time.Second
 )
 
 // Bounds of a replica's log and pipeline.
 const (
-	// Alpha is how many log entries after a change of the membership it takes effect; so
-	// many entries may be proposed at a time.
+	// Alpha is the number of log entries after which a membership change takes effect, and
+	// the number of entries that may be proposed at a time.
 	Alpha                   = 3
 	maxQueuedTransactions   = 24
 	maxTransactionsPerEntry = 8
@@ -75,20 +75,20 @@
 	Submit(cell string, writes paxos.Writes, synced func()) bool
 }
 
-// Hooks are called by the host, or asked by it for what others know. Those that are nil are
-// left out.
+// Hooks connect the host with the rest of the control plane: On... hooks receive events, the
+// others return data for the host. Hooks that are nil are skipped.
 type Hooks struct {
 	// OnApply is called on the event loop when the applied state of a cell has changed.
 	OnApply func(cell string, changed paxos.ChangedKeys)
 	// EndpointRevision is the revision of the endpoint list held here, for the peers.
 	EndpointRevision func() distribution.Revision
-	// OnPeerEndpointRevision is called on the event loop with that of a peer.
+	// OnPeerEndpointRevision is called on the event loop with the revision that a peer holds.
 	OnPeerEndpointRevision func(address string, revision distribution.Revision)
 	// RegisteredAddresses lists the control nodes that are registered, down or not.
 	RegisteredAddresses func() []string
 	// ReadClocks returns the time of day and the agreed time or 0, in nanoseconds.
 	ReadClocks func() (wall, agreed int64)
-	// OnPeerClocks is called on the event loop with those of a peer.
+	// OnPeerClocks is called on the event loop with the clocks of a peer.
 	OnPeerClocks func(address string, wall, agreed int64)
 }
 
@@ -153,13 +153,13 @@
 
 	lastHelloAt time.Duration
 	lastTickAt  time.Duration
-	resumedAt   time.Duration // this node stood still until then and heard nobody
+	resumedAt   time.Duration // when this node last resumed after a stall; see stallThreshold
 }
 
-// hostedReplica is a replica with what the host notes of it.
+// hostedReplica is a replica and the host's bookkeeping of it.
 type hostedReplica struct {
 	replica  *paxos.Replica
-	role     paxos.Role // that was logged last
+	role     paxos.Role // as last logged
 	openedAt time.Duration
 }
 
@@ -191,19 +191,19 @@
 	return nil
 }
 
-// Stop ends Run, and the senders after what they are sending.
+// Stop ends Run, and each sender after its current send.
 func (h *Host) Stop() {
 	h.loop.stop()
 	h.transport.stop()
 }
 
-// Wait waits after Stop until nothing is sent any more.
+// Wait waits, after Stop, until all senders have ended.
 func (h *Host) Wait() { h.transport.wait() }
 
-// Enqueue has the event loop run a function, without waiting for it.
+// Enqueue queues a function for the event loop and returns without waiting for it to run.
 func (h *Host) Enqueue(task func()) { h.loop.enqueue(task) }
 
-// now is the time since the host was made; replicas know no other.
+// now is the time since the host was made. It is the only clock of the replicas.
 func (h *Host) now() time.Duration { return time.Since(h.start) }
 
 // SetSeeds replaces the addresses of control nodes to contact first.
@@ -216,17 +216,16 @@
 	return h.client.Call(ctx, net.JoinHostPort(address, strconv.Itoa(h.port)), path, request, response)
 }
 
-// Open starts this node's replica of a cell, unless it runs. If founders name this node and
-// nothing of the cell is stored, the replica is a voter of the new cell. It must be called
-// before Run or on the event loop.
+// Open starts this node's replica of a cell, unless it runs already. If the initial voters
+// include this node and nothing of the cell is stored, the replica starts as a voter of the
+// new cell. It must be called before Run or on the event loop.
 func (h *Host) Open(cell string, founders []paxos.Voter) {
 	if h.replicas[cell] != nil {
 		return
 	}
 	saved, found, err := h.storage.LoadReplica(cell)
 	if err != nil {
-		// What cannot be read must not vote: the replica stays away, the
-		// others go on, and the node's log says so.
+		// A replica that cannot be read must not vote, so it stays closed.
 		h.log.Error(logging.ReplicaCorrupt).
 			Str("cell", cell).
 			Err(err).
@@ -249,7 +248,7 @@
 	h.hooks.OnApply(cell, paxos.ChangedKeys{All: true})
 }
 
-// Close ends this node's replica of a cell that is no more. It must be called on the event
+// Close ends this node's replica of a cell that was removed. It must be called on the event
 // loop.
 func (h *Host) Close(cell string) { delete(h.replicas, cell) }
 
@@ -286,8 +285,8 @@
 	h.sendHellos(now)
 }
 
-// sendHellos greets all peers when it is time. A voter that knows the leader need not do it
-// so often.
+// sendHellos sends a hello to all peers every helloInterval, or half as often from a voter
+// that knows the leader.
 func (h *Host) sendHellos(now time.Duration) {
 	interval := helloInterval
 	if meta := h.Replica(schema.MetaCell); meta != nil && meta.IsVoter() && meta.Leader() != "" {
--- a/internal/controlplane/replicahost/identity.go
+++ b/internal/controlplane/replicahost/identity.go
@@ -20,7 +20,7 @@
 	Bootstrap(key string, value []byte, cell string, writes paxos.Writes) error
 }
 
-// NewNode says how a node begins whose disk holds no identity.
+// NewNode describes the start of a node whose disk holds no identity.
 type NewNode struct {
 	Address    string // IP address
 	FirstStart bool   // of the system as a whole
@@ -29,11 +29,11 @@
 	Founders []paxos.Voter // the first voters of the meta cell
 }
 
-// LoadOrCreateIdentity returns the replica ID of this incarnation of the disk. It is made
-// and synced at the disk's first start; isNew says so. Only the very first start of the
-// system may use an ID that the first membership counts on, and not where a file was put
-// aside: that ID may have voted. A founder's part of the first cell is synced with its ID,
-// so a founder that was stopped in between is one nevertheless.
+// LoadOrCreateIdentity returns the replica ID of this incarnation of the disk. At the disk's
+// first start the ID is created and synced, and isNew is true. The bare address, which the
+// initial membership names, is used as the ID only at the first start of the system, and only
+// if no damaged file was put aside: that ID may have voted. The initial snapshot of the meta
+// cell is synced together with the ID, so a crash can't separate the two.
 func LoadOrCreateIdentity(disk IdentityStorage, node NewNode) (id paxos.ReplicaID, isNew bool, err error) {
 	if stored := disk.NodeValue(IdentityKey); len(stored) > 0 {
 		return paxos.ReplicaID(stored), false, nil
@@ -53,7 +53,7 @@
 	return id, true, disk.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, writes)
 }
 
-// foundingSnapshot is the state of a cell at its beginning.
+// foundingSnapshot returns the empty state of a new cell with its first voters.
 func foundingSnapshot(voters []paxos.Voter) *paxos.Snapshot {
 	return &paxos.Snapshot{
 		State:       map[string]paxos.Value{},
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -16,20 +16,19 @@
 	Name string          `cbor:"4,keyasint"` // of the node, as in its settings
 }
 
-// Time-outs after which a peer that is not heard counts for less.
+// Time-outs of peers, counted from the last message received from them.
 const (
-	// LearnerTimeout is the silence after which a peer without a vote is no longer kept up
-	// to date.
+	// LearnerTimeout is after how long a peer without a vote is no longer kept up to date.
 	LearnerTimeout = 10 * time.Second
-	// CandidateTimeout is the silence after which a peer is not made a voter.
+	// CandidateTimeout is after how long a peer can no longer become a voter.
 	CandidateTimeout = 3 * time.Second
-	// DownTimeout is the silence after which a voter is replaced, and a control node is
-	// registered as down.
+	// DownTimeout is after how long a voter is replaced and a control node is registered as
+	// down.
 	DownTimeout = 5 * time.Second
 )
 
-// peerTable knows which control nodes were heard and when. Times are those since the host
-// was made.
+// peerTable records when each control node last sent a message. Times are counted from the
+// creation of the host.
 type peerTable struct {
 	mu       sync.Mutex               // guards the fields below
 	peers    map[string]peerState     // by address
@@ -48,17 +47,14 @@
 	}
 }
 
-// contact is what a message from a peer reveals about it.
+// contact describes a message from a peer in relation to the ones before.
 type contact struct {
-	// isNew says that the peer was not known under its ID.
-	isNew bool
-	// replaced is the ID under which the peer was known before, or empty.
-	replaced paxos.ReplicaID
-	// silence is how long the peer had not been heard.
-	silence time.Duration
+	isNew    bool            // the first message under this ID
+	replaced paxos.ReplicaID // the former ID of the peer, or empty
+	silence  time.Duration   // the time since the message before
 }
 
-// record notes that a peer was heard.
+// record records a message from a peer.
 func (t *peerTable) record(info PeerInfo, now time.Duration) contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +72,7 @@
 	return found
 }
 
-// heardSince lists the peers that were heard after a time, by address.
+// heardSince returns, by address, the peers that sent a message after a time.
 func (t *peerTable) heardSince(since time.Duration) map[string]PeerInfo {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,21 +85,22 @@
 	return heard
 }
 
-// lastHeard is when the peer at an address was heard last; 0 if it never was.
+// lastHeard returns when the peer at an address last sent a message; 0 if it never did.
 func (t *peerTable) lastHeard(address string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers[address].lastHeard
 }
 
-// isReplaced reports whether the node of a replica was heard under another ID since.
+// isReplaced reports whether the node of a replica has since sent a message under another ID.
 func (t *peerTable) isReplaced(id paxos.ReplicaID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.replaced[id]
 }
 
-// LivePeers lists, by address, the control nodes heard within a time, this one among them.
+// LivePeers returns, by address, the control nodes that sent a message within a time, and
+// this node.
 func (h *Host) LivePeers(within time.Duration) map[string]PeerInfo {
 	live := h.peers.heardSince(h.now() - within)
 	if _, isListed := live[h.Self.Addr]; !isListed {
@@ -112,8 +109,8 @@
 	return live
 }
 
-// SilenceOf is how long a control node has been silent, as far as this node was in a state
-// to hear it. It must be called on the event loop, as from View.
+// SilenceOf returns the time since the last message of a control node. Time in which this
+// node was stalled doesn't count. It must be called on the event loop, as from View.
 func (h *Host) SilenceOf(address string) time.Duration {
 	if address == h.Self.Addr {
 		return 0
@@ -121,9 +118,9 @@
 	return h.now() - max(h.resumedAt, h.peers.lastHeard(address))
 }
 
-// IncarnationEnded reports whether a replica is gone for good: its node is live under
-// another ID, so its disk was lost. This node may have started since and never have heard
-// the former ID; then the voters of the meta cell tell where it was.
+// IncarnationEnded reports whether a replica never returns: its node is live under another
+// ID, so its disk was lost. If this node started later and never received a message under
+// the former ID, it finds the address of that ID among the voters of the meta cell.
 func (h *Host) IncarnationEnded(id paxos.ReplicaID) bool {
 	live := h.LivePeers(LearnerTimeout)
 	ended := h.peers.isReplaced(id)
@@ -138,10 +135,11 @@
 	return ended
 }
 
-// PeerAddresses lists where other control nodes may be. A node that comes back knows the
-// voters of long ago, and those of now need not be among the seeds: hence registered nodes
-// are listed too, even while they are down, and all that are heard. Otherwise nobody might
-// bring it up to date. It must be called on the event loop, as from View.
+// PeerAddresses lists the addresses at which other control nodes may be: the voters, the
+// seeds, the registered nodes, down or not, and the live ones. A node that returns after a
+// long time knows only former voters, and the current ones need not be among the seeds; it
+// must be contacted to be brought up to date. It must be called on the event loop, as from
+// View.
 func (h *Host) PeerAddresses() []string {
 	listed := map[string]bool{h.Self.Addr: true}
 	var addresses []string
@@ -169,7 +167,7 @@
 	return addresses
 }
 
-// refreshLearners has the replicas here keep live control nodes without a vote up to date.
+// refreshLearners makes live control nodes without a vote learners of the replicas here.
 func (h *Host) refreshLearners() {
 	live := h.LivePeers(LearnerTimeout)
 	for _, hosted := range h.replicas {
@@ -185,7 +183,7 @@
 	}
 }
 
-// Receive takes in what another control node sent.
+// Receive queues a batch of another control node for the event loop.
 func (h *Host) Receive(batch *Batch) {
 	h.Enqueue(func() { h.handleBatch(batch) })
 }
@@ -205,7 +203,7 @@
 		h.stability.disturbedAt = now
 	}
 	if found.isNew {
-		h.refreshLearners() // it is caught up from now on, not from the next hello
+		h.refreshLearners() // don't wait for the next sendHellos
 	}
 	if found.replaced != "" {
 		for cell, hosted := range h.replicas {
@@ -220,7 +218,7 @@
 	h.stepMessages(now, batch.Messages)
 }
 
-// stepMessages hands messages to their replicas, then does what these want done.
+// stepMessages passes messages to their replicas, then processes the replicas' output.
 func (h *Host) stepMessages(now time.Duration, messages []paxos.Message) {
 	stepped := map[string]*hostedReplica{}
 	for _, message := range messages {
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -17,30 +17,31 @@
 	PathConfirm = "/confirm"
 )
 
-// Backoff of calls that no leader takes.
+// Backoff of calls for which there is no leader, or which it rejects as busy.
 const (
 	initialRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff     = 300 * time.Millisecond
-	// noLeaderBackoff is shorter: whether there is a leader is looked up here and costs
-	// nobody else anything.
+	// noLeaderBackoff is shorter: the leader is looked up locally, which loads no other node.
 	noLeaderBackoff = 60 * time.Millisecond
 )
 
-// ProposeRequest asks the leader of a cell to propose a transaction or, without one, to
-// confirm that it leads still.
+// ProposeRequest asks the leader of a cell to propose a transaction (PathPropose) or to
+// confirm that it still leads (PathConfirm), which needs no transaction.
 type ProposeRequest struct {
 	Cell string    `cbor:"1,keyasint"`
 	Txn  paxos.Txn `cbor:"2,keyasint"`
 }
 
-// ProposeResult is what became of a request to the leader of a cell.
+// ProposeResult is the outcome of a request to the leader of a cell.
 type ProposeResult struct {
+	// Committed says that the transaction was committed, or the read index confirmed. If no
+	// field is set, the conditions of the transaction did not hold.
 	Committed bool `cbor:"1,keyasint,omitempty"`
-	// Busy says that the leader refuses more work.
+	// Busy says that the leader's pipeline is full.
 	Busy bool `cbor:"2,keyasint,omitempty"`
 	// Unknown says that the change may or may not have been committed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
-	// NoLeader says that the node that was asked does not lead the cell.
+	// NoLeader says that the node does not lead the cell.
 	NoLeader bool `cbor:"4,keyasint,omitempty"`
 	// Index is the log index at which a read was confirmed.
 	Index uint64 `cbor:"5,keyasint,omitempty"`
@@ -48,7 +49,7 @@
 	Grant distribution.ShareGrant `cbor:"6,keyasint,omitempty"`
 }
 
-// resultOfRefusal is the result where a replica takes nothing.
+// resultOfRefusal returns the result of a request that a replica rejected.
 func resultOfRefusal(err error) ProposeResult {
 	if errors.Is(err, paxos.ErrPipelineFull) {
 		return ProposeResult{Busy: true}
@@ -56,11 +57,12 @@
 	return ProposeResult{NoLeader: true}
 }
 
-// NewTransactionID returns an ID that no other transaction has.
+// NewTransactionID returns a random ID for a transaction.
 func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
 
-// Propose has a transaction decided by a cell and reports whether it was committed; if not,
-// its conditions did not hold. The error is ErrNoQuorum, ErrBusy or ErrOutcomeUnknown.
+// Propose proposes a transaction at the leader of a cell, wherever it is, and reports whether
+// it was committed. If not, and there is no error, its conditions did not hold. The error is
+// ErrNoQuorum, ErrBusy or ErrOutcomeUnknown.
 func (h *Host) Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
 	txn.ID = NewTransactionID()
 	result, err := h.CallLeader(ctx, LeaderCall{
@@ -110,17 +112,18 @@
 // LeaderCall is a call to the leader of a cell, wherever it is.
 type LeaderCall struct {
 	Cell string
-	// Path is where the leader takes the request, if it is another node. The response is a
+	// Path is the RPC path of the request if another node leads. The response is a
 	// ProposeResult.
 	Path    string
 	Request any
-	// Local does what is asked for if this node leads.
+	// Local handles the request if this node leads.
 	Local func(context.Context) ProposeResult
 }
 
-// CallLeader makes a call to the leader of a cell. While there is no leader, or it refuses,
-// the call is retried with an exponential backoff with jitter until the context ends; the
-// error is then ErrNoQuorum or ErrBusy. After ErrOutcomeUnknown the leader may have done it.
+// CallLeader makes a call to the leader of a cell. While there is no leader, or it is busy,
+// the call is retried with exponential backoff and jitter until the context ends; the error
+// is then ErrNoQuorum or ErrBusy. ErrOutcomeUnknown says that the leader may have executed
+// the call.
 func (h *Host) CallLeader(ctx context.Context, call LeaderCall) (ProposeResult, error) {
 	backoff := initialRetryBackoff
 	cause := ErrNoQuorum
@@ -161,8 +164,8 @@
 	return result
 }
 
-// leaderAddress returns where the leader of a cell is, as far as is known here; isLocal says
-// that it is this node.
+// leaderAddress returns the address of the leader of a cell, or an empty one if this node
+// doesn't know it. isLocal says that this node leads.
 func (h *Host) leaderAddress(cell string) (address string, isLocal bool) {
 	h.View(cell, func(replica *paxos.Replica) {
 		isLocal = replica.Role() == paxos.Leader
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -9,13 +9,13 @@
 	"comethold/internal/paxos"
 )
 
-// appliedPollInterval is how often WaitLinearizable looks whether this node has caught up.
+// appliedPollInterval is how often WaitLinearizable checks whether this node has caught up.
 const appliedPollInterval = 5 * time.Millisecond
 
 // WaitLinearizable waits until the state of a cell that is applied here holds all that was
-// committed before the call: a read that follows is linearizable. The leader confirms its
-// lead with a majority and names an index (ReadIndex), which this node then waits for. The
-// error is ErrBusy or wraps ErrNoQuorum.
+// committed before the call, so that a subsequent read is linearizable. The leader confirms
+// with a majority that it still leads and returns its read index, which this node then waits
+// for. The error is ErrBusy or wraps ErrNoQuorum.
 func (h *Host) WaitLinearizable(ctx context.Context, cell string) error {
 	index, err := h.readIndex(ctx, cell)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return h.waitApplied(ctx, cell, index)
 }
 
-// readIndex asks the leader up to which index the state must be applied. To ask again does
-// no harm, so it does that while the outcome is not known.
+// readIndex requests the read index from the leader. The request is idempotent, so it is
+// repeated while its outcome is unknown.
 func (h *Host) readIndex(ctx context.Context, cell string) (uint64, error) {
 	call := LeaderCall{
 		Cell:    cell,
@@ -38,7 +38,7 @@
 		if err == nil && result.Committed {
 			return result.Index, nil
 		}
-		// An answer without content confirms nothing either.
+		// Retry an unknown outcome, and an empty result, which confirms nothing.
 		if err != nil && !errors.Is(err, ErrOutcomeUnknown) {
 			return 0, err
 		}
@@ -48,8 +48,8 @@
 	}
 }
 
-// ReadIndexLocal has this node confirm that it leads a cell still, and returns the index
-// that is applied here by then. The result is NoLeader if it does not lead.
+// ReadIndexLocal confirms with a majority that this node still leads a cell, and returns the
+// index that is applied here by then. The result is NoLeader if it does not lead.
 func (h *Host) ReadIndexLocal(ctx context.Context, cell string) ProposeResult {
 	waiter := make(chan uint64, 1)
 	var readID uint64
--- a/internal/controlplane/replicahost/ready.go
+++ b/internal/controlplane/replicahost/ready.go
@@ -5,8 +5,8 @@
 	"comethold/internal/paxos"
 )
 
-// processReady does what a replica wants done, until it wants nothing more. What must be
-// durable first is sent once it is.
+// processReady processes the output of a replica until there is none left: it persists
+// writes, sends messages, answers waiters and calls OnApply.
 func (h *Host) processReady(cell string, hosted *hostedReplica) {
 	replica := hosted.replica
 	for {
@@ -30,9 +30,9 @@
 	}
 }
 
-// persist stores what a replica wants stored, and sends what must not be sent before. If
-// there was nothing to wait for, it returns the messages to the replica itself; else the
-// event loop hands them over later.
+// persist submits a replica's writes and sends the messages that must follow them. If no sync
+// is needed, it sends them at once and returns the messages to the replica itself. Otherwise
+// both happen on the event loop after the sync.
 func (h *Host) persist(cell string, hosted *hostedReplica, ready paxos.Ready) (toSelf []paxos.Message) {
 	messages := ready.MessagesAfterSync
 	if len(messages) == 0 && ready.Writes.Empty() {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// answerWaiters tells callers what became of their proposals and reads.
+// answerWaiters passes the outcomes of proposals and reads to their callers.
 func (h *Host) answerWaiters(replica *paxos.Replica, ready paxos.Ready) {
 	for _, outcome := range ready.Outcomes {
 		if waiter := h.proposalWaiters[outcome.TxnID]; waiter != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// sendToPeers sends messages and hands back those to this node itself.
+// sendToPeers sends messages and returns those that are addressed to this node.
 func (h *Host) sendToPeers(messages []paxos.Message) (toSelf []paxos.Message) {
 	byAddress := map[string][]paxos.Message{}
 	for _, message := range messages {
@@ -109,8 +109,8 @@
 	return toSelf
 }
 
-// newBatch makes what is sent to a peer. What may be long under way carries no clocks: by
-// its arrival they would be wrong.
+// newBatch makes a batch for a peer. A large batch carries no clocks, because they would be
+// outdated when it arrives.
 func (h *Host) newBatch(messages []paxos.Message) *Batch {
 	batch := &Batch{
 		Sender:       h.Self,
--- a/internal/controlplane/replicahost/sendqueue.go
+++ b/internal/controlplane/replicahost/sendqueue.go
@@ -16,8 +16,8 @@
 	maxBulkMessages    = 64
 )
 
-// sendQueue holds the small messages to one peer; several go in one batch. When it is full
-// the oldest make room, because newer messages supersede them.
+// sendQueue holds the small messages to one peer and sends them in batches. When it is full,
+// the oldest messages are dropped, because newer ones supersede them.
 type sendQueue struct {
 	wake chan struct{} // a signal for each batch that is due
 
@@ -30,7 +30,8 @@
 	return &sendQueue{wake: make(chan struct{}, sendersPerPeer)}
 }
 
-// push appends messages and has a batch sent. Without messages the batch is a mere hello.
+// push appends messages and signals that a batch is due. Without messages the batch is a
+// hello.
 func (q *sendQueue) push(messages []paxos.Message) {
 	q.mu.Lock()
 	for i := range messages {
@@ -78,7 +79,7 @@
 
 	mu       sync.Mutex // guards the fields below
 	messages []paxos.Message
-	inFlight *paxos.Message // the one that is being sent
+	inFlight *paxos.Message // the message that is being sent, or nil
 }
 
 func newBulkQueue() *bulkQueue {
@@ -86,8 +87,8 @@
 }
 
 // enqueue adds a large message unless the same one, or a snapshot of the same cell, is
-// queued or in flight. A message that is still of use without its snapshot, and small then,
-// is handed back for the other queue.
+// queued or in flight. If the message is useful and small without its snapshot, it returns
+// it so for the sendQueue; otherwise it returns nil.
 func (q *bulkQueue) enqueue(message paxos.Message) *paxos.Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -95,7 +96,7 @@
 		if message.Kind == paxos.CatchUpResponse {
 			return nil
 		}
-		// A promise that cannot be counted yet still tells how far its sender is.
+		// A promise that can't be counted yet still carries the sender's progress.
 		message.Snapshot = nil
 		if message.Size() < bulkThresholdBytes {
 			return &message
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// isSameProposal reports whether two large messages say the same.
+// isSameProposal reports whether two large messages have the same content.
 func isSameProposal(a, b *paxos.Message) bool {
 	if a.Cell != b.Cell || a.Kind != b.Kind || a.ProposalNumber != b.ProposalNumber {
 		return false
--- a/internal/controlplane/replicahost/transport.go
+++ b/internal/controlplane/replicahost/transport.go
@@ -12,7 +12,7 @@
 	"comethold/internal/rpc"
 )
 
-// PathMessages is where control nodes send batches to.
+// PathMessages is the RPC path of batches.
 const PathMessages = "/cells"
 
 // Batch is what one control node sends another. Without messages it is a hello.
@@ -30,21 +30,20 @@
 // Time-outs of sending. Their reasons are in docs/design.md.
 const (
 	sendTimeoutBase    = 1500 * time.Millisecond
-	minSendRate        = 16 << 10 // bytes a second; a batch is given a second more for so many
-	minBulkSendRate    = 4 << 10  // of a bulk message; a peer that is down is noticed sooner
+	minSendRate        = 16 << 10 // bytes a second; see sendTimeout
+	minBulkSendRate    = 4 << 10  // of bulk messages, whose connections detect a dead peer sooner
 	maxSendTimeout     = time.Minute
 	bulkDialTimeout    = 2 * time.Second
 	bulkSilenceTimeout = 6 * time.Second
-	bulkUnsentBytes    = 32 << 10 // of a bulk message that may wait in the kernel
+	bulkUnsentBytes    = 32 << 10 // send buffer in the kernel
 	bulkIdleConns      = 1
 	// maxClockBatchBytes is the size up to which a batch carries clocks.
 	maxClockBatchBytes = 4 << 10
-	// sendGrace is how long a send that is under way may go on after stop.
+	// sendGrace is how long the current sends may continue after stop.
 	sendGrace = 100 * time.Millisecond
 )
 
-// sendTimeout is how long a body of so many bytes may be under way, at a minimal rate in
-// bytes a second.
+// sendTimeout returns the time-out of sending a body at a minimal rate in bytes a second.
 func sendTimeout(bytes int, rate float64) time.Duration {
 	transfer := time.Duration(float64(bytes) / rate * float64(time.Second))
 	return min(maxSendTimeout, sendTimeoutBase+transfer)
@@ -60,8 +59,8 @@
 	deliver    deliverFunc // sendBatch, unless a test replaces it
 
 	quit    chan struct{}      // closed by stop
-	sending context.Context    // ends with the senders
-	abort   context.CancelFunc // ends what is being sent
+	sending context.Context    // of all sends
+	abort   context.CancelFunc // cancels sending
 	senders sync.WaitGroup
 
 	mu      sync.Mutex // guards the fields below
@@ -98,8 +97,8 @@
 	return t
 }
 
-// send queues messages to the peer at an address, and takes over the slice. Without messages
-// it sends a hello.
+// send queues messages to the peer at an address. It takes ownership of the slice. Without
+// messages it sends a hello.
 func (t *transport) send(address string, messages []paxos.Message) {
 	queues := t.queuesFor(address)
 	if queues == nil {
@@ -145,7 +144,7 @@
 	return queues
 }
 
-// stop has the senders end after what they are sending.
+// stop ends each sender after its current send.
 func (t *transport) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,7 +187,7 @@
 	}
 }
 
-// sendBatch makes one call. What is lost on the way the replicas send again.
+// sendBatch makes one call. Errors are ignored, since replicas repeat lost messages.
 func (t *transport) sendBatch(client *rpc.Client, rate float64, address string, messages []paxos.Message) {
 	body, err := rpc.EncodeRequest(t.newBatch(messages))
 	if err != nil {
--- a/internal/controlplane/replicahost/view.go
+++ b/internal/controlplane/replicahost/view.go
@@ -10,17 +10,17 @@
 )
 
 // StaleAfter is the quorum contact age from which the state here counts as stale. Nodes
-// other than the leader know of the contact a heartbeat or two later.
+// other than the leader learn of the contact a heartbeat or two later.
 const StaleAfter = 2 * time.Second
 
-// Do runs a function on the event loop and waits for it. Once the host has been stopped, the
-// function has either run to its end by the time Do returns or never will. It must not be
-// called on the event loop.
+// Do runs a function on the event loop and waits for it. If the host is stopped, the function
+// has either completed when Do returns or never runs. It must not be called on the event
+// loop.
 func (h *Host) Do(task func()) { h.loop.do(task) }
 
-// View runs a function on the event loop that looks at this node's replica of a cell. It
-// reports false if there was none to look at, as while the node stops; what the function
-// would have set means nothing then. It must not be called on the event loop.
+// View runs a function on the event loop that reads this node's replica of a cell. It reports
+// false if the function did not run, since there is no replica or the node is stopping. It
+// must not be called on the event loop.
 func (h *Host) View(cell string, read func(*paxos.Replica)) bool {
 	var seen atomic.Bool
 	h.loop.do(func() {
@@ -33,7 +33,7 @@
 }
 
 // Replica returns this node's replica of a cell, or nil. It must be called on the event
-// loop, as from the hook OnApply, and the replica is for use there alone.
+// loop, as from the hook OnApply, and the replica must be used only there.
 func (h *Host) Replica(cell string) *paxos.Replica {
 	if hosted := h.replicas[cell]; hosted != nil {
 		return hosted.replica
@@ -86,8 +86,8 @@
 	return value, found
 }
 
-// IsVoter reports whether this node votes in the meta cell: only those who do hear every
-// control node.
+// IsVoter reports whether this node votes in the meta cell. Only voters receive messages
+// from every control node.
 func (h *Host) IsVoter() (isVoter bool) {
 	h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		isVoter = replica.IsVoter()
@@ -95,8 +95,8 @@
 	return isVoter
 }
 
-// QuorumContactAge is the time since a majority of the meta cell surely followed the leader
-// whose state is applied here; 0 if there is no replica of that cell here.
+// QuorumContactAge returns the time since a majority of the meta cell is known to have
+// followed the leader whose state is applied here; 0 if there is no replica of that cell.
 func (h *Host) QuorumContactAge() (age time.Duration) {
 	h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		age = replica.Staleness(h.now())
@@ -104,15 +104,16 @@
 	return age
 }
 
-// stability notes when the meta cell was not at rest, as far as this node knows.
+// stability records when the meta cell was last unstable, as far as this node knows. Times
+// are counted from the creation of the host.
 type stability struct {
-	leader       paxos.ReplicaID // at the last look
-	voters       []paxos.Voter   // at the last look
-	disturbedAt  time.Duration   // when one of them changed, a node came, or the quorum was out of touch
+	leader       paxos.ReplicaID // as last observed
+	voters       []paxos.Voter   // as last observed
+	disturbedAt  time.Duration   // see Stability.SinceDisturbed
 	voterAddedAt time.Duration
 }
 
-// observeStability takes a look at the meta cell.
+// observeStability compares the meta cell with its last observation.
 func (h *Host) observeStability(now time.Duration) {
 	replica := h.Replica(schema.MetaCell)
 	if replica == nil {
@@ -133,21 +134,22 @@
 	last.disturbedAt = now
 }
 
-// Stability is for how long the meta cell has been at rest, as far as this node knows.
+// Stability describes how long the meta cell has been stable, as far as this node knows.
 type Stability struct {
 	Voters []paxos.Voter
 	// MembershipInEffect says that the newest membership is in effect.
 	MembershipInEffect bool
-	// Age is that of the replica here.
+	// Age is the time since the replica was opened here.
 	Age time.Duration
-	// SinceDisturbed is the time since the leader or the voters changed, a node came, or
-	// the quorum was out of touch.
+	// SinceDisturbed is the time since the leader or the voters changed, a node joined or
+	// returned, or the quorum was out of contact.
 	SinceDisturbed time.Duration
-	// SinceVoterAdded is the time since the cell got a further voter.
+	// SinceVoterAdded is the time since a voter was added to the cell.
 	SinceVoterAdded time.Duration
 }
 
-// Stability looks at the meta cell. It reports false if there is no replica of it here.
+// Stability returns the stability of the meta cell. It reports false if there is no replica
+// of it here.
 func (h *Host) Stability() (s Stability, found bool) {
 	found = h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		now := h.now()
