--- a/internal/controlplane/endpointlist/fetcher.go
+++ b/internal/controlplane/endpointlist/fetcher.go
@@ -13,7 +13,7 @@
 // from a peer.
 const fetchDelay = 300 * time.Millisecond
 
-// Fetcher fetches lists from peers that hold newer ones: the poller may not reach this node.
+// Fetcher fetches newer lists from peers, in case the poller can't reach this node.
 type Fetcher struct {
 	store Store
 	peers Peers
@@ -23,19 +23,19 @@
 	background taskgroup.Group
 }
 
-// NewFetcher makes a fetcher. Run must be running.
+// NewFetcher makes a fetcher. Run must be called to end its fetches.
 func NewFetcher(store Store, peers Peers) *Fetcher {
 	return &Fetcher{store: store, peers: peers, stopping: make(chan struct{})}
 }
 
-// Run waits until ctx is done, lets no further fetch begin and waits for the one that runs.
+// Run waits until ctx is done, prevents further fetches and waits for the current one.
 func (f *Fetcher) Run(ctx context.Context) {
 	<-ctx.Done()
 	close(f.stopping)
 	f.background.Close()
 }
 
-// OnPeerRevision takes the revision that a peer says it holds. It doesn't wait; a newer list is
+// OnPeerRevision is called with the revision that a peer holds. If it is newer, the list is
 // fetched in the background, one at a time.
 func (f *Fetcher) OnPeerRevision(address string, revision distribution.Revision) {
 	if !f.store.EndpointsRevision().Less(revision) || !f.isFetching.CompareAndSwap(false, true) {
@@ -54,7 +54,7 @@
 		return
 	}
 	if !f.store.EndpointsRevision().Less(revision) {
-		return // the broadcast has come
+		return // the broadcast has arrived
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/controlplane/endpointlist/poller.go
+++ b/internal/controlplane/endpointlist/poller.go
@@ -1,9 +1,9 @@
-// Package endpointlist keeps the platform's list of endpoints on the control nodes. One of
-// them, which holds a lease, polls the platform and broadcasts what it gets; the others take
-// the list from it, or fetch it from a peer that has a newer one.
+// Package endpointlist keeps the platform's list of endpoints on the control nodes. The owner
+// of a lease polls the platform and broadcasts the list; the others receive it, or fetch it
+// from a peer that has a newer one.
 //
-// A list bears the term of the lease and a sequence number, so of two lists all nodes keep
-// the same.
+// The revision of a list is the term of the lease and a sequence number, so all nodes agree
+// on which of two lists is newer.
 package endpointlist
 
 import (
@@ -21,26 +21,25 @@
 
 // Paths between control nodes.
 const (
-	PathPush  = "/list"      // takes a list, or a revision alone, and answers with the one held
-	PathFetch = "/list/read" // answers with the list held
+	PathPush  = "/list"      // sends a list, or only its revision; returns the revision held
+	PathFetch = "/list/read" // returns the list held
 )
 
-// Times of the poller. The reasons for these values are in docs/design.md.
+// Timing of the poller. The reasons for these values are in docs/design.md.
 const (
 	minPollInterval = 800 * time.Millisecond
-	// leaseCheckInterval is how often a node that doesn't poll looks whether it should.
+	// leaseCheckInterval is how often a node without the lease checks whether it has it now.
 	leaseCheckInterval = minPollInterval / 4
-	// pollFraction is the part of the time within which draining must be heeded that passes
-	// between two polls.
+	// pollFraction is the interval between two polls as a fraction of the drain time-out.
 	pollFraction = 0.3
-	// listTimeout is for all pages of a list; each has a time-out of its own.
+	// listTimeout is for all pages of a list; each page has its own time-out.
 	listTimeout = 10 * time.Second
-	// revisionInterval is how often peers are sent the revision of a list that is unchanged.
+	// revisionInterval is how often the revision of an unchanged list is sent to peers.
 	revisionInterval = time.Second
 	callTimeout      = time.Second
 )
 
-// maxPollFailures is after how many polls in a row that failed another node may try.
+// maxPollFailures is the number of consecutive failed polls after which the lease is yielded.
 const maxPollFailures = 3
 
 // Platform lists the endpoints. *discovery.Client implements it.
@@ -48,10 +47,10 @@
 	List(ctx context.Context) ([]distribution.Endpoint, error)
 }
 
-// Lease tells whether this node is the one that polls.
+// Lease is the lease of the node that polls.
 type Lease interface {
 	Held() (term uint64, held bool)
-	// Yield gives the lease back and lets others go first.
+	// Yield releases the lease and lets others acquire it first.
 	Yield(ctx context.Context)
 }
 
@@ -72,13 +71,12 @@
 
 // PollerOptions are what a Poller is made from.
 type PollerOptions struct {
-	Platform Platform
-	Lease    Lease
-	Store    Store
-	Peers    Peers
-	// SelfAddress is that of this node, which is not called.
-	SelfAddress string
-	// DrainTimeout is the time within which it must be heeded that an endpoint drains.
+	Platform    Platform
+	Lease       Lease
+	Store       Store
+	Peers       Peers
+	SelfAddress string // of this node, to which the list is not sent
+	// DrainTimeout is the time within which a draining endpoint must get no more requests.
 	DrainTimeout time.Duration
 	// OnChange is called when the list has changed.
 	OnChange func()
@@ -93,7 +91,7 @@
 
 	// The fields below belong to Run.
 
-	failures    int // polls in a row
+	failures    int // consecutive
 	broadcastAt time.Time
 }
 
@@ -117,7 +115,8 @@
 	}
 }
 
-// poll asks the platform for its list, if this node is to, and returns when to do so next.
+// poll updates the list from the platform if this node holds the lease. It returns the pause
+// before the next poll.
 func (p *Poller) poll(ctx context.Context) (pause time.Duration) {
 	term, held := p.options.Lease.Held()
 	if !held {
@@ -131,7 +130,7 @@
 	}
 	p.failures = 0
 	if now, held := p.options.Lease.Held(); !held || now != term {
-		return p.interval // too late: the lease ended before the platform answered
+		return p.interval // the lease ended before the platform answered
 	}
 	isNew := p.update(term, endpoints)
 	if isNew || time.Since(p.broadcastAt) >= revisionInterval {
@@ -142,7 +141,7 @@
 	return p.interval
 }
 
-// list calls the platform. A call that was begun is brought to its end when the node stops.
+// list calls the platform. The call is not cancelled when the node stops.
 func (p *Poller) list(ctx context.Context) ([]distribution.Endpoint, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), listTimeout)
 	defer cancel()
@@ -164,7 +163,7 @@
 // update stores a list and reports whether it differs from the one held.
 func (p *Poller) update(term uint64, endpoints []distribution.Endpoint) bool {
 	if endpoints == nil {
-		endpoints = []distribution.Endpoint{} // on the wire, a list without any differs from a revision alone
+		endpoints = []distribution.Endpoint{} // nil would mean a revision without a list on the wire
 	}
 	next := &distribution.EndpointList{
 		Revision:  distribution.Revision{Term: term, Sequence: 1},
@@ -186,8 +185,8 @@
 	return true
 }
 
-// broadcast hands a list to the other control nodes: whole if it is new, or else its
-// revision, followed by the whole where a node holds an older one.
+// broadcast sends a list to the other control nodes: in full if it is new, otherwise its
+// revision first, and the list only to nodes that hold an older one.
 func (p *Poller) broadcast(ctx context.Context, list *distribution.EndpointList, isNew bool) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -203,7 +202,7 @@
 func (p *Poller) push(ctx context.Context, address string, list *distribution.EndpointList, isNew bool) {
 	var held distribution.Revision
 	if isNew {
-		_ = p.options.Peers.CallPeer(ctx, address, PathPush, list, &held) // it fetches the list if this fails
+		_ = p.options.Peers.CallPeer(ctx, address, PathPush, list, &held) // if this fails, the peer fetches the list
 		return
 	}
 	revisionOnly := &distribution.EndpointList{Revision: list.Revision}
@@ -213,7 +212,7 @@
 	}
 }
 
-// peerAddresses is the set of the other control nodes that are known or were heard.
+// peerAddresses returns the set of addresses of the other control nodes.
 func (p *Poller) peerAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	p.options.Peers.Do(func() {
--- a/internal/controlplane/nodereports/tracker.go
+++ b/internal/controlplane/nodereports/tracker.go
@@ -1,7 +1,7 @@
-// Package nodereports keeps what nodes tell the control node that they get their updates
-// from: that they are there, which of their neighbours they miss, and which endpoints they
-// found faulty or well again. It decides nothing; reconcilers read it and write what
-// enough nodes agree on into the replicated state.
+// Package nodereports keeps the reports that nodes send with their requests for updates:
+// that they are live, which neighbours' heartbeats they miss, and which endpoints they found
+// faulty or healthy again. It decides nothing; the reconcilers write into the replicated
+// state what enough nodes agree on.
 package nodereports
 
 import (
@@ -11,7 +11,7 @@
 	"comethold/internal/distribution"
 )
 
-// Lifetimes of what nodes report. The reasons for these values are in docs/design.md.
+// Lifetimes of reports. The reasons for these values are in docs/design.md.
 const (
 	ContactLifetime   = 3 * time.Second // of a node that calls
 	SuspicionLifetime = 4 * time.Second // of a neighbour's report that it misses a node
@@ -25,7 +25,7 @@
 type Tracker struct {
 	mu         sync.Mutex // guards the fields below
 	contacts   map[string]contact
-	suspicions map[string]witnesses // by the node that is missed
+	suspicions map[string]witnesses // by the name of the suspected node
 	faults     map[string]*fault    // by endpoint
 	recoveries map[string]recovery  // by endpoint
 }
@@ -35,7 +35,7 @@
 	at   time.Time
 }
 
-// witnesses are the names of nodes that report the same, with the time of the last report.
+// witnesses holds, by node name, the time of the last report of the same fact.
 type witnesses map[string]time.Time
 
 // forget drops the witnesses that reported before a time.
@@ -52,7 +52,7 @@
 	last       distribution.HealthReport
 }
 
-// recovery is kept for a while, in case the ejection cannot be lifted at once.
+// recovery is kept for ReportLifetime, in case the ejection can't be lifted at once.
 type recovery struct {
 	report distribution.HealthReport
 	at     time.Time
@@ -68,8 +68,8 @@
 	}
 }
 
-// Record notes who calls and what it reports. It returns whether there is something in it
-// that a reconciler should look at soon: a node that was not known, or an endpoint's health.
+// Record records the contact with a node and its reports. isUrgent says that a reconciler
+// should run soon: the node is new, or the health of an endpoint is reported.
 func (t *Tracker) Record(request *distribution.UpdateRequest, now time.Time) (isUrgent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,8 +122,8 @@
 	return nodes
 }
 
-// Suspects returns how many nodes miss a node, by its name. A node whose last suspicion has
-// just expired is listed once more, with 0.
+// Suspects returns, by node name, how many nodes suspect a node. A node whose last suspicion
+// has just expired is listed once more, with 0.
 func (t *Tracker) Suspects(now time.Time) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,14 +138,14 @@
 	return counts
 }
 
-// ClearSuspicion forgets that a node is missed: it has answered.
+// ClearSuspicion drops the suspicions of a node that has answered.
 func (t *Tracker) ClearSuspicion(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.suspicions, name)
 }
 
-// Health is what reporters agree on: endpoints with a fault, and endpoints that are well.
+// Health holds the agreed reports: faulty endpoints and recovered ones.
 type Health struct {
 	Faults     []distribution.HealthReport
 	Recoveries []distribution.HealthReport
@@ -155,7 +155,7 @@
 func (h Health) IsEmpty() bool { return len(h.Faults)+len(h.Recoveries) == 0 }
 
 // Health returns the faults that WitnessesRequired nodes reported within ReportLifetime, and
-// the recoveries that any node did.
+// the recoveries that at least one node reported.
 func (t *Tracker) Health(now time.Time) (agreed Health) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,7 +177,7 @@
 	return agreed
 }
 
-// Resolve forgets reports that the replicated state now says.
+// Resolve drops reports that are now in the replicated state.
 func (t *Tracker) Resolve(done Health) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/controlplane/outboxpublisher/consumer.go
+++ b/internal/controlplane/outboxpublisher/consumer.go
@@ -19,22 +19,22 @@
 // InboxStorageKey is the key of the node's storage under which the inbox is kept.
 const InboxStorageKey = "inbox"
 
-// Distributor hands notifications to the data plane nodes, and knows which state they
-// belong to.
+// Distributor sends notifications to the data plane nodes. It also holds the state that the
+// notifications announce.
 type Distributor interface {
 	// LatestConfiguration returns the newest configuration held here, or nil.
 	LatestConfiguration() *routing.Configuration
 	// PurgePosition returns the log index up to which purges are held here.
 	PurgePosition() uint64
-	// AddNotifications has nodes notified; those that it knows are left out.
+	// AddNotifications queues notifications for the nodes; known ones are skipped.
 	AddNotifications(notifications []distribution.OutboxNotification)
 }
 
-// NodeStorage keeps values of this node alone.
+// NodeStorage stores values that belong to this node.
 type NodeStorage interface {
 	// NodeValue returns a stored value, or nil.
 	NodeValue(key string) []byte
-	// QueueNodeValue stores a value soon.
+	// QueueNodeValue stores a value without waiting for it to become durable.
 	QueueNodeValue(key string, value []byte)
 }
 
@@ -44,14 +44,14 @@
 	Distributor Distributor
 	Storage     NodeStorage
 	Quarantine  *Quarantine
-	// OnConfiguration is called when a configuration comes into force here, and may be
-	// called again with the same one.
+	// OnConfiguration is called when a configuration takes effect here. It may be called
+	// again with the same one.
 	OnConfiguration func(*routing.Configuration)
 	Log             *logging.Logger
 }
 
-// Consumer is this control node as a receiver of notifications: the rows of the outbox reach
-// it with the log of the meta cell.
+// Consumer applies the notifications of the outbox on this control node. It reads the rows
+// from the local replica of the meta cell.
 type Consumer struct {
 	options ConsumerOptions
 	wakeup  chan struct{} // holds an element when the outbox may have changed
@@ -63,7 +63,7 @@
 	loggedQuarantines map[string]bool // event IDs whose quarantine was logged
 }
 
-// NewConsumer returns a Consumer that goes on from the stored inbox.
+// NewConsumer returns a Consumer that continues with the stored inbox.
 func NewConsumer(options ConsumerOptions) *Consumer {
 	return &Consumer{
 		options:           options,
@@ -86,7 +86,7 @@
 	return inbox
 }
 
-// Wake has Run look at the outbox soon. It does not block.
+// Wake makes Run check the outbox. It does not block.
 func (c *Consumer) Wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -107,16 +107,15 @@
 	}
 }
 
-// Receive takes notifications from a publisher. It reports, for each of them, whether this
-// node is done with it, now or from before.
+// Receive handles a delivery of a publisher. It reports, for each notification, whether this
+// node has applied it or can never apply it. It applies nothing but the rows in the local
+// replica, because the log defines their order; the publisher retries the others.
 func (c *Consumer) Receive(notifications []outbox.Notification) (done []bool) {
-	c.Apply() // what the log of the meta cell has brought already
+	c.Apply()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range notifications {
 		notification := &notifications[i]
-		// Only what comes with the log is applied, since the log has the order. What has
-		// not come yet is not done, and the publisher tries again.
 		invalid := notification.Validate() != nil
 		applied := c.inbox.AppliedVersions[notification.Aggregate] >= notification.Version
 		done = append(done, invalid || applied)
@@ -124,15 +123,15 @@
 	return done
 }
 
-// AppliedVersions returns, by aggregate, up to which version notifications were applied.
+// AppliedVersions returns, by aggregate, the version up to which notifications were applied.
 func (c *Consumer) AppliedVersions() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.inbox.AppliedVersions)
 }
 
-// Apply decides what the outbox holds before it brings anything into force here, and passes
-// it on to the nodes that this control node feeds.
+// Apply decides the rows of the outbox, passes them to the distributor, and puts the current
+// configuration into effect here once its notification is decided.
 func (c *Consumer) Apply() {
 	rows := outboxRows(c.options.State)
 	c.mu.Lock()
@@ -158,13 +157,13 @@
 	}
 }
 
-// decideLocked decides the rows in their order. It returns what nodes may be notified of,
-// and whether the inbox has changed.
+// decideLocked decides the rows in order. It returns the notifications to distribute, and
+// whether the inbox has changed.
 func (c *Consumer) decideLocked(
 	rows []schema.StoredRow, heldVersions map[string]uint64,
 ) (decided []distribution.OutboxNotification, changed bool) {
-	// Nodes ask for what is after the newest index that they know: what comes after a
-	// notification that is deferred, or at its index, waits with it.
+	// Nodes request the notifications after the newest index that they hold. So those at or
+	// after the index of a deferred notification wait for it.
 	deferredIndex := uint64(math.MaxUint64)
 	for i := range rows {
 		notification := &rows[i].Row.Notification
@@ -172,7 +171,7 @@
 		held := heldVersions[notification.Aggregate]
 		applied := c.inbox.AppliedVersions[notification.Aggregate]
 		if notification.Version <= held && notification.PreviousVersion > applied {
-			// What was between is in the state that is held here; its rows are swept.
+			// The rows in between were swept, but the state held here includes their changes.
 			c.inbox.SetBaseVersion(notification.Aggregate, notification.PreviousVersion)
 		}
 		decision, reason := c.inbox.Decide(notification, held)
@@ -192,8 +191,8 @@
 	return decided, changed
 }
 
-// quarantineLocked logs and quarantines a notification once. The commit must not hold up the
-// notifications that follow.
+// quarantineLocked logs and quarantines a notification once. It doesn't wait for the commit,
+// so that later notifications are not delayed.
 func (c *Consumer) quarantineLocked(notification *outbox.Notification, reason error) {
 	if c.loggedQuarantines[notification.EventID] {
 		return
@@ -204,8 +203,8 @@
 	c.quarantining.Go(func() { c.options.Quarantine.Add(notification, reason.Error()) })
 }
 
-// catchUpLocked notes a configuration that came with the state instead of a notification. It
-// reports whether there was one.
+// catchUpLocked records the version of a configuration that was received with the state, so
+// that its notification is not in the outbox. It reports whether the inbox has changed.
 func (c *Consumer) catchUpLocked(rows []schema.StoredRow, version uint64) bool {
 	if c.inbox.AppliedVersions[outbox.AggregateConfiguration] >= version || c.hasUndecidedLocked(rows, version) {
 		return false
@@ -214,8 +213,8 @@
 	return true
 }
 
-// hasUndecidedLocked reports whether the outbox holds a configuration change, up to a version,
-// that is not applied.
+// hasUndecidedLocked reports whether the outbox holds an unapplied configuration change of at
+// most the given version.
 func (c *Consumer) hasUndecidedLocked(rows []schema.StoredRow, version uint64) bool {
 	applied := c.inbox.AppliedVersions[outbox.AggregateConfiguration]
 	return slices.ContainsFunc(rows, func(stored schema.StoredRow) bool {
--- a/internal/controlplane/outboxpublisher/publisher.go
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -14,7 +14,7 @@
 	"comethold/internal/paxos"
 )
 
-// DeliverPath is where a control node takes notifications from a publisher.
+// DeliverPath is the RPC path of deliveries of notifications.
 const DeliverPath = "/notices"
 
 const (
@@ -22,7 +22,7 @@
 	deliveryTimeout = 1500 * time.Millisecond // of one delivery to one control node
 )
 
-// Lease tells whether this node is the one that publishes.
+// Lease is the lease of the node that publishes.
 type Lease interface {
 	// Held returns the term under which this node holds the lease now.
 	Held() (term uint64, held bool)
@@ -41,21 +41,21 @@
 	State State
 	Lease Lease
 	Peers Peers
-	Local *Consumer // this node's own, which needs no RPC
+	Local *Consumer // of this node, called without an RPC
 	Self  replicahost.PeerInfo
 	Log   *logging.Logger
 }
 
-// Publisher delivers what the outbox holds, while this node holds the lease.
+// Publisher delivers the rows of the outbox while this node holds the lease.
 type Publisher struct {
 	options PublisherOptions
 
-	// observed is used by the goroutine of Run alone: by key, how long rows have been as
-	// they are, by this node's clock. Leases of claims and retry delays are counted so.
+	// observed records, by key, since when each row has been unchanged by this node's clock.
+	// Leases of claims and retry delays are counted from then. Only Run's goroutine uses it.
 	observed map[string]observedRow
 }
 
-// observedRow is a row as it has been seen since a time.
+// observedRow is the content of a row and when it was first seen.
 type observedRow struct {
 	raw   string
 	since time.Time
@@ -66,7 +66,7 @@
 	return &Publisher{options: options, observed: map[string]observedRow{}}
 }
 
-// Run publishes until the context ends. What is being delivered then is brought to its end.
+// Run publishes until the context ends, and completes the delivery under way.
 func (p *Publisher) Run(ctx context.Context) {
 	for {
 		select {
@@ -83,8 +83,8 @@
 	}
 }
 
-// publish removes old rows, claims what is due, delivers it and records what became of it.
-// owner is the token of its claims.
+// publish removes old rows, claims the rows that are due, delivers them and records the
+// outcome. owner is the token of its claims.
 func (p *Publisher) publish(ctx context.Context, owner string) {
 	swept := SweepRows(outboxRows(p.options.State))
 	if len(swept.Txn.Ops) > 0 && p.options.State.Commit(swept.Txn) {
@@ -121,8 +121,8 @@
 	p.options.State.Commit(txn)
 }
 
-// claimRows makes the transaction that claims the rows that are due; it holds only if they
-// are as they were read. The rows are returned as they are once it is committed.
+// claimRows makes the transaction that claims the rows that are due, on condition that they
+// are unchanged. It returns the rows as they will be stored.
 func (p *Publisher) claimRows(
 	rows []schema.StoredRow, owner string, now time.Time,
 ) (claimed []schema.StoredRow, txn paxos.Txn) {
@@ -143,7 +143,7 @@
 	return claimed, txn
 }
 
-// observe notes since when rows have been as they are, and forgets those that are gone.
+// observe updates observed for the current rows.
 func (p *Publisher) observe(rows []schema.StoredRow, now time.Time) {
 	present := map[string]bool{}
 	for _, stored := range rows {
@@ -155,8 +155,8 @@
 	maps.DeleteFunc(p.observed, func(key string, _ observedRow) bool { return !present[key] })
 }
 
-// deliver sends notifications to every live control node. It reports, for each of them,
-// whether all nodes are done with it.
+// deliver sends notifications to every live control node. It reports, for each notification,
+// whether all nodes are done with it; see Consumer.Receive.
 func (p *Publisher) deliver(ctx context.Context, rows []schema.StoredRow) []bool {
 	notifications := make([]outbox.Notification, len(rows))
 	delivered := make([]bool, len(rows))
--- a/internal/controlplane/outboxpublisher/quarantine.go
+++ b/internal/controlplane/outboxpublisher/quarantine.go
@@ -6,18 +6,18 @@
 	"comethold/internal/paxos"
 )
 
-// maxQuarantined bounds the quarantine: the oldest records make room for new ones.
+// maxQuarantined bounds the quarantine. The first records in key order are deleted for new
+// ones.
 const maxQuarantined = 64
 
-// Quarantine keeps what contradicts an earlier notification for the operator to look at,
-// apart from the healthy ones.
+// Quarantine stores, for the operator, notifications that contradict earlier ones.
 type Quarantine struct {
 	state    State
 	nodeName string
 }
 
-// NewQuarantine returns the quarantine in the replicated state. nodeName is noted as who
-// reported what is added.
+// NewQuarantine returns the quarantine in the replicated state. nodeName is recorded as the
+// reporter of new records.
 func NewQuarantine(state State, nodeName string) *Quarantine {
 	return &Quarantine{state: state, nodeName: nodeName}
 }
--- a/internal/controlplane/outboxpublisher/state.go
+++ b/internal/controlplane/outboxpublisher/state.go
@@ -5,19 +5,19 @@
 	"comethold/internal/paxos"
 )
 
-// StateReader reads the replicated state that the outbox stands in.
+// StateReader reads the replicated state that contains the outbox.
 type StateReader interface {
-	// View runs a function that looks at the state of the meta cell as it is applied here.
-	// It reports false if there is none to look at.
+	// View runs a function that reads the applied state of the meta cell. It reports false
+	// if the function did not run.
 	View(read func(*paxos.Replica)) bool
 }
 
-// State reads and changes the replicated state that the outbox stands in.
+// State reads and changes the replicated state that contains the outbox.
 type State interface {
 	StateReader
-	// Commit proposes a transaction to the meta cell and reports whether it was surely
-	// committed. It gives up after a time of its own and is not cancelled when the node
-	// stops: what was delivered should be noted.
+	// Commit proposes a transaction to the meta cell and reports whether it is known to be
+	// committed. It has its own time-out and is not cancelled when the node stops, so that
+	// deliveries are recorded.
 	Commit(txn paxos.Txn) bool
 }
 
--- a/internal/controlplane/outboxpublisher/sweep.go
+++ b/internal/controlplane/outboxpublisher/sweep.go
@@ -13,8 +13,8 @@
 	DroppedEvents []string           // event IDs of removed rows that were not published
 }
 
-// SweepRows makes the transaction that removes the oldest rows where there are too many. It
-// does nothing else: what control nodes claim of the other rows must not hold it up.
+// SweepRows makes the transaction that removes the oldest rows if there are too many. It
+// changes no other rows, so that claims of these can't make it fail.
 func SweepRows(rows []schema.StoredRow) (sweep Sweep) {
 	published, unsent := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
@@ -34,8 +34,8 @@
 		}
 		sweep.Txn.Ops = append(sweep.Txn.Ops, schema.DeleteOp(stored.Key))
 		if isPublished {
-			sweep.Txn.Conditions = append(sweep.Txn.Conditions, stored.Unchanged()) // it may be redriven
-		} else { // whatever has become of it: no row comes back under its key
+			sweep.Txn.Conditions = append(sweep.Txn.Conditions, stored.Unchanged()) // a redrive makes it pending again
+		} else { // removed in any state, since its key is never reused
 			sweep.DroppedEvents = append(sweep.DroppedEvents, stored.Row.Notification.EventID)
 		}
 	}
--- a/internal/controlplane/placement/formation.go
+++ b/internal/controlplane/placement/formation.go
@@ -6,24 +6,22 @@
 	"comethold/internal/controlplane/replicahost"
 )
 
-// Times of the formation of the meta cell. The reasons for these values are in
+// Timing of the formation of the meta cell. The reasons for these values are in
 // docs/design.md.
 const (
-	greetingPeriod   = time.Second     // in which control nodes that start together have met
-	formationTimeout = 5 * time.Second // in which a new cell should have its voters
-	quietPeriod      = 3 * time.Second // in which a cell at rest takes in whoever can be a voter
+	greetingPeriod   = time.Second     // control nodes that start together meet within it
+	formationTimeout = 5 * time.Second // a new cell should get its voters within it
+	quietPeriod      = 3 * time.Second // a stable cell adds every possible voter within it
 )
 
-// FormationHost is what tells how far the meta cell is formed. *replicahost.Host implements
-// it.
+// FormationHost provides the state of the formation. *replicahost.Host implements it.
 type FormationHost interface {
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 	Stability() (cell replicahost.Stability, found bool)
 }
 
-// IsForming reports whether the meta cell has yet to get the voters that make it bear the
-// losses that it must bear, and will get them: what it commits before could be lost with
-// fewer disks.
+// IsForming reports whether the meta cell is still adding its first voters. What it commits
+// now could be lost with fewer disk losses than it must tolerate.
 func IsForming(host FormationHost, voters int) bool {
 	live := host.LivePeers(replicahost.LearnerTimeout)
 	cell, found := host.Stability()
@@ -36,10 +34,10 @@
 	return isForming(cell, len(live), voters)
 }
 
-// isForming decides it by how many live nodes have no vote. With too few voters the cell is
-// forming while this node started a moment ago, and until the cell has been at rest for
-// quietPeriod: a node that is no voter by then can't be one, as with a faulty disk, and
-// changes can't wait for it for ever.
+// isForming decides IsForming. A cell with too few voters is forming for greetingPeriod after
+// the start of this node, until it has been stable for quietPeriod, and for formationTimeout
+// if there are live nodes without a vote. A node that has no vote by then can't become a
+// voter, for example because its disk is faulty, and changes must not wait for it forever.
 func isForming(cell replicahost.Stability, liveWithoutVote, voters int) bool {
 	switch {
 	case len(cell.Voters) < voters:
@@ -47,7 +45,7 @@
 			cell.SinceDisturbed < quietPeriod ||
 			liveWithoutVote > 0 && cell.Age < formationTimeout
 	case len(cell.Voters) == voters && !cell.MembershipInEffect:
-		// The last of them may not hold the state yet.
+		// The last voter may not hold the state yet.
 		return cell.Age < formationTimeout || cell.SinceVoterAdded < formationTimeout
 	}
 	return false
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -1,7 +1,7 @@
-// Package placement keeps the voters of each cell where they bear the loss of machines and
-// zones: it adds voters to cells that have too few, and replaces those whose machine is
-// lost. One node plans the moves, under a lease; the leader of a cell carries each out, and
-// checks it against what the cell's state is by then.
+// Package placement places the voters of each cell so that it survives the loss of machines
+// and zones: it adds voters to cells that have too few, and replaces those whose machine is
+// lost. The owner of a lease plans the moves. The leader of a cell checks each move against
+// the current state of the cell and executes it.
 package placement
 
 import (
@@ -15,21 +15,21 @@
 	"comethold/internal/paxos"
 )
 
-// PathMove is where the leader of a cell takes a MoveRequest.
+// PathMove is the RPC path of a MoveRequest to the leader of a cell.
 const PathMove = "/move"
 
 const (
 	planInterval  = 400 * time.Millisecond
-	retryInterval = planInterval / 4 // while voters are to move
+	retryInterval = planInterval / 4 // while moves are planned
 	moveTimeout   = 1200 * time.Millisecond
-	// minReplicaAge is how old a replica is at least before the voters of its cell are moved.
+	// minReplicaAge is how long a replica must be open before moves of its cell are planned.
 	minReplicaAge = time.Second
 )
 
-// MoveRequest asks the leader of a cell to give the vote of a replica to another one.
+// MoveRequest asks the leader of a cell to replace a voter, or to add one.
 type MoveRequest struct {
 	Cell   string          `cbor:"1,keyasint"`
-	Remove paxos.ReplicaID `cbor:"2,keyasint"` // empty where a voter is added
+	Remove paxos.ReplicaID `cbor:"2,keyasint"` // empty to add a voter
 	Add    paxos.Voter     `cbor:"3,keyasint"`
 }
 
@@ -44,7 +44,7 @@
 	CallPeer(ctx context.Context, address, path string, request, response any) error
 }
 
-// Lease tells whether this node is the one that plans moves.
+// Lease is the lease of the node that plans moves.
 type Lease interface {
 	Held() (term uint64, held bool)
 }
@@ -53,7 +53,7 @@
 type Options struct {
 	Host     Host
 	Lease    Lease
-	Voters   int // that each cell should have
+	Voters   int // the intended number in each cell
 	RegionOf func(zone string) string
 	Log      *logging.Logger
 }
@@ -66,8 +66,8 @@
 // NewMover makes a mover. Run starts it.
 func NewMover(options Options) *Mover { return &Mover{options: options} }
 
-// Run moves voters while this node holds the lease, until ctx is done. A move that was begun
-// is brought to its end.
+// Run moves voters while this node holds the lease, until ctx is done. It completes the moves
+// under way.
 func (m *Mover) Run(ctx context.Context) {
 	pause := planInterval
 	for {
@@ -84,15 +84,15 @@
 	}
 }
 
-// plannedMove is a request with where it is to be made.
+// plannedMove is a request and the leader to send it to.
 type plannedMove struct {
 	request       MoveRequest
-	leaderAddress string // empty if that is not known
+	leaderAddress string // empty if unknown
 	isLocal       bool   // this node leads the cell
 }
 
-// moveVoters carries out the moves that the cells need, of each cell one, and reports
-// whether there were any: until all are done a further loss may be one too many.
+// moveVoters executes at most one move per cell and reports whether any was needed. Until no
+// more are needed, a cell may not survive a further loss, so Run retries sooner.
 func (m *Mover) moveVoters(ctx context.Context) bool {
 	moves := m.planMoves()
 	var calls sync.WaitGroup
@@ -133,7 +133,7 @@
 	return moves
 }
 
-// carryOut asks the leader of the cell. What fails is planned again.
+// carryOut sends the move to the leader of the cell. A failed move is planned again.
 func (m *Mover) carryOut(ctx context.Context, planned plannedMove) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
@@ -147,8 +147,8 @@
 	}
 }
 
-// MoveLocal moves a vote at this node, which must lead the cell: once the newcomer has
-// caught up and the move before it is done. Until then the result is Busy.
+// MoveLocal executes a move at this node. The result is NoLeader if this node does not lead
+// the cell, and Busy until the new replica has caught up and the move before is in effect.
 func (m *Mover) MoveLocal(ctx context.Context, request *MoveRequest) replicahost.ProposeResult {
 	result := replicahost.ProposeResult{NoLeader: true}
 	var txn paxos.Txn
@@ -174,7 +174,7 @@
 	return result
 }
 
-// moveTxn makes the transaction of a move; false if it must not be made now.
+// moveTxn makes the transaction of a move. isDue is false if the move is not allowed now.
 func moveTxn(replica *paxos.Replica, request *MoveRequest, maxVoters int) (txn paxos.Txn, isDue bool) {
 	voters, inEffect := replica.Voters()
 	if !inEffect || !hasCaughtUp(replica, request.Add.ID) {
@@ -202,7 +202,7 @@
 	}, true
 }
 
-// hasCaughtUp reports whether a replica has nearly all that is committed on its disk.
+// hasCaughtUp reports whether a replica has stored all but the last few committed entries.
 func hasCaughtUp(leader *paxos.Replica, id paxos.ReplicaID) bool {
 	has := leader.DurableCommitIndex(id)
 	applied := leader.AppliedIndex()
--- a/internal/controlplane/placement/plan.go
+++ b/internal/controlplane/placement/plan.go
@@ -5,7 +5,7 @@
 	"comethold/internal/paxos"
 )
 
-// VotersFor is how many voters a cell needs to bear the loss of so many machines.
+// VotersFor returns the number of voters with which a cell survives the given losses.
 func VotersFor(losses int) int { return 2*losses + 1 }
 
 // survivesZoneLoss reports whether no zone holds a majority of the voters.
@@ -24,12 +24,12 @@
 	return true
 }
 
-// situation is what a move is planned by.
+// situation is the input from which a move is planned.
 type situation struct {
 	voters   []paxos.Voter
 	live     map[string]replicahost.PeerInfo // by address
 	isSilent func(address string) bool
-	want     int // voters
+	want     int // intended number of voters
 	regionOf func(zone string) string
 }
 
@@ -39,10 +39,13 @@
 	add    paxos.Voter
 }
 
-// plan decides the one move that a cell needs most, if any: a machine that came back with
-// an empty disk takes over its former place; a voter that is silent for long is replaced by
-// a node that has no vote; a cell with too few voters gets one more. Newcomers come from
-// the zone, then the region, with the fewest voters.
+// plan returns the most urgent move of a cell, if any is needed:
+//
+//   - a voter whose machine returned with an empty disk is replaced by its new replica;
+//   - a cell with too few voters gets one more;
+//   - a voter that is out of contact for DownTimeout is replaced by a node without a vote.
+//
+// New voters come from the zone, then the region, with the fewest voters.
 func (s *situation) plan() (planned move, needed bool) {
 	for _, voter := range s.voters {
 		if peer, isLive := s.live[voter.Addr]; isLive && peer.ID != voter.ID {
@@ -58,7 +61,7 @@
 		return move{}, false
 	}
 	if len(s.voters) < s.want {
-		return move{add: *newcomer}, true // add before replacing: the majority grows with it
+		return move{add: *newcomer}, true // adding comes before replacing
 	}
 	return move{remove: lost.ID, add: *newcomer}, true
 }
@@ -67,12 +70,13 @@
 	return paxos.Voter{ID: peer.ID, Addr: peer.Addr, Zone: peer.Zone}
 }
 
-// spread is how many voters there are in each zone and region.
+// spread holds the numbers of voters in each zone and region.
 type spread struct {
 	zones, regions map[string]int
 }
 
-// firstLost returns the first voter that is silent, or nil, and where the others are.
+// firstLost returns the first voter that is out of contact, or nil, and the spread of the
+// voters that are in contact.
 func (s *situation) firstLost() (lost *paxos.Voter, healthy spread) {
 	healthy = spread{zones: map[string]int{}, regions: map[string]int{}}
 	for i, voter := range s.voters {
@@ -84,7 +88,7 @@
 		}
 		zone := voter.Zone
 		if peer, isLive := s.live[voter.Addr]; isLive {
-			zone = peer.Zone // founders are known by their address alone
+			zone = peer.Zone // initial voters are recorded without a zone
 		}
 		healthy.zones[zone]++
 		healthy.regions[s.regionOf(zone)]++
@@ -92,7 +96,7 @@
 	return lost, healthy
 }
 
-// bestCandidate returns the live node without a vote that spreads the voters most, or nil.
+// bestCandidate returns the live node without a vote that gives the best spread, or nil.
 func (s *situation) bestCandidate(healthy spread) *paxos.Voter {
 	isVoter := map[string]bool{}
 	for _, voter := range s.voters {
--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxMarkAttempts is how often changes of marks are worked out anew in a round, on top of
-	// changes that other control nodes made.
+	// maxMarkAttempts bounds the attempts in a round to commit changes of marks, since other
+	// control nodes may change them meanwhile.
 	maxMarkAttempts = 3
-	// maxEjectionTime is after which an unresponsive endpoint must be found so anew.
+	// maxEjectionTime is how long an endpoint stays ejected as unresponsive unless it is
+	// reported again.
 	maxEjectionTime = 30 * time.Second
 )
 
-// markReconciler keeps the marks of endpoints that are ejected or drain, in the index cells
-// of all services that use them.
+// markReconciler maintains the marks of ejected and draining endpoints in all index cells
+// that use them.
 type markReconciler struct {
 	cells    committer
 	lists    Lists
@@ -32,7 +33,7 @@
 	ejectedSince map[markID]time.Time
 }
 
-// markID names a mark.
+// markID identifies a mark.
 type markID struct {
 	indexName string
 	endpoint  string
@@ -48,9 +49,9 @@
 	}
 }
 
-// applyReports ejects endpoints that enough nodes report as faulty, and lifts the ejection
-// of those that are reported as well. Other control nodes get the same reports: where one was
-// first, what is left is worked out again.
+// applyReports ejects endpoints that enough nodes report as faulty, and lifts the ejection of
+// endpoints that are reported as healthy. Other control nodes receive the same reports; if one
+// of them commits first, the remaining changes are computed again.
 func (m *markReconciler) applyReports(ctx context.Context) {
 	agreed := m.reports.Health(time.Now())
 	if agreed.IsEmpty() {
@@ -93,9 +94,9 @@
 	return changes
 }
 
-// applyEndpointList marks the endpoints that drain by the platform's list, and drops the
-// marks of endpoints that are not listed any more. It also drops those of unresponsive
-// endpoints after maxEjectionTime: the report that one is well may have been lost.
+// applyEndpointList marks the endpoints that are draining in the platform's list, and removes
+// the marks of endpoints that are no longer listed. It also removes the marks of unresponsive
+// endpoints after maxEjectionTime, because the report of a recovery may have been lost.
 func (m *markReconciler) applyEndpointList(ctx context.Context) {
 	list := m.lists.Endpoints()
 	if list == nil {
@@ -145,7 +146,7 @@
 	return changes
 }
 
-// observeEjections notes since when endpoints have been ejected as unresponsive.
+// observeEjections updates ejectedSince.
 func (m *markReconciler) observeEjections(held map[markID]distribution.EjectionMark, now time.Time) {
 	for id, mark := range held {
 		_, isKnown := m.ejectedSince[id]
@@ -158,7 +159,7 @@
 	})
 }
 
-// indexMarks is which index cells hold the shards of a service, and the marks in them.
+// indexMarks holds the index cells of each service and caches the marks in them.
 type indexMarks struct {
 	cells     Cells
 	byService map[string][]string                             // names of indexes, sorted
@@ -184,8 +185,8 @@
 	return indexes
 }
 
-// marksOf returns the marks in an index by endpoint. An index whose cell does not run here
-// has none; it is not asked again.
+// marksOf returns the marks in an index by endpoint; none if its cell does not run here. They
+// are read once.
 func (x *indexMarks) marksOf(indexName string) map[string]distribution.EjectionMark {
 	marks, isRead := x.marks[indexName]
 	if !isRead {
@@ -222,7 +223,7 @@
 
 func newMarkChanges() *markChanges { return &markChanges{txns: map[string]*paxos.Txn{}} }
 
-// add has a mark, held as it was read, replaced by the next one, or dropped if that is nil.
+// add adds a change of a mark; see AddMarkChange.
 func (c *markChanges) add(id markID, held distribution.EjectionMark, next *distribution.EjectionMark) {
 	txn := c.txns[id.indexName]
 	if txn == nil {
@@ -232,9 +233,9 @@
 	AddMarkChange(txn, id.endpoint, held, next)
 }
 
-// AddMarkChange adds to an index's transaction that the mark of an endpoint, held as it was
-// read, becomes next, or goes if that is nil. held has no reason if there was no mark. A
-// transaction that is late finds another mark there, and changes nothing.
+// AddMarkChange adds to a transaction of an index cell the replacement of an endpoint's mark
+// by next, or its removal if next is nil. held is the mark as it was read, without a reason
+// if there was none. If the mark has changed, the transaction changes nothing.
 func AddMarkChange(txn *paxos.Txn, endpoint string, held distribution.EjectionMark, next *distribution.EjectionMark) {
 	key := schema.EjectionKeyPrefix + endpoint
 	condition := schema.UnchangedCondition(key, schema.MustEncode(held), held.Reason != "")
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -18,17 +18,17 @@
 
 const (
 	probeTimeout = 700 * time.Millisecond
-	// downNodeRetention is how long a node that is down is kept in the list.
+	// downNodeRetention is how long a node that is down stays in the list.
 	downNodeRetention = 2 * time.Minute
-	// controlNodeSuffix makes the name of a control node in the node list: it bears the name
-	// of its machine, as the data plane there does.
+	// controlNodeSuffix distinguishes a control node in the node list from the data plane
+	// node of the same machine, which has the same name.
 	controlNodeSuffix = "/registrar"
 )
 
-// pathProbe is where nodes answer probes.
+// pathProbe is the RPC path of probes.
 const pathProbe = "/here"
 
-// controlNode is how a control node stands in the node list.
+// controlNode returns the entry of a control node in the node list.
 func controlNode(info replicahost.PeerInfo) distribution.Node {
 	return distribution.Node{
 		Name:         info.Name + controlNodeSuffix,
@@ -38,7 +38,7 @@
 	}
 }
 
-// RPCProber probes nodes by a call.
+// RPCProber probes nodes by an RPC.
 type RPCProber struct {
 	Client          *rpc.Client
 	DataPlanePort   int
@@ -55,7 +55,7 @@
 	return p.Client.Call(ctx, address, pathProbe, distribution.UpdateRequest{}, nil)
 }
 
-// nodeReconciler keeps the node list.
+// nodeReconciler maintains the node list.
 type nodeReconciler struct {
 	cells   committer
 	peers   Peers
@@ -80,8 +80,8 @@
 	}
 }
 
-// unlistedPeers returns control nodes that are heard and not listed. They can't have
-// themselves listed while no node that could send them the state knows of them.
+// unlistedPeers returns live control nodes that are not in the node list. They can't add
+// themselves while they have no replica with the state.
 func (n *nodeReconciler) unlistedPeers() (unlisted []distribution.Node) {
 	listed := n.lists.Nodes()
 	for _, peer := range n.peers.LivePeers(nodereports.ContactLifetime) {
@@ -93,8 +93,8 @@
 	return unlisted
 }
 
-// reconcile lists the nodes that called, and marks as down those that their neighbours miss
-// and that don't answer this node either.
+// reconcile adds the nodes in contact to the list, and marks nodes as down that are suspected
+// and don't answer this node's probe either.
 func (n *nodeReconciler) reconcile(ctx context.Context) {
 	listed := n.lists.Nodes()
 	now := time.Now()
@@ -115,24 +115,25 @@
 	n.commit(ctx, txn)
 }
 
-// suspects returns the listed nodes that don't call and that enough neighbours miss.
+// suspects returns the listed nodes whose heartbeats enough neighbours miss and that are not
+// in contact with this node.
 func (n *nodeReconciler) suspects(
 	listed, contacts map[string]distribution.Node, now time.Time,
 ) (suspects []distribution.Node) {
 	required := min(nodereports.WitnessesRequired, len(listed)-1)
 	for name, witnesses := range n.reports.Suspects(now) {
-		_, calls := contacts[name]
+		_, inContact := contacts[name]
 		node, isListed := listed[name]
-		if isListed && !node.Down && !calls && witnesses >= required {
+		if isListed && !node.Down && !inContact && witnesses >= required {
 			suspects = append(suspects, node)
 		}
 	}
 	return suspects
 }
 
-// unreachable returns those of the nodes that don't answer this node either. A node may get
-// its updates from another control node, and a congested link loses its heartbeats: those
-// that answer are not suspected any more.
+// unreachable probes suspects and returns those that don't answer. A suspect may be healthy:
+// it may get its updates from another control node, and a congested link loses heartbeats.
+// The suspicion of those that answer is cleared.
 func (n *nodeReconciler) unreachable(
 	ctx context.Context, suspects []distribution.Node,
 ) (unreachable []distribution.Node) {
@@ -156,8 +157,8 @@
 	return unreachable
 }
 
-// expire marks control nodes that nobody hears as down, and removes nodes that have been
-// down for downNodeRetention.
+// expire marks control nodes as down after replicahost.DownTimeout without contact, and
+// removes nodes that have been down for downNodeRetention.
 func (n *nodeReconciler) expire(ctx context.Context) {
 	now := time.Now()
 	listed := n.lists.Nodes()
@@ -181,7 +182,8 @@
 	n.commit(ctx, txn)
 }
 
-// silentControlNodes is the set of the names of those that were not heard for long.
+// silentControlNodes returns the set of names of control nodes that have been out of contact
+// for replicahost.DownTimeout.
 func (n *nodeReconciler) silentControlNodes(listed map[string]distribution.Node) map[string]bool {
 	silent := map[string]bool{}
 	n.peers.Do(func() {
@@ -196,7 +198,7 @@
 
 func (n *nodeReconciler) commit(ctx context.Context, txn paxos.Txn) {
 	if len(txn.Ops) > 0 {
-		n.cells.commit(ctx, schema.MetaCell, txn) // if it fails, the next round sees the same
+		n.cells.commit(ctx, schema.MetaCell, txn) // if it fails, the next round tries again
 	}
 }
 
--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -10,11 +10,11 @@
 	"comethold/internal/routing"
 )
 
-// minPurgeRetention is how long purges are kept at least.
+// minPurgeRetention is the minimal time for which purges are kept.
 const minPurgeRetention = 60 * time.Second
 
-// purgeCompactor drops purges that no cached response can predate any more: this node's own
-// monotonic clock saw each of them for longer than any response may be cached.
+// purgeCompactor removes purges that are older, by this node's monotonic clock, than any
+// response that may still be cached.
 type purgeCompactor struct {
 	cells     committer
 	firstSeen map[string]time.Time // by key
@@ -39,7 +39,7 @@
 	c.observe(keys, now)
 	retention := minPurgeRetention
 	if len(keys) > 0 && now.Sub(c.firstSeen[keys[0]]) > retention {
-		retention = c.retention() // the configuration is parsed only if it may matter
+		retention = c.retention() // parses the configuration, so only if it matters
 	}
 	var expired []string
 	for _, key := range keys {
@@ -52,7 +52,7 @@
 	}
 }
 
-// observe notes when keys were seen first, and forgets those that are gone.
+// observe updates firstSeen for the current keys.
 func (c *purgeCompactor) observe(keys []string, now time.Time) {
 	exists := map[string]bool{}
 	for _, key := range keys {
@@ -64,8 +64,8 @@
 	maps.DeleteFunc(c.firstSeen, func(key string, _ time.Time) bool { return !exists[key] })
 }
 
-// retention is how long purges are kept by the committed configuration: twice as long as any
-// of its routes lets responses be cached, and minPurgeRetention.
+// retention returns how long purges are kept: minPurgeRetention plus twice the longest cache
+// lifetime of any route in the committed configuration.
 func (c *purgeCompactor) retention() time.Duration {
 	retention := minPurgeRetention
 	var raw []byte
@@ -82,9 +82,9 @@
 	return retention
 }
 
-// ForgetPurgesTxn drops purges, by their keys in order of log index, and raises the low
-// watermark from where it was read. One that is late would lower it, and a node that lacks
-// what was dropped would not notice; it finds another watermark there, and changes nothing.
+// ForgetPurgesTxn removes purges, given their keys in order of log index, and raises the low
+// watermark. Its condition is that the watermark is unchanged: a late transaction would lower
+// it, and a node that lacks removed purges would not notice that.
 func ForgetPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
 	txn.Conditions = []paxos.Condition{schema.UnchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -1,11 +1,11 @@
-// Package reconcile brings the replicated state up to date with what this control node
-// knows: the node list with who calls and who is missed, the ejection marks with what nodes
-// and the platform report of endpoints, the index cells with the configuration.
+// Package reconcile updates the replicated state from what this control node observes: the
+// node list from contacts and missed heartbeats, the ejection marks from the reports of nodes
+// and the platform's endpoint list, and the index cells from the configuration.
 //
-// All control nodes do so. Each change is a transaction that is conditioned on what it
-// replaces, so one that is late, or that another node made first, changes nothing; what is
-// left is worked out again in the next round. What one node alone should do is left to the
-// holder of a lease.
+// All control nodes reconcile. Each change is a transaction with the condition that the value
+// to replace is unchanged, so a late or repeated one changes nothing; the next round computes
+// the remaining changes again. Changes that only one node should make need a lease; see
+// Reconciler.round.
 package reconcile
 
 import (
@@ -19,10 +19,10 @@
 	"comethold/internal/paxos"
 )
 
-// Times of the rounds. The reasons for these values are in docs/design.md.
+// Timing of the rounds. The reasons for these values are in docs/design.md.
 const (
 	roundInterval   = 400 * time.Millisecond
-	wakeDelay       = 30 * time.Millisecond // in which more may come in
+	wakeDelay       = 30 * time.Millisecond // from Wake to the round, to batch reports
 	proposalTimeout = 1200 * time.Millisecond
 )
 
@@ -42,19 +42,19 @@
 	SilenceOf(address string) time.Duration
 }
 
-// Lists are what is distributed to nodes. *distributor.Distributor implements it.
+// Lists are the node list and the endpoint list. *distributor.Distributor implements it.
 type Lists interface {
 	Nodes() map[string]distribution.Node
 	Endpoints() *distribution.EndpointList
 	EndpointsRevision() distribution.Revision
 }
 
-// Lease tells whether this node holds a singleton role.
+// Lease is the lease of a singleton role.
 type Lease interface {
 	Held() (term uint64, held bool)
 }
 
-// Prober asks a node whether it is there.
+// Prober checks whether a node is reachable.
 type Prober interface {
 	Probe(ctx context.Context, node distribution.Node) error
 }
@@ -67,9 +67,9 @@
 	Lists   Lists
 	Reports *nodereports.Tracker
 	Prober  Prober
-	// DiscoveryLease is that of the node that polls the platform's endpoint list.
+	// DiscoveryLease is the lease of the node that polls the platform's endpoint list.
 	DiscoveryLease Lease
-	// PlacementLease is that of the node that looks after the index cells.
+	// PlacementLease is the lease of the node that manages the index cells.
 	PlacementLease Lease
 	Log            *logging.Logger
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// Wake has a round begin soon. It doesn't wait.
+// Wake starts a round after wakeDelay. It doesn't wait.
 func (r *Reconciler) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -106,7 +106,7 @@
 	}
 }
 
-// Record takes what a node reports, and wakes the reconciler if that is urgent.
+// Record records the reports of a node, and wakes the reconciler if they are urgent.
 func (r *Reconciler) Record(request *distribution.UpdateRequest) {
 	if r.options.Reports.Record(request, time.Now()) {
 		r.Wake()
@@ -117,7 +117,7 @@
 func (r *Reconciler) Run(ctx context.Context) {
 	for r.wait(ctx) {
 		if r.options.Cells.QuorumContactAge() > replicahost.StaleAfter {
-			continue // what is held here may be outdated, and nothing would be committed
+			continue // the state here may be stale, and nothing could be committed
 		}
 		r.round(ctx)
 	}
@@ -147,7 +147,7 @@
 	}
 	r.nodes.reconcile(ctx)
 	r.marks.applyReports(ctx)
-	// Only by a list of this term: the one of a former incarnation is outdated.
+	// A list of another term may be outdated.
 	term, held := r.options.DiscoveryLease.Held()
 	if held && r.options.Lists.EndpointsRevision().Term == term {
 		r.marks.applyEndpointList(ctx)
@@ -164,8 +164,8 @@
 	Cells
 }
 
-// commit proposes a transaction and reports whether it was surely committed. A proposal that
-// was made is not cancelled when the node stops.
+// commit proposes a transaction and reports whether it is known to be committed. It is not
+// cancelled when the node stops.
 func (c committer) commit(ctx context.Context, cell string, txn paxos.Txn) bool {
 	committed, err := c.propose(ctx, cell, txn)
 	return committed && err == nil
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -9,14 +9,14 @@
 	"comethold/internal/rpc"
 )
 
-// shardSetReconciler makes the index cells follow the committed configuration: which there
-// are, as the meta cell lists them, and which shard set each holds.
+// shardSetReconciler makes the index cells follow the committed configuration: it updates
+// their list in the meta cell and the shard set in each of them.
 type shardSetReconciler struct {
 	cells       committer
 	doneVersion uint64 // of the configuration that all index cells follow
 }
 
-// indexState is what the meta cell says of the index cells.
+// indexState is the part of the meta cell's state that determines the index cells.
 type indexState struct {
 	version     uint64 // of the configuration
 	raw         []byte
@@ -45,7 +45,7 @@
 	}
 	configuration, err := routing.Parse(state.raw)
 	if err != nil {
-		return // it was checked before it was committed
+		return // can't happen: it was validated before it was committed
 	}
 	indexes, txn := planIndexes(state, configuration)
 	if len(txn.Ops) > 0 && !s.cells.commit(ctx, schema.MetaCell, txn) {
@@ -60,14 +60,14 @@
 		held, exists := s.cells.Get(name, schema.ShardSetKey)
 		txn, isDue := ShardSetTxn(held, exists, want)
 		if isDue && !s.cells.commit(ctx, name, txn) {
-			return // the index cell lags; the configuration is in force all the same
+			return // retried in the next round; the configuration is in effect anyway
 		}
 	}
 	s.doneVersion = state.version
 }
 
-// planIndexes returns the index cells that there should be, by name, and the transaction
-// that makes the meta cell list them; it has no operations if they are listed already.
+// planIndexes returns the index cells that a configuration needs, by name, and the transaction
+// that updates their list in the meta cell. It has no operations if the list is up to date.
 func planIndexes(state indexState, configuration *routing.Configuration) (map[string]schema.IndexRecord, paxos.Txn) {
 	routes := schema.GroupRoutesByServices(configuration)
 	kept, added, removed := schema.AssignIndexes(state.indexes, routes)
@@ -110,9 +110,9 @@
 	return indexes, txn
 }
 
-// ShardSetTxn puts a shard set in the place of the one that an index cell holds. It is not
-// due if that is newer, or the same. One that is late finds another there, and changes
-// nothing.
+// ShardSetTxn makes the transaction that replaces the shard set of an index cell. isDue is
+// false if the stored one is newer or equal. If another transaction replaces it first, this
+// one changes nothing.
 func ShardSetTxn(held paxos.Value, exists bool, want schema.ShardSetRecord) (txn paxos.Txn, isDue bool) {
 	var current schema.ShardSetRecord
 	if exists && rpc.Unmarshal(held.Bytes, &current) == nil {
