--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	regionalLendTimeout = 8 * time.Millisecond   // how long to wait for lenders of the own region
-	remoteLendTimeout   = 45 * time.Millisecond  // and for the others
-	emptyLenderBackoff  = 150 * time.Millisecond // how long one that had too little is not asked again
-	maxEmptyLenders     = 4096                   // remembered; beyond it all are forgotten
+	regionalLendTimeout = 8 * time.Millisecond   // for lenders of the own region
+	remoteLendTimeout   = 45 * time.Millisecond  // for lenders of other regions
+	emptyLenderBackoff  = 150 * time.Millisecond // until a lender that had too little is asked again
+	maxEmptyLenders     = 4096                   // entries in emptyUntil; beyond that it is cleared
 )
 
-// rounding covers the error of sums of parts of tokens.
+// rounding is the tolerance for rounding errors in sums of fractions of tokens.
 const rounding = 1e-6
 
 // Peers lists control nodes.
@@ -43,18 +43,18 @@
 	otherRegions []string
 }
 
-// Borrower asks other control nodes for tokens that this one lacks.
+// Borrower borrows missing tokens from other control nodes. Safe for concurrent use.
 type Borrower struct {
 	options BorrowerOptions
 
 	mu            sync.Mutex // guards the fields below
 	lastRequestID uint64
 	pendingLoans  map[uint64]pendingLoan  // by request ID
-	emptyUntil    map[lenderKey]time.Time // not asked until then, since it had too little
+	emptyUntil    map[lenderKey]time.Time // when a lender that had too little is asked again
 }
 
-// pendingLoan is a request to a lender. Once reply is nil nobody waits for it; what is lent
-// until the deadline still fills this node's slice.
+// pendingLoan is a request to a lender. If reply is nil, Fill no longer waits for the answer;
+// tokens that arrive before the deadline then go to this node's slice.
 type pendingLoan struct {
 	tenant   string
 	deadline time.Time
@@ -90,12 +90,12 @@
 	return lenders
 }
 
-// Fill borrows what a result lacks of a demand, first in the own region. What is lent beyond
-// that goes to this node's own slice, as far as it has room. It blocks until the lenders have
-// answered or the time is over.
+// Fill borrows the tokens that a result lacks of a demand, first from the own region. Surplus
+// tokens go to this node's slice, up to its depth. It blocks until the lenders have answered
+// or their time-out has passed.
 func (b *Borrower) Fill(demand quota.TenantDemand, result *quota.TenantGrant, lenders Lenders, sender Sender) {
 	missing := float64(demand.Required - result.Granted)
-	// The part of a token that is here counts.
+	// Start with the fraction of a token that is left here.
 	collected := b.options.Allocator.Withdraw(demand.Tenant, missing, time.Now())
 	for _, from := range []lenderGroup{
 		{lenders.sameRegion, regionalLendTimeout},
@@ -113,16 +113,16 @@
 	}
 }
 
-// lenderGroup is lenders that are asked together, and how long they are waited for.
+// lenderGroup is a set of lenders that are asked at once, and the time-out for them.
 type lenderGroup struct {
 	addresses []string
 	timeout   time.Duration
 }
 
-// borrow asks lenders, all at once, for an amount of tokens each, and returns what came in
-// time.
+// borrow asks all lenders of a group at once for the whole amount, and returns the tokens that
+// arrive in time.
 func (b *Borrower) borrow(from lenderGroup, tenant string, amount float64, sender Sender) (collected float64) {
-	replies := make(chan quota.TenantGrant, len(from.addresses)) // has capacity for all answers
+	replies := make(chan quota.TenantGrant, len(from.addresses)) // buffered, so that ReceiveGrant never blocks
 	asked := b.registerLoans(from.addresses, tenant, replies)
 	for id, address := range asked {
 		demand := quota.TenantDemand{Tenant: tenant, MilliTokens: int64(amount*milli + 0.999)}
@@ -149,8 +149,8 @@
 	return collected
 }
 
-// registerLoans makes a request to each lender that may have something. It returns their
-// addresses by request ID.
+// registerLoans registers a request to each lender except those that lately had too little.
+// It returns the addresses by request ID.
 func (b *Borrower) registerLoans(
 	addresses []string, tenant string, replies chan<- quota.TenantGrant,
 ) (asked map[uint64]string) {
@@ -178,8 +178,8 @@
 	return asked
 }
 
-// endLoans no longer waits for those that have not answered. It returns what came in
-// meanwhile.
+// endLoans stops waiting for lenders that have not answered. It returns the tokens that have
+// arrived meanwhile.
 func (b *Borrower) endLoans(asked map[uint64]string, replies <-chan quota.TenantGrant) (collected float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,7 +195,7 @@
 	return collected
 }
 
-// markEmpty notes lenders that had too little, all together.
+// markEmpty sets emptyUntil for lenders that together had too little.
 func (b *Borrower) markEmpty(asked map[uint64]string, tenant string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -207,7 +207,7 @@
 	}
 }
 
-// ReceiveGrant takes the answer of a lender.
+// ReceiveGrant handles the answer of a lender.
 func (b *Borrower) ReceiveGrant(grant *quota.TokenGrant) {
 	if len(grant.Results) != 1 {
 		return
@@ -219,13 +219,13 @@
 	loan, pending := b.pendingLoans[grant.ID]
 	delete(b.pendingLoans, grant.ID)
 	switch {
-	case !pending || now.After(loan.deadline): // too late to count on
+	case !pending || now.After(loan.deadline): // unknown, a duplicate or too late
 	case loan.reply != nil:
-		loan.reply <- lent // it has capacity for all that were asked
+		loan.reply <- lent // never blocks; see borrow
 	default:
 		b.options.Allocator.Deposit(loan.tenant, tokensOf(lent), now)
 	}
 }
 
-// tokensOf is what a lender gives, in tokens.
+// tokensOf returns the number of tokens in a loan.
 func tokensOf(lent quota.TenantGrant) float64 { return float64(lent.MilliTokens) / milli }
--- a/internal/controlplane/allocation/renewer.go
+++ b/internal/controlplane/allocation/renewer.go
@@ -13,17 +13,18 @@
 
 const (
 	quotaRenewInterval   = ratelimit.QuotaLeaseDuration / 5
-	quotaAcquireInterval = 150 * time.Millisecond // while this node's share is not the fair one
+	quotaAcquireInterval = 150 * time.Millisecond // until this node has its fair share
 	quotaRequestTimeout  = ratelimit.QuotaLeaseDuration / 5
 )
 
-// Pauses are drawn between these parts of an interval, lest all nodes ask at once.
+// The pause is an interval times a random factor from minJitter to minJitter+jitterRange, so
+// that nodes don't renew at the same time.
 const (
 	minJitter   = 0.8
 	jitterRange = 0.4
 )
 
-// ShareRequester asks for shares.
+// ShareRequester requests shares. *ShareService implements it.
 type ShareRequester interface {
 	Request(ctx context.Context, request distribution.ShareRequest) (distribution.ShareGrant, error)
 }
@@ -34,14 +35,13 @@
 	Allocator *quota.Allocator
 	Tenants   *Tenants
 	Shares    ShareRequester
-	// Watermarks are what buckets held at least at the end of the former incarnation; nil if
-	// that is not known.
+	// Watermarks are the stored low watermarks by tenant; nil if they can't be read.
 	Watermarks map[string]float64
 	Log        *logging.Logger
 }
 
-// QuotaShareRenewer keeps the lease on this node's share of the tenants' quotas, once there
-// are tenants with limits. Its state belongs to the goroutine of Run.
+// QuotaShareRenewer renews the lease on this node's share of the tenants' quotas while there
+// are tenants with limits. Only Run's goroutine uses its state.
 type QuotaShareRenewer struct {
 	options      QuotaShareRenewerOptions
 	requests     distribution.RequestNumber
@@ -74,20 +74,20 @@
 	}
 }
 
-// holdsFairShare reports whether this node's share is what each holder should have.
+// holdsFairShare reports whether this node holds its fair share.
 func (r *QuotaShareRenewer) holdsFairShare() bool {
 	share, _ := r.options.Allocator.Share(time.Now())
 	return share != 0 && int(share*ratelimit.FullShare+0.5) == r.fairPermille
 }
 
-// renew asks for what was fair at the last renewal, and reports whether it was granted a
-// share. What is to be given up is not used any more from before it asks. A request that is
-// under way when the node stops is brought to its end.
+// renew requests the share that was fair at the last renewal, and reports whether a share was
+// granted. It stops using the excess before it sends the request, which is not cancelled when
+// the node stops.
 func (r *QuotaShareRenewer) renew(ctx context.Context) bool {
 	allocator := r.options.Allocator
-	askedAt := time.Now()
-	allocator.Shrink(float64(r.fairPermille)/ratelimit.FullShare, askedAt)
-	share, leased := allocator.Share(askedAt)
+	requestedAt := time.Now()
+	allocator.Shrink(float64(r.fairPermille)/ratelimit.FullShare, requestedAt)
+	share, leased := allocator.Share(requestedAt)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), quotaRequestTimeout)
 	defer cancel()
 	grant, err := r.options.Shares.Request(ctx, distribution.ShareRequest{
@@ -106,7 +106,7 @@
 			Int("fair", grant.FairPermille).Msg("the share of the tenants' quotas has changed")
 	}
 	now := time.Now()
-	allocator.Renew(grantedShare, askedAt.Add(ratelimit.QuotaLeaseDuration), now)
+	allocator.Renew(grantedShare, requestedAt.Add(ratelimit.QuotaLeaseDuration), now)
 	if r.watermarks != nil {
 		allocator.Restore(r.watermarks, grant.Uninterrupted, now)
 		r.watermarks = nil
--- a/internal/controlplane/allocation/shares.go
+++ b/internal/controlplane/allocation/shares.go
@@ -8,14 +8,14 @@
 	"comethold/internal/ratelimit"
 )
 
-// shareTable is, by node, the shares of one table of the replicated state.
+// shareTable holds shares by node name. It is the value of one key of the replicated state.
 type shareTable map[string]distribution.ShareLease
 
-// shareAllocator decides requests for shares of one table. It never grants more than what is
-// left of the whole, and lets a share lapse only after it has itself seen it unrenewed for
-// clockSkewFactor times as long as it is leased.
+// shareAllocator decides requests for shares of one table. It never grants more than is left
+// of the whole. A share expires only after this allocator has seen it unrenewed for
+// clockSkewFactor times its lease.
 type shareAllocator struct {
-	tableKey        string // of the replicated state
+	tableKey        string // in the replicated state
 	leaseDuration   time.Duration
 	clockSkewFactor time.Duration
 
@@ -23,14 +23,14 @@
 	observed map[string]observedShare // by node
 }
 
-// observedShare is a share as it has been seen since a time.
+// observedShare is a share and when it was first seen with this value.
 type observedShare struct {
 	share distribution.ShareLease
 	since time.Time
 }
 
-// newShareAllocator returns a shareAllocator that has seen nothing yet. clockSkewFactor is how
-// much faster the fastest clock may run than the slowest.
+// newShareAllocator returns a shareAllocator. clockSkewFactor is how many times faster the
+// fastest clock may run than the slowest.
 func newShareAllocator(tableKey string, leaseDuration time.Duration, clockSkewFactor int) *shareAllocator {
 	return &shareAllocator{
 		tableKey:        tableKey,
@@ -40,8 +40,8 @@
 	}
 }
 
-// allocate decides a request on a table. It returns the table with what is granted and
-// without shares that have lapsed.
+// allocate decides a request. It returns the table with the granted share and without expired
+// ones.
 func (a *shareAllocator) allocate(
 	table shareTable, request distribution.ShareRequest, now time.Time,
 ) (next shareTable, grant distribution.ShareGrant) {
@@ -60,17 +60,17 @@
 			heldByOthers += share.Permille
 		}
 	}
-	held, isHolder := next[request.Node]
-	if isHolder && request.Number.IsStale(held.Request) {
-		return next, grant // its node has sent a newer request, and uses what that was granted
+	held, hasLease := next[request.Node]
+	if hasLease && request.Number.IsStale(held.Request) {
+		return next, grant // the node already uses the grant of a newer request
 	}
-	holders := len(next)
-	if !isHolder {
-		holders++
+	leaseholders := len(next)
+	if !hasLease {
+		leaseholders++
 	}
 	grant.Granted = true
 	grant.Uninterrupted = held.Permille > 0
-	grant.FairPermille = ratelimit.FullShare / holders
+	grant.FairPermille = ratelimit.FullShare / leaseholders
 	wanted := request.Permille
 	if request.HoldsNone {
 		wanted = grant.FairPermille
@@ -84,8 +84,8 @@
 	return next, grant
 }
 
-// observeLocked notes which shares have changed, as each renewal changes them, be it one in
-// the same batch, and forgets those that are gone.
+// observeLocked updates observed for the current table. Each renewal changes a share, also
+// one earlier in the same batch.
 func (a *shareAllocator) observeLocked(table shareTable, now time.Time) {
 	for node, share := range table {
 		if seen, found := a.observed[node]; !found || seen.share != share {
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -13,8 +13,8 @@
 	"comethold/internal/rpc"
 )
 
-// LeaderPath is where the leader of the meta cell takes requests for shares from other
-// control nodes.
+// LeaderPath is the RPC path of requests for shares that control nodes forward to the leader
+// of the meta cell.
 const LeaderPath = "/claim"
 
 const (
@@ -23,10 +23,10 @@
 	maxCommitAttempts  = 3
 )
 
-// ShareState is the replicated state in which shares are kept.
+// ShareState is the replicated state that contains the shares. *replicahost.Host implements it.
 type ShareState interface {
-	// View runs a function that looks at the state of a cell as it is applied here. It
-	// reports false if there is none to look at.
+	// View runs a function that reads the applied state of a cell. It reports false if the
+	// function did not run.
 	View(cell string, read func(*paxos.Replica)) bool
 	// ProposeLocal proposes a transaction at this node, which must lead the cell.
 	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
@@ -34,23 +34,23 @@
 	CallLeader(ctx context.Context, call replicahost.LeaderCall) (replicahost.ProposeResult, error)
 }
 
-// ShareService grants shares. The leader of the meta cell decides them, so that requests need
-// not contend; other control nodes forward to it.
+// ShareService grants shares. Requests are decided at the leader of the meta cell, so that
+// their transactions don't conflict; other control nodes forward requests to it.
 type ShareService struct {
 	state      ShareState
 	allocators map[distribution.ShareTable]*shareAllocator
 	waiting    chan *pendingShareRequest
-	stopping   chan struct{} // closed as soon as Run is to end
+	stopping   chan struct{} // closed when Run's context ends
 }
 
-// pendingShareRequest is a request that waits for the leader's goroutine.
+// pendingShareRequest is a request that waits for Run at the leader.
 type pendingShareRequest struct {
 	request distribution.ShareRequest
 	result  chan replicahost.ProposeResult
 }
 
 // NewShareService returns the service of the shares of rate limits and of quotas.
-// clockSkewFactor is how much faster the fastest clock may run than the slowest.
+// clockSkewFactor is how many times faster the fastest clock may run than the slowest.
 func NewShareService(state ShareState, clockSkewFactor int) *ShareService {
 	return &ShareService{
 		state: state,
@@ -70,13 +70,13 @@
 	return s.allocators[table] != nil
 }
 
-// IsValid reports whether a request of a node makes sense.
+// IsValid reports whether the fields of a request are within their bounds.
 func (s *ShareService) IsValid(request *distribution.ShareRequest) bool {
 	return request.Node != "" && request.Permille >= 0 && request.Permille <= ratelimit.FullShare &&
 		s.HasTable(request.Table)
 }
 
-// Request asks for a share, at the leader. The error is one of package replicahost.
+// Request requests a share from the leader. The errors are those of Host.CallLeader.
 func (s *ShareService) Request(
 	ctx context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
@@ -94,7 +94,7 @@
 	return result.Grant, nil
 }
 
-// DecideLocal has a request decided at this node, which must lead the meta cell.
+// DecideLocal decides a request at this node, which must lead the meta cell.
 func (s *ShareService) DecideLocal(
 	ctx context.Context, request distribution.ShareRequest,
 ) replicahost.ProposeResult {
@@ -113,9 +113,8 @@
 	return replicahost.ProposeResult{Unknown: true}
 }
 
-// Run decides requests until the context ends. Those that wait are decided together, in one
-// transaction a table. Once the context has ended nobody is kept waiting for a result, also
-// not for that of a batch that is being decided.
+// Run decides requests until the context ends, all waiting ones in one transaction per table.
+// When the context ends it completes the batch under way, but DecideLocal returns at once.
 func (s *ShareService) Run(ctx context.Context) {
 	context.AfterFunc(ctx, func() { close(s.stopping) })
 	for {
@@ -128,7 +127,6 @@
 		}
 		batch = batching.Drain(s.waiting, batch, cap(s.waiting))
 		for _, table := range []distribution.ShareTable{distribution.RateShares, distribution.QuotaShares} {
-			// What is under way when the node stops is brought to its end.
 			s.decideTable(context.WithoutCancel(ctx), table, batch)
 		}
 	}
@@ -158,8 +156,8 @@
 	}
 }
 
-// commit decides requests and commits the table that results. It tries again if the table
-// has changed meanwhile.
+// commit decides requests and commits the resulting table. It retries if the table has changed
+// meanwhile.
 func (s *ShareService) commit(
 	ctx context.Context, allocator *shareAllocator, requests []*pendingShareRequest,
 ) (replicahost.ProposeResult, []distribution.ShareGrant) {
@@ -182,7 +180,7 @@
 	return replicahost.ProposeResult{Busy: true}, nil
 }
 
-// readTable returns a table and the condition that it is as it was read.
+// readTable returns a table and the condition that it is unchanged.
 func (s *ShareService) readTable(key string) (shareTable, paxos.Condition) {
 	table := shareTable{}
 	var stored paxos.Value
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -8,23 +8,22 @@
 	"comethold/internal/routing"
 )
 
-// Tenants brings the quotas of tenants into force in this node's allocator.
+// Tenants applies the quotas of tenants to this node's allocator.
 type Tenants struct {
 	rules     quota.Rules
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
-	version   uint64     // of the configuration whose tenants are in force
-	hasLimits bool       // some of them have limits
+	version   uint64     // of the configuration that was applied last
+	hasLimits bool       // some of its tenants have limits
 }
 
-// NewTenants returns Tenants without any in force.
+// NewTenants returns Tenants that have applied no configuration.
 func NewTenants(rules quota.Rules, allocator *quota.Allocator) *Tenants {
 	return &Tenants{rules: rules, allocator: allocator}
 }
 
-// SetTenants takes the tenants of a configuration that is in force. An older one than before
-// is passed over.
+// SetTenants applies the tenants of a configuration, unless it is not newer than the last.
 func (t *Tenants) SetTenants(configuration *routing.Configuration) {
 	limits := map[string]quota.BucketLimits{}
 	for _, tenant := range configuration.Tenants {
--- a/internal/controlplane/allocation/tokenserver.go
+++ b/internal/controlplane/allocation/tokenserver.go
@@ -10,10 +10,10 @@
 	"comethold/internal/quota"
 )
 
-// milli is how many thousandths of a token a token has.
+// milli is the number of millitokens in a token; see quota.TenantDemand.
 const milli = 1000
 
-// Sender sends datagrams. What is lost is not sent again.
+// Sender sends datagrams. Lost datagrams are not repeated.
 type Sender interface {
 	SendDatagram(to net.Addr, datagram *distribution.Datagram)
 }
@@ -22,12 +22,13 @@
 type TokenServerOptions struct {
 	Allocator *quota.Allocator
 	Borrower  *Borrower
-	// OnTokensTaken is called when a request got less than it asked for.
+	// OnTokensTaken is called when the slices hold less than a demand requires and prefetches,
+	// so that low watermarks may have to be lowered.
 	OnTokensTaken func()
 }
 
-// TokenServer grants tokens to data plane nodes out of this node's slices of the buckets, and
-// borrows what is missing. To other control nodes it lends.
+// TokenServer grants tokens from this node's slices of the buckets to data plane nodes, and
+// borrows missing ones from other control nodes. It lends tokens to these too.
 type TokenServer struct {
 	options   TokenServerOptions
 	borrowing taskgroup.Group // answers that wait for lenders
@@ -38,11 +39,11 @@
 	return &TokenServer{options: options}
 }
 
-// Close waits for answers that are under way. What needs to borrow is not answered after it.
+// Close waits for pending answers. Requests that need to borrow are not answered after it.
 func (s *TokenServer) Close() { s.borrowing.Close() }
 
-// Answer answers a request: at once if this node has what is asked for or is asked to lend,
-// else after it has tried to borrow, without blocking the caller.
+// Answer answers a request. It never blocks: if required tokens are missing and the request is
+// not a loan, the answer follows after an attempt to borrow.
 func (s *TokenServer) Answer(request *quota.TokenRequest, from net.Addr, sender Sender) {
 	if len(request.Demands) > quota.MaxDemands {
 		return
@@ -50,7 +51,7 @@
 	now := time.Now()
 	grant := &quota.TokenGrant{ID: request.ID, Results: make([]quota.TenantGrant, len(request.Demands))}
 	_, leased := s.options.Allocator.Share(now)
-	var short []int // indexes of demands of which something is missing
+	var short []int // indexes of demands that lack required tokens
 	for i, demand := range request.Demands {
 		result := &grant.Results[i]
 		switch {
@@ -80,14 +81,15 @@
 	})
 }
 
-// lend gives another control node what this one has, up to what it asks for.
+// lend takes up to the demanded amount from this node's slice for another control node. It
+// returns the amount in millitokens.
 func (s *TokenServer) lend(demand quota.TenantDemand, now time.Time) int64 {
 	wanted := min(demand.MilliTokens, milli*quota.MaxTokensPerDemand)
 	return int64(milli * s.options.Allocator.Withdraw(demand.Tenant, float64(wanted)/milli, now))
 }
 
-// grant gives a data plane node what this node has, and reports whether less than what is
-// required was there.
+// grant takes tokens from this node's slice for a data plane node, and reports whether required
+// tokens are missing.
 func (s *TokenServer) grant(demand quota.TenantDemand, result *quota.TenantGrant, now time.Time) (short bool) {
 	required := min(demand.Required, quota.MaxTokensPerDemand)
 	prefetch := min(demand.Prefetch, quota.MaxTokensPerDemand)
--- a/internal/controlplane/allocation/watermarks.go
+++ b/internal/controlplane/allocation/watermarks.go
@@ -16,7 +16,7 @@
 	watermarkWritePause = 40 * time.Millisecond // between two writes
 )
 
-// NodeStorage keeps values of this node alone.
+// NodeStorage stores values that belong to this node.
 type NodeStorage interface {
 	// NodeValue returns a stored value, or nil.
 	NodeValue(key string) []byte
@@ -24,12 +24,12 @@
 	SetNodeValue(key string, value []byte) error
 }
 
-// WatermarkStore keeps on the disk what every bucket holds at least, so that a restart need
-// not begin with empty ones. Under the usual load nothing is written.
+// WatermarkStore stores a lower bound of the level of every bucket on disk, so that buckets
+// are not empty after a restart. Under normal load nothing is written.
 type WatermarkStore struct {
 	allocator *quota.Allocator
 	storage   NodeStorage
-	wakeup    chan struct{} // holds an element when tokens were taken
+	wakeup    chan struct{} // holds an element after Wake
 }
 
 // NewWatermarkStore returns a WatermarkStore; Run starts it.
@@ -37,8 +37,8 @@
 	return &WatermarkStore{allocator: allocator, storage: storage, wakeup: make(chan struct{}, 1)}
 }
 
-// Load returns the stored low watermarks by tenant. They are nil if what is stored can't be
-// read, and empty if nothing is.
+// Load returns the stored low watermarks by tenant. They are nil if they can't be decoded, and
+// empty if none are stored.
 func (w *WatermarkStore) Load() map[string]float64 {
 	watermarks := map[string]float64{}
 	raw := w.storage.NodeValue(WatermarkStorageKey)
@@ -48,8 +48,7 @@
 	return watermarks
 }
 
-// Wake has Run look at the buckets soon: tokens were taken and watermarks may have to move.
-// It does not block.
+// Wake makes Run check whether watermarks must change. It does not block.
 func (w *WatermarkStore) Wake() {
 	select {
 	case w.wakeup <- struct{}{}:
@@ -57,7 +56,7 @@
 	}
 }
 
-// Run stores watermarks that have to move until the context ends.
+// Run stores changed watermarks until the context ends.
 func (w *WatermarkStore) Run(ctx context.Context) {
 	for {
 		select {
@@ -74,7 +73,7 @@
 		if w.store(watermarks) {
 			w.allocator.LowWatermarksStored(watermarks)
 		} else {
-			pause = watermarkInterval // the disk refuses; the old watermarks hold
+			pause = watermarkInterval // the write failed; the old watermarks stay in effect
 		}
 		select {
 		case <-time.After(pause):
--- a/internal/controlplane/metering/collector.go
+++ b/internal/controlplane/metering/collector.go
@@ -7,12 +7,12 @@
 	"comethold/internal/usage"
 )
 
-// Collector is this control node's part of the counts: what data plane nodes report to it,
-// and the time of day on which the control nodes agree.
+// Collector holds the counts that data plane nodes report to this control node, and the time
+// of day on which the control nodes agree.
 type Collector struct {
 	store       *usage.Store
 	clock       *usage.Clock
-	incarnation uint64 // of this node, by which data plane nodes tell acknowledgements apart
+	incarnation uint64 // of this node; identifies it in acknowledgements
 }
 
 // NewCollector returns a Collector without counts, of a new incarnation.
@@ -24,14 +24,14 @@
 	}
 }
 
-// Record takes a report of a data plane node and acknowledges it.
+// Record records a report of a data plane node and returns the acknowledgement.
 func (c *Collector) Record(report *usage.CountReport) *usage.CountAck {
 	c.store.Add(report)
 	_, agreed := c.ReadClocks()
 	return &usage.CountAck{Sequence: report.Sequence, Incarnation: c.incarnation, UnixNanos: agreed}
 }
 
-// Window returns what this node knows of a window.
+// Window returns the counts of a window that this node holds.
 func (c *Collector) Window(window uint64) usage.IncarnationCounts { return c.store.Window(window) }
 
 // ReadClocks returns this machine's time of day and the agreed one, 0 if there is none yet;
@@ -44,7 +44,7 @@
 	return now.UnixNano(), agreed
 }
 
-// ObservePeerClocks notes what another control node says of its clocks.
+// ObservePeerClocks records the clocks that another control node sent.
 func (c *Collector) ObservePeerClocks(peer string, wall, agreed int64) {
 	c.clock.Observe(peer, wall, agreed, time.Now())
 }
--- a/internal/controlplane/metering/commit.go
+++ b/internal/controlplane/metering/commit.go
@@ -13,27 +13,28 @@
 	"comethold/internal/usage"
 )
 
-// WindowPath is where a control node tells what it knows of a window.
+// WindowPath is the RPC path that returns the counts of a window.
 const WindowPath = "/usage"
 
 const (
-	// reportDelayFraction is the part of ReporterOptions.Delay before which no report is made.
+	// reportDelayFraction is the fraction of ReporterOptions.Delay after which a complete
+	// report is made.
 	reportDelayFraction = 0.3
-	// incompleteReportFraction is the part after which one is made without control nodes that
-	// don't answer.
+	// incompleteReportFraction is the fraction after which a report is made even if control
+	// nodes don't answer.
 	incompleteReportFraction = 0.7
 	collectTimeout           = 900 * time.Millisecond // of a call to a control node
-	maxPublishedReports      = 64                     // rows
-	maxBacklogWindows        = 60                     // for which reports are made after the fact
+	maxPublishedReports      = 64                     // rows; older published ones are removed
+	maxBacklogWindows        = 60                     // older windows are no longer reported
 )
 
-// WindowRequest asks a control node for what it knows of a window.
+// WindowRequest asks a control node for the counts of a window that it holds.
 type WindowRequest struct {
 	Window uint64 `cbor:"1,keyasint"`
 }
 
-// commitReports commits the reports that are due, each of them whole before a byte of it is
-// sent. current is the window that is not over.
+// commitReports commits the reports that are due. A report is sent only after it is committed.
+// current is the window that has not ended.
 func (r *Reporter) commitReports(ctx context.Context, agreedTime time.Time, current, term uint64) {
 	delay := float64(r.options.Delay)
 	rows := r.rows()
@@ -54,8 +55,8 @@
 	}
 }
 
-// firstUnreportedWindow is the first window without a report. Where there is no report at
-// all, the first incarnation that holds the lease begins with the oldest that was reported to it.
+// firstUnreportedWindow returns the first window without a report. If there is no report at
+// all, it is the oldest window of which this node holds counts.
 func (r *Reporter) firstUnreportedWindow(rows []schema.StoredRow, current uint64) uint64 {
 	if n := len(rows); n > 0 {
 		lastReported := rows[n-1].Row.Notification.Version
@@ -70,8 +71,8 @@
 	return r.firstWindow
 }
 
-// reportTxn makes the transaction that commits a report, claimed by this node, and removes
-// old ones. It reports false if this node does not hold the lease any more.
+// reportTxn makes the transaction that stores a report, claimed by this node, and removes old
+// ones. It reports false if this node no longer holds the lease.
 func (r *Reporter) reportTxn(
 	window, term uint64, counts usage.Counts, rows []schema.StoredRow,
 ) (txn paxos.Txn, ok bool) {
@@ -102,8 +103,8 @@
 	return txn, true
 }
 
-// collect adds up what all control nodes know of a window. complete says that all of them
-// that are not down have answered.
+// collect adds up the counts of a window on all control nodes. complete says that all control
+// nodes that are not down have answered.
 func (r *Reporter) collect(ctx context.Context, window uint64) (counts usage.Counts, complete bool) {
 	live := r.options.Peers.LivePeers(replicahost.LearnerTimeout)
 	complete = true
--- a/internal/controlplane/metering/countstore.go
+++ b/internal/controlplane/metering/countstore.go
@@ -14,18 +14,18 @@
 	persistBytesPerSecond = 256 << 10
 )
 
-// PersistedWindows is how many windows, the newest, are stored.
+// PersistedWindows is the number of newest windows that are stored.
 const PersistedWindows = 4
 
-// NodeStorage keeps values of this node alone.
+// NodeStorage stores values that belong to this node.
 type NodeStorage interface {
 	// NodeValue returns a stored value, or nil.
 	NodeValue(key string) []byte
-	// QueueNodeValue stores a value soon.
+	// QueueNodeValue stores a value without waiting for it to become durable.
 	QueueNodeValue(key string, value []byte)
 }
 
-// PersistedWindow is what is stored of a window.
+// PersistedWindow is the stored record of a window.
 type PersistedWindow struct {
 	Window uint64                  `cbor:"1,keyasint"`
 	Counts usage.IncarnationCounts `cbor:"2,keyasint"`
@@ -34,8 +34,8 @@
 // PersistedWindowKey is the key of the node's storage under which a window is kept.
 func PersistedWindowKey(window uint64) string { return fmt.Sprint("usage/", window%PersistedWindows) }
 
-// CountStore keeps the counts of the newest windows on the disk: if a control node ends
-// together with the data plane nodes that reported to it, nobody else knows them.
+// CountStore stores the counts of the newest windows on disk. Otherwise they would be lost if
+// a control node failed together with the data plane nodes that reported to it.
 type CountStore struct {
 	collector    *Collector
 	storage      NodeStorage
@@ -47,7 +47,7 @@
 	return &CountStore{collector: collector, storage: storage, windowLength: windowLength}
 }
 
-// Restore gives the collector what former incarnations stored.
+// Restore adds the counts that former incarnations stored to the collector.
 func (s *CountStore) Restore() {
 	for slot := range uint64(PersistedWindows) {
 		var persisted PersistedWindow
@@ -58,7 +58,8 @@
 	}
 }
 
-// Run stores counts until the context ends. It pauses the longer the more it has written.
+// Run stores counts until the context ends. Its pauses keep the writes below
+// persistBytesPerSecond.
 func (s *CountStore) Run(ctx context.Context) {
 	pause := minPersistInterval
 	for {
@@ -75,8 +76,8 @@
 	}
 }
 
-// persist stores the newest windows, up to the current one, that have changed. It returns
-// how many bytes these are.
+// persist stores the changed ones of the newest windows, up to the current one. It returns
+// the number of bytes.
 func (s *CountStore) persist(current uint64) (written int) {
 	oldest := current - min(current, PersistedWindows-1)
 	for _, window := range s.collector.store.TakeChanged(oldest) {
--- a/internal/controlplane/metering/platform.go
+++ b/internal/controlplane/metering/platform.go
@@ -20,10 +20,10 @@
 
 const (
 	maxCallDuration   = time.Second
-	leaseSafetyMargin = 150 * time.Millisecond // left of the lease when a call must be over
+	leaseSafetyMargin = 150 * time.Millisecond // between the end of a call and that of the lease
 	minCallBackoff    = 150 * time.Millisecond
 	maxCallBackoff    = time.Second
-	maxResponseBytes  = 64 << 10 // that are read of an answer
+	maxResponseBytes  = 64 << 10
 )
 
 // Headers of a call.
@@ -39,9 +39,9 @@
 	ErrReportRejected = errors.New("the platform does not take it")
 )
 
-// LeaseTimer tells how long this node may call.
+// LeaseTimer provides the time for which this node may call.
 type LeaseTimer interface {
-	// Remaining is how long this node holds the lease still under a term.
+	// Remaining returns how long this node still holds the lease under a term.
 	Remaining(term uint64) time.Duration
 }
 
@@ -51,9 +51,9 @@
 	Address  string // of the platform, host:port
 	NodeName string
 	Lease    LeaseTimer
-	// LeaseDuration is for how long the platform remembers who called last.
+	// LeaseDuration is how long the platform remembers the last caller.
 	LeaseDuration time.Duration
-	// MaxCallsPerSecond bounds calls that went well.
+	// MaxCallsPerSecond bounds successful calls; failed ones are bounded by the backoff.
 	MaxCallsPerSecond float64
 	StartedAt         time.Time // of this incarnation of the node
 }
@@ -63,10 +63,10 @@
 	options PlatformClientOptions
 
 	mu            sync.Mutex    // guards the fields below
-	lastCallAt    time.Time     // when a call of this incarnation was last on its way
-	lastCallToken uint64        // and its fencing token
+	lastCallAt    time.Time     // latest time at which a call of this incarnation was in flight
+	lastCallToken uint64        // its fencing token; 0 before the first call
 	nextCallAt    time.Time     // no call before then
-	backoff       time.Duration // after the last call; 0 if it went well
+	backoff       time.Duration // after the last call; 0 if it succeeded
 }
 
 // NewPlatformClient returns a PlatformClient that has not called yet.
@@ -74,10 +74,10 @@
 	return &PlatformClient{options: options}
 }
 
-// MayCall reports whether the platform may be called now under a term. A holder that has lost
-// the lease and has it again, or that was restarted, lets the platform forget its former
-// calls first, as another may have called between. Such a call may have arrived as late as
-// leaseSafetyMargin after its end.
+// MayCall reports whether the platform may be called now under a term. A node that lost the
+// lease and acquired it again, or was restarted, first waits until the platform has forgotten
+// its former calls, because another node may have called in between. A former call may have
+// arrived as late as leaseSafetyMargin after its end.
 func (p *PlatformClient) MayCall(term uint64, now time.Time) bool {
 	forgottenAfter := p.options.LeaseDuration + leaseSafetyMargin
 	p.mu.Lock()
@@ -107,8 +107,7 @@
 	return err
 }
 
-// call posts a report on a connection of its own. It is over, whatever its end, before the
-// lease is.
+// call posts a report on a new connection. It always ends before the lease expires.
 func (p *PlatformClient) call(ctx context.Context, report []byte, term uint64) error {
 	remaining := p.options.Lease.Remaining(term) - leaseSafetyMargin
 	if remaining <= 0 {
@@ -127,7 +126,7 @@
 		return true
 	}
 	defer func() {
-		if written.Load() { // it has arrived by its end, however long it was on its way
+		if written.Load() { // it may have been in flight until now
 			p.recordCall(term)
 		}
 	}()
@@ -150,7 +149,7 @@
 	return fmt.Errorf("%w: %s", ErrReportRejected, strings.TrimSpace(response.Status))
 }
 
-// recordCall notes that a call under a term may be on its way.
+// recordCall records that a call under a term may be in flight.
 func (p *PlatformClient) recordCall(term uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // nothing is sent twice on its own
+	request.GetBody = nil // prevents automatic retries
 	request.Header["User-Agent"] = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(leaseHolderHeader, p.options.NodeName)
@@ -191,15 +190,14 @@
 	}
 }
 
-// leasedConn writes only while the lease is held, and leaves nothing behind that could still
-// arrive when it is not.
+// leasedConn writes only while the lease is held.
 type leasedConn struct {
 	net.Conn
 	mayWrite func() bool
 }
 
-// newLeasedConn has what is not sent yet dropped when the connection is closed, even if that
-// is because the process is killed.
+// newLeasedConn sets the linger time to 0, so that unsent data is dropped when the connection
+// is closed, also when the process is killed, and can't arrive after the lease.
 func newLeasedConn(conn net.Conn, mayWrite func() bool) leasedConn {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/controlplane/metering/reporter.go
+++ b/internal/controlplane/metering/reporter.go
@@ -22,30 +22,30 @@
 // Lease is the lease on reporting.
 type Lease interface {
 	LeaseTimer
-	// Run keeps the lease, or tries to get it, until stop is closed; it then gives it back.
+	// Run acquires and renews the lease until ctx is done, then releases it.
 	Run(ctx context.Context)
 	// Held returns the term under which this node holds the lease now.
 	Held() (term uint64, held bool)
-	// FenceCondition returns a condition that holds while nobody else has taken the lease.
+	// FenceCondition returns a condition that fails once another node has acquired the lease.
 	FenceCondition(term uint64) (condition paxos.Condition, held bool)
-	// Forfeit ends what this node holds.
+	// Forfeit ends this node's hold on the lease.
 	Forfeit()
 }
 
-// State reads and changes the replicated state that reports stand in.
+// State reads and changes the replicated state that contains the reports.
 type State interface {
-	// View runs a function that looks at the state of the meta cell as it is applied here.
-	// It reports false if there is none to look at.
+	// View runs a function that reads the applied state of the meta cell. It reports false
+	// if the function did not run.
 	View(read func(*paxos.Replica)) bool
-	// Commit proposes a transaction to the meta cell and reports whether it was surely
-	// committed. It gives up after a time of its own and is not cancelled when the node
-	// stops: that the platform has taken a report should be noted.
+	// Commit proposes a transaction to the meta cell and reports whether it is known to be
+	// committed. It has its own time-out and is not cancelled when the node stops, so that
+	// accepted reports are recorded.
 	Commit(txn paxos.Txn) bool
 }
 
 // Peers are the control nodes that counts are collected from.
 type Peers interface {
-	// LivePeers lists, by address, the control nodes heard within a time, this one too.
+	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 	// CallPeer makes an RPC to a control node.
 	CallPeer(ctx context.Context, address, path string, request, response any) error
@@ -66,14 +66,15 @@
 	Log       *logging.Logger
 }
 
-// Reporter reports what tenants use, while this node holds the lease. Its state belongs to
-// the goroutine of Run.
+// Reporter reports the tenants' usage while this node holds the lease. Only Run's goroutine
+// uses its state.
 type Reporter struct {
 	options ReporterOptions
-	// accepted holds, by key, when this incarnation noted that the platform took a report.
+	// accepted holds, by key, when this incarnation recorded that the platform accepted a
+	// report, until the record is applied here.
 	accepted map[string]time.Time
-	// firstWindow is from where this incarnation reports where nothing is reported yet; 0 if
-	// that has not been asked.
+	// firstWindow is the first window to report if there is no report yet; 0 until it is
+	// determined.
 	firstWindow uint64
 }
 
@@ -82,8 +83,8 @@
 	return &Reporter{options: options, accepted: map[string]time.Time{}}
 }
 
-// Run keeps the agreed time, and reports while this node holds the lease, until the context
-// ends. The lease is given back only after the last call has ended.
+// Run updates the agreed time, acquires and renews the lease, and reports while this node
+// holds it, until the context ends. It releases the lease only after the last call has ended.
 func (r *Reporter) Run(ctx context.Context) {
 	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
 	var lease sync.WaitGroup
@@ -107,7 +108,7 @@
 		window := usage.WindowAt(agreedTime, r.options.Window)
 		r.options.Collector.store.RemoveOld(window)
 		if term, held := r.options.Lease.Held(); held {
-			// What is under way when the node stops is brought to its end.
+			// Not cancelled when the node stops: the outcome must be recorded.
 			reportCtx := context.WithoutCancel(ctx)
 			r.commitReports(reportCtx, agreedTime, window, term)
 			r.sendReports(reportCtx, term)
@@ -121,5 +122,5 @@
 	return rows
 }
 
-// ownerToken is the claim of a report by the holder of a term.
+// ownerToken returns the token of claims by the lease owner of a term.
 func ownerToken(term uint64) string { return "usage/" + strconv.FormatUint(term, 10) }
--- a/internal/controlplane/metering/send.go
+++ b/internal/controlplane/metering/send.go
@@ -11,11 +11,11 @@
 	"comethold/internal/paxos"
 )
 
-// acceptedRecordDelay is after how long a record that a report was taken should be applied
-// here; else it is made again.
+// acceptedRecordDelay is how long to wait until the record of an accepted report is applied
+// here. After that it is made again.
 const acceptedRecordDelay = time.Second
 
-// sendReports sends reports that were not sent, oldest first, while calls may be made.
+// sendReports sends unsent reports, oldest first, while calls may be made.
 func (r *Reporter) sendReports(ctx context.Context, term uint64) {
 	for r.options.Platform.MayCall(term, time.Now()) {
 		row, found := r.nextUnsent()
@@ -27,7 +27,7 @@
 			return
 		}
 		if _, accepted := r.accepted[row.Key]; accepted {
-			r.recordAccepted(row, term) // its record was lost
+			r.recordAccepted(row, term) // the first record was not committed
 			return
 		}
 		if !r.send(ctx, row, term) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// nextUnsent returns the oldest report that is not recorded as sent. One whose record was
-// made a moment ago is passed over, since that is only not applied here yet.
+// nextUnsent returns the oldest report that is not recorded as sent. It skips reports that
+// were accepted within acceptedRecordDelay, whose record may not be applied here yet.
 func (r *Reporter) nextUnsent() (row schema.StoredRow, found bool) {
 	for _, row := range r.rows() {
 		if row.Row.State == outbox.Published {
@@ -52,8 +52,8 @@
 	return row, false
 }
 
-// claim takes over a report that a former holder has claimed, whose lease is over. It reports
-// false if that was not committed.
+// claim takes over a report that a former lease owner has claimed. It reports false if that
+// was not committed.
 func (r *Reporter) claim(row schema.StoredRow, term uint64) (claimed schema.StoredRow, ok bool) {
 	owner := ownerToken(term)
 	if row.Row.Owner == owner {
@@ -75,8 +75,8 @@
 	return schema.StoredRow{Key: row.Key, Raw: put.Value.Bytes, Row: next}, committed
 }
 
-// send makes one call and records that the report was taken. It reports whether both went
-// well.
+// send makes one call and records that the report was accepted. It reports whether both
+// succeeded.
 func (r *Reporter) send(ctx context.Context, row schema.StoredRow, term uint64) bool {
 	window := row.Row.Notification.Version
 	err := r.options.Platform.Post(ctx, row.Row.Notification.Payload, term)
@@ -93,7 +93,7 @@
 	return r.recordAccepted(row, term)
 }
 
-// recordAccepted records that the platform took a report.
+// recordAccepted records that the platform accepted a report.
 func (r *Reporter) recordAccepted(row schema.StoredRow, term uint64) bool {
 	r.accepted[row.Key] = time.Now()
 	next, err := row.Row.MarkPublished(ownerToken(term))
