--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -16,10 +16,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// rateShareTimeout is how long a node's request for a share of the rate limits may take.
+// rateShareTimeout bounds a node's request for a share of the rate limits.
 const rateShareTimeout = ratelimit.LeaseDuration / 3
 
-// quotaAllocation is what works on the tenants' quotas.
+// quotaAllocation groups the components that allocate the tenants' quotas.
 type quotaAllocation struct {
 	tenants    *allocation.Tenants
 	renewer    *allocation.QuotaShareRenewer
@@ -28,8 +28,7 @@
 	tokens     *allocation.TokenServer
 }
 
-// openAllocation makes what allocates shares and quotas. The host must be made and not opened
-// yet.
+// openAllocation makes the components that allocate shares and quotas. It needs s.host.
 func (s *Server) openAllocation(store *storage.Store) {
 	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
@@ -63,8 +62,8 @@
 	}
 }
 
-// handleRateShare renews a node's share of the rate limits. The node tries again if it is
-// granted nothing.
+// handleRateShare renews a node's share of the rate limits. On an error it answers with an
+// empty grant, after which the node retries.
 func (s *Server) handleRateShare(c echo.Context) error {
 	var request distribution.ShareRequest
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !s.shares.IsValid(&request) {
--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -5,9 +5,9 @@
 	"comethold/internal/paxos"
 )
 
-// onApply passes on what changed in the replicated state. It runs on the host's event loop.
-// Leases are renewed several times a second, so what a change does not touch is not read
-// again.
+// onApply passes changes of the replicated state to the components that depend on them. It
+// runs on the host's event loop. It doesn't read what has not changed, because lease
+// renewals call it several times a second.
 func (s *Server) onApply(cell string, changed paxos.ChangedKeys) {
 	replica := s.host.Replica(cell)
 	if replica == nil {
@@ -33,14 +33,14 @@
 	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.openListedIndexes(schema.ReadIndexes(replica))
 	}
-	// Once, and only now: a round that began between the two would be followed by another.
+	// After both updates, so that one round handles them together.
 	if changed.AnyWithPrefix(schema.NodeKeyPrefix) || changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.reconciler.Wake()
 	}
 }
 
-// applyConfiguration takes in a configuration. The event loop doesn't wait for it to be
-// parsed.
+// applyConfiguration sets the configuration at the distributor. It runs outside the event loop,
+// because parsing takes long.
 func (s *Server) applyConfiguration(version uint64, raw []byte) {
 	if s.distributor.SetConfiguration(version, raw) {
 		s.consumer.Wake()
@@ -48,7 +48,8 @@
 	s.reconciler.Wake()
 }
 
-// openListedIndexes opens and closes replicas of index cells as the meta cell lists them.
+// openListedIndexes opens the replicas of the index cells that the meta cell lists and closes
+// the others.
 func (s *Server) openListedIndexes(listed map[string]schema.IndexRecord) {
 	for cell, record := range listed {
 		s.host.Open(cell, record.Voters)
--- a/internal/controlplane/batching/batching.go
+++ b/internal/controlplane/batching/batching.go
@@ -1,8 +1,8 @@
-// Package batching collects requests that wait, so that one transaction can decide them all.
+// Package batching collects waiting requests so that one transaction can decide them all.
 package batching
 
-// Drain appends to a batch what else waits in a channel, without blocking, until the batch
-// has maxSize elements.
+// Drain appends the elements that wait in a channel to a batch of at most maxSize. It does not
+// block.
 func Drain[T any](waiting <-chan T, batch []T, maxSize int) []T {
 	for len(batch) < maxSize {
 		select {
--- a/internal/controlplane/cells.go
+++ b/internal/controlplane/cells.go
@@ -8,11 +8,11 @@
 // CellView is the state of a cell as this node sees it.
 type CellView struct {
 	Voters  []paxos.Voter
-	Settled bool // the newest membership is in effect
-	Voter   bool // this node is a voter
+	Settled bool // whether the newest membership is in effect
+	Voter   bool // whether this node is a voter
 	Applied uint64
 	Role    paxos.Role
-	Leader  paxos.ReplicaID // as far as is known here
+	Leader  paxos.ReplicaID // as far as this node knows
 }
 
 // Cells returns the state of the cells by name. It is empty until the storage is open.
--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -17,13 +17,12 @@
 	datagramReadPause = 20 * time.Millisecond // after a read that failed
 )
 
-// countReceiver takes the counts of requests that a data plane node reports.
+// countReceiver records the counts of requests that data plane nodes report.
 type countReceiver interface {
 	Record(report *usage.CountReport) *usage.CountAck
 }
 
-// datagramServer takes datagrams of data plane nodes and control nodes, and answers them on
-// the same socket.
+// datagramServer answers datagrams of data plane nodes and control nodes on one socket.
 type datagramServer struct {
 	conn     net.PacketConn
 	tokens   *allocation.TokenServer
@@ -91,7 +90,7 @@
 	}
 }
 
-// SendDatagram sends a datagram; what can't be sent is lost.
+// SendDatagram sends a datagram. Errors are ignored, since datagrams may be lost anyway.
 func (s *datagramServer) SendDatagram(to net.Addr, datagram *distribution.Datagram) {
 	if raw, err := rpc.Marshal(datagram); err == nil {
 		_, _ = s.conn.WriteTo(raw, to)
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -8,12 +8,12 @@
 	"comethold/internal/storage"
 )
 
-// endpointsStorageKey is where the endpoint list is kept in the node's storage.
+// endpointsStorageKey is the key of the endpoint list in the node's storage.
 const endpointsStorageKey = "list"
 
-// openDistributor makes what hands out updates to nodes. The endpoint list of the node's
-// former incarnation serves until the platform has been asked: endpoints are called by ID,
-// so one that is gone does no harm.
+// openDistributor makes the distributor of updates to nodes. It starts with the endpoint list
+// of the node's former incarnation, until there is a newer one. Endpoints are called by ID, so
+// an outdated entry does no harm.
 func (s *Server) openDistributor(store *storage.Store) {
 	var saved *distribution.EndpointList
 	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
@@ -32,8 +32,8 @@
 	})
 }
 
-// openLongPoll makes what answers nodes that ask for updates. The distributor, the host and
-// the reconciler must be made.
+// openLongPoll makes the handler of requests for updates. It needs s.distributor, s.host and
+// s.reconciler.
 func (s *Server) openLongPoll() {
 	s.longPoll = &distributor.LongPoll{
 		Distributor: s.distributor,
--- a/internal/controlplane/distributor/configurations.go
+++ b/internal/controlplane/distributor/configurations.go
@@ -7,8 +7,8 @@
 	"comethold/internal/routing"
 )
 
-// maxConfigurations is how many configurations are kept, for nodes that hold a former one and
-// need only what has changed since.
+// maxConfigurations is the number of configurations kept, so that nodes that hold a former one
+// are sent only the changes.
 const maxConfigurations = 4
 
 // configurationHistory holds the last few configurations, newest last.
@@ -16,7 +16,7 @@
 	versions []*routing.Configuration
 }
 
-// add takes a configuration if it is newer than those held.
+// add appends a configuration if it is newer than the others, and reports whether it was.
 func (h *configurationHistory) add(configuration *routing.Configuration) bool {
 	if latest := h.latest(); latest != nil && latest.Version >= configuration.Version {
 		return false
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// updateFrom returns what a node lacks that holds a version, or nil.
+// updateFrom returns the update for a node that holds a version; nil if it is up to date.
 func (h *configurationHistory) updateFrom(held uint64) *distribution.ConfigUpdate {
 	latest := h.latest()
 	if latest == nil || latest.Version <= held {
--- a/internal/controlplane/distributor/distributor.go
+++ b/internal/controlplane/distributor/distributor.go
@@ -1,9 +1,9 @@
-// Package distributor hands out to nodes what they need of the control plane's state: the
+// Package distributor sends nodes the parts of the control plane's state that they need: the
 // configuration, the endpoint list, ejection marks, the node list, purges and notifications.
 //
-// A Distributor holds all of it, ready to be sent. The control plane sets what has changed,
-// and each node asks by long poll (see LongPoll) for what it lacks, which it says by the
-// versions that it holds. Each part keeps its own versions, in a file of its own.
+// A Distributor holds all parts in memory. The control plane sets changed parts, and each node
+// requests updates by long poll (see LongPoll), naming the versions that it holds. Each part
+// has its own versions and its own file.
 package distributor
 
 import (
@@ -15,20 +15,21 @@
 	"comethold/internal/routing"
 )
 
-// nodePublishInterval is how often at most changes of the node list are published: when
-// all nodes start, each of them would be sent every other.
+// nodePublishInterval is the minimal time between two publications of the node list. Without
+// it, a start of all nodes would send every node an update for each other node.
 const nodePublishInterval = 300 * time.Millisecond
 
 // Options are what a Distributor is made from.
 type Options struct {
-	// SavedEndpoints is the endpoint list of this node's former incarnation, or nil. It
-	// serves until a newer one comes.
+	// SavedEndpoints is the endpoint list of this node's former incarnation, or nil. It is
+	// used until a newer one is set.
 	SavedEndpoints *distribution.EndpointList
 	// SaveEndpoints is called with each newer list; it must not wait. It may be nil.
 	SaveEndpoints func(*distribution.EndpointList)
 }
 
-// Distributor is what this control node can send to nodes. It is safe for concurrent use.
+// Distributor holds the state that this control node sends to nodes. It is safe for concurrent
+// use.
 type Distributor struct {
 	saveEndpoints func(*distribution.EndpointList)
 
@@ -41,12 +42,12 @@
 	purges         purgeLog
 	notifications  notificationLog
 
-	// changed is closed and renewed whenever one of the parts has changed.
+	// changed is closed and replaced whenever a part changes.
 	changed chan struct{}
-	// encoded holds updates by what their callers hold: after a change all nodes of a zone
-	// lack the same, so it is worked out, encoded and compressed once.
+	// encoded caches updates by updateKey until the next change: all nodes of a zone usually
+	// need the same update, so it is encoded and compressed once.
 	encoded map[string]*EncodedUpdate
-	// publishTimer is set while the newest node list waits to be published.
+	// publishTimer publishes the newest node list after nodePublishInterval.
 	publishTimer *time.Timer
 }
 
@@ -65,7 +66,7 @@
 	return d
 }
 
-// Close ends what the Distributor does by itself.
+// Close stops the timer that publishes the node list.
 func (d *Distributor) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,22 +75,22 @@
 	}
 }
 
-// notifyLocked wakes those who wait for a change.
+// notifyLocked wakes long polls after a change.
 func (d *Distributor) notifyLocked() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 	clear(d.encoded)
 }
 
-// SetConfiguration takes a committed configuration and reports whether it is new. It may be
-// called from several goroutines; of two configurations the newer stays.
+// SetConfiguration sets a committed configuration and reports whether it is newer than the one
+// held. Concurrent calls may arrive in any order; the newest configuration is kept.
 func (d *Distributor) SetConfiguration(version uint64, raw []byte) bool {
 	if latest := d.LatestConfiguration(); version == 0 || latest != nil && latest.Version >= version {
 		return false
 	}
 	configuration, err := routing.Decode(raw)
 	if err != nil || configuration.Version != version {
-		return false // it was checked before it was committed
+		return false // can't happen: it was validated before it was committed
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,8 +109,8 @@
 	return d.configurations.latest()
 }
 
-// SetEndpoints takes an endpoint list if it is newer, and returns the revision that is held
-// after that.
+// SetEndpoints sets the endpoint list if it is newer, and returns the revision that is held
+// afterwards.
 func (d *Distributor) SetEndpoints(list *distribution.EndpointList) distribution.Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,7 +138,7 @@
 	return distribution.Revision{}
 }
 
-// SetMarks takes the ejection marks of an index.
+// SetMarks sets the ejection marks of an index.
 func (d *Distributor) SetMarks(marks distribution.EjectionMarks) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// DropMarks forgets the marks of an index that is removed.
+// DropMarks removes the marks of an index that was removed.
 func (d *Distributor) DropMarks(indexName string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,16 +156,16 @@
 	}
 }
 
-// SetNodes takes the node list as of a log index. It is published at once, or with the
-// changes that follow within nodePublishInterval.
+// SetNodes sets the node list as of a log index. It is published at once, or together with
+// later changes once nodePublishInterval has passed.
 func (d *Distributor) SetNodes(logIndex uint64, nodes []distribution.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	isAwaited := d.nodes.set(logIndex, nodes)
+	wasPending := d.nodes.set(logIndex, nodes)
 	wait := nodePublishInterval - time.Since(d.nodes.publishedAt)
 	if wait <= 0 {
 		d.publishNodesLocked()
-	} else if !isAwaited {
+	} else if !wasPending {
 		d.publishTimer = time.AfterFunc(wait, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -196,8 +197,8 @@
 	return addresses
 }
 
-// SetPurges takes the purges of the meta cell's state that it doesn't hold yet, and forgets
-// those that the state has compacted.
+// SetPurges adds new purges from the meta cell's state, and removes those that were compacted
+// there.
 func (d *Distributor) SetPurges(replica *paxos.Replica) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -213,7 +214,7 @@
 	return d.purges.position
 }
 
-// AddNotifications takes those notifications that are new, all at once.
+// AddNotifications adds the notifications that are new in one step.
 func (d *Distributor) AddNotifications(notifications []distribution.OutboxNotification) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/distributor/endpoints.go
+++ b/internal/controlplane/distributor/endpoints.go
@@ -2,13 +2,13 @@
 
 import "comethold/internal/distribution"
 
-// endpointTable holds the endpoint list and what changed between its last revisions.
+// endpointTable holds the endpoint list and the changes between its last revisions.
 type endpointTable struct {
 	list    *distribution.EndpointList
 	history distribution.DeltaTable[distribution.Endpoint]
 }
 
-// set takes a list if it is newer than the one held.
+// set replaces the list if the next one is newer, and reports whether it was.
 func (t *endpointTable) set(list *distribution.EndpointList) bool {
 	if t.list != nil && !t.list.Revision.Less(list.Revision) {
 		return false
@@ -22,7 +22,7 @@
 	return true
 }
 
-// updateFrom returns what a node lacks that holds a revision, or nil.
+// updateFrom returns the update for a node that holds a revision; nil if it is up to date.
 func (t *endpointTable) updateFrom(held distribution.Revision) *distribution.EndpointList {
 	if t.list == nil || !held.Less(t.list.Revision) {
 		return nil
--- a/internal/controlplane/distributor/longpoll.go
+++ b/internal/controlplane/distributor/longpoll.go
@@ -12,18 +12,18 @@
 	"github.com/labstack/echo/v4"
 )
 
-// longPollTimeout is after which time a node without changes is answered.
+// longPollTimeout is the time after which a request is answered even without changes.
 const longPollTimeout = time.Second
 
 var errStopping = errors.New("distributor: this node stops")
 
-// LongPoll answers nodes as soon as there is something that they lack.
+// LongPoll answers requests for updates as soon as there are changes.
 type LongPoll struct {
 	Distributor *Distributor
-	// IsStale reports whether this node has lost touch with the quorum. Nodes are
-	// notified of that at once.
+	// IsStale reports whether this node has lost contact with the quorum. A request is then
+	// answered at once.
 	IsStale func() bool
-	// Record is called with each request, for what the node reports in it.
+	// Record is called with each request, which contains reports of the node.
 	Record func(*distribution.UpdateRequest)
 	// Stopping is closed when this node stops.
 	Stopping <-chan struct{}
@@ -46,7 +46,7 @@
 	return c.Blob(http.StatusOK, rpc.ContentType, update.Body)
 }
 
-// wait returns what a caller lacks, as soon as there is something or longPollTimeout is over.
+// wait returns the update for a caller once it is not empty, or after longPollTimeout.
 func (p *LongPoll) wait(ctx context.Context, request *distribution.UpdateRequest) (*EncodedUpdate, error) {
 	timeout := time.NewTimer(longPollTimeout)
 	defer timeout.Stop()
--- a/internal/controlplane/distributor/marks.go
+++ b/internal/controlplane/distributor/marks.go
@@ -5,7 +5,7 @@
 	"comethold/internal/distribution"
 )
 
-// maxMarkDigests is how many digests a markDigests knows.
+// maxMarkDigests is the number of digests that a markDigests remembers.
 const maxMarkDigests = 64
 
 // markTable holds the ejection marks by index.
@@ -21,8 +21,8 @@
 	}
 }
 
-// set takes the marks of an index and reports whether they differ from those held, in more
-// than their log index.
+// set replaces the marks of an index, unless they differ only in their log index. It reports
+// whether they were replaced.
 func (t *markTable) set(marks distribution.EjectionMarks) bool {
 	if held, exists := t.byIndex[marks.IndexName]; exists {
 		held.LogIndex = marks.LogIndex
@@ -35,7 +35,7 @@
 	return true
 }
 
-// drop forgets the marks of an index and reports whether there were any.
+// drop removes the marks of an index and reports whether there were any.
 func (t *markTable) drop(indexName string) bool {
 	if _, exists := t.byIndex[indexName]; !exists {
 		return false
@@ -54,8 +54,8 @@
 	t.digests.remember(t.digests.current, logIndexes)
 }
 
-// addTo adds to an update the marks that a node lacks, or the request that it names the log
-// indexes of its marks, if its digest is unknown.
+// addTo adds to an update the marks that a node lacks. If its digest is unknown, it sets
+// NeedMarkIndexes instead.
 func (t *markTable) addTo(update *distribution.Update, held distribution.HeldVersions) {
 	heldIndexes := held.MarkIndexes
 	if heldIndexes != nil {
@@ -81,15 +81,15 @@
 	}
 }
 
-// markDigests knows what the digests stand for by which nodes say which marks they hold:
-// those of the last states here, and those that nodes have named the log indexes for.
+// markDigests maps the digests by which nodes name the marks that they hold to log indexes. It
+// remembers the last states here, and digests for which nodes sent the log indexes.
 type markDigests struct {
 	current    uint64                       // of the marks held here
 	logIndexes map[uint64]map[string]uint64 // by digest
 	order      []uint64                     // oldest first
 }
 
-// remember makes a digest known, and forgets the oldest if there are too many.
+// remember adds a digest, and drops the oldest if there are too many.
 func (d *markDigests) remember(digest uint64, logIndexes map[string]uint64) {
 	if _, isKnown := d.logIndexes[digest]; isKnown {
 		return
--- a/internal/controlplane/distributor/nodes.go
+++ b/internal/controlplane/distributor/nodes.go
@@ -6,13 +6,13 @@
 	"comethold/internal/distribution"
 )
 
-// nodeTable holds the node list: the newest, and the one that is published.
+// nodeTable holds the newest node list and the published one.
 type nodeTable struct {
 	byName  map[string]distribution.Node // the newest; replaced, never changed
-	pending *nodeList                    // the newest, until it is published
+	pending *nodeList                    // the newest; nil once it is published
 
 	published   distribution.DeltaTable[distribution.Node]
-	dataPlanes  int // of the published list: nodes that serve clients and are not down
+	dataPlanes  int // data plane nodes in the published list that are not down
 	publishedAt time.Time
 }
 
@@ -22,8 +22,8 @@
 	dataPlanes int
 }
 
-// set takes the newest list and reports whether an older one was waiting to be published.
-func (t *nodeTable) set(logIndex uint64, nodes []distribution.Node) (isAwaited bool) {
+// set sets the newest list. wasPending says that an older one was waiting to be published.
+func (t *nodeTable) set(logIndex uint64, nodes []distribution.Node) (wasPending bool) {
 	next := &nodeList{
 		logIndex: logIndex,
 		byName:   make(map[string]distribution.Node, len(nodes)),
@@ -34,14 +34,13 @@
 			next.dataPlanes++
 		}
 	}
-	isAwaited = t.pending != nil
+	wasPending = t.pending != nil
 	t.byName = next.byName
 	t.pending = next
-	return isAwaited
+	return wasPending
 }
 
-// publish makes the newest list the one that nodes are sent, and reports whether it differs
-// from the one before.
+// publish publishes the newest list, and reports whether it differs from the one before.
 func (t *nodeTable) publish(now time.Time) bool {
 	next := t.pending
 	if next == nil {
@@ -56,8 +55,8 @@
 	return true
 }
 
-// updateFrom returns what a node of a zone lacks, or nil. Of the data planes in other zones
-// it gets the number alone.
+// updateFrom returns the update for a node in a zone; nil if it is up to date. The update
+// contains no data plane nodes of other zones, only the number of all.
 func (t *nodeTable) updateFrom(held distribution.HeldVersions, zone string) *distribution.NodeList {
 	logIndex := t.published.Revision().Sequence
 	if t.published.Len() == 0 || logIndex <= held.NodesIndex {
--- a/internal/controlplane/distributor/notifications.go
+++ b/internal/controlplane/distributor/notifications.go
@@ -10,10 +10,10 @@
 	"comethold/internal/distribution"
 )
 
-// notificationLog holds the last notifications of the outbox, in order of their log index.
+// notificationLog holds the last notifications of the outbox, ordered by log index.
 type notificationLog struct {
 	notifications []distribution.OutboxNotification // replaced, never changed
-	lowWatermark  uint64                            // those up to this log index are dropped
+	lowWatermark  uint64                            // notifications up to this log index were dropped
 	baseVersions  map[string]uint64                 // by aggregate: the newest version
 }
 
@@ -21,7 +21,7 @@
 	return notificationLog{baseVersions: map[string]uint64{}}
 }
 
-// add takes those that are new and reports whether there were any.
+// add adds the notifications that are new and reports whether there were any.
 func (l *notificationLog) add(notifications []distribution.OutboxNotification) bool {
 	isHeld := map[string]bool{}
 	for i := range l.notifications {
@@ -52,9 +52,10 @@
 	return true
 }
 
-// updateFrom returns what a node lacks that holds the notifications up to a log index, or
-// nil. A node that holds none, or too old ones, is sent the newest versions instead: the
-// state that it is given says all that the notifications would.
+// updateFrom returns the update for a node that holds the notifications up to a log index; nil
+// if it is up to date. If the node holds none, or some that it lacks were dropped, the update
+// contains the newest versions instead, because the other parts of the update contain the
+// state after all notifications.
 func (l *notificationLog) updateFrom(held uint64) *distribution.NotificationUpdate {
 	end := len(l.notifications)
 	if end == 0 || l.notifications[end-1].LogIndex <= held {
--- a/internal/controlplane/distributor/purges.go
+++ b/internal/controlplane/distributor/purges.go
@@ -10,15 +10,15 @@
 	"comethold/internal/rpc"
 )
 
-// purgeLog holds the purges that have not been compacted, in order of their log index.
+// purgeLog holds the purges that have not been compacted, ordered by log index.
 type purgeLog struct {
 	purges       []distribution.Purge
 	position     uint64 // log index up to which purges are held
 	lowWatermark uint64 // purges up to this log index are compacted
 }
 
-// read takes the purges of the meta cell's state and reports whether there were new ones.
-// Those that are held already are not decoded again.
+// read adds new purges from the meta cell's state and reports whether there were any. It
+// decodes only the new ones.
 func (l *purgeLog) read(replica *paxos.Replica) bool {
 	if value, exists := replica.Get(schema.PurgeCompactedKey); exists && value.Int != nil {
 		l.compact(value.Int.Uint64())
@@ -42,7 +42,7 @@
 	return hasNew
 }
 
-// compact forgets the purges up to a log index.
+// compact removes the purges up to a log index.
 func (l *purgeLog) compact(lowWatermark uint64) {
 	if lowWatermark <= l.lowWatermark {
 		return
@@ -52,12 +52,13 @@
 	l.purges = slices.Clone(l.purges[l.firstAfter(lowWatermark):])
 }
 
-// firstAfter returns where the purges after a log index begin.
+// firstAfter returns the position in purges of the first one after a log index.
 func (l *purgeLog) firstAfter(logIndex uint64) int {
 	return sort.Search(len(l.purges), func(i int) bool { return l.purges[i].LogIndex > logIndex })
 }
 
-// updateFrom returns what a node lacks that holds the purges up to a log index, or nil.
+// updateFrom returns the update for a node that holds the purges up to a log index; nil if it
+// is up to date.
 func (l *purgeLog) updateFrom(held uint64) *distribution.PurgeUpdate {
 	if l.position <= held {
 		return nil
@@ -66,6 +67,6 @@
 	return &distribution.PurgeUpdate{
 		LogIndex: l.position,
 		Reset:    held < l.lowWatermark,
-		Purges:   l.purges[l.firstAfter(held):end:end], // what is appended later is not in it
+		Purges:   l.purges[l.firstAfter(held):end:end], // the capacity keeps later appends out
 	}
 }
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -13,10 +13,10 @@
 // EncodedUpdate is an update ready to be sent.
 type EncodedUpdate struct {
 	Body    []byte
-	IsEmpty bool // it says nothing that the caller doesn't hold
+	IsEmpty bool // the caller is up to date
 }
 
-// Changes returns what a caller lacks.
+// Changes returns the update for a caller.
 func (d *Distributor) Changes(request *distribution.UpdateRequest) distribution.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,8 +34,8 @@
 	return update
 }
 
-// EncodedChanges returns what a caller lacks, ready to be sent, and a channel that is closed
-// at the next change. isStale is passed on to the caller.
+// EncodedChanges returns the encoded update for a caller, and a channel that is closed at the
+// next change. isStale becomes the Stale field of the update.
 func (d *Distributor) EncodedChanges(
 	request *distribution.UpdateRequest, isStale bool,
 ) (*EncodedUpdate, <-chan struct{}) {
@@ -55,7 +55,7 @@
 	return encoded, d.changed
 }
 
-// updateKey is the same for callers that lack the same.
+// updateKey returns a key that is equal for callers that need the same update.
 func updateKey(request *distribution.UpdateRequest, isStale bool) string {
 	held := &request.Held
 	var key strings.Builder
--- a/internal/controlplane/http.go
+++ b/internal/controlplane/http.go
@@ -36,8 +36,7 @@
 	return e
 }
 
-// newRouter makes a router on which a handler that panics answers 500 and the process goes
-// on.
+// newRouter makes a router that answers 500 if a handler panics. The process continues.
 func newRouter(log *logging.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -17,7 +17,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// requestTimeout bounds what a request between control nodes waits for.
+// requestTimeout bounds a request between control nodes.
 const requestTimeout = 1500 * time.Millisecond
 
 // Paths that nodes call.
@@ -26,7 +26,7 @@
 	rateSharePath = "/ration"
 )
 
-// InternalHandler serves what the system's own processes call.
+// InternalHandler serves the calls of the system's own processes.
 func (s *Server) InternalHandler() *echo.Echo {
 	e := newRouter(s.log)
 	e.Use(s.requireReady)
@@ -36,7 +36,7 @@
 	return e
 }
 
-// registerPeerCalls adds what control nodes call on one another.
+// registerPeerCalls adds the calls between control nodes.
 func (s *Server) registerPeerCalls(e *echo.Echo) {
 	e.POST(replicahost.PathMessages, handleRPC(func(batch *replicahost.Batch) any {
 		s.host.Receive(batch)
@@ -60,9 +60,9 @@
 	}))
 }
 
-// handleRPC makes the HTTP handler of a call whose body is a Request: it answers 400 to what
-// can't be decoded, 204 if there is no response, else 200. What answers must not wait: the
-// replicas' messages come this way, so no time-out is set up for each.
+// handleRPC makes the HTTP handler of a call whose body is a Request. It answers 400 if the body
+// can't be decoded, 204 if there is no response, otherwise 200. answer must not block: to keep
+// the replicas' messages cheap, no time-out is set.
 func handleRPC[Request any](answer func(*Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var request Request
@@ -76,8 +76,8 @@
 	}
 }
 
-// handleBoundedRPC is handleRPC for what waits, for requestTimeout at the most. It answers
-// 200 with the response.
+// handleBoundedRPC is like handleRPC, for an answer that may block, for at most
+// requestTimeout. It answers 200 with the response.
 func handleBoundedRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var request Request
--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -12,17 +12,18 @@
 	"github.com/labstack/echo/v4"
 )
 
-// estimatesTimeout is how long an operator waits for estimates at most.
+// estimatesTimeout bounds an operator's request for estimates.
 const estimatesTimeout = 4 * time.Second
 
-// latencyEstimates is what collects and exports latency estimates.
+// latencyEstimates groups the components that collect and export latency estimates.
 type latencyEstimates struct {
 	collector *latency.Collector
 	file      *latency.File
 	exporter  *latency.Exporter
 }
 
-// openLatencyEstimates makes what collects and exports latency estimates.
+// openLatencyEstimates makes the components that collect and export latency estimates. It
+// needs s.distributor.
 func (s *Server) openLatencyEstimates() {
 	collector := latency.NewCollector(s.distributor.Nodes, s.settings.PortOf(settings.DataPlane), s.client)
 	file := latency.NewFile(s.settings.DataDirectory, s.disk)
@@ -33,8 +34,8 @@
 	}
 }
 
-// handleReadEstimates answers with what all data plane nodes know: of ?service= and ?class=,
-// and of the last ?seconds= of slow lookups, where they are given.
+// handleReadEstimates answers with the estimates of all data plane nodes. The optional query
+// parameters service and class select estimates, and seconds limits the age of slow lookups.
 func (s *Server) handleReadEstimates(c echo.Context) error {
 	request := distribution.EstimatesRequest{Service: c.QueryParam("service"), Class: c.QueryParam("class")}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), estimatesTimeout)
@@ -46,7 +47,8 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-// handleReadSavedEstimates answers with what this control node has exported, oldest first.
+// handleReadSavedEstimates answers with the estimates that this control node has exported,
+// oldest first.
 func (s *Server) handleReadSavedEstimates(c echo.Context) error {
 	return c.JSON(http.StatusOK, s.estimates.file.Lines())
 }
--- a/internal/controlplane/latency/collector.go
+++ b/internal/controlplane/latency/collector.go
@@ -13,7 +13,7 @@
 	"comethold/internal/latencyestimate"
 )
 
-// estimatesPath is where data plane nodes tell what they know.
+// estimatesPath is the RPC path on which data plane nodes return their estimates.
 const estimatesPath = "/estimates"
 
 const (
@@ -21,7 +21,7 @@
 	queryTimeout         = 800 * time.Millisecond // of one node
 )
 
-// View is what an operator sees of lookups.
+// View is the response to an operator's request for estimates.
 type View struct {
 	At         time.Time                    `json:"at"`
 	Nodes      int                          `json:"nodes"`      // data plane nodes that answered
@@ -58,11 +58,12 @@
 // Collector asks data plane nodes for their estimates.
 type Collector struct {
 	nodes  func() map[string]distribution.Node // by name; not to be changed
-	port   int                                 // where data plane nodes take RPCs
+	port   int                                 // of the RPCs of data plane nodes
 	caller Caller
 }
 
-// NewCollector returns a Collector that asks the nodes which a function lists by name.
+// NewCollector returns a Collector. nodes returns all nodes by name, port is that of the RPCs
+// of data plane nodes.
 func NewCollector(nodes func() map[string]distribution.Node, port int, caller Caller) *Collector {
 	return &Collector{nodes: nodes, port: port, caller: caller}
 }
@@ -72,7 +73,7 @@
 	return c.collect(ctx, request, func(distribution.Node) bool { return true })
 }
 
-// CollectZone asks the data plane nodes of a zone for all that they know.
+// CollectZone asks the data plane nodes of a zone for all their estimates.
 func (c *Collector) CollectZone(ctx context.Context, zone string) View {
 	inZone := func(node distribution.Node) bool { return node.Zone == zone }
 	return c.collect(ctx, distribution.EstimatesRequest{}, inZone)
@@ -120,7 +121,7 @@
 	return snapshot, err
 }
 
-// add puts what nodes know into the view, in order.
+// add adds the merged snapshots to the view, sorted.
 func (v *View) add(merged latencyestimate.Snapshot) {
 	for _, keyed := range merged.Sketches {
 		v.Replicas = append(v.Replicas, ReplicaEstimate{Key: keyed.Key, Estimate: keyed.Sketch.Estimate()})
--- a/internal/controlplane/latency/exporter.go
+++ b/internal/controlplane/latency/exporter.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	exportInterval = 2 * time.Minute // nodes know of the last one to two minutes
+	exportInterval = 2 * time.Minute // nodes keep estimates of the last one to two minutes
 	exportTimeout  = 10 * time.Second
 )
 
-// Exporter writes down, now and then, what the data plane nodes of a zone know.
+// Exporter writes the estimates of the data plane nodes of a zone to a File.
 type Exporter struct {
 	collector *Collector
 	file      *File
@@ -43,8 +43,8 @@
 	}
 }
 
-// collect asks the nodes. What is under way when the node stops is brought to its end, lest
-// nodes are written down as unanswered that were not asked.
+// collect requests the estimates of the nodes. It is not cancelled when this node stops, since
+// nodes that were not asked would be recorded as unanswered.
 func (e *Exporter) collect(ctx context.Context) View {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), exportTimeout)
 	defer cancel()
--- a/internal/controlplane/latency/file.go
+++ b/internal/controlplane/latency/file.go
@@ -8,19 +8,19 @@
 	"path/filepath"
 )
 
-// FileName is the name of the file in the data directory. The one before has rotatedSuffix.
+// FileName is the name of the file in the data directory. The rotated one has rotatedSuffix.
 const (
 	FileName      = "estimates.jsonl"
 	rotatedSuffix = ".1"
 )
 
-// maxFileSize is how large the file may be, in bytes, before it is rotated.
+// maxFileSize is the size in bytes above which the file is rotated.
 const maxFileSize = 4 << 20
 
-// Disk changes names in a folder durably.
+// Disk renames files durably.
 type Disk interface {
 	Rename(from, to string) error
-	// SyncDir returns once the names in a folder outlast a loss of power.
+	// SyncDir returns once the names in a directory are durable.
 	SyncDir(dir string) error
 }
 
@@ -30,12 +30,12 @@
 	disk Disk
 }
 
-// NewFile returns the file in a data directory. It is made by the first Append.
+// NewFile returns the file in a data directory. The first Append creates it.
 func NewFile(dir string, disk Disk) *File { return &File{dir: dir, disk: disk} }
 
 func (f *File) path() string { return filepath.Join(f.dir, FileName) }
 
-// Lines returns what is written, oldest first. A line that was torn is left out.
+// Lines returns the stored views, oldest first. Torn lines are skipped.
 func (f *File) Lines() []json.RawMessage {
 	lines := []json.RawMessage{}
 	for _, path := range []string{f.path() + rotatedSuffix, f.path()} {
@@ -52,8 +52,8 @@
 	return lines
 }
 
-// Append adds a view; it returns once that is durable. A line that was torn by an end of the
-// process stays as it is, and the next begins anew.
+// Append adds a view and returns once it is durable. If a crash left a torn line at the end of
+// the file, the view goes to a new line after it.
 func (f *File) Append(view View) error {
 	size, err := f.rotate()
 	if err != nil {
@@ -75,15 +75,15 @@
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	// What the file holds counts only once its name is durable too.
+	// The content is durable only once the file name is.
 	return f.disk.SyncDir(f.dir)
 }
 
-// rotate puts a file that is too large aside. It returns the size of the one to append to.
+// rotate renames the file if it is too large. It returns the size of the file to append to.
 func (f *File) rotate() (size int64, err error) {
 	info, err := os.Stat(f.path())
 	if err != nil {
-		return 0, nil // there is none yet, or opening it tells what is wrong
+		return 0, nil // the file doesn't exist, or opening it returns the error
 	}
 	if info.Size() <= maxFileSize {
 		return info.Size(), nil
@@ -97,6 +97,6 @@
 		return false
 	}
 	last := []byte{'\n'}
-	_, _ = file.ReadAt(last, size-1) // what can't be read is taken for whole
+	_, _ = file.ReadAt(last, size-1) // if it can't be read, the line counts as complete
 	return last[0] != '\n'
 }
--- a/internal/controlplane/metacell.go
+++ b/internal/controlplane/metacell.go
@@ -9,22 +9,21 @@
 	"comethold/internal/paxos"
 )
 
-// proposalTimeout bounds the proposals of the control plane's own concerns.
+// proposalTimeout bounds the proposals of metaCell.
 const proposalTimeout = 1200 * time.Millisecond
 
-// metaCell is the replicated state of the meta cell, as the packages of the control plane's
-// concerns see it.
+// metaCell adapts the host to the State interfaces of outboxpublisher and metering.
 type metaCell struct {
 	host *replicahost.Host
 }
 
-// View runs a function that looks at the state as it is applied here. It reports false if
-// there is none to look at.
+// View runs a function that reads the applied state. It reports false if the function did not
+// run.
 func (c metaCell) View(read func(*paxos.Replica)) bool {
 	return c.host.View(schema.MetaCell, read)
 }
 
-// Commit proposes a transaction and reports whether it was surely committed. It gives up
+// Commit proposes a transaction and reports whether it is known to be committed. It gives up
 // after proposalTimeout and is not cancelled when the node stops.
 func (c metaCell) Commit(txn paxos.Txn) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), proposalTimeout)
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -11,15 +11,15 @@
 	"github.com/labstack/echo/v4"
 )
 
-// usageMetering is what counts and reports what tenants use.
+// usageMetering groups the components that count and report the tenants' usage.
 type usageMetering struct {
 	collector *metering.Collector
 	counts    *metering.CountStore
 	reporter  *metering.Reporter
 }
 
-// openMetering makes what stores and reports the collected counts. The host and the lease must be made
-// and not run yet.
+// openMetering makes the components that store and report the collected counts. It needs
+// s.host, s.distributor and s.usageLease.
 func (s *Server) openMetering(store *storage.Store) {
 	bounds := &s.settings.Bounds
 	s.usage.counts = metering.NewCountStore(s.usage.collector, store, bounds.UsageWindow())
@@ -49,7 +49,7 @@
 	})
 }
 
-// handleUsageWindow tells another control node what this one knows of a window.
+// handleUsageWindow answers another control node with the counts of a window held here.
 func (s *Server) handleUsageWindow(c echo.Context) error {
 	var request metering.WindowRequest
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -13,8 +13,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// openReconciler makes what keeps the replicated state up to date with the platform and the
-// nodes. The host, the leases and the distributor must be made and not run yet.
+// openReconciler makes the reconciler and the components that keep the endpoint list. It needs
+// s.host, s.distributor and the leases.
 func (s *Server) openReconciler(self replicahost.PeerInfo) {
 	s.reconciler = reconcile.New(reconcile.Options{
 		Self:    self,
@@ -47,8 +47,8 @@
 	})
 }
 
-// receiveEndpoints takes the endpoint list of the node that polls the platform, or only its
-// revision, and answers with the revision that is held then.
+// receiveEndpoints sets the endpoint list that the polling node sent, if it sent more than the
+// revision, and returns the revision that is held afterwards.
 func (s *Server) receiveEndpoints(list *distribution.EndpointList) any {
 	if list.Endpoints != nil {
 		return s.distributor.SetEndpoints(list)
@@ -56,7 +56,7 @@
 	return s.distributor.EndpointsRevision()
 }
 
-// handleFetchEndpoints answers with the endpoint list that is held here.
+// handleFetchEndpoints answers with the endpoint list held here, or 404.
 func (s *Server) handleFetchEndpoints(c echo.Context) error {
 	if list := s.distributor.Endpoints(); list != nil {
 		return writeCBOR(c, list)
--- a/internal/controlplane/schematest/cell.go
+++ b/internal/controlplane/schematest/cell.go
@@ -1,6 +1,6 @@
-// Package schematest has a meta cell for the tests of the control plane's packages: one
-// replica, without a disk or a network. It holds no tests. It is a package of its own, as
-// net/http/httptest is, because test files can't be imported; only they import it.
+// Package schematest provides a meta cell for the tests of the control plane's packages: one
+// replica without disk or network. It contains no tests. Like net/http/httptest it is a
+// package, because test files can't be imported; only test files import it.
 package schematest
 
 import (
@@ -13,7 +13,7 @@
 	"comethold/internal/paxos"
 )
 
-// step is by how much the clock moves with each transaction.
+// step is the time by which the clock advances with each transaction.
 const step = 50 * time.Millisecond
 
 // Cell is a meta cell of one replica. It is safe for concurrent use.
@@ -26,7 +26,7 @@
 	proposals int
 }
 
-// NewCell returns a Cell whose replica leads.
+// NewCell returns a Cell whose replica is the leader.
 func NewCell(tb testing.TB) *Cell {
 	tb.Helper()
 	founders := []paxos.Voter{{ID: "a", Addr: "a"}}
@@ -52,7 +52,7 @@
 	return cell
 }
 
-// View runs a function that looks at the state.
+// View runs a function that reads the state.
 func (c *Cell) View(read func(*paxos.Replica)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,8 +77,8 @@
 	return c.stepLocked()
 }
 
-// stepLocked has the replica do all that it wants done, and reports whether that committed a
-// transaction.
+// stepLocked advances the clock and processes the replica's output until there is none left.
+// It reports whether a transaction was committed.
 func (c *Cell) stepLocked() (committed bool) {
 	c.now += step
 	c.replica.Tick(c.now)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,9 +1,10 @@
 // Package controlplane is the control plane of one node. It hosts the node's replicas of the
-// replicated state, takes the operator's configuration, keeps the state up to date with the
-// platform and the nodes, and distributes it to them.
+// replicated state, accepts the operator's configuration, updates the state from the platform
+// and the nodes, and distributes it to the nodes.
 //
-// The Server starts, wires and stops what the packages below it do: one package for each
-// concern, over small interfaces. Nothing else is decided here.
+// The Server only makes, connects, starts and stops components. Their logic is in the packages
+// below, one for each concern. startup.go makes them in order of dependency, startLoops starts
+// their loops, and applied.go passes them changes of the replicated state.
 package controlplane
 
 import (
@@ -32,10 +33,10 @@
 	"comethold/internal/storage"
 )
 
-// stopTimeout is how long Stop waits for what runs, such as leases that are given back.
+// stopTimeout is how long Stop waits for the loops and tasks, which also release the leases.
 const stopTimeout = time.Second
 
-// errStopped says that the server was stopped while it started.
+// errStopped says that the server was stopped during its start.
 var errStopped = errors.New("controlplane: stopped")
 
 // Server is the control plane of one node.
@@ -72,15 +73,15 @@
 
 	quit     chan struct{} // closed by Stop
 	stopOnce sync.Once
-	loops    sync.WaitGroup  // of Run
-	tasks    taskgroup.Group // short ones, started as the state changes
+	loops    sync.WaitGroup  // started by startLoops
+	tasks    taskgroup.Group // short background tasks
 
 	mu               sync.Mutex         // guards the fields below
-	reloadedSettings *settings.Settings // the last that were reloaded
+	reloadedSettings *settings.Settings // as last passed to Reload, or nil
 	stopped          bool
 }
 
-// New makes a server. It asks nothing of the disk; Run does.
+// New makes a server. It doesn't access the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network, disk storage.Disk) *Server {
 	s := &Server{
 		settings:  set,
@@ -99,7 +100,7 @@
 	return s
 }
 
-// Run opens the storage and does the work of the control plane until Stop.
+// Run opens the storage and runs the control plane until Stop.
 func (s *Server) Run() error {
 	s.tasks.Go(s.openStorage)
 	select {
@@ -146,8 +147,8 @@
 	}
 }
 
-// Stop ends what runs and gives leases back, then ends the replicas and closes the storage.
-// A disk that has not answered yet can't be waited for.
+// Stop ends the loops, which release their leases, then stops the replicas and closes the
+// storage. If the storage is not open yet, it returns at once, since the disk may hang.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.mu.Lock()
@@ -166,8 +167,8 @@
 	})
 }
 
-// waitForLoops waits until all that was started has ended, for stopTimeout at the most: a
-// call may hang on a peer that is down.
+// waitForLoops waits until the loops and tasks have ended, but at most stopTimeout, since a call
+// may hang on a peer that is down.
 func (s *Server) waitForLoops() {
 	ended := make(chan struct{})
 	go func() {
@@ -181,7 +182,7 @@
 	}
 }
 
-// Reload takes new settings: the seeds may have changed.
+// Reload applies the seeds of new settings; the control plane reloads nothing else.
 func (s *Server) Reload(set *settings.Settings) {
 	s.mu.Lock()
 	s.reloadedSettings = set
@@ -204,7 +205,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// InternalAddress is where a control node listens for the system's own processes.
+// InternalAddress returns the address on which a control node serves InternalHandler.
 func InternalAddress(set *settings.Settings) string {
 	return internalAddress(set.IPAddress, set.PortOf(settings.ControlPlane))
 }
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -31,8 +31,8 @@
 	placementLeaseDuration = 1200 * time.Millisecond
 )
 
-// openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
-// Until then this node says nothing to the others and rejects calls.
+// openStorage opens the storage and retries until it succeeds or the server stops. Until then
+// this node sends nothing to the others and rejects calls.
 func (s *Server) openStorage() {
 	for ; ; time.Sleep(storage.RetryDelay) {
 		select {
@@ -70,8 +70,9 @@
 	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk rejects a write or does not answer; it is retried")
 }
 
-// startReplicas makes what needs the storage and opens the replicas. The names of the
-// storage's files are synced by now.
+// startReplicas makes the components and opens the replicas. The directory entries of the
+// storage's files are durable by now. The order matters: each open function names the fields
+// that it needs.
 func (s *Server) startReplicas(store *storage.Store) error {
 	founders := s.founders()
 	self, err := s.identify(store, founders)
@@ -104,7 +105,7 @@
 		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine: func(notification *outbox.Notification, reason string) {
-			// A task of the server's own: requests are served until the replicas stop.
+			// In the background: Stop waits for it, but the operator's request doesn't.
 			s.tasks.Go(func() { s.quarantine.Add(notification, reason) })
 		},
 		AppliedVersions: s.consumer.AppliedVersions,
@@ -118,8 +119,8 @@
 	return s.becomeReady()
 }
 
-// founders are the first voters of the meta cell; none unless this is the first start of
-// the system.
+// founders returns the initial voters of the meta cell. There are none after the first start
+// of the system.
 func (s *Server) founders() (founders []paxos.Voter) {
 	if !s.settings.FirstStart {
 		return nil
@@ -130,7 +131,7 @@
 	return founders
 }
 
-// identify returns how this node introduces itself to the others.
+// identify loads or creates this node's replica ID and returns its PeerInfo.
 func (s *Server) identify(store *storage.Store, founders []paxos.Voter) (self replicahost.PeerInfo, err error) {
 	set := s.settings
 	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
@@ -189,7 +190,7 @@
 	})
 }
 
-// becomeReady lets Run and callers go on, unless the server was stopped meanwhile.
+// becomeReady closes s.ready, unless the server was stopped meanwhile.
 func (s *Server) becomeReady() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/taskgroup/group.go
+++ b/internal/controlplane/taskgroup/group.go
@@ -1,18 +1,18 @@
-// Package taskgroup gives the short tasks that a component starts in the background an
-// owner that waits for them when it ends.
+// Package taskgroup runs the short background tasks of a component, which can wait for them
+// when it ends.
 package taskgroup
 
 import "sync"
 
 // Group runs tasks in the background until it is closed. The zero value is ready to use.
 type Group struct {
-	mu     sync.Mutex // guards the field below, and that no task starts once it is set
+	mu     sync.Mutex // guards closed, and keeps tasks from starting after it is set
 	closed bool
 
 	running sync.WaitGroup
 }
 
-// Go runs a task in a goroutine of its own, or not at all once the group is closed.
+// Go runs a task in a new goroutine. Once the group is closed it does nothing.
 func (g *Group) Go(task func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// Close lets no further task start and waits for those that run.
+// Close prevents further tasks and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,7 +23,7 @@
 var (
 	// ErrUnavailable says that the platform gave no usable answer in time.
 	ErrUnavailable = errors.New("discovery: the platform does not answer")
-	// ErrRateLimited says that the platform refused too many calls in a row.
+	// ErrRateLimited says that the platform rejected too many calls in a row with status 429.
 	ErrRateLimited = errors.New("discovery: the platform refuses more calls")
 	// ErrMalformed says that the platform's answer cannot be read.
 	ErrMalformed = errors.New("discovery: the list cannot be read")
@@ -79,8 +79,8 @@
 	limiter    *rateLimiter
 }
 
-// NewClient makes a client of the list at address. ratePerS is how many calls a second the platform takes from all
-// nodes together; 0 if that is not known.
+// NewClient makes a client of the list at address. ratePerS is the platform's rate limit in calls a second for all
+// nodes together; 0 if it is unknown.
 func NewClient(network rpc.Network, address string, ratePerS float64) *Client {
 	transport := &http.Transport{
 		DialContext:         network(dialTimeout, silenceTimeout),
@@ -115,8 +115,8 @@
 	return nil, fmt.Errorf("%w: no last page", ErrMalformed)
 }
 
-// fetchPageAtRate reads a page when the rate allows it, and again if it is refused all the same: to begin the list
-// anew would only add calls.
+// fetchPageAtRate reads a page when the rate allows it. If the platform rejects the call nevertheless, it retries the
+// page, since a new list would need more calls.
 func (c *Client) fetchPageAtRate(ctx context.Context, token string) (page *instancePage, err error) {
 	for range maxRateLimitRetries {
 		if err := c.limiter.wait(ctx); err != nil {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read, or the connection is given up
+	defer func() { _ = resp.Body.Close() }() // nothing to do about an error
 	if resp.StatusCode == http.StatusTooManyRequests {
 		return nil, ErrRateLimited
 	}
--- a/internal/discovery/limiter.go
+++ b/internal/discovery/limiter.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// rateFraction is the part of the platform's rate that one client uses: another node may take over and begin within
-// the same second.
+// rateFraction is the fraction of the platform's rate limit that one client uses. The rest is for another node that
+// takes over within the same second.
 const rateFraction = 0.6
 
 // rateLimiter bounds the calls of any second. It is not safe for use by several goroutines.
 type rateLimiter struct {
-	calls  []time.Time // the newest calls, as many as a second may have; empty: no bound
-	oldest int         // the position in calls of the next one to be replaced
+	calls  []time.Time // ring buffer of the calls allowed in a second; empty if there is no limit
+	oldest int         // index of the oldest in calls
 }
 
 func newRateLimiter(ratePerS float64) *rateLimiter {
@@ -23,7 +23,7 @@
 	return &rateLimiter{calls: make([]time.Time, max(1, int(ratePerS*rateFraction)))}
 }
 
-// wait returns when a call may be made, and counts it.
+// wait blocks until a call is allowed, and counts it.
 func (l *rateLimiter) wait(ctx context.Context) error {
 	if len(l.calls) == 0 {
 		return nil
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// sleep waits; its error, if the context ends before, wraps ErrUnavailable.
+// sleep waits for d. If the context ends before, it returns an error that wraps ErrUnavailable.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
--- a/internal/distribution/ejection.go
+++ b/internal/distribution/ejection.go
@@ -9,7 +9,7 @@
 const (
 	// ReasonDraining marks an endpoint that the platform lists as leaving.
 	ReasonDraining = "list"
-	// ReasonUnresponsive marks an endpoint whose answers were late, lost or refused.
+	// ReasonUnresponsive marks an endpoint that nodes reported as faulty.
 	ReasonUnresponsive = "silent"
 )
 
--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -15,7 +15,7 @@
 // ShareLease is the stored lease of one node on a part of every rate that the nodes share.
 type ShareLease struct {
 	Permille int `cbor:"1,keyasint"` // thousandths of the rates
-	// Renewals grows with each renewal: a lease whose count doesn't grow runs out.
+	// Renewals rises with each renewal. A lease expires if it doesn't rise.
 	Renewals uint64 `cbor:"2,keyasint"`
 	// Request is the number of the request that was granted last.
 	Request RequestNumber `cbor:"3,keyasint,omitzero"`
@@ -26,7 +26,8 @@
 type ShareRequest struct {
 	Node     string `cbor:"1,keyasint"`
 	Permille int    `cbor:"2,keyasint"`
-	// HoldsNone says that the node uses nothing of its share now and takes what is fair.
+	// HoldsNone says that the node uses no share now and requests a fair one; Permille is
+	// ignored.
 	HoldsNone bool          `cbor:"3,keyasint,omitempty"`
 	Table     ShareTable    `cbor:"4,keyasint,omitempty"`
 	Number    RequestNumber `cbor:"5,keyasint,omitzero"`
@@ -37,8 +38,8 @@
 	Permille     int  `cbor:"1,keyasint"` // granted now
 	FairPermille int  `cbor:"2,keyasint"` // to ask for at the next renewal
 	Granted      bool `cbor:"3,keyasint,omitempty"`
-	// Uninterrupted says that the node's lease was on record until now: no other node had
-	// any of its share.
+	// Uninterrupted says that the node's lease was recorded until now, so that no other node
+	// has had its share meanwhile.
 	Uninterrupted bool `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/distribution/update.go
+++ b/internal/distribution/update.go
@@ -8,7 +8,7 @@
 	Reports []HealthReport `cbor:"3,keyasint,omitempty"`
 	// Suspects are the names of nodes whose heartbeats the sender misses.
 	Suspects []string `cbor:"4,keyasint,omitempty"`
-	// Immediate asks for an answer at once, even if there is nothing newer.
+	// Immediate asks for an answer without long polling, even if there is nothing newer.
 	Immediate bool `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/outbox/doc.go
+++ b/internal/outbox/doc.go
@@ -2,11 +2,10 @@
 // requests, after "Usage Billing Part 3: Microservices, Outbox, and Inbox".
 //
 // A change, the receipt of the request for it and its notification are committed in one
-// transaction of a cell. The notification lies in the outbox as a Row, which a publisher
-// claims and sends, again and again until it is published. A receiver decides each
-// notification against its Inbox before it changes anything, so that one that is repeated,
-// early or damaged does no harm. A Receipt remembers the answer under a request's
-// idempotency key.
+// transaction of a cell. The notification is stored in the outbox as a Row, which a publisher
+// claims and sends until it is published. A receiver decides each notification with its Inbox
+// before it changes anything, so that a repeated, early or damaged notification does no harm.
+// A Receipt records the answer to a request under its idempotency key.
 //
 // The types are stored and sent: the numbers in their cbor tags must not change.
 //
@@ -23,6 +22,6 @@
 	ErrInvalidState = errors.New("outbox: the row is not in a state that allows this")
 	// ErrNotOwner says that another publisher has claimed the row.
 	ErrNotOwner = errors.New("outbox: the row is claimed by another publisher")
-	// ErrContentMismatch says that an event ID came before with other content.
+	// ErrContentMismatch says that an event ID was received before with other content.
 	ErrContentMismatch = errors.New("outbox: the event ID is known with other content")
 )
--- a/internal/outbox/inbox.go
+++ b/internal/outbox/inbox.go
@@ -13,8 +13,8 @@
 	Applied Decision = iota
 	// Duplicate notifications were decided before, or are older than what was applied.
 	Duplicate
-	// Deferred notifications are early: an earlier one or the state that they speak of is
-	// missing. The receiver presents them again later.
+	// Deferred notifications are early: an earlier one, or the state that they announce, is
+	// missing. The receiver decides them again later.
 	Deferred
 	// Quarantined notifications are invalid, or contradict an earlier one.
 	Quarantined
@@ -48,16 +48,15 @@
 // NewInbox returns an inbox that has decided nothing.
 func NewInbox() *Inbox { return &Inbox{AppliedVersions: map[string]uint64{}} }
 
-// SetBaseVersion records that the receiver holds everything of an aggregate up to a version,
-// by the state that it was given: a new incarnation gets no notifications of what was before.
+// SetBaseVersion records that the receiver holds the state of an aggregate up to a version
+// without the notifications, as after a restart.
 func (b *Inbox) SetBaseVersion(aggregate string, version uint64) {
 	b.AppliedVersions[aggregate] = max(b.AppliedVersions[aggregate], version)
 }
 
-// Decide decides a notification before anything is changed. held is the version of its
-// aggregate up to which the receiver holds the state that the notification speaks of: a
-// deferred notification waits for that evidence, not for a time. The error is set for
-// Quarantined: ErrInvalidNotification or ErrContentMismatch.
+// Decide decides a notification before the receiver acts on it. held is the version of the
+// aggregate up to which the receiver holds the state; a deferred notification waits for it.
+// The error is set for Quarantined: ErrInvalidNotification or ErrContentMismatch.
 func (b *Inbox) Decide(n *Notification, held uint64) (Decision, error) {
 	if err := n.Validate(); err != nil {
 		return Quarantined, err
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// bucketMemory is how long the bucket of a removed tenant is remembered, and how long
-	// the share must have been held to know that a tenant is new: one that was not seen in
-	// that time finds its slice full, others find what is left.
+	// bucketMemory is how long the bucket of a removed tenant is kept. If the share has been
+	// held for so long, a tenant without a bucket is new and starts with a full slice;
+	// otherwise it starts with an empty one.
 	bucketMemory = 30 * time.Second
 	// maxRetryDelay bounds the RetryAfterMs of grants.
 	maxRetryDelay = 2 * time.Second
@@ -23,7 +23,7 @@
 	heldSince   time.Time  // the share has been held without a gap since then
 	limits      map[string]BucketLimits
 	buckets     map[string]*bucket
-	// orphanWatermarks are low watermarks on the disk of tenants that have no bucket.
+	// orphanWatermarks are stored low watermarks of tenants that have no bucket.
 	orphanWatermarks map[string]float64
 }
 
@@ -43,8 +43,7 @@
 	return a.shareLocked(now), a.leasedLocked(now)
 }
 
-// Shrink gives up a part of the share from now on. A share that is greater than the one
-// held changes nothing.
+// Shrink reduces the share held from now on. A greater share changes nothing.
 func (a *Allocator) Shrink(share float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,12 +52,12 @@
 	}
 	a.refillAllLocked(now)
 	a.share = share
-	a.refillAllLocked(now) // the slices are shallower now
+	a.refillAllLocked(now) // caps the levels at the new depths
 }
 
-// Renew takes the share that was granted, good until expiry by this node's clock. If the
-// share was not held just before, another node or a former incarnation may have granted all
-// that it held, so its slices start empty.
+// Renew sets the granted share, which expires at expiry by this node's clock. If no share was
+// held just before, another node or a former incarnation may have granted its tokens, so the
+// slices start empty.
 func (a *Allocator) Renew(share float64, expiry, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,8 +117,8 @@
 	}
 }
 
-// Take grants up to n whole tokens. If fewer were granted, retryAfter is when one more will
-// be there. Unknown tenants get none.
+// Take grants up to n whole tokens. If fewer are granted, retryAfter is the time until the next
+// one is available. Unknown tenants get none.
 func (a *Allocator) Take(tenant string, n int, now time.Time) (granted int, retryAfter time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,8 +136,8 @@
 	return granted, retryAfter
 }
 
-// Withdraw takes up to most tokens out of the slice, fractions of a token too, and returns
-// how many.
+// Withdraw takes up to most tokens, including fractions, from the slice and returns the
+// amount.
 func (a *Allocator) Withdraw(tenant string, most float64, now time.Time) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,8 +150,8 @@
 	return taken
 }
 
-// Deposit adds tokens that were withdrawn here or lent by another node, as far as the slice
-// has room.
+// Deposit adds tokens that were withdrawn here or lent by another node, up to the depth of the
+// slice.
 func (a *Allocator) Deposit(tenant string, tokens float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,18 +6,18 @@
 type bucket struct {
 	level     float64 // tokens
 	updatedAt time.Time
-	// removedAt is since when the tenant has had no limits; zero while it has.
+	// removedAt is when the tenant's limits were removed; zero while it has limits.
 	removedAt time.Time
-	// lowWatermark is the level that the disk holds, or more while a new one is being
-	// written. Nothing is granted below it, so that the next incarnation can start from it.
+	// lowWatermark is the stored low watermark, or a higher one that is being written. No
+	// tokens are granted below it, so that the next incarnation can start from it.
 	lowWatermark float64
 }
 
 // available returns how many tokens may be taken.
 func (b *bucket) available() float64 { return max(0, b.level-b.lowWatermark) }
 
-// refill adds the tokens that came in since the last update: at rate if the share was held,
-// up to depth.
+// refill adds the tokens since the last update, at rate if the share was held, and caps the
+// level at depth.
 func (b *bucket) refill(rate, depth float64, held bool, now time.Time) {
 	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
 		if held {
@@ -29,23 +29,23 @@
 }
 
 const (
-	// watermarkFraction is the part of a level that the disk vouches for.
+	// watermarkFraction is the low watermark as a fraction of the level.
 	watermarkFraction = 0.5
-	// lowerThreshold is the part of a slice's depth: with less available above the low
-	// watermark it is lowered.
+	// lowerThreshold is a fraction of the depth. The watermark is lowered if fewer tokens are
+	// available above it.
 	lowerThreshold = 0.125
-	// raiseThreshold is the part of a slice's depth from which on the watermark is raised.
+	// raiseThreshold is a fraction of the depth. The watermark is raised from this level on.
 	raiseThreshold = 0.8
 
-	// minWatermark is the least watermark worth keeping, in tokens.
+	// minWatermark is the smallest watermark that is stored, in tokens.
 	minWatermark = 1
-	// A watermark is raised only if it grows by so much: a factor and some tokens.
+	// A watermark w is raised only above raiseFactor*w + raiseMargin tokens.
 	raiseFactor = 1.5
 	raiseMargin = 0.5
 )
 
 // nextLowWatermark returns what the low watermark should be for a slice of the given depth,
-// and whether it ought to move now.
+// and whether it must change now.
 func (b *bucket) nextLowWatermark(depth float64) (watermark float64, move bool) {
 	target := watermarkFraction * b.level
 	switch {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -20,8 +20,8 @@
 	TokenLifetime time.Duration
 }
 
-// What the rules allow beyond rate and burst is divided as follows. The rest is for
-// requests that take time from their token to the endpoint.
+// The allowance beyond rate and burst is divided into these fractions. The rest covers the
+// delay between spending a token and the arrival of the request at the endpoint.
 const (
 	// lifetimeFraction is for granted tokens that are not spent yet while the bucket
 	// fills again.
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -11,8 +11,8 @@
 type TokenRequest struct {
 	ID      uint64         `cbor:"1,keyasint"` // repeated in the answer
 	Demands []TenantDemand `cbor:"2,keyasint"`
-	// Loan marks a request of one control node to another, which grants out of its
-	// own slices and asks no one else.
+	// Loan marks a request of one control node to another, which grants only from its own
+	// slices and doesn't borrow.
 	Loan bool `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -8,14 +8,14 @@
 const (
 	// rateSmoothing is the time over which a tenant's request rate is smoothed.
 	rateSmoothing = time.Second
-	// prefetchFraction is the part of a token's lifetime for which tokens are drawn ahead.
+	// prefetchFraction is the fraction of a token's lifetime for which tokens are prefetched.
 	prefetchFraction = 0.6
-	// accountIdleTimeout is how long a tenant that sends nothing is remembered.
+	// accountIdleTimeout is how long the account of an idle tenant is kept.
 	accountIdleTimeout = 20 * time.Second
 )
 
-// TokenCache holds the tokens of one data plane node, and the request rates that tell how
-// many to draw ahead. It is safe for concurrent use.
+// TokenCache holds the tokens of one data plane node, and the request rates from which the
+// number of tokens to prefetch follows. It is safe for concurrent use.
 type TokenCache struct {
 	mu       sync.Mutex // guards the fields below
 	accounts map[string]*account
@@ -38,8 +38,8 @@
 // NewTokenCache returns an empty cache.
 func NewTokenCache() *TokenCache { return &TokenCache{accounts: map[string]*account{}} }
 
-// Spend counts a request of the tenant and spends a token if one is here. If not, wait is
-// how long it is not worth asking for one.
+// Spend counts a request of the tenant and spends a token if there is one. If not, wait is how
+// long no node has a token; it may be negative.
 func (c *TokenCache) Spend(tenant string, now time.Time) (ok bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,14 +51,14 @@
 	return false, a.exhaustedUntil.Sub(now)
 }
 
-// SpendGranted spends a token that came in for a request that Spend has counted already.
+// SpendGranted spends a newly granted token for a request that Spend has counted already.
 func (c *TokenCache) SpendGranted(tenant string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.accountLocked(tenant, now).spend(now)
 }
 
-// PrefetchCount returns how many tokens to draw beyond those that requests wait for now.
+// PrefetchCount returns the number of tokens to request beyond those that requests wait for.
 func (c *TokenCache) PrefetchCount(tenant string, limits BucketLimits, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// RemoveIdle forgets tenants that have sent nothing for long.
+// RemoveIdle removes the accounts of idle tenants.
 func (c *TokenCache) RemoveIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quota/watermark.go
+++ b/internal/quota/watermark.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// LowWatermarks returns the low watermarks to write to the disk, by tenant, and whether any
-// of them ought to move. Until LowWatermarksStored says that they are on the disk, the old
-// ones hold where they are higher.
+// LowWatermarks returns the low watermarks to store, by tenant, and whether any of them must
+// change. Until LowWatermarksStored is called, the higher of the old and the new one applies.
 func (a *Allocator) LowWatermarks(now time.Time) (watermarks map[string]float64, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -35,7 +34,7 @@
 	return watermarks, due
 }
 
-// LowWatermarksStored records that these low watermarks, and none but these, are on the disk.
+// LowWatermarksStored records that exactly these low watermarks are stored.
 func (a *Allocator) LowWatermarksStored(watermarks map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -45,10 +44,10 @@
 	clear(a.orphanWatermarks)
 }
 
-// Restore takes the low watermarks that a former incarnation left on the disk. If its share
-// was uninterrupted, no other node has had it since, and the slices hold these tokens at
-// least; no time since then is counted. Otherwise the slices hold nothing, but the
-// watermarks stand until the disk holds others.
+// Restore sets the low watermarks that a former incarnation stored. If its share was
+// uninterrupted, no other node has had it since, so the slices start with these tokens;
+// nothing is added for the time since then. Otherwise the slices stay empty, but the
+// watermarks apply until others are stored.
 func (a *Allocator) Restore(watermarks map[string]float64, uninterrupted bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -17,17 +17,17 @@
 	maxInitialWait = 6 * time.Second
 	// maxSlewPerSecond is the most that an agreed offset moves in a second.
 	maxSlewPerSecond = time.Millisecond
-	// maxWallDisagreement is how far the median time of day may be from the agreed time and
-	// still lead it.
+	// maxWallDisagreement is the largest difference of the median time of day from the agreed
+	// time at which it still corrects it.
 	maxWallDisagreement = 200 * time.Millisecond
 	// wallCorrectionDivisor: each update corrects this part of that difference.
 	wallCorrectionDivisor = 8
 )
 
-// Clock is the true time as the control plane agrees on it: an offset to this node's
-// monotonic clock. Times of day may jump on some machines, but the monotonic clocks run on.
-// So an offset that was agreed on holds, and follows those of the peers by small steps
-// alone. It is safe for concurrent use.
+// Clock is the true time on which the control plane agrees, as an offset to this node's
+// monotonic clock. Unlike times of day, monotonic clocks don't jump. So an agreed offset
+// stays valid, and follows the offsets of the peers only in small steps. It is safe for
+// concurrent use.
 type Clock struct {
 	base time.Time // a moment of the monotonic clock
 
@@ -46,12 +46,12 @@
 	observedAt time.Time
 }
 
-// NewClock returns a clock that knows no time yet.
+// NewClock returns a clock without an agreed time.
 func NewClock(now time.Time) *Clock {
 	return &Clock{base: now, createdAt: now, peers: map[string]sample{}}
 }
 
-// Observe takes a peer's time of day and its agreed time, in nanoseconds since 1970; agreed
+// Observe records a peer's time of day and its agreed time, in nanoseconds since 1970. agreed
 // is 0 if the peer has none.
 func (c *Clock) Observe(peer string, wall, agreed int64, now time.Time) {
 	c.mu.Lock()
@@ -64,9 +64,9 @@
 	}
 }
 
-// Update brings the agreed time up to date. wall is this machine's time of day in
-// nanoseconds since 1970, members the number of control nodes, observed or not, and
-// elapsed the time since the last update.
+// Update updates the agreed time. wall is this machine's time of day in nanoseconds since 1970,
+// members the number of control nodes, observed or not, and elapsed the time since the last
+// update.
 func (c *Clock) Update(wall int64, members int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// Set takes the true time from another node, in nanoseconds since 1970, as a data plane node
-// does from the control plane.
+// Set sets the true time, in nanoseconds since 1970. Data plane nodes call it with the agreed
+// time of the control plane.
 func (c *Clock) Set(unixNanos int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,8 +126,7 @@
 	if len(agreed) > 0 {
 		target = median(append(agreed, c.offset))
 	}
-	// The times of day lead only while most of them are near: a jump of many machines is no
-	// reason to follow.
+	// Ignore the times of day if their median is far off, as after a jump on many machines.
 	if wall := median(walls); (wall - target).Abs() < maxWallDisagreement {
 		target += (wall - target) / wallCorrectionDivisor
 	}
@@ -135,8 +134,8 @@
 	c.offset += min(max(target-c.offset, -step), step)
 }
 
-// enoughForFirstAgreement reports whether so many times of day, this node's own included,
-// are enough after the time since the start.
+// enoughForFirstAgreement reports whether the observed times of day, including this node's
+// own, are enough for a first agreement at an age of the clock.
 func enoughForFirstAgreement(observed, members int, age time.Duration) bool {
 	switch {
 	case observed >= members && age >= initialAgreementWait:
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -24,13 +24,11 @@
 	sequence uint64 // of the last report
 	// unacknowledged holds the counts of reports by sequence number.
 	unacknowledged map[uint64]Windows
-	// acknowledgedBy is the incarnation of the control node that holds what is
-	// acknowledged.
+	// acknowledgedBy is the incarnation of the control node that acknowledged the counts.
 	acknowledgedBy uint64
 }
 
-// count is what was counted of one tenant in one window, and how much of that is
-// acknowledged.
+// count is the number of requests of one tenant in one window, in total and acknowledged.
 type count struct {
 	total        uint64
 	acknowledged uint64
@@ -81,8 +79,8 @@
 	c.sequence++
 	report := &CountReport{Incarnation: c.incarnation, Sequence: c.sequence, Windows: Windows{}}
 	counts := 0
-	// Newest first: after a change of the control node everything is reported again,
-	// and the oldest windows went to the platform long ago.
+	// Newest first: after a change of the control node everything is reported again, and the
+	// oldest windows have already been reported to the platform.
 	for _, window := range slices.Backward(slices.Sorted(maps.Keys(c.windows))) {
 		for tenant, counted := range c.windows[window] {
 			if counted.total <= counted.acknowledged || counts == maxCountsPerReport {
@@ -102,8 +100,8 @@
 	return report
 }
 
-// Acknowledge takes an answer to a report. Another incarnation of a control node, or
-// another node, holds nothing of what was acknowledged before.
+// Acknowledge handles the answer to a report. If it is from another control node or
+// incarnation, the former acknowledgements no longer count.
 func (c *Counter) Acknowledge(ack *CountAck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -1,8 +1,8 @@
 package usage
 
-// CountReport is a datagram of a data plane node to a control node: the counts that
-// the latter may not know. Each count is the total so far, not what was added. A report
-// without counts asks for the time alone.
+// CountReport is a datagram from a data plane node to a control node with the counts that are
+// not acknowledged. Each count is the total so far. A report without counts only requests the
+// time.
 type CountReport struct {
 	Incarnation uint64  `cbor:"1,keyasint"` // of the sender
 	Sequence    uint64  `cbor:"2,keyasint"`
--- a/internal/usage/store.go
+++ b/internal/usage/store.go
@@ -15,14 +15,14 @@
 	return &Store{windows: map[uint64]IncarnationCounts{}, changed: map[uint64]bool{}}
 }
 
-// Add takes the counts of a report.
+// Add merges the counts of a report.
 func (s *Store) Add(report *CountReport) {
 	for window, counts := range report.Windows {
 		s.Merge(window, IncarnationCounts{report.Incarnation: counts})
 	}
 }
 
-// Merge takes the greater of each count of a window.
+// Merge merges counts into a window, keeping the greater of each.
 func (s *Store) Merge(window uint64, counts IncarnationCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return windows
 }
 
-// RemoveOld forgets the windows long before the current one.
+// RemoveOld removes the windows more than retainedWindows before the current one.
 func (s *Store) RemoveOld(current uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retainedWindows is how many windows nodes remember.
+// retainedWindows is the number of former windows that nodes keep.
 const retainedWindows = 40
 
 // Counts are numbers of requests by tenant.
@@ -44,7 +44,7 @@
 	return total
 }
 
-// EncodeReport returns the report of a window as the platform takes it.
+// EncodeReport returns the report of a window in the platform's format.
 func EncodeReport(window uint64, counts Counts) []byte {
 	encoded, err := json.Marshal(struct {
 		WindowNumber   uint64 `json:"windowNumber"`
@@ -56,7 +56,7 @@
 	return encoded
 }
 
-// merge takes the greater of each count.
+// merge keeps the greater of each count.
 func (c IncarnationCounts) merge(other IncarnationCounts) {
 	for incarnation, counts := range other {
 		if c[incarnation] == nil {
