--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -55,9 +55,9 @@
 			Log:        s.log,
 		}),
 		tokens: allocation.NewTokenServer(allocation.TokenServerOptions{
-			Allocator:     allocator,
-			Borrower:      borrower,
-			OnTokensTaken: watermarks.Wake,
+			Allocator:   allocator,
+			Borrower:    borrower,
+			OnShortfall: watermarks.Wake,
 		}),
 	}
 }
--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -23,7 +23,7 @@
 
 // Peers lists control nodes.
 type Peers interface {
-	// LivePeers lists, by address, the control nodes heard within a time, this one too.
+	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 }
 
--- a/internal/controlplane/allocation/tokenserver.go
+++ b/internal/controlplane/allocation/tokenserver.go
@@ -22,9 +22,9 @@
 type TokenServerOptions struct {
 	Allocator *quota.Allocator
 	Borrower  *Borrower
-	// OnTokensTaken is called when the slices hold less than a demand requires and prefetches,
+	// OnShortfall is called when the slices hold less than a demand requires and prefetches,
 	// so that low watermarks may have to be lowered.
-	OnTokensTaken func()
+	OnShortfall func()
 }
 
 // TokenServer grants tokens from this node's slices of the buckets to data plane nodes, and
@@ -96,7 +96,7 @@
 	granted, retryAfter := s.options.Allocator.Take(demand.Tenant, max(0, required)+max(0, prefetch), now)
 	result.Granted = granted
 	if granted < required+prefetch {
-		s.options.OnTokensTaken()
+		s.options.OnShortfall()
 	}
 	if granted >= required {
 		return false
--- a/internal/controlplane/allocation/tokenserver_test.go
+++ b/internal/controlplane/allocation/tokenserver_test.go
@@ -76,9 +76,9 @@
 		RegionOf:  func(zone string) string { return zone },
 	})
 	node.tokens = NewTokenServer(TokenServerOptions{
-		Allocator:     node.allocator,
-		Borrower:      node.borrower,
-		OnTokensTaken: func() {},
+		Allocator:   node.allocator,
+		Borrower:    node.borrower,
+		OnShortfall: func() {},
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -44,7 +44,7 @@
 			Version: 8, Services: []string{"s1"}, Routes: []string{"r1"},
 		}},
 		{Name: "receipt-archive", Value: []schema.ArchivedReceipt{{Version: 8, Base: 7, Fingerprint: fingerprint}}},
-		{Name: "duty-lease", Value: schema.LeaseRecord{Holder: "10.0.0.1~f", Term: 3, Renewals: 44}},
+		{Name: "duty-lease", Value: schema.LeaseRecord{Owner: "10.0.0.1~f", Term: 3, Renewals: 44}},
 		{Name: "quarantine", Value: schema.QuarantineRecord{
 			Notification: notification, Reason: "no event id", ReportedBy: "n1",
 		}},
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -126,7 +126,7 @@
 func (l *Lease) FenceCondition(term uint64) (condition paxos.Condition, held bool) {
 	record, raw := l.readRecord()
 	condition = paxos.Condition{Key: l.key, Equals: paxos.Bytes(raw)}
-	held = raw != nil && record.Holder == l.self && record.Term == term && l.Remaining(term) > 0
+	held = raw != nil && record.Owner == l.self && record.Term == term && l.Remaining(term) > 0
 	return condition, held
 }
 
@@ -175,7 +175,7 @@
 
 // observation is what this node knows of the lease at one time.
 type observation struct {
-	isHolder  bool          // this node holds it
+	isOwner   bool          // this node holds it
 	isDue     bool          // it is time to renew it
 	unrenewed time.Duration // how long the record has been unchanged
 	yielding  time.Duration // how long this node waits for others to acquire it first
@@ -188,12 +188,12 @@
 	record, raw := l.readRecord()
 	seen := l.observe(record, raw)
 	switch {
-	case seen.isHolder:
+	case seen.isOwner:
 		if seen.isDue {
-			l.propose(ctx, raw, schema.LeaseRecord{Holder: record.Holder, Term: record.Term, Renewals: record.Renewals + 1})
+			l.propose(ctx, raw, schema.LeaseRecord{Owner: record.Owner, Term: record.Term, Renewals: record.Renewals + 1})
 		}
 	case seen.unrenewed >= seen.yielding && l.isFree(record, seen):
-		l.propose(ctx, raw, schema.LeaseRecord{Holder: l.self, Term: record.Term + 1})
+		l.propose(ctx, raw, schema.LeaseRecord{Owner: l.self, Term: record.Term + 1})
 	}
 }
 
@@ -207,7 +207,7 @@
 		l.observedAt = now
 	}
 	seen := observation{
-		isHolder:  record.Holder == l.self && l.term == record.Term && now.Before(l.expiresAt),
+		isOwner:   record.Owner == l.self && l.term == record.Term && now.Before(l.expiresAt),
 		isDue:     now.Sub(l.renewedAt) >= l.duration/renewalsPerDuration,
 		unrenewed: now.Sub(l.observedAt),
 	}
@@ -221,14 +221,14 @@
 func (l *Lease) isFree(record schema.LeaseRecord, seen observation) bool {
 	// A record of this node that it doesn't hold has expired by its own clock, or is of its
 	// former incarnation, which has ended.
-	if record.Holder == "" || record.Holder == l.self {
+	if record.Owner == "" || record.Owner == l.self {
 		return true
 	}
 	if seen.unrenewed >= time.Duration(l.skewFactor)*l.duration+seen.yielding {
 		return true
 	}
 	// The owner's machine has returned with a new disk: the recorded incarnation has ended.
-	return seen.unrenewed >= l.duration && l.cell.IncarnationEnded(record.Holder)
+	return seen.unrenewed >= l.duration && l.cell.IncarnationEnded(record.Owner)
 }
 
 // propose replaces the record old, or creates it if old is nil. If that is committed, this
@@ -262,7 +262,7 @@
 	}
 	l.Forfeit()
 	record, raw := l.readRecord()
-	if record.Holder != l.self {
+	if record.Owner != l.self {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
--- a/internal/controlplane/operatorapi/views.go
+++ b/internal/controlplane/operatorapi/views.go
@@ -40,7 +40,7 @@
 // LeaseView is the lease of a singleton role and its owner.
 type LeaseView struct {
 	Role         string `json:"duty"`
-	Holder       string `json:"holder"` // replica ID of the owner; empty if there is none
+	Owner        string `json:"holder"` // replica ID of the owner; empty if there is none
 	FencingToken uint64 `json:"fence"`
 }
 
@@ -95,7 +95,7 @@
 	forEachRecord(replica, schema.LeaseKeyPrefix, func(key string, record schema.LeaseRecord) {
 		view.Leases = append(view.Leases, LeaseView{
 			Role:         strings.TrimPrefix(key, schema.LeaseKeyPrefix),
-			Holder:       string(record.Holder),
+			Owner:        string(record.Owner),
 			FencingToken: record.Term,
 		})
 	})
--- a/internal/controlplane/outboxpublisher/publisher.go
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -30,7 +30,7 @@
 
 // Peers are the control nodes that notifications are delivered to.
 type Peers interface {
-	// LivePeers lists, by address, the control nodes heard within a time, this one too.
+	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 	// CallPeer makes an RPC to a control node.
 	CallPeer(ctx context.Context, address, path string, request, response any) error
--- a/internal/controlplane/placement/formation.go
+++ b/internal/controlplane/placement/formation.go
@@ -42,7 +42,7 @@
 	switch {
 	case len(cell.Voters) < voters:
 		return cell.Age < greetingPeriod ||
-			cell.SinceDisturbed < quietPeriod ||
+			cell.StableFor < quietPeriod ||
 			liveWithoutVote > 0 && cell.Age < formationTimeout
 	case len(cell.Voters) == voters && !cell.MembershipInEffect:
 		// The last voter may not hold the state yet.
--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -41,7 +41,7 @@
 			Voters:             make([]paxos.Voter, c.voters),
 			MembershipInEffect: c.inEffect,
 			Age:                c.age,
-			SinceDisturbed:     c.sinceDisturbed,
+			StableFor:          c.sinceDisturbed,
 			SinceVoterAdded:    c.sinceVoterAdded,
 		}
 		if got := isForming(cell, c.liveWithoutVote, all); got != c.isForming {
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -38,7 +38,7 @@
 	View(cell string, read func(*paxos.Replica)) bool
 	ViewAll(read func(replicahost.OpenReplica))
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
-	SilenceOf(address string) time.Duration
+	ContactAge(address string) time.Duration
 	QuorumContactAge() time.Duration
 	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
 	CallPeer(ctx context.Context, address, path string, request, response any) error
@@ -105,7 +105,7 @@
 
 func (m *Mover) planMoves() (moves []plannedMove) {
 	host := m.options.Host
-	isSilent := func(address string) bool { return host.SilenceOf(address) > replicahost.DownTimeout }
+	isDown := func(address string) bool { return host.ContactAge(address) > replicahost.DownTimeout }
 	var live map[string]replicahost.PeerInfo
 	host.ViewAll(func(open replicahost.OpenReplica) {
 		voters, inEffect := open.Replica.Voters()
@@ -118,7 +118,7 @@
 		s := situation{
 			voters:   voters,
 			live:     live,
-			isSilent: isSilent,
+			isDown:   isDown,
 			want:     m.options.Voters,
 			regionOf: m.options.RegionOf,
 		}
--- a/internal/controlplane/placement/plan.go
+++ b/internal/controlplane/placement/plan.go
@@ -28,7 +28,7 @@
 type situation struct {
 	voters   []paxos.Voter
 	live     map[string]replicahost.PeerInfo // by address
-	isSilent func(address string) bool
+	isDown   func(address string) bool
 	want     int // intended number of voters
 	regionOf func(zone string) string
 }
@@ -80,7 +80,7 @@
 func (s *situation) firstLost() (lost *paxos.Voter, healthy spread) {
 	healthy = spread{zones: map[string]int{}, regions: map[string]int{}}
 	for i, voter := range s.voters {
-		if s.isSilent(voter.Addr) {
+		if s.isDown(voter.Addr) {
 			if lost == nil {
 				lost = &s.voters[i]
 			}
--- a/internal/controlplane/placement/plan_test.go
+++ b/internal/controlplane/placement/plan_test.go
@@ -27,7 +27,7 @@
 		s := situation{
 			voters:   parseVoters(c.voters),
 			live:     map[string]replicahost.PeerInfo{},
-			isSilent: func(address string) bool { return c.silent != "" && address == c.silent },
+			isDown:   func(address string) bool { return c.silent != "" && address == c.silent },
 			want:     c.want,
 			regionOf: func(zone string) string { return zone[:1] },
 		}
--- a/internal/controlplane/reconcile/fixture_test.go
+++ b/internal/controlplane/reconcile/fixture_test.go
@@ -86,7 +86,7 @@
 
 func (s *testState) LivePeers(time.Duration) map[string]replicahost.PeerInfo { return s.peers }
 
-func (s *testState) SilenceOf(address string) time.Duration { return s.silence[address] }
+func (s *testState) ContactAge(address string) time.Duration { return s.silence[address] }
 
 func (s *testState) Nodes() map[string]distribution.Node { return s.nodes }
 
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -162,14 +162,14 @@
 func (n *nodeReconciler) expire(ctx context.Context) {
 	now := time.Now()
 	listed := n.lists.Nodes()
-	silent := n.silentControlNodes(listed)
+	unreachable := n.unreachableControlNodes(listed)
 	var txn paxos.Txn
 	for name, node := range listed {
 		since, isWaiting := n.downSince[name]
 		switch {
 		case !node.Down:
 			delete(n.downSince, name)
-			if silent[name] {
+			if unreachable[name] {
 				replaceNode(&txn, node, downNode(node))
 			}
 		case !isWaiting:
@@ -182,18 +182,18 @@
 	n.commit(ctx, txn)
 }
 
-// silentControlNodes returns the set of names of control nodes that have been out of contact
+// unreachableControlNodes returns the set of names of control nodes that have been out of contact
 // for replicahost.DownTimeout.
-func (n *nodeReconciler) silentControlNodes(listed map[string]distribution.Node) map[string]bool {
-	silent := map[string]bool{}
+func (n *nodeReconciler) unreachableControlNodes(listed map[string]distribution.Node) map[string]bool {
+	unreachable := map[string]bool{}
 	n.peers.Do(func() {
 		for name, node := range listed {
 			if node.ControlPlane && !node.Down {
-				silent[name] = n.peers.SilenceOf(node.Addr) > replicahost.DownTimeout
+				unreachable[name] = n.peers.ContactAge(node.Addr) > replicahost.DownTimeout
 			}
 		}
 	})
-	return silent
+	return unreachable
 }
 
 func (n *nodeReconciler) commit(ctx context.Context, txn paxos.Txn) {
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -38,8 +38,8 @@
 type Peers interface {
 	Do(task func())
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
-	// SilenceOf must be called in a function that is passed to Do.
-	SilenceOf(address string) time.Duration
+	// ContactAge must be called in a function that is passed to Do.
+	ContactAge(address string) time.Duration
 }
 
 // Lists are the node list and the endpoint list. *distributor.Distributor implements it.
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -7,7 +7,7 @@
 // proposals and reads to their callers.
 //
 //	host := replicahost.New(replicahost.Options{Self: self, Storage: store, ...})
-//	host.Open(schema.MetaCell, founders)
+//	host.Open(schema.MetaCell, initialVoters)
 //	go host.Run()
 //	committed, err := host.Propose(ctx, schema.MetaCell, txn) // here or at the leader
 //	err = host.WaitLinearizable(ctx, schema.MetaCell)         // before a read that must be current
@@ -219,7 +219,7 @@
 // Open starts this node's replica of a cell, unless it runs already. If the initial voters
 // include this node and nothing of the cell is stored, the replica starts as a voter of the
 // new cell. It must be called before Run or on the event loop.
-func (h *Host) Open(cell string, founders []paxos.Voter) {
+func (h *Host) Open(cell string, initialVoters []paxos.Voter) {
 	if h.replicas[cell] != nil {
 		return
 	}
@@ -232,8 +232,8 @@
 			Msg("the replica on this disk cannot be read; it stays closed")
 		return
 	}
-	if !found && (paxos.Membership{Voters: founders}).Contains(h.Self.ID) {
-		saved.Snapshot = foundingSnapshot(founders)
+	if !found && (paxos.Membership{Voters: initialVoters}).Contains(h.Self.ID) {
+		saved.Snapshot = initialSnapshot(initialVoters)
 		h.storage.Submit(cell, paxos.Writes{Snapshot: saved.Snapshot}, func() {})
 	}
 	now := h.now()
--- a/internal/controlplane/replicahost/identity.go
+++ b/internal/controlplane/replicahost/identity.go
@@ -25,8 +25,8 @@
 	Address    string // IP address
 	FirstStart bool   // of the system as a whole
 	// SetAside says that a damaged file was put aside: its replica may have voted.
-	SetAside bool
-	Founders []paxos.Voter // the first voters of the meta cell
+	SetAside      bool
+	InitialVoters []paxos.Voter // the first voters of the meta cell
 }
 
 // LoadOrCreateIdentity returns the replica ID of this incarnation of the disk. At the disk's
@@ -47,14 +47,14 @@
 		id = paxos.ReplicaID(node.Address + "~" + hex.EncodeToString(suffix[:]))
 	}
 	var writes paxos.Writes
-	if (paxos.Membership{Voters: node.Founders}).Contains(id) {
-		writes.Snapshot = foundingSnapshot(node.Founders)
+	if (paxos.Membership{Voters: node.InitialVoters}).Contains(id) {
+		writes.Snapshot = initialSnapshot(node.InitialVoters)
 	}
 	return id, true, disk.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, writes)
 }
 
-// foundingSnapshot returns the empty state of a new cell with its first voters.
-func foundingSnapshot(voters []paxos.Voter) *paxos.Snapshot {
+// initialSnapshot returns the empty state of a new cell with its first voters.
+func initialSnapshot(voters []paxos.Voter) *paxos.Snapshot {
 	return &paxos.Snapshot{
 		State:       map[string]paxos.Value{},
 		Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: voters}},
--- a/internal/controlplane/replicahost/identity_test.go
+++ b/internal/controlplane/replicahost/identity_test.go
@@ -21,10 +21,10 @@
 		}
 		defer func() { _ = v.Close() }()
 		id, _, err := LoadOrCreateIdentity(v, NewNode{
-			Address:    "a",
-			FirstStart: first,
-			SetAside:   storage.HasCorruptFile(dir),
-			Founders:   founders,
+			Address:       "a",
+			FirstStart:    first,
+			SetAside:      storage.HasCorruptFile(dir),
+			InitialVoters: founders,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -36,8 +36,8 @@
 }
 
 type peerState struct {
-	info      PeerInfo
-	lastHeard time.Duration
+	info        PeerInfo
+	lastContact time.Duration
 }
 
 func newPeerTable() *peerTable {
@@ -49,9 +49,9 @@
 
 // contact describes a message from a peer in relation to the ones before.
 type contact struct {
-	isNew    bool            // the first message under this ID
-	replaced paxos.ReplicaID // the former ID of the peer, or empty
-	silence  time.Duration   // the time since the message before
+	isNew      bool            // the first message under this ID
+	replaced   paxos.ReplicaID // the former ID of the peer, or empty
+	contactAge time.Duration   // the time since the message before
 }
 
 // record records a message from a peer.
@@ -61,35 +61,35 @@
 	delete(t.replaced, info.ID)
 	known := t.peers[info.Addr]
 	found := contact{
-		isNew:   known.info.ID != info.ID,
-		silence: now - known.lastHeard,
+		isNew:      known.info.ID != info.ID,
+		contactAge: now - known.lastContact,
 	}
 	if found.isNew && known.info.ID != "" {
 		found.replaced = known.info.ID
 		t.replaced[known.info.ID] = true
 	}
-	t.peers[info.Addr] = peerState{info: info, lastHeard: now}
+	t.peers[info.Addr] = peerState{info: info, lastContact: now}
 	return found
 }
 
-// heardSince returns, by address, the peers that sent a message after a time.
-func (t *peerTable) heardSince(since time.Duration) map[string]PeerInfo {
+// contactsSince returns, by address, the peers that sent a message after a time.
+func (t *peerTable) contactsSince(since time.Duration) map[string]PeerInfo {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard := map[string]PeerInfo{}
+	peers := map[string]PeerInfo{}
 	for address, peer := range t.peers {
-		if peer.lastHeard > since {
-			heard[address] = peer.info
+		if peer.lastContact > since {
+			peers[address] = peer.info
 		}
 	}
-	return heard
+	return peers
 }
 
-// lastHeard returns when the peer at an address last sent a message; 0 if it never did.
-func (t *peerTable) lastHeard(address string) time.Duration {
+// lastContact returns when the peer at an address last sent a message; 0 if it never did.
+func (t *peerTable) lastContact(address string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.peers[address].lastHeard
+	return t.peers[address].lastContact
 }
 
 // isReplaced reports whether the node of a replica has since sent a message under another ID.
@@ -102,20 +102,20 @@
 // LivePeers returns, by address, the control nodes that sent a message within a time, and
 // this node.
 func (h *Host) LivePeers(within time.Duration) map[string]PeerInfo {
-	live := h.peers.heardSince(h.now() - within)
+	live := h.peers.contactsSince(h.now() - within)
 	if _, isListed := live[h.Self.Addr]; !isListed {
 		live[h.Self.Addr] = h.Self
 	}
 	return live
 }
 
-// SilenceOf returns the time since the last message of a control node. Time in which this
+// ContactAge returns the time since the last message of a control node. Time in which this
 // node was stalled doesn't count. It must be called on the event loop, as from View.
-func (h *Host) SilenceOf(address string) time.Duration {
+func (h *Host) ContactAge(address string) time.Duration {
 	if address == h.Self.Addr {
 		return 0
 	}
-	return h.now() - max(h.resumedAt, h.peers.lastHeard(address))
+	return h.now() - max(h.resumedAt, h.peers.lastContact(address))
 }
 
 // IncarnationEnded reports whether a replica never returns: its node is live under another
@@ -199,8 +199,8 @@
 		h.transport.send(sender.Addr, nil)
 	}
 	found := h.peers.record(sender, now)
-	if found.isNew || found.silence > CandidateTimeout {
-		h.stability.disturbedAt = now
+	if found.isNew || found.contactAge > CandidateTimeout {
+		h.stability.unstableAt = now
 	}
 	if found.isNew {
 		h.refreshLearners() // don't wait for the next sendHellos
--- a/internal/controlplane/replicahost/peers_test.go
+++ b/internal/controlplane/replicahost/peers_test.go
@@ -31,7 +31,7 @@
 	if found := peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 0); !found.isNew || found.replaced != "" {
 		t.Errorf("at first: %+v", found)
 	}
-	if found := peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 3); found.isNew || found.silence != 3 {
+	if found := peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 3); found.isNew || found.contactAge != 3 {
 		t.Errorf("heard again: %+v", found)
 	}
 	if found := peers.record(PeerInfo{ID: "1~b", Addr: "1"}, 4); !found.isNew || found.replaced != "1~a" {
@@ -40,7 +40,7 @@
 	if !peers.isReplaced("1~a") || peers.isReplaced("1~b") {
 		t.Error("the wrong replica is replaced")
 	}
-	if heard := peers.heardSince(3); len(heard) != 1 || heard["1"].ID != "1~b" {
+	if heard := peers.contactsSince(3); len(heard) != 1 || heard["1"].ID != "1~b" {
 		t.Errorf("heard are %v", heard)
 	}
 	peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 5)
--- a/internal/controlplane/replicahost/propose_test.go
+++ b/internal/controlplane/replicahost/propose_test.go
@@ -91,8 +91,8 @@
 		if !found || len(cell.Voters) != 1 || !cell.MembershipInEffect {
 			t.Errorf("found %v, %+v", found, cell)
 		}
-		if cell.SinceDisturbed < time.Minute || cell.SinceDisturbed > cell.Age {
-			t.Errorf("at rest for %v of %v", cell.SinceDisturbed, cell.Age)
+		if cell.StableFor < time.Minute || cell.StableFor > cell.Age {
+			t.Errorf("at rest for %v of %v", cell.StableFor, cell.Age)
 		}
 	})
 }
--- a/internal/controlplane/replicahost/view.go
+++ b/internal/controlplane/replicahost/view.go
@@ -109,7 +109,7 @@
 type stability struct {
 	leader       paxos.ReplicaID // as last observed
 	voters       []paxos.Voter   // as last observed
-	disturbedAt  time.Duration   // see Stability.SinceDisturbed
+	unstableAt   time.Duration   // see Stability.StableFor
 	voterAddedAt time.Duration
 }
 
@@ -131,7 +131,7 @@
 	}
 	last.leader = leader
 	last.voters = slices.Clone(voters)
-	last.disturbedAt = now
+	last.unstableAt = now
 }
 
 // Stability describes how long the meta cell has been stable, as far as this node knows.
@@ -141,9 +141,9 @@
 	MembershipInEffect bool
 	// Age is the time since the replica was opened here.
 	Age time.Duration
-	// SinceDisturbed is the time since the leader or the voters changed, a node joined or
+	// StableFor is the time since the leader or the voters changed, a node joined or
 	// returned, or the quorum was out of contact.
-	SinceDisturbed time.Duration
+	StableFor time.Duration
 	// SinceVoterAdded is the time since a voter was added to the cell.
 	SinceVoterAdded time.Duration
 }
@@ -156,7 +156,7 @@
 		h.observeStability(now)
 		s.Voters, s.MembershipInEffect = replica.Voters()
 		s.Age = now - h.replicas[schema.MetaCell].openedAt
-		s.SinceDisturbed = now - h.stability.disturbedAt
+		s.StableFor = now - h.stability.unstableAt
 		s.SinceVoterAdded = now - h.stability.voterAddedAt
 	})
 	return s, found
--- a/internal/controlplane/schema/records.go
+++ b/internal/controlplane/schema/records.go
@@ -27,7 +27,7 @@
 
 // LeaseRecord is a lease and its owner.
 type LeaseRecord struct {
-	Holder paxos.ReplicaID `cbor:"1,keyasint"` // the owner; empty if the lease is free
+	Owner paxos.ReplicaID `cbor:"1,keyasint"` // the owner; empty if the lease is free
 	// Term is the fencing token. It rises each time the lease is acquired.
 	Term uint64 `cbor:"2,keyasint"`
 	// Renewals rises each time the lease is renewed or released.
--- a/internal/controlplane/schematest/cell.go
+++ b/internal/controlplane/schematest/cell.go
@@ -29,10 +29,10 @@
 // NewCell returns a Cell whose replica is the leader.
 func NewCell(tb testing.TB) *Cell {
 	tb.Helper()
-	founders := []paxos.Voter{{ID: "a", Addr: "a"}}
+	initialVoters := []paxos.Voter{{ID: "a", Addr: "a"}}
 	snapshot := &paxos.Snapshot{
 		State:       map[string]paxos.Value{},
-		Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: founders}},
+		Memberships: []paxos.Membership{{EffectiveFrom: 1, Voters: initialVoters}},
 	}
 	config := paxos.Config{
 		Cell:              schema.MetaCell,
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -74,8 +74,8 @@
 // storage's files are durable by now. The order matters: each open function names the fields
 // that it needs.
 func (s *Server) startReplicas(store *storage.Store) error {
-	founders := s.founders()
-	self, err := s.identify(store, founders)
+	initialVoters := s.initialVoters()
+	self, err := s.identify(store, initialVoters)
 	if err != nil {
 		return err
 	}
@@ -115,30 +115,30 @@
 			Str("duty", role).
 			Msg("the settings name a duty that this version does not know; it is not done")
 	}
-	s.host.Open(schema.MetaCell, founders)
+	s.host.Open(schema.MetaCell, initialVoters)
 	return s.becomeReady()
 }
 
-// founders returns the initial voters of the meta cell. There are none after the first start
+// initialVoters returns the initial voters of the meta cell. There are none after the first start
 // of the system.
-func (s *Server) founders() (founders []paxos.Voter) {
+func (s *Server) initialVoters() (initialVoters []paxos.Voter) {
 	if !s.settings.FirstStart {
 		return nil
 	}
 	for _, address := range s.settings.SeedHosts() {
-		founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
+		initialVoters = append(initialVoters, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
 	}
-	return founders
+	return initialVoters
 }
 
 // identify loads or creates this node's replica ID and returns its PeerInfo.
-func (s *Server) identify(store *storage.Store, founders []paxos.Voter) (self replicahost.PeerInfo, err error) {
+func (s *Server) identify(store *storage.Store, initialVoters []paxos.Voter) (self replicahost.PeerInfo, err error) {
 	set := s.settings
 	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
-		Address:    set.IPAddress,
-		FirstStart: set.FirstStart,
-		SetAside:   storage.HasCorruptFile(set.DataDirectory),
-		Founders:   founders,
+		Address:       set.IPAddress,
+		FirstStart:    set.FirstStart,
+		SetAside:      storage.HasCorruptFile(set.DataDirectory),
+		InitialVoters: initialVoters,
 	})
 	if err != nil {
 		return self, err
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -132,7 +132,7 @@
 			continue
 		}
 		for _, lease := range view.Leases {
-			if holder := f.controlNodeOf(lease.Holder); lease.Role == role && holder != nil {
+			if holder := f.controlNodeOf(lease.Owner); lease.Role == role && holder != nil {
 				return holder, nil
 			}
 		}
