--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -76,13 +76,13 @@
 func (t *peerTable) contactsSince(since time.Duration) map[string]PeerInfo {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	peers := map[string]PeerInfo{}
+	contacted := map[string]PeerInfo{}
 	for address, peer := range t.peers {
 		if peer.lastContact > since {
-			peers[address] = peer.info
+			contacted[address] = peer.info
 		}
 	}
-	return peers
+	return contacted
 }
 
 // lastContact returns when the peer at an address last sent a message; 0 if it never did.
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -91,14 +91,28 @@
 	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
-	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
+	s.openMover()
+	s.openOperatorAPI()
+	s.warnOfUnknownDuties()
+	s.host.Open(schema.MetaCell, initialVoters)
+	return s.becomeReady()
+}
+
+// openMover makes the mover of voters. It needs s.host and s.placementLease.
+func (s *Server) openMover() {
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
-		Voters:   voters,
+		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
 		RegionOf: s.settings.RegionOf,
 		Log:      s.log,
 	})
+}
+
+// openOperatorAPI makes the handler of the operator's API. It needs s.host, s.distributor,
+// s.quarantine and s.consumer.
+func (s *Server) openOperatorAPI() {
+	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
 	s.operator = operatorapi.New(operatorapi.Options{
 		Cells:               s.host,
 		Log:                 s.log,
@@ -110,13 +124,14 @@
 		},
 		AppliedVersions: s.consumer.AppliedVersions,
 	})
+}
+
+func (s *Server) warnOfUnknownDuties() {
 	for _, role := range s.settings.UnknownDuties() {
 		s.log.Warn(logging.UnknownDuty).
 			Str("duty", role).
 			Msg("the settings name a duty that this version does not know; it is not done")
 	}
-	s.host.Open(schema.MetaCell, initialVoters)
-	return s.becomeReady()
 }
 
 // initialVoters returns the initial voters of the meta cell. There are none after the first start
