--- /dev/null
+++ b/docs/events_test.go
@@ -0,0 +1,169 @@
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var (
+	eventRow = regexp.MustCompile(`(?m)^\| (\d{3}) \|`)
+	fieldRow = regexp.MustCompile("(?m)^\\| `(\\w+)` \\|")
+)
+
+// TestEventsAreListed checks that events.md has a row for each numbered event, and none for
+// another.
+func TestEventsAreListed(t *testing.T) {
+	compareNames(t, "event", declaredEvents(t), firstColumn(t, eventRow))
+}
+
+// TestLogFieldsAreListed checks that events.md has a row for each field of a log line, and
+// none for another.
+func TestLogFieldsAreListed(t *testing.T) {
+	compareNames(t, "field", usedLogFields(t), firstColumn(t, fieldRow))
+}
+
+func compareNames(t *testing.T, what string, inSources, listed []string) {
+	t.Helper()
+	for _, name := range inSources {
+		if !slices.Contains(listed, name) {
+			t.Errorf("events.md does not list the %s %s", what, name)
+		}
+	}
+	for _, name := range listed {
+		if !slices.Contains(inSources, name) {
+			t.Errorf("events.md lists the %s %s, which is in no log line", what, name)
+		}
+	}
+}
+
+// firstColumn is what the rows of events.md begin with.
+func firstColumn(t *testing.T, row *regexp.Regexp) []string {
+	t.Helper()
+	raw, err := os.ReadFile("events.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, match := range row.FindAllStringSubmatch(string(raw), -1) {
+		names = append(names, match[1])
+	}
+	return names
+}
+
+// declaredEvents are the numbers that internal/logging declares.
+func declaredEvents(t *testing.T) []string {
+	t.Helper()
+	var numbers []string
+	inspectSources(t, filepath.Join(root, "internal", "logging"), func(node ast.Node) {
+		spec, ok := node.(*ast.ValueSpec)
+		if !ok || len(spec.Values) != 1 {
+			return
+		}
+		kind, isIdent := spec.Type.(*ast.Ident)
+		value, isLiteral := spec.Values[0].(*ast.BasicLit)
+		if isIdent && isLiteral && kind.Name == "EventNumber" {
+			numbers = append(numbers, value.Value)
+		}
+	})
+	if len(numbers) == 0 {
+		t.Fatal("no events found")
+	}
+	return numbers
+}
+
+// usedLogFields are the names of the fields that precede a Msg in the sources.
+func usedLogFields(t *testing.T) []string {
+	t.Helper()
+	fields := map[string]bool{}
+	inspectSources(t, root, func(node ast.Node) {
+		call, selector := methodCall(node)
+		if call == nil || selector.Sel.Name != "Msg" {
+			return
+		}
+		for {
+			call, selector = methodCall(selector.X)
+			if call == nil {
+				return
+			}
+			if selector.Sel.Name == "Err" {
+				fields["error"] = true // zerolog's own name for it
+			}
+			if name, ok := literal(call.Args); ok && selector.Sel.Name != "Msg" {
+				fields[name] = true
+			}
+		}
+	})
+	var names []string
+	for name := range fields {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// methodCall takes x.Method(...) apart; nil for any other node.
+func methodCall(node ast.Node) (*ast.CallExpr, *ast.SelectorExpr) {
+	call, ok := node.(*ast.CallExpr)
+	if !ok {
+		return nil, nil
+	}
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return nil, nil
+	}
+	return call, selector
+}
+
+// literal is the first argument, if it is a string.
+func literal(args []ast.Expr) (string, bool) {
+	if len(args) == 0 {
+		return "", false
+	}
+	value, ok := args[0].(*ast.BasicLit)
+	if !ok || value.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(value.Value)
+	return text, err == nil
+}
+
+// inspectSources visits every node of the Go files below a folder, tests excepted.
+func inspectSources(t *testing.T, dir string, visit func(ast.Node)) {
+	t.Helper()
+	err := filepath.WalkDir(dir, func(file string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() && entry.Name() == ".git" {
+			return errorOrSkip(err)
+		}
+		if !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
+			return nil
+		}
+		tree, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(tree, func(node ast.Node) bool {
+			visit(node)
+			return true
+		})
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func errorOrSkip(err error) error {
+	if err != nil {
+		return err
+	}
+	return filepath.SkipDir
+}
