--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -14,17 +14,17 @@
 const (
 	headerAuthorization = "Authorization"
 
-	// deadlineMarginPerHop is what a hop takes of the time that a client gives.
+	// deadlineMarginPerHop is subtracted from the time that a client gives, for the
+	// way through this node.
 	deadlineMarginPerHop = 2 * time.Millisecond
 	// maxDeadlineMs bounds the time that a client may give, in milliseconds.
 	maxDeadlineMs = 1e12
-	// revocationMargin is how old what the control plane passes on may be, and the
-	// time that passing it on takes.
+	// revocationMargin covers the age of the revocations when the control plane sends
+	// them, and the time until they are applied here.
 	revocationMargin = 2500 * time.Millisecond
 	// minRetryAfter is the least time that a client at its limit is asked to wait.
 	minRetryAfter = time.Millisecond
-	// unreadyRetryAfter is for how long clients of a node that may not serve wait,
-	// in seconds.
+	// unreadyRetryAfter is the Retry-After of a node that may not serve, in seconds.
 	unreadyRetryAfter = "0.5"
 )
 
@@ -40,7 +40,7 @@
 	route     *routing.CompiledRoute
 	identity  routing.Identity
 	forwarded *upstream.Request
-	pending   *pendingRequest // nil until the request was read
+	pending   *pendingRequest // nil until the request has been read
 }
 
 // handle answers the request.
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// authenticate finds the tenant. Where nobody said lately which keys are revoked,
-// none is accepted.
+// authenticate finds the tenant. It accepts no key if the node's knowledge of revoked
+// keys is older than the revocation time-out allows.
 func (x *exchange) authenticate() *rejection {
 	revocation := x.client.Settings.Bounds.RevocationTimeout()
 	if revocation > 0 && x.table.RequiresKey() && x.client.Disconnected(revocation-revocationMargin) {
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// identifyTenant names the tenant to the endpoint, whatever the client sent.
+// identifyTenant sets the tenant header for the endpoint. A value that the client sent
+// is dropped.
 func (x *exchange) identifyTenant() {
 	header := x.forwarded.Header
 	delete(header, upstream.HeaderTenant)
@@ -125,7 +126,7 @@
 	}
 }
 
-// setDeadline sets the deadline by the route and by what the client gives, and
+// setDeadline sets the deadline to the earlier of the route's and the client's, and
 // returns the time that remains.
 func (x *exchange) setDeadline() (remaining time.Duration, rejected *rejection) {
 	remaining = x.route.Timeout
@@ -174,7 +175,7 @@
 	if x.isCacheable() {
 		reply = x.objectReply()
 		if onExecuted != nil && reply.Status/100 == 2 {
-			onExecuted(time.Now()) // on these routes what counts is a success
+			onExecuted(time.Now()) // on cacheable routes usage counts successes only
 		}
 	} else {
 		reply = x.dispatcher.Dispatch(x.route, x.forwarded, x.start, onExecuted)
@@ -188,8 +189,9 @@
 	return x.objects != nil && x.route.RouteKind == routing.KindCacheable && x.request.Method == http.MethodGet
 }
 
-// usageCallback returns what counts the request for its tenant, or nil if nothing does.
-// It does not hold the exchange, which can then stay on the stack.
+// usageCallback returns the function that counts the request for its tenant, or nil if
+// usage is not counted. It does not capture the exchange, so that the exchange can stay
+// on the stack.
 func (x *exchange) usageCallback() func(at time.Time) {
 	if x.identity.Tenant == nil || x.usage == nil {
 		return nil
@@ -198,14 +200,15 @@
 	return func(at time.Time) { usage.recordExecuted(tenant, at) }
 }
 
-// reject answers the request, unless it was answered already.
+// reject answers the request, unless it has been answered already.
 func (x *exchange) reject(rejected *rejection) {
 	if x.pending == nil || x.pending.claimAnswer() {
 		rejected.write(x.writer)
 	}
 }
 
-// recoverPanic answers a request whose handling panicked. It must be deferred itself.
+// recoverPanic answers a request whose handling panicked. It must be deferred directly:
+// recover works only there.
 func (x *exchange) recoverPanic() {
 	cause := recover()
 	if cause == nil {
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// idleTimeoutNotice is how much longer than the time to apply a configuration a
-	// longer idle timeout stays in force after a shorter one took its place.
+	// idleTimeoutNotice is added to the time in which a configuration is applied: for
+	// that long a longer idle timeout stays in force after a shorter one replaced it.
 	idleTimeoutNotice = time.Second
-	// standstillFactor is after how many maintenance intervals without one this
-	// node counts as having stood still.
+	// standstillFactor is the number of maintenance intervals without a run of
+	// closeExpired after which this node counts as having been suspended.
 	standstillFactor = 4
 	noIdleTimeout    = time.Duration(math.MaxInt64)
 )
@@ -31,14 +31,14 @@
 	connections map[net.Conn]idleConnection
 	checkedAt   time.Time
 	timeout     time.Duration // of the route table, as last seen
-	// previousTimeout is the one before, where it was longer. It stays in force until
-	// previousUntil, for clients that have yet to learn of the new one.
+	// previousTimeout is the longer timeout that timeout replaced. It stays in force
+	// until previousUntil, for clients that still rely on it.
 	previousTimeout time.Duration
 	previousUntil   time.Time
 }
 
-// idleConnection is since when a connection is idle, and the longest timeout that was
-// in force since: a client goes by the one that it knew.
+// idleConnection records since when a connection is idle, and the longest timeout that
+// was in force since then: the client may rely on it.
 type idleConnection struct {
 	since   time.Time
 	timeout time.Duration
@@ -52,7 +52,7 @@
 	}
 }
 
-// connectionChanged takes in the state of a connection; see http.Server.ConnState.
+// connectionChanged records the state of a connection; see http.Server.ConnState.
 func (t *idleTracker) connectionChanged(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,9 +64,9 @@
 	t.connections[conn] = idleConnection{since: now, timeout: t.effectiveTimeoutLocked(now)}
 }
 
-// effectiveTimeoutLocked is for how long a client may leave a connection idle from now
-// on, 0 without a route table. Where it has become shorter, clients learn of that
-// later than this node.
+// effectiveTimeoutLocked returns how long a client may leave a connection idle from now
+// on; 0 without a route table. A shorter timeout takes effect with a delay, since
+// clients learn of it later than this node.
 func (t *idleTracker) effectiveTimeoutLocked(now time.Time) time.Duration {
 	table := t.table()
 	if table == nil {
@@ -89,8 +89,8 @@
 	return timeout
 }
 
-// closeExpired closes connections whose idle timeout has passed. After a standstill of
-// this node it spares them once: their requests may be here and not read yet.
+// closeExpired closes connections whose idle timeout has passed. In the first run after
+// this node was suspended it closes none: requests may have arrived that are not read yet.
 func (t *idleTracker) closeExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,14 +98,14 @@
 	if timeout <= 0 {
 		return
 	}
-	stoodStill := now.Sub(t.checkedAt) > standstillFactor*maintenanceInterval
+	wasSuspended := now.Sub(t.checkedAt) > standstillFactor*maintenanceInterval
 	t.checkedAt = now
 	for conn, idle := range t.connections {
 		if idle.timeout < timeout {
 			idle.timeout = timeout
 			t.connections[conn] = idle
 		}
-		if now.Sub(idle.since) > idle.timeout && !stoodStill {
+		if now.Sub(idle.since) > idle.timeout && !wasSuspended {
 			_ = conn.Close()
 			delete(t.connections, conn)
 		}
--- a/internal/proxy/object.go
+++ b/internal/proxy/object.go
@@ -32,8 +32,8 @@
 	return conditionalReply(object, x.request.Header, x.forwarded.ID)
 }
 
-// conditionalReply makes the reply to a request that may name the version that the
-// client has, or a range.
+// conditionalReply makes the reply to a request that may be conditional (If-None-Match)
+// or ask for a range.
 func conditionalReply(object *responsecache.Response, requested http.Header, requestID string) *scatter.Reply {
 	header := withRequestID(object.Header, requestID)
 	if object.ETag != "" && etagMatches(requested.Get("If-None-Match"), object.ETag) {
@@ -58,7 +58,7 @@
 	return &scatter.Reply{Status: http.StatusPartialContent, Header: header, Body: object.Body[first : last+1]}
 }
 
-// withRequestID makes a cached header that of the reply to one request.
+// withRequestID returns a copy of a cached header with the ID of one request.
 func withRequestID(cached http.Header, requestID string) http.Header {
 	if cached == nil {
 		return nil
@@ -68,8 +68,8 @@
 	return header
 }
 
-// parseRange reads a single range that names its first byte; any other form counts as
-// none. last is inclusive and within size.
+// parseRange reads a single range that names its first byte; for any other form ok is
+// false. last is inclusive and within size.
 func parseRange(value string, size int) (first, last int, ok bool) {
 	spec, isBytes := strings.CutPrefix(strings.TrimSpace(value), "bytes=")
 	firstText, lastText, isRange := strings.Cut(strings.TrimSpace(spec), "-")
--- a/internal/proxy/pending.go
+++ b/internal/proxy/pending.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// abortRetryAfter is for how long a client waits whose request a node that ends did
-// not forward, in seconds.
+// abortRetryAfter is the Retry-After for a request that was not forwarded because the
+// node shuts down, in seconds.
 const abortRetryAfter = "0.05"
 
-// pendingRequest is a request whose response was not begun.
+// pendingRequest is a request whose response has not begun.
 type pendingRequest struct {
 	mu         sync.Mutex // guards the fields below, and the writer until it is answered
 	writer     http.ResponseWriter
-	dispatched bool // an endpoint may have got it
-	answered   bool // somebody has the right to answer
+	dispatched bool // an endpoint may have got the request
+	answered   bool // the right to answer is claimed
 }
 
-// markDispatched is called before an endpoint gets the request, which must not
-// happen if it returns false: the request is answered already.
+// markDispatched must be called before the request is sent to an endpoint. If it
+// returns false, the request is already answered and must not be sent.
 func (p *pendingRequest) markDispatched() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +28,8 @@
 	return !p.answered
 }
 
-// claimAnswer gives the right to answer to the first who calls it.
+// claimAnswer reports whether the caller may answer the request: only the first call
+// returns true.
 func (p *pendingRequest) claimAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,8 +38,8 @@
 	return isFirst
 }
 
-// abort answers the request because the node ends. It holds the lock until the
-// response is written: whoever handles the request waits for that.
+// abort answers the request because the node shuts down. It holds the lock until the
+// response is written, so that the request's handler can't return before that.
 func (p *pendingRequest) abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,20 +57,20 @@
 	_ = http.NewResponseController(p.writer).Flush() // a client that went away needs no response
 }
 
-// pendingRequests are the requests whose responses were not begun. It is safe for
+// pendingRequests are the requests whose responses have not begun. It is safe for
 // concurrent use.
 type pendingRequests struct {
 	mu     sync.Mutex // guards the fields below
 	open   map[*pendingRequest]struct{}
-	closed bool // what was open is answered; nothing is begun any more
+	closed bool // abortAll was called; new requests are answered at once
 }
 
 func newPendingRequests() *pendingRequests {
 	return &pendingRequests{open: map[*pendingRequest]struct{}{}}
 }
 
-// register adds a request that was read. After abortAll it is answered at once and
-// ok is false. The caller unregisters it either way.
+// register adds a request that has been read. After abortAll it is answered at once and
+// ok is false. The caller must unregister it in both cases.
 func (r *pendingRequests) register(writer http.ResponseWriter) (pending *pendingRequest, ok bool) {
 	pending = &pendingRequest{writer: writer}
 	r.mu.Lock()
@@ -88,8 +89,8 @@
 	delete(r.open, pending)
 }
 
-// abortAll answers what is open when the node must end: a connection that ends
-// without a response leaves the client in doubt whether its request was executed.
+// abortAll answers all open requests at the end of a shutdown: a client whose connection
+// closes without a response can't know whether its request was executed.
 func (r *pendingRequests) abortAll() {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -21,7 +21,7 @@
 	value  string
 }
 
-// unavailable asks the client to come back after a time in seconds.
+// unavailable returns a rejection with status 503; retryAfter is in seconds.
 func unavailable(reason, retryAfter string) *rejection {
 	return &rejection{
 		status: http.StatusServiceUnavailable,
@@ -31,8 +31,8 @@
 	}
 }
 
-// closeAfter rejects a request that was not read whole, so that its connection can
-// carry no other.
+// closeAfter returns a rejection that closes the connection: the request was not read
+// completely, so that no other one can follow it.
 func closeAfter(status int, reason string) *rejection {
 	return &rejection{status: status, reason: reason, header: "Connection", value: "close"}
 }
@@ -82,8 +82,8 @@
 	}
 }
 
-// setContentLength sets the length of a reply: that of its body, or what the
-// endpoint said where a reply has none.
+// setContentLength sets the length of a reply to that of its body; for HEAD it is the
+// one that the endpoint stated.
 func setContentLength(header http.Header, method string, reply *scatter.Reply) {
 	switch {
 	case method == http.MethodHead:
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -24,8 +24,8 @@
 // node out after two misses.
 const (
 	readinessNoticeTime = 2300 * time.Millisecond
-	// shutdownMargin is how long before the end of the grace period what is still
-	// pending is answered.
+	// shutdownMargin is how long before the end of the grace period the requests that
+	// are still pending are answered.
 	shutdownMargin     = 700 * time.Millisecond
 	defaultGracePeriod = 6 * time.Second
 )
@@ -44,7 +44,7 @@
 	shutdownOnce sync.Once
 }
 
-// New puts a data plane together that reaches other processes by network.
+// New returns a data plane that connects to other processes through network.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
 	client := controlclient.New(controlclient.Options{
 		Settings: set,
@@ -86,8 +86,7 @@
 	return err
 }
 
-// ReportUsage reports to the control plane what tenants had executed, until the
-// node ends.
+// ReportUsage reports the tenants' usage to the control plane until the node ends.
 func (s *Server) ReportUsage() error {
 	if s.frontend.usage != nil {
 		s.frontend.usage.run()
@@ -96,7 +95,7 @@
 	return nil
 }
 
-// CollectLatencies works off the latencies of lookups until the node ends.
+// CollectLatencies processes the latency samples of lookups until the node ends.
 func (s *Server) CollectLatencies() error {
 	if s.dispatcher.Latencies != nil {
 		s.dispatcher.Latencies.Run(s.Done())
@@ -105,8 +104,8 @@
 	return nil
 }
 
-// LatencyEstimates returns what this node knows of the latencies of lookups; nothing
-// where they are not sampled.
+// LatencyEstimates returns this node's snapshot of the latencies of lookups. It is empty
+// if they are not sampled.
 func (s *Server) LatencyEstimates(request distribution.EstimatesRequest) latencyestimate.Snapshot {
 	if s.dispatcher.Latencies == nil {
 		return latencyestimate.MergeSnapshots()
@@ -163,9 +162,9 @@
 	return e
 }
 
-// Shutdown ends the node gracefully: it is no longer ready, new connections are
-// still served until the platform noticed, and every pending request is answered.
-// It returns when the node may end.
+// Shutdown drains the node: it is no longer ready, new connections are still served
+// until the platform has noticed that, and every pending request is answered. It
+// returns when the process may exit.
 func (s *Server) Shutdown() {
 	s.shutdownOnce.Do(func() {
 		s.frontend.draining.Store(true)
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -14,17 +14,16 @@
 
 // Pacing of token requests; see docs/design.md.
 const (
-	// The least time between two datagrams: what comes meanwhile is sent together. A
-	// busy node has more to put together, and its datagrams would cost more than
-	// what is in them.
+	// The least time between two datagrams. Demands that arrive in between are sent in
+	// one datagram; a busy node waits longer, to send fewer datagrams with more demands.
 
 	minSendInterval  = 10 * time.Millisecond
 	busySendInterval = 30 * time.Millisecond
 	busySendRate     = 20.0 // datagrams a second from which a node is busy
 
 	responseTimeout  = 30 * time.Millisecond // after which another node is asked
-	lateGrantWindow  = time.Second           // in which tokens that come after that are still taken
-	maxTokenAttempts = 3
+	lateGrantWindow  = time.Second           // after responseTimeout, in which late tokens are still used
+	maxTokenAttempts = 3                     // requests for one waiter until it is rejected
 
 	// A request waits half its target latency for a token, within these bounds.
 
@@ -36,9 +35,9 @@
 
 var unavailableQuota = admission{verdict: quotaUnavailable, retryAfter: unavailableRetryAfter}
 
-// tokenClient gets tokens for the tenants whose requests this node sees. Requests for
-// which none is here wait while one datagram asks the control plane for all of them.
-// It is safe for concurrent use.
+// tokenClient requests quota tokens for tenants from the control plane. Requests for
+// which the cache has no token wait; one datagram asks for all of them. It is safe for
+// concurrent use.
 type tokenClient struct {
 	client *controlclient.Client
 	rules  quota.Rules
@@ -54,7 +53,7 @@
 	targets       targetSelector
 }
 
-// tokenRequest is a datagram to the control plane that was not answered.
+// tokenRequest is a datagram to the control plane that is not yet answered.
 type tokenRequest struct {
 	target    net.Addr
 	sentAt    time.Time
@@ -77,8 +76,8 @@
 	return t
 }
 
-// admit spends a token for a request of the tenant, if it needs one. The request has
-// the given target latency and remaining time.
+// admit spends a token for a request of the tenant, if it needs one. It waits for a
+// token for at most half the target latency, within bounds, and the remaining time.
 func (t *tokenClient) admit(
 	tenant *routing.Tenant, targetLatency, remaining time.Duration, now time.Time,
 ) admission {
@@ -104,7 +103,7 @@
 	return t.stopWaiting(queue, waiting)
 }
 
-// enqueue adds a waiter and has a token requested for it.
+// enqueue adds a waiter and schedules a token request for it.
 func (t *tokenClient) enqueue(tenant string, now time.Time) (*waitQueue, *waiter) {
 	waiting := &waiter{done: make(chan admission, 1)}
 	t.mu.Lock()
@@ -119,7 +118,8 @@
 	return queue, waiting
 }
 
-// stopWaiting takes a waiter out of its queue, unless it was answered meanwhile.
+// stopWaiting removes a waiter from its queue and returns its result: the answer, if one
+// has arrived, and otherwise unavailableQuota.
 func (t *tokenClient) stopWaiting(queue *waitQueue, waiting *waiter) admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,8 +132,8 @@
 	}
 }
 
-// scheduleSendLocked has tokens requested for those who wait, at once if the last
-// datagram is some time ago.
+// scheduleSendLocked schedules a token request for the waiters: at once, or when the
+// least interval after the last datagram is over.
 func (t *tokenClient) scheduleSendLocked(now time.Time) {
 	if t.sendScheduled {
 		return
@@ -150,7 +150,7 @@
 	go t.send()
 }
 
-// send sends one datagram for all for whom none was sent yet.
+// send sends one datagram with the demands that were not requested yet.
 func (t *tokenClient) send() {
 	now := time.Now()
 	table := t.client.RouteTable()
@@ -178,8 +178,8 @@
 	time.AfterFunc(responseTimeout, func() { t.handleTimeout(id) })
 }
 
-// addDemandsLocked adds what the queues need to a request, up to quota.MaxDemands; the
-// next request gets the others.
+// addDemandsLocked adds the demands of the queues to a request, up to quota.MaxDemands;
+// the next request gets the others.
 func (t *tokenClient) addDemandsLocked(request *tokenRequest, table *routing.RouteTable) {
 	now := request.sentAt
 	for name, queue := range t.queues {
@@ -210,7 +210,7 @@
 	}
 }
 
-// handleGrant takes in the answer to a request.
+// handleGrant processes the answer to a request.
 func (t *tokenClient) handleGrant(grant *quota.TokenGrant) {
 	now := time.Now()
 	t.mu.Lock()
@@ -225,8 +225,8 @@
 	}
 }
 
-// handleTenantGrantLocked takes in the answer to the demand i of a request. Tokens are
-// valid for their lifetime from before they were requested.
+// handleTenantGrantLocked processes the answer to the demand i of a request. The
+// lifetime of tokens counts from when the request was sent.
 func (t *tokenClient) handleTenantGrantLocked(request *tokenRequest, i int, grant quota.TenantGrant, now time.Time) {
 	demand := request.demands[i]
 	if grant.Granted > 0 {
@@ -251,7 +251,8 @@
 	}
 }
 
-// handleTimeout gives a request up and has another control plane node asked.
+// handleTimeout handles a request without an answer in time: its demands are requested
+// again, from another control plane node.
 func (t *tokenClient) handleTimeout(id uint64) {
 	now := time.Now()
 	t.mu.Lock()
@@ -267,20 +268,20 @@
 			queue.answered(demand.Required)
 			t.requeueLocked(queue, demand.Required, now)
 		}
-		demand.Required = 0 // a late answer still holds tokens, but nobody counts on it
+		demand.Required = 0 // the tokens of a late answer are kept, but no waiter needs them
 	}
 	time.AfterFunc(lateGrantWindow, func() { t.forget(id) })
 }
 
-// forget drops a request that was given up.
+// forget drops a request whose late grants are no longer used.
 func (t *tokenClient) forget(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.inFlight, id)
 }
 
-// requeueLocked has tokens requested once more for the oldest count waiters, except for
-// those that had too many attempts.
+// requeueLocked counts a failed attempt for the oldest count waiters and schedules
+// another request for the waiters that have attempts left.
 func (t *tokenClient) requeueLocked(queue *waitQueue, count int, now time.Time) {
 	if queue.failAttempt(count) {
 		t.scheduleSendLocked(now)
--- a/internal/proxy/token_queue.go
+++ b/internal/proxy/token_queue.go
@@ -14,7 +14,7 @@
 	quotaUnavailable                // the control plane could not be asked
 )
 
-// admission is what a request learns of its tenant's quota.
+// admission is the decision whether a request may pass its tenant's quota.
 type admission struct {
 	verdict    verdict
 	retryAfter time.Duration // unless granted
@@ -23,23 +23,23 @@
 // waiter is a request that waits for a token.
 type waiter struct {
 	done     chan admission // buffered for one
-	attempts int            // requests to the control plane that brought nothing
+	attempts int            // token requests that failed
 }
 
 // waitQueue holds the requests that wait for tokens of one tenant, oldest first. It
 // is guarded by tokenClient.mu.
 type waitQueue struct {
 	waiters   []*waiter
-	requested int // tokens that were requested for them and not answered
+	requested int // tokens requested for the waiters, without an answer yet
 }
 
-// unrequested is how many tokens are yet to be requested.
+// unrequested returns how many tokens are still to be requested.
 func (q *waitQueue) unrequested() int { return len(q.waiters) - q.requested }
 
-// isUnused reports whether nobody waits and nothing is requested.
+// isUnused reports whether there are no waiters and no open requests.
 func (q *waitQueue) isUnused() bool { return len(q.waiters) == 0 && q.requested <= 0 }
 
-// answered takes in that a request for count tokens ended.
+// answered records that a request for count tokens ended, with a grant or a time-out.
 func (q *waitQueue) answered(count int) { q.requested = max(0, q.requested-count) }
 
 func (q *waitQueue) remove(leaving *waiter) {
@@ -65,8 +65,8 @@
 
 func (q *waitQueue) rejectAll(reason admission) { q.reject(len(q.waiters), reason) }
 
-// failAttempt counts a failed attempt for the oldest count waiters, and rejects those
-// that had too many. It reports whether anybody still waits.
+// failAttempt counts a failed attempt for the oldest count waiters, and rejects the ones
+// that reached maxTokenAttempts. It reports whether any waiters are left.
 func (q *waitQueue) failAttempt(count int) bool {
 	kept := q.waiters[:0]
 	for i, waiting := range q.waiters {
--- a/internal/proxy/token_target.go
+++ b/internal/proxy/token_target.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// avoidDuration is for how long a control plane node is avoided that did not
-	// answer or has no share of the quota.
+	// avoidDuration is how long a control plane node is avoided after it did not
+	// answer or had no share of the quota.
 	avoidDuration = time.Second
-	// targetsMaxAge is how long the order of the control plane nodes is kept.
+	// targetsMaxAge is how long the list of the control plane nodes is reused.
 	targetsMaxAge = 250 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	return best
 }
 
-// avoid has other targets picked for a while.
+// avoid makes pick prefer other targets for avoidDuration.
 func (s *targetSelector) avoid(target net.Addr, now time.Time) {
 	s.avoidUntil[target.String()] = now.Add(avoidDuration)
 	s.listedAt = time.Time{}
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -19,18 +19,19 @@
 	// clockSyncInterval is the longest time between two reports. Their answers carry
 	// the control plane's time.
 	clockSyncInterval = 2 * time.Second
-	// clockSampleMaxAge is after what time a sample of the control plane's time gives
-	// way to one with a longer round trip.
+	// clockSampleMaxAge is the age from which a sample of the control plane's time is
+	// replaced even by one with a longer round trip.
 	clockSampleMaxAge = time.Minute
-	// reportsBeforeFailover is after how many unanswered reports another control
-	// plane node gets them.
+	// reportsBeforeFailover is the number of unanswered reports after which reports go
+	// to another control plane node.
 	reportsBeforeFailover = 3
-	// ackWindow is how long answers to a report are waited for.
+	// ackWindow is how long an answer to a report is accepted.
 	ackWindow = 5 * time.Second
 )
 
-// usageReporter counts what tenants had executed here, by the control plane's time,
-// and reports it to the control plane. It is safe for concurrent use.
+// usageReporter counts the executed requests of each tenant on this node, in windows of
+// the control plane's time, and reports them to the control plane. It is safe for
+// concurrent use.
 type usageReporter struct {
 	client  *controlclient.Client
 	counter *usage.Counter
@@ -40,11 +41,11 @@
 	sentAt          map[uint64]time.Time // of unanswered reports, by sequence number
 	unanswered      int                  // reports in a row without an answer
 	lastReportAt    time.Time
-	bestRoundTrip   time.Duration // of the sample that the clock goes by
+	bestRoundTrip   time.Duration // of the sample that the clock was set by
 	bestRoundTripAt time.Time
 }
 
-// newUsageReporter returns nil where usage is not reported.
+// newUsageReporter returns nil if the settings don't ask for usage reports.
 func newUsageReporter(client *controlclient.Client) *usageReporter {
 	if !client.Settings.ReportsUsage() {
 		return nil
@@ -83,7 +84,7 @@
 	}
 }
 
-// report sends what was counted, if anything was or the clock needs a sample.
+// report sends the counts, if there are any or the clock needs a sample.
 func (r *usageReporter) report(now time.Time) {
 	report := r.counter.NextReport()
 	r.mu.Lock()
@@ -107,7 +108,7 @@
 	r.unanswered++
 }
 
-// handleAck takes in the answer to a report.
+// handleAck processes the answer to a report.
 func (r *usageReporter) handleAck(ack *usage.CountAck) {
 	now := time.Now()
 	r.counter.Acknowledge(ack)
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -7,7 +7,7 @@
 	"comethold/internal/upstream"
 )
 
-// attemptState is where an attempt is in its life:
+// attemptState is the state of an attempt:
 //
 //	queued ──► sent ───────────► completed
 //	   │         └──► hedged ──►
@@ -15,40 +15,40 @@
 type attemptState int32
 
 const (
-	attemptQueued    attemptState = iota // has its endpoint reserved, and waits for the service's rate limit
-	attemptSent                          // is under way at the endpoint
-	attemptHedged                        // is overdue and still under way; another one was sent beside it
+	attemptQueued    attemptState = iota // has an endpoint reserved and waits for the service's rate limit
+	attemptSent                          // the call is under way
+	attemptHedged                        // the call is under way and overdue; a hedge was sent
 	attemptCompleted                     // ended, with a response or an error
-	attemptCancelled                     // was given up before it was sent, by the rate limit
+	attemptCancelled                     // abandoned before it was sent: the rate limit allowed no call in time
 )
 
-// attempt is one try to get a shard's response from one endpoint.
+// attempt is one call of a shard's request to one endpoint.
 type attempt struct {
 	shard     *shard
 	endpoint  *upstream.Endpoint
 	startedAt time.Time
 	state     atomic.Int32 // an attemptState
 
-	// The result. The attempt's goroutine sets it before it hands the attempt to
-	// the fan-out, and nobody changes it after that.
+	// The result. The attempt's goroutine sets it before it sends the attempt to the
+	// fan-out. It does not change after that.
 
 	response   *upstream.Response
 	err        error
 	duration   time.Duration // of the call
-	retryAfter time.Duration // when the rate limit allows more, if the attempt was cancelled
+	retryAfter time.Duration // if cancelled: when the rate limit allows more
 }
 
 func (a *attempt) current() attemptState { return attemptState(a.state.Load()) }
 
 func (a *attempt) enter(state attemptState) { a.state.Store(int32(state)) }
 
-// hedge records that another attempt was sent beside this one. One that is still
-// queued, or that ended meanwhile, keeps its state.
+// hedge records that a second attempt was sent because this one is overdue. An attempt
+// that is still queued or has ended keeps its state.
 func (a *attempt) hedge() {
 	a.state.CompareAndSwap(int32(attemptSent), int32(attemptHedged))
 }
 
-// perform makes the call of an attempt and hands the attempt to the fan-out. It
+// perform makes the call of an attempt and sends the attempt to the fan-out. It
 // runs in a goroutine of its own, which ends by the request's deadline, and may
 // outlast the fan-out: the results channel is buffered for every attempt.
 func (f *fanOut) perform(a *attempt) {
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -18,8 +18,8 @@
 	RetryBudget *retrybudget.Budget
 
 	// AwaitRate, if set, waits until a call may be made to a service whose rate is
-	// limited. If it may not be made before the deadline, it returns false and
-	// after what time to come back.
+	// limited. If it may not be made before the deadline, it returns false and the
+	// time after which the client may retry.
 	AwaitRate func(service string, deadline time.Time) (ok bool, retryAfter time.Duration)
 
 	// Latencies, if set, gets the latencies of requests on routes that have a
@@ -42,7 +42,7 @@
 	return &Dispatcher{Options: options, histograms: map[string]*latencyHistogram{}}
 }
 
-// RetainRoutes forgets the latencies of routes that the table has no more.
+// RetainRoutes drops the latency histograms of routes that are not in the table.
 func (d *Dispatcher) RetainRoutes(table *routing.RouteTable) {
 	live := map[string]bool{}
 	table.ForEachRoute(func(route *routing.CompiledRoute) { live[route.Name] = true })
@@ -68,7 +68,7 @@
 
 // Dispatch carries a request that arrived at start to the endpoints of its route
 // and returns the reply. onExecuted, if given, is called once if an endpoint
-// executed the request or may have, with the moment at which that endpoint got it.
+// executed the request or may have, with the time at which that endpoint got it.
 func (d *Dispatcher) Dispatch(
 	route *routing.CompiledRoute, request *upstream.Request, start time.Time, onExecuted func(at time.Time),
 ) *Reply {
@@ -103,9 +103,10 @@
 	return f.singleReply()
 }
 
-// admitRequest decides whether a request is begun. Where endpoints reject calls,
-// what is begun beyond their capacity takes slots and is lost all the same, so a
-// share of the requests is rejected before anything of them is executed.
+// admitRequest decides whether a request is started. When endpoints reject calls,
+// requests beyond their capacity would use slots and fail nevertheless. A share of
+// the requests is therefore rejected before any call. The share follows the
+// least admit rate among the required shards with the highest rates. It sorts admitRates.
 func admitRequest(admitRates []float64, required int) bool {
 	slices.Sort(admitRates)
 	share := admitRates[len(admitRates)-required]
--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -14,10 +14,10 @@
 	// deliveryMargin is how long before the target latency a reply is made, to
 	// get it to the client in time.
 	deliveryMargin = 12 * time.Millisecond
-	// lateCutoffFactor is after how many target latencies a reply that missed its
-	// target is made with the shards that answered.
+	// lateCutoffFactor is the number of target latencies after which a reply that
+	// missed its target is made with the shards that answered.
 	lateCutoffFactor = 3
-	// idleTimerInterval is for a timer that is reset before it matters.
+	// idleTimerInterval is the initial value of a timer that is reset before it fires.
 	idleTimerInterval = time.Hour
 )
 
@@ -37,11 +37,11 @@
 	results        chan *attempt // attempts that ended
 	completeShards int           // shards that have a response
 	openShards     int           // shards that may still get one
-	nextDue        time.Time     // not after the next moment at which a shard needs something done
+	nextDue        time.Time     // when to run handleDue next; never after the earliest hedge or retry
 
-	retryAfter      time.Duration      // when a rate limit that was in the way allows more
-	onExecuted      func(at time.Time) // nil once it was called
-	maybeExecutedAt time.Time          // when an endpoint got the request that may have executed it
+	retryAfter      time.Duration      // the longest that a rate limit asked to wait
+	onExecuted      func(at time.Time) // nil after its call
+	maybeExecutedAt time.Time          // when an endpoint that may have executed the request got it
 }
 
 func (d *Dispatcher) newFanOut(
@@ -77,8 +77,8 @@
 	}
 }
 
-// run follows the attempts until the reply can be made. A result concerns one
-// shard; all of them are looked at only when one is due.
+// run handles results and timers until the reply can be made. A result changes one
+// shard only; handleDue visits all shards, but only when one of them is due.
 func (f *fanOut) run() {
 	timer := time.NewTimer(idleTimerInterval)
 	defer timer.Stop()
@@ -88,7 +88,7 @@
 		if !f.nextDue.After(now) {
 			f.handleDue(now)
 		}
-		if f.isOver(now) || f.cutOff(now) {
+		if f.isOver(now) || f.reachesCutoff(now) {
 			return
 		}
 		if wakeAt := f.wakeAt(); !wakeAt.Equal(armedFor) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// handleWaitingResults takes in results that came meanwhile.
+// handleWaitingResults handles the results that are already in the channel.
 func (f *fanOut) handleWaitingResults() {
 	for {
 		select {
@@ -117,7 +117,8 @@
 	}
 }
 
-// isOver reports whether no more responses can come, or they are of no use.
+// isOver reports whether no more responses can arrive, too few of them for a success,
+// or all of them too late.
 func (f *fanOut) isOver(now time.Time) bool {
 	return f.openShards == 0 ||
 		f.completeShards+f.openShards < f.required ||
@@ -130,10 +131,10 @@
 	return f.request.FanOut && f.completeShards >= f.required && f.route.TargetLatency > 0
 }
 
-// cutOff decides whether to make the reply with the shards that answered: in time
-// for the target latency, it is worth more now than a complete one later. If the
-// target was missed, the fan-out goes on to a late cutoff.
-func (f *fanOut) cutOff(now time.Time) bool {
+// reachesCutoff reports whether to make the reply now with the shards that answered:
+// an incomplete reply within the target latency is better than a complete one later.
+// If the target latency is already missed, it moves the cutoff to a late one instead.
+func (f *fanOut) reachesCutoff(now time.Time) bool {
 	if !f.awaitsCutoff() || f.cutoff.After(now) {
 		return false
 	}
@@ -145,7 +146,7 @@
 	return false
 }
 
-// wakeAt is when the fan-out has something to do if no result comes.
+// wakeAt returns when the fan-out must act if no result arrives before.
 func (f *fanOut) wakeAt() time.Time {
 	wakeAt := f.request.Deadline
 	if !f.nextDue.IsZero() && f.nextDue.Before(wakeAt) {
@@ -157,14 +158,14 @@
 	return wakeAt
 }
 
-// scheduleBy has handleDue run at the given time or before.
+// scheduleBy makes run call handleDue at the given time or before.
 func (f *fanOut) scheduleBy(at time.Time) {
 	if f.nextDue.IsZero() || at.Before(f.nextDue) {
 		f.nextDue = at
 	}
 }
 
-// handleDue does what is due at the open shards, and finds out what is due next.
+// handleDue performs the retries and hedges that are due, and sets nextDue.
 func (f *fanOut) handleDue(now time.Time) {
 	f.nextDue = time.Time{}
 	for i := range f.shards {
@@ -192,7 +193,7 @@
 	f.scheduleBy(s.hedgeAt)
 }
 
-// complete gives the shard its response; the first one stays.
+// complete sets the response of a shard, unless it has one already.
 func (f *fanOut) complete(s *shard, response *upstream.Response) {
 	if s.response != nil {
 		return
@@ -204,7 +205,7 @@
 	}
 }
 
-// failIfExhausted has the shard fail if it is open and no attempt is under way.
+// failIfExhausted marks the shard as failed if it is open and no attempt is under way.
 func (f *fanOut) failIfExhausted(s *shard) {
 	if s.isIdle() && !s.failed {
 		s.failed = true
--- a/internal/scatter/histogram.go
+++ b/internal/scatter/histogram.go
@@ -14,20 +14,20 @@
 
 	// maxHistogramWeight is the number of samples after which older ones are halved.
 	maxHistogramWeight = 600
-	// minHistogramSamples is the number of samples from which the quantile counts.
+	// minHistogramSamples is the number of samples from which the quantile is used.
 	minHistogramSamples = 40
-	// quantileInterval is after how many samples the quantile is computed anew.
+	// quantileInterval is the number of samples between two computations of the quantile.
 	quantileInterval = 16
 
-	// hedgeQuantile is the share of responses that come before an attempt counts
-	// as overdue.
+	// hedgeQuantile is the quantile of the latency from which an attempt counts as
+	// overdue.
 	hedgeQuantile = 0.95
-	// The least delay before a hedge, where the quantile is known and where not.
+	// The least delay before a hedge, with a known quantile and without one.
 	minHedgeDelay        = 5 * time.Millisecond
 	minUnknownHedgeDelay = 10 * time.Millisecond
 )
 
-// latencyHistogram learns how long the responses of a route take; old ones fade.
+// latencyHistogram measures the response latency of a route; old samples lose weight.
 // It is safe for concurrent use.
 type latencyHistogram struct {
 	mu           sync.Mutex // guards the fields below
@@ -37,7 +37,7 @@
 	hedgeLatency time.Duration
 }
 
-// record takes in the latency of one response.
+// record adds the latency of one response.
 func (h *latencyHistogram) record(latency time.Duration) {
 	bucket := bucketOf(latency)
 	h.mu.Lock()
--- a/internal/scatter/reply.go
+++ b/internal/scatter/reply.go
@@ -22,12 +22,12 @@
 // Reply is what the client gets.
 type Reply struct {
 	Status int
-	// Header is nil for a reply of this node's own, which has a Reason in place of
-	// a body.
+	// Header is nil for a reply that this node made itself; it has a Reason instead
+	// of a Body.
 	Header http.Header
 	Body   []byte
-	// RetryAfter, with status 503, is after what time to repeat the request, which
-	// was not executed.
+	// RetryAfter is set with status 503: the request was not executed and may be
+	// repeated after this time.
 	RetryAfter time.Duration
 	Reason     string
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// retryLater asks the client to come back, not before a rate limit that was in the
-// way allows more.
+// retryLater returns a retryLaterReply that also respects the rate limits which
+// cancelled attempts.
 func (f *fanOut) retryLater(reason string) *Reply {
 	reply := retryLaterReply(reason)
 	reply.RetryAfter = max(reply.RetryAfter, f.retryAfter)
@@ -76,8 +76,8 @@
 	return f.retryLater("no leaf takes the request now")
 }
 
-// isOwnFailure reports whether a response is an endpoint's failure that the client
-// may see: one that does not say that the request was not executed.
+// isOwnFailure reports whether a response is an endpoint's failure that may be passed
+// on to the client: it must not suggest that the request was not executed.
 func isOwnFailure(response *upstream.Response) bool {
 	return response != nil && response.Status/100 != 2 &&
 		!response.NotExecuted() && !impliesNotExecuted(response.Status)
@@ -122,7 +122,7 @@
 	return &Reply{Status: http.StatusOK, Header: header, Body: body}
 }
 
-// incompleteReply makes the reply of a fan-out of which too few shards answered.
+// incompleteReply makes the reply of a fan-out with too few responses.
 func (f *fanOut) incompleteReply() *Reply {
 	executed := false
 	pending := false
--- a/internal/scatter/result.go
+++ b/internal/scatter/result.go
@@ -9,7 +9,7 @@
 	"comethold/internal/upstream"
 )
 
-// handleResult takes in an attempt that ended.
+// handleResult updates the shard of an attempt that ended, and retries it if it failed.
 func (f *fanOut) handleResult(ended *attempt) {
 	s := ended.shard
 	s.pendingAttempts--
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleNotSent replaces an attempt that no endpoint got, if it can.
+// handleNotSent replaces an attempt that was not sent, and reports whether it could.
 func (f *fanOut) handleNotSent(s *shard, now time.Time) bool {
 	s.sentAttempts--
 	s.unsentAttempts++
@@ -62,8 +62,8 @@
 	return f.startAttempt(s, now)
 }
 
-// handleRejection retries an attempt that its endpoint did not execute, or
-// schedules that.
+// handleRejection retries an attempt that its endpoint rejected: at once if the request
+// was misdirected, and otherwise after a backoff. It reports whether there is a retry.
 func (f *fanOut) handleRejection(ended *attempt, now time.Time) bool {
 	s := ended.shard
 	s.lastFailure = ended.response
@@ -81,8 +81,8 @@
 	return true
 }
 
-// handleFailure retries an attempt that failed at its endpoint or on the way, if
-// it can.
+// handleFailure retries an attempt that failed at its endpoint or without a response,
+// and reports whether it could.
 func (f *fanOut) handleFailure(ended *attempt, outcome upstream.Outcome, now time.Time) bool {
 	s := ended.shard
 	s.lastFailure = ended.response
@@ -104,9 +104,8 @@
 	}
 }
 
-// markPossiblyExecuted counts a request of which no endpoint said whether it
-// executed it as executed: an endpoint that got a request and is slow or breaks
-// off was mostly at work on it.
+// markPossiblyExecuted counts a request as executed if an endpoint got it and never
+// said whether it executed it: such endpoints mostly had begun the work.
 func (f *fanOut) markPossiblyExecuted() {
 	for i := range f.shards {
 		if s := &f.shards[i]; s.pendingAttempts > 0 && f.maybeExecutedAt.IsZero() {
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -11,18 +11,19 @@
 	// hedgeBudgetReserve is the share of the retry budget that hedges leave for
 	// retries after a failure.
 	hedgeBudgetReserve = 0.6
-	// shadowBudgetReserve is the share that attempts for comparison only leave.
+	// shadowBudgetReserve is the share that shadow attempts, which only compare
+	// replicas, leave for retries and hedges.
 	shadowBudgetReserve = 0.8
 
-	// The bounds of the wait after a rejected attempt, before jitter.
+	// The bounds of the backoff after a rejected attempt, before jitter.
 
 	minRejectionBackoff = 6 * time.Millisecond
 	maxRejectionBackoff = 40 * time.Millisecond
 )
 
-// reserve reserves an endpoint for one more attempt. Every attempt comes by here:
-// a request that is not idempotent gets an endpoint only while no other one has
-// it or may have executed it.
+// reserve reserves an endpoint for one more attempt, or returns nil. All attempts
+// reserve here, which keeps an invariant: a request that is not idempotent gets an
+// endpoint only if no other endpoint has the request or may have executed it.
 func (f *fanOut) reserve(s *shard) *upstream.Endpoint {
 	if !f.request.Retryable(s.worstOutcome) || f.request.NonIdempotent && s.pendingAttempts > 0 {
 		return nil
@@ -30,8 +31,9 @@
 	return f.Clusters.Reserve(s.service, s.triedEndpoints, f.request.NonIdempotent)
 }
 
-// startAttempt starts an attempt outside the retry budget, if an endpoint accepts
-// it: the first one, or one in place of an attempt that was not sent.
+// startAttempt starts an attempt that does not count against the retry budget: the
+// first one, or a replacement for one that was not sent. It reports whether an
+// endpoint accepted it.
 func (f *fanOut) startAttempt(s *shard, now time.Time) bool {
 	endpoint := f.reserve(s)
 	if endpoint == nil {
@@ -43,8 +45,8 @@
 }
 
 // retry starts an attempt at another endpoint, if the route's attempt limit and
-// the retry budget allow it. budgetReserve is the share of the budget that must
-// stay.
+// the retry budget allow it, and reports whether it did. budgetReserve is the share
+// of the budget that must remain after it.
 func (f *fanOut) retry(s *shard, budgetReserve float64, now time.Time) bool {
 	if s.sentAttempts >= f.route.AttemptLimit || !f.request.Deadline.After(now) {
 		return false
@@ -68,7 +70,7 @@
 	go f.perform(added)
 }
 
-// handleOverdue deals with a shard whose newest attempt takes longer than most.
+// handleOverdue reports and hedges the newest attempt of a shard, which is overdue.
 func (f *fanOut) handleOverdue(s *shard, now time.Time) {
 	overdue := s.newest
 	f.Clusters.ReportOverdue(overdue.endpoint, overdue.startedAt, f.hedgeDelay)
@@ -81,8 +83,8 @@
 	}
 }
 
-// rejectionBackoff is how long to wait after an endpoint rejected an attempt: a
-// full endpoint has its next slot free in a moment, and so have its peers.
+// rejectionBackoff returns how long to wait after an endpoint rejected an attempt:
+// about one mean latency, after which it or another endpoint has a free slot.
 func rejectionBackoff(meanLatency time.Duration) time.Duration {
 	backoff := min(max(meanLatency, minRejectionBackoff), maxRejectionBackoff)
 	return backoff/2 + rand.N(backoff)
--- a/internal/scatter/sampling.go
+++ b/internal/scatter/sampling.go
@@ -22,12 +22,12 @@
 	return d.Latencies != nil && route.LookupClass != ""
 }
 
-// recordSample hands on how long a call took. It runs in the attempt's own
-// goroutine, after the fan-out got the attempt, and does not block.
+// recordSample submits the latency of a call. It runs in the attempt's own goroutine,
+// after the attempt was sent to the fan-out, and does not block.
 func (f *fanOut) recordSample(ended *attempt, contended bool) {
 	timedOut := errors.Is(ended.err, upstream.ErrTimeout)
 	if !timedOut && (ended.err != nil || !ended.response.IsSuccess()) {
-		return // it says nothing of how long a lookup takes
+		return // a failure does not show how long a lookup takes
 	}
 	info := ended.endpoint.Info()
 	sample := latencyestimate.Sample{
@@ -47,8 +47,8 @@
 	}
 }
 
-// add takes in the response of a replica, and returns the pair once two different
-// replicas answered.
+// add adds the response of a replica, and returns the pair when a second replica has
+// answered.
 func (p *replicaPair) add(sample latencyestimate.Sample, body []byte) (pair latencyestimate.AnswerPair, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scatter/shard.go
+++ b/internal/scatter/shard.go
@@ -6,26 +6,26 @@
 	"comethold/internal/upstream"
 )
 
-// shard is one service of a fan-out and the attempts for it. It is open until
-// it has a response or has failed: then no attempt is under way or will be
-// begun. Only the fan-out changes it.
+// shard is one service of a fan-out and the attempts for it. It is open until it has
+// a response or has failed; a failed shard has no attempt under way and gets none.
+// Only the fan-out changes it.
 type shard struct {
 	service string
 	pair    *replicaPair // of sampled responses; nil where they are not sampled
 
-	// What was tried so far.
+	// The attempts so far.
 
-	first           attempt // the storage of the first attempt, mostly the only one
+	first           attempt // storage of the first attempt; saves an allocation
 	newest          *attempt
 	triedEndpoints  []*upstream.Endpoint
-	sentAttempts    int // those that reached an endpoint, or still may
-	unsentAttempts  int // those that no endpoint got
-	pendingAttempts int
+	sentAttempts    int                // that reached an endpoint, or still may
+	unsentAttempts  int                // that could not be sent
+	pendingAttempts int                // that have not ended
 	worstOutcome    upstream.Outcome   // of the attempts that completed
 	lastFailure     *upstream.Response // of the newest completed attempt without success
 	timedOut        bool               // an attempt timed out
 
-	// What comes next.
+	// The next steps.
 
 	hedgeAt time.Time // when the newest attempt counts as overdue
 	retryAt time.Time // when a rejected attempt is retried; zero if none is
