--- a/internal/controlclient/applied_state.go
+++ b/internal/controlclient/applied_state.go
@@ -16,11 +16,11 @@
 )
 
 // sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control node
-// asked for it: it asks at most once in that time.
+// asked for it. A control node asks at most once in that time.
 const sendMarkIndexesFor = 10 * time.Second
 
-// appliedState is what updates have brought to this node. Each part only moves forward. The
-// callbacks are set before the first update and are called under mu.
+// appliedState is the state that this node received in updates. Each part only moves
+// forward. The callbacks are set before the first update and are called under mu.
 type appliedState struct {
 	log         *logging.Logger
 	upstreams   *upstream.ClusterManager
@@ -37,11 +37,11 @@
 	// These are written under mu and read without it.
 	routeTable atomic.Pointer[routing.RouteTable] // nil until the first configuration
 	purgeIndex atomic.Uint64
-	// confirmed says that an update came from a node in contact with the majority.
+	// confirmed says that an update was received from a node in contact with the majority.
 	confirmed atomic.Bool
 
 	mu        sync.Mutex // guards the fields below
-	contactAt time.Time  // when the last such update came
+	contactAt time.Time  // when the last such update was received
 
 	endpointRevision distribution.Revision
 	hasEndpoints     bool
@@ -83,7 +83,7 @@
 	}
 }
 
-// ready reports whether there is all that serving needs.
+// ready reports whether there are a configuration and an endpoint list.
 func (s *appliedState) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return time.Since(s.contactAt) > span
 }
 
-// heldVersions returns what to name in the next update request.
+// heldVersions returns the versions of the held state for the next update request.
 func (s *appliedState) heldVersions() distribution.HeldVersions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 	if u.Nodes != nil {
 		s.applyNodesLocked(u.Nodes)
 	}
-	// After the rest of the update: notifications wait for the state that they speak of.
+	// After the rest of the update: notifications refer to state that must be applied first.
 	s.applyNotificationsLocked(u.Notifications)
 	s.updateNodeCountLocked(time.Now())
 	if !u.Stale {
@@ -201,8 +201,8 @@
 	s.upstreams.SetFleetEjections(s.ejectedLocked())
 }
 
-// ejectedLocked returns the ejected endpoints of all search indexes by ID. Where two have
-// marked one, ReasonDraining goes before other reasons.
+// ejectedLocked returns the ejected endpoints of all search indexes by ID. If several mark
+// the same endpoint, ReasonDraining takes precedence.
 func (s *appliedState) ejectedLocked() map[string]distribution.EjectionMark {
 	ejected := map[string]distribution.EjectionMark{}
 	for _, marks := range s.ejectionMarks {
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -20,7 +20,9 @@
 	"comethold/internal/usage"
 )
 
-// Time-outs of connections to endpoints.
+// Time-outs of connections to endpoints. The dial time-out is an upper bound only: package
+// upstream gives up on a dial earlier, after its own dialTimeout. An open connection fails
+// when the endpoint acknowledges nothing for upstreamSilenceTimeout.
 const (
 	upstreamDialTimeout    = time.Second
 	upstreamSilenceTimeout = 5 * time.Second
@@ -104,8 +106,8 @@
 // OnUsageAck sets what is called with answers to usage reports. See OnRouteTable.
 func (c *Client) OnUsageAck(f func(*usage.CountAck)) { c.datagrams.onUsageAck = f }
 
-// SetInitialPurgeIndex sets the log index up to which purges were applied to the objects
-// that this node kept over a restart. It must be called before RunUpdates.
+// SetInitialPurgeIndex sets the log index up to which purges are applied to the objects
+// that this node loaded from its disk. It must be called before RunUpdates.
 func (c *Client) SetInitialPurgeIndex(index uint64) {
 	c.state.purgeIndex.Store(index)
 	c.state.purgeFloor = index
@@ -137,11 +139,11 @@
 // Apply applies an update as RunUpdates does.
 func (c *Client) Apply(u *distribution.Update) { c.state.apply(u) }
 
-// SwitchSource has the update stream ask another control node, since another node
-// holds newer state than this one got: its control node may have lost contact.
+// SwitchSource makes the update stream poll another control node. It is for callers that
+// saw newer state on another node: this node's control node may have lost contact.
 func (c *Client) SwitchSource() { c.updates.switchSource() }
 
-// Reload takes new settings: the seed nodes may have changed.
+// Reload applies the seed nodes of new settings.
 func (c *Client) Reload(set *settings.Settings) { c.updates.setSeeds(set.SeedHosts()) }
 
 // Done returns a channel that Close closes.
@@ -150,11 +152,12 @@
 // Close ends RunUpdates and RunHeartbeats. It doesn't wait for them.
 func (c *Client) Close() { c.closeOnce.Do(func() { close(c.done) }) }
 
-// Ready reports whether the node holds all that serving needs.
+// Ready reports whether the node has a configuration and an endpoint list.
 func (c *Client) Ready() bool { return c.state.ready() }
 
-// Confirmed reports whether an update came, since the start, from a node in contact with the
-// majority of the control plane. Until then what was kept from before must not be used.
+// Confirmed reports whether the node received an update, since its start, from a node in
+// contact with the majority of the control plane. Until then it must not use state that it
+// loaded from its disk.
 func (c *Client) Confirmed() bool { return c.state.confirmed.Load() }
 
 // Disconnected reports whether the last update from a node in contact with the majority of
@@ -195,7 +198,7 @@
 func (c *Client) ObjectCaches() []distribution.Node { return *c.objectCaches.Load() }
 
 // ControlPlaneHosts returns the addresses (host and port) of the control nodes, the
-// one to ask first in front.
+// preferred first.
 func (c *Client) ControlPlaneHosts() []string {
 	var addresses []string
 	port := strconv.Itoa(c.Settings.PortOf(settings.ControlPlane))
@@ -205,7 +208,7 @@
 	return addresses
 }
 
-// ControlPlaneAddrs returns where the control nodes take datagrams, in the order of
+// ControlPlaneAddrs returns the UDP addresses of the control nodes, in the order of
 // ControlPlaneHosts.
 func (c *Client) ControlPlaneAddrs() []net.Addr {
 	var addresses []net.Addr
@@ -217,7 +220,7 @@
 	return addresses
 }
 
-// setNodes takes a new directory of nodes.
+// setNodes applies a new directory of nodes.
 func (c *Client) setNodes(nodes []distribution.Node) {
 	c.updates.setNodes(nodes)
 	caches := []distribution.Node{}
--- a/internal/controlclient/datagrams.go
+++ b/internal/controlclient/datagrams.go
@@ -16,7 +16,7 @@
 	receiveRetryPause = 50 * time.Millisecond // after an error of the socket
 )
 
-// datagramSocket sends datagrams, and hands on those that are received.
+// datagramSocket sends datagrams, and passes received ones to callbacks.
 type datagramSocket struct {
 	onTokenGrant func(*quota.TokenGrant) // set before open
 	onUsageAck   func(*usage.CountAck)   // set before open
@@ -32,7 +32,7 @@
 	}
 }
 
-// open has send use conn.
+// open makes send use conn.
 func (s *datagramSocket) open(conn net.PacketConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// receive hands on what comes on conn until done is closed and the socket fails. What can't
-// be decoded is dropped.
+// receive passes the datagrams received on conn to their callbacks. It returns on the first
+// read error after done is closed: close conn to end it. Invalid datagrams are dropped.
 func (s *datagramSocket) receive(conn net.PacketConn, onHeartbeat func(node string), done <-chan struct{}) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
--- a/internal/controlclient/heartbeats.go
+++ b/internal/controlclient/heartbeats.go
@@ -11,9 +11,13 @@
 	"comethold/internal/settings"
 )
 
-// heartbeats sends this node's heartbeats to the nodes that watch it, and notes those of the
-// nodes that it watches. All of them are nodes of its own zone, so that failure detection
-// costs each node the same, however many zones there are.
+// heartbeats sends this node's heartbeats to the nodes that watch it, and records the
+// heartbeats of the nodes that it watches. All of them are in its own zone, so that the
+// costs of failure detection don't depend on the number of zones.
+//
+// A node whose heartbeats are missing is a suspect. Each poll of the update stream reports
+// the suspects to the control plane (UpdateRequest.Suspects); package nodereports counts the
+// reports there, and the node reconciler of package reconcile marks the node as down.
 type heartbeats struct {
 	settings *settings.Settings
 	interval time.Duration
@@ -32,7 +36,7 @@
 	}
 }
 
-// setNodes takes a new directory of nodes.
+// setNodes applies a new directory of nodes.
 func (h *heartbeats) setNodes(nodes []distribution.Node) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,7 +51,7 @@
 	return h.detector.Suspects(time.Now())
 }
 
-// record notes a heartbeat of a node.
+// record records a heartbeat of a node.
 func (h *heartbeats) record(node string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,8 +74,8 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if now.Sub(lastTick) > 2*h.interval {
-			h.forgive(now)
+		if now.Sub(lastTick) > 2*h.interval { // this process was suspended
+			h.resetDetector(now)
 		}
 		lastTick = now
 		for _, watcher := range h.watcherAddrs() {
@@ -80,8 +84,8 @@
 	}
 }
 
-// forgive counts all watched nodes as heard now: this node itself was stopped for a while.
-func (h *heartbeats) forgive(now time.Time) {
+// resetDetector counts as if a heartbeat of every watched node had arrived now.
+func (h *heartbeats) resetDetector(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.detector.Reset(now)
--- a/internal/controlclient/internal_api.go
+++ b/internal/controlclient/internal_api.go
@@ -14,11 +14,11 @@
 // Paths of the internal API.
 const (
 	updatePath    = "/feed" // also that of the control plane
-	reachablePath = "/here" // by which others check that this node is reachable
+	reachablePath = "/here" // for the control plane's probes of suspects
 )
 
-// InternalHandler returns the internal API for other nodes: updates for those that find no
-// control plane, and an answer to those that check whether this node is reachable.
+// InternalHandler returns the internal API for other nodes: updates for nodes that reach no
+// control node, and an answer to the control plane's probes.
 func (c *Client) InternalHandler() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
--- a/internal/controlclient/node_count.go
+++ b/internal/controlclient/node_count.go
@@ -3,7 +3,7 @@
 import "time"
 
 // nodeCountWindow is how long a node that left the directory, or is down, still counts when
-// limits are divided among the nodes: what it used is in others' windows until then.
+// limits are divided among the nodes: its requests still count in the windows of the limits.
 const nodeCountWindow = 15 * time.Second
 
 // nodeCount is how many nodes shared the limits from a time on.
@@ -12,8 +12,8 @@
 	since time.Time
 }
 
-// updateNodeCountLocked divides the shared limits among the most nodes that there were in
-// the last nodeCountWindow.
+// updateNodeCountLocked divides the shared limits by the highest number of nodes in the last
+// nodeCountWindow.
 func (s *appliedState) updateNodeCountLocked(now time.Time) {
 	count := s.dataPlaneCount
 	if s.sharingNodes != nil {
--- a/internal/controlclient/notifications.go
+++ b/internal/controlclient/notifications.go
@@ -10,8 +10,8 @@
 // maxDeferredNotifications bounds the early notifications that a node keeps.
 const maxDeferredNotifications = 128
 
-// applyNotificationsLocked decides the deferred notifications and those of an update, which
-// may be nil, and acts on those that apply. The state that they speak of must have been
+// applyNotificationsLocked decides the deferred notifications and the ones of an update,
+// which may be nil, and acts on the ones that apply. The state that they refer to must be
 // applied before.
 func (s *appliedState) applyNotificationsLocked(u *distribution.NotificationUpdate) {
 	heldVersions := map[string]uint64{outbox.AggregatePurges: s.purgeIndex.Load()}
@@ -36,13 +36,13 @@
 	}
 }
 
-// decideNotificationLocked decides one notification; held is the version that is held of its
-// aggregate.
+// decideNotificationLocked decides one notification and acts on it if it applies. held is
+// the version of its aggregate that this node holds.
 func (s *appliedState) decideNotificationLocked(n *distribution.OutboxNotification, held uint64) {
 	message := &n.Notification
 	if message.Version <= held {
-		// Notifications come in order: one that is missing before this one will not come,
-		// but its change is in the state that is here.
+		// Notifications are sent in order: a missing earlier one will not arrive any more,
+		// but the held state already has its change.
 		s.inbox.SetBaseVersion(message.Aggregate, message.PreviousVersion)
 	}
 	switch decision, err := s.inbox.Decide(message, held); decision {
--- a/internal/controlclient/purges.go
+++ b/internal/controlclient/purges.go
@@ -9,8 +9,8 @@
 // maxRememberedPurges bounds the purges that a node remembers.
 const maxRememberedPurges = 4096
 
-// applyPurgesLocked remembers purges and has cached objects dropped before purgeIndex moves:
-// a reader of the index finds their effect.
+// applyPurgesLocked records purges and drops cached objects. It moves purgeIndex last, so
+// that whoever reads the index finds the purges applied.
 func (s *appliedState) applyPurgesLocked(u *distribution.PurgeUpdate) {
 	held := s.purgeIndex.Load()
 	if u.LogIndex <= held && !u.Reset {
--- a/internal/controlclient/update_for.go
+++ b/internal/controlclient/update_for.go
@@ -7,9 +7,9 @@
 	"comethold/internal/distribution"
 )
 
-// updateFor answers another node, which holds what is named, with what is newer here. The
-// update is marked stale: this node can't tell whether it is the newest. The directory of
-// nodes goes to nodes of the same zone alone, since it holds the nodes of no other zone.
+// updateFor returns the state that is newer here than what another node holds. The update is
+// marked stale: this node can't know whether its state is the newest. Only nodes of the same
+// zone get the directory of nodes, since it contains only this zone's nodes.
 func (s *appliedState) updateFor(held distribution.HeldVersions, sameZone bool) *distribution.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_source.go
+++ b/internal/controlclient/update_source.go
@@ -11,8 +11,8 @@
 const (
 	// avoidDuration is how long a control node that failed or is stale is asked last.
 	avoidDuration = 3 * time.Second
-	// minSwitchInterval bounds how often the stream switches to another node because others
-	// hold newer state: behind a network partition no node may hold any.
+	// minSwitchInterval is the least time between two calls of switchSource that take effect:
+	// behind a network partition no control node may have newer state.
 	minSwitchInterval = 600 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	rankSeed // not in the directory of nodes, or there is none yet
 	rankDown
 
-	// rankAvoided is added for a node to avoid, which comes after all others.
+	// rankAvoided is added to the rank of a node to avoid, so that it follows all others.
 	rankAvoided sourceRank = 10
 )
 
@@ -34,7 +34,8 @@
 type updateSource struct {
 	host string
 	rank sourceRank
-	// preference orders nodes of one rank: each node prefers another one, and keeps to it.
+	// preference orders control nodes of one rank. It is a hash with this node's name, so
+	// that nodes prefer different control nodes and keep their preference.
 	preference uint64
 }
 
@@ -92,15 +93,14 @@
 	return rankOtherRegion
 }
 
-// avoid has a control node asked last for a while.
+// avoid ranks a control node last for avoidDuration.
 func (s *updateStream) avoid(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.avoidUntil[host] = time.Now().Add(avoidDuration)
 }
 
-// switchSource ends the open poll and avoids its node: another node holds newer state than it
-// has sent.
+// switchSource ends the open poll and avoids its node, since another node holds newer state.
 func (s *updateStream) switchSource() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	s.cancelPoll = nil
 }
 
-// setNodes takes a new directory of nodes.
+// setNodes applies a new directory of nodes.
 func (s *updateStream) setNodes(nodes []distribution.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// setSeeds takes new seed nodes.
+// setSeeds replaces the seed nodes.
 func (s *updateStream) setSeeds(hosts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -19,28 +19,29 @@
 const (
 	// pollTimeout bounds a poll: the control plane answers within a second.
 	pollTimeout = 1800 * time.Millisecond
-	// retryPause is the mean pause after a poll that failed or brought stale state.
+	// retryPause is the mean pause after a poll that failed or returned stale state.
 	retryPause = 60 * time.Millisecond
 
-	// Until the first configuration is here, all control nodes are polled at once:
-	// each with firstPollTimeout, the next one firstStagger later, and again after
-	// firstPollPause if it has no configuration yet.
+	// Until the first configuration is received, all control nodes are polled in parallel:
+	// each poll has firstPollTimeout, each node starts firstStagger after the one before,
+	// and it is polled again after firstPollPause if it had no configuration.
 	firstPollTimeout = 800 * time.Millisecond
 	firstStagger     = 60 * time.Millisecond
 	firstPollPause   = 400 * time.Millisecond
 
-	// reportDelay is how long a health report waits for others to go with it: faults
-	// seldom come to one endpoint alone.
+	// reportDelay is how long a health report waits for others to be sent with it: faults
+	// often affect several endpoints.
 	reportDelay = 30 * time.Millisecond
-	maxReports  = 64
+	maxReports  = 64 // queued; further ones are dropped
 
-	// failuresBeforePeers is after how many failed polls in a row other nodes are asked.
+	// failuresBeforePeers is the number of failed polls in a row after which data plane
+	// nodes are polled.
 	failuresBeforePeers = 4
 	maxPeersAsked       = 2
 	peerPollTimeout     = 500 * time.Millisecond
 )
 
-// errPollInterrupted says that a poll was ended on purpose, so that the next one can carry
+// errPollInterrupted says that this node cancelled a poll, so that the next one can carry
 // reports or go to another node.
 var errPollInterrupted = errors.New("controlclient: the poll was interrupted")
 
@@ -57,7 +58,7 @@
 	// Used by run alone.
 	firstPolls sync.WaitGroup
 	failures   int    // polls that failed in a row
-	lastHost   string // whose poll succeeded last
+	lastHost   string // of the last successful poll
 
 	mu             sync.Mutex // guards the fields below
 	seeds          []string
@@ -93,7 +94,7 @@
 func (s *updateStream) run(done <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer s.firstPolls.Wait()
-	defer cancel() // no one waits for the first polls that are still in flight
+	defer cancel() // ends the first polls that are still in flight
 	s.fetchFirstConfig(ctx, done)
 	for {
 		select {
@@ -113,7 +114,7 @@
 	}
 }
 
-// handleUpdate applies what a control node answered.
+// handleUpdate applies the answer of a control node.
 func (s *updateStream) handleUpdate(host string, update *distribution.Update, done <-chan struct{}) {
 	s.state.apply(update)
 	if update.Stale {
@@ -132,8 +133,8 @@
 	}
 }
 
-// handleFailure avoids a control node whose poll failed, and now and then asks other
-// nodes for what they hold.
+// handleFailure avoids a control node whose poll failed. After every failuresBeforePeers
+// failures it polls other data plane nodes.
 func (s *updateStream) handleFailure(ctx context.Context, host string, err error, done <-chan struct{}) {
 	s.avoid(host)
 	s.failures++
@@ -149,10 +150,9 @@
 	pause(retryPause, done)
 }
 
-// fetchFirstConfig gets the first configuration after a start. It polls every control plane
-// node that it knows of, the near ones first, and each again as soon as it has answered
-// without one: those that don't answer delay nothing. Polls that are in flight when it returns
-// end with ctx.
+// fetchFirstConfig gets the first configuration after a start. It polls all known control
+// nodes in parallel, the nearest first, until one returns a configuration: a node that
+// doesn't answer delays nothing. Polls that are in flight when it returns end with ctx.
 func (s *updateStream) fetchFirstConfig(ctx context.Context, done <-chan struct{}) {
 	updates := make(chan *distribution.Update)
 	fetched := make(chan struct{})
@@ -182,16 +182,16 @@
 	}
 }
 
-// firstPoll is the polling of one control node until the first configuration is here.
+// firstPoll is the polling of one control node until the first configuration is received.
 type firstPoll struct {
 	host    string
 	delay   time.Duration // before the first poll
 	updates chan<- *distribution.Update
-	fetched <-chan struct{} // closed when the configuration is here
+	fetched <-chan struct{} // closed when the configuration is received
 }
 
-// pollRepeatedly polls one control node and sends what it answers to updates, until fetched
-// is closed.
+// pollRepeatedly polls one control node and sends its answers to updates until fetched is
+// closed. A failed poll sends an empty update.
 func (s *updateStream) pollRepeatedly(ctx context.Context, p firstPoll) {
 	delay := p.delay
 	for {
@@ -214,8 +214,8 @@
 	}
 }
 
-// poll asks the program on a host for an update. It returns errPollInterrupted if the poll
-// was ended on purpose before an answer came.
+// poll requests an update from the program on a host, with the queued health reports and the
+// suspects. It returns errPollInterrupted if this node cancelled the poll.
 func (s *updateStream) poll(
 	ctx context.Context, host string, program settings.Program, timeout time.Duration,
 ) (*distribution.Update, error) {
@@ -254,7 +254,8 @@
 	return nil, err
 }
 
-// pollPeers gets what other data plane nodes hold, when no control node answers.
+// pollPeers applies the update of one of a few random data plane nodes. It is used when no
+// control node answers.
 func (s *updateStream) pollPeers(ctx context.Context) {
 	hosts := s.peerHosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
@@ -266,14 +267,14 @@
 	}
 }
 
-// queueReport queues a health report and has it sent soon.
+// queueReport queues a health report, which is sent after reportDelay.
 func (s *updateStream) queueReport(r distribution.HealthReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.reports) < maxReports {
 		s.reports = append(s.reports, r)
 	}
-	if len(s.reports) == 1 { // the next ones go with it
+	if len(s.reports) == 1 { // the first; later ones are sent with it
 		time.AfterFunc(reportDelay, s.flushReports)
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -12,23 +12,23 @@
 
 const (
 	// LeaseDuration is how long a node holds its share of the services' rates, by its own
-	// clock, counted from before it asked.
+	// clock, counted from the time before it sent the request.
 	LeaseDuration = 3 * time.Second
 	// QuotaLeaseDuration is how long a control node holds its share of the tenants'
 	// quotas. It is longer than a meta cell takes to elect a leader after losses, since
 	// without a share all requests of tenants would be refused meanwhile.
 	QuotaLeaseDuration = 8 * time.Second
-	// FullShare is the whole of every rate, in the unit of shares.
+	// FullShare is the share of all nodes together, in thousandths.
 	FullShare = 1000
 )
 
 const (
-	// safetyMargin keeps a part of the rate unused: requests that leave evenly may reach
+	// safetyMargin is the usable part of the rate: requests that are sent evenly may reach
 	// the endpoints in bursts.
 	safetyMargin = 0.97
-	// burstAllowance is how much unused time a node may catch up on.
+	// burstAllowance bounds the unused time for which a node may still send requests.
 	burstAllowance = 60 * time.Millisecond
-	// noShareRetryDelay is how often a node without a share tries again.
+	// noShareRetryDelay is the wait that Take returns on a node without a share.
 	noShareRetryDelay = 20 * time.Millisecond
 )
 
@@ -44,15 +44,15 @@
 // New returns a limiter that holds no share.
 func New() *Limiter { return &Limiter{nextAllowed: map[string]time.Time{}} }
 
-// Shrink lowers the share to permille at most. A part that is given up must be unused from
-// before the request that gives it up is sent.
+// Shrink lowers the share to permille at most. Call it before the request that returns a part
+// of the share is sent: that part may be granted to another node at once.
 func (l *Limiter) Shrink(permille int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.permille = min(l.permille, permille)
 }
 
-// Renew takes the share that was granted, good until expiry by this node's clock.
+// Renew sets the granted share, which is valid until expiry by this node's clock.
 func (l *Limiter) Renew(permille int, expiry time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 }
 
 // Take reports whether a request to the service may begin now, and counts it if so. If not,
-// wait is how long until it is worth asking again. rate is the service's rate in requests a
+// wait is the time after which to call Take again. rate is the service's rate in requests a
 // second, over all nodes; 0 sets no limit.
 func (l *Limiter) Take(service string, rate float64, now time.Time) (ok bool, wait time.Duration) {
 	if rate <= 0 {
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -14,32 +14,33 @@
 	// scoreJitter spreads calls over endpoints that score alike.
 	scoreJitter = 0.1
 
-	// remoteZoneMeanShare is the share of the mean latency that a response from
-	// another zone must save.
+	// remoteZoneMeanShare is the part of the mean latency that is added to the distance
+	// of another zone.
 	remoteZoneMeanShare = 0.5
-	// remoteZoneFactor is how many times its distance a remote endpoint must be faster.
+	// remoteZoneFactor is the weight of the distance in the score.
 	remoteZoneFactor = 1.0
 
-	// The costs below count in mean latencies of the cluster.
+	// The unit of the costs below is the mean latency of the cluster.
 
-	queueCost     = 1.5  // of an active call for each slot
-	errorCost     = 20.0 // of a certain error
+	queueCost     = 1.5  // for each active call, divided by the slots
+	errorCost     = 20.0 // at an error rate of 1
 	warmingUpCost = 0.5  // of an endpoint that is warming up
 	slowStartCost = 4.0  // at the start of slowStartWindow
-	rejectionCost = 4.0  // of the queue of an endpoint that rejected a call
-	dialCost      = 0.4  // of opening a connection, where connections are rarely reused
+	rejectionCost = 4.0  // of an endpoint that has just rejected a call
+	dialCost      = 0.4  // of opening a connection, if connections are rarely reused
 
-	// slowStartWindow is in what time traffic comes back to a reinstated endpoint.
+	// slowStartWindow is the time in which a reinstated endpoint gets its full traffic
+	// back.
 	slowStartWindow = 2 * time.Second
-	// rareReuseNodes is the number of nodes for each endpoint from which
-	// connections are rarely reused; up to half of that they are reused often.
+	// rareReuseNodes is the number of nodes per endpoint from which connections count
+	// as rarely reused; up to half of that they count as often reused.
 	rareReuseNodes = 20
 	// overloadRejectionRate is the share of rejected calls above which a cluster
 	// counts as overloaded.
 	overloadRejectionRate = 0.02
 )
 
-// loadBalancer picks the endpoint that seems to answer soonest. Callers hold
+// loadBalancer picks the endpoint with the lowest expected latency. Callers hold
 // ClusterManager.mu.
 type loadBalancer struct {
 	zone           string // of this node
@@ -77,8 +78,8 @@
 	return best
 }
 
-// accepts reports whether an endpoint may get a call. Calls that are not
-// idempotent leave endpoints on probation to others for a while.
+// accepts reports whether an endpoint may get a call. An endpoint on probation gets no
+// call that is not idempotent for probationPatience.
 func (b *loadBalancer) accepts(endpoint *Endpoint, nonIdempotent bool, now time.Time) bool {
 	if endpoint.info.Load().Draining || endpoint.terminating || endpoint.activeCalls >= b.maxActiveCalls(endpoint) {
 		return false
@@ -86,8 +87,8 @@
 	switch endpoint.health.state {
 	case stateHealthy:
 		return !endpoint.fleetEjected
-	case stateProbation: // also while ejected by the fleet: a real response ends that
-		return endpoint.activeCalls == 0 && endpoint.health.mayTry(nonIdempotent, now)
+	case stateProbation: // also while ejected by the fleet: a successful call ends that
+		return endpoint.activeCalls == 0 && endpoint.health.mayEndProbation(nonIdempotent, now)
 	default:
 		return false
 	}
@@ -100,7 +101,7 @@
 	})
 }
 
-// maxActiveCalls is how many calls this node may have under way at an endpoint.
+// maxActiveCalls returns how many calls this node may have under way at an endpoint.
 func (b *loadBalancer) maxActiveCalls(endpoint *Endpoint) int {
 	limit := endpoint.cluster.connectionLimit
 	if b.slotOvercommit <= 0 {
@@ -111,8 +112,8 @@
 	return min(limit, max(1, share))
 }
 
-// score estimates how long a call would take, in seconds, with distance and
-// likely trouble counted against the endpoint.
+// score estimates how long a call would take, in seconds, with penalties for distance,
+// errors, rejections and a cold start.
 func (b *loadBalancer) score(endpoint *Endpoint, now time.Time) float64 {
 	info := endpoint.info.Load()
 	mean := endpoint.cluster.load.meanLatency
@@ -142,14 +143,15 @@
 	return score
 }
 
-// rejectionPenalty is what is left of the queue of an endpoint that rejected a
-// call: it has a whole queue to work off first.
+// rejectionPenalty returns the estimated time in seconds until an endpoint that
+// rejected a call has worked off its queue.
 func rejectionPenalty(endpoint *Endpoint, mean float64, now time.Time) float64 {
 	left := rejectionCost*mean - now.Sub(endpoint.load.lastRejectedAt).Seconds()
 	return max(0, left)
 }
 
-// slowStartPenalty keeps most traffic from an endpoint that was just reinstated.
+// slowStartPenalty returns a cost in seconds that keeps most traffic from an endpoint
+// that was just reinstated. It falls to 0 over slowStartWindow.
 func slowStartPenalty(endpoint *Endpoint, mean float64, now time.Time) float64 {
 	since := now.Sub(endpoint.health.healthySince)
 	if endpoint.health.state != stateHealthy || endpoint.health.ejectionTime == 0 || since >= slowStartWindow {
@@ -158,8 +160,7 @@
 	return mean * slowStartCost * (1 - float64(since)/float64(slowStartWindow))
 }
 
-// observe takes in how a call ended and how long it took, as far as that shows the
-// load.
+// observe updates the load of an endpoint and its cluster with a call that ended.
 func (b *loadBalancer) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
 	switch ended.result {
 	case callSucceeded:
@@ -172,10 +173,9 @@
 	}
 }
 
-// reuseRarity is how rarely, from 0 to 1, this node reuses a connection of the
-// cluster: the more nodes share each endpoint, the longer connections are idle,
-// the more of them are opened for a single call, and the less any one node can
-// balance the load.
+// reuseRarity estimates how rarely, from 0 to 1, this node reuses a connection of the
+// cluster. The more nodes share each endpoint, the longer connections are idle, and the
+// more of them are opened for a single call.
 func (b *loadBalancer) reuseRarity(cluster *Cluster) float64 {
 	nodesPerEndpoint := float64(b.nodeCount) / float64(max(1, len(cluster.endpoints)))
 	return min(1, max(0, nodesPerEndpoint/rareReuseNodes*2-1))
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -29,7 +29,7 @@
 	return available, admitRates
 }
 
-// Reserve reserves the best endpoint of a service for one call, leaving out those
+// Reserve reserves the best endpoint of a service for one call, except the ones
 // already tried, or returns nil. nonIdempotent says that the call must not be
 // executed twice. The reservation ends with Call or Release.
 func (m *ClusterManager) Reserve(service string, tried []*Endpoint, nonIdempotent bool) *Endpoint {
@@ -54,8 +54,8 @@
 }
 
 // Call sends a request to an endpoint that Reserve returned, and ends the
-// reservation. The endpoint is named, so that another one at its address rejects
-// the request. The error wraps ErrNotSent, ErrResponseLost or ErrTimeout.
+// reservation. The request names the endpoint, so that another endpoint at the same
+// address rejects it. The error wraps ErrNotSent, ErrResponseLost or ErrTimeout.
 func (m *ClusterManager) Call(endpoint *Endpoint, request *Request) (*Response, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
@@ -94,7 +94,8 @@
 	}
 }
 
-// recordCall ends a reservation and takes in how its call ended, in one step.
+// recordCall ends a reservation and records how its call ended, under one lock: no
+// other call may pick the endpoint in between.
 func (m *ClusterManager) recordCall(endpoint *Endpoint, ended callEnd) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,15 +105,15 @@
 	m.outliers.observe(endpoint, ended, now)
 }
 
-// ReportOverdue takes in that a call sent at sentAt has waited longer than usual,
-// which may eject its endpoint.
+// ReportOverdue reports that a call sent at sentAt takes longer than usual, which may
+// eject its endpoint.
 func (m *ClusterManager) ReportOverdue(endpoint *Endpoint, sentAt time.Time, usual time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outliers.observeOverdue(endpoint, sentAt, time.Now(), usual)
 }
 
-// Overloaded reports whether the endpoints of a service reject calls as full.
+// Overloaded reports whether the endpoints of a service reject too many calls as full.
 func (m *ClusterManager) Overloaded(service string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,7 +122,7 @@
 }
 
 // Contended reports whether this node has other calls under way at an endpoint, or
-// its service rejects calls as full.
+// its service is overloaded.
 func (m *ClusterManager) Contended(endpoint *Endpoint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/upstream/cluster.go
+++ b/internal/upstream/cluster.go
@@ -17,17 +17,17 @@
 
 	activeCalls  int  // calls reserved or under way
 	fleetEjected bool // ejected for all nodes by the control plane
-	terminating  bool // and that because the platform drains it
+	terminating  bool // fleetEjected because the platform drains it
 	removed      bool // no longer in the endpoint list
 	load         endpointLoad
 	health       endpointHealth
 	errors       decayingRate // share of calls that failed or got a 5xx status
 }
 
-// Info returns what the endpoint list says of the endpoint.
+// Info returns the endpoint's entry in the endpoint list.
 func (e *Endpoint) Info() distribution.Endpoint { return *e.info.Load() }
 
-// resetStatistics forgets what was measured before a change of health.
+// resetStatistics drops the measurements from before a change of health.
 func (e *Endpoint) resetStatistics() {
 	e.load.latency = 0
 	e.load.samples = 0
@@ -39,7 +39,7 @@
 type Cluster struct {
 	name      string
 	endpoints []*Endpoint
-	subset    []*Endpoint // those used first; nil when it must be computed anew
+	subset    []*Endpoint // endpoints to use first; nil: not computed yet
 	// serviceConnectionLimit is how many connections each endpoint accepts from
 	// all nodes together; 0 if that is not configured.
 	serviceConnectionLimit int
@@ -52,7 +52,7 @@
 	return &Cluster{name: name, load: clusterLoad{admitRate: maxAdmitRate}}
 }
 
-// invalidateSubset has the subset computed anew when it is next used.
+// invalidateSubset makes the next use of the subset compute it again.
 func (c *Cluster) invalidateSubset() { c.subset = nil }
 
 func (c *Cluster) remove(endpoint *Endpoint) {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -30,15 +30,15 @@
 
 	reusableUntil time.Time // after this the endpoint may close it
 	idleSince     time.Time
-	// unexpectedBytes says that bytes came after a complete response. They
-	// belong to no request, so the connection is given up.
+	// unexpectedBytes says that bytes followed a complete response. They belong to no
+	// request, so the connection is closed.
 	unexpectedBytes bool
 
-	// What distinguishes a response to the current request from a late one to an
+	// These distinguish a response to the current request from a late one to an
 	// earlier request; see belongsTo.
 
 	lastUnidentified bool   // the last response had neither request id nor server stamp
-	echoedKinds      []int  // kinds of responses that named their request; see responseKind
+	echoedKinds      []int  // kinds of responses that had a request id; see responseKind
 	lastStamp        string // server stamp of the last response
 }
 
@@ -72,7 +72,7 @@
 	}
 	socket, ok := c.conn.(syscall.Conn)
 	if !ok {
-		return true // a simulated connection can't be looked into
+		return true // a simulated connection has no socket to read
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -89,8 +89,8 @@
 	return err == nil && open
 }
 
-// responseKind groups the responses of which an endpoint either always or never names
-// the request: by status, and negative for those to a fan-out.
+// responseKind returns a number for each group of responses in which an endpoint sets
+// the request id either always or never: the status, negative for a fan-out.
 func responseKind(request *Request, response *Response) int {
 	if request.FanOut {
 		return -response.Status
@@ -98,10 +98,10 @@
 	return response.Status
 }
 
-// belongsTo reports whether a response is one to the request. What an endpoint
-// sent after an earlier response can arrive when the next request is already
-// out. Such a response names the earlier request, or names none where responses
-// of its kind on this connection name theirs, or has the earlier server stamp.
+// belongsTo reports whether a response belongs to the request. A surplus response to
+// an earlier request can arrive after the next request was sent. It has the earlier
+// request's id, or no id although responses of its kind on this connection have one,
+// or the earlier server stamp.
 func (c *connection) belongsTo(request *Request, response *Response) bool {
 	if request.ID != "" && !c.namesRequest(request, response) {
 		return false
@@ -114,8 +114,8 @@
 	return true
 }
 
-// namesRequest reports whether the request ids of a response agree with the
-// request, and remembers the kinds of responses that have ids.
+// namesRequest reports whether the request ids of a response are those expected for
+// the request, and records the kinds of responses that have ids.
 func (c *connection) namesRequest(request *Request, response *Response) bool {
 	kind := responseKind(request, response)
 	ids := response.Header[HeaderRequestID]
@@ -132,10 +132,10 @@
 	return true
 }
 
-// noteIdentity records whether the response can be distinguished from the next one and
-// reports whether the connection may be reused. Two unidentified responses in a
-// row may be one that came twice; then the next request would get a response
-// that isn't its own.
+// noteIdentity records whether the response can be distinguished from the next one,
+// and reports whether the connection may be reused. Two unidentified responses in a
+// row may be the same response sent twice: the next request would then get a
+// response to another one.
 func (c *connection) noteIdentity(header http.Header) bool {
 	before := c.lastUnidentified
 	c.lastUnidentified = header.Get(HeaderRequestID) == "" && header.Get(HeaderServerStamp) == ""
--- a/internal/upstream/dialer.go
+++ b/internal/upstream/dialer.go
@@ -11,12 +11,14 @@
 )
 
 const (
+	// dialTimeout bounds the opening of a connection to an endpoint.
 	dialTimeout = 600 * time.Millisecond
 	// unknownDialLatency is assumed for a zone to which no connection was opened
 	// yet, in seconds.
 	unknownDialLatency = 0.02
-	// dialLatencyWeight is the weight of a new measurement that is above the
-	// known latency. One below replaces it: only queues make it longer.
+	// dialLatencyWeight is the weight of a new measurement above the known latency.
+	// A lower one replaces the known latency: the least measured is the one without
+	// queueing.
 	dialLatencyWeight = 0.01
 )
 
@@ -42,14 +44,14 @@
 	return newConnection(conn), nil
 }
 
-// zoneLatency knows how long opening a connection to each zone takes. It is safe
+// zoneLatency measures how long opening a connection to each zone takes. It is safe
 // for concurrent use.
 type zoneLatency struct {
 	mu     sync.Mutex         // guards the fields below
 	byZone map[string]float64 // seconds
 }
 
-// record takes in a measurement in seconds.
+// record adds a measurement in seconds.
 func (l *zoneLatency) record(zone string, seconds float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +66,7 @@
 	l.byZone[zone] = known + dialLatencyWeight*(seconds-known)
 }
 
-// seconds returns the latency of a zone.
+// seconds returns the latency of a zone in seconds.
 func (l *zoneLatency) seconds(zone string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -19,7 +19,7 @@
 // The work is divided among types with one job each:
 //
 //   - connectionPool keeps the idle connections of one endpoint, and dialer
-//     opens new ones and learns how long that takes for each zone. Both have a
+//     opens new ones and measures how long that takes for each zone. Both have a
 //     lock of their own.
 //   - subsetter decides which endpoints of a large cluster this node uses.
 //   - loadBalancer scores the endpoints and picks one for a call.
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -11,15 +11,15 @@
 
 	rejectionWeight = 0.02 // of a new sample in a cluster's rejection rate
 
-	// admitDecrease is by how much the admitted share of requests falls for each
-	// call that a full endpoint rejected.
+	// admitDecrease is subtracted from the admit rate for each call that a full
+	// endpoint rejected.
 	admitDecrease = 0.08
-	admitIncrease = 0.005 // for each success
-	maxAdmitRate  = 1.1   // above 1: single full endpoints are no overload
+	admitIncrease = 0.005 // added for each success
+	maxAdmitRate  = 1.1   // above 1, so that a single rejection does not shed requests
 	minAdmitRate  = 0.3
 )
 
-// endpointLoad is what the load balancer measures of one endpoint.
+// endpointLoad holds the load balancer's measurements of one endpoint.
 type endpointLoad struct {
 	latency        float64 // seconds, smoothed
 	samples        int     // in latency
@@ -35,12 +35,12 @@
 	l.samples++
 }
 
-// clusterLoad is what the load balancer measures of all endpoints of a cluster.
+// clusterLoad holds the load balancer's measurements of a whole cluster.
 type clusterLoad struct {
 	meanLatency   float64 // seconds, smoothed
 	rejectionRate float64 // share of calls that endpoints rejected as full, smoothed
-	// admitRate is the share of requests that the endpoints have the capacity
-	// for, as far as known: additive increase, additive decrease.
+	// admitRate estimates the share of requests that the endpoints have the capacity
+	// for: additive increase, additive decrease.
 	admitRate float64
 }
 
@@ -61,28 +61,28 @@
 
 const (
 	errorWeight = 0.2             // of a new sample in an error rate
-	errorDecay  = 3 * time.Second // in which an error rate fades to 1/e without new samples
+	errorDecay  = 3 * time.Second // in which an error rate falls to 1/e without new samples
 )
 
-// decayingRate is a smoothed share of errors that fades with time.
+// decayingRate is a smoothed share of errors that decays with time.
 type decayingRate struct {
-	value float64 // as of updatedAt
-	at    time.Time
+	value     float64 // as of updatedAt
+	updatedAt time.Time
 }
 
-// current is the share of errors as far as it still counts.
+// current returns the share of errors, decayed until now.
 func (r *decayingRate) current(now time.Time) float64 {
 	if r.value == 0 {
 		return 0
 	}
-	return r.value * math.Exp(-float64(now.Sub(r.at))/float64(errorDecay))
+	return r.value * math.Exp(-float64(now.Sub(r.updatedAt))/float64(errorDecay))
 }
 
-// record takes in one call: 1 for an error, 0 for none.
+// record adds one call: 1 for an error, 0 for none.
 func (r *decayingRate) record(now time.Time, sample float64) {
 	before := r.current(now)
 	r.value = before + errorWeight*(sample-before)
-	r.at = now
+	r.updatedAt = now
 }
 
 func (r *decayingRate) reset() { r.value = 0 }
--- a/internal/upstream/manager.go
+++ b/internal/upstream/manager.go
@@ -12,7 +12,7 @@
 // of a service without a configured limit.
 const defaultConnectionLimit = 64
 
-// Locality is where a node is.
+// Locality is the name and the place of a node.
 type Locality struct {
 	Node     string
 	Zone     string
@@ -92,7 +92,7 @@
 	m.balancer.slotOvercommit = overcommit
 }
 
-// applyLimits brings limits, paths and the number of nodes to all clusters.
+// applyLimits applies the limits, paths and the number of nodes to all clusters.
 func (m *ClusterManager) applyLimits() {
 	for _, cluster := range m.clusters {
 		m.applyLimitsTo(cluster)
@@ -112,7 +112,7 @@
 	}
 }
 
-// cluster returns the cluster of a service, a new one if need be.
+// cluster returns the cluster of a service. It creates a missing one.
 func (m *ClusterManager) cluster(service string) *Cluster {
 	cluster := m.clusters[service]
 	if cluster == nil {
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -10,51 +10,55 @@
 )
 
 const (
-	// maxConsecutiveFailures is how many calls without a response in a row eject
-	// an endpoint.
+	// maxConsecutiveFailures is the number of calls in a row without a response after
+	// which an endpoint is ejected.
 	maxConsecutiveFailures = 3
-	// ejectionErrorRate is the share of errors from which an endpoint is ejected.
+	// ejectionErrorRate is the share of errors above which an endpoint is ejected.
 	ejectionErrorRate = 0.6
-	baseEjectionTime  = 400 * time.Millisecond
-	maxEjectionTime   = 3 * time.Second
-	maxProbeInterval  = time.Second
-
-	// probationPatience is after what time a call that is not idempotent may end
+	// The first probe of an ejected endpoint is sent after its ejection time. That is
+	// baseEjectionTime at first, and doubles with each further ejection and each failed
+	// probe, up to maxEjectionTime. Further probes follow after maxProbeInterval at most.
+	baseEjectionTime = 400 * time.Millisecond
+	maxEjectionTime  = 3 * time.Second
+	maxProbeInterval = time.Second
+
+	// probationPatience is the time after which calls that are not idempotent may end
 	// a probation too.
 	probationPatience = time.Second
-	// overdueFactor is after how many times the usual latency an endpoint from
-	// which nothing came counts as unresponsive.
+	// overdueFactor is the number of usual latencies without any response after which
+	// an endpoint counts as unresponsive.
 	overdueFactor = 3
 )
 
-// healthState is whether an endpoint may get calls from this node.
+// healthState says whether an endpoint may get calls from this node.
 type healthState uint8
 
-// States of health. A healthy endpoint that fails is ejected; one that answers a
-// probe then gets one call at a time until one of them shows how it is.
+// States of health. A healthy endpoint that fails is ejected. When it answers a probe,
+// it is on probation until a call succeeds (healthy) or fails (ejected).
 const (
 	stateHealthy   healthState = iota // gets calls
 	stateEjected                      // gets none
 	stateProbation                    // gets one at a time
 )
 
-// endpointHealth is the health of one endpoint and what led to it.
+// endpointHealth is the health of one endpoint and the observations behind it.
 type endpointHealth struct {
 	state               healthState
 	healthySince        time.Time
 	probationSince      time.Time
-	lastAnswerAt        time.Time // of any response that shows that it is at work
+	lastAnswerAt        time.Time // of any response but a rejection or a misrouted one
 	consecutiveFailures int
-	ejectionTime        time.Duration // of the latest ejection, which grows; 0 before the first
+	ejectionTime        time.Duration // of the latest ejection; 0 before the first
 	probing             bool          // a probe is scheduled or under way
 }
 
-// mayTry reports whether a call may be the one that ends the probation.
-func (h *endpointHealth) mayTry(nonIdempotent bool, now time.Time) bool {
+// mayEndProbation reports whether a call may be sent during the probation, which ends
+// with it.
+func (h *endpointHealth) mayEndProbation(nonIdempotent bool, now time.Time) bool {
 	return !nonIdempotent || now.Sub(h.probationSince) > probationPatience
 }
 
-// callResult is how a call ended, as far as the endpoint's health and load are concerned.
+// callResult is the result of a call for the endpoint's health and load.
 type callResult uint8
 
 const (
@@ -91,17 +95,17 @@
 	}
 }
 
-// outlierDetector ejects endpoints that fail and reinstates those that recover.
+// outlierDetector ejects endpoints that fail and reinstates recovered ones.
 // Callers hold ClusterManager.mu.
 type outlierDetector struct {
 	log *logging.Logger
 	// report is called for each ejected or reinstated endpoint. It must not block.
 	report func(distribution.HealthReport)
-	// scheduleProbe has an ejected endpoint probed after about the given time.
+	// scheduleProbe schedules a probe of an ejected endpoint after about the given time.
 	scheduleProbe func(endpoint *Endpoint, after time.Duration)
 }
 
-// observe takes in how a call ended, as far as that shows the endpoint's health.
+// observe updates the health of an endpoint with a call that ended.
 func (d *outlierDetector) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
 	health := &endpoint.health
 	switch ended.result {
@@ -145,8 +149,9 @@
 		unresponsive
 }
 
-// canEject reports whether enough endpoints of a cluster are healthy for one more
-// to be ejected for its errors: if most fail, that is how the service is.
+// canEject reports whether one more endpoint of a cluster may be ejected for its
+// errors: at least half of all must stay healthy. If more fail, the fault is the
+// service's, and ejecting endpoints would not help.
 func canEject(cluster *Cluster) bool {
 	healthy := 0
 	for _, endpoint := range cluster.endpoints {
@@ -157,16 +162,16 @@
 	return 2*(healthy-1) >= len(cluster.endpoints)
 }
 
-// observeOverdue takes in that a call sent at sentAt has waited longer than usual.
-// An endpoint from which nothing came in all that time counts as unresponsive.
+// observeOverdue ejects the endpoint of a call that takes longer than usual if nothing
+// was received from the endpoint since sentAt, for overdueFactor usual latencies.
 func (d *outlierDetector) observeOverdue(endpoint *Endpoint, sentAt, now time.Time, usual time.Duration) {
 	if endpoint.health.lastAnswerAt.Before(sentAt) && now.Sub(sentAt) >= overdueFactor*usual {
 		d.eject(endpoint, "unresponsive")
 	}
 }
 
-// eject takes an endpoint out of service for a time that grows from ejection to
-// ejection.
+// eject takes an endpoint out of service until it answers a probe. The time before the
+// probe grows with each ejection.
 func (d *outlierDetector) eject(endpoint *Endpoint, cause string) {
 	if endpoint.health.state == stateEjected || endpoint.removed {
 		return
@@ -188,8 +193,8 @@
 	}
 }
 
-// reinstate puts an endpoint back in service, with a slow start. It also reports
-// that to the control plane, which may have ejected it for all nodes.
+// reinstate puts an endpoint back in service, with a slow start, and reports that to
+// the control plane, which may have ejected it for all nodes.
 func (d *outlierDetector) reinstate(endpoint *Endpoint, now time.Time) {
 	if endpoint.health.state == stateHealthy && !endpoint.fleetEjected {
 		return
@@ -205,7 +210,8 @@
 	d.report(distribution.HealthReport{EndpointID: info.ID, Service: info.Service, Healthy: true})
 }
 
-// observeProbe takes in the result of a probe. One that failed is repeated.
+// observeProbe records the result of a probe: an answer begins the probation, and
+// otherwise the probe is repeated.
 func (d *outlierDetector) observeProbe(endpoint *Endpoint, answered bool, now time.Time) {
 	endpoint.health.probing = false
 	if endpoint.removed || endpoint.health.state != stateEjected {
@@ -219,7 +225,7 @@
 	d.scheduleProbe(endpoint, min(endpoint.health.ejectionTime, maxProbeInterval))
 }
 
-// beginProbation lets an ejected endpoint get single calls until one of them
+// beginProbation allows an ejected endpoint one call at a time until one of them
 // succeeds or fails.
 func (d *outlierDetector) beginProbation(endpoint *Endpoint, now time.Time) {
 	endpoint.health.state = stateProbation
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -55,7 +55,7 @@
 	p.maxIdle = maxIdle
 }
 
-// hasIdle reports whether an idle connection is there.
+// hasIdle reports whether there is an idle connection.
 func (p *connectionPool) hasIdle() bool { return p.idleCount.Load() > 0 }
 
 // closeIdle closes all idle connections.
@@ -65,7 +65,7 @@
 	p.closeIdleLocked()
 }
 
-// close closes all idle connections, and from now on those that are put back.
+// close closes all idle connections, and makes put close the connections it gets.
 func (p *connectionPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	p.closeIdleLocked()
 }
 
-// closeExpired closes the idle connections that the endpoint may close by now.
+// closeExpired closes the idle connections whose keep-alive time has passed.
 func (p *connectionPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -8,15 +8,17 @@
 )
 
 const (
+	// probeTimeout bounds a whole probe: connecting, request and response. How long
+	// after an ejection probes are sent is set in outlier.go.
 	probeTimeout = 500 * time.Millisecond
-	// Probes are spread over probeJitter of their time, from probeJitterMin on,
-	// so that nodes don't probe an endpoint all at once.
+	// The delay of a probe is multiplied by a random factor from probeJitterMin to
+	// probeJitterMin+probeJitter, so that nodes don't probe an endpoint all at once.
 	probeJitterMin = 0.8
 	probeJitter    = 0.4
 )
 
-// scheduleProbe has an ejected endpoint probed after about the given time, unless
-// a probe is scheduled already. The caller holds mu.
+// scheduleProbe schedules a probe of an ejected endpoint after about the given time,
+// unless one is scheduled already. The caller holds mu.
 func (m *ClusterManager) scheduleProbe(endpoint *Endpoint, after time.Duration) {
 	if endpoint.health.probing {
 		return
@@ -26,14 +28,14 @@
 	time.AfterFunc(delay, func() { m.probe(endpoint) })
 }
 
-// probe asks an ejected endpoint whether it answers.
+// probe checks whether an ejected endpoint answers, and records the result.
 func (m *ClusterManager) probe(endpoint *Endpoint) {
 	path, needed := m.startProbe(endpoint)
 	if !needed {
 		return
 	}
-	// The status of a health check is not trusted, either way: an endpoint that
-	// answers at all goes on probation, with calls that are idempotent.
+	// The status of the answer does not matter: an endpoint that answers at all goes on
+	// probation, where calls show how it is. Without a health path it does so unprobed.
 	answered := path == ""
 	if path != "" && !endpoint.info.Load().Draining {
 		answered = m.sendProbe(endpoint, path)
@@ -52,8 +54,8 @@
 	return endpoint.cluster.healthPath, needed
 }
 
-// sendProbe sends a health check and reports whether the endpoint itself, and not
-// another one at its address, answered.
+// sendProbe sends a health check and reports whether the endpoint itself answered,
+// rather than another one at its address.
 func (m *ClusterManager) sendProbe(endpoint *Endpoint, path string) bool {
 	request := &Request{
 		Method:   http.MethodGet,
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Errors of a call. They say what may have become of the request.
+// Errors of a call. They say whether the request may have been executed.
 var (
 	// ErrNotSent means that no byte of the request was sent: it was not executed.
 	ErrNotSent = errors.New("upstream: the endpoint could not be reached")
 	// ErrResponseLost means that the request may have been executed, but no
-	// complete response came.
+	// complete response was received.
 	ErrResponseLost = errors.New("upstream: the response was lost")
 	// ErrTimeout means that the request may have been executed, but its deadline
 	// passed.
 	ErrTimeout = errors.New("upstream: the endpoint did not answer in time")
 )
 
-// Request is what is forwarded to an endpoint: the client's bytes as they came.
+// Request is a request to an endpoint, with target, header and body as the client sent
+// them.
 type Request struct {
 	Method string
 	Target string
@@ -29,11 +30,11 @@
 	// HasBody says that the client framed a body, even an empty one.
 	HasBody bool
 	ID      string
-	// Deadline is the moment after which the response is of no use.
+	// Deadline is the time after which the response is not used.
 	Deadline time.Time
-	// NonIdempotent says that the request must not be executed twice. It is sent
-	// on no connection that was idle for long, since the endpoint may have closed
-	// it, and on none whose last response can't be distinguished from the next one's.
+	// NonIdempotent says that the request must not be executed twice. It is not sent
+	// on a connection that was idle for long, since the endpoint may have closed it,
+	// nor on one whose last response can't be distinguished from the next one.
 	NonIdempotent bool
 	// FanOut says that the response is one of several to be merged: its server
 	// stamp belongs to this request alone.
@@ -58,26 +59,27 @@
 	return r.Status == http.StatusMisdirectedRequest || r.Header.Get(HeaderNotExecuted) != ""
 }
 
-// IsSuccess reports whether this is a success that the protocol allows to count.
+// IsSuccess reports whether this is a valid success: one with a server stamp and
+// without a content encoding.
 func (r *Response) IsSuccess() bool {
 	return isSuccessStatus(r.Status) && r.Header.Get(HeaderServerStamp) != "" && r.Header.Get("Content-Encoding") == ""
 }
 
 func isSuccessStatus(status int) bool { return status/100 == 2 }
 
-// Outcome is what became of a request at an endpoint.
+// Outcome says whether a request was sent to an endpoint and executed.
 type Outcome uint8
 
-// The outcomes, from the most harmless on: only after the first two is it
-// certain that the endpoint did not execute the request.
+// The outcomes, in an order that comparisons rely on: up to Rejected it is certain that
+// the endpoint did not execute the request.
 const (
 	NotSent  Outcome = iota // no byte of the request was sent
 	Rejected                // the endpoint says that it did not execute it
 	Executed                // the endpoint answered
-	Unknown                 // no complete response came
+	Unknown                 // no complete response was received
 )
 
-// OutcomeOf derives what became of a request from how its call ended.
+// OutcomeOf returns the outcome of a call by its response and error.
 func OutcomeOf(response *Response, err error) Outcome {
 	switch {
 	case errors.Is(err, ErrNotSent):
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -21,17 +21,17 @@
 	// idleTimeoutMargin is how long before the stated keep-alive time ends a
 	// connection is no longer reused.
 	idleTimeoutMargin = 600 * time.Millisecond
-	// maxKeepAliveSeconds bounds the keep-alive times that are believed.
+	// maxKeepAliveSeconds is the bound from which a stated keep-alive time is ignored.
 	maxKeepAliveSeconds = 1 << 20
 )
 
-// roundTrip sends the request and reads the complete response. expectedInstance,
-// if given, is named to the endpoint, so that another one at the same address
-// rejects the request. reuse reports whether the connection may carry another
-// request. Errors wrap ErrTimeout or ErrResponseLost.
+// roundTrip sends the request and reads the complete response. expectedInstance, if
+// not empty, is sent in a header, so that another endpoint at the same address rejects
+// the request. reuse reports whether the connection may carry another request. Errors
+// wrap ErrTimeout or ErrResponseLost.
 func (c *connection) roundTrip(request *Request, expectedInstance string) (response *Response, reuse bool, err error) {
 	start := time.Now()
-	_ = c.conn.SetDeadline(request.Deadline) // a broken connection shows in the write below
+	_ = c.conn.SetDeadline(request.Deadline) // fails only on a broken connection; so does the write below
 	if err := c.writeRequest(request, expectedInstance, request.Deadline.Sub(start)); err != nil {
 		return nil, false, wrapIOError(err)
 	}
@@ -58,8 +58,8 @@
 	return response, !received.Close && !c.unexpectedBytes && identified, nil
 }
 
-// writeRequest sends the request. Writes go to a buffer whose first error stays
-// and is returned by Flush.
+// writeRequest sends the request. The buffered writer keeps its first error, which
+// Flush returns.
 func (c *connection) writeRequest(request *Request, expectedInstance string, remaining time.Duration) error {
 	w := c.writer
 	_, _ = w.WriteString(request.Method)
@@ -90,8 +90,8 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// readHead reads the status line and headers of the final response, past
-// informational ones.
+// readHead reads the status line and headers of the final response. It skips
+// informational responses.
 func (c *connection) readHead(method string) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for {
@@ -108,7 +108,7 @@
 	}
 }
 
-// readBody reads the body to its marked end.
+// readBody reads the whole body. A body without a length or chunks is an error.
 func readBody(received *http.Response, method string) ([]byte, error) {
 	bodiless := method == http.MethodHead ||
 		received.StatusCode == http.StatusNoContent ||
--- a/internal/upstream/subset.go
+++ b/internal/upstream/subset.go
@@ -8,17 +8,16 @@
 
 const (
 	// maxSubsetSize is the most endpoints of a service that a node uses while they
-	// are healthy. Fewer leave little choice, and would load the endpoints unevenly.
+	// are healthy. A smaller subset would load the endpoints unevenly.
 	maxSubsetSize = 24
-	// subsetOverlap allows for endpoints that more nodes than the average choose.
+	// subsetOverlap leaves a margin for endpoints that are in more subsets than average.
 	subsetOverlap = 2
 )
 
-// subsetter gives each node its own part of a large cluster, so that neither
-// connections nor what a node must learn grow as nodes times endpoints, and
-// connections stay in use. The part follows from names alone: endpoints of the
-// zone come first, then those of the region, then the others, each in an order
-// that differs from node to node. Callers hold ClusterManager.mu.
+// subsetter assigns each node a part of a large cluster. This bounds the connections and
+// the statistics of a node, and its connections are reused more often. The part depends
+// on names only: endpoints of the zone are first, then the region, then the others, and
+// within each in an order that differs from node to node. Callers hold ClusterManager.mu.
 type subsetter struct {
 	locality  Locality
 	nodeCount int // nodes that share the endpoints
@@ -31,7 +30,7 @@
 	otherRegion
 )
 
-// subsetRank is the place of an endpoint in a node's order, lowest first.
+// subsetRank orders the endpoints of a cluster for a node, lowest first.
 type subsetRank struct {
 	distance int
 	hash     uint64
@@ -56,8 +55,8 @@
 	return rank
 }
 
-// size is how many endpoints of a cluster a node uses. Where nodes outnumber the
-// connections that an endpoint accepts, not every node may use every endpoint.
+// size returns how many endpoints of a cluster a node uses. If there are more nodes
+// than connections that an endpoint accepts, not every node can use every endpoint.
 func (s *subsetter) size(cluster *Cluster) int {
 	size := maxSubsetSize
 	limit := cluster.serviceConnectionLimit
@@ -67,8 +66,8 @@
 	return max(1, size)
 }
 
-// subset returns the endpoints of a cluster that this node uses first. Those that
-// are draining or ejected leave their place to the next in order.
+// subset returns the endpoints of a cluster that this node uses first. Draining and
+// ejected endpoints are replaced by the next in order.
 func (s *subsetter) subset(cluster *Cluster) []*Endpoint {
 	if cluster.subset != nil {
 		return cluster.subset
@@ -80,7 +79,7 @@
 	}
 	candidates := make([]*Endpoint, 0, len(cluster.endpoints))
 	for _, endpoint := range cluster.endpoints {
-		if subsettable(endpoint) {
+		if isEligible(endpoint) {
 			candidates = append(candidates, endpoint)
 		}
 	}
@@ -89,7 +88,8 @@
 	return cluster.subset
 }
 
-func subsettable(endpoint *Endpoint) bool {
+// isEligible reports whether a subset may contain the endpoint.
+func isEligible(endpoint *Endpoint) bool {
 	if endpoint.info.Load().Draining {
 		return false
 	}
