--- a/cmd/comethold/check.go
+++ b/cmd/comethold/check.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// readFiles reads all files before any is checked; one that cannot be read, or is of an
-// unknown kind, is an error in the call.
+// readFiles reads all files. A file that cannot be read or has an unknown ending is a usage
+// error.
 func readFiles(names []string) ([][]byte, error) {
 	var contents [][]byte
 	for _, name := range names {
--- a/cmd/comethold/estimates.go
+++ b/cmd/comethold/estimates.go
@@ -7,15 +7,15 @@
 	"github.com/spf13/cobra"
 )
 
-// estimateFilter says which estimates are asked for; zero values ask for all.
+// estimateFilter says which estimates to show; zero values select all.
 type estimateFilter struct {
 	service string
 	class   string
-	seconds int
-	saved   bool // what was written to the disk instead
+	seconds int  // how far back slow lookups go
+	saved   bool // the estimates on the control node's disk; ignores the other fields
 }
 
-// path is the path and query of the call.
+// path returns the path and query of the call.
 func (f *estimateFilter) path() string {
 	if f.saved {
 		return "/Estimates.Saved"
--- a/cmd/comethold/operator.go
+++ b/cmd/comethold/operator.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// resolveAddress is the address of the control node: the one named, or that of this
-// machine's settings.
+// resolveAddress returns the address of the control node: that of the flag or, without
+// one, that of this machine's settings.
 func (o *operatorClient) resolveAddress() (string, error) {
 	if o.address != "" {
 		return o.address, nil
@@ -63,7 +63,7 @@
 	return o.call(c, http.MethodPost, path, bytes.NewReader(raw))
 }
 
-// call makes one call and prints the answer; one that is not 200 is an error.
+// call makes one call and prints the answer. A status other than 200 is an error.
 func (o *operatorClient) call(c *cobra.Command, method, path string, body io.Reader) error {
 	address, err := o.resolveAddress()
 	if err != nil {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end; nothing left to lose
+	defer func() { _ = response.Body.Close() }() // the body is read before
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// indented is JSON made readable; anything else stays as it is.
+// indented returns JSON with indentation, and any other text unchanged.
 func indented(raw []byte) string {
 	var out bytes.Buffer
 	if json.Indent(&out, raw, "", "  ") != nil {
--- a/cmd/comethold/process.go
+++ b/cmd/comethold/process.go
@@ -19,13 +19,13 @@
 	"github.com/oklog/run"
 )
 
-// Garbage collection: more memory for less processor time, within a bound.
+// Garbage collection uses more memory to save processor time.
 const (
 	gcPercent          = 200
-	softMemoryFraction = 0.6 // of the limit, at which collection turns eager
+	softMemoryFraction = 0.6 // of the memory limit, from which the collector runs more often
 )
 
-// Limits of the HTTP servers on addresses of our own.
+// Limits of the HTTP servers for operators, the platform and other nodes.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = time.Minute
@@ -33,11 +33,14 @@
 	shutdownTimeout   = 300 * time.Millisecond
 )
 
-// settingsPollInterval is how often the settings file is looked at for changes.
+// settingsPollInterval is the time between two checks of the settings file for changes.
 const settingsPollInterval = 2 * time.Second
 
-// process is one running program: its settings, its log, and the goroutines that end
-// together as soon as one of them does.
+// signalBacklog is how many signals are kept while one is handled.
+const signalBacklog = 4
+
+// process is one running program: its settings, its log, and its goroutines. When one of
+// them ends, all are stopped.
 type process struct {
 	settings     *settings.Settings
 	settingsPath string
@@ -96,7 +99,7 @@
 	return conn, nil
 }
 
-// addServer adds an HTTP server on an address of our own.
+// addServer adds an HTTP server for operators, the platform or other nodes.
 func (p *process) addServer(address string, handler http.Handler) error {
 	listener, err := p.listen(address)
 	if err != nil {
@@ -127,10 +130,10 @@
 }
 
 // addSignalHandling adds the handling of signals and of changes of the settings file.
-// SIGHUP and a changed file call reload with the new settings; SIGTERM and SIGINT call
-// shutdown, which returns when the process may end.
+// SIGHUP and a changed file call reload with the new settings. SIGTERM and SIGINT call
+// shutdown; when it returns, the process ends.
 func (p *process) addSignalHandling(reload func(*settings.Settings), shutdown func()) {
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalBacklog)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	quit := make(chan struct{})
 	reloader := newSettingsReloader(p, reload)
@@ -157,13 +160,13 @@
 	p.group.Add(handle, func(error) { close(quit) })
 }
 
-// Why settings are read again.
+// Causes of a reload, as logged.
 const (
 	causeSignal = "signal"
 	causeChange = "change"
 )
 
-// settingsReloader reads the settings file again and applies it if it has changed.
+// settingsReloader reloads the settings file if it has changed.
 type settingsReloader struct {
 	path  string
 	last  []byte // the content that was read last
@@ -172,7 +175,7 @@
 }
 
 func newSettingsReloader(p *process, apply func(*settings.Settings)) *settingsReloader {
-	last, _ := os.ReadFile(p.settingsPath) // unreadable: the next reload takes whatever is there
+	last, _ := os.ReadFile(p.settingsPath) // if that fails, the next reload applies any content
 	return &settingsReloader{path: p.settingsPath, last: last, log: p.log, apply: apply}
 }
 
@@ -180,7 +183,7 @@
 func (r *settingsReloader) reload(cause string) {
 	raw, err := os.ReadFile(r.path)
 	if err != nil && cause == causeChange {
-		return // it may just be replaced; the next poll looks again
+		return // the file may be in the middle of a replacement; the next poll reads it
 	}
 	if err == nil && bytes.Equal(raw, r.last) {
 		return
--- a/cmd/comethold/root.go
+++ b/cmd/comethold/root.go
@@ -7,7 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// usageError says that a call names an unknown command, flag or file, or lacks an argument.
+// usageError says that the command line has an unknown command, flag or file, or lacks an
+// argument.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
@@ -24,7 +25,7 @@
 	}
 }
 
-// showHelp is what a group of commands does when none of them is named.
+// showHelp runs a group of commands that was called without one of them.
 func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
 
 func newRootCommand() *cobra.Command {
--- a/internal/latencyestimate/collector.go
+++ b/internal/latencyestimate/collector.go
@@ -7,32 +7,31 @@
 	"time"
 )
 
-// Bounds of a Collector. No caller ever waits: what doesn't fit is dropped and counted.
+// Bounds of a Collector. No caller waits: samples beyond the bounds are dropped and counted.
 const (
 	maxQueuedSamples = 512
 	// maxSamplesPerSecond bounds the collector's use of the processor.
 	maxSamplesPerSecond = 1000
 	workInterval        = 20 * time.Millisecond
 	samplesPerInterval  = maxSamplesPerSecond / int(time.Second/workInterval)
-	// thresholdLifetime is after how many samples the threshold of a key is worked out anew.
+	// thresholdLifetime is the number of samples for which the threshold of a key is used.
 	thresholdLifetime = 64
 	maxKeys           = 1024 // sketches of one generation
 	maxSlowLookups    = 256
-	// generationLength is after how long samples are no longer added to a sketch. They are
-	// forgotten with the generation after it.
+	// generationLength is how long samples are added to a generation of sketches. The
+	// generation is dropped when the next one ends.
 	generationLength = time.Minute
-	// slowFactor times the median of a replica is the duration from which on a lookup is
-	// slow.
+	// slowFactor is the number of medians of a replica above which a lookup is slow.
 	slowFactor   = 3
 	maxPartBytes = 256 << 10
 )
 
-// Collector takes the samples of requests without ever delaying one. Run has to work for it.
-// It is safe for concurrent use.
+// Collector collects the samples of requests without delaying them. Run processes them. It is
+// safe for concurrent use.
 type Collector struct {
 	queue          chan AnswerPair
 	dropped        atomic.Uint64
-	intervalBudget atomic.Int32 // samples that this interval still takes
+	intervalBudget atomic.Int32 // samples that may still be queued in this interval
 
 	mu                sync.Mutex      // guards the fields below
 	current, previous map[Key]*Sketch // by generation
@@ -42,10 +41,10 @@
 	counters          Counters     // Dropped is counted in dropped
 }
 
-// slowThreshold is the duration from which on a lookup of a key is slow.
+// slowThreshold is the duration above which a lookup of a key is slow.
 type slowThreshold struct {
 	duration    time.Duration // 0: not known
-	samplesLeft int           // until it is worked out anew
+	samplesLeft int           // until the next update
 }
 
 // NewCollector returns a collector without samples.
@@ -62,7 +61,7 @@
 	return c
 }
 
-// Submit queues a sample for Run. Beyond what an interval takes it costs one addition.
+// Submit queues a sample for Run. It drops samples beyond the interval's budget.
 func (c *Collector) Submit(s Sample) {
 	if c.intervalBudget.Add(-1) < 0 {
 		c.dropped.Add(1)
@@ -87,7 +86,7 @@
 	}
 }
 
-// Run processes what is queued until done is closed, within its share of the processor.
+// Run processes queued samples until done is closed, maxSamplesPerSecond at most.
 func (c *Collector) Run(done <-chan struct{}) {
 	ticker := time.NewTicker(workInterval)
 	defer ticker.Stop()
@@ -118,7 +117,7 @@
 	}
 }
 
-// Add takes a sample at once.
+// Add processes a sample at once.
 func (c *Collector) Add(s Sample, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,8 +211,7 @@
 	return both.Estimate()
 }
 
-// recordSlowLocked remembers a slow lookup with the estimates for the other replicas as of
-// now.
+// recordSlowLocked records a slow lookup with the current estimates for the other replicas.
 func (c *Collector) recordSlowLocked(s Sample, now time.Time) {
 	lookup := SlowLookup{
 		At:       now,
@@ -264,7 +262,7 @@
 	}
 }
 
-// completeSlowLocked adds the second answer to the slow lookup that it was a retry of.
+// completeSlowLocked adds the second answer to the record of the slow lookup, if there is one.
 func (c *Collector) completeSlowLocked(p AnswerPair, ofSecond Difference) {
 	for i := len(c.slowLookups) - 1; i >= 0; i-- {
 		lookup := &c.slowLookups[i]
--- a/internal/latencyestimate/difference.go
+++ b/internal/latencyestimate/difference.go
@@ -47,7 +47,7 @@
 	return classify(d.repeatedInA, d.onlyInB), classify(d.repeatedInB, d.onlyInA)
 }
 
-// classify returns the difference of an answer that repeats and lacks so many records.
+// classify returns the difference of an answer by how many records it repeats and lacks.
 func classify(repeated, lacking int) Difference {
 	switch {
 	case repeated > 0:
--- a/internal/latencyestimate/doc.go
+++ b/internal/latencyestimate/doc.go
@@ -2,14 +2,14 @@
 // replicas of its shard, from the durations of recent lookups of the same class, and finds
 // replicas whose answers differ from each other.
 //
-// A Collector takes the Samples of requests without delaying them, keeps a Sketch of the
-// durations for each Key, and remembers slow lookups with the Estimates for the other
-// replicas. Where two replicas answered one lookup, it compares the actual duration with the
-// estimate, and the answers with each other (CompareParts). Snapshots of several nodes are
-// joined by MergeSnapshots.
+// A Collector gets the Samples of requests without delaying them, keeps a Sketch of the
+// durations for each Key, and records slow lookups with the Estimates for the other
+// replicas. If two replicas answered one lookup, it compares the actual duration with the
+// estimate, and the answers with each other (CompareParts). MergeSnapshots joins the
+// Snapshots of several nodes.
 //
-// A lookup that was abandoned counts as a censored sample: it would have taken longer,
-// nobody knows how long. Leaving it out would make a replica that stalls look quick.
+// A lookup that was abandoned counts as a censored sample: it would have taken longer, but
+// it is not known how long. Without such samples a replica that stalls would look fast.
 //
 // The package does no input or output.
 package latencyestimate
--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -28,7 +28,7 @@
 	Median time.Duration `json:"median"`
 	Low    time.Duration `json:"low"`
 	High   time.Duration `json:"high"`
-	// HighOpen says that so many samples are censored that High isn't known.
+	// HighOpen says that High isn't known because too many samples are censored.
 	HighOpen bool   `json:"highOpen,omitempty"`
 	Samples  uint64 `json:"samples"` // completed
 	Censored uint64 `json:"givenUp"`
@@ -45,8 +45,8 @@
 }
 
 // Estimate returns the estimate of a lookup's duration from the samples, by the
-// product-limit (Kaplan-Meier) method: a censored sample counts among those that took longer
-// for as long as it was followed.
+// product-limit (Kaplan-Meier) method: up to its own duration, a censored sample counts as
+// one that takes longer.
 func (s *Sketch) Estimate() Estimate {
 	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
 	if e.Samples+e.Censored < minSamples {
@@ -64,7 +64,7 @@
 	return e
 }
 
-// quantile is the duration that a share of lookups doesn't exceed, if it is known.
+// quantile is the duration that a given share of lookups doesn't exceed, if it is known.
 type quantile struct {
 	duration time.Duration
 	known    bool
@@ -106,8 +106,8 @@
 	completed bool
 }
 
-// centroids returns the centroids of both digests by duration. Of equal ones the completed
-// come first: what ended at a moment was not abandoned before.
+// centroids returns the centroids of both digests, sorted by duration. Of equal ones the
+// completed come first: a lookup censored at a duration was still running then.
 func (s *Sketch) centroids() []centroid {
 	var all []centroid
 	collect := func(digest *tdigest.TDigest, completed bool) {
--- a/internal/latencyestimate/sketch.go
+++ b/internal/latencyestimate/sketch.go
@@ -34,7 +34,7 @@
 // NewSketch returns an empty sketch.
 func NewSketch() *Sketch { return &Sketch{} }
 
-// Add takes a sample.
+// Add adds a sample.
 func (s *Sketch) Add(duration time.Duration, censored bool) {
 	digest := &s.completed
 	if censored {
@@ -46,13 +46,13 @@
 	_ = (*digest).Add(max(duration.Seconds(), minSampleSeconds)) // fails for no number of seconds
 }
 
-// Merge takes all samples of another sketch, which stays as it is.
+// Merge adds all samples of another sketch, which does not change.
 func (s *Sketch) Merge(other *Sketch) {
 	s.completed = mergeDigests(s.completed, other.completed)
 	s.censored = mergeDigests(s.censored, other.censored)
 }
 
-// encodedSketch is a sketch between processes.
+// encodedSketch is the wire format of a sketch.
 type encodedSketch struct {
 	Completed []byte `cbor:"1,keyasint"`
 	Censored  []byte `cbor:"2,keyasint"`
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// sharedRandom is one random source for all digests: one of its own would take each digest
-// 5 KB and is slow to make.
+// sharedRandom is the random source of all digests. A source per digest would take 5 KB and
+// is slow to create.
 type sharedRandom struct{}
 
 func (sharedRandom) Float32() float32 { return rand.Float32() }
@@ -111,7 +111,7 @@
 }
 
 // mergeDigests adds the samples of other to digest and returns it. Both may be nil; other
-// stays as it is.
+// does not change.
 func mergeDigests(digest, other *tdigest.TDigest) *tdigest.TDigest {
 	switch {
 	case other == nil:
--- a/internal/latencyestimate/snapshot.go
+++ b/internal/latencyestimate/snapshot.go
@@ -29,12 +29,12 @@
 type Counters struct {
 	Compared uint64 `json:"compared" cbor:"1,keyasint"`
 	Covered  uint64 `json:"covered" cbor:"2,keyasint"` // within the interval of the estimate
-	// Differences counts by endpoint ID and kind, parted by a space.
+	// Differences counts by endpoint ID and kind, with a space between them.
 	Differences map[string]uint64 `json:"parts" cbor:"3,keyasint"`
-	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"` // samples that had no room
+	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"` // samples beyond the bounds
 }
 
-// Snapshot is all that one node knows, or several.
+// Snapshot holds the sketches, slow lookups and counters of one node, or of several merged.
 type Snapshot struct {
 	Sketches    []KeyedSketch `cbor:"1,keyasint"`
 	SlowLookups []SlowLookup  `cbor:"2,keyasint"` // oldest first for one node
@@ -47,7 +47,7 @@
 	Sketch *Sketch `cbor:"2,keyasint"`
 }
 
-// Snapshot returns what is known of one service and class, or of all where one is empty.
+// Snapshot returns the data of one service and class; an empty string matches all.
 func (c *Collector) Snapshot(service, class string) Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +79,7 @@
 	return snapshot
 }
 
-// MergeSnapshots joins what several nodes know.
+// MergeSnapshots joins the snapshots of several nodes.
 func MergeSnapshots(snapshots ...Snapshot) Snapshot {
 	joined := Snapshot{Counters: Counters{Differences: map[string]uint64{}}}
 	merged := map[Key]*Sketch{}
--- a/internal/objectcache/cache_client.go
+++ b/internal/objectcache/cache_client.go
@@ -24,12 +24,13 @@
 	dialTimeout        = 400 * time.Millisecond
 	silenceTimeout     = 900 * time.Millisecond
 	maxIdleConnections = 16
-	// failureBackoff is how long a server that failed is asked last.
+	// failureBackoff is how long a server that failed is ranked last.
 	failureBackoff = 1500 * time.Millisecond
-	maxWait        = 4 * time.Second
-	// deadlineMargin is kept of a request's time for its answer.
+	// maxWait bounds the wait of one call for an object.
+	maxWait = 4 * time.Second
+	// deadlineMargin is the part of a request's time that is reserved for its answer.
 	deadlineMargin = 20 * time.Millisecond
-	// maxCachesTried bounds the servers that are asked for one object.
+	// maxCachesTried bounds the servers that are asked for one object or permit.
 	maxCachesTried = 3
 )
 
@@ -63,11 +64,19 @@
 	rankFailed
 )
 
-// rankedCaches returns the servers for a key, in the order of rendezvous hashing. Those that
-// just failed come last, and with nearFirst those of other regions before them.
-func (c *cacheClient) rankedCaches(key string, nearFirst bool) []distribution.Node {
+// cachePreference says which of the healthy servers come first.
+type cachePreference bool
+
+const (
+	sameOrderEverywhere cachePreference = false // all nodes rank the servers of a key alike
+	ownRegionFirst      cachePreference = true  // by this node's region
+)
+
+// rankedCaches returns the servers for a key, in the order of rendezvous hashing. With
+// ownRegionFirst, servers of other regions follow. Servers that failed lately are last.
+func (c *cacheClient) rankedCaches(key string, preference cachePreference) []distribution.Node {
 	caches := slices.Clone(c.control.ObjectCaches())
-	ranks := c.ranks(caches, nearFirst)
+	ranks := c.ranks(caches, preference)
 	sort.Slice(caches, func(i, j int) bool {
 		a, b := caches[i].Name, caches[j].Name
 		if ranks[a] != ranks[b] {
@@ -79,7 +88,7 @@
 }
 
 // ranks returns the rank of each server by name.
-func (c *cacheClient) ranks(caches []distribution.Node, nearFirst bool) map[string]cacheRank {
+func (c *cacheClient) ranks(caches []distribution.Node, preference cachePreference) map[string]cacheRank {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -89,21 +98,21 @@
 		switch {
 		case now.Before(c.failedUntil[n.Name]):
 			ranks[n.Name] = rankFailed
-		case nearFirst && set.RegionOf(n.Zone) != set.RegionName:
+		case preference == ownRegionFirst && set.RegionOf(n.Zone) != set.RegionName:
 			ranks[n.Name] = rankOtherRegion
 		}
 	}
 	return ranks
 }
 
-// markFailed has a server asked last for a while.
+// markFailed ranks a server last for failureBackoff.
 func (c *cacheClient) markFailed(n distribution.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failedUntil[n.Name] = time.Now().Add(failureBackoff)
 }
 
-// call calls a server, with an address that follows the settings.
+// call calls the object cache program of a node, on the port of the settings.
 func (c *cacheClient) call(ctx context.Context, n distribution.Node, path string, in, out any) error {
 	port := strconv.Itoa(c.control.Settings.PortOf(settings.ObjectCache))
 	return c.rpcClient.Call(ctx, net.JoinHostPort(n.Addr, port), path, in, out)
@@ -113,12 +122,12 @@
 type fetchFrom struct {
 	request    Request
 	cached     *responsecache.Response // held by the caller; nil: none
-	purgeIndex uint64                  // that the server must know of
-	originOnly bool
+	purgeIndex uint64                  // the server must have applied purges up to it
+	originOnly bool                    // the server reads the origin and asks no other server
 }
 
-// fetch fetches an object from one server. An error says that another server may serve; a
-// failure is what the server answered.
+// fetch fetches an object from one server. A failure is the server's answer; after an error
+// another server may be asked.
 func (c *cacheClient) fetch(n distribution.Node, f fetchFrom) (*responsecache.Response, *Failure, error) {
 	start := time.Now()
 	wait := min(f.request.Deadline.Sub(start)-deadlineMargin, maxWait)
@@ -140,7 +149,7 @@
 	return objectOf(&reply, f, start)
 }
 
-// objectCall returns the call for an object that waits for so long.
+// objectCall returns the call for an object. wait is how long this node waits for the answer.
 func (c *cacheClient) objectCall(f fetchFrom, wait time.Duration) *objectCall {
 	call := &objectCall{
 		Host:       f.request.Host,
@@ -161,8 +170,8 @@
 	return call
 }
 
-// objectOf returns the object of a reply to a call that began at start. All the time that
-// the call took counts as age: the object may have been on its way for that long.
+// objectOf returns the object of a reply to a call that began at start. The whole duration of
+// the call counts as age, since the reply may have been under way for that long.
 func objectOf(reply *objectReply, f fetchFrom, start time.Time) (*responsecache.Response, *Failure, error) {
 	now := time.Now()
 	validatedAt := start.Add(-time.Duration(reply.AgeUs) * time.Microsecond)
@@ -188,8 +197,8 @@
 	return revalidated(f.cached, validatedAt, reply.PurgeIndex), nil, nil
 }
 
-// revalidated returns the object as it was found to be current at a time, with the purges
-// known then.
+// revalidated returns a copy of the object that was found to be current at a time, when the
+// purges up to purgeIndex were known.
 func revalidated(object *responsecache.Response, at time.Time, purgeIndex uint64) *responsecache.Response {
 	current := *object
 	current.ValidatedAt = at
--- a/internal/objectcache/client.go
+++ b/internal/objectcache/client.go
@@ -18,7 +18,7 @@
 	permitsAsked atomic.Int64
 }
 
-// NewClient returns a client with a cache of so many bytes. It takes the OnPurges function of
+// NewClient returns a client with a cache of cacheBytes. It sets the OnPurges function of
 // control.
 func NewClient(control *controlclient.Client, cacheBytes int) *Client {
 	c := &Client{control: control, servers: newCacheClient(control)}
@@ -37,7 +37,7 @@
 func (c *Client) fetch(
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure) {
-	for i, server := range c.servers.rankedCaches(r.key(), true) {
+	for i, server := range c.servers.rankedCaches(r.key(), ownRegionFirst) {
 		if i == maxCachesTried || time.Until(r.Deadline) < deadlineMargin {
 			break
 		}
@@ -50,8 +50,8 @@
 	return nil, newUnavailable(reasonNoServer, noServerRetryDelay)
 }
 
-// Permit waits until a call may be made to a service, at most until the deadline. If it may
-// not, retryAfter is when to ask again.
+// Permit waits until a call may be made to a service, at most until the deadline. If ok is
+// false, retryAfter is the time after which to ask again.
 func (c *Client) Permit(service string, deadline time.Time) (ok bool, retryAfter time.Duration) {
 	table := c.control.RouteTable()
 	if table == nil || table.Services[service] == nil || table.Services[service].RatePerSecond <= 0 {
@@ -59,7 +59,7 @@
 	}
 	// Each server has its share of the rate, so the calls go to all of them in turn.
 	turn := strconv.FormatInt(c.permitsAsked.Add(1), 36)
-	for i, server := range c.servers.rankedCaches(turn, true) {
+	for i, server := range c.servers.rankedCaches(turn, ownRegionFirst) {
 		wait := time.Until(deadline) - deadlineMargin
 		if i == maxCachesTried || wait <= 0 {
 			break
--- a/internal/objectcache/diskstore/store.go
+++ b/internal/objectcache/diskstore/store.go
@@ -1,9 +1,9 @@
-// Package diskstore keeps the objects of an object cache on disk, so that a node that restarts
-// need not read them all from their origins again.
+// Package diskstore keeps the objects of an object cache on disk, so that a restarted node
+// need not read all of them from their origins again.
 //
-// Open a Store, Load its objects, Put new ones and ApplyPurges; it writes behind, and drops
-// its oldest objects when there is no room. The file is a bbolt database: bucket names, keys
-// and cbor numbers must not change.
+// Open a Store, Load its objects, Put new ones and ApplyPurges. A Store writes in the
+// background, and evicts its oldest objects when it is full. The file is a bbolt database:
+// bucket names, keys and cbor numbers must not change.
 package diskstore
 
 import (
@@ -34,20 +34,21 @@
 const (
 	maxQueuedBytes = 8 << 20
 	writeInterval  = 300 * time.Millisecond
-	// openTimeout is how long a start waits for a disk that doesn't answer, and
-	// closeTimeout how long the end does.
+	// openTimeout and closeTimeout are how long Open and Close wait for a disk that doesn't
+	// answer.
 	openTimeout       = 2 * time.Second
 	closeTimeout      = time.Second
 	openRetryInterval = time.Second
-	// diskFraction is the part of the disk for objects: the file keeps room for pages that
-	// are not free yet.
+	// diskFraction is the part of the disk for objects. The file also holds pages that are
+	// not free yet.
 	diskFraction      = 0.5
 	defaultStoreBytes = 32 << 20
 )
 
-// Store keeps objects on disk, written behind. It only ever helps: an object whose age isn't
-// known after a restart is revalidated before it is served, and all objects are dropped unless
-// the purges since the store's log index are still known. It is safe for concurrent use.
+// Store keeps objects on disk and writes them in the background. No outdated object is served
+// from it: an object whose age isn't known after a restart is revalidated before it is served,
+// and all objects are dropped unless the purges since the store's log index are still known. It
+// is safe for concurrent use.
 type Store struct {
 	directory string
 	disk      storage.Disk
@@ -66,7 +67,7 @@
 	// Used by the writer alone once it runs.
 	db        *bolt.DB // nil until opened
 	contents  *contents
-	mustClear bool // the objects on disk may lack a purge: they go before anything is written
+	mustClear bool // the objects on disk may lack a purge: delete them before the next write
 }
 
 // operation is an object to store, or purges to apply.
@@ -92,8 +93,8 @@
 }
 
 // Open opens the store in the directory, and returns it with the log index of the purges that
-// were applied to it. A file that can't be read is dropped. A disk that fails or doesn't
-// answer keeps no server from its start: the store is opened later then, without objects.
+// were applied to it. A file that can't be read is deleted. If the disk fails or doesn't answer
+// within openTimeout, Open returns nevertheless, and the store opens later without objects.
 func Open(o Options) (store *Store, purgeIndex uint64) {
 	s := &Store{
 		directory:  o.Directory,
@@ -115,7 +116,7 @@
 	}
 }
 
-// openFile opens the store's file, again and again until the disk does.
+// openFile opens the store's file. It retries until that succeeds or the store is closed.
 func (s *Store) openFile() {
 	path := filepath.Join(s.directory, fileName)
 	for ; !s.isClosed(); time.Sleep(openRetryInterval) {
@@ -170,7 +171,7 @@
 		return b.ForEach(func(key, value []byte) error {
 			object := decodeObject(value, now, at)
 			if object == nil || object.Key() != string(key) {
-				object = &responsecache.Response{} // evicted in its turn, never used
+				object = &responsecache.Response{} // damaged: never used, tracked only for eviction
 			} else {
 				onObject(object)
 			}
@@ -180,7 +181,7 @@
 	})
 }
 
-// Put queues an object. It is left out if too much is queued already.
+// Put queues an object. It drops the object if too much is queued already.
 func (s *Store) Put(object *responsecache.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +193,7 @@
 	s.wakeWriter.Signal()
 }
 
-// ApplyPurges queues purges, which are never left out.
+// ApplyPurges queues purges, which are never dropped.
 func (s *Store) ApplyPurges(u *distribution.PurgeUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/objectcache/diskstore/timestamp.go
+++ b/internal/objectcache/diskstore/timestamp.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxClockDisagreement is how far the two clocks of a timestamp may differ over a span before
-// neither is believed.
+// maxClockDisagreement is how far the two clocks of a timestamp may differ over a span. Beyond
+// it the span counts as unknown.
 const maxClockDisagreement = 1500 * time.Millisecond
 
-// timestamp is a moment that a later process on the same machine may be able to compare with
-// its own: by the machine's monotonic clock within one boot, confirmed by the time of day.
-// The zero value is no known moment.
+// timestamp is a time that a later process on the same machine can compare with its own if
+// the machine was not rebooted: by the monotonic clock, checked against the wall clock. The
+// zero value is an unknown time.
 type timestamp struct {
 	BootID      string `cbor:"1,keyasint,omitempty"`
 	MonotonicNs int64  `cbor:"2,keyasint,omitempty"`
 	WallNs      int64  `cbor:"3,keyasint,omitempty"` // since 1970
 }
 
-// readBootID returns what identifies the machine's boot, or "" if that isn't known.
+// readBootID returns the kernel's ID of the machine's boot, or "" if it can't be read.
 func readBootID() string {
 	content, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return strings.TrimSpace(string(content))
 }
 
-// currentTimestamp returns the moment now.
+// currentTimestamp returns the current time.
 func currentTimestamp(bootID string) timestamp {
 	var monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
@@ -39,7 +39,7 @@
 	return timestamp{BootID: bootID, MonotonicNs: monotonic.Nano(), WallNs: time.Now().UnixNano()}
 }
 
-// minus returns the moment that was so long before t.
+// minus returns the time that is d before t.
 func (t timestamp) minus(d time.Duration) timestamp {
 	if t.BootID == "" {
 		return timestamp{}
@@ -47,7 +47,7 @@
 	return timestamp{BootID: t.BootID, MonotonicNs: t.MonotonicNs - int64(d), WallNs: t.WallNs - int64(d)}
 }
 
-// elapsedSince returns the time from an earlier moment to t, if it is known.
+// elapsedSince returns the time from earlier to t, and whether it is known.
 func (t timestamp) elapsedSince(earlier timestamp) (time.Duration, bool) {
 	if t.BootID == "" || earlier.BootID != t.BootID || t.MonotonicNs < earlier.MonotonicNs {
 		return 0, false
--- a/internal/objectcache/diskstore/writer.go
+++ b/internal/objectcache/diskstore/writer.go
@@ -11,16 +11,15 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// contents is what the writer remembers of the objects on disk: enough to evict the
-// oldest and to find those that a purge matches.
+// contents is the writer's index of the objects on disk, for eviction and for purges.
 type contents struct {
 	maxBytes    int
 	storedBytes int
 	objects     map[string]storedObject
-	order       []string // keys, oldest first; may name objects that are gone
+	order       []string // keys, oldest first; may contain keys of removed objects
 }
 
-// storedObject is what is remembered of one object.
+// storedObject is the index entry of one object.
 type storedObject struct {
 	size     int
 	metadata responsecache.Response // without header and body
@@ -30,7 +29,7 @@
 	return &contents{maxBytes: maxBytes, objects: map[string]storedObject{}}
 }
 
-// track remembers an object of the given size on disk.
+// track adds an object of the given size on disk.
 func (c *contents) track(key string, size int, object *responsecache.Response) {
 	if old, ok := c.objects[key]; ok {
 		c.storedBytes -= old.size
@@ -44,20 +43,20 @@
 	c.storedBytes += size
 }
 
-// untrack forgets an object.
+// untrack removes an object.
 func (c *contents) untrack(key string) {
 	c.storedBytes -= c.objects[key].size
 	delete(c.objects, key)
 }
 
-// clear forgets all objects.
+// clear removes all objects.
 func (c *contents) clear() {
 	c.objects = map[string]storedObject{}
 	c.order = nil
 	c.storedBytes = 0
 }
 
-// evictOldest forgets the oldest object if there are too many bytes, and returns its key.
+// evictOldest removes the oldest object if there are more than maxBytes, and returns its key.
 func (c *contents) evictOldest() (key string, ok bool) {
 	for c.storedBytes > c.maxBytes && len(c.order) > 0 {
 		key = c.order[0]
@@ -94,7 +93,7 @@
 		if err := s.writeBatch(operations); err == nil {
 			s.mustClear = false
 		} else {
-			// The file may lack a purge now: it must not outlive this process.
+			// The file may lack a purge now: its objects must not be loaded again.
 			s.log.Warn(logging.DiskCacheDropped).
 				Err(err).
 				Msg("the objects cannot be written; those on disk are dropped")
@@ -170,7 +169,7 @@
 	return nil
 }
 
-// writePurges drops the objects that purges match, and moves the store's log index.
+// writePurges deletes the objects that purges match, and stores the new log index.
 func (s *Store) writePurges(tx *bolt.Tx, u *distribution.PurgeUpdate) error {
 	var err error
 	if u.Reset {
@@ -213,7 +212,7 @@
 	return nil
 }
 
-// evict drops the oldest objects while there are too many bytes.
+// evict deletes the oldest objects until maxBytes are left at most.
 func (s *Store) evict(tx *bolt.Tx) error {
 	objects := tx.Bucket(objectBucket)
 	for {
--- a/internal/objectcache/failure.go
+++ b/internal/objectcache/failure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Delays after which clients are told to try again.
+// Delays after which clients may retry.
 const (
 	behindRetryDelay       = 100 * time.Millisecond
 	purgedRetryDelay       = 100 * time.Millisecond
--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -10,11 +10,11 @@
 	"comethold/internal/responsecache"
 )
 
-// maxFetchAttempts bounds the fetches that one request waits for: each may bring an object
-// that was purged meanwhile.
+// maxFetchAttempts bounds the fetches that one request waits for: the object of each may be
+// purged before it is served.
 const maxFetchAttempts = 3
 
-// PurgeLog is what a node knows of purges.
+// PurgeLog holds the purges that a node has received.
 type PurgeLog interface {
 	// PurgeIndex returns the log index of the newest purge known.
 	PurgeIndex() uint64
@@ -29,7 +29,7 @@
 	Target   string        // path and query
 	TTL      time.Duration // how old the object may be
 	Deadline time.Time
-	// OriginOnly has the origin read rather than another server asked.
+	// OriginOnly says to read the origin and to ask no other server.
 	OriginOnly bool
 	// Waiters is how many requests wait for this one, itself included.
 	Waiters int
@@ -41,11 +41,14 @@
 // key returns the key of the object.
 func (r *Request) key() string { return responsecache.Key(r.Host, r.Target) }
 
-// flightKey identifies the fetches that a request may join. Two servers that take each other
-// for the first of an object's servers must not wait for one another.
+// originOnlySuffix distinguishes the flight keys of requests with OriginOnly.
+const originOnlySuffix = " final"
+
+// flightKey identifies the fetches that a request may join. A request with OriginOnly joins
+// no other fetches: two servers that each rank the other one first would wait for each other.
 func (r *Request) flightKey() string {
 	if r.OriginOnly {
-		return r.key() + " final"
+		return r.key() + originOnlySuffix
 	}
 	return r.key()
 }
@@ -66,9 +69,8 @@
 	failure    *Failure
 }
 
-// Fetcher serves objects out of a cache while they are young enough, and otherwise by one
-// fetch for all requests that want the same object at the time (singleflight). It is safe for
-// concurrent use.
+// Fetcher serves objects from a cache while they are fresh, and otherwise by one fetch for all
+// concurrent requests for the same object (singleflight). It is safe for concurrent use.
 type Fetcher struct {
 	cache   *responsecache.Cache
 	purges  PurgeLog
@@ -84,8 +86,8 @@
 	// StaleSlack is how old beyond the TTL an object may be while a fetch is in flight;
 	// half of it is used.
 	StaleSlack time.Duration
-	// RefreshFraction is the part of the TTL after which an object that is asked for is
-	// refreshed in the background.
+	// RefreshFraction is the part of the TTL after which a requested object is refreshed in
+	// the background.
 	RefreshFraction float64
 	// OnCached, if set, is called with each object that was cached.
 	OnCached func(*responsecache.Response)
@@ -99,8 +101,8 @@
 	return &Fetcher{cache: cache, purges: purges, fetch: fetchObject, options: o, inFlight: map[string]*fetch{}}
 }
 
-// ApplyPurges drops the objects that purges match. Later requests join none of the fetches
-// that are in flight now.
+// ApplyPurges drops the objects that purges match. Later requests don't join the fetches that
+// are in flight now.
 func (f *Fetcher) ApplyPurges(u *distribution.PurgeUpdate) {
 	f.cache.ApplyPurges(u)
 	f.mu.Lock()
@@ -108,7 +110,7 @@
 	f.inFlight = map[string]*fetch{}
 }
 
-// Get returns an object that is good for a request made now.
+// Get returns an object that is fresh and not purged at the time of the call, or a failure.
 func (f *Fetcher) Get(r Request) (*responsecache.Response, *Failure) {
 	key := r.key()
 	for range maxFetchAttempts {
@@ -132,8 +134,8 @@
 		if current.object == nil {
 			return nil, current.failure
 		}
-		// A purge that was known when this request came, and not yet when the fetch
-		// began, rules its result out.
+		// The fetch may have begun before a purge that was known when this request
+		// arrived. Its object is used only if no such purge matches it.
 		if current.purgeIndex >= purgeIndex || !f.purged(current.object) {
 			return current.object, nil
 		}
@@ -141,7 +143,7 @@
 	return nil, newUnavailable(reasonBeingPurged, purgedRetryDelay)
 }
 
-// wait waits for the result of a fetch, and reports whether it came before the deadline.
+// wait waits for the result of a fetch, and reports whether it is set before the deadline.
 func (c *fetch) wait(r Request) bool {
 	c.waiters.Add(int64(max(1, r.Waiters)))
 	timer := time.NewTimer(time.Until(r.Deadline))
@@ -169,7 +171,7 @@
 	return started
 }
 
-// run carries out a fetch and caches its object. Closing done wakes those who wait for it.
+// run carries out a fetch and caches its object. Closing done wakes the waiting requests.
 func (f *Fetcher) run(current *fetch, r Request, cached *responsecache.Response) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -189,8 +191,8 @@
 	}
 }
 
-// keep caches an object unless a purge since it was read matches it. That is checked before,
-// so that an old purge never meets it in the cache, and after, for one that came meanwhile.
+// keep caches an object unless a purge since it was read matches it. It checks before, so
+// that no purged object is in the cache, and after, for a purge that was applied in between.
 func (f *Fetcher) keep(object *responsecache.Response) {
 	if f.purged(object) {
 		return
--- a/internal/objectcache/message.go
+++ b/internal/objectcache/message.go
@@ -14,11 +14,11 @@
 	Host   string `cbor:"1,keyasint"`
 	Target string `cbor:"2,keyasint"`
 	ETag   string `cbor:"3,keyasint,omitempty"` // of the object that the caller holds
-	// PurgeIndex and ConfigVersion are what the server must know of to answer.
+	// PurgeIndex and ConfigVersion are the least that the server must have applied to answer.
 	PurgeIndex    uint64 `cbor:"4,keyasint,omitempty"`
 	ConfigVersion uint64 `cbor:"5,keyasint,omitempty"`
 	WaitMs        int64  `cbor:"6,keyasint"` // how long the caller waits
-	// OriginOnly has the server read the origin rather than ask another server.
+	// OriginOnly says that the server must read the origin and not ask another server.
 	OriginOnly bool `cbor:"7,keyasint,omitempty"`
 	Waiters    int  `cbor:"8,keyasint,omitempty"` // requests that wait for the object
 }
--- a/internal/objectcache/origin.go
+++ b/internal/objectcache/origin.go
@@ -15,10 +15,10 @@
 
 const (
 	maxReadAttempts = 3
-	// minReadTimeout is the least time-out of an attempt; with less time left there is no
-	// further one.
+	// minReadTimeout is the least time-out of an attempt. With less time left, no further
+	// attempt is made.
 	minReadTimeout = 600 * time.Millisecond
-	// queueTimeDivisor: a read waits to begin for at most this part of its time.
+	// queueTimeDivisor is the divisor of a read's time that gives how long it may be queued.
 	queueTimeDivisor = 3
 )
 
@@ -43,8 +43,8 @@
 	failure  *Failure // of the attempts so far
 }
 
-// readOrigin reads an object from its origin. The read serves all who wait for the object and
-// those to come, so its time is that of the route, not that of the request that began it.
+// readOrigin reads an object from its origin. Its deadline is that of the route, since the
+// read serves all requests that join it, beyond the deadline of the request that began it.
 func (s *Server) readOrigin(r Request, cached *responsecache.Response) (*responsecache.Response, *Failure) {
 	if s.Disconnected(disconnectedAfter) {
 		failure := newUnavailable(reasonDisconnected, disconnectedRetryDelay)
@@ -87,7 +87,7 @@
 }
 
 // attempt reads the origin once. It returns the object, or sets the failure; final says that
-// another attempt is of no use.
+// there must be no further attempt.
 func (r *originRead) attempt() (object *responsecache.Response, final bool) {
 	admitted := r.waitForAdmission()
 	if !admitted.granted {
@@ -126,8 +126,8 @@
 	return admitted
 }
 
-// newRequest returns the request of an attempt. Each has an ID of its own, so that a late
-// answer to an earlier one is known by it.
+// newRequest returns the request of an attempt. Each attempt has its own ID, by which a late
+// answer to an earlier one is recognized.
 func (r *originRead) newRequest() *upstream.Request {
 	request := &upstream.Request{
 		Method: http.MethodGet,
@@ -169,9 +169,9 @@
 	return nil
 }
 
-// recordFailure sets the failure of an attempt. One that an endpoint has, or may have,
-// executed goes before one that it surely has not. It reports whether another attempt is of
-// no use.
+// recordFailure sets the failure of an attempt. Failures of attempts that an endpoint has or
+// may have executed take precedence over the others. It reports whether there must be no
+// further attempt.
 func (r *originRead) recordFailure(outcome upstream.Outcome, response *upstream.Response) (final bool) {
 	switch {
 	case outcome == upstream.Rejected:
@@ -209,7 +209,7 @@
 
 func newReadID() string { return "r" + strconv.FormatUint(rand.Uint64(), 36) }
 
-// objectHeader returns what is kept of a response's header.
+// objectHeader returns the fields of a response's header that are cached.
 func objectHeader(h http.Header) http.Header {
 	kept := upstream.EndToEndHeaders(h)
 	delete(kept, upstream.HeaderInstanceID)
--- a/internal/objectcache/origin_statistics.go
+++ b/internal/objectcache/origin_statistics.go
@@ -8,14 +8,14 @@
 const (
 	// latencySmoothing is the weight of a new read in a service's average.
 	latencySmoothing = 0.05
-	// timeoutFactor times the average is the time-out of a read.
+	// timeoutFactor is the time-out of a read in average durations.
 	timeoutFactor = 6
-	// initialTimeout is that time-out before the first read.
+	// initialTimeout is the time-out of a service's first read.
 	initialTimeout = 2 * time.Second
 )
 
-// latencyTracker learns how long the reads of each service take, and how long one is worth
-// waiting for before another endpoint is tried. It is safe for concurrent use.
+// latencyTracker measures how long the reads of each service take, and derives the time-out
+// after which another endpoint is tried. It is safe for concurrent use.
 type latencyTracker struct {
 	mu       sync.Mutex         // guards the field below
 	averages map[string]float64 // by service, in seconds
@@ -25,7 +25,7 @@
 	return &latencyTracker{averages: map[string]float64{}}
 }
 
-// observe takes the duration of a read.
+// observe adds the duration of a read.
 func (t *latencyTracker) observe(service string, duration time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,13 +48,13 @@
 	return time.Duration(timeoutFactor * average * float64(time.Second))
 }
 
-// readStatistics counts the reads of origins in some time.
+// readStatistics counts the reads of origins in one interval.
 type readStatistics struct {
-	reads       int // that brought an object
+	reads       int // that returned an object
 	revalidated int // that found the cached object current
 	rejected    int // that could not begin in time
 
-	readTime       time.Duration // of all reads together
+	readTime       time.Duration // sums, as the ones below
 	revalidateTime time.Duration
 	waitTime       time.Duration // before they began
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// recordRead counts a read that brought an object.
+// recordRead counts a read that returned an object.
 func (s *originStatistics) recordRead(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	s.counts.revalidateTime += duration
 }
 
-// take returns the counts and starts anew.
+// take returns the counts and resets them.
 func (s *originStatistics) take() readStatistics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/objectcache/read_scheduler.go
+++ b/internal/objectcache/read_scheduler.go
@@ -13,17 +13,17 @@
 	queuePollInterval = 4 * time.Millisecond
 	// minQueueLength is how many reads of a service may wait, however low its rate is.
 	minQueueLength = 16
-	// minRetryDelay and maxRetryDelay bound when rejected reads are told to come back.
+	// minRetryDelay and maxRetryDelay bound the retry delay of rejected reads.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 1500 * time.Millisecond
 	// unknownRateRetryDelay is that delay while the node has no share of the rate.
 	unknownRateRetryDelay = 3 * minRetryDelay
 )
 
-// readScheduler lets the reads of origins begin one by one: when the node's share of the rate
-// and an endpoint have room, the read that most requests wait for goes first. A read that
-// can't begin in time is rejected at once, with when to come back. It is safe for concurrent
-// use.
+// readScheduler queues the reads of origins. A read begins when the node's share of the rate
+// allows it and an endpoint accepts it; the read with the most waiting requests is first. A
+// read that can't begin in time is rejected at once, with a retry delay. It is safe for
+// concurrent use.
 type readScheduler struct {
 	limiter   *ratelimit.Limiter
 	upstreams endpointReserver
@@ -32,11 +32,11 @@
 	queues map[string][]*queuedRead // by service, oldest first
 }
 
-// endpointReserver reserves places of a service's endpoints.
+// endpointReserver reserves endpoints; it is the part of upstream.ClusterManager used here.
 type endpointReserver interface {
-	// Reserve reserves a place at an endpoint that was not tried, or returns nil.
-	Reserve(service string, tried []*upstream.Endpoint, once bool) *upstream.Endpoint
-	// Release gives a place back.
+	// Reserve reserves an endpoint that was not tried for one call, or returns nil.
+	Reserve(service string, tried []*upstream.Endpoint, nonIdempotent bool) *upstream.Endpoint
+	// Release gives up a reservation.
 	Release(*upstream.Endpoint)
 }
 
@@ -47,7 +47,7 @@
 	waiters  func() int // requests that wait for the read
 	tried    []*upstream.Endpoint
 	deadline time.Time // until when the read may wait to begin
-	// permitOnly marks a call that a data plane node makes, to an endpoint that it chooses.
+	// permitOnly marks a call that a data plane node makes to an endpoint of its choice.
 	permitOnly bool
 
 	// Set by admit.
@@ -55,11 +55,11 @@
 	result     chan admission
 }
 
-// admission is the end of a read's wait.
+// admission says whether a read may begin.
 type admission struct {
 	granted    bool
-	endpoint   *upstream.Endpoint // reserved, unless permitOnly
-	retryAfter time.Duration      // if not granted: when to come back
+	endpoint   *upstream.Endpoint // if granted: reserved, unless permitOnly
+	retryAfter time.Duration      // if not granted: when to retry
 }
 
 func newReadScheduler(limiter *ratelimit.Limiter, upstreams endpointReserver) *readScheduler {
@@ -74,7 +74,7 @@
 	s.queues[r.service] = append(s.queues[r.service], r)
 	s.dispatchLocked(r.service, r.enqueuedAt)
 	if len(s.queues[r.service]) == 1 {
-		go s.pollQueue(r.service) // ends when no read waits any more
+		go s.pollQueue(r.service) // ends when the queue is empty
 	}
 	s.mu.Unlock()
 	return <-r.result
@@ -102,7 +102,8 @@
 	s.queues[service] = s.rejectExcessLocked(queue, now)
 }
 
-// startLocked begins reads while there is room, and returns those left.
+// startLocked begins reads while the rate and the endpoints allow it, and returns the reads
+// that still wait.
 func (s *readScheduler) startLocked(queue []*queuedRead, now time.Time) []*queuedRead {
 	for len(queue) > 0 {
 		next := firstOf(queue)
@@ -122,20 +123,21 @@
 	return queue
 }
 
-// reserve reserves an endpoint for a read, if possible one that it has not tried. One that
-// needs a permit only needs none.
+// reserve reserves an endpoint for a read, if possible one that it has not tried. A read with
+// permitOnly needs no endpoint.
 func (s *readScheduler) reserve(r *queuedRead) (endpoint *upstream.Endpoint, ok bool) {
 	if r.permitOnly {
 		return nil, true
 	}
-	endpoint = s.upstreams.Reserve(r.service, r.tried, false)
+	const nonIdempotent = false // a read may be executed twice
+	endpoint = s.upstreams.Reserve(r.service, r.tried, nonIdempotent)
 	if endpoint == nil && len(r.tried) > 0 {
-		endpoint = s.upstreams.Reserve(r.service, nil, false)
+		endpoint = s.upstreams.Reserve(r.service, nil, nonIdempotent)
 	}
 	return endpoint, endpoint != nil
 }
 
-// rejectOverdueLocked rejects the reads whose deadline has passed, and returns those left.
+// rejectOverdueLocked rejects the reads whose deadline has passed, and returns the others.
 func (s *readScheduler) rejectOverdueLocked(queue []*queuedRead, now time.Time) []*queuedRead {
 	var left []*queuedRead
 	for _, r := range queue {
@@ -148,8 +150,8 @@
 	return left
 }
 
-// rejectExcessLocked rejects the last reads of a queue that is longer than what can begin in
-// the time of the newest one, now rather than at their deadline, and returns those left.
+// rejectExcessLocked rejects the last reads of a queue that is longer than maxLength, at once
+// rather than at their deadline, and returns the others.
 func (s *readScheduler) rejectExcessLocked(queue []*queuedRead, now time.Time) []*queuedRead {
 	for len(queue) > s.maxLength(queue, now) {
 		last := lastOf(queue)
@@ -159,7 +161,8 @@
 	return queue
 }
 
-// maxLength returns how many reads of a queue may wait.
+// maxLength returns how many reads of a queue may wait: as many as the rate lets begin in the
+// waiting time of the newest one, but at least minQueueLength.
 func (s *readScheduler) maxLength(queue []*queuedRead, now time.Time) int {
 	if len(queue) == 0 {
 		return minQueueLength
@@ -177,7 +180,7 @@
 	r.result <- admission{retryAfter: s.retryDelay(r.rate, queueLength, now)}
 }
 
-// retryDelay returns how long a queue takes to empty, within bounds.
+// retryDelay returns the time in which a queue empties at the allowed rate, within bounds.
 func (s *readScheduler) retryDelay(rate float64, queueLength int, now time.Time) time.Duration {
 	allowed := s.limiter.RatePerSecond(rate, now)
 	if rate <= 0 || allowed <= 0 {
@@ -187,8 +190,8 @@
 	return min(maxRetryDelay, max(minRetryDelay, delay))
 }
 
-// goesBefore reports whether a read goes before another: the one that more requests wait for,
-// then the newer one, whose requests have the most time left.
+// goesBefore reports whether a read begins before another: first the one with more waiting
+// requests, then the newer one, whose requests have the most time left.
 func (r *queuedRead) goesBefore(other *queuedRead) bool {
 	if a, b := r.waiters(), other.waiters(); a != b {
 		return a > b
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// maxCatchUpWait bounds how long a call waits for this node to learn what the caller
-	// knows; half of the call's own time does too.
+	// maxCatchUpWait bounds how long a call waits until this node has the caller's
+	// configuration and purges; half of the call's own time is a bound, too.
 	maxCatchUpWait      = 400 * time.Millisecond
 	catchUpPollInterval = 5 * time.Millisecond
-	// switchSourceAfter is after how much of that wait another control node is asked.
+	// switchSourceAfter is the part of that wait after which another control node is asked.
 	switchSourceAfter = 100 * time.Millisecond
-	// disconnectedAfter is how long a node without contact with the control plane goes on:
-	// its share of the rates has ended by then.
+	// disconnectedAfter is how long a node serves without contact with the control plane. It
+	// is longer than ratelimit.LeaseDuration: the node's share of the rates has expired.
 	disconnectedAfter = 3500 * time.Millisecond
 )
 
@@ -65,8 +65,8 @@
 }
 
 // replyWith returns the answer with an object, without its content if the caller holds the
-// object with the ETag. The caller knows of a purge that came since by the reply's log index,
-// or will compare the purge with it when it comes.
+// object with the ETag. The caller checks the object against the purges after the reply's
+// PurgeIndex.
 func replyWith(object *responsecache.Response, heldETag string) *objectReply {
 	reply := &objectReply{
 		Service:    object.Service,
@@ -84,8 +84,8 @@
 	return reply
 }
 
-// waitUntilCurrent waits until this node knows of what the caller knows, and returns the
-// route table, or nil if that takes too long.
+// waitUntilCurrent waits until this node has at least the caller's configuration and purges,
+// and returns the route table, or nil after the deadline.
 func (s *Server) waitUntilCurrent(call *objectCall, deadline time.Time) *routing.RouteTable {
 	start := time.Now()
 	switched := false
@@ -123,7 +123,7 @@
 	if r.OriginOnly {
 		return s.readOrigin(r, cached)
 	}
-	for i, server := range s.servers.rankedCaches(r.key(), false) {
+	for i, server := range s.servers.rankedCaches(r.key(), sameOrderEverywhere) {
 		if server.Name == s.Settings.NodeName || i == maxCachesTried {
 			break
 		}
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -18,8 +18,8 @@
 
 const (
 	statisticsInterval = 5 * time.Second
-	// refreshFraction is the part of its TTL after which an object that is asked for is
-	// refreshed.
+	// refreshFraction is the part of its TTL after which a requested object is refreshed in
+	// the background.
 	refreshFraction = 0.8
 	// cacheMemoryFraction is the part of the process's memory for objects.
 	cacheMemoryFraction = 0.45
@@ -45,7 +45,7 @@
 	rpcClient  *rpc.Client
 }
 
-// New returns a server that holds what its data directory keeps, if the settings name one.
+// New returns a server. If the settings name a data directory, it loads the objects there.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
 	control := controlclient.New(controlclient.Options{
 		Settings: set,
@@ -115,7 +115,8 @@
 	return e
 }
 
-// RunStatistics logs now and then how the reads of origins go, until the node ends.
+// RunStatistics logs statistics of the reads of origins every statisticsInterval until the
+// node ends.
 func (s *Server) RunStatistics() error {
 	ticker := time.NewTicker(statisticsInterval)
 	defer ticker.Stop()
--- a/internal/objectcache/share.go
+++ b/internal/objectcache/share.go
@@ -15,9 +15,13 @@
 	// shareRetryInterval is the interval after a failure and while there is no share.
 	shareRetryInterval = shareRenewInterval / 16
 	shareCallTimeout   = ratelimit.LeaseDuration / 3
+	// Both intervals are multiplied by a random factor from shareJitterMin to
+	// shareJitterMin+shareJitter.
+	shareJitterMin = 0.8
+	shareJitter    = 0.4
 )
 
-// RunShareRenewal keeps the node's share of the services' rates until the node ends.
+// RunShareRenewal renews the node's share of the services' rates until the node ends.
 func (s *Server) RunShareRenewal() error {
 	fair := 0     // the share to ask for
 	failures := 0 // in a row
@@ -34,7 +38,7 @@
 		if !ok || s.limiter.Share(time.Now()) == 0 {
 			interval = shareRetryInterval
 		}
-		jittered := time.Duration((0.8 + 0.4*rand.Float64()) * float64(interval))
+		jittered := time.Duration((shareJitterMin + shareJitter*rand.Float64()) * float64(interval))
 		select {
 		case <-time.After(jittered):
 		case <-s.Done():
@@ -43,10 +47,11 @@
 	}
 }
 
-// renewShare asks for the share that was fair at the last renewal, and returns the one that
-// is fair now. skip is how many of the best control nodes to pass over.
+// renewShare requests fair, the fair share of the last renewal in thousandths, and returns the
+// one of now. skip is how many of the preferred control nodes to pass over.
 func (s *Server) renewShare(fair, skip int, number distribution.RequestNumber) (nextFair int, ok bool) {
-	// What is given up must be unused from before the request is sent.
+	// A part that is given up must be unused before the request is sent: it may be granted
+	// to another node at once.
 	s.limiter.Shrink(fair)
 	askedAt := time.Now()
 	holdsNone := s.limiter.Share(askedAt) == 0
--- a/internal/responsecache/cache.go
+++ b/internal/responsecache/cache.go
@@ -7,8 +7,8 @@
 	"comethold/internal/distribution"
 )
 
-// maxResponseShare is the part of a cache, as a divisor, that one response may take.
-const maxResponseShare = 4
+// maxResponseDivisor is the divisor of a cache's size that gives the largest response kept.
+const maxResponseDivisor = 4
 
 // Cache holds responses up to a number of bytes; the least recently used are evicted
 // first. It is safe for concurrent use.
@@ -43,15 +43,15 @@
 	return responseOf(element)
 }
 
-// Put keeps a response in place of an older version. One that is too large for the
-// cache is not kept, nor is the older version.
+// Put replaces the older version of a response. If the response is too large for the
+// cache, it only removes the older version.
 func (c *Cache) Put(response *Response) {
 	size := response.memorySize()
 	key := response.Key()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.removeLocked(key)
-	if size > c.maxBytes/maxResponseShare {
+	if size > c.maxBytes/maxResponseDivisor {
 		return
 	}
 	c.entries[key] = c.recency.PushFront(response)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Remove drops a response, unless another version took its place.
+// Remove drops a response, unless another version has replaced it.
 func (c *Cache) Remove(response *Response) {
 	key := response.Key()
 	c.mu.Lock()
@@ -71,8 +71,8 @@
 	}
 }
 
-// ApplyPurges drops the responses that newer purges name, or everything where the
-// purges missed can't be told.
+// ApplyPurges drops the responses that newer purges name. With Reset it drops all, since
+// the update may lack some purges.
 func (c *Cache) ApplyPurges(update *distribution.PurgeUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// isPurged reports whether a purge that the response does not know of names it.
+// isPurged reports whether a purge after the response's PurgeIndex names it.
 func isPurged(response *Response, purges []distribution.Purge) bool {
 	for _, purge := range purges {
 		if purge.LogIndex > response.PurgeIndex && response.MatchesPurge(purge) {
--- a/internal/responsecache/response.go
+++ b/internal/responsecache/response.go
@@ -19,10 +19,10 @@
 	Labels  []string // by which purges may name it
 	Header  http.Header
 	Body    []byte
-	// ValidatedAt is when the read of the origin began that last confirmed this
-	// version, by this process's monotonic clock. Zero: nothing confirms it.
+	// ValidatedAt is the start of the last read of the origin that confirmed this
+	// version, by this process's monotonic clock. Zero: not known.
 	ValidatedAt time.Time
-	// PurgeIndex is the log index of the newest purge known before that read.
+	// PurgeIndex is the log index of the newest purge known at the start of that read.
 	PurgeIndex uint64
 }
 
@@ -40,7 +40,7 @@
 // Key names the object of the response.
 func (r *Response) Key() string { return Key(r.Host, r.Target) }
 
-// unknownAge is the age of a response that nothing confirms: longer than any time to live.
+// unknownAge is the age of a response without ValidatedAt: longer than any time to live.
 const unknownAge = time.Duration(math.MaxInt64/2 + 1)
 
 // Age is the time since the read that confirmed the response.
@@ -69,7 +69,7 @@
 	return purge.Path == target || purge.Path == path
 }
 
-// What a response takes in memory besides its texts, in bytes.
+// The memory of a response besides its strings and body, in bytes.
 const (
 	responseOverhead = 512
 	headerOverhead   = 32
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -4,7 +4,7 @@
 // not exceed a ratio of the requests plus a slack. The ratio is earned from
 // requests that this node itself forwarded; the slack is divided among the nodes
 // that are alive. A node that has just started has no slack until a window has
-// passed, since it cannot know what its former incarnation has spent.
+// passed, since it does not know what its former incarnation has spent.
 //
 // The owner of a [Budget] calls [Budget.Deposit] for each request of a client and
 // [Budget.TryWithdraw] before each further attempt, and [Budget.SetNodeCount] when
@@ -18,10 +18,10 @@
 
 const (
 	defaultWindow = 10 * time.Second
-	// safetyMargin keeps a part of the budget back for windows that the nodes cut
-	// at different moments.
+	// safetyMargin is the usable part of the budget: the windows of different nodes
+	// begin at different times.
 	safetyMargin = 0.85
-	// initialNodeCount leaves next to no slack until the number of nodes is known.
+	// initialNodeCount leaves almost no slack until the number of nodes is known.
 	initialNodeCount = 1 << 20
 )
 
@@ -42,7 +42,7 @@
 	services  map[string]*slidingWindow
 }
 
-// New starts a budget at a moment.
+// New returns a budget that starts at now.
 func New(config Config, now time.Time) *Budget {
 	if config.Window <= 0 {
 		config.Window = defaultWindow
@@ -55,7 +55,7 @@
 	}
 }
 
-// SetNodeCount sets among how many nodes the slack is divided. A count that is not
+// SetNodeCount sets the number of nodes that share the slack. A count that is not
 // positive changes nothing.
 func (b *Budget) SetNodeCount(count int) {
 	b.mu.Lock()
@@ -72,8 +72,8 @@
 	b.windowLocked(service, now).addRequest()
 }
 
-// TryWithdraw takes one further attempt at a service out of the budget, if it is
-// there. reserve is the share of the budget that must remain for others.
+// TryWithdraw withdraws one further attempt at a service, and reports whether the budget
+// allowed it. reserve is the share of the budget, from 0 to 1, that must remain.
 func (b *Budget) TryWithdraw(service string, now time.Time, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// slackLocked is this node's part of the slack.
+// slackLocked returns this node's part of the slack.
 func (b *Budget) slackLocked(now time.Time) float64 {
 	if now.Sub(b.startedAt) < b.config.Window {
 		return 0
--- a/internal/retrybudget/window.go
+++ b/internal/retrybudget/window.go
@@ -3,22 +3,22 @@
 const (
 	// windowBuckets is the number of buckets in which a window is counted.
 	windowBuckets = 20
-	// keptBuckets is how many buckets are kept: more than a window, so that the
-	// bucket in which it begins is there too.
+	// keptBuckets is the length of the ring: more than a window, which also needs the
+	// bucket in which it begins.
 	keptBuckets = 2 * windowBuckets
 )
 
-// buckets are counts by time, in a ring.
+// buckets is a ring of counts, one for each interval of Window/windowBuckets.
 type buckets [keptBuckets]float64
 
 // slidingWindow counts the requests and the further attempts at one service.
 type slidingWindow struct {
 	requests      buckets
 	extraAttempts buckets
-	currentBucket int64 // since the budget was started
+	currentBucket int64 // number of the bucket since the start of the budget
 }
 
-// advance makes a bucket the current one and empties those it passes.
+// advance makes a bucket the current one and empties it and the skipped ones.
 func (w *slidingWindow) advance(bucket int64) {
 	if bucket-w.currentBucket >= keptBuckets {
 		*w = slidingWindow{currentBucket: bucket}
@@ -39,8 +39,8 @@
 // requestCount is the number of requests in the newest window.
 func (w *slidingWindow) requestCount() float64 { return w.sum(&w.requests, windowBuckets) }
 
-// attemptCount is the number of further attempts in every window that ends now,
-// which takes one bucket more than a window has.
+// attemptCount is the number of further attempts in the newest window, rounded up by the
+// whole bucket in which the window begins.
 func (w *slidingWindow) attemptCount() float64 { return w.sum(&w.extraAttempts, windowBuckets+1) }
 
 // sum adds up the newest n buckets.
--- a/internal/routing/amendment.go
+++ b/internal/routing/amendment.go
@@ -47,9 +47,9 @@
 	return named.Name
 }
 
-// Apply makes the whole configuration that the amendment turns current into. What
-// it does not name stays as it was sent, fields unknown here included. Removing a
-// name that is not there is not an error.
+// Apply returns the complete configuration that results from amending current, decoded
+// and as JSON. Everything else in current stays unchanged, also fields that this version
+// does not know. Removing a name that does not exist is not an error.
 func (a *Amendment) Apply(current []byte) (*Configuration, []byte, error) {
 	fields := map[string]json.RawMessage{}
 	if len(current) > 0 {
@@ -76,8 +76,7 @@
 	return configuration, raw, err
 }
 
-// amendItems returns a list of items as amended, in the order of the old one with
-// new items at the end.
+// amendItems returns the amended list of items: old ones in their order, then new ones.
 func amendItems(old json.RawMessage, upsert []json.RawMessage, remove []string) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if len(old) > 0 {
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -6,15 +6,15 @@
 const (
 	KindSafe      = "safe"      // requests may be executed more than once
 	KindUnsafe    = "unsafe"    // requests must not be executed twice
-	KindCacheable = "cacheable" // responses may be cached and given to others
+	KindCacheable = "cacheable" // responses may be cached and served to other clients
 )
 
-// Configuration is one whole configuration of the operator.
+// Configuration is one complete configuration of the operator.
 type Configuration struct {
 	Version  uint64    `json:"version" validate:"required,max=4611686018427387904"`
 	Routes   []Route   `json:"routes" validate:"dive"`
 	Services []Service `json:"services" validate:"unique=Name,dive"`
-	// Tenants, if there are any, are who may send requests.
+	// Tenants, if there are any, are the only ones that may send requests.
 	Tenants []Tenant `json:"tenants,omitempty" validate:"dive"`
 	Limits  Limits   `json:"limits"`
 }
@@ -44,7 +44,8 @@
 	ResultCount int64 `json:"resultCount,omitempty" validate:"min=0,max=10000000"`
 	// MinimumShardShare is the share of a fan-out's services that a success needs.
 	MinimumShardShare float64 `json:"minimumShardShare,omitempty" validate:"min=0,max=1"`
-	// LookupClass, if given, is the class of lookups that latency estimates keep apart.
+	// LookupClass, if given, is the class of the route's lookups; latencies are estimated
+	// by class.
 	LookupClass string `json:"lookupClass,omitempty" validate:"omitempty,oneof=urgent bulk archive"`
 	// Public routes serve requests without a key.
 	Public bool `json:"public,omitempty"`
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Tenant is one who may send requests, known by any of its keys.
+// Tenant is a customer that may send requests. Any of its keys identifies it.
 type Tenant struct {
 	Name    string   `json:"name" validate:"required"`
 	APIKeys []string `json:"apiKeys"`
@@ -90,7 +91,7 @@
 	Priority *int64 `json:"priority,omitempty" validate:"omitempty,min=0"`
 }
 
-// Service is a set of leaf servers that answer alike.
+// Service is a set of leaf servers with the same content.
 type Service struct {
 	Name string `json:"name" validate:"required"`
 	// HealthPath is the path of health checks; without one there are none.
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,10 +1,10 @@
 // Package routing owns the operator's configuration: its format, its validation,
 // its amendments, and the compiled table that finds the route of a request.
 //
-// [Parse] decodes and validates a whole configuration, [ParseAmendment] a change
-// of one, which [Amendment.Apply] brings onto the configuration in force. [Decode]
-// reads one that was validated before, on its way through the fleet. [Compile]
-// makes the immutable [RouteTable] that the data plane looks up requests in:
+// [Parse] decodes and validates a complete configuration, and [ParseAmendment] a
+// change, which [Amendment.Apply] applies to the configuration in force. [Decode]
+// decodes a configuration that was validated before it was distributed. [Compile]
+// makes the immutable [RouteTable] in which the data plane looks up requests:
 //
 //	table := routing.Compile(configuration)
 //	route := table.Match(request.Host, request.URL.Path)
--- a/internal/routing/parse.go
+++ b/internal/routing/parse.go
@@ -10,8 +10,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Texts that operators get in responses with status 400. Their scripts may look for
-// them, so they keep the words of former versions.
+// Texts in responses with status 400. Operators' scripts may match them, so they keep
+// the words of earlier versions.
 const (
 	malformedText  = "numbering: the configuration cannot be read"
 	invalidText    = "numbering: the configuration is invalid"
@@ -22,11 +22,11 @@
 var (
 	// ErrMalformed means that a configuration or amendment cannot be decoded.
 	ErrMalformed = errors.New(malformedText)
-	// ErrInvalid means that it can, but breaks rules; the error names them.
+	// ErrInvalid means that a configuration or amendment breaks rules; the error names them.
 	ErrInvalid = errors.New(invalidText)
 )
 
-// maxViolations bounds the violations that are looked for.
+// maxViolations bounds the violations that are collected.
 const maxViolations = 50
 
 // structValidator checks the rules of the struct tags. Its messages name fields as
@@ -64,7 +64,7 @@
 
 func malformed(err error) error { return fmt.Errorf("%w: %w", ErrMalformed, err) }
 
-// Violations describes what the struct tags' rules found, one line a field.
+// Violations describes the violated rules of struct tags, one text for each field.
 func Violations(err error) []string {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) {
@@ -85,7 +85,7 @@
 	return violations
 }
 
-// violations describes all that is wrong with the configuration.
+// violations describes all violations of the configuration.
 func (c *Configuration) violations() []string {
 	var violations []string
 	if err := structValidator.Struct(c); err != nil {
@@ -112,8 +112,8 @@
 	return append(violations, tenantViolations(c.Tenants)...)
 }
 
-// targetViolations describes what is wrong with the services of a route. path is
-// where the route is in the configuration.
+// targetViolations describes the violations in the services of a route. path is the
+// route's position in the configuration, such as routes[2].
 func (r *Route) targetViolations(path string, services map[string]bool) (violations []string) {
 	for _, service := range r.ServiceNames() {
 		if !services[service] {
@@ -149,7 +149,7 @@
 	return total
 }
 
-// tenantViolations describes what is wrong with tenants. It never shows a key: its
+// tenantViolations describes the violations of tenants. It never shows a key, since its
 // results are logged.
 func tenantViolations(tenants []Tenant) (violations []string) {
 	names := map[string]bool{}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// shareTolerance absorbs rounding where a share of shards is compared.
+// shareTolerance absorbs rounding errors when shares of shards are compared.
 const shareTolerance = 1e-9
 
 // RouteTable is a compiled configuration. It never changes; a request keeps the
@@ -106,7 +106,7 @@
 	return compiled
 }
 
-// requiredShards is the smallest number of shards whose part of all is at least share.
+// requiredShards returns the least number of shards, from 1, that is at least share of all.
 func requiredShards(shards int, share float64) int {
 	required := 1
 	for required < shards && float64(required)/float64(shards) < share-shareTolerance {
@@ -151,7 +151,7 @@
 			name = host
 		}
 	}
-	if host := t.virtualHosts[name]; host != nil { // mostly in lower case already
+	if host := t.virtualHosts[name]; host != nil { // most names are in lower case
 		return host
 	}
 	return t.virtualHosts[strings.ToLower(name)]
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -5,18 +5,18 @@
 // apiKeyScheme is the scheme of the credentials that hold a tenant's key.
 const apiKeyScheme = "Token"
 
-// Identity is who sent a request, as far as its credentials show.
+// Identity is the sender of a request by its credentials.
 type Identity struct {
 	// Tenant is nil where requests need no key or the route is public.
 	Tenant *Tenant
-	// OwnCredentials says that the credentials are for this system, and that no
-	// leaf may see them.
+	// OwnCredentials says that the credentials are for this system and must not be
+	// forwarded to a leaf.
 	OwnCredentials bool
 }
 
-// Authenticate finds the tenant whose key a request bears. credentials are the
-// values of its Authorization header. ok is false where the request must be
-// rejected: it lacks a key that it needs, or its key is no tenant's.
+// Authenticate finds the tenant of a request by its key. credentials are the values of
+// the Authorization header. ok is false if the request must be rejected: it lacks a
+// required key, or no tenant has the key.
 func (t *RouteTable) Authenticate(route *CompiledRoute, credentials []string) (identity Identity, ok bool) {
 	if !t.RequiresKey() {
 		return Identity{}, true
@@ -26,7 +26,7 @@
 	}
 	scheme, key, _ := strings.Cut(credentials[0], " ")
 	if len(credentials) > 1 || !strings.EqualFold(scheme, apiKeyScheme) {
-		// What a leaf of a public route makes of other credentials is its own affair.
+		// Other credentials may be meant for the leaf of a public route.
 		return Identity{OwnCredentials: !route.Public}, route.Public
 	}
 	tenant := t.tenantsByKey[strings.TrimSpace(key)]
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -6,7 +6,7 @@
 	"comethold/internal/quota"
 )
 
-// Bounds are the figures of the rules that the system must keep. Their methods return them as durations.
+// Bounds are the limits that the system must keep. The methods return the times as durations.
 type Bounds struct {
 	DrainMs          int64   `toml:"drainMs" validate:"min=0"`
 	GracePeriodS     float64 `toml:"gracePeriodS" validate:"min=0"`
@@ -25,7 +25,7 @@
 	UsageDelayS      float64 `toml:"usageDelayS" validate:"min=0"`
 }
 
-// DrainTimeout is how soon an endpoint that the platform drains must get no more requests.
+// DrainTimeout is the time after which an endpoint that the platform drains must get no more requests.
 func (b Bounds) DrainTimeout() time.Duration { return milliseconds(b.DrainMs) }
 
 // GracePeriod is the time between SIGTERM and SIGKILL.
@@ -45,8 +45,8 @@
 	return quota.Rules{Window: seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
 }
 
-// RevocationTimeout is within what time a revoked key must be refused by every node, also by those that are out of
-// contact; 0 requires it only of nodes in contact.
+// RevocationTimeout is the time within which every node must reject a revoked key, even without contact to the control
+// plane; 0: only nodes in contact must.
 func (b Bounds) RevocationTimeout() time.Duration {
 	if !b.RevocationGlobal {
 		return 0
@@ -54,7 +54,8 @@
 	return milliseconds(b.RevocationMs)
 }
 
-// Lease is the span within which the calls of a duty must not come from two holders in the order A, B, A.
+// Lease is the span within which a duty must not return to an earlier owner: its calls must not be made by nodes A, B
+// and A again.
 func (b Bounds) Lease() time.Duration { return milliseconds(b.LeaseMs) }
 
 // UsageWindow is the length of the windows by which usage is counted.
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -21,7 +21,7 @@
 
 var validate = newValidator()
 
-// newValidator makes a validator whose errors name fields as the file does.
+// newValidator returns a validator whose errors use the field names of the file.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -11,5 +11,5 @@
 	lastProgram = ObjectCache
 )
 
-// PortOf returns the internal port that a program listens on. The internal range is the same on every machine.
+// PortOf returns the internal port of a program. The internal port range is the same on every machine.
 func (s *Settings) PortOf(p Program) int { return s.InternalPortRange[0] + int(p) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Settings are those of one process. Fields of the file that are not listed here are ignored.
+// Settings are the settings of one process. Fields of the file that are not listed here are ignored.
 type Settings struct {
 	NodeName          string            `toml:"nodeName" validate:"required"`
 	Role              string            `toml:"role"`
@@ -36,7 +36,8 @@
 
 const defaultHeartbeatInterval = time.Second
 
-// UsageReportingDuty is the duty of reporting to the platform what tenants use.
+// UsageReportingDuty is the duty of reporting the tenants' usage to the platform. Duties are the singleton roles of
+// the settings file.
 const UsageReportingDuty = "usage_reporting"
 
 // ContentMode is the DeploymentMode of a deployment that delivers cacheable objects.
@@ -65,8 +66,8 @@
 // Platform is the platform's API: the list of endpoints, and calls that report to it.
 type Platform struct {
 	Address  string  `toml:"address" validate:"omitempty,hostname_port"`
-	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // of calls of the list, by all nodes together; 0: not known
-	// Duties name the calls that one node at a time makes, under a lease.
+	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // calls of the list by all nodes together; 0: not known
+	// Duties are the singleton roles: their calls are made by one node at a time, the owner of a lease.
 	Duties     []string `toml:"duties"`
 	DutiesPerS float64  `toml:"dutiesPerS" validate:"min=0"`
 	MaxLagMs   int64    `toml:"maxLagMs" validate:"min=0"`
@@ -75,14 +76,14 @@
 // Estimates says whether latencies of lookups on routes with a class are recorded.
 type Estimates struct {
 	Enabled bool `toml:"enabled"`
-	// ShadowShare is the part of the lookups that are sent to another replica too, within the retry budget, to
-	// compare its answer.
+	// ShadowShare is the part of the lookups that are also sent to another replica, to compare the answers. They
+	// count against the retry budget.
 	ShadowShare float64 `toml:"shadowShare" validate:"min=0,max=0.05"`
 }
 
 // Log sets what is logged.
 type Log struct {
-	// Level is the least level that is written; empty means info.
+	// Level is the lowest level that is written; empty means info.
 	Level string `toml:"level" validate:"omitempty,oneof=trace debug info warn error"`
 }
 
