--- a/internal/objectcache/client.go
+++ b/internal/objectcache/client.go
@@ -13,7 +13,7 @@
 // servers. It is safe for concurrent use.
 type Client struct {
 	control      *controlclient.Client
-	servers      *cacheClient
+	servers      *serverClient
 	fetcher      *Fetcher
 	permitsAsked atomic.Int64
 }
@@ -21,7 +21,7 @@
 // NewClient returns a client with a cache of cacheBytes. It sets the OnPurges function of
 // control.
 func NewClient(control *controlclient.Client, cacheBytes int) *Client {
-	c := &Client{control: control, servers: newCacheClient(control)}
+	c := &Client{control: control, servers: newServerClient(control)}
 	c.fetcher = NewFetcher(responsecache.New(cacheBytes), control, c.fetch, FetcherOptions{
 		StaleSlack:      control.Settings.Bounds.StaleSlack(),
 		RefreshFraction: 1,
@@ -37,11 +37,11 @@
 func (c *Client) fetch(
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure) {
-	for i, server := range c.servers.rankedCaches(r.key(), ownRegionFirst) {
-		if i == maxCachesTried || time.Until(r.Deadline) < deadlineMargin {
+	for i, server := range c.servers.rankedServers(r.key(), ownRegionFirst) {
+		if i == maxServersTried || time.Until(r.Deadline) < deadlineMargin {
 			break
 		}
-		object, failure, err := c.servers.fetch(server, fetchFrom{request: r, cached: cached, purgeIndex: purgeIndex})
+		object, failure, err := c.servers.fetch(server, serverFetch{request: r, cached: cached, purgeIndex: purgeIndex})
 		if err == nil {
 			return object, failure
 		}
@@ -59,9 +59,9 @@
 	}
 	// Each server has its share of the rate, so the calls go to all of them in turn.
 	turn := strconv.FormatInt(c.permitsAsked.Add(1), 36)
-	for i, server := range c.servers.rankedCaches(turn, ownRegionFirst) {
+	for i, server := range c.servers.rankedServers(turn, ownRegionFirst) {
 		wait := time.Until(deadline) - deadlineMargin
-		if i == maxCachesTried || wait <= 0 {
+		if i == maxServersTried || wait <= 0 {
 			break
 		}
 		reply, err := c.servers.requestPermit(server, service, wait)
--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -59,8 +59,8 @@
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure)
 
-// fetch is one fetch of an object. Its result is set when done is closed.
-type fetch struct {
+// pendingFetch is one fetch of an object. Its result is set when done is closed.
+type pendingFetch struct {
 	key        string       // flightKey of its requests
 	purgeIndex uint64       // known when it began
 	waiters    atomic.Int64 // requests that wait for it
@@ -72,13 +72,13 @@
 // Fetcher serves objects from a cache while they are fresh, and otherwise by one fetch for all
 // concurrent requests for the same object (singleflight). It is safe for concurrent use.
 type Fetcher struct {
-	cache   *responsecache.Cache
-	purges  PurgeLog
-	fetch   FetchFunc
-	options FetcherOptions
+	cache       *responsecache.Cache
+	purges      PurgeLog
+	fetchObject FetchFunc
+	options     FetcherOptions
 
-	mu       sync.Mutex        // guards the field below
-	inFlight map[string]*fetch // by flightKey
+	mu       sync.Mutex               // guards the field below
+	inFlight map[string]*pendingFetch // by flightKey
 }
 
 // FetcherOptions say how long a Fetcher serves an object and what it does with new ones.
@@ -98,7 +98,7 @@
 	if o.OnCached == nil {
 		o.OnCached = func(*responsecache.Response) {}
 	}
-	return &Fetcher{cache: cache, purges: purges, fetch: fetchObject, options: o, inFlight: map[string]*fetch{}}
+	return &Fetcher{cache: cache, purges: purges, fetchObject: fetchObject, options: o, inFlight: map[string]*pendingFetch{}}
 }
 
 // ApplyPurges drops the objects that purges match. Later requests don't join the fetches that
@@ -107,7 +107,7 @@
 	f.cache.ApplyPurges(u)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inFlight = map[string]*fetch{}
+	f.inFlight = map[string]*pendingFetch{}
 }
 
 // Get returns an object that is fresh and not purged at the time of the call, or a failure.
@@ -144,12 +144,12 @@
 }
 
 // wait waits for the result of a fetch, and reports whether it is set before the deadline.
-func (c *fetch) wait(r Request) bool {
-	c.waiters.Add(int64(max(1, r.Waiters)))
+func (p *pendingFetch) wait(r Request) bool {
+	p.waiters.Add(int64(max(1, r.Waiters)))
 	timer := time.NewTimer(time.Until(r.Deadline))
 	defer timer.Stop()
 	select {
-	case <-c.done:
+	case <-p.done:
 		return true
 	case <-timer.C:
 		return false
@@ -157,14 +157,14 @@
 }
 
 // startOrJoin begins a fetch, or joins the one in flight.
-func (f *Fetcher) startOrJoin(r Request, cached *responsecache.Response, purgeIndex uint64) *fetch {
+func (f *Fetcher) startOrJoin(r Request, cached *responsecache.Response, purgeIndex uint64) *pendingFetch {
 	key := r.flightKey()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if current := f.inFlight[key]; current != nil {
 		return current
 	}
-	started := &fetch{key: key, purgeIndex: purgeIndex, done: make(chan struct{})}
+	started := &pendingFetch{key: key, purgeIndex: purgeIndex, done: make(chan struct{})}
 	r.allWaiters = func() int { return int(started.waiters.Load()) }
 	f.inFlight[key] = started
 	go f.run(started, r, cached)
@@ -172,7 +172,7 @@
 }
 
 // run carries out a fetch and caches its object. Closing done wakes the waiting requests.
-func (f *Fetcher) run(current *fetch, r Request, cached *responsecache.Response) {
+func (f *Fetcher) run(current *pendingFetch, r Request, cached *responsecache.Response) {
 	defer func() {
 		if p := recover(); p != nil {
 			current.object = nil
@@ -185,7 +185,7 @@
 		f.mu.Unlock()
 		close(current.done)
 	}()
-	current.object, current.failure = f.fetch(r, cached, current.purgeIndex)
+	current.object, current.failure = f.fetchObject(r, cached, current.purgeIndex)
 	if current.object != nil && r.TTL > 0 && current.object.Age(time.Now()) < r.TTL {
 		f.keep(current.object)
 	}
--- a/internal/objectcache/permit.go
+++ b/internal/objectcache/permit.go
@@ -12,7 +12,7 @@
 )
 
 // requestPermit asks one server for a permit to call a service.
-func (c *cacheClient) requestPermit(n distribution.Node, service string, wait time.Duration) (permitReply, error) {
+func (c *serverClient) requestPermit(n distribution.Node, service string, wait time.Duration) (permitReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	request := permitRequest{Service: service, WaitMs: wait.Milliseconds()}
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -123,11 +123,11 @@
 	if r.OriginOnly {
 		return s.readOrigin(r, cached)
 	}
-	for i, server := range s.servers.rankedCaches(r.key(), sameOrderEverywhere) {
-		if server.Name == s.Settings.NodeName || i == maxCachesTried {
+	for i, server := range s.servers.rankedServers(r.key(), sameOrderEverywhere) {
+		if server.Name == s.Settings.NodeName || i == maxServersTried {
 			break
 		}
-		object, failure, err := s.servers.fetch(server, fetchFrom{
+		object, failure, err := s.servers.fetch(server, serverFetch{
 			request:    r,
 			cached:     cached,
 			purgeIndex: purgeIndex,
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -35,7 +35,7 @@
 type Server struct {
 	*controlclient.Client
 
-	servers    *cacheClient
+	servers    *serverClient
 	fetcher    *Fetcher
 	limiter    *ratelimit.Limiter
 	scheduler  *readScheduler
@@ -56,7 +56,7 @@
 	limiter := ratelimit.New()
 	s := &Server{
 		Client:     control,
-		servers:    newCacheClient(control),
+		servers:    newServerClient(control),
 		limiter:    limiter,
 		scheduler:  newReadScheduler(limiter, control.Upstreams),
 		latency:    newLatencyTracker(),
--- a/internal/objectcache/cache_client.go
+++ b/internal/objectcache/server_client.go
@@ -30,16 +30,16 @@
 	maxWait = 4 * time.Second
 	// deadlineMargin is the part of a request's time that is reserved for its answer.
 	deadlineMargin = 20 * time.Millisecond
-	// maxCachesTried bounds the servers that are asked for one object or permit.
-	maxCachesTried = 3
+	// maxServersTried bounds the servers that are asked for one object or permit.
+	maxServersTried = 3
 )
 
 // errDisconnected says that a server has lost contact with the control plane; another one may
 // serve.
 var errDisconnected = errors.New("objectcache: the server has lost contact with the control plane")
 
-// cacheClient calls the servers.
-type cacheClient struct {
+// serverClient calls the servers.
+type serverClient struct {
 	control   *controlclient.Client
 	rpcClient *rpc.Client
 
@@ -47,54 +47,54 @@
 	failedUntil map[string]time.Time
 }
 
-func newCacheClient(control *controlclient.Client) *cacheClient {
-	return &cacheClient{
+func newServerClient(control *controlclient.Client) *serverClient {
+	return &serverClient{
 		control:     control,
 		rpcClient:   rpc.NewClientWithLimits(control.Network, dialTimeout, silenceTimeout, maxIdleConnections),
 		failedUntil: map[string]time.Time{},
 	}
 }
 
-// cacheRank orders the servers of a key; the least comes first.
-type cacheRank int
+// serverRank orders the servers of a key; the least comes first.
+type serverRank int
 
 const (
-	rankHealthy cacheRank = iota
+	rankHealthy serverRank = iota
 	rankOtherRegion
 	rankFailed
 )
 
-// cachePreference says which of the healthy servers come first.
-type cachePreference bool
+// serverPreference says which of the healthy servers come first.
+type serverPreference bool
 
 const (
-	sameOrderEverywhere cachePreference = false // all nodes rank the servers of a key alike
-	ownRegionFirst      cachePreference = true  // by this node's region
+	sameOrderEverywhere serverPreference = false // all nodes rank the servers of a key alike
+	ownRegionFirst      serverPreference = true  // by this node's region
 )
 
-// rankedCaches returns the servers for a key, in the order of rendezvous hashing. With
+// rankedServers returns the servers for a key, in the order of rendezvous hashing. With
 // ownRegionFirst, servers of other regions follow. Servers that failed lately are last.
-func (c *cacheClient) rankedCaches(key string, preference cachePreference) []distribution.Node {
-	caches := slices.Clone(c.control.ObjectCaches())
-	ranks := c.ranks(caches, preference)
-	sort.Slice(caches, func(i, j int) bool {
-		a, b := caches[i].Name, caches[j].Name
+func (c *serverClient) rankedServers(key string, preference serverPreference) []distribution.Node {
+	servers := slices.Clone(c.control.ObjectCaches())
+	ranks := c.ranks(servers, preference)
+	sort.Slice(servers, func(i, j int) bool {
+		a, b := servers[i].Name, servers[j].Name
 		if ranks[a] != ranks[b] {
 			return ranks[a] < ranks[b]
 		}
 		return heartbeat.Hash(a, key) > heartbeat.Hash(b, key)
 	})
-	return caches
+	return servers
 }
 
 // ranks returns the rank of each server by name.
-func (c *cacheClient) ranks(caches []distribution.Node, preference cachePreference) map[string]cacheRank {
+func (c *serverClient) ranks(servers []distribution.Node, preference serverPreference) map[string]serverRank {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	set := c.control.Settings
-	ranks := make(map[string]cacheRank, len(caches))
-	for _, n := range caches {
+	ranks := make(map[string]serverRank, len(servers))
+	for _, n := range servers {
 		switch {
 		case now.Before(c.failedUntil[n.Name]):
 			ranks[n.Name] = rankFailed
@@ -106,20 +106,20 @@
 }
 
 // markFailed ranks a server last for failureBackoff.
-func (c *cacheClient) markFailed(n distribution.Node) {
+func (c *serverClient) markFailed(n distribution.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failedUntil[n.Name] = time.Now().Add(failureBackoff)
 }
 
 // call calls the object cache program of a node, on the port of the settings.
-func (c *cacheClient) call(ctx context.Context, n distribution.Node, path string, in, out any) error {
+func (c *serverClient) call(ctx context.Context, n distribution.Node, path string, in, out any) error {
 	port := strconv.Itoa(c.control.Settings.PortOf(settings.ObjectCache))
 	return c.rpcClient.Call(ctx, net.JoinHostPort(n.Addr, port), path, in, out)
 }
 
-// fetchFrom is a fetch of an object from a server.
-type fetchFrom struct {
+// serverFetch is a fetch of an object from a server.
+type serverFetch struct {
 	request    Request
 	cached     *responsecache.Response // held by the caller; nil: none
 	purgeIndex uint64                  // the server must have applied purges up to it
@@ -128,7 +128,7 @@
 
 // fetch fetches an object from one server. A failure is the server's answer; after an error
 // another server may be asked.
-func (c *cacheClient) fetch(n distribution.Node, f fetchFrom) (*responsecache.Response, *Failure, error) {
+func (c *serverClient) fetch(n distribution.Node, f serverFetch) (*responsecache.Response, *Failure, error) {
 	start := time.Now()
 	wait := min(f.request.Deadline.Sub(start)-deadlineMargin, maxWait)
 	if wait <= 0 {
@@ -150,7 +150,7 @@
 }
 
 // objectCall returns the call for an object. wait is how long this node waits for the answer.
-func (c *cacheClient) objectCall(f fetchFrom, wait time.Duration) *objectCall {
+func (c *serverClient) objectCall(f serverFetch, wait time.Duration) *objectCall {
 	call := &objectCall{
 		Host:       f.request.Host,
 		Target:     f.request.Target,
@@ -172,7 +172,7 @@
 
 // objectOf returns the object of a reply to a call that began at start. The whole duration of
 // the call counts as age, since the reply may have been under way for that long.
-func objectOf(reply *objectReply, f fetchFrom, start time.Time) (*responsecache.Response, *Failure, error) {
+func objectOf(reply *objectReply, f serverFetch, start time.Time) (*responsecache.Response, *Failure, error) {
 	now := time.Now()
 	validatedAt := start.Add(-time.Duration(reply.AgeUs) * time.Microsecond)
 	if validatedAt.After(now) {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -63,9 +63,9 @@
 		return
 	}
 	x.forwarded = forwarded
-	pending, ok := x.frontend.pending.register(x.writer)
+	pending, ok := x.pendingRequests.register(x.writer)
 	x.pending = pending
-	defer x.frontend.pending.unregister(pending)
+	defer x.pendingRequests.unregister(pending)
 	if !ok {
 		return
 	}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -28,23 +28,23 @@
 	usage      *usageReporter // nil where usage is not reported
 	log        *logging.Logger
 
-	draining atomic.Bool // the node is shutting down
-	idle     *idleTracker
-	pending  *pendingRequests
+	draining        atomic.Bool // the node is shutting down
+	idle            *idleTracker
+	pendingRequests *pendingRequests
 }
 
 func newFrontend(
 	client *controlclient.Client, dispatcher *scatter.Dispatcher, objects *objectcache.Client, log *logging.Logger,
 ) *frontend {
 	return &frontend{
-		client:     client,
-		dispatcher: dispatcher,
-		objects:    objects,
-		tokens:     newTokenClient(client),
-		usage:      newUsageReporter(client),
-		log:        log,
-		idle:       newIdleTracker(client),
-		pending:    newPendingRequests(),
+		client:          client,
+		dispatcher:      dispatcher,
+		objects:         objects,
+		tokens:          newTokenClient(client),
+		usage:           newUsageReporter(client),
+		log:             log,
+		idle:            newIdleTracker(client),
+		pendingRequests: newPendingRequests(),
 	}
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -98,7 +98,7 @@
 		return nil, nil
 	}
 	if request.ContentLength > limit {
-		return nil, closeAfter(http.StatusRequestEntityTooLarge, "the body is too large")
+		return nil, closingRejection(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
 	if err == nil {
@@ -106,7 +106,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, closeAfter(http.StatusRequestEntityTooLarge, "the body is too large")
+		return nil, closingRejection(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
-	return nil, closeAfter(http.StatusBadRequest, "the body broke off")
+	return nil, closingRejection(http.StatusBadRequest, "the body broke off")
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// closeAfter returns a rejection that closes the connection: the request was not read
+// closingRejection returns a rejection that closes the connection: the request was not read
 // completely, so that no other one can follow it.
-func closeAfter(status int, reason string) *rejection {
+func closingRejection(status int, reason string) *rejection {
 	return &rejection{status: status, reason: reason, header: "Connection", value: "close"}
 }
 
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -177,7 +177,7 @@
 		ctx, cancel := context.WithDeadline(context.Background(), end)
 		defer cancel()
 		if s.httpServer.Shutdown(ctx) != nil {
-			s.frontend.pending.abortAll()
+			s.frontend.pendingRequests.abortAll()
 		}
 		s.Close()
 	})
--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -131,7 +131,7 @@
 	slots := float64(max(1, info.Slots))
 	score := latency + remoteZoneFactor*distance
 	score += float64(endpoint.activeCalls) * mean / slots * queueCost
-	score += errorCost * mean * endpoint.errors.current(now)
+	score += errorCost * mean * endpoint.errorRate.current(now)
 	if info.WarmingUp {
 		score += mean * warmingUpCost
 	}
@@ -161,7 +161,7 @@
 }
 
 // observe updates the load of an endpoint and its cluster with a call that ended.
-func (b *loadBalancer) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
+func (b *loadBalancer) observe(endpoint *Endpoint, ended endedCall, now time.Time) {
 	switch ended.result {
 	case callSucceeded:
 		endpoint.load.recordLatency(ended.duration.Seconds())
--- a/internal/upstream/balancer_test.go
+++ b/internal/upstream/balancer_test.go
@@ -36,7 +36,7 @@
 	for name, trouble := range map[string]func(*Endpoint){
 		"a slower one":          func(e *Endpoint) { e.load.latency = 0.2 },
 		"a busier one":          func(e *Endpoint) { e.activeCalls = 4 },
-		"one with errors":       func(e *Endpoint) { e.errors.record(now, 1) },
+		"one with errors":       func(e *Endpoint) { e.errorRate.record(now, 1) },
 		"one that rejected":     func(e *Endpoint) { e.load.lastRejectedAt = now },
 		"one in slow start":     func(e *Endpoint) { e.health = endpointHealth{healthySince: now, ejectionTime: 1} },
 		"one that warms up":     func(e *Endpoint) { change(e, func(i *distribution.Endpoint) { i.WarmingUp = true }) },
@@ -194,7 +194,7 @@
 	} {
 		balancer, cluster := balancedCluster("e")
 		endpoint := cluster.endpoints[0]
-		balancer.observe(endpoint, callEnd{result: result, duration: time.Second}, now)
+		balancer.observe(endpoint, endedCall{result: result, duration: time.Second}, now)
 		rejected := endpoint.load.lastRejectedAt.Equal(now) && cluster.load.rejectionRate > 0
 		if endpoint.load.samples != want.samples || rejected != (want.rejections == 1) {
 			t.Errorf("result %d: %+v, %+v", result, endpoint.load, cluster.load)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -62,7 +62,7 @@
 	conn, err := m.connect(ctx, endpoint, request.NonIdempotent)
 	start := time.Now()
 	if err != nil {
-		m.recordCall(endpoint, callEnd{result: callFailed, err: err, start: start})
+		m.recordCall(endpoint, endedCall{result: callFailed, err: err, start: start})
 		return nil, err
 	}
 	response, reuse, err := conn.roundTrip(request, endpoint.info.Load().ID)
@@ -72,7 +72,7 @@
 	} else {
 		conn.close()
 	}
-	m.recordCall(endpoint, callEnd{result: classifyCall(response, err), err: err, start: start, duration: duration})
+	m.recordCall(endpoint, endedCall{result: classifyCall(response, err), err: err, start: start, duration: duration})
 	return response, err
 }
 
@@ -96,7 +96,7 @@
 
 // recordCall ends a reservation and records how its call ended, under one lock: no
 // other call may pick the endpoint in between.
-func (m *ClusterManager) recordCall(endpoint *Endpoint, ended callEnd) {
+func (m *ClusterManager) recordCall(endpoint *Endpoint, ended endedCall) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/upstream/cluster.go
+++ b/internal/upstream/cluster.go
@@ -21,7 +21,7 @@
 	removed      bool // no longer in the endpoint list
 	load         endpointLoad
 	health       endpointHealth
-	errors       decayingRate // share of calls that failed or got a 5xx status
+	errorRate    decayingRate // share of calls that failed or got a 5xx status
 }
 
 // Info returns the endpoint's entry in the endpoint list.
@@ -31,7 +31,7 @@
 func (e *Endpoint) resetStatistics() {
 	e.load.latency = 0
 	e.load.samples = 0
-	e.errors.reset()
+	e.errorRate.reset()
 }
 
 // Cluster is the endpoints of one service. Its fields are guarded by
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -70,8 +70,8 @@
 	callFailed                 // no response
 )
 
-// callEnd is how and when a call ended.
-type callEnd struct {
+// endedCall is a call that ended, with its result and times.
+type endedCall struct {
 	result   callResult
 	err      error     // of callFailed
 	start    time.Time // when it was sent
@@ -106,13 +106,13 @@
 }
 
 // observe updates the health of an endpoint with a call that ended.
-func (d *outlierDetector) observe(endpoint *Endpoint, ended callEnd, now time.Time) {
+func (d *outlierDetector) observe(endpoint *Endpoint, ended endedCall, now time.Time) {
 	health := &endpoint.health
 	switch ended.result {
 	case callSucceeded:
 		health.consecutiveFailures = 0
 		health.lastAnswerAt = now
-		endpoint.errors.record(now, 0)
+		endpoint.errorRate.record(now, 0)
 		d.reinstateUnlessHealthy(endpoint, now)
 	case callMisrouted:
 		d.eject(endpoint, "another leaf has its address")
@@ -125,14 +125,14 @@
 		d.reinstateUnlessHealthy(endpoint, now)
 	case callServerError:
 		health.lastAnswerAt = now
-		endpoint.errors.record(now, 1)
-		failing := endpoint.errors.current(now) > ejectionErrorRate && canEject(endpoint.cluster)
+		endpoint.errorRate.record(now, 1)
+		failing := endpoint.errorRate.current(now) > ejectionErrorRate && canEject(endpoint.cluster)
 		if health.state == stateProbation || failing {
 			d.eject(endpoint, "server errors")
 		}
 	case callFailed:
 		health.consecutiveFailures++
-		endpoint.errors.record(now, 1)
+		endpoint.errorRate.record(now, 1)
 		if shouldEjectFailed(health, ended) {
 			d.eject(endpoint, ended.err.Error())
 		}
@@ -140,7 +140,7 @@
 }
 
 // shouldEjectFailed decides whether a call without a response ejects its endpoint.
-func shouldEjectFailed(health *endpointHealth, ended callEnd) bool {
+func shouldEjectFailed(health *endpointHealth, ended endedCall) bool {
 	unreachable := errors.Is(ended.err, ErrNotSent)
 	unresponsive := errors.Is(ended.err, ErrTimeout) && health.lastAnswerAt.Before(ended.start)
 	return health.state == stateProbation ||
--- a/internal/upstream/outlier_test.go
+++ b/internal/upstream/outlier_test.go
@@ -36,7 +36,7 @@
 
 // end has a call that began at start end at now.
 func (d *detected) end(endpoint *Endpoint, response *Response, err error, start, now time.Time) {
-	d.observe(endpoint, callEnd{result: classifyCall(response, err), err: err, start: start}, now)
+	d.observe(endpoint, endedCall{result: classifyCall(response, err), err: err, start: start}, now)
 }
 
 var (
@@ -177,12 +177,12 @@
 		t.Fatalf("state %d after a probe was answered", endpoint.health.state)
 	}
 	d.observeProbe(endpoint, false, now) // a late one
-	endpoint.errors.record(now, 1)
+	endpoint.errorRate.record(now, 1)
 	d.end(endpoint, success, nil, now, now)
 	if endpoint.health.state != stateHealthy || !endpoint.health.healthySince.Equal(now) {
 		t.Fatalf("after a success: %+v", endpoint.health)
 	}
-	if endpoint.load.samples != 0 || endpoint.errors.current(now) != 0 {
+	if endpoint.load.samples != 0 || endpoint.errorRate.current(now) != 0 {
 		t.Error("statistics from before the ejection stay")
 	}
 	if len(d.reports) != 2 || d.reports[0].Healthy || !d.reports[1].Healthy {
