--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -98,7 +98,13 @@
 	if o.OnCached == nil {
 		o.OnCached = func(*responsecache.Response) {}
 	}
-	return &Fetcher{cache: cache, purges: purges, fetchObject: fetchObject, options: o, inFlight: map[string]*pendingFetch{}}
+	return &Fetcher{
+		cache:       cache,
+		purges:      purges,
+		fetchObject: fetchObject,
+		options:     o,
+		inFlight:    map[string]*pendingFetch{},
+	}
 }
 
 // ApplyPurges drops the objects that purges match. Later requests don't join the fetches that
