--- a/cmd/comethold/process.go
+++ b/cmd/comethold/process.go
@@ -65,17 +65,17 @@
 	}
 	log := logging.New(loaded.NodeName, name)
 	log.SetLevel(loaded.Log.Level)
-	log.Info(logging.Started).Str("zone", loaded.AvailabilityZone).Str("version", version).Msg("started")
+	log.Info(logging.Started).Str("zone", loaded.AvailabilityZone).Str("version", version).Msg("program started")
 	p := &process{settings: loaded, settingsPath: path, log: log}
 	err = setUp(p)
 	if err == nil {
 		err = p.group.Run()
 	}
 	if err != nil {
-		log.Error(logging.Failed).Err(err).Msg("failed")
+		log.Error(logging.Failed).Err(err).Msg("program failed")
 		return err
 	}
-	log.Info(logging.Stopped).Msg("stopped")
+	log.Info(logging.Stopped).Msg("program stopped")
 	return nil
 }
 
@@ -147,7 +147,7 @@
 					reloader.reload(causeSignal)
 					continue
 				}
-				p.log.Info(logging.Stopping).Stringer("signal", received).Msg("stopping")
+				p.log.Info(logging.Stopping).Stringer("signal", received).Msg("program is shutting down")
 				shutdown()
 				return nil
 			case <-ticker.C:
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -124,7 +124,7 @@
 		s.log.Info(logging.ControlPlaneConnected).
 			Str("controlNode", host).
 			Bool("stale", update.Stale).
-			Msg("updates come from a control node")
+			Msg("receiving updates from a control node")
 	}
 	s.failures = 0
 	s.lastHost = host
@@ -142,7 +142,7 @@
 		s.log.Warn(logging.ControlPlaneLost).
 			Str("controlNode", host).
 			Err(err).
-			Msg("a control node sends no updates")
+			Msg("no updates from a control node: the poll failed")
 	}
 	if s.failures%failuresBeforePeers == 0 {
 		s.pollPeers(ctx)
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -96,7 +96,7 @@
 	s.Log.Info(logging.DiskCacheOpened).
 		Int("objects", cache.Len()).
 		Uint64("purgeIndex", purgeIndex).
-		Msg("objects found on disk")
+		Msg("objects loaded from disk")
 	return store
 }
 
@@ -137,7 +137,7 @@
 			Dur("readMs", meanOf(counts.readTime, counts.reads)).
 			Dur("revalidateMs", meanOf(counts.revalidateTime, counts.revalidated)).
 			Dur("waitMs", meanOf(counts.waitTime, counts.reads+counts.revalidated)).
-			Msg("reads of origins")
+			Msg("statistics of the reads of origins")
 	}
 }
 
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -26,6 +26,11 @@
 //   - outlierDetector ejects endpoints that fail and reinstates them after
 //     probes and a probation.
 //
+// The timing constants are at the head of each file: dialer.go (dialTimeout),
+// probe.go (probeTimeout), outlier.go (ejections, and when probes are sent) and
+// roundtrip.go (how long idle connections are reused). The deadline of a call
+// comes with its Request.
+//
 // Subsetting, balancing and ejection read and change the same state in one
 // step: a call that ends frees its slot and may eject its endpoint before any
 // other call can pick it. They therefore share ClusterManager.mu and do no I/O.
