--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -178,7 +178,7 @@
 func (f *fanOut) handleDueShard(s *shard, now time.Time) {
 	if !s.retryAt.IsZero() && !s.retryAt.After(now) {
 		s.retryAt = time.Time{}
-		if !f.retry(s, 0, now) {
+		if !f.retry(s, noBudgetReserve, now) {
 			f.failIfExhausted(s)
 			return
 		}
--- a/internal/scatter/result.go
+++ b/internal/scatter/result.go
@@ -71,7 +71,7 @@
 		return false
 	}
 	if ended.response.Status == http.StatusMisdirectedRequest {
-		return f.retry(s, 0, now)
+		return f.retry(s, noBudgetReserve, now)
 	}
 	if s.sentAttempts >= f.route.AttemptLimit {
 		return false
@@ -93,7 +93,7 @@
 		f.maybeExecutedAt = sentAt
 	}
 	s.timedOut = s.timedOut || errors.Is(ended.err, upstream.ErrTimeout)
-	return s.isIdle() && f.retry(s, 0, now)
+	return s.isIdle() && f.retry(s, noBudgetReserve, now)
 }
 
 // markExecuted records, once, that an endpoint executed the request.
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -14,6 +14,8 @@
 	// shadowBudgetReserve is the share that shadow attempts, which only compare
 	// replicas, leave for retries and hedges.
 	shadowBudgetReserve = 0.8
+	// noBudgetReserve lets retries after a failure use the whole retry budget.
+	noBudgetReserve = 0.0
 
 	// The bounds of the backoff after a rejected attempt, before jitter.
 
