--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -15,7 +15,7 @@
 	lowQuantile    = 0.1
 	medianQuantile = 0.5
 	highQuantile   = 0.9
-	// quantileTolerance absorbs rounding where a quantile falls on a sample.
+	// quantileTolerance absorbs rounding errors if a quantile coincides with a sample.
 	quantileTolerance = 1e-12
 )
 
--- a/internal/latencyestimate/sketch.go
+++ b/internal/latencyestimate/sketch.go
@@ -18,7 +18,7 @@
 const (
 	// digestCompression sets the size and precision of a digest.
 	digestCompression = 20
-	// minSampleSeconds is the least duration that a digest takes.
+	// minSampleSeconds is the least duration in a digest; shorter ones are rounded up.
 	minSampleSeconds = 1e-6
 	// maxEncodedDigest bounds the bytes of an encoded digest.
 	maxEncodedDigest = 64 << 10
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,7 +10,7 @@
 	"comethold/internal/upstream"
 )
 
-// Limits where the configuration sets none.
+// Limits that apply if the configuration sets none.
 const (
 	defaultMaxBodyBytes   = 1 << 20
 	defaultMaxHeaderBytes = 64 << 10
@@ -53,7 +53,7 @@
 	return defaultLimit
 }
 
-// readRequest reads a whole request within the limits, to be forwarded.
+// readRequest reads a complete request within the limits.
 func readRequest(
 	writer http.ResponseWriter, request *http.Request, limits routing.Limits, target string,
 ) (*upstream.Request, *rejection) {
@@ -84,7 +84,7 @@
 	return request.ContentLength != 0 || len(request.TransferEncoding) > 0
 }
 
-// expectsBody reports whether requests of a method have a body, be it an empty one.
+// expectsBody reports whether requests of a method have a body, which may be empty.
 func expectsBody(method string) bool {
 	switch method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -15,8 +15,8 @@
 	// clock, counted from the time before it sent the request.
 	LeaseDuration = 3 * time.Second
 	// QuotaLeaseDuration is how long a control node holds its share of the tenants'
-	// quotas. It is longer than a meta cell takes to elect a leader after losses, since
-	// without a share all requests of tenants would be refused meanwhile.
+	// quotas. It is longer than the election of a leader of the meta cell after losses:
+	// without a share, all requests of tenants would be rejected during the election.
 	QuotaLeaseDuration = 8 * time.Second
 	// FullShare is the share of all nodes together, in thousandths.
 	FullShare = 1000
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -8,7 +8,7 @@
 //
 // The owner of a [Budget] calls [Budget.Deposit] for each request of a client and
 // [Budget.TryWithdraw] before each further attempt, and [Budget.SetNodeCount] when
-// nodes come and go.
+// the number of nodes changes.
 package retrybudget
 
 import (
