--- a/internal/paxos/example_test.go
+++ b/internal/paxos/example_test.go
@@ -8,7 +8,7 @@
 	"comethold/internal/paxos"
 )
 
-// owner does for a replica what Ready asks for.
+// owner is a minimal owner of a replica: it performs the I/O that Ready asks for.
 type owner struct {
 	replica *paxos.Replica
 	now     time.Duration
@@ -21,7 +21,7 @@
 	o.handleReady()
 }
 
-// handleReady carries out all that the replica wants done until there is nothing left.
+// handleReady performs everything that the replica asks for until there is nothing left.
 func (o *owner) handleReady() {
 	for {
 		ready := o.replica.Ready()
@@ -54,10 +54,10 @@
 		ElectionTimeout:   400 * time.Millisecond,
 		Jitter:            func() float64 { return 0.5 },
 	}
-	founding := &paxos.Snapshot{Memberships: []paxos.Membership{
+	initial := &paxos.Snapshot{Memberships: []paxos.Membership{
 		{EffectiveFrom: 1, Voters: []paxos.Voter{{ID: "a"}}},
 	}}
-	o := &owner{replica: paxos.NewReplica(config, paxos.PersistedState{Snapshot: founding}, 0)}
+	o := &owner{replica: paxos.NewReplica(config, paxos.PersistedState{Snapshot: initial}, 0)}
 
 	for o.replica.Role() != paxos.Leader {
 		o.advance(50 * time.Millisecond)
