--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -31,8 +31,8 @@
 	placementLeaseDuration = 1200 * time.Millisecond
 )
 
-// openStorage opens the storage, as often as it takes: a faulty disk is no reason to end.
-// Until then this node says nothing to the others and rejects calls.
+// openStorage opens the storage and retries until it succeeds or the server stops. Until then
+// this node sends nothing to the others and rejects calls.
 func (s *Server) openStorage() {
 	for ; ; time.Sleep(storage.RetryDelay) {
 		select {
@@ -70,11 +70,12 @@
 	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk rejects a write or does not answer; it is retried")
 }
 
-// startReplicas makes what needs the storage and opens the replicas. The names of the
-// storage's files are synced by now.
+// startReplicas makes the components and opens the replicas. The directory entries of the
+// storage's files are durable by now. The order matters: each open function names the fields
+// that it needs.
 func (s *Server) startReplicas(store *storage.Store) error {
-	founders := s.founders()
-	self, err := s.identify(store, founders)
+	initialVoters := s.initialVoters()
+	self, err := s.identify(store, initialVoters)
 	if err != nil {
 		return err
 	}
@@ -90,54 +91,69 @@
 	s.openLatencyEstimates()
 	s.openAllocation(store)
 	s.openOutbox(self, store)
-	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
+	s.openMover()
+	s.openOperatorAPI()
+	s.warnOfUnknownDuties()
+	s.host.Open(schema.MetaCell, initialVoters)
+	return s.becomeReady()
+}
+
+// openMover makes the mover of voters. It needs s.host and s.placementLease.
+func (s *Server) openMover() {
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
 		Lease:    s.placementLease,
-		Voters:   voters,
+		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
 		RegionOf: s.settings.RegionOf,
 		Log:      s.log,
 	})
+}
+
+// openOperatorAPI makes the handler of the operator's API. It needs s.host, s.distributor,
+// s.quarantine and s.consumer.
+func (s *Server) openOperatorAPI() {
+	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
 	s.operator = operatorapi.New(operatorapi.Options{
 		Cells:               s.host,
 		Log:                 s.log,
 		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine: func(notification *outbox.Notification, reason string) {
-			// A task of the server's own: requests are served until the replicas stop.
+			// In the background: Stop waits for it, but the operator's request doesn't.
 			s.tasks.Go(func() { s.quarantine.Add(notification, reason) })
 		},
 		AppliedVersions: s.consumer.AppliedVersions,
 	})
+}
+
+func (s *Server) warnOfUnknownDuties() {
 	for _, role := range s.settings.UnknownDuties() {
 		s.log.Warn(logging.UnknownDuty).
 			Str("duty", role).
 			Msg("the settings name a duty that this version does not know; it is not done")
 	}
-	s.host.Open(schema.MetaCell, founders)
-	return s.becomeReady()
 }
 
-// founders are the first voters of the meta cell; none unless this is the first start of
-// the system.
-func (s *Server) founders() (founders []paxos.Voter) {
+// initialVoters returns the initial voters of the meta cell. There are none after the first start
+// of the system.
+func (s *Server) initialVoters() (initialVoters []paxos.Voter) {
 	if !s.settings.FirstStart {
 		return nil
 	}
 	for _, address := range s.settings.SeedHosts() {
-		founders = append(founders, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
+		initialVoters = append(initialVoters, paxos.Voter{ID: paxos.ReplicaID(address), Addr: address})
 	}
-	return founders
+	return initialVoters
 }
 
-// identify returns how this node introduces itself to the others.
-func (s *Server) identify(store *storage.Store, founders []paxos.Voter) (self replicahost.PeerInfo, err error) {
+// identify loads or creates this node's replica ID and returns its PeerInfo.
+func (s *Server) identify(store *storage.Store, initialVoters []paxos.Voter) (self replicahost.PeerInfo, err error) {
 	set := s.settings
 	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
-		Address:    set.IPAddress,
-		FirstStart: set.FirstStart,
-		SetAside:   storage.HasCorruptFile(set.DataDirectory),
-		Founders:   founders,
+		Address:       set.IPAddress,
+		FirstStart:    set.FirstStart,
+		SetAside:      storage.HasCorruptFile(set.DataDirectory),
+		InitialVoters: initialVoters,
 	})
 	if err != nil {
 		return self, err
@@ -189,7 +205,7 @@
 	})
 }
 
-// becomeReady lets Run and callers go on, unless the server was stopped meanwhile.
+// becomeReady closes s.ready, unless the server was stopped meanwhile.
 func (s *Server) becomeReady() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -18,8 +18,8 @@
 
 const (
 	statisticsInterval = 5 * time.Second
-	// refreshFraction is the part of its TTL after which an object that is asked for is
-	// refreshed.
+	// refreshFraction is the part of its TTL after which a requested object is refreshed in
+	// the background.
 	refreshFraction = 0.8
 	// cacheMemoryFraction is the part of the process's memory for objects.
 	cacheMemoryFraction = 0.45
@@ -35,7 +35,7 @@
 type Server struct {
 	*controlclient.Client
 
-	servers    *cacheClient
+	servers    *serverClient
 	fetcher    *Fetcher
 	limiter    *ratelimit.Limiter
 	scheduler  *readScheduler
@@ -45,7 +45,7 @@
 	rpcClient  *rpc.Client
 }
 
-// New returns a server that holds what its data directory keeps, if the settings name one.
+// New returns a server. If the settings name a data directory, it loads the objects there.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
 	control := controlclient.New(controlclient.Options{
 		Settings: set,
@@ -56,7 +56,7 @@
 	limiter := ratelimit.New()
 	s := &Server{
 		Client:     control,
-		servers:    newCacheClient(control),
+		servers:    newServerClient(control),
 		limiter:    limiter,
 		scheduler:  newReadScheduler(limiter, control.Upstreams),
 		latency:    newLatencyTracker(),
@@ -96,7 +96,7 @@
 	s.Log.Info(logging.DiskCacheOpened).
 		Int("objects", cache.Len()).
 		Uint64("purgeIndex", purgeIndex).
-		Msg("objects found on disk")
+		Msg("objects loaded from disk")
 	return store
 }
 
@@ -115,7 +115,8 @@
 	return e
 }
 
-// RunStatistics logs now and then how the reads of origins go, until the node ends.
+// RunStatistics logs statistics of the reads of origins every statisticsInterval until the
+// node ends.
 func (s *Server) RunStatistics() error {
 	ticker := time.NewTicker(statisticsInterval)
 	defer ticker.Stop()
@@ -136,7 +137,7 @@
 			Dur("readMs", meanOf(counts.readTime, counts.reads)).
 			Dur("revalidateMs", meanOf(counts.revalidateTime, counts.revalidated)).
 			Dur("waitMs", meanOf(counts.waitTime, counts.reads+counts.revalidated)).
-			Msg("reads of origins")
+			Msg("statistics of the reads of origins")
 	}
 }
 
