--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -139,7 +139,7 @@
 // testCell is the name of the cell in all tests.
 const testCell = "c"
 
-// bootstrapCell starts a new cell with its first voters.
+// bootstrapCell starts a new cell with its initial voters.
 func (s *cellSimulation) bootstrapCell(names []string) {
 	for _, name := range names {
 		s.initialVoters = append(s.initialVoters, Voter{ID: ReplicaID(name), Addr: name, Zone: name})
@@ -152,7 +152,7 @@
 	}
 }
 
-// initialSnapshot is the snapshot on the disk of each first voter of a new cell.
+// initialSnapshot is the snapshot on the disk of each initial voter of a new cell.
 func initialSnapshot(voters []Voter) *Snapshot {
 	return &Snapshot{State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: voters}}}
 }
@@ -174,7 +174,7 @@
 	s.checkAgreement(node)
 }
 
-// updateLearners sets, on each replica, the learners: all replicas that are not first voters.
+// updateLearners sets, on each replica, the learners: all replicas that are not initial voters.
 func (s *cellSimulation) updateLearners() {
 	var ids []ReplicaID
 	for _, name := range s.nodeNames() {
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -186,7 +186,7 @@
 	bootstrapKinds = 3
 )
 
-// drawBootstrap draws the faults of the bootstrap, and cuts off some of the first voters before it.
+// drawBootstrap draws the faults of the bootstrap, and cuts off some of the initial voters before it.
 func (c *chaos) drawBootstrap() (kind int, early string) {
 	kind, early = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
 	if kind == bootstrapCut {
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// cutFromPlatform is `cut-from-platform NAME`: cuts the holder of this lease from the platform
+// cutFromPlatform is `cut-from-platform NAME`: cuts the owner of this lease from the platform
 // only, until heal.
 func (f *fleet) cutFromPlatform(c simulation.Command) error {
 	m, err := f.leaseHolder(c.Word(0))
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -113,7 +113,7 @@
 }
 
 // checkFencing checks a call against earlier ones: tokens never decrease, each token has one
-// holder, and no holder calls again within a lease time after another holder did.
+// owner, and no owner calls again within a lease time after another owner did.
 func (f *fleet) checkFencing(call fencedCall) {
 	lease := time.Duration(f.bounds().LeaseMs) * time.Millisecond
 	otherActed := false
