--- a/internal/paxos/entrylog/entry.go
+++ b/internal/paxos/entrylog/entry.go
@@ -8,7 +8,7 @@
 	Proposer statemachine.ReplicaID `cbor:"2,keyasint,omitempty"`
 }
 
-// Less reports whether n is older than other.
+// Less reports whether n orders before other.
 func (n ProposalNumber) Less(other ProposalNumber) bool {
 	if n.Term != other.Term {
 		return n.Term < other.Term
@@ -24,7 +24,7 @@
 	Txns           []statemachine.Txn `cbor:"3,keyasint,omitempty"`
 }
 
-// entryOverheadBytes estimates the fields of an entry other than its transactions.
+// entryOverheadBytes is the estimated encoded size of an entry without its transactions.
 const entryOverheadBytes = 32
 
 // size estimates the encoded size of an entry in bytes.
--- a/internal/paxos/entrylog/log.go
+++ b/internal/paxos/entrylog/log.go
@@ -1,15 +1,15 @@
-// Package entrylog holds the log of one replica in memory: the entries that it has accepted or
-// learned and not compacted away. Package paxos decides which of them are committed; the owner
-// of the replica keeps them on disk.
+// Package entrylog implements the in-memory log of one replica: the entries that the replica has
+// accepted or learned and that are not compacted away. Package paxos decides which of them are
+// committed, and the owner of the replica stores them on disk.
 package entrylog
 
 import "sort"
 
 // Log is the log of one replica.
 //
-// Invariant: it holds no entry at or below compactedIndex, at most one at each other index, and
-// bytes is the sum of their sizes. Entries after the replica's applied index may still be
-// replaced; there may be gaps between them.
+// Invariants: the log holds no entry at or below compactedIndex and at most one at each later
+// index, and bytes is the sum of their estimated sizes. Entries after the applied index of the
+// replica may still be replaced, and there may be gaps between them.
 type Log struct {
 	entries        map[uint64]*Entry
 	compactedIndex uint64
@@ -19,13 +19,13 @@
 // New returns an empty log.
 func New() Log { return Log{entries: map[uint64]*Entry{}} }
 
-// CompactedIndex returns the last index up to which entries were compacted away.
+// CompactedIndex returns the index up to and including which entries were compacted away.
 func (l *Log) CompactedIndex() uint64 { return l.compactedIndex }
 
-// Bytes estimates the encoded size of the entries.
+// Bytes returns the estimated encoded size of all entries in bytes.
 func (l *Log) Bytes() int { return l.bytes }
 
-// Store puts an entry at its index, in place of any older one.
+// Store stores an entry at its index. It replaces an older entry at that index.
 func (l *Log) Store(entry Entry) {
 	if old := l.entries[entry.Index]; old != nil {
 		l.bytes -= old.size()
@@ -34,10 +34,10 @@
 	l.bytes += entry.size()
 }
 
-// At returns the entry of an index, or nil.
+// At returns the entry at an index, or nil if there is none.
 func (l *Log) At(index uint64) *Entry { return l.entries[index] }
 
-// CompactTo drops the entries up to an index.
+// CompactTo removes the entries up to and including an index.
 func (l *Log) CompactTo(index uint64) {
 	for i, entry := range l.entries {
 		if i <= index {
@@ -48,7 +48,8 @@
 	l.compactedIndex = index
 }
 
-// Between returns, in order, the entries after one index up to and including another.
+// Between returns, in ascending order of index, the entries after index after, up to and including
+// index upTo.
 func (l *Log) Between(after, upTo uint64) []Entry {
 	var found []Entry
 	for index, entry := range l.entries {
--- a/internal/paxos/statemachine/changed_keys.go
+++ b/internal/paxos/statemachine/changed_keys.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// ChangedKeys names the keys that were changed, or says that all may have been.
+// ChangedKeys is a set of changed keys. If All is set, any key may have been changed.
 type ChangedKeys struct {
 	All  bool
 	Keys []string
 }
 
-// AnyWithPrefix reports whether a key that begins with the prefix may have been changed.
+// AnyWithPrefix reports whether any key that begins with the prefix may have been changed.
 func (c ChangedKeys) AnyWithPrefix(prefix string) bool {
 	if c.All {
 		return true
--- a/internal/paxos/statemachine/patch.go
+++ b/internal/paxos/statemachine/patch.go
@@ -7,17 +7,17 @@
 )
 
 // A patch rebuilds a byte array from an older one. Both arrays are split into chunks after each
-// '}', so that a patch of a list of JSON records holds only the records that changed. The patch
-// is a sequence of steps. Each begins with a uvarint: a count of bytes, shifted left by one, and
-// the literal bit. If the bit is clear, a second uvarint is the offset in the old array from
-// which to copy that many bytes. If it is set, that many literal bytes follow.
+// '}', so that a patch of a list of JSON records contains only the records that changed. The patch
+// is a sequence of steps. Each step begins with a uvarint: a number of bytes, shifted left by one,
+// with the literal bit as its lowest bit. If the bit is clear, a second uvarint is the offset in
+// the old array from which to copy that many bytes. If it is set, that many literal bytes follow.
 
-// literalBit marks a step whose bytes follow in the patch.
+// literalBit marks a step whose bytes are part of the patch.
 const literalBit = 1
 
-var errPatchMismatch = errors.New("statemachine: the patch does not fit")
+var errPatchMismatch = errors.New("statemachine: patch is malformed or refers to bytes beyond the end of the old array")
 
-// chunks cuts a byte array after each '}'.
+// chunks splits a byte array after each '}'.
 func chunks(b []byte) [][]byte {
 	var out [][]byte
 	for len(b) > 0 {
@@ -31,8 +31,8 @@
 	return out
 }
 
-// patchWriter builds a patch. At most one of literal and copyLength, the step being built, is
-// not empty.
+// patchWriter builds a patch. The step that is being built is either a literal or a copy, so at
+// most one of literal and copyLength is not empty.
 type patchWriter struct {
 	patch      []byte
 	literal    []byte
@@ -40,7 +40,7 @@
 	copyLength int
 }
 
-// flush writes the step being built.
+// flush appends the step that is being built to the patch.
 func (w *patchWriter) flush() {
 	if len(w.literal) > 0 {
 		w.patch = binary.AppendUvarint(w.patch, uint64(len(w.literal))<<1|literalBit)
@@ -54,7 +54,8 @@
 	}
 }
 
-// extendCopy extends the copy step being built if the chunk follows it in old.
+// extendCopy extends the copy step that is being built if the chunk follows its bytes in old. It
+// reports whether it did.
 func (w *patchWriter) extendCopy(old, chunk []byte) bool {
 	end := w.copyOffset + w.copyLength
 	if w.copyLength == 0 || !bytes.HasPrefix(old[end:], chunk) {
@@ -66,7 +67,7 @@
 
 // MakePatch returns a patch that turns old into new.
 func MakePatch(old, new []byte) []byte {
-	offsets := map[string]int{} // where each chunk first occurs in old
+	offsets := map[string]int{} // the first offset of each chunk in old
 	offset := 0
 	for _, chunk := range chunks(old) {
 		if _, ok := offsets[string(chunk)]; !ok {
@@ -94,8 +95,8 @@
 	return writer.patch
 }
 
-// ApplyPatch rebuilds the new array from old. It fails if the patch is malformed, or was made
-// for an array that is longer than old.
+// ApplyPatch returns the new array that a patch builds from old. It returns an error if the patch
+// is malformed or copies bytes from beyond the end of old.
 func ApplyPatch(old, patch []byte) ([]byte, error) {
 	out := make([]byte, 0, len(old)+len(patch))
 	for len(patch) > 0 {
--- a/internal/paxos/statemachine/patch_test.go
+++ b/internal/paxos/statemachine/patch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// randomRecords makes a list of short records; the last may lack its end.
+// randomRecords returns a list of short random records. The last may lack its closing brace.
 func randomRecords(rng *rand.Rand) []byte {
 	var text strings.Builder
 	for range rng.Intn(12) {
@@ -21,7 +21,8 @@
 	return []byte(text.String())
 }
 
-// TestPatchRebuildsNew: a patch between any two lists turns the one into the other.
+// TestPatchRebuildsNew checks with random lists that ApplyPatch rebuilds the new list from the old one
+// and the patch that MakePatch returned.
 func TestPatchRebuildsNew(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 20000 {
@@ -29,25 +30,26 @@
 		after := randomRecords(rng)
 		rebuilt, err := ApplyPatch(before, MakePatch(before, after))
 		if err != nil || !bytes.Equal(rebuilt, after) {
-			t.Fatalf("from %q to %q: %q, %v", before, after, rebuilt, err)
+			t.Fatalf("patch from %q to %q: ApplyPatch returned %q and error %v, want the new list", before, after, rebuilt, err)
 		}
 	}
 }
 
-// TestPatchOfOneRecordIsSmall: what has not changed is copied, not repeated.
+// TestPatchOfOneRecordIsSmall guards against a patch that contains records that have not changed.
 func TestPatchOfOneRecordIsSmall(t *testing.T) {
 	before := []byte(strings.Repeat("{same record}", 500) + "{old}" + strings.Repeat("{other record}", 500))
 	after := bytes.Replace(before, []byte("{old}"), []byte("{new}"), 1)
 	if size := len(MakePatch(before, after)); size > 32 {
-		t.Errorf("the patch takes %d bytes of %d", size, len(after))
+		t.Errorf("patch of one record has %d bytes, want at most 32; the new list has %d", size, len(after))
 	}
 }
 
-// TestPatchIsCheckedBeforeUse: a malformed patch, or one for a longer array, is an error.
-func TestPatchIsCheckedBeforeUse(t *testing.T) {
+// TestApplyPatchErrors checks that ApplyPatch rejects a malformed patch and one for a longer array.
+// An unchecked length or offset would make every replica panic.
+func TestApplyPatchErrors(t *testing.T) {
 	long := []byte("{a}{b}{c}")
 	for name, patch := range map[string][]byte{
-		"cut count":            {0x80},
+		"truncated length":     {0x80},
 		"literal too short":    {9<<1 | literalBit, 'a'},
 		"copy without offset":  {3 << 1},
 		"offset beyond end":    {3 << 1, 10},
@@ -56,7 +58,7 @@
 		"second step cut away": append(MakePatch(long, long), 0x80),
 	} {
 		if got, err := ApplyPatch(long, patch); err == nil {
-			t.Errorf("%s: no error, but %q", name, got)
+			t.Errorf("%s: ApplyPatch returned %q without an error, want an error", name, got)
 		}
 	}
 }
--- a/internal/paxos/statemachine/state.go
+++ b/internal/paxos/statemachine/state.go
@@ -7,37 +7,38 @@
 	"strings"
 )
 
-// MembershipVersionKey holds the number of membership changes of a cell. A change is
-// conditional on it, so that of two concurrent changes only one is applied.
+// MembershipVersionKey is the key of the number of membership changes of a cell. Each change has a
+// condition on this number, so that only one of two concurrent changes is applied.
 const MembershipVersionKey = "@seats"
 
-// Snapshot is the state after the entry at AppliedIndex.
+// Snapshot is a copy of the state after the entry at AppliedIndex is applied.
 type Snapshot struct {
 	AppliedIndex uint64           `cbor:"1,keyasint"`
 	State        map[string]Value `cbor:"2,keyasint"`
 	Memberships  []Membership     `cbor:"3,keyasint"`
 }
 
-// State owns the key-value state and the memberships that result from the committed entries.
-// Invariant: it depends on the applied entries alone, so replicas that have applied the same
-// entries hold the same state. memberships are in order of EffectiveFrom.
+// State holds the key-values and the memberships that result from the committed entries.
+// Invariants: the state depends only on the applied entries, so replicas that have applied the
+// same entries hold the same state; memberships are in ascending order of EffectiveFrom.
 type State struct {
 	keyValues   map[string]Value
 	memberships []Membership
-	// changedKeys collects the changed keys until the next TakeChangedKeys.
+	// changedKeys are the keys changed since the last call of TakeChangedKeys.
 	changedKeys ChangedKeys
 }
 
-// NewState returns a state without keys or membership; a snapshot brings the first membership.
+// NewState returns a state without keys and memberships. The first membership comes from a
+// snapshot.
 func NewState() State { return State{keyValues: map[string]Value{}} }
 
-// Get returns a value.
+// Get returns the value of a key, and whether the key exists.
 func (s *State) Get(key string) (Value, bool) {
 	value, ok := s.keyValues[key]
 	return value, ok
 }
 
-// Keys returns all keys in order.
+// Keys returns all keys in ascending order.
 func (s *State) Keys() []string {
 	keys := make([]string, 0, len(s.keyValues))
 	for key := range s.keyValues {
@@ -47,7 +48,8 @@
 	return keys
 }
 
-// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
+// KeysWithPrefix returns, in ascending order, the keys that have the prefix and are not less than
+// from.
 func (s *State) KeysWithPrefix(prefix, from string) []string {
 	var keys []string
 	for key := range s.keyValues {
@@ -59,20 +61,22 @@
 	return keys
 }
 
-// TakeChangedKeys returns which keys were changed since the last call.
+// TakeChangedKeys returns the keys that were changed since the last call, and resets them.
 func (s *State) TakeChangedKeys() ChangedKeys {
 	changed := s.changedKeys
 	s.changedKeys = ChangedKeys{}
 	return changed
 }
 
-// Apply commits or ignores one transaction at its log index, and reports which.
+// Apply applies the transaction of the entry at a log index, and reports whether it did. It changes
+// nothing if a condition does not hold or an operation is not possible. A membership change takes
+// effect at index+alpha.
 func (s *State) Apply(txn Txn, index, alpha uint64) bool {
 	if !s.conditionsHold(txn.Conditions) {
 		return false
 	}
 	staged := make(stagedValues, len(txn.Ops))
-	var voters []Voter // nil: the membership stays
+	var voters []Voter // nil if the membership does not change
 	for i := range txn.Ops {
 		op := &txn.Ops[i]
 		ok := true
@@ -117,7 +121,7 @@
 	return true
 }
 
-// changeMembership adds a membership and counts the change.
+// changeMembership appends a membership and increments the value of MembershipVersionKey.
 func (s *State) changeMembership(membership Membership) {
 	s.memberships = append(s.memberships, membership)
 	version := big.NewInt(1)
@@ -127,12 +131,12 @@
 	s.keyValues[MembershipVersionKey] = Value{Int: version}
 }
 
-// stagedValues holds the values that a transaction writes, until all of its operations have
-// succeeded; nil deletes the key. A value may point into its operation, which is never modified.
-// It is a separate map that does not outlive Apply, so that it need not be on the heap.
+// stagedValues holds the values that a transaction writes until all of its operations have
+// succeeded. A nil value deletes the key. A value may point into its operation, which is never
+// modified. The map does not outlive Apply, so that it need not be allocated on the heap.
 type stagedValues map[string]*Value
 
-// stage performs one operation on a single key, and reports whether it was possible.
+// stage performs one operation on a single key in staged, and reports whether it was possible.
 func (s *State) stage(staged stagedValues, op *Op) bool {
 	switch op.Kind {
 	case OpPut:
@@ -154,7 +158,7 @@
 	return true
 }
 
-// stageAdd performs OpAdd.
+// stageAdd performs OpAdd in staged. It reports false if one of the values is not an integer.
 func (s *State) stageAdd(staged stagedValues, op *Op) bool {
 	old, exists := s.stagedValue(staged, op.Key)
 	if op.Value.Int == nil || (exists && old.Int == nil) {
@@ -168,7 +172,8 @@
 	return true
 }
 
-// stagedValue returns a value as the operations so far have changed it.
+// stagedValue returns the value of a key after the operations that are already staged, and whether
+// the key exists.
 func (s *State) stagedValue(staged stagedValues, key string) (Value, bool) {
 	if value, ok := staged[key]; ok {
 		if value == nil {
@@ -179,7 +184,7 @@
 	return s.Get(key)
 }
 
-// Load replaces the state by a snapshot's.
+// Load replaces the state with that of a snapshot. All keys then count as changed.
 func (s *State) Load(snapshot *Snapshot) {
 	s.keyValues = make(map[string]Value, len(snapshot.State))
 	maps.Copy(s.keyValues, snapshot.State)
@@ -187,14 +192,14 @@
 	s.changedKeys = ChangedKeys{All: true}
 }
 
-// Snapshot copies the state, which is that after the entry at appliedIndex.
+// Snapshot returns a copy of the state. appliedIndex is the index of the last applied entry.
 func (s *State) Snapshot(appliedIndex uint64) *Snapshot {
 	state := make(map[string]Value, len(s.keyValues))
 	maps.Copy(state, s.keyValues)
 	return &Snapshot{AppliedIndex: appliedIndex, State: state, Memberships: slices.Clone(s.memberships)}
 }
 
-// Size estimates the size of the state in a snapshot, in bytes.
+// Size estimates the encoded size of the keys and values in bytes.
 func (s *State) Size() int { return KeyValuesSize(s.keyValues) }
 
 // KeyValuesSize estimates the encoded size of keys and values in bytes.
--- a/internal/paxos/statemachine/state_test.go
+++ b/internal/paxos/statemachine/state_test.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-// TestApplyIsAllOrNothing: a transaction whose conditions hold and whose operations are all
-// possible changes the state; any other changes nothing.
+// TestApplyIsAllOrNothing checks that a transaction changes the state if its conditions hold and all
+// its operations are possible, and that any other transaction changes nothing.
 func TestApplyIsAllOrNothing(t *testing.T) {
 	putY := Op{Kind: OpPut, Key: "y", Value: Int(5)}
 	for name, test := range map[string]struct {
@@ -45,15 +45,16 @@
 	} {
 		state := newInitialState()
 		if got := state.Apply(test.txn, 1, testAlpha); got != test.want {
-			t.Errorf("%s: committed is %v", name, got)
+			t.Errorf("%s: Apply returned %v, want the opposite", name, got)
 		}
 		if _, changed := state.Get("y"); changed != test.want {
-			t.Errorf("%s: changed is %v", name, changed)
+			t.Errorf("%s: key y exists: %v, want the opposite", name, changed)
 		}
 	}
 }
 
-// TestApplyOperations: operations see what those before them in the transaction did.
+// TestApplyOperations checks each operation, and that an operation sees the results of earlier ones
+// of the same transaction.
 func TestApplyOperations(t *testing.T) {
 	state := newInitialState()
 	txn := Txn{ID: "t", Ops: []Op{
@@ -67,13 +68,13 @@
 		{Kind: OpAppend, Key: "list/", Value: Int(7)},
 	}}
 	if !state.Apply(txn, 12, testAlpha) {
-		t.Fatal("it was ignored")
+		t.Fatal("Apply returned false, want true")
 	}
 	want := map[string]Value{
 		"x": Int(6), "new": Int(4), "bytes": Bytes([]byte("{a}{c}")), AppendedKey("list/", 12, "t"): Int(7),
 	}
 	if keys := state.Keys(); len(keys) != len(want) {
-		t.Errorf("keys are %q", keys)
+		t.Errorf("keys are %q, want x, new, bytes and the key appended under list/", keys)
 	}
 	for key, value := range want {
 		if got, _ := state.Get(key); !got.Equal(value) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestMembershipChangesByOneVoter: a change that adds or removes more than one voter, or comes
-// before the one before it is in effect, is ignored.
+// TestMembershipChangesByOneVoter checks that a membership change is ignored if it adds or removes
+// more than one voter, or if the previous change is not in effect yet.
 func TestMembershipChangesByOneVoter(t *testing.T) {
 	for name, test := range map[string]struct {
 		next []Voter
@@ -100,7 +101,7 @@
 	} {
 		state := newInitialState()
 		if got := state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: test.next}}}, 5, testAlpha); got != test.want {
-			t.Errorf("%s: committed is %v", name, got)
+			t.Errorf("%s: Apply returned %v, want the opposite", name, got)
 		}
 	}
 	state := newInitialState()
@@ -108,19 +109,19 @@
 		return state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: voters(ids...)}}}, index, testAlpha)
 	}
 	if !change(5, "a", "b", "c", "d") || change(7, "a", "b", "c") || !change(8, "a", "b", "c") {
-		t.Error("a change at 5 must be the last until it is in effect at 8")
+		t.Error("changes at 5, 7 and 8: want 7 rejected and the others applied, since the change at 5 takes effect at 8")
 	}
 	for index, want := range map[uint64]bool{7: false, 8: true, 10: true, 11: false} {
 		if got := state.MembershipAt(index).Contains("d"); got != want {
-			t.Errorf("d votes on %d: %v", index, got)
+			t.Errorf("voter d in the membership at %d: %v, want the opposite", index, got)
 		}
 	}
 	if version, _ := state.Get(MembershipVersionKey); !version.Equal(Int(2)) {
-		t.Errorf("%v changes were counted", version)
+		t.Errorf("after two changes MembershipVersionKey has the value %v, want 2", version)
 	}
 }
 
-// TestSnapshotIsACopy: what is applied later does not change a snapshot.
+// TestSnapshotIsACopy guards against a snapshot that changes when a later transaction is applied.
 func TestSnapshotIsACopy(t *testing.T) {
 	state := newInitialState()
 	snapshot := state.Snapshot(4)
@@ -128,13 +129,13 @@
 	loaded := NewState()
 	loaded.Load(snapshot)
 	if x, _ := loaded.Get("x"); snapshot.AppliedIndex != 4 || !x.Equal(Int(1)) {
-		t.Errorf("the snapshot of %d has %v", snapshot.AppliedIndex, x)
+		t.Errorf("snapshot at index %d has x = %v, want index 4 and x = 1", snapshot.AppliedIndex, x)
 	}
 }
 
-// TestApplyAllocatesOnlyWhatStays: every commit passes through Apply on every replica. Puts and
-// deletions allocate nothing but the list of changed keys, which grows twice here.
-func TestApplyAllocatesOnlyWhatStays(t *testing.T) {
+// TestApplyAllocations guards against extra allocations in Apply, which every replica calls for
+// every commit. Puts and deletions allocate only the list of changed keys, which grows twice here.
+func TestApplyAllocations(t *testing.T) {
 	state := NewState()
 	txn := Txn{
 		Conditions: []Condition{{Key: "missing", Absent: true}},
@@ -145,6 +146,6 @@
 		state.TakeChangedKeys()
 	})
 	if allocations > 2 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("Apply made %v allocations, want at most 2", allocations)
 	}
 }
--- a/internal/paxos/statemachine/transaction.go
+++ b/internal/paxos/statemachine/transaction.go
@@ -5,21 +5,21 @@
 	"math/big"
 )
 
-// Value is a byte array, an integer of any size or a boolean; never a float, since every
-// replica must compute the same result (the paper's section 2.3).
+// Value is a byte array, an integer of any size or a boolean. Floats are excluded because every
+// replica must compute the same result (section 2.3 of the paper).
 type Value struct {
 	Bytes []byte   `cbor:"1,keyasint,omitempty"`
 	Int   *big.Int `cbor:"2,keyasint,omitempty"`
 	Bool  *bool    `cbor:"3,keyasint,omitempty"`
 }
 
-// Bytes makes a byte array value.
+// Bytes returns a byte array value.
 func Bytes(b []byte) Value { return Value{Bytes: b} }
 
-// Int makes an integer value.
+// Int returns an integer value.
 func Int(i int64) Value { return Value{Int: big.NewInt(i)} }
 
-// Equal compares type and content.
+// Equal reports whether both values have the same type and content.
 func (v Value) Equal(other Value) bool {
 	switch {
 	case v.Int != nil:
@@ -30,14 +30,15 @@
 	return other.Int == nil && other.Bool == nil && string(v.Bytes) == string(other.Bytes)
 }
 
-// Condition must hold when its transaction is applied.
+// Condition must hold when its transaction is applied: the key does not exist if Absent is set, and
+// otherwise has the value Equals.
 type Condition struct {
 	Key    string `cbor:"1,keyasint"`
 	Absent bool   `cbor:"2,keyasint,omitempty"`
 	Equals Value  `cbor:"3,keyasint,omitempty"`
 }
 
-// OpKind says what an Op does. Its values are part of the wire format and of stored data.
+// OpKind is the type of an operation. Its values are part of the wire format and of stored data.
 type OpKind uint8
 
 // The operations of a transaction.
@@ -52,11 +53,11 @@
 	OpPatch
 	// OpSetVoters replaces the membership instead of a key.
 	OpSetVoters
-	// OpAppend puts a value under AppendedKey: such entries sort in the order of the log.
+	// OpAppend sets the key that AppendedKey returns. Such keys sort in the order of the log.
 	OpAppend
 )
 
-// Op is one change of one key, or of the membership.
+// Op changes one key, or the membership.
 type Op struct {
 	Kind   OpKind  `cbor:"1,keyasint"`
 	Key    string  `cbor:"2,keyasint,omitempty"`
@@ -64,23 +65,23 @@
 	Voters []Voter `cbor:"4,keyasint,omitempty"`
 }
 
-// Txn lists every key that it changes and every condition that must hold, so that it can be
-// proposed optimistically, before the state that it will be applied to is known. When it is
-// applied, all or none of its operations take effect.
+// Txn is a transaction. It contains every key that it changes and every condition that must hold,
+// so that it can be proposed optimistically, before the state to which it will be applied is
+// known. When it is applied, all or none of its operations take effect.
 type Txn struct {
 	ID         string      `cbor:"1,keyasint,omitempty"`
 	Conditions []Condition `cbor:"2,keyasint,omitempty"`
 	Ops        []Op        `cbor:"3,keyasint,omitempty"`
 }
 
-// AppendedKey is the key that OpAppend makes at a log index for the transaction id.
+// AppendedKey returns the key that OpAppend sets for the transaction id at a log index.
 func AppendedKey(prefix string, index uint64, id string) string {
 	return fmt.Sprintf("%s%020d/%s", prefix, index, id)
 }
 
-// Estimated bytes of the parts of a transaction, besides keys and contents.
+// Estimated encoded sizes of the parts of a transaction, without keys and byte array values.
 const (
-	itemOverheadBytes = 16 // a condition, an operation, a key and its value
+	itemOverheadBytes = 16 // of a condition, an operation, or a key with its value
 	voterBytes        = 48
 )
 
--- a/internal/storage/commit.go
+++ b/internal/storage/commit.go
@@ -14,9 +14,9 @@
 	cell   string
 	writes paxos.Writes
 
-	node *nodeValue // if set, cell and writes are not
+	node *nodeValue // if not nil, cell and writes are unset
 
-	done func() // called after the sync; may be nil
+	done func() // called after the write is synced; may be nil
 }
 
 type nodeValue struct {
@@ -24,12 +24,12 @@
 	value []byte
 }
 
-// groupCommitter writes the queue in groups: one transaction, and so one sync, for everything queued at the moment.
-// Its goroutine runs from newGroupCommitter until close, and closes stopped when it ends. The Store owns it.
+// groupCommitter implements group commit: one transaction, with one sync, writes everything that is queued when it
+// begins. Its goroutine runs from newGroupCommitter until close, and closes stopped when it ends. The Store owns it.
 type groupCommitter struct {
 	db      *bolt.DB
 	disk    Disk
-	onFault func(error) // called with the error of every failed or slow write
+	onFault func(error) // called with the error of every failed write, and with ErrUnresponsive for a slow one
 	stopped chan struct{}
 
 	mu         sync.Mutex // guards the fields below
@@ -46,9 +46,10 @@
 	return c
 }
 
-// addReplicaWrites queues writes, and then calls queued with the lock held. It returns true, without queueing, if
-// there is nothing to write and nothing to wait for.
-func (c *groupCommitter) addReplicaWrites(cell string, writes paxos.Writes, done, queued func()) bool {
+// addReplicaWrites calls onEnqueue and queues the writes, both with c.mu held, and returns false. It returns true,
+// without queueing, if the writes are empty and no earlier write is queued or being committed. After close it discards
+// the writes and returns false.
+func (c *groupCommitter) addReplicaWrites(cell string, writes paxos.Writes, done, onEnqueue func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -57,13 +58,13 @@
 	if writes.Empty() && len(c.queue) == 0 && !c.committing {
 		return true
 	}
-	queued()
+	onEnqueue()
 	c.queue = append(c.queue, pendingWrite{cell: cell, writes: writes, done: done})
 	c.wake.Signal()
 	return false
 }
 
-// addNodeValue queues a value of the node; it replaces a queued value of the same key.
+// addNodeValue queues a value of the node. It replaces a queued value of the same key. After close it does nothing.
 func (c *groupCommitter) addNodeValue(key string, value []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	c.wake.Signal()
 }
 
-// close makes the goroutine end; it does not wait for it.
+// close stops the goroutine without waiting for it to end.
 func (c *groupCommitter) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// nextGroup waits for writes and takes all of them; nil after close.
+// nextGroup waits until writes are queued, and removes and returns all of them. It returns nil after close.
 func (c *groupCommitter) nextGroup() []pendingWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,12 +127,12 @@
 	return group
 }
 
-// commitWithRetry repeats a commit until the disk accepts it; false if the committer was closed before.
+// commitWithRetry repeats a commit until it succeeds. It returns false if the committer is closed after a failure.
 func (c *groupCommitter) commitWithRetry(group []pendingWrite) bool {
 	for {
-		unresponsive := time.AfterFunc(UnresponsiveAfter, func() { c.onFault(ErrUnresponsive) })
+		slowTimer := time.AfterFunc(UnresponsiveAfter, func() { c.onFault(ErrUnresponsive) })
 		err := c.commit(group)
-		unresponsive.Stop()
+		slowTimer.Stop()
 		if err == nil {
 			return true
 		}
@@ -146,7 +147,7 @@
 // commit writes a group in one transaction. A group without writes needs no sync.
 func (c *groupCommitter) commit(group []pendingWrite) error {
 	empty := true
-	newestSnapshot := map[string]int{} // by cell: the position in the group
+	newestSnapshot := map[string]int{} // for each cell, the index in group of its last snapshot
 	for i := range group {
 		if group[i].node != nil || !group[i].writes.Empty() {
 			empty = false
@@ -168,7 +169,7 @@
 			}
 			writes := group[i].writes
 			if newest, ok := newestSnapshot[group[i].cell]; ok && i < newest {
-				writes.Snapshot = nil // a newer one replaces it in the same transaction
+				writes.Snapshot = nil // the newer snapshot in this transaction replaces it
 				writes.TruncateTo = 0
 			}
 			if err := putReplicaWrites(tx, group[i].cell, &writes); err != nil {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -9,18 +9,20 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Names of files in the data directory. They never change.
+// Names of files in the data directory. They must not change: a newer version finds existing data by them.
 const (
 	fileName          = "vault.db"
-	corruptFileName   = fileName + ".damaged" // the new name of a file that cannot be read
-	temporaryFileName = fileName + ".new"     // a file that is being created
+	corruptFileName   = fileName + ".damaged" // the name that a corrupt file is renamed to
+	temporaryFileName = fileName + ".new"     // the name of a file until it is complete
 )
 
-// Open opens the file in dir, or creates it, and returns after its name is durable. A file that cannot be read is
-// renamed and replaced by an empty one; HasCorruptFile then reports true. onFault is called with that error, and later
-// with the error of every write that fails or takes too long; it may be called from several goroutines.
+// Open opens the database file in dir, or creates it, and returns after its name is durable. A corrupt file is renamed
+// and replaced by an empty one; HasCorruptFile then reports true. onFault is called with the error that the corrupt
+// file caused, and later with the error of every write that fails or takes longer than UnresponsiveAfter. It may be
+// called from several goroutines.
 //
-// If the disk fails, Open returns its error. It may be called again: files that it leaves behind do no harm.
+// If the disk fails, Open returns its error. Open may then be called again: it handles any file that a failed call has
+// left in dir.
 func Open(dir string, disk Disk, onFault func(error)) (*Store, error) {
 	db, err := openOrCreate(dir, disk)
 	if errors.Is(err, ErrCorrupt) {
@@ -34,7 +36,7 @@
 		return nil, err
 	}
 	if err := disk.SyncDir(dir); err != nil {
-		_ = db.Close() // no data was written yet
+		_ = db.Close() // nothing has been written that could be lost
 		return nil, err
 	}
 	cells, err := cellNames(db)
@@ -45,24 +47,25 @@
 	return &Store{db: db, disk: disk, commits: newGroupCommitter(db, disk, onFault), knownCells: cells}, nil
 }
 
-// HasCorruptFile reports whether dir holds a file that could not be read and was renamed.
+// HasCorruptFile reports whether dir holds a file that Open found to be corrupt and renamed.
 func HasCorruptFile(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, corruptFileName))
 	return err == nil
 }
 
-// renameCorruptFile keeps a corrupt file for the operator under another name, so that a new file can be created.
+// renameCorruptFile renames a corrupt file, so that it is kept for the operator and a new file can be created.
 func renameCorruptFile(dir string, disk Disk) error {
 	corrupt := filepath.Join(dir, corruptFileName)
-	// An older corrupt file may be a link to this file; Rename would then do nothing.
+	// Remove an older corrupt file first: if it is a hard link to this file, Rename does nothing.
 	if err := removeIfExists(disk, corrupt); err != nil {
 		return err
 	}
 	return disk.Rename(filepath.Join(dir, fileName), corrupt)
 }
 
-// openOrCreate opens the file. A new file is created under another name and then renamed, so that under its own name
-// it is always complete. An empty file was left by a process that ended before it sent any message.
+// openOrCreate opens the file. A new file is created under a temporary name and then renamed, so that a file with the
+// final name is always complete. An empty file is replaced by a new one: the process that left it ended before it sent
+// any message, so no state is lost.
 func openOrCreate(dir string, disk Disk) (*bolt.DB, error) {
 	path := filepath.Join(dir, fileName)
 	info, err := os.Stat(path)
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// cellNames lists the cells that a file holds.
+// cellNames returns the set of cells that the file holds state of.
 func cellNames(db *bolt.DB) (map[string]bool, error) {
 	names := map[string]bool{}
 	err := db.View(func(tx *bolt.Tx) error {
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -25,22 +25,23 @@
 	dir  string
 	disk *simulation.FaultyDisk
 
-	identity string // the newest that was given out
-	promised uint64 // the newest term that was promised under it
+	identity string // the newest identity that was durable and so may have been sent
+	promised uint64 // the highest term that was promised under it
 }
 
-const incarnations = 4 // starts of a run; in the last one the disk works
+const startsPerRun = 4 // the disk has no faults in the last one
 
-// TestPowerLossAtOpen: the power fails at any step from opening on, and each name that was not synced is kept or
-// lost. An identity that was sent, and the promises under it, are found again, whatever the directory held at first.
+// TestPowerLossAtOpen guards against the loss of an identity, or of promises made under it, after other nodes may have
+// received them. The power fails at any disk operation of a start, Open included; each change of a file name that was
+// not synced is then kept or reverted at random. The directory is empty at first or holds files of an earlier process.
 func TestPowerLossAtOpen(t *testing.T) {
-	const lastStep = 11 // later ones are never reached
+	const lastStep = 11 // no start has more of the operations that LosePowerAfter counts
 	complete := completeFile(t)
 	garbage := bytes.Repeat([]byte{7}, 20000)
 	for _, start := range []struct {
-		name  string
-		salt  int // of the random source
-		files map[string][]byte
+		name       string
+		seedOffset int // added to the seed, so that each case has its own random sequence
+		files      map[string][]byte
 	}{
 		{"empty", 5, map[string][]byte{}},
 		{"never synced", 12, map[string][]byte{fileName: nil}},
@@ -55,7 +56,7 @@
 	} {
 		for seed := range simulation.SeedCount(1) {
 			for step := 1; step <= lastStep; step++ {
-				random := rand.New(rand.NewSource(int64(seed*10000 + step*100 + start.salt)))
+				random := rand.New(rand.NewSource(int64(seed*10000 + step*100 + start.seedOffset)))
 				run := &powerLossRun{
 					t:    t,
 					name: fmt.Sprintf("%s, seed %d, step %d", start.name, seed, step),
@@ -63,13 +64,13 @@
 					disk: &simulation.FaultyDisk{Base: LocalDisk{}, Random: random.Float64, SyncFailureRate: 0.4},
 				}
 				writeFiles(t, run.dir, start.files)
-				run.play(step)
+				run.runStarts(step)
 			}
 		}
 	}
 }
 
-// completeFile returns the content of a file with an identity.
+// completeFile returns the content of a database file that holds an identity.
 func completeFile(t *testing.T) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -96,10 +97,10 @@
 	}
 }
 
-// play starts the node several times; the power fails at the given step of each start but the last.
-func (r *powerLossRun) play(step int) {
-	for incarnation := 1; incarnation <= incarnations; incarnation++ {
-		last := incarnation == incarnations
+// runStarts starts the node several times. The power fails at the given disk operation of each start but the last.
+func (r *powerLossRun) runStarts(step int) {
+	for startNumber := 1; startNumber <= startsPerRun; startNumber++ {
+		last := startNumber == startsPerRun
 		r.disk.LosePowerAfter(step)
 		if last {
 			r.disk.LosePowerAfter(0)
@@ -107,10 +108,10 @@
 		}
 		store, err := Open(r.dir, r.disk, func(error) {})
 		if err != nil && last {
-			r.t.Fatalf("%s: a disk that works: %v", r.name, err)
+			r.t.Fatalf("%s: Open on a disk without faults returned %v, want nil", r.name, err)
 		}
 		if err == nil {
-			r.use(store, incarnation)
+			r.checkAndWrite(store, startNumber)
 			if err := store.Close(); err != nil {
 				r.t.Fatal(err)
 			}
@@ -119,20 +120,20 @@
 		r.disk.LosePower()
 	}
 	if r.identity == "" || r.promised == 0 {
-		r.t.Fatalf("%s: the last start gave out no identity", r.name)
+		r.t.Fatalf("%s: no identity or no promise was stored, want both after the last start", r.name)
 	}
 }
 
-// use checks the stored state, and then writes to the store as a control node does.
-func (r *powerLossRun) use(store *Store, incarnation int) {
+// checkAndWrite checks the stored state, and then writes to the store as a control node does.
+func (r *powerLossRun) checkAndWrite(store *Store, startNumber int) {
 	identity := string(store.NodeValue("identity"))
 	state, _, err := store.LoadReplica("c")
 	if r.identity != "" && (identity != r.identity || state.Promised.Term < r.promised || err != nil) {
-		r.t.Fatalf("%s, start %d: given out was %q with %d, found is %q with %d, %v", r.name, incarnation,
+		r.t.Fatalf("%s, start %d: want identity %q with term %d or later, got %q with %d, error %v", r.name, startNumber,
 			r.identity, r.promised, identity, state.Promised.Term, err)
 	}
 	if identity == "" {
-		identity = strconv.Itoa(incarnation)
+		identity = strconv.Itoa(startNumber)
 		err = store.Bootstrap("identity", []byte(identity), "c", paxos.Writes{})
 	}
 	if err != nil {
@@ -146,7 +147,8 @@
 	}
 }
 
-// TestTruncatedFile: a file that is truncated, or lacks the content of a page, is reported as corrupt without a crash.
+// TestTruncatedFile checks that a file that is truncated, or has a page of zeros, is reported as corrupt. Without the
+// check in LocalDisk.Open, the process can crash when bbolt reads the page.
 func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir)
@@ -160,23 +162,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, page := 0, os.Getpagesize()
-	for at := 2 * page; at < len(complete); at += page {
-		truncated := complete[:at:at]
-		withHole := slices.Concat(complete[:at], make([]byte, page), complete[at+page:])
-		for _, raw := range [][]byte{truncated, withHole} {
-			if openDamaged(t, raw, at/page) {
-				found++
+	corruptCount, pageSize := 0, os.Getpagesize()
+	for offset := 2 * pageSize; offset < len(complete); offset += pageSize {
+		truncated := complete[:offset:offset]
+		withZeroPage := slices.Concat(complete[:offset], make([]byte, pageSize), complete[offset+pageSize:])
+		for _, raw := range [][]byte{truncated, withZeroPage} {
+			if openDamaged(t, raw, offset/pageSize) {
+				corruptCount++
 			}
 		}
 	}
-	if found == 0 {
-		t.Error("no damage was found")
+	if corruptCount == 0 {
+		t.Error("Open reported none of the damaged files, want ErrCorrupt for some")
 	}
 }
 
-// openDamaged opens a file that lacks a page; it reports whether the file was found to be corrupt. If it was not, no
-// data may be missing.
+// openDamaged opens a file with a missing page and reports whether Open found it to be corrupt. If Open did not, the
+// identity must still be readable: the page may be unused.
 func openDamaged(t *testing.T, raw []byte, page int) (corrupt bool) {
 	t.Helper()
 	dir := t.TempDir()
@@ -187,7 +189,8 @@
 	store, err := Open(dir, LocalDisk{}, func(err error) { fault = err })
 	if err != nil || (fault == nil) != (store.NodeValue("identity") != nil) ||
 		fault != nil && !errors.Is(fault, ErrCorrupt) {
-		t.Fatalf("%d bytes, page %d: opened with %v, reported is %v", len(raw), page, err, fault)
+		t.Fatalf("file of %d bytes, damaged page %d: Open returned %v and reported %v, want ErrCorrupt or no loss",
+			len(raw), page, err, fault)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -11,9 +11,9 @@
 	"comethold/internal/rpc"
 )
 
-// Names in the file. They never change: a new version opens the files of the old one.
+// Names of buckets and keys in the file. They must not change: a newer version opens files of an older one.
 //
-//	node                bucket of the node's own values
+//	node                bucket of the values of the node itself, by key
 //	cell/<name>         bucket of a cell's replica:
 //	    promised        paxos.ProposalNumber in cbor
 //	    round           term of the replica's last campaign, 8 bytes, big endian
@@ -37,7 +37,7 @@
 
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// decodeUint64 reads a number; 0 if there is none.
+// decodeUint64 decodes a number. It returns 0 if raw does not have 8 bytes, as for a missing key.
 func decodeUint64(raw []byte) uint64 {
 	if len(raw) != uint64Bytes {
 		return 0
@@ -53,7 +53,7 @@
 	return bucket.Put([]byte(key), value)
 }
 
-// putReplicaWrites stores the writes of a replica.
+// putReplicaWrites stores the writes of a cell's replica. The log is truncated only together with a new snapshot.
 func putReplicaWrites(tx *bolt.Tx, cell string, writes *paxos.Writes) error {
 	if writes.Empty() {
 		return nil
@@ -100,7 +100,7 @@
 	return bucket.Put(key, raw)
 }
 
-// truncateLog removes the entries up to a log index.
+// truncateLog removes the entries up to and including a log index.
 func truncateLog(log *bolt.Bucket, last uint64) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= last; key, _ = cursor.Next() {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// readReplicaState reads what putReplicaWrites wrote.
+// readReplicaState reads the state that putReplicaWrites has stored in the bucket of a cell.
 func readReplicaState(bucket *bolt.Bucket, state *paxos.PersistedState) error {
 	if raw := bucket.Get(promisedKey); raw != nil {
 		if err := rpc.Unmarshal(raw, &state.Promised); err != nil {
@@ -140,7 +140,7 @@
 	})
 }
 
-// corruptError wraps the cause, an error or the value of a panic, in ErrCorrupt.
+// corruptError wraps a cause, which is an error or the value of a panic, in ErrCorrupt unless it already wraps it.
 func corruptError(cause any) error {
 	err, ok := cause.(error)
 	switch {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -9,7 +9,7 @@
 	"comethold/internal/paxos"
 )
 
-// openStore opens a store on the local disk; empty means that it must hold no identity of the node.
+// openStore opens a store on the local disk and reports whether it is empty, that is, holds no identity of the node.
 func openStore(t *testing.T, dir string) (store *Store, empty bool) {
 	t.Helper()
 	store, err := Open(dir, LocalDisk{}, func(err error) { t.Log(err) })
@@ -26,7 +26,7 @@
 	}
 }
 
-// submitAndWait returns after writes are synced.
+// submitAndWait submits writes and returns after they are synced.
 func (s *Store) submitAndWait(cell string, writes paxos.Writes) {
 	synced := make(chan struct{})
 	if !s.Submit(cell, writes, func() { close(synced) }) {
@@ -34,13 +34,13 @@
 	}
 }
 
-// TestReopen: synced data is found again, a snapshot replaces the log entries that it covers, and a file that cannot
-// be read is renamed and replaced by an empty one.
+// TestReopen checks that a reopened store holds all synced data, that a snapshot replaces the log entries that it
+// covers, and that a corrupt file is renamed and replaced by an empty one.
 func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	store, empty := openStore(t, dir)
 	if !empty {
-		t.Fatal("a new store is not empty")
+		t.Fatal("Open in an empty directory returned a store with an identity, want none")
 	}
 	if err := store.SetNodeValue("identity", []byte("me")); err != nil {
 		t.Fatal(err)
@@ -65,14 +65,14 @@
 	store, empty = openStore(t, dir)
 	state, found, err := store.LoadReplica("c")
 	if err != nil || !found || empty || string(store.NodeValue("identity")) != "me" {
-		t.Fatalf("found %v, empty %v: %v", found, empty, err)
+		t.Fatalf("reopened: found %v, store empty %v, error %v; want true, false, nil and identity me", found, empty, err)
 	}
 	if state.Promised.Term != 2 || state.CommitIndex != 2 || len(state.Entries) != 1 || state.Entries[0].Index != 3 ||
 		!state.Snapshot.State["k"].Equal(paxos.Int(7)) {
-		t.Fatalf("loaded %+v", state)
+		t.Fatalf("LoadReplica returned %+v, want term 2, commit index 2, only entry 3, and k = 7 in the snapshot", state)
 	}
 	if _, found, _ := store.LoadReplica("unknown"); found {
-		t.Fatal("a cell that was never there is found")
+		t.Fatal("LoadReplica found a cell that was never stored")
 	}
 	closeStore(t, store)
 
@@ -82,23 +82,23 @@
 	var fault error
 	store, err = Open(dir, LocalDisk{}, func(err error) { fault = err })
 	if err != nil || !errors.Is(fault, ErrCorrupt) || !HasCorruptFile(dir) {
-		t.Fatalf("opened with %v, reported is %v", err, fault)
+		t.Fatalf("Open of a corrupt file returned %v and reported %v, want nil, ErrCorrupt and a renamed file", err, fault)
 	}
 	if store.NodeValue("identity") != nil {
-		t.Fatal("the store that replaces a corrupt file is not empty")
+		t.Fatal("the store that replaces a corrupt file has an identity, want none")
 	}
 	closeStore(t, store)
 }
 
-// TestFileNames: the name of the file never changes; a new version finds the data of the old one by it.
+// TestFileNames guards against a change of the file names, after which a new version would not find existing data.
 func TestFileNames(t *testing.T) {
 	if fileName != "vault.db" || corruptFileName != "vault.db.damaged" {
-		t.Errorf("the files are %s and %s", fileName, corruptFileName)
+		t.Errorf("the files are named %s and %s, want vault.db and vault.db.damaged", fileName, corruptFileName)
 	}
 }
 
-// TestQueuedNodeValues: a queued value replaces an older one that is not written yet, and is durable once a write
-// submitted later is synced.
+// TestQueuedNodeValues checks that a queued value replaces an older one that is not written yet, that it is durable
+// once a write submitted later is synced, and that a closed store discards new values.
 func TestQueuedNodeValues(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir)
@@ -110,22 +110,23 @@
 	store.QueueNodeValue("list", []byte("after the close"))
 	store, _ = openStore(t, dir)
 	if got := string(store.NodeValue("list")); got != "3" {
-		t.Errorf("the value is %q", got)
+		t.Errorf("after reopening the value is %q, want 3", got)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestNothingToWaitFor: empty writes need no sync if the queue is empty, and a closed store accepts no writes.
-func TestNothingToWaitFor(t *testing.T) {
+// TestSubmitEmptyWrites checks that empty writes need no sync if the queue is empty, and that a closed store does not
+// report writes as durable.
+func TestSubmitEmptyWrites(t *testing.T) {
 	store, _ := openStore(t, t.TempDir())
-	never := func() { t.Error("done is called") }
+	never := func() { t.Error("done was called, want no call") }
 	if !store.Submit("c", paxos.Writes{CommitIndex: 7}, never) {
-		t.Error("empty writes wait for a sync")
+		t.Error("Submit of empty writes returned false, want true: there is no sync to wait for")
 	}
 	closeStore(t, store)
 	if store.Submit("c", paxos.Writes{CommitIndex: 8}, never) {
-		t.Error("a closed store reports writes as durable")
+		t.Error("Submit to a closed store returned true, want false")
 	}
 }
--- a/internal/storage/tornpages_test.go
+++ b/internal/storage/tornpages_test.go
@@ -14,24 +14,24 @@
 	syncs         = 60
 	snapshotEvery = 20
 	sectorBytes   = 512 // a disk writes a sector completely or not at all
-	metaPages     = 2   // at the begin of the file, with the root of the tree
+	metaPages     = 2   // at the start of the file; they point to the root of the tree
 )
 
-// TestTornPages: the power fails between two syncs. Each sector written since the last sync is either on the disk or
-// not. bbolt writes its meta pages only after all others are synced; they may be torn as well. All acknowledged data
-// must be found.
+// TestTornPages guards against the loss of acknowledged data when the power fails between two syncs. Each sector that
+// was written since the last sync is then either on the disk or not. bbolt writes a meta page only after all other
+// pages are synced, so either the other pages are torn or the meta pages.
 func TestTornPages(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	contents := contentsAfterSyncs(t, rng)
 	for i := 0; i+1 < len(contents); i++ {
 		for _, metaTorn := range []bool{false, true} {
-			torn := tear(rng, contents[i], contents[i+1], metaTorn)
-			checkTorn(t, torn, uint64(i+1), metaTorn)
+			torn := tornContent(rng, contents[i], contents[i+1], metaTorn)
+			checkTornFile(t, torn, uint64(i+1), metaTorn)
 		}
 	}
 }
 
-// contentsAfterSyncs returns the content of the file after each of many syncs.
+// contentsAfterSyncs returns the content of the file after each submitted write is synced.
 func contentsAfterSyncs(t *testing.T, rng *rand.Rand) (contents [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -50,7 +50,7 @@
 			Entries:     []paxos.Entry{{Index: index, Txns: []paxos.Txn{txn}}},
 			CommitIndex: index - 1,
 		}
-		if index%snapshotEvery == 0 { // it replaces the entries before
+		if index%snapshotEvery == 0 { // the snapshot replaces the entries before index
 			state := map[string]paxos.Value{"k": paxos.Bytes(make([]byte, 30000))}
 			writes.Snapshot = &paxos.Snapshot{AppliedIndex: index - 1, State: state}
 			writes.TruncateTo = index - 1
@@ -68,9 +68,10 @@
 	return contents
 }
 
-// tear returns a possible content of the file after a loss of power between two syncs: the new content with some old
-// sectors. With metaTorn only sectors of the meta pages may be old; without it, all meta pages are old.
-func tear(rng *rand.Rand, before, after []byte, metaTorn bool) []byte {
+// tornContent returns a possible content of the file after a loss of power between two syncs: the new content with some
+// old sectors. With metaTorn only sectors of the meta pages may be old; without it, all meta pages are old, and sectors
+// of other pages may be.
+func tornContent(rng *rand.Rand, before, after []byte, metaTorn bool) []byte {
 	metaBytes := metaPages * os.Getpagesize()
 	torn := append([]byte(nil), after...)
 	for at := 0; at < len(torn); at += sectorBytes {
@@ -90,8 +91,8 @@
 	return torn
 }
 
-// checkTorn opens a torn file: all that was acknowledged up to a log index must be in it.
-func checkTorn(t *testing.T, torn []byte, acknowledged uint64, metaTorn bool) {
+// checkTornFile opens a torn file and checks that it holds the identity, and the entry and term of acknowledged.
+func checkTornFile(t *testing.T, torn []byte, acknowledged uint64, metaTorn bool) {
 	t.Helper()
 	name := fmt.Sprintf("after sync %d, meta pages torn %v", acknowledged, metaTorn)
 	dir := t.TempDir()
@@ -100,7 +101,7 @@
 	}
 	store, err := Open(dir, LocalDisk{}, func(err error) { t.Errorf("%s: %v", name, err) })
 	if err != nil || string(store.NodeValue("identity")) != "a" {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: Open returned %v, want nil and identity a", name, err)
 	}
 	state, found, err := store.LoadReplica("c")
 	held := state.Snapshot != nil && state.Snapshot.AppliedIndex >= acknowledged
@@ -108,7 +109,8 @@
 		held = held || entry.Index == acknowledged
 	}
 	if err != nil || !found || !held || state.Promised.Term < acknowledged {
-		t.Fatalf("%s: found %v, held %v, promised %d, %v", name, found, held, state.Promised.Term, err)
+		t.Fatalf("%s: found %v, entry held %v, promised term %d, error %v; want all acknowledged data", name, found, held,
+			state.Promised.Term, err)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
