--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// acceptor owns the promise of a replica. What it has accepted is in the replica's log.
+// acceptor owns the promise of a replica. The replica's log holds the entries that it has accepted.
 //
-// Invariant: promised never decreases, no entry is accepted under an older proposal number, and
-// a Promise or Accepted is sent only after what it reports is on disk. Every entry accepted
-// above the applied index is in every later Promise, so that a new leader proposes it again.
+// Invariant: promised never decreases. No entry is accepted under an older proposal number. A
+// Promise or Accepted is sent only after the promise or entries that it reports are on disk.
+// Every later Promise reports all accepted entries above the applied index, so that a new leader
+// proposes them again.
 type acceptor struct {
 	promised ProposalNumber
 }
@@ -24,30 +25,32 @@
 // sendReject rejects a message whose proposal number is older than the promise.
 func (r *Replica) sendReject(to ReplicaID) { r.sendRejectFor(to, r.acceptor.promised) }
 
-// sendRejectFor rejects a message. The recipient's next campaign has a higher term than number.
+// sendRejectFor rejects a message and reports number as the reason. The recipient's next campaign
+// uses a higher term than that of number.
 func (r *Replica) sendRejectFor(to ReplicaID, number ProposalNumber) {
 	r.send(Message{Kind: Reject, To: to, ProposalNumber: number, CommitIndex: r.appliedIndex})
 }
 
-// handlePrepare is phase 1b: it promises, unless a newer promise or a live leader prevents it.
+// handlePrepare runs phase 1b: it promises unless the replica has made a newer promise, runs a
+// campaign with a higher proposal number, or is in contact with a leader.
 func (r *Replica) handlePrepare(now time.Duration, msg Message) {
 	number := msg.ProposalNumber
-	own := number.Proposer == r.config.Self
+	isSelf := number.Proposer == r.config.Self
 	if number.Less(r.acceptor.promised) {
 		r.sendReject(msg.From)
 		return
 	}
-	// Of two concurrent campaigns the one with the higher proposal number goes on: if each
+	// Of two concurrent campaigns only the one with the higher proposal number continues: if each
 	// candidate promised to the other, both campaigns would fail.
-	if r.role == Candidate && !own && number.Less(r.proposer.number) {
+	if r.role == Candidate && !isSelf && number.Less(r.proposer.number) {
 		r.sendRejectFor(msg.From, r.proposer.number)
 		return
 	}
-	if r.acceptor.promised.Less(number) && r.hasLivingLeader(now, msg) {
+	if r.acceptor.promised.Less(number) && r.hasActiveLeader(now, msg) {
 		r.sendRejectFor(msg.From, number)
 		return
 	}
-	if !own && r.role != Follower {
+	if !isSelf && r.role != Follower {
 		r.becomeFollower(now)
 	}
 	if r.acceptor.promised.Less(number) {
@@ -60,10 +63,10 @@
 	r.sendPromise(now, msg)
 }
 
-// hasLivingLeader reports whether the leader was in contact recently enough to reject another
-// candidate, so that a replica that returns from a partition does not depose it. A leader whose
-// leadership the candidate knows to have ended does not count.
-func (r *Replica) hasLivingLeader(now time.Duration, prepare Message) bool {
+// hasActiveLeader reports whether the leader was in contact recently enough that another candidate
+// must be rejected. Otherwise a replica that returns from a partition would depose a working
+// leader. A follower ignores a leader whose leadership has ended according to the Prepare.
+func (r *Replica) hasActiveLeader(now time.Duration, prepare Message) bool {
 	if r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
 		return false
 	}
@@ -78,7 +81,7 @@
 }
 
 // sendPromise answers a Prepare with all entries after the candidate's applied index, or with a
-// snapshot and the entries after it if the log was compacted further.
+// snapshot and the entries after it if the log has been compacted beyond that index.
 func (r *Replica) sendPromise(now time.Duration, prepare Message) {
 	promise := Message{
 		Kind: Promise, To: prepare.From, ProposalNumber: prepare.ProposalNumber,
@@ -95,7 +98,7 @@
 	r.sendAfterSync(promise)
 }
 
-// handleAccept is phase 2b: it accepts entries unless it promised a newer proposal number.
+// handleAccept runs phase 2b: it accepts entries unless it promised a newer proposal number.
 func (r *Replica) handleAccept(now time.Duration, msg Message) {
 	if msg.ProposalNumber.Less(r.acceptor.promised) {
 		r.sendReject(msg.From)
--- a/internal/paxos/aliases.go
+++ b/internal/paxos/aliases.go
@@ -5,32 +5,33 @@
 	"comethold/internal/paxos/statemachine"
 )
 
-// Two packages below this one hold data and know nothing of consensus. entrylog owns the log.
+// Two packages below this one hold data and contain no consensus logic. entrylog owns the log.
 // statemachine owns the key-value state and the memberships; its invariant is that they depend
-// on the applied entries alone. The aliases let the owner of a replica import this package only.
+// only on the applied entries. With these aliases the owner of a replica needs to import only
+// this package.
 type (
 	// ProposalNumber orders the proposals of all proposers.
 	ProposalNumber = entrylog.ProposalNumber
-	// Entry is the content of one log index.
+	// Entry holds the transactions at one log index and the number under which they were accepted.
 	Entry = entrylog.Entry
 
-	// ReplicaID names one incarnation of one disk.
+	// ReplicaID identifies a replica. A replica that loses its disk returns with a new ID.
 	ReplicaID = statemachine.ReplicaID
-	// Voter is one place in a membership.
+	// Voter is one voting replica in a membership.
 	Voter = statemachine.Voter
-	// Membership is the set of voters from one log index on.
+	// Membership is the set of voters that takes effect at a log index.
 	Membership = statemachine.Membership
-	// Snapshot is the state after an entry.
+	// Snapshot is the state after the entry at its AppliedIndex.
 	Snapshot = statemachine.Snapshot
 	// Value is a byte array, an integer or a boolean.
 	Value = statemachine.Value
-	// Condition must hold when its transaction is applied.
+	// Condition is a precondition on one key, checked when its transaction is applied.
 	Condition = statemachine.Condition
-	// Op is one change of one key, or of the membership.
+	// Op changes one key or the membership.
 	Op = statemachine.Op
-	// Txn is a transaction: conditions and operations.
+	// Txn is a transaction: if all its conditions hold, all its operations are applied.
 	Txn = statemachine.Txn
-	// ChangedKeys names keys that were changed.
+	// ChangedKeys lists the keys that were changed, or states that any key may have been.
 	ChangedKeys = statemachine.ChangedKeys
 )
 
@@ -45,13 +46,13 @@
 	MembershipVersionKey = statemachine.MembershipVersionKey
 )
 
-// Bytes makes a byte array value.
+// Bytes returns a byte array value.
 func Bytes(b []byte) Value { return statemachine.Bytes(b) }
 
-// Int makes an integer value.
+// Int returns an integer value.
 func Int(i int64) Value { return statemachine.Int(i) }
 
-// AppendedKey is the key that OpAppend makes at a log index for the transaction id.
+// AppendedKey returns the key that OpAppend creates at a log index for the transaction with an ID.
 func AppendedKey(prefix string, index uint64, id string) string {
 	return statemachine.AppendedKey(prefix, index, id)
 }
--- a/internal/paxos/catch_up.go
+++ b/internal/paxos/catch_up.go
@@ -6,43 +6,44 @@
 	"comethold/internal/paxos/entrylog"
 )
 
-// Catch-up, the paper's "teaching" (section 2.4): a replica that lacks committed entries
-// requests them from the leader; a candidate gets them with its acceptors' promises. The answer
-// is a log segment if the entries are still in the log and not larger than the state, else a
-// snapshot.
+// Catch-up, called "teaching" in section 2.4 of the paper: a replica that lacks committed entries
+// requests them from the leader; a candidate receives them with the promises of its acceptors. The
+// answer is a log segment if the entries are still in the log and not larger than the state,
+// otherwise a snapshot.
 //
-// The paper's third mode, a no-op proposed into a gap of the log, is done by the leader: it
-// fills gaps below the last adopted index (proposer.nextContent).
+// The paper's third mode proposes a no-op into a gap of the log. Here the leader does this for
+// gaps below the last adopted index (proposer.nextTxns).
 
 const (
-	// maxBackoffHeartbeats bounds the backoff, in heartbeat intervals, of repeated requests and
-	// of repeated large answers to a replica that has made no progress.
+	// maxBackoffHeartbeats is the maximum backoff, in heartbeat intervals, between repeated
+	// requests, and between repeated large answers to a replica that has made no progress.
 	maxBackoffHeartbeats = 16
-	// smallTransferBytes is the size up to which a log segment is sent without a backoff.
+	// smallTransferBytes is the maximum size of a log segment that is sent without a backoff.
 	smallTransferBytes = 4 << 10
-	// minSegmentEntries is how many entries are sent as a segment even if they are larger
-	// than the state.
+	// minSegmentEntries is the maximum number of entries that are sent as a segment even if they
+	// are larger than the state.
 	minSegmentEntries = 4
 )
 
 // catchUp owns the replica's own request for missing entries, and the backoff of its large
-// answers to others.
+// answers to other replicas.
 //
 // Invariant: a large answer to a replica that has made no progress since the last one is
-// repeated only after a backoff that doubles up to maxBackoffHeartbeats, since the first may
-// still be in transit; a replica that has made progress is answered at once.
+// repeated only after a backoff that doubles up to maxBackoffHeartbeats, since the previous
+// answer may still be in transit. A replica that has made progress is answered at once.
 type catchUp struct {
-	// Of the last request:
+	// The last request of this replica:
 	pending       bool
 	requestedAt   time.Duration
 	requestedFrom ReplicaID
 	backoff       time.Duration
 
-	// transfers has the last large answer to each replica.
+	// transfers holds the last large answer to each replica.
 	transfers map[ReplicaID]transfer
 }
 
-// transfer is a large answer to a replica: from which index on, and when it may be repeated.
+// transfer describes a large answer to a replica that had applied the entries up to index. The
+// answer may be repeated once backoff has passed since sentAt.
 type transfer struct {
 	index   uint64
 	sentAt  time.Duration
@@ -55,24 +56,24 @@
 	c.backoff = 0
 }
 
-// nextBackoff doubles a backoff up to the bound.
+// nextBackoff returns twice the backoff, limited to maxBackoffHeartbeats.
 func (r *Replica) nextBackoff(backoff time.Duration) time.Duration {
 	return min(2*backoff, maxBackoffHeartbeats*r.config.HeartbeatInterval)
 }
 
 // requestCatchUp asks the leader for the missing entries up to its commit index. A replica that
-// lacks no more than the pipeline may hold has probably lost a message, and asks with each
-// heartbeat; a replica that lacks more backs off, since the answer may be large and slow.
+// lacks at most Alpha entries has probably lost a message, and asks on each heartbeat. A replica
+// that lacks more backs off, since the answer may be large and slow.
 func (r *Replica) requestCatchUp(now time.Duration, leader ReplicaID, commitIndex uint64) {
 	request := &r.catchUp
 	interval := r.config.HeartbeatInterval
-	otherLeader := request.requestedFrom != leader
-	few := r.state.HasMembership() && commitIndex <= r.lastOpenIndex() && now-request.requestedAt >= interval/2
-	if request.pending && !otherLeader && !few && now-request.requestedAt < request.backoff {
+	leaderChanged := request.requestedFrom != leader
+	smallGapDue := r.state.HasMembership() && commitIndex <= r.lastOpenIndex() && now-request.requestedAt >= interval/2
+	if request.pending && !leaderChanged && !smallGapDue && now-request.requestedAt < request.backoff {
 		return
 	}
 	request.backoff = r.nextBackoff(request.backoff)
-	if request.backoff == 0 || few || otherLeader {
+	if request.backoff == 0 || smallGapDue || leaderChanged {
 		request.backoff = interval
 	}
 	request.pending = true
@@ -104,8 +105,8 @@
 	}
 }
 
-// beginTransfer reports whether a replica that has applied up to an index may be sent a large
-// answer now, and if so records that one is sent.
+// beginTransfer reports whether a large answer may be sent now to a replica that has applied the
+// entries up to index. If so, it records that one is sent.
 func (r *Replica) beginTransfer(now time.Duration, to ReplicaID, index uint64) bool {
 	last, ok := r.catchUp.transfers[to]
 	backoff := r.config.HeartbeatInterval
@@ -119,7 +120,8 @@
 	return true
 }
 
-// handleCatchUpResponse applies what was missing and lets the next request go out at once.
+// handleCatchUpResponse applies the missing entries or the snapshot, and allows the next request
+// at once.
 func (r *Replica) handleCatchUpResponse(now time.Duration, msg Message) {
 	before := r.appliedIndex
 	r.learn(now, msg)
--- a/internal/paxos/election.go
+++ b/internal/paxos/election.go
@@ -3,18 +3,19 @@
 import "time"
 
 // Elections: the transitions between roles. A follower whose election deadline passes persists
-// a term, campaigns under it (phase 1 of Paxos) and leads when a majority has promised.
+// a term, campaigns under it (phase 1 of Paxos) and becomes leader when a majority has promised.
 //
-// Invariant: no two campaigns have the same proposal number, even across restarts of a process
-// on one disk: the term is synced before the first Prepare that carries it is sent.
+// Invariant: no two campaigns have the same proposal number, even across restarts on the same
+// disk, since the term is synced before the first Prepare that carries it is sent.
 
-// resetElectionDeadline sets the deadline to one to two election timeouts from now.
+// resetElectionDeadline sets the deadline to a random time one to two election timeouts from now.
 func (r *Replica) resetElectionDeadline(now time.Duration) {
 	timeout := r.config.ElectionTimeout
 	r.electionDeadline = now + timeout + time.Duration(r.config.Jitter()*float64(timeout))
 }
 
-// becomeFollower ends any campaign or leadership; the outcome of queued transactions is unknown.
+// becomeFollower ends any campaign or leadership, and reports the outcome of queued transactions as
+// unknown.
 func (r *Replica) becomeFollower(now time.Duration) {
 	if r.role == Leader {
 		for _, txn := range r.proposer.queue {
@@ -34,8 +35,8 @@
 	r.becomeFollower(now)
 }
 
-// startElection handles a passed election deadline. endedLeadership is used for one campaign
-// only: if it was wrong, the replica must be able to follow that leader again.
+// startElection runs when the election deadline has passed. endedLeadership is used for one
+// campaign only: if it is wrong, the replica must be able to follow that leader again.
 func (r *Replica) startElection(now time.Duration) {
 	r.contact.leader = ""
 	if r.role == Candidate || !r.IsVoter() {
@@ -48,8 +49,8 @@
 	}
 }
 
-// persistTerm writes the term of the next campaign, which is synced before any message carries
-// it: a later incarnation, which knows only what is on disk, must not use the term again.
+// persistTerm writes the term of the next campaign. The term is synced before any message carries
+// it, since the replica knows after a restart only what is on disk and must not reuse the term.
 func (r *Replica) persistTerm(now time.Duration) {
 	r.role = PersistingTerm
 	r.roleSince = now
@@ -60,14 +61,15 @@
 	r.sendAfterSync(Message{Kind: TermPersisted, To: r.config.Self, ProposalNumber: r.proposer.number})
 }
 
-// handleTermPersisted starts the campaign, unless the replica follows another leader by now.
+// handleTermPersisted starts the campaign, unless the replica follows a leader or uses a newer term
+// by now.
 func (r *Replica) handleTermPersisted(now time.Duration, msg Message) {
 	if r.role == PersistingTerm && msg.ProposalNumber == r.proposer.number {
 		r.campaign(now)
 	}
 }
 
-// campaign is phase 1a: it asks the voters of all open indexes for promises.
+// campaign runs phase 1a: it asks the voters of all open indexes for promises.
 func (r *Replica) campaign(now time.Duration) {
 	r.role = Candidate
 	r.roleSince = now
@@ -79,7 +81,7 @@
 	r.tryBecomeLeader(now)
 }
 
-// lastOpenIndex is the last index that may be proposed at the current appliedIndex.
+// lastOpenIndex returns the last index that may be proposed at the current appliedIndex.
 func (r *Replica) lastOpenIndex() uint64 { return r.appliedIndex + r.config.Alpha }
 
 // sendPrepares asks the voters of an index for a promise, except the replica itself and those
@@ -102,8 +104,8 @@
 }
 
 // tryBecomeLeader makes the replica leader once a majority of the voters of each open index has
-// promised. The replica asks itself last: while others are still in contact with a leader, it
-// remains free to follow that leader.
+// promised. The replica makes its own promise last: until then it can still follow the current
+// leader if the other voters reject the campaign because they are in contact with that leader.
 func (r *Replica) tryBecomeLeader(now time.Duration) {
 	if !r.ensurePromises(r.hasPromisedOrIsSelf) {
 		return
@@ -117,7 +119,8 @@
 	}
 }
 
-// hasPromisedOrIsSelf counts the replica's own promise before it is asked for.
+// hasPromisedOrIsSelf reports whether a replica has promised. It counts this replica's own promise
+// as given before it is made.
 func (r *Replica) hasPromisedOrIsSelf(id ReplicaID) bool {
 	return r.proposer.hasPromised(id) || id == r.config.Self
 }
@@ -134,11 +137,12 @@
 	return true
 }
 
-// becomeLeader starts to propose. A promise counts as contact with its acceptor.
+// becomeLeader makes the replica leader, proposes the first entries and sends a heartbeat. A promise
+// counts as contact with its acceptor.
 func (r *Replica) becomeLeader(now time.Duration) {
 	for id, promised := range r.proposer.promises {
 		if promised {
-			r.followers.contactProvenAt[id] = r.roleSince // the Prepare was sent then
+			r.followers.ackedMessageSentAt[id] = r.roleSince // the Prepare was sent then
 		}
 	}
 	r.role = Leader
@@ -153,8 +157,8 @@
 	r.broadcastHeartbeat(now)
 }
 
-// handlePromise is the end of phase 1: it adopts, for each open index, the entry with the
-// highest proposal number that an acceptor reports.
+// handlePromise completes phase 1: it adopts, for each open index, the entry with the highest
+// proposal number that an acceptor reports.
 func (r *Replica) handlePromise(now time.Duration, msg Message) {
 	if !r.isProposing() || msg.ProposalNumber != r.proposer.number || r.proposer.promises[msg.From] {
 		if msg.Snapshot != nil {
@@ -179,13 +183,13 @@
 	r.fillPipeline(now)
 }
 
-// isProposing reports whether the replica has a campaign or a leadership under way.
+// isProposing reports whether the replica is a candidate or the leader.
 func (r *Replica) isProposing() bool { return r.role == Candidate || r.role == Leader }
 
-// handleReject records a newer term. A rejected leader may have been deposed, or a voter that
-// does not know that it was replaced may have campaigned. The leader steps down and campaigns
-// at once: replicas that know a newer leader reject that, and otherwise the cell need not wait
-// for an election timeout.
+// handleReject records a newer term. A leader is rejected if a newer leader has deposed it, or if a
+// voter that does not know that it was replaced has campaigned. The leader steps down and campaigns
+// at once. In the first case, replicas that know the newer leader reject the campaign. In the second
+// case, the cell gets a leader without waiting for an election timeout.
 func (r *Replica) handleReject(now time.Duration, msg Message) {
 	r.proposer.maxTerm = max(r.proposer.maxTerm, msg.ProposalNumber.Term)
 	if r.role == Leader && r.proposer.number.Less(msg.ProposalNumber) {
@@ -196,19 +200,19 @@
 	}
 }
 
-// ReportReplicaLost records that a replica's incarnation has ended. If it was the leader, this
-// replica campaigns without waiting for the election timeout, and its Prepare names the ended
-// leadership. Other replicas may do the same: of two concurrent campaigns the one with the higher
-// proposal number goes on. A wrong report is harmless: at worst it causes an unnecessary election.
+// ReportReplicaLost records that the replica with this ID is lost permanently. If it was the leader,
+// this replica campaigns without waiting for the election timeout, and its Prepare names the ended
+// leadership. Other replicas may do the same: of two concurrent campaigns, the one with the higher
+// proposal number continues. A wrong report is safe: at worst it causes an unnecessary election.
 func (r *Replica) ReportReplicaLost(now time.Duration, id ReplicaID) {
 	if r.contact.leader == id {
-		r.campaignSoon(now, r.campaignDelay())
+		r.scheduleCampaign(now, r.campaignDelay())
 	}
 }
 
 // ReportLeaderUnreachable records that this node is out of contact with the leader's node. This
 // replica campaigns without waiting for the rest of its election timeout. Unlike after
-// ReportReplicaLost, its Prepare doesn't say that the leadership has ended: replicas that are in
+// ReportReplicaLost, its Prepare does not name an ended leadership, so replicas that are in
 // contact with the leader reject it.
 func (r *Replica) ReportLeaderUnreachable(now time.Duration) {
 	if r.role == Follower && r.contact.leader != "" {
@@ -216,25 +220,25 @@
 	}
 }
 
-// campaignDelay is a short random time, so that replicas that learn of the loss of a leader
-// together don't campaign together.
+// campaignDelay returns a random delay of up to half a heartbeat interval, so that replicas that
+// learn of the loss of a leader at the same time do not campaign at the same time.
 func (r *Replica) campaignDelay() time.Duration {
 	return time.Duration(r.config.Jitter() * float64(r.config.HeartbeatInterval) / 2)
 }
 
-// campaignSoon lets a follower campaign after a delay, since the leadership that it follows has
-// ended.
-func (r *Replica) campaignSoon(now, delay time.Duration) {
+// scheduleCampaign records that the leadership that a follower follows has ended, and sets its
+// election deadline to at most delay from now.
+func (r *Replica) scheduleCampaign(now, delay time.Duration) {
 	if r.role == Follower && r.state.LatestMembership().Contains(r.config.Self) {
 		r.contact.endedLeadership = r.acceptor.promised
 		r.electionDeadline = min(r.electionDeadline, now+delay)
 	}
 }
 
-// handleLeadershipTransfer campaigns to replace a leader that has lost its vote.
+// handleLeadershipTransfer schedules a campaign to replace a leader that is no longer a voter.
 func (r *Replica) handleLeadershipTransfer(now time.Duration, msg Message) {
 	if r.contact.leader == msg.From && r.acceptor.promised == msg.ProposalNumber {
-		r.campaignSoon(now, 0)
+		r.scheduleCampaign(now, 0)
 	}
 }
 
--- a/internal/paxos/follower_contact.go
+++ b/internal/paxos/follower_contact.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// heartbeatHistory is for how many of its last heartbeats a leader knows when they were sent.
+// heartbeatHistory is the number of recent heartbeats whose send times a leader keeps.
 const heartbeatHistory = 64
 
-// followerContact owns what a leader knows of its followers: which heartbeats they answered,
-// and what their disks hold. From that follows which reads are linearizable.
+// followerContact owns a leader's information about its followers: the heartbeats that they
+// answered, and the commit index on their disks. The leader uses it to confirm linearizable reads.
 //
-// Invariant: contactProvenAt is a time at which a follower had not promised a newer proposal
-// number than the leader's, since it answered a message sent then. A read is confirmed once a
-// majority has answered a heartbeat that was sent after the read began: no other leader had
-// committed anything before it.
+// Invariant: at the time ackedMessageSentAt a follower had not promised a proposal number newer
+// than the leader's, since it answered a message that was sent then. A read is confirmed once a
+// majority has answered a heartbeat that was sent after the read began. This proves that no
+// leader with a newer proposal number had committed an entry before the read began.
 type followerContact struct {
-	// Heartbeats of all the leaderships of this incarnation, numbered from 1.
+	// Heartbeats of all leaderships since the replica started, numbered from 1:
 	heartbeatSequence uint64
 	heartbeatSentAt   time.Duration
-	heartbeatTimes    [heartbeatHistory]time.Duration // by sequence, modulo
-	firstHeartbeat    uint64                          // of the current leadership
-
-	// Of each follower:
-	ackedHeartbeats map[ReplicaID]uint64        // the newest sequence that it answered
-	ackReceivedAt   map[ReplicaID]time.Duration // when that answer arrived
-	contactProvenAt map[ReplicaID]time.Duration // when the message that it answered was sent
-	echoTimestamps  map[ReplicaID]uint64        // the newest of its timestamps
-	// durableCommitIndexes has the commit index on the follower's disk.
+	heartbeatTimes    [heartbeatHistory]time.Duration // send times, at sequence modulo heartbeatHistory
+	firstHeartbeat    uint64                          // sequence of the first in the current leadership
+
+	// Per follower:
+	ackedHeartbeats    map[ReplicaID]uint64        // newest sequence that it answered
+	ackReceivedAt      map[ReplicaID]time.Duration // when that answer arrived
+	ackedMessageSentAt map[ReplicaID]time.Duration // when the newest message that it answered was sent
+	echoTimestamps     map[ReplicaID]uint64        // newest of its timestamps
+	// durableCommitIndexes holds the commit index on the follower's disk.
 	durableCommitIndexes map[ReplicaID]uint64
 
-	// pendingReads has the tickets that wait for a heartbeat to be answered, by its sequence.
+	// pendingReads holds the tickets of unconfirmed reads, by the sequence of the heartbeat that
+	// confirms them.
 	pendingReads map[uint64][]uint64
 }
 
-// newFollowerContact returns what a replica knows at its start: nothing.
+// newFollowerContact returns the empty followerContact of a replica that has just started.
 func newFollowerContact() followerContact {
 	return followerContact{
 		ackedHeartbeats:      map[ReplicaID]uint64{},
 		ackReceivedAt:        map[ReplicaID]time.Duration{},
-		contactProvenAt:      map[ReplicaID]time.Duration{},
+		ackedMessageSentAt:   map[ReplicaID]time.Duration{},
 		echoTimestamps:       map[ReplicaID]uint64{},
 		durableCommitIndexes: map[ReplicaID]uint64{},
 		pendingReads:         map[uint64][]uint64{},
@@ -52,16 +53,17 @@
 	f.durableCommitIndexes[id] = max(f.durableCommitIndexes[id], commitIndex)
 }
 
-// DurableCommitIndex returns the commit index that a replica's disk is known to hold. Only the
-// leader's answer is up to date.
+// DurableCommitIndex returns the newest commit index that a replica has reported as durable. It is
+// up to date only on the leader.
 func (r *Replica) DurableCommitIndex(id ReplicaID) uint64 {
 	return r.followers.durableCommitIndexes[id]
 }
 
-// quorumContactAt is the newest time by which a majority had answered the leader.
+// quorumContactAt returns the newest time since which a majority has answered the leader.
 func (r *Replica) quorumContactAt() time.Duration { return r.quorumTime(r.followers.ackReceivedAt) }
 
-// quorumTime is the newest time that a majority of the voters has reached.
+// quorumTime returns the newest time that a majority of the voters has reached according to
+// reachedAt, or 0 if there are no voters.
 func (r *Replica) quorumTime(reachedAt map[ReplicaID]time.Duration) time.Duration {
 	var times []time.Duration
 	for _, voter := range r.nextMembership().Voters {
@@ -99,10 +101,11 @@
 	r.recordHeartbeatAck(r.config.Self, followers.heartbeatSequence, now)
 }
 
-// heartbeatRecipients lists the replicas that the leader keeps in contact with, each once.
+// heartbeatRecipients returns the current voters, the next ones and the learners without this
+// replica, each once.
 func (r *Replica) heartbeatRecipients() []ReplicaID {
 	next, latest := r.nextMembership().Voters, r.state.LatestMembership().Voters
-	recipients := make([]ReplicaID, 0, len(next)+len(latest)+len(r.learners)) // one allocation a commit
+	recipients := make([]ReplicaID, 0, len(next)+len(latest)+len(r.learners)) // one allocation per commit
 	add := func(id ReplicaID) {
 		if id != r.config.Self && !slices.Contains(recipients, id) {
 			recipients = append(recipients, id)
@@ -120,9 +123,9 @@
 	return recipients
 }
 
-// handleHeartbeatAck records contact with a follower. The first ack in a leadership is answered
-// by a heartbeat with its echo at once, so that the follower need not wait for the next one to
-// know that it is current.
+// handleHeartbeatAck records contact with a follower. The leader answers the first ack in a
+// leadership at once with a heartbeat that echoes its timestamp, so that the follower need not
+// wait for the next heartbeat to know that its state is current.
 func (r *Replica) handleHeartbeatAck(now time.Duration, msg Message) {
 	followers := &r.followers
 	if r.role != Leader || msg.ProposalNumber != r.proposer.number ||
@@ -140,8 +143,8 @@
 	}
 }
 
-// recordHeartbeatAck records that a replica has answered a heartbeat, and confirms the reads
-// that waited for it.
+// recordHeartbeatAck records that a replica has answered a heartbeat, and confirms the pending
+// reads whose heartbeat a majority has now answered.
 func (r *Replica) recordHeartbeatAck(id ReplicaID, sequence uint64, now time.Duration) {
 	followers := &r.followers
 	if sequence > followers.ackedHeartbeats[id] {
@@ -149,13 +152,14 @@
 		followers.ackReceivedAt[id] = now
 		if sequence+heartbeatHistory > followers.heartbeatSequence {
 			sentAt := followers.heartbeatTimes[sequence%heartbeatHistory]
-			followers.contactProvenAt[id] = max(followers.contactProvenAt[id], sentAt)
+			followers.ackedMessageSentAt[id] = max(followers.ackedMessageSentAt[id], sentAt)
 		}
 	}
 	r.confirmReads()
 }
 
-// confirmReads returns the tickets of reads whose heartbeat a majority has answered.
+// confirmReads adds the tickets of reads whose heartbeat a majority has answered to
+// Ready.ConfirmedReads.
 func (r *Replica) confirmReads() {
 	membership := r.nextMembership()
 	for sequence, tickets := range r.followers.pendingReads {
@@ -167,9 +171,10 @@
 	}
 }
 
-// Read starts a linearizable read: its ticket is in Ready.ConfirmedReads once a majority has
-// confirmed the leader, and the applied state may answer it then. It returns ErrNotLeader, or
-// ErrPipelineFull while the leader has not yet applied what earlier leaders committed.
+// Read starts a linearizable read. Once a majority has confirmed the leader, Ready.ConfirmedReads
+// contains the ticket, and the read may be answered from the applied state. Read returns
+// ErrNotLeader, or ErrPipelineFull while the leader has not yet applied all entries that earlier
+// leaders committed.
 func (r *Replica) Read(now time.Duration, ticket uint64) error {
 	if r.role != Leader {
 		return ErrNotLeader
--- a/internal/paxos/learner.go
+++ b/internal/paxos/learner.go
@@ -7,10 +7,12 @@
 //
 // Invariant: entries are applied in the order of the log, each once, and only if they are
 // known to be committed: either the leader's commit index covers them and they were accepted
-// under that leader's proposal number, or another replica sent them as committed. Nothing is
-// applied before the first membership is known; it is in no log entry, only in a snapshot.
+// under that leader's proposal number, or another replica sent them as committed. No entry is
+// applied before the first membership is known. Only a snapshot contains the first membership,
+// never a log entry.
 
-// maxLogBytes is the size from which the complete log is compacted, however few entries it has.
+// maxLogBytes is the log size at which the whole log is compacted, regardless of the number of
+// entries.
 const maxLogBytes = 1 << 20
 
 // storeEntry stores an entry in the log and queues its write.
@@ -19,8 +21,8 @@
 	r.ready.Writes.Entries = append(r.ready.Writes.Entries, entry)
 }
 
-// commitUpTo applies entries up to the leader's commit index, as far as the log holds them under
-// that leader's proposal number, and requests the rest.
+// commitUpTo applies entries up to the leader's commit index while the log holds them under that
+// leader's proposal number, and requests the rest.
 func (r *Replica) commitUpTo(now time.Duration, leader ProposalNumber, commitIndex uint64) {
 	for r.appliedIndex < commitIndex && r.state.HasMembership() {
 		entry := r.log.At(r.appliedIndex + 1)
@@ -37,7 +39,7 @@
 	r.requestCatchUp(now, leader.Proposer, commitIndex)
 }
 
-// learn applies committed content: a snapshot, and entries up to msg.CommitIndex.
+// learn applies a snapshot and the committed entries, which are those up to msg.CommitIndex.
 func (r *Replica) learn(now time.Duration, msg Message) {
 	if r.role == Leader && msg.CommitIndex > r.appliedIndex && !r.mayLearnAsLeader(msg) {
 		r.stepDown(now)
@@ -58,10 +60,10 @@
 	r.proposer.nextIndex = max(r.proposer.nextIndex, r.appliedIndex+1)
 }
 
-// mayLearnAsLeader reports whether a leader that learns committed entries may keep leading. An
+// mayLearnAsLeader reports whether a leader that learns committed entries may remain leader. An
 // entry committed under an older proposal number is the one that the leader adopted for that
-// index, so its own proposal there is the same. A newer proposal number shows that it has been
-// deposed; a snapshot does not show its proposal numbers, so the leader steps down too.
+// index, so its own proposal there is the same. A newer proposal number shows that the leader has
+// been deposed. A snapshot contains no proposal numbers, so the leader steps down in that case too.
 func (r *Replica) mayLearnAsLeader(msg Message) bool {
 	if msg.Snapshot != nil && msg.Snapshot.AppliedIndex > r.appliedIndex {
 		return false
@@ -75,7 +77,7 @@
 	return last >= msg.CommitIndex
 }
 
-// loadSnapshot replaces the state, and drops the entries that it includes.
+// loadSnapshot replaces the state with a snapshot, and drops the log entries that it includes.
 func (r *Replica) loadSnapshot(snapshot *Snapshot) {
 	r.state.Load(snapshot)
 	r.appliedIndex = snapshot.AppliedIndex
@@ -95,8 +97,8 @@
 	r.compact()
 }
 
-// compact replaces a long log by a snapshot of the newest state. Entries that are kept below the
-// snapshot only serve the catch-up of other replicas.
+// compact replaces a long log by a snapshot of the newest state. The entries that it retains below
+// the snapshot are used only for the catch-up of other replicas.
 func (r *Replica) compact() {
 	large := r.log.Bytes() >= maxLogBytes
 	if !large && r.appliedIndex-r.log.CompactedIndex() < 2*r.config.RetainedEntries {
--- a/internal/paxos/membership.go
+++ b/internal/paxos/membership.go
@@ -6,15 +6,16 @@
 // Invariant: a change is complete, and the removed voters are no longer needed, only when the
 // new membership is in effect and a majority of it has on disk everything committed before it.
 
-// nextMembership is the membership that votes on the index after the last applied.
+// nextMembership returns the membership that votes on the index after the last applied one.
 func (r *Replica) nextMembership() Membership { return r.state.MembershipAt(r.appliedIndex + 1) }
 
-// IsVoter reports whether the replica votes on the index after the last applied.
+// IsVoter reports whether the replica votes on the index after the last applied one.
 func (r *Replica) IsVoter() bool { return r.nextMembership().Contains(r.config.Self) }
 
 // Voters returns the newest membership and whether the change to it is complete: it is in
 // effect, and a majority of it has on disk everything committed before it. Until then the
-// removed voters may be needed. The leader decides this and announces it in its heartbeats.
+// removed voters may still be needed. The leader determines this and announces it in its
+// heartbeats.
 func (r *Replica) Voters() (voters []Voter, complete bool) {
 	latest := r.state.LatestMembership()
 	if r.role == Leader {
@@ -25,11 +26,12 @@
 	return latest.Voters, r.contact.leader != "" && inEffect && announced
 }
 
-// SetLearners sets the replicas without a vote that this replica replicates to while it leads.
+// SetLearners sets the non-voting replicas that this replica replicates to while it is leader.
 func (r *Replica) SetLearners(ids []ReplicaID) { r.learners = ids }
 
-// completedMembershipIndex is the first index of the newest membership if the change to it is
-// complete, else 0. Only the leader can tell: it knows what the followers' disks hold.
+// completedMembershipIndex returns the first index of the newest membership if the change to it is
+// complete, otherwise 0. The result is valid only on the leader, which knows the commit indexes on
+// the followers' disks.
 func (r *Replica) completedMembershipIndex() uint64 {
 	latest := r.state.LatestMembership()
 	holdsAllBefore := func(id ReplicaID) bool {
@@ -41,9 +43,9 @@
 	return 0
 }
 
-// continueMembershipChange completes a membership change without other traffic: the leader
+// continueMembershipChange completes a membership change when there is no other traffic: the leader
 // proposes no-ops, one at a time, until the new membership is in effect and a majority of it
-// is known to hold everything committed before it.
+// is known to have on disk everything committed before it.
 func (r *Replica) continueMembershipChange() {
 	idle := len(r.proposer.queue) == 0 && r.proposer.nextIndex == r.appliedIndex+1
 	if r.role == Leader && idle && r.completedMembershipIndex() != r.state.LatestMembership().EffectiveFrom {
--- a/internal/paxos/proposer.go
+++ b/internal/paxos/proposer.go
@@ -9,30 +9,31 @@
 // proposer owns the current campaign or leadership, and the transactions that were proposed
 // under it.
 //
-// Invariant: under one proposal number there is at most one proposal for each index, made only
-// after a majority of the voters of that index has promised. If promises reported accepted
-// entries for the index, the proposal is the entry with the highest proposal number. New
+// Invariant: under one proposal number there is at most one proposal for each index, and it is made
+// only after a majority of the voters of that index has promised. If promises reported accepted
+// entries for the index, the proposal repeats the one with the highest proposal number. New
 // transactions are proposed only at indexes after all reported ones.
 type proposer struct {
 	number ProposalNumber
 	// maxTerm is the highest term that the replica knows of.
 	maxTerm uint64
-	// promises has an element for each replica that was asked for a promise; true once it promised.
+	// promises has an element for each replica that was asked for a promise. The value is true
+	// once the replica has promised.
 	promises map[ReplicaID]bool
 	// adopted holds the entries that promises reported for open indexes, to be proposed again.
 	adopted map[uint64]Entry
 	// inFlight holds the proposals after the applied index.
 	inFlight map[uint64]*inFlightProposal
-	// nextIndex is the first index of a leader without a proposal.
+	// nextIndex is the first index without a proposal by this leader.
 	nextIndex uint64
 
 	queue []Txn
-	// awaitingOutcome has the transactions whose Outcome the owner wants.
+	// awaitingOutcome holds the IDs of the transactions whose Outcome is to be reported.
 	awaitingOutcome map[string]bool
 }
 
-// inFlightProposal is a proposed entry that is not applied yet: it or an earlier one still
-// lacks a majority.
+// inFlightProposal is a proposed entry that is not applied yet, since it or an earlier one has not
+// been accepted by a majority.
 type inFlightProposal struct {
 	entry      Entry
 	acceptedBy map[ReplicaID]bool
@@ -40,19 +41,19 @@
 	sentAt     time.Duration
 }
 
-// newProposer returns the proposer of a follower.
+// newProposer returns the proposer of a replica that has neither a campaign nor a leadership.
 func newProposer(maxTerm uint64) proposer {
 	return proposer{maxTerm: maxTerm, awaitingOutcome: map[string]bool{}}
 }
 
-// start prepares for a campaign.
+// start initializes the data of a campaign.
 func (p *proposer) start() {
 	p.promises = map[ReplicaID]bool{}
 	p.adopted = map[uint64]Entry{}
 	p.inFlight = map[uint64]*inFlightProposal{}
 }
 
-// stop ends the campaign or leadership.
+// stop discards the data of the campaign or leadership.
 func (p *proposer) stop() {
 	p.queue = nil
 	p.promises = nil
@@ -63,8 +64,8 @@
 // hasPromised reports whether a replica has promised.
 func (p *proposer) hasPromised(id ReplicaID) bool { return p.promises[id] }
 
-// adopt keeps, of the entries that promises report for each index after appliedIndex, the
-// one with the highest proposal number.
+// adopt stores the entries that a promise reports after appliedIndex. For each index it keeps the
+// entry with the highest proposal number.
 func (p *proposer) adopt(entries []Entry, appliedIndex uint64) {
 	for _, entry := range entries {
 		if entry.Index <= appliedIndex {
@@ -77,7 +78,7 @@
 	}
 }
 
-// maxAdoptedIndex is the last index for which a promise reported an entry, or 0.
+// maxAdoptedIndex returns the last index with an adopted entry, or 0 if there is none.
 func (p *proposer) maxAdoptedIndex() uint64 {
 	last := uint64(0)
 	for index := range p.adopted {
@@ -92,9 +93,10 @@
 	delete(p.adopted, index)
 }
 
-// nextContent takes the transactions for nextIndex; ok is false if there is nothing to
-// propose. Up to the last adopted index a gap is filled with a no-op.
-func (p *proposer) nextContent(maxBatch int) (txns []Txn, ok bool) {
+// nextTxns returns the transactions to propose at nextIndex: those of the adopted entry, none (a
+// no-op) in a gap below the last adopted index, or up to maxBatch that it removes from the queue.
+// ok is false if there is nothing to propose.
+func (p *proposer) nextTxns(maxBatch int) (txns []Txn, ok bool) {
 	if entry, found := p.adopted[p.nextIndex]; found {
 		return entry.Txns, true
 	}
@@ -110,8 +112,8 @@
 	return txns, true
 }
 
-// Propose queues a transaction; a later Ready has its Outcome. If it returns ErrNotLeader or
-// ErrPipelineFull the transaction was not queued.
+// Propose queues a transaction; a later Ready contains its Outcome. If Propose returns ErrNotLeader
+// or ErrPipelineFull, the transaction was not queued.
 func (r *Replica) Propose(now time.Duration, txn Txn) error {
 	if r.role != Leader {
 		return ErrNotLeader
@@ -125,11 +127,12 @@
 	return nil
 }
 
-// ForgetOutcome keeps a transaction's Outcome from being reported.
+// ForgetOutcome cancels the report of a transaction's Outcome. The transaction itself is not
+// cancelled.
 func (r *Replica) ForgetOutcome(txnID string) { delete(r.proposer.awaitingOutcome, txnID) }
 
-// fillPipeline is phase 2a: it proposes while fewer than Alpha entries are in flight. The
-// voters of an index whose majority has not promised yet are asked first.
+// fillPipeline runs phase 2a: it proposes entries while fewer than Alpha are in flight. If a
+// majority of the voters of an index has not promised yet, it asks them for promises instead.
 func (r *Replica) fillPipeline(now time.Duration) {
 	if r.role != Leader {
 		return
@@ -145,7 +148,7 @@
 			r.sendPrepares(index)
 			return
 		}
-		txns, ok := r.proposer.nextContent(r.config.MaxBatch)
+		txns, ok := r.proposer.nextTxns(r.config.MaxBatch)
 		if !ok {
 			return
 		}
@@ -153,14 +156,14 @@
 	}
 }
 
-// propose puts an entry in flight at nextIndex.
+// propose proposes an entry at nextIndex.
 func (r *Replica) propose(now time.Duration, entry Entry, membership Membership) {
 	r.proposer.inFlight[entry.Index] = &inFlightProposal{entry: entry, acceptedBy: map[ReplicaID]bool{}, sentAt: now}
 	r.proposer.nextIndex++
 	r.sendAccepts(entry, membership, nil)
 }
 
-// sendAccepts sends an entry to those voters and learners that have not accepted it.
+// sendAccepts sends an entry to the voters and learners that have not accepted it.
 func (r *Replica) sendAccepts(entry Entry, membership Membership, acceptedBy map[ReplicaID]bool) {
 	msg := Message{
 		Kind: Accept, ProposalNumber: r.proposer.number,
@@ -180,8 +183,8 @@
 	}
 }
 
-// retransmit repeats Accepts that are unanswered for a heartbeat interval, and all unanswered
-// Prepares.
+// retransmit resends the Accepts of uncommitted entries after a heartbeat interval, and all
+// unanswered Prepares.
 func (r *Replica) retransmit(now time.Duration) {
 	for index := r.appliedIndex + 1; index < r.proposer.nextIndex; index++ {
 		proposal := r.proposer.inFlight[index]
@@ -197,7 +200,8 @@
 	}
 }
 
-// tickLeader steps down without contact to a majority, and keeps the cell going otherwise.
+// tickLeader steps down after an election timeout without contact to a majority. Otherwise it
+// retransmits, proposes entries and sends a heartbeat once per heartbeat interval.
 func (r *Replica) tickLeader(now time.Duration) {
 	if now-r.quorumContactAt() > r.config.ElectionTimeout {
 		r.stepDown(now)
@@ -211,8 +215,8 @@
 	}
 }
 
-// handleAccepted is the end of phase 2: an entry is committed once a majority of the voters
-// of its index has accepted it, and applied once all before it are.
+// handleAccepted completes phase 2: an entry is committed once a majority of the voters of its
+// index has accepted it, and applied once all entries before it are applied.
 func (r *Replica) handleAccepted(now time.Duration, msg Message) {
 	if r.role != Leader || msg.ProposalNumber != r.proposer.number {
 		return
@@ -240,8 +244,8 @@
 	}
 }
 
-// applyCommitted applies the entries in flight that are committed with all before them, and
-// reports whether there were any.
+// applyCommitted applies the entries in flight that follow the applied index without a gap and are
+// committed. It reports whether there were any.
 func (r *Replica) applyCommitted() bool {
 	before := r.appliedIndex
 	for {
@@ -251,18 +255,18 @@
 		}
 		entry := proposal.entry
 		r.proposer.drop(entry.Index)
-		own := r.log.At(entry.Index)
-		if own == nil || own.ProposalNumber != entry.ProposalNumber {
+		logged := r.log.At(entry.Index)
+		if logged == nil || logged.ProposalNumber != entry.ProposalNumber {
 			r.storeEntry(entry)
 		}
 		r.applyNext()
 	}
 }
 
-// isCaughtUp reports whether a leader has applied everything that earlier leaders committed.
-// That is the case once all adopted entries are applied and a majority of the voters of the
-// next index has promised: then no later entry was committed. After a membership change this
-// may be another majority than the one that elected the leader.
+// isCaughtUp reports whether a leader has applied all entries that earlier leaders committed.
+// This is the case once all adopted entries are applied and a majority of the voters of the next
+// index has promised, since an earlier leader can then have committed no further entry. After a
+// membership change, this majority may differ from the one that elected the leader.
 func (r *Replica) isCaughtUp() bool {
 	return r.appliedIndex >= r.proposer.maxAdoptedIndex() && r.nextMembership().IsQuorum(r.proposer.hasPromised)
 }
--- a/internal/paxos/ready.go
+++ b/internal/paxos/ready.go
@@ -1,36 +1,37 @@
 package paxos
 
-// Ready is the I/O that a replica asks of its owner. MessagesAfterSync must wait until these
-// Writes and all earlier ones are synced, since the recipients rely on what the messages
-// report as durable. Messages may be sent at once.
+// Ready holds the I/O that the owner of a replica must perform, and results for the owner. Messages
+// may be sent at once. MessagesAfterSync must wait until these Writes and all earlier ones are
+// synced, since the messages report state as durable and the recipients rely on that.
 type Ready struct {
 	Writes            Writes
 	Messages          []Message
 	MessagesAfterSync []Message
-	// Outcomes of transactions that were proposed here.
+	// Outcomes holds the outcomes of transactions that were proposed on this replica.
 	Outcomes []Outcome
-	// ConfirmedReads are the tickets of reads that the state may answer now.
+	// ConfirmedReads holds the tickets of reads that may now be answered from the applied state.
 	ConfirmedReads []uint64
 	// StateChanged is set if entries or a snapshot were applied.
 	StateChanged bool
 	ChangedKeys  ChangedKeys
 }
 
-// Writes must be synced before the MessagesAfterSync of the same Ready are sent.
+// Writes holds the data to be written to disk. It must be synced before the MessagesAfterSync of
+// the same Ready are sent.
 type Writes struct {
 	// Promised is the newest promise, or nil if it is unchanged.
 	Promised *ProposalNumber
-	// Term is the term of this replica's next campaign, or 0 if unchanged. No later
-	// incarnation may use it.
+	// Term is the term of this replica's next campaign, or 0 if unchanged. The replica must not
+	// use it again after a restart.
 	Term uint64
 	// CommitIndex is the last log index that is known to be committed.
 	CommitIndex uint64
-	// Entries replace whatever the disk holds at their indexes.
+	// Entries replace the entries on disk at the same indexes.
 	Entries  []Entry
 	Snapshot *Snapshot
-	// TruncateTo is the last index whose entries the snapshot makes unnecessary.
+	// TruncateTo is the last index whose entry may be deleted because the snapshot includes it.
 	TruncateTo uint64
-	// PersistCommitIndex is set if CommitIndex must be written even if nothing else is.
+	// PersistCommitIndex is set if CommitIndex must be written even without other writes.
 	PersistCommitIndex bool
 }
 
@@ -39,7 +40,7 @@
 	return w.Promised == nil && w.Term == 0 && len(w.Entries) == 0 && w.Snapshot == nil && !w.PersistCommitIndex
 }
 
-// PersistedState is what a replica finds on its disk when it starts: the sum of all Writes.
+// PersistedState is the state on a replica's disk when it starts: the result of all synced Writes.
 type PersistedState struct {
 	Promised    ProposalNumber
 	Term        uint64
@@ -48,17 +49,17 @@
 	Snapshot    *Snapshot
 }
 
-// Outcome is the result of a transaction that was proposed here.
+// Outcome is the result of a transaction that was proposed on this replica.
 type Outcome struct {
 	TxnID string
 	// Committed is set if all conditions held and the operations were applied.
 	Committed bool
-	// Unknown means that this replica cannot tell whether the transaction is or will be applied.
+	// Unknown is set if this replica cannot determine whether the transaction is or will be applied.
 	Unknown bool
 }
 
-// Ready returns the I/O collected since the last call. The commit index that a message reports
-// as durable is capped at the one that these and earlier Writes put on disk.
+// Ready returns the I/O and results collected since the last call. The commit index that a message
+// reports as durable is limited to the one in these and earlier Writes.
 func (r *Replica) Ready() Ready {
 	ready := r.ready
 	ready.Writes.CommitIndex = r.appliedIndex
@@ -91,7 +92,7 @@
 }
 
 // reportOutcome reports a transaction's outcome to the owner, unless the transaction was
-// proposed elsewhere or the owner called ForgetOutcome.
+// proposed on another replica or the owner called ForgetOutcome.
 func (r *Replica) reportOutcome(outcome Outcome) {
 	if r.proposer.awaitingOutcome[outcome.TxnID] {
 		delete(r.proposer.awaitingOutcome, outcome.TxnID)
--- a/internal/paxos/replica.go
+++ b/internal/paxos/replica.go
@@ -10,55 +10,58 @@
 
 // Errors of Propose and Read.
 var (
-	// ErrNotLeader means that another replica leads, or none.
+	// ErrNotLeader means that another replica is the leader, or that there is no leader.
 	ErrNotLeader = errors.New("paxos: this replica is not the leader")
-	// ErrPipelineFull means that the caller should back off and try again.
-	ErrPipelineFull = errors.New("paxos: the pipeline is full")
+	// ErrPipelineFull means that the queue of transactions is full (Propose), or that the leader
+	// has not yet applied all entries that earlier leaders committed (Read). The caller should
+	// retry with a backoff.
+	ErrPipelineFull = errors.New("paxos: the transaction queue is full or the leader is still catching up")
 )
 
-// Role is the part that a replica plays in the election of a leader.
+// Role is the state of a replica in the election of a leader.
 type Role uint8
 
 // The roles of a replica.
 const (
-	// Follower accepts what the leader proposes.
+	// Follower accepts the proposals of the leader.
 	Follower Role = iota
 	// PersistingTerm waits until the term of its next campaign is on its disk.
 	PersistingTerm
-	// Candidate asks for promises.
+	// Candidate has asked for promises and waits for a majority of them.
 	Candidate
 	// Leader is the distinguished proposer.
 	Leader
 )
 
-// String returns the role as log lines show it.
+// String returns the role as it appears in log lines.
 func (role Role) String() string {
 	return [...]string{"follower", "persisting term", "candidate", "leader"}[role]
 }
 
-// Config is constant while a replica runs.
+// Config holds the settings of a replica. They do not change while it runs.
 type Config struct {
 	Cell string
 	Self ReplicaID
-	// Alpha is how many entries may be in flight, and after how many indexes a membership
-	// change takes effect; all replicas of a cell must have the same.
+	// Alpha is the maximum number of entries in flight, and the number of indexes after which a
+	// committed membership change takes effect. It must be the same on all replicas of a cell.
 	Alpha uint64
-	// MaxQueue is how many transactions may wait for the pipeline; Propose rejects more.
+	// MaxQueue is the maximum number of queued transactions; Propose rejects more.
 	MaxQueue int
-	// MaxBatch is how many transactions one entry may hold.
+	// MaxBatch is the maximum number of transactions in one entry.
 	MaxBatch int
-	// RetainedEntries is how many applied entries are kept for catch-up by log segment.
+	// RetainedEntries is the number of applied entries that are retained for catch-up by log
+	// segment.
 	RetainedEntries uint64
 	// HeartbeatInterval is the time between heartbeats, and before a retransmission.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is how long a leader may be without contact to a majority before it steps
-	// down. A follower campaigns after one to two times this time without its leader.
+	// ElectionTimeout is the maximum time that a leader remains leader without contact to a
+	// majority. A follower campaigns after one to two election timeouts without its leader.
 	ElectionTimeout time.Duration
 	// Jitter returns a random number in [0,1).
 	Jitter func() float64
 }
 
-// Replica is one voter or learner of one cell. It owns the roles and their transitions, and
+// Replica is one voter or learner of one cell. It owns its role and the role's transitions, and
 // dispatches each message to its handler.
 //
 // Invariant: a replica is deterministic. The same PersistedState, calls and Jitter give the
@@ -66,7 +69,7 @@
 // messages is part of that: no code here sends messages while it ranges over an unsorted map.
 type Replica struct {
 	config   Config
-	learners []ReplicaID // the leader replicates to them as to the voters
+	learners []ReplicaID // a leader replicates to them as well as to the voters
 
 	role             Role
 	roleSince        time.Duration
@@ -74,23 +77,22 @@
 
 	acceptor  acceptor
 	proposer  proposer        // the current campaign or leadership
-	contact   leaderContact   // as a follower
-	followers followerContact // as the leader
+	contact   leaderContact   // used as a follower
+	followers followerContact // used as the leader
 	catchUp   catchUp
 
 	log   entrylog.Log
 	state statemachine.State
 	// appliedIndex is the last log index that state includes; all entries up to it are committed.
 	appliedIndex uint64
-	// durableCommitIndex is the commit index that a restart finds on disk once all Writes are
-	// synced.
+	// durableCommitIndex is the commit index that is on disk once all Writes are synced.
 	durableCommitIndex uint64
 
 	ready Ready
 }
 
-// NewReplica makes a replica from what its disk holds. A voter of a new cell starts with a
-// snapshot at index 0 that holds the first membership.
+// NewReplica returns a replica that starts from its persisted state. A voter of a new cell starts
+// with a snapshot at index 0 that contains the first membership.
 func NewReplica(config Config, persisted PersistedState, now time.Duration) *Replica {
 	r := &Replica{
 		config:    config,
@@ -113,8 +115,9 @@
 	}
 	r.durableCommitIndex = r.appliedIndex
 	r.becomeFollower(now)
-	// After a start there may be no leader, so campaign soon. If there is one, the replicas in
-	// contact with it reject the campaign, and this replica has promised nothing yet.
+	// There may be no leader after a start, so campaign soon. If there is a leader, the replicas in
+	// contact with it reject the campaign. The campaign does not prevent this replica from following
+	// that leader, since a candidate makes its own promise last.
 	r.electionDeadline = now + time.Duration((0.2+config.Jitter())*float64(config.ElectionTimeout)/3)
 	return r
 }
@@ -122,7 +125,7 @@
 // Role returns the replica's role in the election.
 func (r *Replica) Role() Role { return r.role }
 
-// Leader returns the leader that the replica knows of, or "".
+// Leader returns the ID of the leader, or "" if the replica does not know one.
 func (r *Replica) Leader() ReplicaID { return r.contact.leader }
 
 // AppliedIndex returns the last log index that the state includes.
@@ -134,18 +137,20 @@
 // Keys returns the keys of the applied state in order.
 func (r *Replica) Keys() []string { return r.state.Keys() }
 
-// KeysWithPrefix returns, in order, the keys with a prefix that are not before from.
+// KeysWithPrefix returns, in order, the keys with a prefix that are equal to or after from.
 func (r *Replica) KeysWithPrefix(prefix, from string) []string {
 	return r.state.KeysWithPrefix(prefix, from)
 }
 
-// Tick passes the current time. Its owner calls it several times per HeartbeatInterval.
+// Tick passes the current time to the replica. The owner calls it several times per
+// HeartbeatInterval.
 func (r *Replica) Tick(now time.Duration) {
 	switch r.role {
 	case Leader:
 		r.tickLeader(now)
 	case PersistingTerm:
-		// The disk is slow or hangs, so the knowledge that a leadership has ended is too old.
+		// A slow or hanging disk has delayed the campaign so long that the information about the
+		// ended leadership is too old to use.
 		if now-r.roleSince > r.config.ElectionTimeout {
 			r.contact.endedLeadership = ProposalNumber{}
 		}
