--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -45,7 +45,7 @@
 	e.POST(replicahost.PathPropose, handleBoundedRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
 		return s.host.ProposeLocal(ctx, request.Cell, request.Txn)
 	}))
-	e.POST(replicahost.PathConfirm, handleBoundedRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
+	e.POST(replicahost.PathReadIndex, handleBoundedRPC(func(ctx context.Context, request *replicahost.ProposeRequest) any {
 		return s.host.ReadIndexLocal(ctx, request.Cell)
 	}))
 	e.POST(placement.PathMove, handleBoundedRPC(func(ctx context.Context, request *placement.MoveRequest) any {
--- a/internal/controlplane/placement/formation.go
+++ b/internal/controlplane/placement/formation.go
@@ -44,7 +44,7 @@
 		return cell.Age < greetingPeriod ||
 			cell.StableFor < quietPeriod ||
 			liveWithoutVote > 0 && cell.Age < formationTimeout
-	case len(cell.Voters) == voters && !cell.MembershipInEffect:
+	case len(cell.Voters) == voters && !cell.MembershipChangeComplete:
 		// The last voter may not hold the state yet.
 		return cell.Age < formationTimeout || cell.SinceVoterAdded < formationTimeout
 	}
--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -38,11 +38,11 @@
 		{"there are more voters than it takes", all + 1, false, 0, 0, 0, 1, false},
 	} {
 		cell := replicahost.Stability{
-			Voters:             make([]paxos.Voter, c.voters),
-			MembershipInEffect: c.inEffect,
-			Age:                c.age,
-			StableFor:          c.sinceDisturbed,
-			SinceVoterAdded:    c.sinceVoterAdded,
+			Voters:                   make([]paxos.Voter, c.voters),
+			MembershipChangeComplete: c.inEffect,
+			Age:                      c.age,
+			StableFor:                c.sinceDisturbed,
+			SinceVoterAdded:          c.sinceVoterAdded,
 		}
 		if got := isForming(cell, c.liveWithoutVote, all); got != c.isForming {
 			t.Errorf("%s: %v", c.name, got)
--- a/internal/controlplane/replicahost/identity.go
+++ b/internal/controlplane/replicahost/identity.go
@@ -20,13 +20,13 @@
 	Bootstrap(key string, value []byte, cell string, writes paxos.Writes) error
 }
 
-// NewNode describes the start of a node whose disk holds no identity.
-type NewNode struct {
+// IdentityOptions describes the start of a node whose disk holds no identity.
+type IdentityOptions struct {
 	Address    string // IP address
 	FirstStart bool   // of the system as a whole
-	// SetAside says that a damaged file was put aside: its replica may have voted.
-	SetAside      bool
-	InitialVoters []paxos.Voter // the first voters of the meta cell
+	// HasCorruptFile says that a corrupt file was renamed. The replica stored in it may have voted.
+	HasCorruptFile bool
+	InitialVoters  []paxos.Voter // the first voters of the meta cell
 }
 
 // LoadOrCreateIdentity returns the replica ID of this incarnation of the disk. At the disk's
@@ -34,21 +34,21 @@
 // initial membership names, is used as the ID only at the first start of the system, and only
 // if no damaged file was put aside: that ID may have voted. The initial snapshot of the meta
 // cell is synced together with the ID, so a crash can't separate the two.
-func LoadOrCreateIdentity(disk IdentityStorage, node NewNode) (id paxos.ReplicaID, isNew bool, err error) {
+func LoadOrCreateIdentity(disk IdentityStorage, options IdentityOptions) (id paxos.ReplicaID, isNew bool, err error) {
 	if stored := disk.NodeValue(IdentityKey); len(stored) > 0 {
 		return paxos.ReplicaID(stored), false, nil
 	}
-	id = paxos.ReplicaID(node.Address)
-	if !node.FirstStart || node.SetAside {
+	id = paxos.ReplicaID(options.Address)
+	if !options.FirstStart || options.HasCorruptFile {
 		var suffix [6]byte
 		if _, err := rand.Read(suffix[:]); err != nil {
 			return "", false, fmt.Errorf("replicahost: no random replica ID: %w", err)
 		}
-		id = paxos.ReplicaID(node.Address + "~" + hex.EncodeToString(suffix[:]))
+		id = paxos.ReplicaID(options.Address + "~" + hex.EncodeToString(suffix[:]))
 	}
 	var writes paxos.Writes
-	if (paxos.Membership{Voters: node.InitialVoters}).Contains(id) {
-		writes.Snapshot = initialSnapshot(node.InitialVoters)
+	if (paxos.Membership{Voters: options.InitialVoters}).Contains(id) {
+		writes.Snapshot = initialSnapshot(options.InitialVoters)
 	}
 	return id, true, disk.Bootstrap(IdentityKey, []byte(id), schema.MetaCell, writes)
 }
--- a/internal/controlplane/replicahost/identity_test.go
+++ b/internal/controlplane/replicahost/identity_test.go
@@ -20,11 +20,11 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = v.Close() }()
-		id, _, err := LoadOrCreateIdentity(v, NewNode{
-			Address:       "a",
-			FirstStart:    first,
-			SetAside:      storage.HasCorruptFile(dir),
-			InitialVoters: founders,
+		id, _, err := LoadOrCreateIdentity(v, IdentityOptions{
+			Address:        "a",
+			FirstStart:     first,
+			HasCorruptFile: storage.HasCorruptFile(dir),
+			InitialVoters:  founders,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -13,8 +13,8 @@
 
 // Paths of the calls to the leader of a cell that this package makes.
 const (
-	PathPropose = "/propose"
-	PathConfirm = "/confirm"
+	PathPropose   = "/propose"
+	PathReadIndex = "/confirm"
 )
 
 // Backoff of calls for which there is no leader, or which it rejects as busy.
--- a/internal/controlplane/replicahost/propose_test.go
+++ b/internal/controlplane/replicahost/propose_test.go
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(time.Minute)
 		cell, found := host.Stability()
-		if !found || len(cell.Voters) != 1 || !cell.MembershipInEffect {
+		if !found || len(cell.Voters) != 1 || !cell.MembershipChangeComplete {
 			t.Errorf("found %v, %+v", found, cell)
 		}
 		if cell.StableFor < time.Minute || cell.StableFor > cell.Age {
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -29,7 +29,7 @@
 func (h *Host) readIndex(ctx context.Context, cell string) (uint64, error) {
 	call := LeaderCall{
 		Cell:    cell,
-		Path:    PathConfirm,
+		Path:    PathReadIndex,
 		Request: &ProposeRequest{Cell: cell},
 		Local:   func(ctx context.Context) ProposeResult { return h.ReadIndexLocal(ctx, cell) },
 	}
--- a/internal/controlplane/replicahost/view.go
+++ b/internal/controlplane/replicahost/view.go
@@ -137,8 +137,9 @@
 // Stability describes how long the meta cell has been stable, as far as this node knows.
 type Stability struct {
 	Voters []paxos.Voter
-	// MembershipInEffect says that the newest membership is in effect.
-	MembershipInEffect bool
+	// MembershipChangeComplete says that the change to the newest membership is complete; see
+	// paxos.Replica.Voters.
+	MembershipChangeComplete bool
 	// Age is the time since the replica was opened here.
 	Age time.Duration
 	// StableFor is the time since the leader or the voters changed, a node joined or
@@ -154,7 +155,7 @@
 	found = h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		now := h.now()
 		h.observeStability(now)
-		s.Voters, s.MembershipInEffect = replica.Voters()
+		s.Voters, s.MembershipChangeComplete = replica.Voters()
 		s.Age = now - h.replicas[schema.MetaCell].openedAt
 		s.StableFor = now - h.stability.unstableAt
 		s.SinceVoterAdded = now - h.stability.voterAddedAt
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -154,11 +154,11 @@
 // identify loads or creates this node's replica ID and returns its PeerInfo.
 func (s *Server) identify(store *storage.Store, initialVoters []paxos.Voter) (self replicahost.PeerInfo, err error) {
 	set := s.settings
-	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
-		Address:       set.IPAddress,
-		FirstStart:    set.FirstStart,
-		SetAside:      storage.HasCorruptFile(set.DataDirectory),
-		InitialVoters: initialVoters,
+	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.IdentityOptions{
+		Address:        set.IPAddress,
+		FirstStart:     set.FirstStart,
+		HasCorruptFile: storage.HasCorruptFile(set.DataDirectory),
+		InitialVoters:  initialVoters,
 	})
 	if err != nil {
 		return self, err
