--- a/internal/controlplane/replicahost/eventloop.go
+++ b/internal/controlplane/replicahost/eventloop.go
@@ -55,8 +55,8 @@
 }
 
 // do queues a task and waits until it has run. If the loop is stopped, the task has either
-// completed when do returns or never runs, so the caller may read what the task sets without
-// a lock.
+// completed when do returns or never runs, so the caller may read variables that the task
+// sets without a lock.
 func (l *eventLoop) do(task func()) {
 	var claimed atomic.Bool
 	done := make(chan struct{})
@@ -70,7 +70,7 @@
 	case <-done:
 	case <-l.quit:
 		if !claimed.CompareAndSwap(false, true) {
-			<-done // it is running
+			<-done // the task is running; wait for its end
 		}
 	}
 }
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -1,20 +1,21 @@
 // Package replicahost runs this node's replicas of the cells, the Paxos groups that hold
 // the state of the control plane.
 //
-// A Host owns the replicas. They do no I/O themselves and need no locks: all of them belong
-// to the goroutine of Host.Run, the event loop. The host feeds them with ticks and with
-// messages of the peers, performs their writes and sends, and returns the outcomes of
-// proposals and reads to their callers.
+// A Host owns the replicas. Replicas do no I/O and need no locks: only the goroutine of
+// Host.Run, the event loop, accesses them. The host passes ticks and messages from peers to
+// the replicas, executes their writes and sends, and returns the outcomes of proposals and
+// reads to the callers.
 //
 //	host := replicahost.New(replicahost.Options{Self: self, Storage: store, ...})
 //	host.Open(schema.MetaCell, initialVoters)
 //	go host.Run()
-//	committed, err := host.Propose(ctx, schema.MetaCell, txn) // here or at the leader
+//	committed, err := host.Propose(ctx, schema.MetaCell, txn) // locally or by RPC to the leader
 //	err = host.WaitLinearizable(ctx, schema.MetaCell)         // before a read that must be current
 //	host.View(schema.MetaCell, func(replica *paxos.Replica) { ... })
 //
-// Propose and WaitLinearizable reach the leader of a cell wherever it is, and retry while
-// there is none. View and Get look at the state as it is applied here, which may lag.
+// Propose and WaitLinearizable send a request to the leader of a cell, which may be on another
+// node, and retry while there is no leader. View and Get read the state applied on this node,
+// which may lag behind the leader.
 package replicahost
 
 import (
@@ -34,13 +35,13 @@
 
 // Errors of proposals and linearizable reads.
 var (
-	// ErrNoQuorum says that no leader answered in time. As far as this node can tell, a
-	// majority of the cell's voters is unreachable. Nothing was changed.
-	ErrNoQuorum = errors.New("replicahost: no leader of the cell answers")
-	// ErrBusy says that the leader's pipeline is full. Nothing was changed.
-	ErrBusy = errors.New("replicahost: the cell refuses more work")
-	// ErrOutcomeUnknown says that the change may or may not have been committed.
-	ErrOutcomeUnknown = errors.New("replicahost: the outcome of the change is not known")
+	// ErrNoQuorum is returned when no leader of the cell answered in time. As far as this node
+	// can tell, a majority of the cell's voters is unreachable. Nothing was changed.
+	ErrNoQuorum = errors.New("replicahost: no leader of the cell answered in time")
+	// ErrBusy is returned when the leader's pipeline is full. Nothing was changed.
+	ErrBusy = errors.New("replicahost: the cell is busy")
+	// ErrOutcomeUnknown is returned when the change may or may not have been committed.
+	ErrOutcomeUnknown = errors.New("replicahost: the outcome of the change is unknown")
 )
 
 // Timing of the replicas. The reasons for these values are in docs/design.md.
@@ -51,15 +52,16 @@
 	indexHeartbeatInterval = 500 * time.Millisecond
 	indexElectionTimeout   = 1800 * time.Millisecond
 	helloInterval          = 500 * time.Millisecond
-	// stallThreshold is the pause between two ticks from which this node counts as having
-	// been suspended: it received nothing meanwhile, so its peers' contact ages restart.
+	// stallThreshold is the pause between two ticks above which this node is considered to
+	// have been suspended. It received no messages during the pause, so the contact ages of
+	// its peers are counted from the end of the pause.
 	stallThreshold = time.Second
 )
 
 // Bounds of a replica's log and pipeline.
 const (
 	// Alpha is the number of log entries after which a membership change takes effect, and
-	// the number of entries that may be proposed at a time.
+	// the maximum number of entries in flight.
 	Alpha                   = 3
 	maxQueuedTransactions   = 24
 	maxTransactionsPerEntry = 8
@@ -68,10 +70,11 @@
 
 // Storage keeps the state of replicas on disk. *storage.Store implements it.
 type Storage interface {
-	// LoadReplica returns what is stored of a cell's replica, if anything.
+	// LoadReplica returns the stored state of a cell's replica; found is false if there is
+	// none.
 	LoadReplica(cell string) (state paxos.PersistedState, found bool, err error)
-	// Submit stores writes and calls synced once they are durable. It returns true, and
-	// doesn't call synced, if nothing had to be waited for.
+	// Submit stores writes and calls synced once they are durable. If the writes need no
+	// sync, it returns true and doesn't call synced.
 	Submit(cell string, writes paxos.Writes, synced func()) bool
 }
 
@@ -80,48 +83,52 @@
 type Hooks struct {
 	// OnApply is called on the event loop when the applied state of a cell has changed.
 	OnApply func(cell string, changed paxos.ChangedKeys)
-	// EndpointRevision is the revision of the endpoint list held here, for the peers.
+	// EndpointRevision returns the revision of this node's endpoint list. It is sent to the
+	// peers.
 	EndpointRevision func() distribution.Revision
-	// OnPeerEndpointRevision is called on the event loop with the revision that a peer holds.
+	// OnPeerEndpointRevision is called on the event loop with the revision of a peer's
+	// endpoint list.
 	OnPeerEndpointRevision func(address string, revision distribution.Revision)
-	// RegisteredAddresses lists the control nodes that are registered, down or not.
+	// RegisteredAddresses returns the addresses of the registered control nodes, including
+	// those that are down.
 	RegisteredAddresses func() []string
-	// ReadClocks returns the time of day and the agreed time or 0, in nanoseconds.
+	// ReadClocks returns the wall clock time and the time agreed with the peers, both in
+	// nanoseconds since 1970. The agreed time is 0 if it is not known.
 	ReadClocks func() (wall, agreed int64)
-	// OnPeerClocks is called on the event loop with the clocks of a peer.
+	// OnPeerClocks is called on the event loop with the values of a peer's ReadClocks.
 	OnPeerClocks func(address string, wall, agreed int64)
 }
 
-func (k Hooks) withDefaults() Hooks {
-	if k.OnApply == nil {
-		k.OnApply = func(string, paxos.ChangedKeys) {}
+func (h Hooks) withDefaults() Hooks {
+	if h.OnApply == nil {
+		h.OnApply = func(string, paxos.ChangedKeys) {}
 	}
-	if k.EndpointRevision == nil {
-		k.EndpointRevision = func() distribution.Revision { return distribution.Revision{} }
+	if h.EndpointRevision == nil {
+		h.EndpointRevision = func() distribution.Revision { return distribution.Revision{} }
 	}
-	if k.OnPeerEndpointRevision == nil {
-		k.OnPeerEndpointRevision = func(string, distribution.Revision) {}
+	if h.OnPeerEndpointRevision == nil {
+		h.OnPeerEndpointRevision = func(string, distribution.Revision) {}
 	}
-	if k.RegisteredAddresses == nil {
-		k.RegisteredAddresses = func() []string { return nil }
+	if h.RegisteredAddresses == nil {
+		h.RegisteredAddresses = func() []string { return nil }
 	}
-	if k.ReadClocks == nil {
-		k.ReadClocks = func() (int64, int64) { return 0, 0 }
+	if h.ReadClocks == nil {
+		h.ReadClocks = func() (int64, int64) { return 0, 0 }
 	}
-	if k.OnPeerClocks == nil {
-		k.OnPeerClocks = func(string, int64, int64) {}
+	if h.OnPeerClocks == nil {
+		h.OnPeerClocks = func(string, int64, int64) {}
 	}
-	return k
+	return h
 }
 
-// Options are what a Host is made from.
+// Options configures a Host.
 type Options struct {
 	Self    PeerInfo
-	Port    int      // on which control nodes listen for one another
+	Port    int      // on which control nodes listen for calls from other control nodes
 	Seeds   []string // addresses of control nodes to contact first
 	Storage Storage
 	Client  *rpc.Client // for small messages and calls
-	Network rpc.Network // for connections of the host's own, which carry large messages
+	Network rpc.Network // for the separate connections that carry large messages
 	Log     *logging.Logger
 	Hooks   Hooks
 }
@@ -140,10 +147,10 @@
 	transport *transport
 	peers     *peerTable
 
-	// The fields below belong to the event loop.
+	// The fields below are accessed only on the event loop.
 
 	replicas  map[string]*hostedReplica  // by cell
-	addresses map[paxos.ReplicaID]string // where replicas are
+	addresses map[paxos.ReplicaID]string // node addresses of replicas
 	seeds     []string
 	stability stability
 
@@ -156,14 +163,14 @@
 	resumedAt   time.Duration // when this node last resumed after a stall; see stallThreshold
 }
 
-// hostedReplica is a replica and the host's bookkeeping of it.
+// hostedReplica is a replica with the state that the host keeps about it.
 type hostedReplica struct {
 	replica  *paxos.Replica
 	role     paxos.Role // as last logged
 	openedAt time.Duration
 }
 
-// New makes a host without replicas. Run starts it.
+// New returns a host without replicas. Run starts its event loop.
 func New(options Options) *Host {
 	h := &Host{
 		Self:            options.Self,
@@ -185,25 +192,26 @@
 	return h
 }
 
-// Run is the event loop. It returns after Stop.
+// Run runs the event loop until Stop is called. It always returns nil.
 func (h *Host) Run() error {
 	h.loop.run(tickInterval, h.tick)
 	return nil
 }
 
-// Stop ends Run, and each sender after its current send.
+// Stop ends Run after the current task, and each sender goroutine after its current send.
 func (h *Host) Stop() {
 	h.loop.stop()
 	h.transport.stop()
 }
 
-// Wait waits, after Stop, until all senders have ended.
+// Wait blocks until all sender goroutines have ended. It must be called after Stop. Sends that
+// take longer than sendGrace are aborted.
 func (h *Host) Wait() { h.transport.wait() }
 
 // Enqueue queues a function for the event loop and returns without waiting for it to run.
 func (h *Host) Enqueue(task func()) { h.loop.enqueue(task) }
 
-// now is the time since the host was made. It is the only clock of the replicas.
+// now returns the time since the host was created. The replicas use no other clock.
 func (h *Host) now() time.Duration { return time.Since(h.start) }
 
 // SetSeeds replaces the addresses of control nodes to contact first.
@@ -216,20 +224,21 @@
 	return h.client.Call(ctx, net.JoinHostPort(address, strconv.Itoa(h.port)), path, request, response)
 }
 
-// Open starts this node's replica of a cell, unless it runs already. If the initial voters
-// include this node and nothing of the cell is stored, the replica starts as a voter of the
-// new cell. It must be called before Run or on the event loop.
+// Open starts this node's replica of a cell, unless it already runs. If the initial voters
+// include this node and no state of the cell is stored, the replica starts as a voter of the
+// new cell. A replica whose stored state cannot be read is not started. Open must be called
+// before Run or on the event loop.
 func (h *Host) Open(cell string, initialVoters []paxos.Voter) {
 	if h.replicas[cell] != nil {
 		return
 	}
 	saved, found, err := h.storage.LoadReplica(cell)
 	if err != nil {
-		// A replica that cannot be read must not vote, so it stays closed.
+		// A replica whose state cannot be read must not vote, so it is not opened.
 		h.log.Error(logging.ReplicaCorrupt).
 			Str("cell", cell).
 			Err(err).
-			Msg("the replica on this disk cannot be read; it stays closed")
+			Msg("the stored state of the replica cannot be read; replica not opened")
 		return
 	}
 	if !found && (paxos.Membership{Voters: initialVoters}).Contains(h.Self.ID) {
@@ -286,8 +295,8 @@
 	h.sendHellos(now)
 }
 
-// sendHellos sends a hello to all peers every helloInterval, or half as often from a voter
-// that knows the leader.
+// sendHellos sends a hello to all peers every helloInterval. A voter of the meta cell that
+// knows the leader sends them half as often.
 func (h *Host) sendHellos(now time.Duration) {
 	interval := helloInterval
 	if meta := h.Replica(schema.MetaCell); meta != nil && meta.IsVoter() && meta.Leader() != "" {
--- a/internal/controlplane/replicahost/host_test.go
+++ b/internal/controlplane/replicahost/host_test.go
@@ -9,39 +9,40 @@
 	"comethold/internal/logging"
 )
 
-// unreachable is a network without connections.
+// unreachable is a network whose dial function is nil, for hosts that never connect to a peer.
 func unreachable(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return nil
 }
 
-// TestDoRunsWholeOrNeverAtStop: as the node ends, what was asked of the loop has run whole or never will.
-func TestDoRunsWholeOrNeverAtStop(t *testing.T) {
+// TestDoWaitsForRunningTaskAtStop guards against Do returning while its function still runs, when
+// the event loop is stopped at that moment, and against a function that runs after the stop.
+func TestDoWaitsForRunningTaskAtStop(t *testing.T) {
 	h := New(Options{Network: unreachable, Log: logging.Nop()})
 	ended := make(chan error)
 	go func() { ended <- h.Run() }()
-	begun, goOn, back := make(chan struct{}), make(chan struct{}), make(chan bool)
+	started, resume, returned := make(chan struct{}), make(chan struct{}), make(chan bool)
 	go func() {
-		whole := false
+		completed := false
 		h.Do(func() {
-			close(begun)
-			<-goOn
-			whole = true
+			close(started)
+			<-resume
+			completed = true
 		})
-		back <- whole
+		returned <- completed
 	}()
-	<-begun
+	<-started
 	h.Stop()
 	select {
-	case <-back:
-		t.Fatal("it returned while the function ran")
+	case <-returned:
+		t.Fatal("Do returned while its function was running, want it to wait for the function")
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(goOn)
-	if !<-back {
-		t.Error("the function has not run whole")
+	close(resume)
+	if !<-returned {
+		t.Error("Do returned after Stop before its function had completed")
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	h.Do(func() { t.Error("it runs after the end") })
+	h.Do(func() { t.Error("Do ran a function after Run had returned, want it never to run") })
 }
--- a/internal/controlplane/replicahost/identity_test.go
+++ b/internal/controlplane/replicahost/identity_test.go
@@ -10,42 +10,43 @@
 	"comethold/internal/storage"
 )
 
-// TestFounderIdentity: the ID of a founder and its part of the first cell are on the disk
-// together, and an ID that may have voted before a file was put aside is not used again.
-func TestFounderIdentity(t *testing.T) {
-	founders := []paxos.Voter{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
-	start := func(dir string, first bool) (paxos.ReplicaID, bool) {
-		v, err := storage.Open(dir, storage.LocalDisk{}, func(error) {})
+// TestInitialVoterIdentity guards against an initial voter whose ID is stored without the initial
+// snapshot of the meta cell, and against the reuse of an ID that may have voted: after a corrupt
+// file is renamed, the node must get a new ID even at the first start of the system.
+func TestInitialVoterIdentity(t *testing.T) {
+	initialVoters := []paxos.Voter{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
+	start := func(dir string, firstStart bool) (paxos.ReplicaID, bool) {
+		store, err := storage.Open(dir, storage.LocalDisk{}, func(error) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = v.Close() }()
-		id, _, err := LoadOrCreateIdentity(v, IdentityOptions{
+		defer func() { _ = store.Close() }()
+		id, _, err := LoadOrCreateIdentity(store, IdentityOptions{
 			Address:        "a",
-			FirstStart:     first,
+			FirstStart:     firstStart,
 			HasCorruptFile: storage.HasCorruptFile(dir),
-			InitialVoters:  founders,
+			InitialVoters:  initialVoters,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, found, err := v.LoadReplica(schema.MetaCell)
-		if err != nil || !found || s.Snapshot == nil {
+		state, found, err := store.LoadReplica(schema.MetaCell)
+		if err != nil || !found || state.Snapshot == nil {
 			return id, false
 		}
-		return id, paxos.Membership{Voters: s.Snapshot.Memberships[0].Voters}.Contains(id)
+		return id, paxos.Membership{Voters: state.Snapshot.Memberships[0].Voters}.Contains(id)
 	}
 	dir := t.TempDir()
-	for _, first := range []bool{true, false} {
-		if id, voter := start(dir, first); id != "a" || !voter {
-			t.Errorf("first start %v: %s, voter %v", first, id, voter)
+	for _, firstStart := range []bool{true, false} {
+		if id, isVoter := start(dir, firstStart); id != "a" || !isVoter {
+			t.Errorf("start with FirstStart %v: got ID %q, stored as voter %v, want ID \"a\" and true", firstStart, id, isVoter)
 		}
 	}
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "vault.db"), []byte("no vault"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "vault.db"), []byte("not a database"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if id, voter := start(dir, true); id == "a" || voter {
-		t.Errorf("after damage: %s, voter %v", id, voter)
+	if id, isVoter := start(dir, true); id == "a" || isVoter {
+		t.Errorf("start with a corrupt file: got ID %q, stored as voter %v, want a new ID and false", id, isVoter)
 	}
 }
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -8,7 +8,7 @@
 	"comethold/internal/paxos"
 )
 
-// PeerInfo introduces a control node to the others.
+// PeerInfo identifies a control node to its peers.
 type PeerInfo struct {
 	ID   paxos.ReplicaID `cbor:"1,keyasint"`
 	Addr string          `cbor:"2,keyasint"` // IP address
@@ -18,14 +18,16 @@
 
 // Time-outs of peers, counted from the last message received from them.
 const (
-	// LearnerTimeout is after how long a peer without a vote is no longer kept up to date.
+	// LearnerTimeout is the time after which a peer without a vote is no longer a learner and
+	// receives no more updates.
 	LearnerTimeout = 10 * time.Second
-	// leaderTimeout is after how long the followers of a leader campaign. An index cell, with its
-	// rare heartbeats, would wait longer for some of its elections.
+	// leaderTimeout is the time after which the followers of a leader on a silent node campaign.
+	// Index cells have long heartbeat intervals and election timeouts; without this limit some
+	// of their elections would start later.
 	leaderTimeout = 2 * time.Second
-	// ReturnTimeout is after how long the next message of a peer counts as its return.
+	// ReturnTimeout is the time after which the next message of a peer counts as its return.
 	ReturnTimeout = 3 * time.Second
-	// DownTimeout is after how long a control node is registered as down.
+	// DownTimeout is the time after which a control node is registered as down.
 	DownTimeout = 5 * time.Second
 )
 
@@ -34,7 +36,7 @@
 type peerTable struct {
 	mu       sync.Mutex               // guards the fields below
 	peers    map[string]peerState     // by address
-	replaced map[paxos.ReplicaID]bool // replicas whose node has come back under another ID
+	replaced map[paxos.ReplicaID]bool // replicas whose node now uses another ID
 }
 
 type peerState struct {
@@ -49,14 +51,14 @@
 	}
 }
 
-// contact describes a message from a peer in relation to the ones before.
+// contact describes a message from a peer in relation to the previous messages of that peer.
 type contact struct {
 	isNew      bool            // the first message under this ID
 	replaced   paxos.ReplicaID // the former ID of the peer, or empty
-	contactAge time.Duration   // the time since the message before
+	contactAge time.Duration   // since the previous message, or since the creation of the host if there is none
 }
 
-// record records a message from a peer.
+// record stores the time of a message from a peer and compares it with the previous messages.
 func (t *peerTable) record(info PeerInfo, now time.Duration) contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,8 +116,8 @@
 	return t.replaced[id]
 }
 
-// LivePeers returns, by address, the control nodes that sent a message within a time, and
-// this node.
+// LivePeers returns, by address, this node and the control nodes that sent a message within the
+// given time.
 func (h *Host) LivePeers(within time.Duration) map[string]PeerInfo {
 	live := h.peers.contactsSince(h.now() - within)
 	if _, isListed := live[h.Self.Addr]; !isListed {
@@ -124,8 +126,9 @@
 	return live
 }
 
-// ContactAge returns the time since the last message of a control node. Time in which this
-// node was stalled doesn't count. It must be called on the event loop, as from View.
+// ContactAge returns the time since the last message of a control node, or since this node last
+// resumed after a stall if that is later. It must be called on the event loop, for example from
+// View.
 func (h *Host) ContactAge(address string) time.Duration {
 	if address == h.Self.Addr {
 		return 0
@@ -133,16 +136,17 @@
 	return h.now() - max(h.resumedAt, h.peers.lastContact(address))
 }
 
-// IncarnationEnded reports whether a replica never returns: its node is live under another
-// ID, so its disk was lost. If this node started later and never received a message under
-// the former ID, it finds the address of that ID among the voters of the meta cell.
+// IncarnationEnded reports whether a replica is permanently lost: its node sends messages under
+// another ID, so the replica's disk was lost. If this node never received a message under the
+// former ID, because it started later, it takes the address of that ID from the voters of the
+// meta cell.
 func (h *Host) IncarnationEnded(id paxos.ReplicaID) bool {
 	live := h.LivePeers(LearnerTimeout)
 	ended := h.peers.isReplaced(id)
 	h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		voters, _ := replica.Voters()
 		for _, voter := range voters {
-			if now, isLive := live[voter.Addr]; isLive && voter.ID == id && now.ID != id {
+			if current, isLive := live[voter.Addr]; isLive && voter.ID == id && current.ID != id {
 				ended = true
 			}
 		}
@@ -150,11 +154,12 @@
 	return ended
 }
 
-// PeerAddresses lists the addresses at which other control nodes may be: the voters, the
-// seeds, the registered nodes, down or not, and the live ones. A node that returns after a
-// long time knows only former voters, and the current ones need not be among the seeds; it
-// must be contacted to be brought up to date. It must be called on the event loop, as from
-// View.
+// PeerAddresses returns the possible addresses of other control nodes: the voters of the meta
+// cell, the seeds, the registered nodes, including those that are down, and the live nodes.
+// Nodes that are down are included because a node that returns after a long time may know only
+// former voters, and its seeds need not include the current ones. It catches up only after
+// another node has contacted it. PeerAddresses must be called on the event loop, for example
+// from View.
 func (h *Host) PeerAddresses() []string {
 	listed := map[string]bool{h.Self.Addr: true}
 	var addresses []string
@@ -182,7 +187,9 @@
 	return addresses
 }
 
-// reportUnreachableLeaders tells replicas whose leader is on a node out of contact.
+// reportUnreachableLeaders calls ReportLeaderUnreachable on each replica whose leader's node has
+// sent no message for leaderTimeout. It does nothing until leaderTimeout after a stall, because
+// this node received no messages during the stall.
 func (h *Host) reportUnreachableLeaders(now time.Duration) {
 	if now-h.resumedAt <= leaderTimeout {
 		return
@@ -198,7 +205,8 @@
 	}
 }
 
-// refreshLearners makes live control nodes without a vote learners of the replicas here.
+// refreshLearners sets the live control nodes that are not voters of a cell as the learners of
+// this node's replica of it.
 func (h *Host) refreshLearners() {
 	live := h.LivePeers(LearnerTimeout)
 	for _, hosted := range h.replicas {
@@ -214,7 +222,7 @@
 	}
 }
 
-// Receive queues a batch of another control node for the event loop.
+// Receive queues a batch from another control node for the event loop.
 func (h *Host) Receive(batch *Batch) {
 	h.Enqueue(func() { h.handleBatch(batch) })
 }
@@ -226,7 +234,7 @@
 	}
 	now := h.now()
 	h.addresses[sender.ID] = sender.Addr
-	if !h.transport.knows(sender.Addr) {
+	if !h.transport.hasPeer(sender.Addr) {
 		h.transport.send(sender.Addr, nil)
 	}
 	found := h.peers.record(sender, now)
--- a/internal/controlplane/replicahost/peers_test.go
+++ b/internal/controlplane/replicahost/peers_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestPeerAddresses: a node that knows no voters greets, besides its seeds, whoever greets it
-// and whoever is registered: the leader need not be a seed, and only it catches others up.
+// TestPeerAddresses guards against a node that knows no voters and never contacts the leader,
+// which need not be a seed: without the leader the node cannot catch up. Its addresses include
+// the seeds, the registered nodes and the live peers, but neither itself nor silent peers.
 func TestPeerAddresses(t *testing.T) {
 	h := New(Options{
 		Self:    PeerInfo{ID: "1~a", Addr: "1"},
@@ -20,31 +21,31 @@
 	got := h.PeerAddresses()
 	sort.Strings(got)
 	if fmt.Sprint(got) != "[2 3 4]" {
-		t.Errorf("greets %v", got)
+		t.Errorf("PeerAddresses returned %v, want [2 3 4]", got)
 	}
 }
 
-// TestPeerComesBackUnderAnotherID: the replica that a peer had before is replaced, until it is
-// heard again.
-func TestPeerComesBackUnderAnotherID(t *testing.T) {
+// TestPeerReturnsUnderAnotherID guards against a former replica of a peer that is not recorded as
+// replaced, and against one that stays replaced although a message arrives under its ID again.
+func TestPeerReturnsUnderAnotherID(t *testing.T) {
 	peers := newPeerTable()
 	if found := peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 0); !found.isNew || found.replaced != "" {
-		t.Errorf("at first: %+v", found)
+		t.Errorf("record of the first message returned %+v, want a new peer without a replaced ID", found)
 	}
 	if found := peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 3); found.isNew || found.contactAge != 3 {
-		t.Errorf("heard again: %+v", found)
+		t.Errorf("record of a second message under the same ID returned %+v, want a known peer with contact age 3", found)
 	}
 	if found := peers.record(PeerInfo{ID: "1~b", Addr: "1"}, 4); !found.isNew || found.replaced != "1~a" {
-		t.Errorf("under another ID: %+v", found)
+		t.Errorf("record of a message under another ID returned %+v, want a new ID that replaces 1~a", found)
 	}
 	if !peers.isReplaced("1~a") || peers.isReplaced("1~b") {
-		t.Error("the wrong replica is replaced")
+		t.Error("after 1~b replaced 1~a: isReplaced is not true for exactly 1~a")
 	}
-	if heard := peers.contactsSince(3); len(heard) != 1 || heard["1"].ID != "1~b" {
-		t.Errorf("heard are %v", heard)
+	if contacted := peers.contactsSince(3); len(contacted) != 1 || contacted["1"].ID != "1~b" {
+		t.Errorf("contactsSince(3) returned %v, want only 1~b at address 1", contacted)
 	}
 	peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 5)
 	if peers.isReplaced("1~a") || !peers.isReplaced("1~b") {
-		t.Error("the replica that is back is replaced still")
+		t.Error("after 1~a returned: isReplaced is not true for exactly 1~b")
 	}
 }
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -11,22 +11,23 @@
 	"comethold/internal/paxos"
 )
 
-// Paths of the calls to the leader of a cell that this package makes.
+// RPC paths of the calls that this package makes to the leader of a cell.
 const (
 	PathPropose   = "/propose"
 	PathReadIndex = "/confirm"
 )
 
-// Backoff of calls for which there is no leader, or which it rejects as busy.
+// Backoff of calls that found no leader or that the leader rejected because it is busy.
 const (
 	initialRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff     = 300 * time.Millisecond
-	// noLeaderBackoff is shorter: the leader is looked up locally, which loads no other node.
+	// noLeaderBackoff is the maximum backoff while there is no leader. It is shorter than
+	// maxRetryBackoff because a retry only looks up the leader locally and loads no other node.
 	noLeaderBackoff = 60 * time.Millisecond
 )
 
-// ProposeRequest asks the leader of a cell to propose a transaction (PathPropose) or to
-// confirm that it still leads (PathConfirm), which needs no transaction.
+// ProposeRequest asks the leader of a cell to propose a transaction (PathPropose), or to
+// confirm that it still leads and return its read index (PathReadIndex; Txn is not used).
 type ProposeRequest struct {
 	Cell string    `cbor:"1,keyasint"`
 	Txn  paxos.Txn `cbor:"2,keyasint"`
@@ -34,23 +35,23 @@
 
 // ProposeResult is the outcome of a request to the leader of a cell.
 type ProposeResult struct {
-	// Committed says that the transaction was committed, or the read index confirmed. If no
-	// field is set, the conditions of the transaction did not hold.
+	// Committed is true if the transaction was committed or the read index confirmed. If the
+	// result of a proposal has no field set, the conditions of the transaction did not hold.
 	Committed bool `cbor:"1,keyasint,omitempty"`
-	// Busy says that the leader's pipeline is full.
+	// Busy is true if the leader's pipeline is full.
 	Busy bool `cbor:"2,keyasint,omitempty"`
-	// Unknown says that the change may or may not have been committed.
+	// Unknown is true if the change may or may not have been committed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
-	// NoLeader says that the node does not lead the cell.
+	// NoLeader is true if the node that handled the request does not lead the cell.
 	NoLeader bool `cbor:"4,keyasint,omitempty"`
-	// Index is the log index at which a read was confirmed.
+	// Index is the read index.
 	Index uint64 `cbor:"5,keyasint,omitempty"`
-	// Grant answers a request for a share.
+	// Grant is the answer to a distribution.ShareRequest.
 	Grant distribution.ShareGrant `cbor:"6,keyasint,omitempty"`
 }
 
-// resultOfRefusal returns the result of a request that a replica rejected.
-func resultOfRefusal(err error) ProposeResult {
+// rejectionResult returns the result of a request that a replica rejected with an error.
+func rejectionResult(err error) ProposeResult {
 	if errors.Is(err, paxos.ErrPipelineFull) {
 		return ProposeResult{Busy: true}
 	}
@@ -60,9 +61,10 @@
 // NewTransactionID returns a random ID for a transaction.
 func NewTransactionID() string { return strconv.FormatUint(mrand.Uint64(), 36) }
 
-// Propose proposes a transaction at the leader of a cell, wherever it is, and reports whether
-// it was committed. If not, and there is no error, its conditions did not hold. The error is
-// ErrNoQuorum, ErrBusy or ErrOutcomeUnknown.
+// Propose proposes a transaction to the leader of a cell, which may be on another node, and
+// reports whether the transaction was committed. If committed is false and err is nil, the
+// conditions of the transaction did not hold. The error is ErrNoQuorum, ErrBusy or
+// ErrOutcomeUnknown.
 func (h *Host) Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
 	txn.ID = NewTransactionID()
 	result, err := h.CallLeader(ctx, LeaderCall{
@@ -74,8 +76,9 @@
 	return result.Committed, err
 }
 
-// ProposeLocal proposes a transaction, which must have an ID, at this node. The result is
-// NoLeader if this node does not lead the cell.
+// ProposeLocal proposes a transaction, which must have an ID, to this node's replica. The
+// result is NoLeader if this node does not lead the cell, Busy if its pipeline is full, and
+// Unknown if the context or the host ends before the outcome is known.
 func (h *Host) ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) ProposeResult {
 	waiter := make(chan paxos.Outcome, 1)
 	var err error
@@ -92,7 +95,7 @@
 		h.processReady(cell, hosted)
 	})
 	if err != nil {
-		return resultOfRefusal(err)
+		return rejectionResult(err)
 	}
 	select {
 	case outcome := <-waiter:
@@ -109,10 +112,10 @@
 	return ProposeResult{Unknown: true}
 }
 
-// LeaderCall is a call to the leader of a cell, wherever it is.
+// LeaderCall is a call to the leader of a cell, either on this node or on another one.
 type LeaderCall struct {
 	Cell string
-	// Path is the RPC path of the request if another node leads. The response is a
+	// Path is the RPC path to which Request is sent if another node leads. The response is a
 	// ProposeResult.
 	Path    string
 	Request any
@@ -121,9 +124,9 @@
 }
 
 // CallLeader makes a call to the leader of a cell. While there is no leader, or it is busy,
-// the call is retried with exponential backoff and jitter until the context ends; the error
-// is then ErrNoQuorum or ErrBusy. ErrOutcomeUnknown says that the leader may have executed
-// the call.
+// the call is retried with exponential backoff and jitter until the context or the host ends;
+// the error is then ErrNoQuorum or ErrBusy. The error is ErrOutcomeUnknown, without a retry, if
+// the leader may have executed the call.
 func (h *Host) CallLeader(ctx context.Context, call LeaderCall) (ProposeResult, error) {
 	backoff := initialRetryBackoff
 	cause := ErrNoQuorum
@@ -164,8 +167,8 @@
 	return result
 }
 
-// leaderAddress returns the address of the leader of a cell, or an empty one if this node
-// doesn't know it. isLocal says that this node leads.
+// leaderAddress returns the address of the leader of a cell, or an empty string if this node
+// doesn't know it. isLocal is true if this node leads.
 func (h *Host) leaderAddress(cell string) (address string, isLocal bool) {
 	h.View(cell, func(replica *paxos.Replica) {
 		isLocal = replica.Role() == paxos.Leader
@@ -176,7 +179,7 @@
 	return address, isLocal
 }
 
-// sleep waits, and reports false if the context or the host ended first.
+// sleep waits for the pause to elapse. It reports false if the context or the host ended first.
 func (h *Host) sleep(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
--- a/internal/controlplane/replicahost/propose_test.go
+++ b/internal/controlplane/replicahost/propose_test.go
@@ -13,7 +13,7 @@
 	"comethold/internal/rpc"
 )
 
-// memoryStorage forgets all at the end and has nothing to wait for.
+// memoryStorage is a Storage that stores nothing and never needs a sync.
 type memoryStorage struct{}
 
 func (memoryStorage) LoadReplica(string) (state paxos.PersistedState, found bool, err error) {
@@ -53,33 +53,34 @@
 	}
 }
 
-// TestProposeAtOnlyVoter: a transaction is committed if its conditions hold, and applied by
-// the time a linearizable read goes on.
+// TestProposeAtOnlyVoter guards against a transaction that is committed although its conditions
+// don't hold, and against WaitLinearizable returning before a committed transaction is applied.
 func TestProposeAtOnlyVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		host := runHost(t)
 		if committed, err := host.Propose(ctx, schema.MetaCell, putTxn("1")); !committed || err != nil {
-			t.Errorf("committed %v, %v", committed, err)
+			t.Errorf("Propose without conditions returned %v, %v, want true, nil", committed, err)
 		}
 		isAbsent := paxos.Condition{Key: "k", Absent: true}
 		if committed, err := host.Propose(ctx, schema.MetaCell, putTxn("2", isAbsent)); committed || err != nil {
-			t.Errorf("against its condition: committed %v, %v", committed, err)
+			t.Errorf("Propose with a condition that does not hold returned %v, %v, want false, nil", committed, err)
 		}
 		if err := host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
 			t.Error(err)
 		}
 		if value, found := host.Get(schema.MetaCell, "k"); !found || string(value.Bytes) != "1" {
-			t.Errorf("found %v, %q", found, value.Bytes)
+			t.Errorf("Get returned found %v and value %q, want true and \"1\"", found, value.Bytes)
 		}
 		if !host.IsVoter() || host.QuorumContactAge() > StaleAfter {
-			t.Errorf("voter %v, quorum contact %v ago", host.IsVoter(), host.QuorumContactAge())
+			t.Errorf("IsVoter returned %v and QuorumContactAge %v, want true and at most StaleAfter",
+				host.IsVoter(), host.QuorumContactAge())
 		}
 	})
 }
 
-// TestStabilityGrows: a cell that nothing happens to is at rest for longer and longer, from
-// the time at which it got its leader.
+// TestStabilityGrows guards against a Stability that restarts without a cause: while the leader and
+// the voters of a cell don't change, StableFor grows from the election of the leader on.
 func TestStabilityGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host := runHost(t)
@@ -89,38 +90,39 @@
 		time.Sleep(time.Minute)
 		cell, found := host.Stability()
 		if !found || len(cell.Voters) != 1 || !cell.MembershipChangeComplete {
-			t.Errorf("found %v, %+v", found, cell)
+			t.Errorf("Stability returned found %v, %+v, want true and one voter, membership change complete", found, cell)
 		}
 		if cell.StableFor < time.Minute || cell.StableFor > cell.Age {
-			t.Errorf("at rest for %v of %v", cell.StableFor, cell.Age)
+			t.Errorf("StableFor is %v and Age %v, want StableFor between 1 min and Age", cell.StableFor, cell.Age)
 		}
 	})
 }
 
-// TestNoLeader: a cell that this node knows no leader of is asked until the context ends; at
-// this node itself nothing is proposed.
+// TestNoLeader guards against calls that succeed, or fail with another error, for a cell whose
+// leader is unknown: Propose and WaitLinearizable retry until the context ends, and the local
+// variants return NoLeader.
 func TestNoLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host := runHost(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := host.Propose(ctx, "i1", putTxn("1")); !errors.Is(err, ErrNoQuorum) {
-			t.Errorf("a proposal: %v", err)
+			t.Errorf("Propose without a leader returned %v, want ErrNoQuorum", err)
 		}
 		if err := host.WaitLinearizable(ctx, "i1"); !errors.Is(err, ErrNoQuorum) {
-			t.Errorf("a read: %v", err)
+			t.Errorf("WaitLinearizable without a leader returned %v, want ErrNoQuorum", err)
 		}
 		if result := host.ProposeLocal(ctx, "i1", putTxn("1")); !result.NoLeader {
-			t.Errorf("at this node: %+v", result)
+			t.Errorf("ProposeLocal without a replica returned %+v, want NoLeader", result)
 		}
 		if result := host.ReadIndexLocal(ctx, "i1"); !result.NoLeader {
-			t.Errorf("a read at this node: %+v", result)
+			t.Errorf("ReadIndexLocal without a replica returned %+v, want NoLeader", result)
 		}
 	})
 }
 
-// TestStoppedHost: while a node stops there is nothing to look at, and what becomes of a
-// proposal is not known.
+// TestStoppedHost guards against calls that block or report a false result after Stop, when the
+// event loop runs no more tasks: View calls nothing, and the outcome of a proposal is unknown.
 func TestStoppedHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host := runHost(t)
@@ -129,14 +131,14 @@
 		}
 		host.Stop()
 		synctest.Wait()
-		if host.View(schema.MetaCell, func(*paxos.Replica) { t.Error("a replica is looked at") }) {
-			t.Error("there is a replica")
+		if host.View(schema.MetaCell, func(*paxos.Replica) { t.Error("View called its function after Stop") }) {
+			t.Error("View returned true after Stop, want false")
 		}
 		if result := host.ProposeLocal(t.Context(), schema.MetaCell, putTxn("2")); !result.Unknown {
-			t.Errorf("a proposal: %+v", result)
+			t.Errorf("ProposeLocal after Stop returned %+v, want Unknown", result)
 		}
 		if err := host.WaitLinearizable(t.Context(), schema.MetaCell); !errors.Is(err, ErrNoQuorum) {
-			t.Errorf("a read: %v", err)
+			t.Errorf("WaitLinearizable after Stop returned %v, want ErrNoQuorum", err)
 		}
 	})
 }
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -12,10 +12,10 @@
 // appliedPollInterval is how often WaitLinearizable checks whether this node has caught up.
 const appliedPollInterval = 5 * time.Millisecond
 
-// WaitLinearizable waits until the state of a cell that is applied here holds all that was
-// committed before the call, so that a subsequent read is linearizable. The leader confirms
-// with a majority that it still leads and returns its read index, which this node then waits
-// for. The error is ErrBusy or wraps ErrNoQuorum.
+// WaitLinearizable waits until this node has applied everything that was committed to a cell
+// before the call, so that a subsequent local read is linearizable. The leader confirms with a
+// majority that it still leads and returns its read index; this node then waits until it has
+// applied the log up to that index. The error is ErrBusy or wraps ErrNoQuorum.
 func (h *Host) WaitLinearizable(ctx context.Context, cell string) error {
 	index, err := h.readIndex(ctx, cell)
 	if err != nil {
@@ -38,7 +38,7 @@
 		if err == nil && result.Committed {
 			return result.Index, nil
 		}
-		// Retry an unknown outcome, and an empty result, which confirms nothing.
+		// Retry an unknown outcome and an empty result, which doesn't confirm a read index.
 		if err != nil && !errors.Is(err, ErrOutcomeUnknown) {
 			return 0, err
 		}
@@ -48,8 +48,10 @@
 	}
 }
 
-// ReadIndexLocal confirms with a majority that this node still leads a cell, and returns the
-// index that is applied here by then. The result is NoLeader if it does not lead.
+// ReadIndexLocal confirms with a majority that this node still leads a cell, and returns its
+// applied index at the time of the confirmation as the read index. The result is Busy if the
+// replica rejects the read with ErrPipelineFull, and NoLeader if this node does not lead or the
+// context or the host ends before the confirmation.
 func (h *Host) ReadIndexLocal(ctx context.Context, cell string) ProposeResult {
 	waiter := make(chan uint64, 1)
 	var readID uint64
@@ -69,7 +71,7 @@
 		h.processReady(cell, hosted)
 	})
 	if err != nil {
-		return resultOfRefusal(err)
+		return rejectionResult(err)
 	}
 	select {
 	case index := <-waiter:
@@ -81,7 +83,7 @@
 	return ProposeResult{NoLeader: true}
 }
 
-// waitApplied waits until the state of a cell is applied here up to an index.
+// waitApplied waits until this node has applied the log of a cell up to an index.
 func (h *Host) waitApplied(ctx context.Context, cell string, index uint64) error {
 	for {
 		var applied uint64
@@ -92,7 +94,7 @@
 		select {
 		case <-time.After(appliedPollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%w: behind its cell", ErrNoQuorum)
+			return fmt.Errorf("%w: this node lags behind the cell", ErrNoQuorum)
 		case <-h.loop.quit:
 			return ErrNoQuorum
 		}
--- a/internal/controlplane/replicahost/ready.go
+++ b/internal/controlplane/replicahost/ready.go
@@ -30,9 +30,10 @@
 	}
 }
 
-// persist submits a replica's writes and sends the messages that must follow them. If no sync
-// is needed, it sends them at once and returns the messages to the replica itself. Otherwise
-// both happen on the event loop after the sync.
+// persist submits a replica's writes, and sends the messages that must not be sent before these
+// writes are durable. If no sync is needed, it sends them immediately and returns those that are
+// addressed to the replica itself. Otherwise it returns nil; after the sync the event loop sends
+// the messages and passes the replica those that are addressed to it.
 func (h *Host) persist(cell string, hosted *hostedReplica, ready paxos.Ready) (toSelf []paxos.Message) {
 	messages := ready.MessagesAfterSync
 	if len(messages) == 0 && ready.Writes.Empty() {
@@ -41,7 +42,7 @@
 	synced := func() {
 		h.Enqueue(func() {
 			if h.replicas[cell] != hosted {
-				return // closed meanwhile
+				return // the replica was closed during the sync
 			}
 			for _, message := range h.sendToPeers(messages) {
 				hosted.replica.Step(h.now(), message)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// answerWaiters passes the outcomes of proposals and reads to their callers.
+// answerWaiters passes the outcomes of proposals and reads to the waiting callers.
 func (h *Host) answerWaiters(replica *paxos.Replica, ready paxos.Ready) {
 	for _, outcome := range ready.Outcomes {
 		if waiter := h.proposalWaiters[outcome.TxnID]; waiter != nil {
@@ -109,7 +110,7 @@
 	return toSelf
 }
 
-// newBatch makes a batch for a peer. A large batch carries no clocks, because they would be
+// newBatch returns a batch for a peer. A large batch carries no clocks because they would be
 // outdated when it arrives.
 func (h *Host) newBatch(messages []paxos.Message) *Batch {
 	batch := &Batch{
--- a/internal/controlplane/replicahost/sendqueue.go
+++ b/internal/controlplane/replicahost/sendqueue.go
@@ -6,12 +6,13 @@
 	"comethold/internal/paxos"
 )
 
-// Bounds of the queues to one peer.
+// Limits of the queues to one peer.
 const (
 	maxBatchBytes  = 64 << 10
 	maxQueueBytes  = 1 << 20
 	sendersPerPeer = 3
-	// bulkThresholdBytes is the size from which a message is sent by itself.
+	// bulkThresholdBytes is the size at or above which a message goes through the bulkQueue
+	// and is sent in a call without other messages.
 	bulkThresholdBytes = 32 << 10
 	maxBulkMessages    = 64
 )
@@ -19,7 +20,7 @@
 // sendQueue holds the small messages to one peer and sends them in batches. When it is full,
 // the oldest messages are dropped, because newer ones supersede them.
 type sendQueue struct {
-	wake chan struct{} // a signal for each batch that is due
+	wake chan struct{} // signals that a batch is due, at most once per sender
 
 	mu       sync.Mutex // guards the fields below
 	messages []paxos.Message
@@ -30,8 +31,7 @@
 	return &sendQueue{wake: make(chan struct{}, sendersPerPeer)}
 }
 
-// push appends messages and signals that a batch is due. Without messages the batch is a
-// hello.
+// push appends messages and signals that a batch is due. A batch without messages is a hello.
 func (q *sendQueue) push(messages []paxos.Message) {
 	q.mu.Lock()
 	for i := range messages {
@@ -46,7 +46,7 @@
 	q.signal()
 }
 
-// nextBatch removes the oldest messages, up to maxBatchBytes of them.
+// nextBatch removes and returns the oldest messages until their size reaches maxBatchBytes.
 func (q *sendQueue) nextBatch() []paxos.Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -72,23 +72,24 @@
 	}
 }
 
-// bulkQueue holds the large messages to one peer. They go one at a time on a connection of
-// their own, so that heartbeats need not wait behind them.
+// bulkQueue holds the large messages to one peer. They are sent one at a time on a separate
+// connection, so that heartbeats don't wait behind them.
 type bulkQueue struct {
 	wake chan struct{}
 
 	mu       sync.Mutex // guards the fields below
 	messages []paxos.Message
-	inFlight *paxos.Message // the message that is being sent, or nil
+	inFlight *paxos.Message // the message being sent, or nil
 }
 
 func newBulkQueue() *bulkQueue {
 	return &bulkQueue{wake: make(chan struct{}, 1)}
 }
 
-// enqueue adds a large message unless the same one, or a snapshot of the same cell, is
-// queued or in flight. If the message is useful and small without its snapshot, it returns
-// it so for the sendQueue; otherwise it returns nil.
+// enqueue adds a large message, unless a duplicate is queued or in flight or the queue is full.
+// If a snapshot of the same cell is queued or in flight, a CatchUpResponse is dropped, and any
+// other message loses its snapshot. If the message is then small, enqueue returns it for the
+// sendQueue. In all other cases it returns nil.
 func (q *bulkQueue) enqueue(message paxos.Message) *paxos.Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -96,7 +97,8 @@
 		if message.Kind == paxos.CatchUpResponse {
 			return nil
 		}
-		// A promise that can't be counted yet still carries the sender's progress.
+		// The recipient can't count a promise without its snapshot yet, but learns the sender's
+		// progress from it.
 		message.Snapshot = nil
 		if message.Size() < bulkThresholdBytes {
 			return &message
@@ -105,7 +107,7 @@
 	if len(q.messages) >= maxBulkMessages {
 		return nil
 	}
-	if q.containsLocked(func(other *paxos.Message) bool { return isSameProposal(other, &message) }) {
+	if q.containsLocked(func(other *paxos.Message) bool { return isDuplicate(other, &message) }) {
 		return nil
 	}
 	q.messages = append(q.messages, message)
@@ -116,8 +118,9 @@
 	return nil
 }
 
-// isSameProposal reports whether two large messages have the same content.
-func isSameProposal(a, b *paxos.Message) bool {
+// isDuplicate reports whether two large messages have the same content. Within a cell, the kind,
+// the proposal number and, for an Accept, the first log index identify the content.
+func isDuplicate(a, b *paxos.Message) bool {
 	if a.Cell != b.Cell || a.Kind != b.Kind || a.ProposalNumber != b.ProposalNumber {
 		return false
 	}
@@ -142,8 +145,8 @@
 	return false
 }
 
-// next removes the oldest message, which is in flight until the following call. It returns
-// nil when there is none.
+// next removes and returns the oldest message, which counts as in flight until the next call.
+// It returns nil if the queue is empty.
 func (q *bulkQueue) next() *paxos.Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/controlplane/replicahost/transport.go
+++ b/internal/controlplane/replicahost/transport.go
@@ -15,35 +15,36 @@
 // PathMessages is the RPC path of batches.
 const PathMessages = "/cells"
 
-// Batch is what one control node sends another. Without messages it is a hello.
+// Batch carries messages from one control node to another. A batch without messages is a hello.
 type Batch struct {
 	Sender   PeerInfo        `cbor:"1,keyasint"`
 	Messages []paxos.Message `cbor:"2,keyasint,omitempty"`
-	// EndpointList is the revision of the endpoint list that the sender holds.
+	// EndpointList is the revision of the sender's endpoint list.
 	EndpointList distribution.Revision `cbor:"3,keyasint"`
-	// WallTime and AgreedTime are the sender's time of day and the time that it agrees on
-	// with its peers, in nanoseconds since 1970; 0 where they are not known.
+	// WallTime and AgreedTime are the sender's wall clock time and the time agreed with its
+	// peers, in nanoseconds since 1970; 0 if unknown or not sent.
 	WallTime   int64 `cbor:"4,keyasint,omitempty"`
 	AgreedTime int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Time-outs of sending. Their reasons are in docs/design.md.
+// Limits of sending. The reasons for these values are in docs/design.md.
 const (
 	sendTimeoutBase    = 1500 * time.Millisecond
-	minSendRate        = 16 << 10 // bytes a second; see sendTimeout
-	minBulkSendRate    = 4 << 10  // of bulk messages, whose connections detect a dead peer sooner
+	minSendRate        = 16 << 10 // bytes per second; see sendTimeout
+	minBulkSendRate    = 4 << 10  // for bulk messages, whose connections detect a dead peer before sendTimeout
 	maxSendTimeout     = time.Minute
 	bulkDialTimeout    = 2 * time.Second
 	bulkSilenceTimeout = 6 * time.Second
-	bulkUnsentBytes    = 32 << 10 // send buffer in the kernel
+	bulkSendBuffer     = 32 << 10 // bytes buffered in the kernel for each connection
 	bulkIdleConns      = 1
-	// maxClockBatchBytes is the size up to which a batch carries clocks.
+	// maxClockBatchBytes is the maximum size of a batch that carries clocks.
 	maxClockBatchBytes = 4 << 10
-	// sendGrace is how long the current sends may continue after stop.
+	// sendGrace is how long sends may continue after wait is called.
 	sendGrace = 100 * time.Millisecond
 )
 
-// sendTimeout returns the time-out of sending a body at a minimal rate in bytes a second.
+// sendTimeout returns the time allowed for sending a body of the given size at a minimum rate in
+// bytes per second, up to maxSendTimeout.
 func sendTimeout(bytes int, rate float64) time.Duration {
 	transfer := time.Duration(float64(bytes) / rate * float64(time.Second))
 	return min(maxSendTimeout, sendTimeoutBase+transfer)
@@ -58,17 +59,18 @@
 	newBatch   func([]paxos.Message) *Batch
 	deliver    deliverFunc // sendBatch, unless a test replaces it
 
-	quit    chan struct{}      // closed by stop
-	sending context.Context    // of all sends
-	abort   context.CancelFunc // cancels sending
-	senders sync.WaitGroup
+	quit        chan struct{}      // closed by stop
+	sendCtx     context.Context    // the context of all sends
+	cancelSends context.CancelFunc // cancels sendCtx
+	senders     sync.WaitGroup
 
 	mu      sync.Mutex // guards the fields below
 	stopped bool
 	peers   map[string]*peerQueues // by address
 }
 
-// deliverFunc sends messages to a peer, at a minimal rate in bytes a second.
+// deliverFunc sends messages to a peer. The send is aborted if it is slower than a minimum rate in
+// bytes per second; see sendTimeout.
 type deliverFunc func(client *rpc.Client, rate float64, address string, messages []paxos.Message)
 
 type peerQueues struct {
@@ -81,24 +83,24 @@
 }
 
 func newTransport(network rpc.Network, client *rpc.Client, port int, newBatch func([]paxos.Message) *Batch) *transport {
-	sending, abort := context.WithCancel(context.Background())
-	bulkNetwork := rpc.WithSendBuffer(network, bulkUnsentBytes)
+	sendCtx, cancelSends := context.WithCancel(context.Background())
+	bulkNetwork := rpc.WithSendBuffer(network, bulkSendBuffer)
 	t := &transport{
-		client:     client,
-		bulkClient: rpc.NewClientWithLimits(bulkNetwork, bulkDialTimeout, bulkSilenceTimeout, bulkIdleConns),
-		port:       port,
-		newBatch:   newBatch,
-		quit:       make(chan struct{}),
-		sending:    sending,
-		abort:      abort,
-		peers:      map[string]*peerQueues{},
+		client:      client,
+		bulkClient:  rpc.NewClientWithLimits(bulkNetwork, bulkDialTimeout, bulkSilenceTimeout, bulkIdleConns),
+		port:        port,
+		newBatch:    newBatch,
+		quit:        make(chan struct{}),
+		sendCtx:     sendCtx,
+		cancelSends: cancelSends,
+		peers:       map[string]*peerQueues{},
 	}
 	t.deliver = t.sendBatch
 	return t
 }
 
-// send queues messages to the peer at an address. It takes ownership of the slice. Without
-// messages it sends a hello.
+// send queues messages to the peer at an address; without messages it queues a hello. It takes
+// ownership of the slice.
 func (t *transport) send(address string, messages []paxos.Message) {
 	queues := t.queuesFor(address)
 	if queues == nil {
@@ -117,15 +119,15 @@
 	queues.small.push(small)
 }
 
-// knows reports whether anything was sent to an address.
-func (t *transport) knows(address string) bool {
+// hasPeer reports whether there are queues to an address.
+func (t *transport) hasPeer(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers[address] != nil
 }
 
-// queuesFor returns the queues to an address, and starts their senders at its first use. It
-// returns nil for a new address after stop.
+// queuesFor returns the queues to an address. The first call for an address creates the queues
+// and starts their senders; after stop it returns nil instead.
 func (t *transport) queuesFor(address string) *peerQueues {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,12 +156,13 @@
 	}
 }
 
-// wait waits for the senders after stop. Sends that take longer than sendGrace are aborted.
+// wait waits until the senders have ended. It must be called after stop. Sends that take longer
+// than sendGrace are aborted.
 func (t *transport) wait() {
-	late := time.AfterFunc(sendGrace, t.abort)
-	defer late.Stop()
+	graceTimer := time.AfterFunc(sendGrace, t.cancelSends)
+	defer graceTimer.Stop()
 	t.senders.Wait()
-	t.abort()
+	t.cancelSends()
 }
 
 func (t *transport) sendLoop(address string, queue *sendQueue) {
@@ -187,13 +190,14 @@
 	}
 }
 
-// sendBatch makes one call. Errors are ignored, since replicas repeat lost messages.
+// sendBatch is the default deliverFunc: it sends the messages in one call. Errors are ignored
+// because replicas resend lost messages.
 func (t *transport) sendBatch(client *rpc.Client, rate float64, address string, messages []paxos.Message) {
 	body, err := rpc.EncodeRequest(t.newBatch(messages))
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.sending, sendTimeout(len(body), rate))
+	ctx, cancel := context.WithTimeout(t.sendCtx, sendTimeout(len(body), rate))
 	defer cancel()
 	_ = client.CallEncoded(ctx, net.JoinHostPort(address, strconv.Itoa(t.port)), PathMessages, body, nil)
 }
--- a/internal/controlplane/replicahost/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -17,14 +17,15 @@
 	return &paxos.Snapshot{State: state}
 }
 
-// entriesOf returns a log entry of at least so many bytes.
+// entriesOf returns one log entry of at least the given number of bytes.
 func entriesOf(index uint64, bytes int) []paxos.Entry {
 	return []paxos.Entry{{Index: index, Txns: []paxos.Txn{{ID: strings.Repeat("x", bytes)}}}}
 }
 
-// TestBulkQueueSendsNothingTwice: of what is large, nothing is sent a second time while it is
-// in flight, and a promise is sent without the snapshot that is.
-func TestBulkQueueSendsNothingTwice(t *testing.T) {
+// TestBulkQueueDropsDuplicates guards against large messages that are sent again while they are
+// queued or in flight. A promise is returned without its snapshot while a snapshot of the same cell
+// is in flight.
+func TestBulkQueueDropsDuplicates(t *testing.T) {
 	queue := newBulkQueue()
 	snapshot := paxos.Message{Cell: "a", Kind: paxos.CatchUpResponse, Snapshot: largeSnapshot()}
 	accept := func(index uint64) paxos.Message {
@@ -32,7 +33,7 @@
 	}
 	queue.enqueue(snapshot)
 	if sent := queue.next(); sent == nil || sent.Snapshot == nil {
-		t.Fatalf("the snapshot is not sent: %v", sent)
+		t.Fatalf("next returned %v, want the message with the snapshot", sent)
 	}
 	for range 3 {
 		queue.enqueue(snapshot)
@@ -41,7 +42,7 @@
 	number := paxos.ProposalNumber{Term: 2}
 	promise := paxos.Message{Cell: "a", Kind: paxos.Promise, ProposalNumber: number, Snapshot: largeSnapshot()}
 	if rest := queue.enqueue(promise); rest == nil || rest.Snapshot != nil || rest.ProposalNumber.Term != 2 {
-		t.Errorf("what is left of the promise is %v", rest)
+		t.Errorf("enqueue with a snapshot in flight returned %v, want the promise of term 2 without a snapshot", rest)
 	}
 	queue.enqueue(paxos.Message{Cell: "b", Kind: paxos.CatchUpResponse, Snapshot: largeSnapshot()})
 	queue.enqueue(accept(8))
@@ -55,16 +56,17 @@
 		fmt.Sprint("a", paxos.Accept, 1),
 	})
 	if fmt.Sprint(sent) != want {
-		t.Errorf("sent are %v, not %v", sent, want)
+		t.Errorf("next returned %v, want %v", sent, want)
 	}
 	queue.enqueue(snapshot)
 	if queue.next() == nil {
-		t.Error("nothing is in flight, and the snapshot is not sent")
+		t.Error("next returned nil for a snapshot that was queued while nothing was in flight, want the message")
 	}
 }
 
-// TestSendQueueBounds: there is room for what one tick sends in many cells, and the oldest
-// messages make room for the newest.
+// TestSendQueueBounds guards against a queue that is too small for the messages of one tick of many
+// cells, and against a full queue that exceeds its limit or drops the newest messages instead of
+// the oldest.
 func TestSendQueueBounds(t *testing.T) {
 	const cells = 1000
 	queues := newPeerQueues()
@@ -72,7 +74,7 @@
 	queue := queues.small
 	sender.send("b", make([]paxos.Message, cells))
 	if len(queue.messages) != cells {
-		t.Errorf("%d of %d messages wait", len(queue.messages), cells)
+		t.Errorf("queue holds %d messages, want %d", len(queue.messages), cells)
 	}
 	message := paxos.Message{Entries: entriesOf(0, bulkThresholdBytes/2)}
 	for i := range 2 * maxQueueBytes / message.Size() {
@@ -82,12 +84,13 @@
 	count := len(queue.messages)
 	last := queue.messages[count-1].HeartbeatSequence
 	if queue.bytes > maxQueueBytes || count < maxQueueBytes/message.Size() || last != message.HeartbeatSequence {
-		t.Errorf("%d messages, %d bytes, the last %d of %d", count, queue.bytes, last, message.HeartbeatSequence)
+		t.Errorf("full queue: %d messages, %d bytes, last number %d, want at most maxQueueBytes, last number %d",
+			count, queue.bytes, last, message.HeartbeatSequence)
 	}
 }
 
-// TestSendQueueBatches: messages are sent in order, in batches of maxBatchBytes, and each
-// batch that is due wakes a sender.
+// TestSendQueueBatches guards against messages that are reordered or lost between batches of
+// maxBatchBytes, and against messages that stay queued because no sender is woken for the rest.
 func TestSendQueueBatches(t *testing.T) {
 	queue := newSendQueue()
 	message := paxos.Message{Entries: entriesOf(0, maxBatchBytes/4)}
@@ -103,65 +106,65 @@
 		case <-queue.wake:
 		default:
 			if next != uint64(len(messages)) {
-				t.Fatalf("nobody is woken for what is left after %d messages", next)
+				t.Fatalf("no sender is woken after %d messages were sent, want one for the rest of the queue", next)
 			}
 			continue
 		}
 		batch := queue.nextBatch()
 		if len(batch) == 0 || len(batch) > 4 {
-			t.Errorf("a batch has %d messages", len(batch))
+			t.Errorf("nextBatch returned %d messages, want 1 to 4", len(batch))
 		}
 		for _, sent := range batch {
 			if sent.HeartbeatSequence != next {
-				t.Errorf("message %d is sent in the place of %d", sent.HeartbeatSequence, next)
+				t.Errorf("nextBatch returned message %d, want message %d", sent.HeartbeatSequence, next)
 			}
 			next++
 		}
 	}
 	if next != uint64(len(messages)) || queue.bytes != 0 {
-		t.Errorf("%d messages were sent, %d bytes are left", next, queue.bytes)
+		t.Errorf("%d messages were sent and %d bytes are left in the queue, want 10 messages and 0 bytes", next, queue.bytes)
 	}
 	queue.push(nil)
 	if <-queue.wake; len(queue.nextBatch()) != 0 {
-		t.Error("a hello has messages")
+		t.Error("nextBatch for a hello returned messages, want none")
 	}
 }
 
-// TestLargeBatchCarriesNoClocks: what may be long under way carries no time of day, which
-// would be taken for that of its arrival.
+// TestLargeBatchCarriesNoClocks guards against clocks that are outdated when they arrive: a large
+// batch may be in transit for long, and the peer takes the clocks as of the time of arrival.
 func TestLargeBatchCarriesNoClocks(t *testing.T) {
 	host := New(Options{Hooks: Hooks{ReadClocks: func() (int64, int64) { return 7, 8 }}, Network: unreachable})
 	if batch := host.newBatch([]paxos.Message{{}}); batch.WallTime != 7 || batch.AgreedTime != 8 {
-		t.Errorf("a small batch says %d and %d", batch.WallTime, batch.AgreedTime)
+		t.Errorf("small batch has WallTime %d and AgreedTime %d, want 7 and 8", batch.WallTime, batch.AgreedTime)
 	}
 	large := paxos.Message{Snapshot: largeSnapshot()}
 	if batch := host.newBatch([]paxos.Message{large}); batch.WallTime != 0 || batch.AgreedTime != 0 {
-		t.Errorf("a snapshot says %d and %d", batch.WallTime, batch.AgreedTime)
+		t.Errorf("batch with a snapshot has WallTime %d and AgreedTime %d, want 0 and 0", batch.WallTime, batch.AgreedTime)
 	}
 }
 
-// TestStopAbortsSends: a send to a peer that does not answer ends soon after the host does,
-// and nothing is sent to a new peer then.
+// TestStopAbortsSends guards against a host that waits at its end for the full timeout of a send
+// to a peer that does not answer, and against senders that are started after Stop.
 func TestStopAbortsSends(t *testing.T) {
 	dialing := make(chan struct{}, sendersPerPeer)
-	hangs := func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
+	hangingNetwork := func(time.Duration, time.Duration) func(context.Context, string, string) (net.Conn, error) {
 		return func(ctx context.Context, _, _ string) (net.Conn, error) {
 			dialing <- struct{}{}
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 	}
-	host := New(Options{Network: hangs, Client: rpc.NewClient(hangs)})
+	host := New(Options{Network: hangingNetwork, Client: rpc.NewClient(hangingNetwork)})
 	host.transport.send("10.0.0.2", nil)
 	<-dialing
 	host.Stop()
 	stopped := time.Now()
 	host.Wait()
 	if took := time.Since(stopped); took > sendTimeoutBase/2 {
-		t.Errorf("it took %v", took)
+		t.Errorf("Wait returned %v after Stop, want at most half of sendTimeoutBase", took)
 	}
 	host.transport.send("10.0.0.3", nil)
-	if host.transport.knows("10.0.0.3") {
-		t.Error("a peer is taken in after the end")
+	if host.transport.hasPeer("10.0.0.3") {
+		t.Error("send after Stop created queues for a new peer, want none")
 	}
 }
--- a/internal/controlplane/replicahost/unreachable_leader_test.go
+++ b/internal/controlplane/replicahost/unreachable_leader_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// TestUnreachableLeader guards against index cells that wait for up to two election timeouts
-// when the machine of their leader was lost, and so can't replace its vote in time.
+// TestUnreachableLeader guards against index cells that wait for up to two election timeouts after
+// the machine of their leader was lost. With such a delay the cells cannot replace the vote of the
+// lost machine in time.
 func TestUnreachableLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const cells = 10
@@ -66,11 +67,11 @@
 		host.handleBatch(batch)
 		tickFor(indexElectionTimeout - 2*tickInterval)
 		if n := following(); n != cells {
-			t.Errorf("%d of %d cells follow the leader while its machine may be alive", n, cells)
+			t.Errorf("%d of %d cells follow the leader shortly before the election timeout, want all", n, cells)
 		}
 		tickFor(leaderTimeout - indexElectionTimeout + indexHeartbeatInterval)
 		if n := following(); n != 0 {
-			t.Errorf("%d of %d cells still wait for a leader whose machine is silent for %v", n, cells, leaderTimeout)
+			t.Errorf("%d of %d cells follow a leader that was silent for longer than %v, want none", n, cells, leaderTimeout)
 		}
 	})
 }
--- a/internal/controlplane/replicahost/view.go
+++ b/internal/controlplane/replicahost/view.go
@@ -9,8 +9,8 @@
 	"comethold/internal/paxos"
 )
 
-// StaleAfter is the quorum contact age from which the state here counts as stale. Nodes
-// other than the leader learn of the contact a heartbeat or two later.
+// StaleAfter is the quorum contact age above which the state applied on this node counts as
+// stale. Followers learn of a quorum contact one or two heartbeats after the leader.
 const StaleAfter = 2 * time.Second
 
 // Do runs a function on the event loop and waits for it. If the host is stopped, the function
@@ -19,21 +19,21 @@
 func (h *Host) Do(task func()) { h.loop.do(task) }
 
 // View runs a function on the event loop that reads this node's replica of a cell. It reports
-// false if the function did not run, since there is no replica or the node is stopping. It
+// false if the function did not run, because there is no replica or the host is stopped. It
 // must not be called on the event loop.
 func (h *Host) View(cell string, read func(*paxos.Replica)) bool {
-	var seen atomic.Bool
+	var called atomic.Bool
 	h.loop.do(func() {
 		if replica := h.Replica(cell); replica != nil {
 			read(replica)
-			seen.Store(true)
+			called.Store(true)
 		}
 	})
-	return seen.Load()
+	return called.Load()
 }
 
-// Replica returns this node's replica of a cell, or nil. It must be called on the event
-// loop, as from the hook OnApply, and the replica must be used only there.
+// Replica returns this node's replica of a cell, or nil. It must be called on the event loop,
+// for example from the hook OnApply, and the replica must be used only there.
 func (h *Host) Replica(cell string) *paxos.Replica {
 	if hosted := h.replicas[cell]; hosted != nil {
 		return hosted.replica
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Cells lists the cells of which a replica runs here. It must be called on the event loop.
+// Cells returns the cells of this node's replicas. It must be called on the event loop.
 func (h *Host) Cells() []string {
 	var cells []string
 	for cell := range h.replicas {
@@ -50,12 +50,12 @@
 	return cells
 }
 
-// OpenReplica is a replica as ViewAll shows it.
+// OpenReplica describes a replica of this node to the function that ViewAll calls.
 type OpenReplica struct {
 	Cell    string
 	Replica *paxos.Replica
-	Age     time.Duration // since it was opened here
-	// LeaderAddress is where the cell's leader is; empty if that is not known.
+	Age     time.Duration // since it was opened on this node
+	// LeaderAddress is the address of the cell's leader, or empty if it is not known.
 	LeaderAddress string
 }
 
@@ -78,7 +78,7 @@
 	})
 }
 
-// Get reads a key of the state that is applied here.
+// Get reads a key of the state that is applied on this node.
 func (h *Host) Get(cell, key string) (value paxos.Value, found bool) {
 	h.View(cell, func(replica *paxos.Replica) {
 		value, found = replica.Get(key)
@@ -95,8 +95,9 @@
 	return isVoter
 }
 
-// QuorumContactAge returns the time since a majority of the meta cell is known to have
-// followed the leader whose state is applied here; 0 if there is no replica of that cell.
+// QuorumContactAge returns how long ago, at most, a majority of the meta cell last acknowledged
+// the leader that this node follows (paxos.Replica.Staleness). It returns 0 if this node has no
+// replica of the meta cell.
 func (h *Host) QuorumContactAge() (age time.Duration) {
 	h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		age = replica.Staleness(h.now())
@@ -113,7 +114,8 @@
 	voterAddedAt time.Duration
 }
 
-// observeStability compares the meta cell with its last observation.
+// observeStability compares the leader and the voters of the meta cell with the last observation
+// and records the time if they changed or the quorum is out of contact.
 func (h *Host) observeStability(now time.Duration) {
 	replica := h.Replica(schema.MetaCell)
 	if replica == nil {
@@ -137,10 +139,10 @@
 // Stability describes how long the meta cell has been stable, as far as this node knows.
 type Stability struct {
 	Voters []paxos.Voter
-	// MembershipChangeComplete says that the change to the newest membership is complete; see
+	// MembershipChangeComplete is true if the change to the newest membership is complete; see
 	// paxos.Replica.Voters.
 	MembershipChangeComplete bool
-	// Age is the time since the replica was opened here.
+	// Age is the time since the replica was opened on this node.
 	Age time.Duration
 	// StableFor is the time since the leader or the voters changed, a node joined or
 	// returned, or the quorum was out of contact.
@@ -149,8 +151,8 @@
 	SinceVoterAdded time.Duration
 }
 
-// Stability returns the stability of the meta cell. It reports false if there is no replica
-// of it here.
+// Stability returns the stability of the meta cell. found is false if this node has no replica
+// of it or the host is stopped.
 func (h *Host) Stability() (s Stability, found bool) {
 	found = h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		now := h.now()
