--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -12,12 +12,12 @@
 	"comethold/internal/routing"
 )
 
-// maxCommitAttempts bounds the attempts to commit a change: this node's replica may lag at
-// first, and another change may be committed in between.
+// maxCommitAttempts limits the attempts to commit a change. An attempt fails if this node's
+// replica lags or if another change is committed first.
 const maxCommitAttempts = 3
 
-// changes commits changes of the configuration. Why a change is rejected is decided in
-// tryCommit; statusOf and messageOf make the response.
+// changes commits changes of the configuration. tryCommit returns a typed error for each
+// rejection; statusOf and messageOf map it to the response.
 type changes struct {
 	cells               Cells
 	log                 *logging.Logger
@@ -26,17 +26,18 @@
 	quarantine          func(notification *outbox.Notification, reason string)
 }
 
-// committedState is what this node's replica knows of the configuration and of a change.
+// committedState is the state of this node's replica that concerns a change.
 type committedState struct {
-	version      uint64 // of the configuration in force
-	raw          []byte
-	receipt      outbox.KeyUse // whether the change, or a contradicting one, was committed
-	isForgotten  bool          // the change is older than all receipts
-	isObservable bool          // the replica could be read; otherwise all fields are zero
+	version          uint64 // of the current configuration
+	raw              []byte
+	receipt          outbox.KeyUse // whether the change, or a conflicting one, was committed
+	isReceiptExpired bool          // the change is older than all receipts, so receipt is unknown
+	isReadable       bool          // the replica could be read; otherwise all fields are zero
 }
 
 // commit commits a change. It returns nil only if a transaction with the change was
-// committed, by this call or an earlier one.
+// committed, by this call or an earlier one. It returns errContended if every attempt failed
+// for a temporary reason.
 func (s *changes) commit(ctx context.Context, request *change) error {
 	fingerprint := outbox.Digest(request.raw)
 	for attempt := range maxCommitAttempts {
@@ -53,8 +54,8 @@
 }
 
 // tryCommit makes one attempt. It returns false without an error if the local replica may
-// lag or another change was committed first. isCurrent says that the replica had caught up
-// with the leader before the attempt.
+// lag or another change was committed first. isCurrent reports whether the replica had
+// caught up with the leader before the attempt.
 func (s *changes) tryCommit(
 	ctx context.Context, request *change, fingerprint []byte, isCurrent bool,
 ) (committed bool, err error) {
@@ -63,15 +64,15 @@
 	}
 	state := s.readState(request, fingerprint)
 	switch {
-	case !state.isObservable:
+	case !state.isReadable:
 		return false, replicahost.ErrNoQuorum
 	case state.receipt == outbox.KeyRepeated: // applied here, so a majority has accepted it
 		return true, nil
 	case state.receipt == outbox.KeyConflicting:
 		s.quarantineChange(request, fingerprint)
 		return false, &VersionReusedError{Version: request.version}
-	case state.isForgotten:
-		return false, errForgotten
+	case state.isReceiptExpired:
+		return false, errReceiptExpired
 	case state.version == request.base && request.version > state.version:
 		return s.propose(ctx, request, fingerprint, state)
 	case !isCurrent:
@@ -85,17 +86,17 @@
 func (s *changes) readState(request *change, fingerprint []byte) (state committedState) {
 	found := s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		state.version, state.raw = schema.ReadConfig(replica)
-		state.receipt, state.isForgotten = schema.CheckReplay(replica, request.version, request.base, fingerprint)
+		state.receipt, state.isReceiptExpired = schema.CheckReplay(replica, request.version, request.base, fingerprint)
 	})
 	if !found {
 		return committedState{}
 	}
-	state.isObservable = true
+	state.isReadable = true
 	return state
 }
 
 // propose applies a change to the configuration in state and proposes the transaction. It
-// returns false without an error if the configuration is a different one by now.
+// returns false without an error if the configuration has changed since state was read.
 func (s *changes) propose(
 	ctx context.Context, request *change, fingerprint []byte, state committedState,
 ) (committed bool, err error) {
@@ -126,13 +127,13 @@
 }
 
 // quarantineChange records a change whose version and base equal those of a committed change
-// but whose content differs. Only its fingerprint is stored; it is never applied.
+// but whose content differs. Only its fingerprint is stored; the change is never applied.
 func (s *changes) quarantineChange(request *change, fingerprint []byte) {
 	s.log.Error(logging.IdempotencyConflict).
 		Uint64("version", request.version).
 		Uint64("base", request.base).
 		Hex("fingerprint", fingerprint).
-		Msg("a change contradicts the one that was committed under its version and base")
+		Msg("change rejected: its content differs from the change committed with the same version and base")
 	eventID := fmt.Sprintf("order/%d/%d/%x", request.version, request.base, fingerprint)
 	notification, err := outbox.Notification{
 		EventID:         eventID,
--- a/internal/controlplane/operatorapi/errors.go
+++ b/internal/controlplane/operatorapi/errors.go
@@ -10,20 +10,21 @@
 	"github.com/labstack/echo/v4"
 )
 
-// retryAfter is what the header Retry-After says on a 503, in seconds.
+// retryAfter is the value of the Retry-After header of a 503 response, in seconds.
 const retryAfter = "0.2"
 
 // ErrNotReady rejects all requests until this node's storage is open.
 var ErrNotReady = errors.New("the disk of this node does not answer yet")
 
-// Errors of requests that may be sent again. Operators read these texts, so they stay.
+// Errors of requests that may be sent again. The texts are part of the API's responses and
+// must not change.
 var (
-	errForming        = errors.New("the control plane is still being founded")
-	errForgotten      = errors.New("the order is so old that nobody knows whether it was taken")
-	errContended      = errors.New("the cell is busy")
-	errLargeBodyQueue = errors.New("another large order is being read")
-	errCallerGone     = errors.New("the caller is gone")
-	errTruncatedBody  = errors.New("the body broke off")
+	errForming             = errors.New("the control plane is still being founded")
+	errReceiptExpired      = errors.New("the order is so old that nobody knows whether it was taken")
+	errContended           = errors.New("the cell is busy")
+	errLargeBodyInProgress = errors.New("another large order is being read")
+	errClientDisconnected  = errors.New("the caller is gone")
+	errTruncatedBody       = errors.New("the body broke off")
 )
 
 // Errors of requests that fail again if sent unchanged.
@@ -35,38 +36,39 @@
 	errNoBaseVersion   = errors.New(baseVersionHeader + " holds no version")
 )
 
-// ConflictError says that the base version of a change is not the current one.
+// ConflictError reports that the base version of a change is not the current version.
 type ConflictError struct {
 	Current uint64
 	Base    uint64 // of the change
 }
 
-// Error names the current version.
+// Error returns a message with the current version.
 func (e *ConflictError) Error() string { return fmt.Sprintf("version %d is current", e.Current) }
 
-// VersionReusedError says that another change was committed under the same version.
+// VersionReusedError reports that a change with other content was committed under the same
+// version and base.
 type VersionReusedError struct {
 	Version uint64
 }
 
-// Error names the version.
+// Error returns a message with the version.
 func (e *VersionReusedError) Error() string {
 	return fmt.Sprintf("version %d was taken with other content", e.Version)
 }
 
-// InvalidRequestError says what is wrong with a request.
+// InvalidRequestError reports that a request is invalid; Err is the reason.
 type InvalidRequestError struct {
 	Err error
 }
 
-// Error is the text of what is wrong.
+// Error returns the text of Err.
 func (e *InvalidRequestError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns Err.
 func (e *InvalidRequestError) Unwrap() error { return e.Err }
 
-// statusOf returns the HTTP status of an error. Errors that don't fault the request mean
-// that nothing was committed or that the outcome is unknown: 503.
+// statusOf returns the HTTP status for an error. It returns 503 if the request itself is not
+// at fault. In that case nothing was committed or the outcome is unknown.
 func statusOf(err error) int {
 	var conflict *ConflictError
 	var reused *VersionReusedError
@@ -86,7 +88,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// messageOf returns the text of an error in the response.
+// messageOf returns the text that a response contains for an error.
 func messageOf(err error) string {
 	switch {
 	case errors.Is(err, replicahost.ErrBusy):
--- a/internal/controlplane/operatorapi/errors_test.go
+++ b/internal/controlplane/operatorapi/errors_test.go
@@ -12,8 +12,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// TestWriteError: each error has its status, its text and, where the request may be sent
-// again, the header that says so.
+// TestWriteError checks the status, text and headers of the response to each error: only a
+// 503 has Retry-After, and only a truncated body closes the connection.
 func TestWriteError(t *testing.T) {
 	const mayRetry = http.StatusServiceUnavailable
 	for _, c := range []struct {
@@ -42,13 +42,13 @@
 		}
 		want := fmt.Sprintf("{\"errorMessage\":%q}\n", c.text)
 		if w.Code != c.status || w.Body.String() != want {
-			t.Errorf("%v: %d %s, not %d %s", c.err, w.Code, w.Body, c.status, want)
+			t.Errorf("WriteError(%v) responded with %d %s, want %d %s", c.err, w.Code, w.Body, c.status, want)
 		}
 		if hasHeader := w.Header().Get("Retry-After") != ""; hasHeader != (c.status == mayRetry) {
-			t.Errorf("%v: Retry-After is %v", c.err, hasHeader)
+			t.Errorf("WriteError(%v) set Retry-After: %v, want it only with status 503", c.err, hasHeader)
 		}
 		if isClosed := w.Header().Get("Connection") == "close"; isClosed != errors.Is(c.err, errTruncatedBody) {
-			t.Errorf("%v: the connection is closed: %v", c.err, isClosed)
+			t.Errorf("WriteError(%v) set Connection to close: %v, want it only for a truncated body", c.err, isClosed)
 		}
 	}
 }
--- a/internal/controlplane/operatorapi/handler.go
+++ b/internal/controlplane/operatorapi/handler.go
@@ -1,9 +1,9 @@
-// Package operatorapi is the HTTP API of the operators: they replace, amend and read the
+// Package operatorapi implements the HTTP API for operators. They replace, amend and read the
 // configuration, purge caches, and inspect the outbox and the leases.
 //
-// Handler holds the HTTP handlers. The logic below them is separate: changes commits
+// Handler contains the HTTP handlers. The logic is separate from HTTP: changes commits
 // configurations, purgeQueue commits purges in batches, and the views read the state. They
-// return typed errors, and only WriteError turns these into HTTP statuses.
+// return typed errors, and WriteError maps these to HTTP statuses.
 package operatorapi
 
 import (
@@ -22,37 +22,39 @@
 	"github.com/labstack/echo/v4"
 )
 
-// requestTimeout bounds a request. The operator's client gives up after a second.
+// requestTimeout limits the processing of a request. The operator's client times out after 1 s.
 const requestTimeout = 1500 * time.Millisecond
 
-// maxRedriveAttempts bounds the attempts to commit a redrive whose row changes meanwhile.
+// maxRedriveAttempts limits the attempts to commit a redrive. An attempt fails if the outbox
+// row changes or another redrive is committed first.
 const maxRedriveAttempts = 3
 
-// Cells is what the API needs of the replicated cells. *replicahost.Host implements it.
+// Cells reads and changes the replicated cells. *replicahost.Host implements it.
 type Cells interface {
 	View(cell string, read func(*paxos.Replica)) bool
 	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
 	WaitLinearizable(ctx context.Context, cell string) error
 }
 
-// Options are what a Handler is made from. All are required.
+// Options are the dependencies of a Handler. All fields are required.
 type Options struct {
 	Cells Cells
 	Log   *logging.Logger
 	// IsForming reports whether the meta cell is still adding its first voters. A change that
-	// it committed now could be lost with fewer disk losses than it must tolerate.
+	// is committed in this state could be lost after fewer disk failures than the cell must
+	// tolerate.
 	IsForming func() bool
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration func() *routing.Configuration
-	// Quarantine stores a notification, with the reason, for the operator to inspect. It must
-	// not wait until that is committed, since the request waits for it.
+	// Quarantine stores a notification and the reason for the operator to inspect. It must
+	// return before the record is committed, because the request is blocked until it returns.
 	Quarantine func(notification *outbox.Notification, reason string)
-	// AppliedVersions returns up to which version this node has applied each aggregate.
+	// AppliedVersions returns, by aggregate, the version up to which this node has applied
+	// notifications.
 	AppliedVersions func() map[string]uint64
 }
 
-// Handler answers the operators' requests. Its Run must be running for purges to be
-// committed.
+// Handler serves the requests of operators. It commits purges only while Run is running.
 type Handler struct {
 	cells           Cells
 	log             *logging.Logger
@@ -62,7 +64,7 @@
 	largeBodySlot   chan struct{} // holds a token while a large body is read
 }
 
-// New makes a Handler.
+// New returns a Handler.
 func New(options Options) *Handler {
 	return &Handler{
 		cells:           options.Cells,
@@ -83,10 +85,12 @@
 // Run commits purges until ctx is done.
 func (h *Handler) Run(ctx context.Context) { h.purges.run(ctx) }
 
-// Replace handles POST /Configuration.Replace: a whole configuration on top of a base version.
+// Replace handles POST /Configuration.Replace: it replaces the whole configuration if the base
+// version is current.
 func (h *Handler) Replace(c echo.Context) error { return h.handleChange(c, parseReplacement) }
 
-// Amend handles POST /Configuration.Amend: a change of named items on top of a base version.
+// Amend handles POST /Configuration.Amend: it changes named items of the configuration if the
+// base version is current.
 func (h *Handler) Amend(c echo.Context) error { return h.handleChange(c, parseAmendment) }
 
 func (h *Handler) handleChange(c echo.Context, parse parseFunc) error {
@@ -168,7 +172,7 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-// ReadOutbox handles GET /Notices.Read: the outbox's backlog, the quarantine, the redrives.
+// ReadOutbox handles GET /Notices.Read: the outbox's backlog, the quarantine and the redrives.
 func (h *Handler) ReadOutbox(c echo.Context) error {
 	var view OutboxView
 	found := h.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
@@ -181,8 +185,8 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-// Redrive handles POST /Notices.Redrive: it sends a notification again, or closes the case
-// of a quarantined one.
+// Redrive handles POST /Notices.Redrive: it sends a notification again, or removes a
+// quarantined one from the quarantine.
 func (h *Handler) Redrive(c echo.Context) error {
 	raw, err := readBody(c, maxSmallBodyBytes)
 	if err != nil {
@@ -203,7 +207,9 @@
 	return c.JSON(http.StatusOK, request)
 }
 
-// commitRedrive commits a redrive, unless it is on record already.
+// commitRedrive commits a redrive, unless the same request is stored already. It returns
+// errUnknownEvent if the event ID is neither in the outbox nor in the quarantine, and
+// replicahost.ErrBusy if every attempt failed.
 func (h *Handler) commitRedrive(ctx context.Context, request *schema.RedriveRequest) error {
 	for range maxRedriveAttempts {
 		if err := h.cells.WaitLinearizable(ctx, schema.MetaCell); err != nil {
@@ -232,10 +238,10 @@
 				Str("operator", request.Operator).
 				Str("correlationId", request.CorrelationID).
 				Str("action", request.Action).
-				Msg("a notification was redriven")
+				Msg("redrive committed")
 			return nil
 		}
-		// The outbox row has changed meanwhile, or another redrive was committed first.
+		// The outbox row has changed, or another redrive was committed first.
 	}
 	return replicahost.ErrBusy
 }
--- a/internal/controlplane/operatorapi/purges.go
+++ b/internal/controlplane/operatorapi/purges.go
@@ -16,7 +16,7 @@
 	"comethold/internal/paxos"
 )
 
-// Bounds of the purge queue. The reasons for these values are in docs/design.md.
+// Limits of the purge queue. The reasons for these values are in docs/design.md.
 const (
 	maxPurgeBatch     = 512
 	purgeQueueLength  = 4096
@@ -54,7 +54,7 @@
 	cells    Cells
 	log      *logging.Logger
 	pending  chan *pendingPurge
-	stopping chan struct{} // closed as soon as the queue is to stop
+	stopping chan struct{} // closed when the context of run is done
 }
 
 type pendingPurge struct {
@@ -71,8 +71,9 @@
 	}
 }
 
-// submit queues a purge and waits until it is committed. It returns nil if it is, and
-// replicahost.ErrOutcomeUnknown if it may be.
+// submit queues a purge and waits until it is committed. It returns replicahost.ErrBusy if
+// the queue is full, and replicahost.ErrOutcomeUnknown if ctx is done or the queue stops
+// before the outcome is known.
 func (q *purgeQueue) submit(ctx context.Context, purge distribution.Purge) error {
 	pending := &pendingPurge{purge: purge, done: make(chan error, 1)}
 	select {
@@ -89,8 +90,8 @@
 	return replicahost.ErrOutcomeUnknown
 }
 
-// run commits batches until ctx is done. It completes the batch under way, but submit
-// returns at once.
+// run commits batches until ctx is done. Then it completes the current batch, but blocked
+// calls of submit return immediately.
 func (q *purgeQueue) run(ctx context.Context) {
 	context.AfterFunc(ctx, func() { close(q.stopping) })
 	for {
@@ -124,8 +125,8 @@
 	return purges
 }
 
-// commit commits purges. Purges are idempotent, so if the outcome is unknown they are
-// proposed again.
+// commit commits purges and retries until ctx is done. A retry after an unknown outcome is
+// safe because purges are idempotent.
 func (q *purgeQueue) commit(ctx context.Context, purges []distribution.Purge) error {
 	// The notification gets its version and event ID from its log index; see schema.DecodeRow.
 	notification, err := outbox.Notification{Aggregate: outbox.AggregatePurges}.WithPayload(len(purges))
--- a/internal/controlplane/operatorapi/purges_test.go
+++ b/internal/controlplane/operatorapi/purges_test.go
@@ -14,8 +14,8 @@
 	"comethold/internal/rpc"
 )
 
-// TestPurgesAreBatched: purges that are pending together are committed together, each once,
-// with one notification.
+// TestPurgesAreBatched checks that pending purges are committed in one batch, without
+// duplicates and with one notification, so that a burst of purges needs few log entries.
 func TestPurgesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cells := &testCells{Cell: schematest.NewCell(t)}
@@ -35,21 +35,21 @@
 		cancel()
 		keys := cells.Replica().KeysWithPrefix(schema.PurgeKeyPrefix, schema.PurgeKeyPrefix)
 		if len(keys) != 1 {
-			t.Fatalf("%d batches are committed", len(keys))
+			t.Fatalf("%d batches were committed, want 1", len(keys))
 		}
 		var purges []distribution.Purge
 		value, _ := cells.Replica().Get(keys[0])
 		if err := rpc.Unmarshal(value.Bytes, &purges); err != nil || len(purges) != 2 {
-			t.Errorf("committed are %v, %v", purges, err)
+			t.Errorf("the batch contains %v (decoding error: %v), want 2 purges", purges, err)
 		}
 		if rows := schema.OutboxRows(cells.Replica()); len(rows) != 1 {
-			t.Errorf("%d notifications are in the outbox", len(rows))
+			t.Errorf("the outbox contains %d notifications, want 1", len(rows))
 		}
 	})
 }
 
-// TestStoppedPurgeQueue: a purge that is pending when the node stops may or may not be
-// committed, and its caller is told so.
+// TestStoppedPurgeQueue guards against a submit that blocks, or returns a definite outcome,
+// when the node stops. A purge that is pending at that time may or may not be committed.
 func TestStoppedPurgeQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := newPurgeQueue(&testCells{Cell: schematest.NewCell(t)}, logging.Nop())
--- a/internal/controlplane/operatorapi/request.go
+++ b/internal/controlplane/operatorapi/request.go
@@ -12,7 +12,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Bounds of request bodies.
+// Limits of request bodies.
 const (
 	maxSmallBodyBytes  = 64 << 10 // of purges and redrives
 	maxChangeBytes     = 8 << 20
@@ -21,14 +21,14 @@
 	bodyReadTimeout    = 10 * time.Second
 )
 
-// baseVersionHeader names the version that a change builds on.
+// baseVersionHeader is the header with the version that a change is based on.
 const baseVersionHeader = "X-Comethold-Base-Version"
 
 // change is a request to change the configuration.
 type change struct {
 	version uint64
-	base    uint64 // the version that it builds on
-	raw     []byte // as it was sent
+	base    uint64 // the version that the change is based on
+	raw     []byte // the request body
 	// apply returns the next configuration and its JSON, given the JSON of the current one.
 	apply func(current []byte) (next *routing.Configuration, raw []byte, err error)
 }
@@ -58,17 +58,17 @@
 	return nil
 }
 
-// readChange reads and parses a change. A large change takes many times its size in memory
-// meanwhile, so only one large change is read at a time.
+// readChange reads and parses a change. Parsing a large change takes many times its size in
+// memory, so large changes are read one at a time. A body of unknown length counts as large.
 func (h *Handler) readChange(c echo.Context, parse parseFunc) (*change, error) {
 	if n := c.Request().ContentLength; n < 0 || n > largeChangeBytes {
 		select {
 		case h.largeBodySlot <- struct{}{}:
 			defer func() { <-h.largeBodySlot }()
 		case <-time.After(largeChangeMaxWait):
-			return nil, errLargeBodyQueue
+			return nil, errLargeBodyInProgress
 		case <-c.Request().Context().Done():
-			return nil, errCallerGone
+			return nil, errClientDisconnected
 		}
 	}
 	raw, err := readBody(c, maxChangeBytes)
@@ -87,11 +87,11 @@
 	return request, nil
 }
 
-// readBody reads the body of a request. If it is truncated or arrives too slowly, the error
-// is errTruncatedBody, which lets the client send the request again.
+// readBody reads the body of a request. If the body is truncated or takes longer than
+// bodyReadTimeout, the error is errTruncatedBody, so the client may send the request again.
 func readBody(c echo.Context, maxBytes int64) ([]byte, error) {
 	response := http.NewResponseController(c.Response())
-	_ = response.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not all connections have one
+	_ = response.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not every connection supports deadlines
 	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBytes+1))
 	if err != nil {
 		return nil, errTruncatedBody
--- a/internal/controlplane/operatorapi/request_test.go
+++ b/internal/controlplane/operatorapi/request_test.go
@@ -13,8 +13,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// TestLargeChangesWaitInTurn: large changes that come at once are read one after another.
-func TestLargeChangesWaitInTurn(t *testing.T) {
+// TestLargeChangesAreReadOneAtATime checks that a large change waits while another one is read,
+// instead of being rejected, and releases the slot afterwards.
+func TestLargeChangesAreReadOneAtATime(t *testing.T) {
 	h := New(Options{Log: logging.Nop()})
 	h.largeBodySlot <- struct{}{}
 	time.AfterFunc(largeChangeMaxWait/5, func() { <-h.largeBodySlot })
@@ -27,14 +28,17 @@
 		t.Error(err)
 	}
 	if len(h.largeBodySlot) != 0 {
-		t.Error("the slot is not given back")
+		t.Error("the slot for large bodies is still taken after readChange returned, want it released")
 	}
 }
 
+// zeros reads an endless sequence of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
+// TestParsePurge checks that a purge is accepted only with a host and an absolute path, or with
+// a label. An empty expectation stands for an error.
 func TestParsePurge(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"hostname":"A.example","path":"/x"}`: "a.example /x ",
@@ -54,7 +58,7 @@
 			got = fmt.Sprint(r.Host, " ", r.Path, " ", r.Label)
 		}
 		if got != want {
-			t.Errorf("%s: %q %v", body, got, err)
+			t.Errorf("parsePurge(%s) returned %q and error %v, want %q", body, got, err, want)
 		}
 	}
 }
--- a/internal/controlplane/operatorapi/views.go
+++ b/internal/controlplane/operatorapi/views.go
@@ -9,17 +9,18 @@
 	"comethold/internal/rpc"
 )
 
-// OutboxView is what an operator sees of the outbox and of what is quarantined.
+// OutboxView is the response of ReadOutbox.
 type OutboxView struct {
 	Backlog    int                     `json:"backlog"` // rows that are not published
 	Rows       []OutboxRowView         `json:"rows"`    // the backlog, oldest first
 	Quarantine []QuarantinedView       `json:"quarantine"`
 	Redrives   []schema.RedriveRequest `json:"redrives"` // oldest first
-	// AppliedVersions is up to which version this node has applied each aggregate.
+	// AppliedVersions is, by aggregate, the version up to which this node has applied
+	// notifications.
 	AppliedVersions map[string]uint64 `json:"decided"`
 }
 
-// OutboxRowView is a row of the outbox.
+// OutboxRowView is an unpublished row of the outbox.
 type OutboxRowView struct {
 	EventID   string `json:"eventId"`
 	Aggregate string `json:"aggregate"`
@@ -29,7 +30,8 @@
 	Owner     string `json:"owner,omitempty"`
 }
 
-// QuarantinedView is a notification or change that contradicts what was committed before.
+// QuarantinedView is a notification or change in quarantine: it is invalid, or its content
+// conflicts with an earlier one.
 type QuarantinedView struct {
 	EventID    string `json:"eventId"`
 	Version    uint64 `json:"version"`
@@ -44,16 +46,16 @@
 	FencingToken uint64 `json:"fence"`
 }
 
-// LeasesView is what an operator sees of the leases and of the usage reports.
+// LeasesView is the response of ReadLeases.
 type LeasesView struct {
 	Leases []LeaseView `json:"duties"`
-	// ReportBacklog is how many usage reports are committed and not accepted yet.
+	// ReportBacklog is the number of usage reports that are committed and not accepted yet.
 	ReportBacklog      int    `json:"reportBacklog"`
 	OldestUnsentWindow uint64 `json:"oldestUnsentWindow,omitempty"`
 	NewestWindow       uint64 `json:"newestWindow,omitempty"` // of the reports that are committed
 }
 
-// readOutbox reads the outbox tables of the meta cell. AppliedVersions is left out.
+// readOutbox reads the outbox tables of the meta cell. It leaves AppliedVersions unset.
 func readOutbox(replica *paxos.Replica) OutboxView {
 	view := OutboxView{
 		Rows:       []OutboxRowView{},
@@ -113,8 +115,8 @@
 	return view
 }
 
-// forEachRecord decodes the records under a key prefix in order; what can't be decoded is
-// skipped.
+// forEachRecord decodes the records under a key prefix and visits them in key order. It skips
+// records that can't be decoded.
 func forEachRecord[Record any](replica *paxos.Replica, prefix string, visit func(key string, record Record)) {
 	for _, key := range replica.KeysWithPrefix(prefix, prefix) {
 		var record Record
--- a/internal/controlplane/outboxpublisher/consumer.go
+++ b/internal/controlplane/outboxpublisher/consumer.go
@@ -22,11 +22,11 @@
 // Distributor sends notifications to the data plane nodes. It also holds the state that the
 // notifications announce.
 type Distributor interface {
-	// LatestConfiguration returns the newest configuration held here, or nil.
+	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration() *routing.Configuration
-	// PurgePosition returns the log index up to which purges are held here.
+	// PurgePosition returns the log index up to which this node holds purges.
 	PurgePosition() uint64
-	// AddNotifications queues notifications for the nodes; known ones are skipped.
+	// AddNotifications queues notifications for the data plane nodes, except known ones.
 	AddNotifications(notifications []distribution.OutboxNotification)
 }
 
@@ -38,14 +38,14 @@
 	QueueNodeValue(key string, value []byte)
 }
 
-// ConsumerOptions are what a Consumer needs.
+// ConsumerOptions are the dependencies of a Consumer.
 type ConsumerOptions struct {
 	State       StateReader
 	Distributor Distributor
 	Storage     NodeStorage
 	Quarantine  *Quarantine
-	// OnConfiguration is called when a configuration takes effect here. It may be called
-	// again with the same one.
+	// OnConfiguration is called when a configuration takes effect on this node. It may be
+	// called again with the same configuration.
 	OnConfiguration func(*routing.Configuration)
 	Log             *logging.Logger
 }
@@ -56,7 +56,7 @@
 	options ConsumerOptions
 	wakeup  chan struct{} // holds an element when the outbox may have changed
 
-	quarantining taskgroup.Group // commits to the quarantine
+	quarantining taskgroup.Group // pending commits to the quarantine
 
 	mu                sync.Mutex // guards the fields below
 	inbox             *outbox.Inbox
@@ -73,7 +73,7 @@
 	}
 }
 
-// loadInbox returns the stored inbox, or an empty one if none can be read.
+// loadInbox returns the stored inbox, or an empty one if none is stored or it can't be decoded.
 func loadInbox(storage NodeStorage) *outbox.Inbox {
 	raw := storage.NodeValue(InboxStorageKey)
 	if raw == nil {
@@ -107,10 +107,11 @@
 	}
 }
 
-// Receive handles a delivery of a publisher. It reports, for each notification, whether this
-// node has applied it or can never apply it. It applies nothing but the rows in the local
-// replica, because the log defines their order; the publisher retries the others.
-func (c *Consumer) Receive(notifications []outbox.Notification) (done []bool) {
+// Receive handles a delivery from a publisher. For each notification it returns whether this
+// node acknowledges it: the node has applied it, or it is invalid and can never be applied.
+// Receive applies only rows in the local replica, because the log defines their order. The
+// publisher retries the notifications that are not acknowledged.
+func (c *Consumer) Receive(notifications []outbox.Notification) (acknowledged []bool) {
 	c.Apply()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,9 +119,9 @@
 		notification := &notifications[i]
 		invalid := notification.Validate() != nil
 		applied := c.inbox.AppliedVersions[notification.Aggregate] >= notification.Version
-		done = append(done, invalid || applied)
+		acknowledged = append(acknowledged, invalid || applied)
 	}
-	return done
+	return acknowledged
 }
 
 // AppliedVersions returns, by aggregate, the version up to which notifications were applied.
@@ -130,8 +131,9 @@
 	return maps.Clone(c.inbox.AppliedVersions)
 }
 
-// Apply decides the rows of the outbox, passes them to the distributor, and puts the current
-// configuration into effect here once its notification is decided.
+// Apply decides the rows of the outbox with the inbox, passes applied and duplicate
+// notifications to the distributor, and calls OnConfiguration once the current configuration
+// is applied.
 func (c *Consumer) Apply() {
 	rows := outboxRows(c.options.State)
 	c.mu.Lock()
@@ -162,16 +164,17 @@
 func (c *Consumer) decideLocked(
 	rows []schema.StoredRow, heldVersions map[string]uint64,
 ) (decided []distribution.OutboxNotification, changed bool) {
-	// Nodes request the notifications after the newest index that they hold. So those at or
-	// after the index of a deferred notification wait for it.
-	deferredIndex := uint64(math.MaxUint64)
+	// Data plane nodes request the notifications after the newest index that they hold, so a
+	// node would miss a deferred notification if it received a later one first. Notifications
+	// at or after the first deferred index are therefore withheld.
+	firstDeferredIndex := uint64(math.MaxUint64)
 	for i := range rows {
 		notification := &rows[i].Row.Notification
 		index := schema.LogIndexOfKey(rows[i].Key, schema.OutboxKeyPrefix)
 		held := heldVersions[notification.Aggregate]
 		applied := c.inbox.AppliedVersions[notification.Aggregate]
 		if notification.Version <= held && notification.PreviousVersion > applied {
-			// The rows in between were swept, but the state held here includes their changes.
+			// The rows in between were swept, but the state on this node includes their changes.
 			c.inbox.SetBaseVersion(notification.Aggregate, notification.PreviousVersion)
 		}
 		decision, reason := c.inbox.Decide(notification, held)
@@ -180,19 +183,19 @@
 			changed = changed || decision == outbox.Applied
 			decided = append(decided, distribution.OutboxNotification{LogIndex: index, Notification: *notification})
 		case outbox.Deferred:
-			deferredIndex = min(deferredIndex, index)
+			firstDeferredIndex = min(firstDeferredIndex, index)
 		case outbox.Quarantined:
 			c.quarantineLocked(notification, reason)
 		}
 	}
 	decided = slices.DeleteFunc(decided, func(n distribution.OutboxNotification) bool {
-		return n.LogIndex >= deferredIndex
+		return n.LogIndex >= firstDeferredIndex
 	})
 	return decided, changed
 }
 
-// quarantineLocked logs and quarantines a notification once. It doesn't wait for the commit,
-// so that later notifications are not delayed.
+// quarantineLocked logs and quarantines a notification, once for each event ID. It does not
+// wait for the commit, so that later notifications are not delayed.
 func (c *Consumer) quarantineLocked(notification *outbox.Notification, reason error) {
 	if c.loggedQuarantines[notification.EventID] {
 		return
@@ -203,19 +206,19 @@
 	c.quarantining.Go(func() { c.options.Quarantine.Add(notification, reason.Error()) })
 }
 
-// catchUpLocked records the version of a configuration that was received with the state, so
-// that its notification is not in the outbox. It reports whether the inbox has changed.
+// catchUpLocked records the version of a configuration that this node received as part of the
+// state and whose notification is not in the outbox. It reports whether the inbox has changed.
 func (c *Consumer) catchUpLocked(rows []schema.StoredRow, version uint64) bool {
-	if c.inbox.AppliedVersions[outbox.AggregateConfiguration] >= version || c.hasUndecidedLocked(rows, version) {
+	if c.inbox.AppliedVersions[outbox.AggregateConfiguration] >= version || c.hasUnappliedChangeLocked(rows, version) {
 		return false
 	}
 	c.inbox.SetBaseVersion(outbox.AggregateConfiguration, version)
 	return true
 }
 
-// hasUndecidedLocked reports whether the outbox holds an unapplied configuration change of at
+// hasUnappliedChangeLocked reports whether the outbox holds an unapplied configuration change of at
 // most the given version.
-func (c *Consumer) hasUndecidedLocked(rows []schema.StoredRow, version uint64) bool {
+func (c *Consumer) hasUnappliedChangeLocked(rows []schema.StoredRow, version uint64) bool {
 	applied := c.inbox.AppliedVersions[outbox.AggregateConfiguration]
 	return slices.ContainsFunc(rows, func(stored schema.StoredRow) bool {
 		notification := &stored.Row.Notification
--- a/internal/controlplane/outboxpublisher/consumer_test.go
+++ b/internal/controlplane/outboxpublisher/consumer_test.go
@@ -11,36 +11,36 @@
 	"comethold/internal/rpc"
 )
 
-// TestNotificationWaitsForItsState: nodes are not notified of a change, nor of what comes
-// after it, before this node holds the configuration that the change speaks of.
-func TestNotificationWaitsForItsState(t *testing.T) {
+// TestNotificationWaitsForConfiguration guards against notifying data plane nodes of a change
+// before this node holds its configuration. Later notifications must wait as well.
+func TestNotificationWaitsForConfiguration(t *testing.T) {
 	f := newFixture(t)
-	f.hold(1)
+	f.setConfiguration(1)
 	f.consumer.Apply()
 	f.wantApplied(1)
-	f.change("configuration/3", 3, 1)
-	f.change("configuration/5", 5, 3)
+	f.commitChange("configuration/3", 3, 1)
+	f.commitChange("configuration/5", 5, 3)
 	f.consumer.Apply()
 	f.wantNotified()
-	f.hold(3)
+	f.setConfiguration(3)
 	f.consumer.Apply()
 	f.wantNotified("configuration/3")
 	f.wantApplied(3)
-	f.hold(5)
+	f.setConfiguration(5)
 	f.consumer.Apply()
 	f.wantNotified("configuration/3", "configuration/5")
 	f.wantApplied(5)
 	if got := slices.Compact(f.configurations); !slices.Equal(got, []uint64{1, 3, 5}) {
-		t.Errorf("in force came %v", got)
+		t.Errorf("configurations %v took effect, want [1 3 5]", got)
 	}
 }
 
-// TestInboxOutlivesRestart: what was decided before a restart is known after it, and nodes
-// are notified of it again, as the distributor starts empty.
-func TestInboxOutlivesRestart(t *testing.T) {
+// TestInboxSurvivesRestart checks that the applied versions are kept over a restart, and that
+// applied notifications are passed on again, because the distributor starts empty.
+func TestInboxSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
-	f.hold(3)
-	f.change("configuration/3", 3, 0)
+	f.setConfiguration(3)
+	f.commitChange("configuration/3", 3, 0)
 	f.consumer.Apply()
 	f.wantApplied(3)
 	f.restart()
@@ -51,7 +51,8 @@
 	f.wantNotified("configuration/3")
 }
 
-// TestUnreadableInboxStartsEmpty: a stored inbox that can't be read is passed over.
+// TestUnreadableInboxStartsEmpty checks that a stored inbox that can't be decoded is replaced by
+// an empty one.
 func TestUnreadableInboxStartsEmpty(t *testing.T) {
 	f := newFixture(t)
 	f.storage.QueueNodeValue(InboxStorageKey, []byte("no inbox"))
@@ -59,31 +60,33 @@
 	f.wantApplied(0)
 }
 
-// TestContradictionIsQuarantined: a notification that contradicts an earlier one of the same
-// event is quarantined once, is not passed on, and holds up nothing.
-func TestContradictionIsQuarantined(t *testing.T) {
+// TestConflictingNotificationIsQuarantined checks that a notification whose content differs
+// from an earlier one with the same event ID is quarantined once, is not passed on, and does
+// not block later notifications.
+func TestConflictingNotificationIsQuarantined(t *testing.T) {
 	f := newFixture(t)
-	f.hold(5)
-	f.change("configuration/3", 3, 0)
-	f.change("configuration/3", 4, 3)
-	f.change("configuration/5", 5, 3)
+	f.setConfiguration(5)
+	f.commitChange("configuration/3", 3, 0)
+	f.commitChange("configuration/3", 4, 3)
+	f.commitChange("configuration/5", 5, 3)
 	f.consumer.Apply()
 	f.consumer.Apply()
 	f.consumer.quarantining.Close()
 	f.wantNotified("configuration/3", "configuration/5")
 	f.wantApplied(5)
 	if got := f.quarantined(); !slices.Equal(got, []string{schema.QuarantineKeyPrefix + "configuration/3"}) {
-		t.Errorf("in quarantine are %v", got)
+		t.Errorf("the quarantine contains %v, want only configuration/3", got)
 	}
 }
 
-// TestReceiveTellsWhatIsDone: a publisher is told that this node is done with what it has
-// applied and with what can't be used, and not with what has not come with the log.
-func TestReceiveTellsWhatIsDone(t *testing.T) {
+// TestReceiveAcknowledgesAppliedAndInvalid guards against acknowledging a notification that the
+// local replica has not received, whose row would then be marked as published too early, and
+// against endless retries of an invalid one.
+func TestReceiveAcknowledgesAppliedAndInvalid(t *testing.T) {
 	f := newFixture(t)
-	f.hold(3)
-	f.change("configuration/3", 3, 0)
-	applied := f.rows()["configuration/3"].Notification
+	f.setConfiguration(3)
+	f.commitChange("configuration/3", 3, 0)
+	applied := f.rowsByEventID()["configuration/3"].Notification
 	unseen, err := outbox.Notification{
 		EventID:         "configuration/5",
 		Aggregate:       outbox.AggregateConfiguration,
@@ -95,14 +98,14 @@
 	}
 	invalid := applied
 	invalid.EventID = ""
-	done := f.consumer.Receive([]outbox.Notification{applied, unseen, invalid})
-	if !slices.Equal(done, []bool{true, false, true}) {
-		t.Errorf("done is %v", done)
+	acknowledged := f.consumer.Receive([]outbox.Notification{applied, unseen, invalid})
+	if !slices.Equal(acknowledged, []bool{true, false, true}) {
+		t.Errorf("Receive of applied, unseen and invalid notifications returned %v, want [true false true]", acknowledged)
 	}
 }
 
-// TestQuarantineIsBounded: the oldest records make room, and what is in quarantine stays as
-// it was added first.
+// TestQuarantineIsBounded checks that the oldest records are deleted for new ones, and that a
+// repeated event ID does not overwrite the first record.
 func TestQuarantineIsBounded(t *testing.T) {
 	f := newFixture(t)
 	quarantine := NewQuarantine(f.cell, "n1")
@@ -113,14 +116,14 @@
 	}
 	keys := f.quarantined()
 	if len(keys) > maxQuarantined {
-		t.Errorf("%d records are kept", len(keys))
+		t.Errorf("the quarantine contains %d records, want at most maxQuarantined", len(keys))
 	}
 	f.cell.View(func(replica *paxos.Replica) {
 		for _, key := range keys {
 			var record schema.QuarantineRecord
 			value, _ := replica.Get(key)
 			if rpc.Unmarshal(value.Bytes, &record) != nil || record.Reason != "first" || record.ReportedBy != "n1" {
-				t.Errorf("%s is %+v", key, record)
+				t.Errorf("record %s is %+v, want reason first, reported by n1", key, record)
 			}
 		}
 	})
--- a/internal/controlplane/outboxpublisher/doc.go
+++ b/internal/controlplane/outboxpublisher/doc.go
@@ -5,12 +5,13 @@
 //
 //   - Publisher runs on the control node that holds the placement lease. It claims the rows
 //     that are due, delivers their notifications to every live control node, and marks a row
-//     as published once each of them has applied it; otherwise the row is retried later.
+//     as published once each of them has acknowledged it; otherwise the row is retried later.
 //   - Consumer runs on every control node. It decides each notification with its inbox
-//     (apply, duplicate, defer or quarantine), passes it to the distributor, and puts the
-//     new configuration into effect here.
+//     (applied, duplicate, deferred or quarantined), passes applied and duplicate ones to the
+//     distributor, and puts a new configuration into effect on this node.
 //
-// A notification that contradicts an earlier one goes to the Quarantine for the operator.
+// A notification that is invalid or conflicts with an earlier one is stored in the Quarantine
+// for the operator to inspect.
 //
 // Operators don't wait for this package: a change is acknowledged when its transaction is
 // committed.
--- a/internal/controlplane/outboxpublisher/fixture_test.go
+++ b/internal/controlplane/outboxpublisher/fixture_test.go
@@ -22,7 +22,7 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// fakeDistributor notes what it is given.
+// fakeDistributor records the notifications that it receives, each event once.
 type fakeDistributor struct {
 	configuration *routing.Configuration
 	purgePosition uint64
@@ -44,7 +44,7 @@
 	}
 }
 
-// memoryStorage keeps values in memory.
+// memoryStorage is a NodeStorage in memory.
 type memoryStorage struct {
 	mu     sync.Mutex // guards values
 	values map[string][]byte
@@ -64,28 +64,29 @@
 	s.values[key] = value
 }
 
-// fakePeers are control nodes, this one among them, that are done with some notifications.
+// fakePeers simulates the live control nodes, including this one. Each of the others
+// acknowledges a fixed set of notifications.
 type fakePeers struct {
-	done map[string][]string // event IDs by address; an address without an entry is down
+	acknowledged map[string][]string // event IDs by address; a node with nil does not answer
 }
 
 func (p *fakePeers) LivePeers(time.Duration) map[string]replicahost.PeerInfo {
 	live := map[string]replicahost.PeerInfo{selfAddress: {Addr: selfAddress}}
-	for address := range p.done {
+	for address := range p.acknowledged {
 		live[address] = replicahost.PeerInfo{Addr: address}
 	}
 	return live
 }
 
 func (p *fakePeers) CallPeer(_ context.Context, address, _ string, request, response any) error {
-	done := p.done[address]
+	acknowledged := p.acknowledged[address]
 	notifications, isList := request.([]outbox.Notification)
 	answer, takesList := response.(*[]bool)
-	if done == nil || !isList || !takesList {
+	if acknowledged == nil || !isList || !takesList {
 		return errUnreachable
 	}
 	for _, notification := range notifications {
-		*answer = append(*answer, slices.Contains(done, notification.EventID))
+		*answer = append(*answer, slices.Contains(acknowledged, notification.EventID))
 	}
 	return nil
 }
@@ -96,7 +97,7 @@
 	cell           *schematest.Cell
 	distributor    *fakeDistributor
 	storage        *memoryStorage
-	configurations []uint64 // versions that came into force
+	configurations []uint64 // versions that took effect, in order
 	consumer       *Consumer
 	peers          *fakePeers
 	publisher      *Publisher
@@ -109,7 +110,7 @@
 		cell:        schematest.NewCell(t),
 		distributor: &fakeDistributor{},
 		storage:     newMemoryStorage(),
-		peers:       &fakePeers{done: map[string][]string{}},
+		peers:       &fakePeers{acknowledged: map[string][]string{}},
 	}
 	f.restart()
 	f.publisher = NewPublisher(PublisherOptions{
@@ -122,7 +123,7 @@
 	return f
 }
 
-// restart makes a new consumer over what is stored.
+// restart replaces the consumer with a new one that reads the stored inbox.
 func (f *fixture) restart() {
 	f.consumer = NewConsumer(ConsumerOptions{
 		State:       f.cell,
@@ -136,8 +137,8 @@
 	})
 }
 
-// change commits the notification of a configuration change.
-func (f *fixture) change(eventID string, version, previous uint64) {
+// commitChange commits an outbox row with the notification of a configuration change.
+func (f *fixture) commitChange(eventID string, version, previous uint64) {
 	f.t.Helper()
 	notification, err := outbox.Notification{
 		EventID:         eventID,
@@ -148,20 +149,20 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.add(notification)
+	f.commitNotification(notification)
 }
 
-func (f *fixture) add(notification outbox.Notification) {
+func (f *fixture) commitNotification(notification outbox.Notification) {
 	f.t.Helper()
 	row := schema.MustEncode(outbox.Row{Notification: notification})
 	appendRow := paxos.Op{Kind: paxos.OpAppend, Key: schema.OutboxKeyPrefix, Value: row}
 	if !f.cell.Commit(paxos.Txn{Ops: []paxos.Op{appendRow}}) {
-		f.t.Fatalf("%s is not committed", notification.EventID)
+		f.t.Fatalf("commit of the outbox row of %s returned false, want true", notification.EventID)
 	}
 }
 
-// hold has this node hold a configuration.
-func (f *fixture) hold(version uint64) {
+// setConfiguration sets the newest configuration that this node holds.
+func (f *fixture) setConfiguration(version uint64) {
 	f.distributor.configuration = &routing.Configuration{Version: version}
 }
 
@@ -172,19 +173,19 @@
 		got = append(got, added.Notification.EventID)
 	}
 	if !slices.Equal(got, eventIDs) {
-		f.t.Errorf("nodes are notified of %v, not of %v", got, eventIDs)
+		f.t.Errorf("the distributor received %v, want %v", got, eventIDs)
 	}
 }
 
 func (f *fixture) wantApplied(version uint64) {
 	f.t.Helper()
 	if got := f.consumer.AppliedVersions()[outbox.AggregateConfiguration]; got != version {
-		f.t.Errorf("configurations are applied up to %d, not %d", got, version)
+		f.t.Errorf("configurations are applied up to version %d, want %d", got, version)
 	}
 }
 
-// rows are those of the outbox, by event ID.
-func (f *fixture) rows() map[string]outbox.Row {
+// rowsByEventID returns the rows of the outbox by event ID.
+func (f *fixture) rowsByEventID() map[string]outbox.Row {
 	rows := map[string]outbox.Row{}
 	for _, stored := range outboxRows(f.cell) {
 		rows[stored.Row.Notification.EventID] = stored.Row
--- a/internal/controlplane/outboxpublisher/publisher.go
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -22,26 +22,27 @@
 	deliveryTimeout = 1500 * time.Millisecond // of one delivery to one control node
 )
 
-// Lease is the lease of the node that publishes.
+// Lease is the lease that a node must hold to publish.
 type Lease interface {
-	// Held returns the term under which this node holds the lease now.
+	// Held returns whether this node holds the lease now, and the term of the lease.
 	Held() (term uint64, held bool)
 }
 
 // Peers are the control nodes that notifications are delivered to.
 type Peers interface {
-	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
+	// LivePeers returns, by address, this node and the control nodes from which it received a
+	// message within the given time.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 	// CallPeer makes an RPC to a control node.
 	CallPeer(ctx context.Context, address, path string, request, response any) error
 }
 
-// PublisherOptions are what a Publisher needs.
+// PublisherOptions are the dependencies of a Publisher.
 type PublisherOptions struct {
 	State State
 	Lease Lease
 	Peers Peers
-	Local *Consumer // of this node, called without an RPC
+	Local *Consumer // the consumer of this node, called without an RPC
 	Self  replicahost.PeerInfo
 	Log   *logging.Logger
 }
@@ -51,11 +52,11 @@
 	options PublisherOptions
 
 	// observed records, by key, since when each row has been unchanged by this node's clock.
-	// Leases of claims and retry delays are counted from then. Only Run's goroutine uses it.
+	// Claim leases and retry delays start at that time. Only Run's goroutine uses it.
 	observed map[string]observedRow
 }
 
-// observedRow is the content of a row and when it was first seen.
+// observedRow is the content of a row and the time when this node first read it.
 type observedRow struct {
 	raw   string
 	since time.Time
@@ -66,7 +67,8 @@
 	return &Publisher{options: options, observed: map[string]observedRow{}}
 }
 
-// Run publishes until the context ends, and completes the delivery under way.
+// Run publishes while this node holds the lease, until the context ends. It completes a
+// delivery that is in progress.
 func (p *Publisher) Run(ctx context.Context) {
 	for {
 		select {
@@ -90,7 +92,7 @@
 	if len(swept.Txn.Ops) > 0 && p.options.State.Commit(swept.Txn) {
 		for _, eventID := range swept.DroppedEvents {
 			p.options.Log.Warn(logging.NotificationDropped).Str("eventId", eventID).
-				Msg("a notification that not every control node has applied is dropped for newer ones")
+				Msg("notification dropped before every control node acknowledged it: the outbox has too many unpublished rows")
 		}
 	}
 	claimed, txn := p.claimRows(swept.Remaining, owner, time.Now())
@@ -101,7 +103,7 @@
 	p.recordDeliveries(claimed, delivered, owner)
 }
 
-// recordDeliveries marks rows as published, or for a retry.
+// recordDeliveries marks delivered rows as published and schedules a retry of the others.
 func (p *Publisher) recordDeliveries(claimed []schema.StoredRow, delivered []bool, owner string) {
 	var txn paxos.Txn
 	for i, stored := range claimed {
@@ -110,7 +112,7 @@
 			next, err = stored.Row.ScheduleRetry(owner)
 			p.options.Log.Warn(logging.NotificationRetry).Str("eventId", stored.Row.Notification.EventID).
 				Int("attempts", stored.Row.Attempts).
-				Msg("a notification was not applied by every control node; it is sent again")
+				Msg("not every live control node acknowledged the notification; retry scheduled")
 		}
 		if err != nil {
 			continue
@@ -121,8 +123,8 @@
 	p.options.State.Commit(txn)
 }
 
-// claimRows makes the transaction that claims the rows that are due, on condition that they
-// are unchanged. It returns the rows as they will be stored.
+// claimRows builds the transaction that claims the rows that are due, on condition that they
+// are unchanged. It returns these rows as they will be stored.
 func (p *Publisher) claimRows(
 	rows []schema.StoredRow, owner string, now time.Time,
 ) (claimed []schema.StoredRow, txn paxos.Txn) {
@@ -143,7 +145,7 @@
 	return claimed, txn
 }
 
-// observe updates observed for the current rows.
+// observe updates observed from the current rows and removes rows that no longer exist.
 func (p *Publisher) observe(rows []schema.StoredRow, now time.Time) {
 	present := map[string]bool{}
 	for _, stored := range rows {
@@ -155,8 +157,8 @@
 	maps.DeleteFunc(p.observed, func(key string, _ observedRow) bool { return !present[key] })
 }
 
-// deliver sends notifications to every live control node. It reports, for each notification,
-// whether all nodes are done with it; see Consumer.Receive.
+// deliver sends notifications to every live control node. It returns, for each notification,
+// whether all nodes acknowledged it; see Consumer.Receive.
 func (p *Publisher) deliver(ctx context.Context, rows []schema.StoredRow) []bool {
 	notifications := make([]outbox.Notification, len(rows))
 	delivered := make([]bool, len(rows))
@@ -168,11 +170,11 @@
 	var deliveries sync.WaitGroup
 	for address := range p.options.Peers.LivePeers(replicahost.LearnerTimeout) {
 		deliveries.Go(func() {
-			done := p.deliverTo(ctx, address, notifications)
+			acknowledged := p.deliverTo(ctx, address, notifications)
 			mu.Lock()
 			defer mu.Unlock()
 			for i := range delivered {
-				delivered[i] = delivered[i] && i < len(done) && done[i]
+				delivered[i] = delivered[i] && i < len(acknowledged) && acknowledged[i]
 			}
 		})
 	}
@@ -180,17 +182,17 @@
 	return delivered
 }
 
-// deliverTo sends notifications to one control node and returns which of them it is done
-// with; nothing if it does not answer.
+// deliverTo sends notifications to one control node. It returns, for each notification,
+// whether the node acknowledged it, or nil if the call failed.
 func (p *Publisher) deliverTo(ctx context.Context, address string, notifications []outbox.Notification) []bool {
 	if address == p.options.Self.Addr {
 		return p.options.Local.Receive(notifications)
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	var done []bool
-	if p.options.Peers.CallPeer(ctx, address, DeliverPath, notifications, &done) != nil {
+	var acknowledged []bool
+	if p.options.Peers.CallPeer(ctx, address, DeliverPath, notifications, &acknowledged) != nil {
 		return nil
 	}
-	return done
+	return acknowledged
 }
--- a/internal/controlplane/outboxpublisher/publisher_test.go
+++ b/internal/controlplane/outboxpublisher/publisher_test.go
@@ -14,41 +14,41 @@
 
 func (f *fixture) wantState(eventID string, state outbox.State) {
 	f.t.Helper()
-	if got := f.rows()[eventID].State; got != state {
-		f.t.Errorf("%s is %v, not %v", eventID, got, state)
+	if got := f.rowsByEventID()[eventID].State; got != state {
+		f.t.Errorf("the row of %s is %v, want %v", eventID, got, state)
 	}
 }
 
-// TestPublishedOnceAllAreDone: a row is published once every live control node is done with
-// its notification; else it waits for a retry.
-func TestPublishedOnceAllAreDone(t *testing.T) {
+// TestRowIsPublishedOnceAllNodesAcknowledge guards against marking a row as published while a
+// live control node has not acknowledged its notification. The row must wait for a retry.
+func TestRowIsPublishedOnceAllNodesAcknowledge(t *testing.T) {
 	f := newFixture(t)
-	f.hold(3)
-	f.change("configuration/2", 2, 0)
-	f.change("configuration/3", 3, 2)
-	f.peers.done["10.0.0.2"] = []string{"configuration/2", "configuration/3"}
-	f.peers.done["10.0.0.3"] = []string{"configuration/2"}
+	f.setConfiguration(3)
+	f.commitChange("configuration/2", 2, 0)
+	f.commitChange("configuration/3", 3, 2)
+	f.peers.acknowledged["10.0.0.2"] = []string{"configuration/2", "configuration/3"}
+	f.peers.acknowledged["10.0.0.3"] = []string{"configuration/2"}
 	f.publisher.publish(t.Context(), owner)
 	f.wantState("configuration/2", outbox.Published)
 	f.wantState("configuration/3", outbox.RetryWait)
 
-	f.peers.done["10.0.0.3"] = nil // unreachable, but heard a moment ago
+	f.peers.acknowledged["10.0.0.3"] = nil // unreachable, but still counted as live
 	f.publisher.publish(t.Context(), owner)
 	f.wantState("configuration/3", outbox.RetryWait)
-	if attempts := f.rows()["configuration/3"].Attempts; attempts != 1 {
-		t.Errorf("%d attempts before the retry is due", attempts)
+	if attempts := f.rowsByEventID()["configuration/3"].Attempts; attempts != 1 {
+		t.Errorf("the row has %d attempts before the retry is due, want 1", attempts)
 	}
-	f.age(outbox.InitialRetryDelay)
+	f.ageRows(outbox.InitialRetryDelay)
 	f.publisher.publish(t.Context(), owner)
 	f.wantState("configuration/3", outbox.RetryWait)
-	delete(f.peers.done, "10.0.0.3") // not live any more
-	f.age(2 * outbox.InitialRetryDelay)
+	delete(f.peers.acknowledged, "10.0.0.3") // no longer counted as live
+	f.ageRows(2 * outbox.InitialRetryDelay)
 	f.publisher.publish(t.Context(), owner)
 	f.wantState("configuration/3", outbox.Published)
 }
 
-// age has the publisher take rows for unchanged for longer.
-func (f *fixture) age(by time.Duration) {
+// ageRows moves back the time since which the publisher has seen each row unchanged.
+func (f *fixture) ageRows(by time.Duration) {
 	f.publisher.observe(outboxRows(f.cell), time.Now())
 	for key, seen := range f.publisher.observed {
 		seen.since = seen.since.Add(-by)
@@ -56,28 +56,28 @@
 	}
 }
 
-// TestClaimOfAnotherIsRespected: a row that another publisher has claimed is taken over only
-// after the lease of the claim.
-func TestClaimOfAnotherIsRespected(t *testing.T) {
+// TestForeignClaimIsRespected guards against two publishers that deliver the same row. A row
+// claimed by another publisher may be claimed only after the lease of that claim expires.
+func TestForeignClaimIsRespected(t *testing.T) {
 	f := newFixture(t)
-	f.hold(3)
-	f.change("configuration/3", 3, 0)
+	f.setConfiguration(3)
+	f.commitChange("configuration/3", 3, 0)
 	_, txn := f.publisher.claimRows(outboxRows(f.cell), "b/1", time.Now())
 	if !f.cell.Commit(txn) {
-		t.Fatal("the claim is not committed")
+		t.Fatal("commit of the claim of b/1 returned false, want true")
 	}
 	f.publisher.publish(t.Context(), owner)
-	if row := f.rows()["configuration/3"]; row.State != outbox.Claimed || row.Owner != "b/1" {
-		t.Errorf("the row is %v of %q", row.State, row.Owner)
+	if row := f.rowsByEventID()["configuration/3"]; row.State != outbox.Claimed || row.Owner != "b/1" {
+		t.Errorf("the row is %v with owner %q, want CLAIMED with owner b/1", row.State, row.Owner)
 	}
-	f.age(outbox.ClaimLease)
+	f.ageRows(outbox.ClaimLease)
 	f.publisher.publish(t.Context(), owner)
 	f.wantState("configuration/3", outbox.Published)
 }
 
-// TestSweepKeepsTheNewest: of published and of unsent rows the newest are kept, and events
-// that were never published are named.
-func TestSweepKeepsTheNewest(t *testing.T) {
+// TestSweepKeepsNewestRows checks that a sweep keeps the newest published rows and the newest
+// unpublished rows, and lists the removed events that were not published.
+func TestSweepKeepsNewestRows(t *testing.T) {
 	const surplus = 3
 	var rows []schema.StoredRow
 	for i := range schema.MaxPublishedRows + surplus {
@@ -85,18 +85,18 @@
 	}
 	swept := SweepRows(rows)
 	if len(swept.Remaining) != schema.MaxPublishedRows+schema.MaxUnsentRows {
-		t.Errorf("%d rows remain", len(swept.Remaining))
+		t.Errorf("%d rows remain, want MaxPublishedRows + MaxUnsentRows", len(swept.Remaining))
 	}
 	if len(swept.Txn.Ops) != 2*surplus || len(swept.Txn.Conditions) != surplus {
-		t.Errorf("%d rows are removed under %d conditions", len(swept.Txn.Ops), len(swept.Txn.Conditions))
+		t.Errorf("the sweep has %d operations and %d conditions, want 6 and 3", len(swept.Txn.Ops), len(swept.Txn.Conditions))
 	}
 	for _, op := range swept.Txn.Ops {
 		if op.Kind != paxos.OpDelete || op.Key >= rows[2*surplus].Key {
-			t.Errorf("%v of %s", op.Kind, op.Key)
+			t.Errorf("the operation is %v of %s, want OpDelete of one of the 6 oldest rows", op.Kind, op.Key)
 		}
 	}
 	if got := fmt.Sprint(swept.DroppedEvents); got != "[event/0005 event/0003 event/0001]" {
-		t.Errorf("dropped are %s", got)
+		t.Errorf("dropped events are %s, want [event/0005 event/0003 event/0001]", got)
 	}
 }
 
--- a/internal/controlplane/outboxpublisher/quarantine.go
+++ b/internal/controlplane/outboxpublisher/quarantine.go
@@ -6,11 +6,12 @@
 	"comethold/internal/paxos"
 )
 
-// maxQuarantined bounds the quarantine. The first records in key order are deleted for new
-// ones.
+// maxQuarantined limits the number of quarantined notifications. Adding one to a full
+// quarantine deletes the first records in key order.
 const maxQuarantined = 64
 
-// Quarantine stores, for the operator, notifications that contradict earlier ones.
+// Quarantine stores notifications that are invalid or conflict with earlier ones, for the
+// operator to inspect.
 type Quarantine struct {
 	state    State
 	nodeName string
@@ -22,7 +23,7 @@
 	return &Quarantine{state: state, nodeName: nodeName}
 }
 
-// Add stores a notification with the reason, unless its event is in quarantine already.
+// Add stores a notification with the reason, unless its event ID is quarantined already.
 func (q *Quarantine) Add(notification *outbox.Notification, reason string) {
 	key := schema.QuarantineKeyPrefix + notification.EventID
 	record := schema.QuarantineRecord{Notification: *notification, Reason: reason, ReportedBy: q.nodeName}
--- a/internal/controlplane/outboxpublisher/sweep.go
+++ b/internal/controlplane/outboxpublisher/sweep.go
@@ -13,8 +13,9 @@
 	DroppedEvents []string           // event IDs of removed rows that were not published
 }
 
-// SweepRows makes the transaction that removes the oldest rows if there are too many. It
-// changes no other rows, so that claims of these can't make it fail.
+// SweepRows builds the transaction that removes the oldest rows above schema.MaxPublishedRows
+// and schema.MaxUnsentRows; rows are sorted oldest first. The transaction has no conditions on
+// rows that remain, so that concurrent claims of these can't make it fail.
 func SweepRows(rows []schema.StoredRow) (sweep Sweep) {
 	published, unsent := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
@@ -34,8 +35,8 @@
 		}
 		sweep.Txn.Ops = append(sweep.Txn.Ops, schema.DeleteOp(stored.Key))
 		if isPublished {
-			sweep.Txn.Conditions = append(sweep.Txn.Conditions, stored.Unchanged()) // a redrive makes it pending again
-		} else { // removed in any state, since its key is never reused
+			sweep.Txn.Conditions = append(sweep.Txn.Conditions, stored.Unchanged()) // a redrive may make it pending again
+		} else { // removed in any state, without a condition, because its key is never reused
 			sweep.DroppedEvents = append(sweep.DroppedEvents, stored.Row.Notification.EventID)
 		}
 	}
