--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -52,9 +52,9 @@
 	for addr, cells := range live {
 		for name, last := range lastApplied {
 			cell := cells[name]
-			if len(cell.Voters) != 2*f.machineLosses+1 || !cell.Settled || cell.Applied+maxLag < last {
+			if len(cell.Voters) != 2*f.machineLosses+1 || !cell.MembershipComplete || cell.Applied+maxLag < last {
 				return fmt.Errorf("at %s: %s has %d voters, settled %v, applied %d of %d%s",
-					addr, name, len(cell.Voters), cell.Settled, cell.Applied, last, live.describe(name))
+					addr, name, len(cell.Voters), cell.MembershipComplete, cell.Applied, last, live.describe(name))
 			}
 			if err := live.checkVoters(addr, name, lost); err != nil {
 				return err
@@ -73,7 +73,7 @@
 			away++
 			continue
 		}
-		if !v[voter.Addr][name].Voter {
+		if !v[voter.Addr][name].IsVoter {
 			return fmt.Errorf("at %s: %s has a voter %s that doesn't vote%s", addr, name, voter.ID, v.describe(name))
 		}
 	}
@@ -86,7 +86,7 @@
 	for _, addr := range slices.Sorted(maps.Keys(v)) {
 		cell := v[addr][name]
 		fmt.Fprintf(&text, "\n  %s: %v, leader %q, voter %v, applied %d, settled %v, voters %v",
-			addr, cell.Role, cell.Leader, cell.Voter, cell.Applied, cell.Settled, cell.Voters)
+			addr, cell.Role, cell.Leader, cell.IsVoter, cell.Applied, cell.MembershipComplete, cell.Voters)
 	}
 	return text.String()
 }
