--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -28,7 +28,7 @@
 	tokens     *allocation.TokenServer
 }
 
-// openAllocation makes the components that allocate shares and quotas. It needs s.host.
+// openAllocation creates the components that allocate shares and quotas. It needs s.host.
 func (s *Server) openAllocation(store *storage.Store) {
 	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
@@ -78,8 +78,8 @@
 	return writeCBOR(c, grant)
 }
 
-// handleShareDecision decides a request for a share that another control node forwards to
-// this one as the leader.
+// handleShareDecision decides a share request that another control node forwarded to this
+// node as the leader of the meta cell.
 func (s *Server) handleShareDecision(c echo.Context) error {
 	var request distribution.ShareRequest
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil || !s.shares.HasTable(request.Table) {
--- a/internal/controlplane/applied.go
+++ b/internal/controlplane/applied.go
@@ -6,8 +6,8 @@
 )
 
 // onApply passes changes of the replicated state to the components that depend on them. It
-// runs on the host's event loop. It doesn't read what has not changed, because lease
-// renewals call it several times a second.
+// runs on the host's event loop. It reads only the state that changed, because lease
+// renewals trigger it several times a second.
 func (s *Server) onApply(cell string, changed paxos.ChangedKeys) {
 	replica := s.host.Replica(cell)
 	if replica == nil {
@@ -33,14 +33,14 @@
 	if changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.openListedIndexes(schema.ReadIndexes(replica))
 	}
-	// After both updates, so that one round handles them together.
+	// Wakes the reconciler after both updates, so that one round handles them together.
 	if changed.AnyWithPrefix(schema.NodeKeyPrefix) || changed.AnyWithPrefix(schema.IndexKeyPrefix) {
 		s.reconciler.Wake()
 	}
 }
 
-// applyConfiguration sets the configuration at the distributor. It runs outside the event loop,
-// because parsing takes long.
+// applyConfiguration passes the configuration to the distributor. It runs in a background
+// task, because parsing would block the event loop for too long.
 func (s *Server) applyConfiguration(version uint64, raw []byte) {
 	if s.distributor.SetConfiguration(version, raw) {
 		s.consumer.Wake()
--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	datagramReaders   = 2 // goroutines
-	maxDatagramSize   = 64 << 10
-	datagramReadPause = 20 * time.Millisecond // after a read that failed
+	datagramReaders        = 2 // goroutines that read from the socket
+	maxDatagramSize        = 64 << 10
+	datagramReadRetryDelay = 20 * time.Millisecond // after a failed read
 )
 
 // countReceiver records the counts of requests that data plane nodes report.
@@ -31,7 +31,8 @@
 	stopping <-chan struct{}
 }
 
-// ServeDatagrams answers and sends datagrams until Stop, then closes the connection.
+// ServeDatagrams receives and sends datagrams on conn from when the storage is open until
+// Stop, then closes conn.
 func (s *Server) ServeDatagrams(conn net.PacketConn) error {
 	select {
 	case <-s.ready:
@@ -68,7 +69,7 @@
 			select {
 			case <-s.stopping:
 				return
-			case <-time.After(datagramReadPause):
+			case <-time.After(datagramReadRetryDelay):
 			}
 			continue
 		}
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -11,9 +11,9 @@
 // endpointsStorageKey is the key of the endpoint list in the node's storage.
 const endpointsStorageKey = "list"
 
-// openDistributor makes the distributor of updates to nodes. It starts with the endpoint list
-// of the node's former incarnation, until there is a newer one. Endpoints are called by ID, so
-// an outdated entry does no harm.
+// openDistributor creates the distributor of updates to nodes. Until it receives a newer
+// endpoint list, it uses the one that this node stored before its restart. Calls name the ID
+// of their endpoint, so an outdated entry does no harm.
 func (s *Server) openDistributor(store *storage.Store) {
 	var saved *distribution.EndpointList
 	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
@@ -32,7 +32,7 @@
 	})
 }
 
-// openLongPoll makes the handler of requests for updates. It needs s.distributor, s.host and
+// openLongPoll creates the handler of requests for updates. It needs s.distributor, s.host and
 // s.reconciler.
 func (s *Server) openLongPoll() {
 	s.longPoll = &distributor.LongPoll{
--- a/internal/controlplane/http.go
+++ b/internal/controlplane/http.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// OperatorHandler serves the operator's API.
+// OperatorHandler returns the handler of the operator API.
 func (s *Server) OperatorHandler() *echo.Echo {
 	e := newRouter(s.log)
 	e.Use(s.requireReady)
@@ -36,7 +36,7 @@
 	return e
 }
 
-// newRouter makes a router that answers 500 if a handler panics. The process continues.
+// newRouter returns a router that recovers from a panic in a handler and answers 500.
 func newRouter(log *logging.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -48,7 +48,7 @@
 					log.Error(logging.RequestPanic).
 						Any("panic", cause).
 						Str("path", c.Path()).
-						Msg("a request failed inside")
+						Msg("request handler panicked; answering 500")
 					err = c.NoContent(http.StatusInternalServerError)
 				}
 			}()
@@ -58,7 +58,7 @@
 	return e
 }
 
-// writeCBOR answers with an encoded message.
+// writeCBOR answers 200 with a CBOR-encoded message.
 func writeCBOR(c echo.Context, message any) error {
 	raw, err := rpc.Marshal(message)
 	if err != nil {
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -20,13 +20,13 @@
 // requestTimeout bounds a request between control nodes.
 const requestTimeout = 1500 * time.Millisecond
 
-// Paths that nodes call.
+// Paths of the requests of other processes of the system for updates and shares of rate limits.
 const (
 	updatesPath   = "/feed"
 	rateSharePath = "/ration"
 )
 
-// InternalHandler serves the calls of the system's own processes.
+// InternalHandler returns the handler of calls from the system's own processes.
 func (s *Server) InternalHandler() *echo.Echo {
 	e := newRouter(s.log)
 	e.Use(s.requireReady)
@@ -36,7 +36,7 @@
 	return e
 }
 
-// registerPeerCalls adds the calls between control nodes.
+// registerPeerCalls adds the routes of the calls between control nodes.
 func (s *Server) registerPeerCalls(e *echo.Echo) {
 	e.POST(replicahost.PathMessages, handleRPC(func(batch *replicahost.Batch) any {
 		s.host.Receive(batch)
@@ -60,9 +60,9 @@
 	}))
 }
 
-// handleRPC makes the HTTP handler of a call whose body is a Request. It answers 400 if the body
-// can't be decoded, 204 if there is no response, otherwise 200. answer must not block: to keep
-// the replicas' messages cheap, no time-out is set.
+// handleRPC returns the HTTP handler of a call whose body is a Request. It answers 400 if the body
+// can't be decoded, 204 if the response is nil, otherwise 200. answer must not block: it runs
+// without a time-out, to keep the cost of the frequent messages between replicas low.
 func handleRPC[Request any](answer func(*Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var request Request
@@ -76,8 +76,8 @@
 	}
 }
 
-// handleBoundedRPC is like handleRPC, for an answer that may block, for at most
-// requestTimeout. It answers 200 with the response.
+// handleBoundedRPC is like handleRPC, but answer may block: its context ends after
+// requestTimeout. It answers 200 with the response, also if that is nil.
 func handleBoundedRPC[Request any](answer func(context.Context, *Request) any) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		var request Request
--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -22,7 +22,7 @@
 	exporter  *latency.Exporter
 }
 
-// openLatencyEstimates makes the components that collect and export latency estimates. It
+// openLatencyEstimates creates the components that collect and export latency estimates. It
 // needs s.distributor.
 func (s *Server) openLatencyEstimates() {
 	collector := latency.NewCollector(s.distributor.Nodes, s.settings.PortOf(settings.DataPlane), s.client)
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,15 +1,15 @@
 // Package lease assigns a singleton role, such as polling the platform, moving voters or
 // reporting usage, to one node at a time.
 //
-// A lease is a record in the meta cell. Its owner renews it there and counts its duration on
-// its own monotonic clock from before it sent the proposal. Another node may acquire the
-// lease only after it has seen the record unrenewed for a multiple of the duration, and only
-// if the record is still unrenewed when the transaction is applied. The term rises with each
-// change of owner. It is the fencing token that distinguishes a former owner from the
-// current one.
+// A lease is a record in the meta cell. The owner renews the record and measures the duration
+// of the lease on its own monotonic clock, starting before it sends the proposal. Another
+// node may acquire the lease only after it has observed the record unrenewed for a multiple
+// of the duration, and only if the record is still unrenewed when the transaction is applied.
+// The term rises with each change of owner. It is the fencing token that distinguishes a
+// former owner from the current one.
 //
-// To add a role: name it and make its lease in controlplane/startup.go, and start the
-// lease's Run and the role's loop in controlplane/server.go.
+// To add a role, define its name and create its lease in controlplane/startup.go, and start
+// the lease's Run and the role's loop in controlplane/server.go.
 package lease
 
 import (
@@ -25,43 +25,45 @@
 	"comethold/internal/rpc"
 )
 
-// How long a lease must be seen unrenewed before another node acquires it, as a multiple of
-// its duration.
+// Factors for Options.SkewFactor. A node must observe a lease unrenewed for this multiple of
+// its duration before it acquires the lease from another node.
 const (
-	// ClockSkewFactor is how many times faster the fastest monotonic clock may run than the
-	// slowest before a lease is unsafe.
+	// ClockSkewFactor guarantees a single owner as long as the fastest monotonic clock runs
+	// at most this many times as fast as the slowest.
 	ClockSkewFactor = 3
-	// FencedClockSkewFactor is for roles where two owners at a time do no harm: their writes
-	// are fenced by the term or by the conditions of their transactions. It shortens the
-	// time without an owner after a failure.
+	// FencedClockSkewFactor is for roles in which two simultaneous owners do no harm, because
+	// their writes are fenced by the term or by the conditions of their transactions. It
+	// shortens the time without an owner after a failure.
 	FencedClockSkewFactor = 2
 )
 
 const (
-	// yieldPeriods is for how many lease durations a node that yielded lets others acquire
-	// the lease first. If none does, it acquires the lease again.
-	yieldPeriods = 10
-	// renewalsPerDuration is how often the owner renews the lease in one duration.
+	// yieldDurations is the number of lease durations for which a node that yielded the lease
+	// lets other nodes acquire it first: the node acquires the lease again only after it has
+	// been free for half a duration.
+	yieldDurations = 10
+	// renewalsPerDuration is the number of renewals by the owner per lease duration.
 	renewalsPerDuration = 3
-	// stepsPerDuration is how often, at most, a node checks the lease in one duration.
-	stepsPerDuration = 8
-	releaseTimeout   = 300 * time.Millisecond
+	// checksPerDuration is the maximum number of checks of the record per lease duration.
+	checksPerDuration = 8
+	releaseTimeout    = 300 * time.Millisecond
 )
 
-// Cell is what a lease needs of the node's replica of the meta cell. *replicahost.Host
+// Cell provides access to the meta cell through this node's replica. *replicahost.Host
 // implements it.
 type Cell interface {
 	// IsVoter reports whether this node votes in the meta cell.
 	IsVoter() bool
 	Get(cell, key string) (paxos.Value, bool)
 	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
-	// IncarnationEnded reports whether a replica never returns, since its node has a new ID.
+	// IncarnationEnded reports whether a replica will never return because its node has a
+	// new replica ID.
 	IncarnationEnded(id paxos.ReplicaID) bool
 }
 
-// Options are what a Lease is made from.
+// Options configures a Lease.
 type Options struct {
-	Role     string          // the name of the work, under which the lease is stored
+	Role     string          // part of the key under which the lease is stored
 	Self     paxos.ReplicaID // this node
 	Duration time.Duration
 	// SkewFactor is ClockSkewFactor or FencedClockSkewFactor.
@@ -89,7 +91,7 @@
 	yieldUntil time.Time  // until then this node lets others acquire the lease first
 }
 
-// New makes a lease that this node doesn't hold. Run acquires it.
+// New returns a Lease that this node does not hold yet. Run acquires it.
 func New(options Options) *Lease {
 	return &Lease{
 		role:       options.Role,
@@ -109,8 +111,8 @@
 	return l.term, time.Now().Before(l.expiresAt)
 }
 
-// Remaining is how long this node still holds the lease under a term; 0 or less if it
-// doesn't.
+// Remaining returns how long this node still holds the lease under a term. It is 0 or
+// negative if this node does not hold the lease under that term.
 func (l *Lease) Remaining(term uint64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,8 +132,8 @@
 	return condition, held
 }
 
-// Forfeit ends this node's hold on the lease. It may acquire the lease again under a new
-// term.
+// Forfeit ends this node's hold on the lease without changing the record. The node may
+// acquire the lease again under a new term.
 func (l *Lease) Forfeit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,24 +141,24 @@
 }
 
 // Yield releases the lease because this node can't do the work, and lets others acquire it
-// first for yieldPeriods durations.
+// first for yieldDurations durations.
 func (l *Lease) Yield(ctx context.Context) {
 	l.mu.Lock()
-	l.yieldUntil = time.Now().Add(yieldPeriods * l.duration)
+	l.yieldUntil = time.Now().Add(yieldDurations * l.duration)
 	l.mu.Unlock()
 	l.release(context.WithoutCancel(ctx))
 }
 
 // Run acquires the lease when it is free and renews it until ctx is done. Then it releases
-// it, so that another node need not wait for it to expire. A proposal under way is not
-// cancelled, since its outcome would be unknown.
+// the lease, so that another node need not wait until it expires. A proposal in progress is
+// not cancelled, since its outcome would be unknown.
 func (l *Lease) Run(ctx context.Context) {
 	proposing := context.WithoutCancel(ctx)
 	for {
 		l.acquireOrRenew(proposing)
-		jitter := time.Duration(rand.Float64() * float64(l.duration) / (2 * stepsPerDuration))
+		jitter := time.Duration(rand.Float64() * float64(l.duration) / (2 * checksPerDuration))
 		select {
-		case <-time.After(l.duration/stepsPerDuration + jitter):
+		case <-time.After(l.duration/checksPerDuration + jitter):
 		case <-ctx.Done():
 			l.release(proposing)
 			return
@@ -164,7 +166,8 @@
 	}
 }
 
-// readRecord returns the lease as it is applied here, and its encoding; nil if there is none.
+// readRecord returns the lease record in this node's applied state and its encoding, which is
+// nil if there is no valid record.
 func (l *Lease) readRecord() (record schema.LeaseRecord, raw []byte) {
 	value, found := l.cell.Get(schema.MetaCell, l.key)
 	if found && rpc.Unmarshal(value.Bytes, &record) == nil {
@@ -173,18 +176,19 @@
 	return record, raw
 }
 
-// observation is what this node knows of the lease at one time.
+// observation is the state of the lease as this node sees it at one time.
 type observation struct {
-	isOwner   bool          // this node holds it
-	isDue     bool          // it is time to renew it
-	unrenewed time.Duration // how long the record has been unchanged
-	yielding  time.Duration // how long this node waits for others to acquire it first
+	isOwner    bool          // this node holds it
+	renewalDue bool          // a renewal is due
+	unrenewed  time.Duration // how long the record has been unchanged
+	yieldDelay time.Duration // how long this node lets other nodes acquire a free lease first
 }
 
 func (l *Lease) acquireOrRenew(ctx context.Context) {
 	if !l.cell.IsVoter() {
-		// It may have lost its vote while it was away, and acquired the lease again before
-		// it learned of that. Others need not wait until the lease expires.
+		// The node may have lost its vote while it was out of contact, and acquired the lease
+		// again before it received that change. Releasing the lease here spares other nodes
+		// the wait until it expires.
 		l.release(ctx)
 		return
 	}
@@ -192,15 +196,16 @@
 	seen := l.observe(record, raw)
 	switch {
 	case seen.isOwner:
-		if seen.isDue {
+		if seen.renewalDue {
 			l.propose(ctx, raw, schema.LeaseRecord{Owner: record.Owner, Term: record.Term, Renewals: record.Renewals + 1})
 		}
-	case seen.unrenewed >= seen.yielding && l.isFree(record, seen):
+	case seen.unrenewed >= seen.yieldDelay && l.isFree(record, seen):
 		l.propose(ctx, raw, schema.LeaseRecord{Owner: l.self, Term: record.Term + 1})
 	}
 }
 
-// observe notes the record as it is seen now.
+// observe stores the record if it has changed since the last call, together with the time,
+// and returns the resulting state of the lease.
 func (l *Lease) observe(record schema.LeaseRecord, raw []byte) observation {
 	now := time.Now()
 	l.mu.Lock()
@@ -210,32 +215,33 @@
 		l.observedAt = now
 	}
 	seen := observation{
-		isOwner:   record.Owner == l.self && l.term == record.Term && now.Before(l.expiresAt),
-		isDue:     now.Sub(l.renewedAt) >= l.duration/renewalsPerDuration,
-		unrenewed: now.Sub(l.observedAt),
+		isOwner:    record.Owner == l.self && l.term == record.Term && now.Before(l.expiresAt),
+		renewalDue: now.Sub(l.renewedAt) >= l.duration/renewalsPerDuration,
+		unrenewed:  now.Sub(l.observedAt),
 	}
 	if now.Before(l.yieldUntil) {
-		seen.yielding = l.duration / 2
+		seen.yieldDelay = l.duration / 2
 	}
 	return seen
 }
 
 // isFree reports whether this node may take the lease.
 func (l *Lease) isFree(record schema.LeaseRecord, seen observation) bool {
-	// A record of this node that it doesn't hold has expired by its own clock, or is of its
-	// former incarnation, which has ended.
+	// If the record names this node as the owner but the node doesn't hold the lease, the
+	// lease has expired by the node's own clock, or was acquired by the node before a restart.
 	if record.Owner == "" || record.Owner == l.self {
 		return true
 	}
-	if seen.unrenewed >= time.Duration(l.skewFactor)*l.duration+seen.yielding {
+	if seen.unrenewed >= time.Duration(l.skewFactor)*l.duration+seen.yieldDelay {
 		return true
 	}
 	// The owner's machine has returned with a new disk: the recorded incarnation has ended.
 	return seen.unrenewed >= l.duration && l.cell.IncarnationEnded(record.Owner)
 }
 
-// propose replaces the record old, or creates it if old is nil. If that is committed, this
-// node holds the lease from the time of the proposal.
+// propose replaces the record whose encoding is old, or creates it if old is nil. If the
+// transaction is committed, this node holds the lease for one duration from the time of the
+// proposal.
 func (l *Lease) propose(ctx context.Context, old []byte, record schema.LeaseRecord) {
 	proposedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, l.duration)
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -18,7 +18,7 @@
 	reporter  *metering.Reporter
 }
 
-// openMetering makes the components that store and report the collected counts. It needs
+// openMetering creates the components that store and report the collected counts. It needs
 // s.host, s.distributor and s.usageLease.
 func (s *Server) openMetering(store *storage.Store) {
 	bounds := &s.settings.Bounds
@@ -49,7 +49,7 @@
 	})
 }
 
-// handleUsageWindow answers another control node with the counts of a window held here.
+// handleUsageWindow answers another control node with this node's counts of a window.
 func (s *Server) handleUsageWindow(c echo.Context) error {
 	var request metering.WindowRequest
 	if err := rpc.DecodeRequest(c.Request().Body, &request); err != nil {
--- a/internal/controlplane/outbox.go
+++ b/internal/controlplane/outbox.go
@@ -6,8 +6,8 @@
 	"comethold/internal/storage"
 )
 
-// openOutbox makes the components that work on the outbox. It needs s.host, s.distributor,
-// s.quotas and s.placementLease.
+// openOutbox creates the components that publish, consume and quarantine notifications. It
+// needs s.host, s.distributor, s.quotas and s.placementLease.
 func (s *Server) openOutbox(self replicahost.PeerInfo, store *storage.Store) {
 	state := metaCell{s.host}
 	s.quarantine = outboxpublisher.NewQuarantine(state, s.settings.NodeName)
--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -25,12 +25,12 @@
 		liveWithoutVote int
 		isForming       bool
 	}{
-		{"this node started a moment ago", few, true, greetingPeriod - 1, long, long, 0, true},
-		{"nodes have met, and nobody else is there", few, true, greetingPeriod, long, long, 0, false},
+		{"this node started a moment ago", few, true, peerDiscoveryPeriod - 1, long, long, 0, true},
+		{"nodes have met, and nobody else is there", few, true, peerDiscoveryPeriod, long, long, 0, false},
 		{"a node is there that may become a voter", few, true, formationTimeout - 1, long, long, 1, true},
 		{"it has not become one for long", few, true, formationTimeout, long, long, 1, false},
-		{"the cell was disturbed", few, true, long, quietPeriod - 1, long, 0, true},
-		{"the cell is at rest", few, true, long, quietPeriod, long, 1, false},
+		{"the cell was disturbed", few, true, long, stablePeriod - 1, long, 0, true},
+		{"the cell is at rest", few, true, long, stablePeriod, long, 1, false},
 		{"the last voter was just added", all, false, long, 0, formationTimeout - 1, 0, true},
 		{"the last voter was added long ago", all, false, long, 0, formationTimeout, 0, false},
 		{"the last voter is not in effect since this node started", all, false, formationTimeout - 1, long, long, 0, true},
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -20,9 +20,9 @@
 
 const (
 	planInterval  = 400 * time.Millisecond
-	checkInterval = planInterval / 4 // of the lease, and between plans while moves are needed
+	checkInterval = planInterval / 4 // between checks of the lease, and between plans while moves are needed
 	moveTimeout   = 1200 * time.Millisecond
-	// minReplicaAge is how long a replica must be open before moves of its cell are planned.
+	// minReplicaAge is the time that a replica must be open before moves of its cell are planned.
 	minReplicaAge = time.Second
 )
 
@@ -33,7 +33,7 @@
 	Add    paxos.Voter     `cbor:"3,keyasint"`
 }
 
-// Host is what the mover needs of this node's replicas. *replicahost.Host implements it.
+// Host provides access to this node's replicas and to its peers. *replicahost.Host implements it.
 type Host interface {
 	View(cell string, read func(*paxos.Replica)) bool
 	ViewAll(read func(replicahost.OpenReplica))
@@ -44,31 +44,32 @@
 	CallPeer(ctx context.Context, address, path string, request, response any) error
 }
 
-// Lease is the lease of the node that plans moves.
+// Lease is the lease whose owner plans the moves. *lease.Lease implements it.
 type Lease interface {
 	Held() (term uint64, held bool)
 }
 
-// Options are what a Mover is made from.
+// Options configures a Mover.
 type Options struct {
 	Host     Host
 	Lease    Lease
-	Voters   int // the intended number in each cell
+	Voters   int // the intended number of voters of each cell
 	Timeouts Timeouts
 	RegionOf func(zone string) string
 	Log      *logging.Logger
 }
 
-// Mover moves voters.
+// Mover adds and replaces the voters of cells.
 type Mover struct {
 	options Options
 }
 
-// NewMover makes a mover. Run starts it.
+// NewMover returns a Mover. Run starts it.
 func NewMover(options Options) *Mover { return &Mover{options: options} }
 
-// Run moves voters while this node holds the lease, until ctx is done. It completes the moves
-// under way. It plans as soon as it holds the lease: the owner before may have been lost.
+// Run moves voters while this node holds the lease, until ctx is done. It returns after the
+// moves in progress are complete. It plans as soon as this node acquires the lease, because
+// the machine of the previous owner may be lost.
 func (m *Mover) Run(ctx context.Context) {
 	var nextPlanAt time.Time
 	for {
@@ -100,13 +101,13 @@
 	isLocal       bool   // this node leads the cell
 }
 
-// moveVoters executes at most one move per cell and reports whether any was needed. Until no
-// more are needed, a cell may not survive a further loss, so Run retries sooner.
+// moveVoters executes at most one move per cell and reports whether any was needed. While
+// moves are needed, a cell may not survive a further loss, so Run plans again sooner.
 func (m *Mover) moveVoters(ctx context.Context) bool {
 	moves := m.planMoves()
 	var calls sync.WaitGroup
 	for _, planned := range moves {
-		calls.Go(func() { m.carryOut(ctx, planned) })
+		calls.Go(func() { m.executeMove(ctx, planned) })
 	}
 	calls.Wait()
 	return len(moves) > 0
@@ -124,14 +125,14 @@
 		if live == nil {
 			live = host.LivePeers(m.options.Timeouts.Candidate)
 		}
-		s := situation{
+		input := planInput{
 			voters:   voters,
 			live:     live,
 			isDown:   isDown,
 			want:     m.options.Voters,
 			regionOf: m.options.RegionOf,
 		}
-		if planned, needed := s.plan(); needed {
+		if planned, needed := input.plan(); needed {
 			moves = append(moves, plannedMove{
 				request:       MoveRequest{Cell: open.Cell, Remove: planned.remove, Add: planned.add},
 				leaderAddress: open.LeaderAddress,
@@ -142,8 +143,9 @@
 	return moves
 }
 
-// carryOut sends the move to the leader of the cell. A failed move is planned again.
-func (m *Mover) carryOut(ctx context.Context, planned plannedMove) {
+// executeMove executes the move if this node leads the cell, and otherwise sends it to the
+// leader. A failed move is planned again.
+func (m *Mover) executeMove(ctx context.Context, planned plannedMove) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	if planned.isLocal {
@@ -157,19 +159,20 @@
 }
 
 // MoveLocal executes a move at this node. The result is NoLeader if this node does not lead
-// the cell, and Busy until the new replica has caught up and the move before is in effect.
+// the cell. It is Busy if the move is not allowed now, for example because the new replica
+// has not caught up or the previous move is not in effect yet.
 func (m *Mover) MoveLocal(ctx context.Context, request *MoveRequest) replicahost.ProposeResult {
 	result := replicahost.ProposeResult{NoLeader: true}
 	var txn paxos.Txn
-	isDue := false
+	isAllowed := false
 	m.options.Host.View(request.Cell, func(replica *paxos.Replica) {
 		if replica.Role() != paxos.Leader {
 			return
 		}
 		result = replicahost.ProposeResult{Busy: true}
-		txn, isDue = moveTxn(replica, request, m.options.Voters)
+		txn, isAllowed = moveTxn(replica, request, m.options.Voters)
 	})
-	if !isDue {
+	if !isAllowed {
 		return result
 	}
 	result = m.options.Host.ProposeLocal(ctx, request.Cell, txn)
@@ -183,8 +186,8 @@
 	return result
 }
 
-// moveTxn makes the transaction of a move. isDue is false if the move is not allowed now.
-func moveTxn(replica *paxos.Replica, request *MoveRequest, maxVoters int) (txn paxos.Txn, isDue bool) {
+// moveTxn returns the transaction of a move. isAllowed is false if the move is not allowed now.
+func moveTxn(replica *paxos.Replica, request *MoveRequest, maxVoters int) (txn paxos.Txn, isAllowed bool) {
 	voters, inEffect := replica.Voters()
 	if !inEffect || !hasCaughtUp(replica, request.Add.ID) {
 		return txn, false
@@ -211,9 +214,10 @@
 	}, true
 }
 
-// hasCaughtUp reports whether a replica has stored all but the last few committed entries.
+// hasCaughtUp reports whether a replica has durably stored all but at most the last
+// replicahost.Alpha entries that the leader has applied.
 func hasCaughtUp(leader *paxos.Replica, id paxos.ReplicaID) bool {
-	has := leader.DurableCommitIndex(id)
+	durable := leader.DurableCommitIndex(id)
 	applied := leader.AppliedIndex()
-	return has+replicahost.Alpha >= applied && (has > 0 || applied == 0)
+	return durable+replicahost.Alpha >= applied && (durable > 0 || applied == 0)
 }
--- a/internal/controlplane/placement/plan.go
+++ b/internal/controlplane/placement/plan.go
@@ -7,7 +7,8 @@
 	"comethold/internal/paxos"
 )
 
-// VotersFor returns the number of voters with which a cell survives the given losses.
+// VotersFor returns the number of voters with which a cell survives the loss of the given
+// number of machines.
 func VotersFor(losses int) int { return 2*losses + 1 }
 
 // survivesZoneLoss reports whether no zone holds a majority of the voters.
@@ -27,9 +28,9 @@
 }
 
 // worsensSpread reports whether the cell survives the loss of any zone now, but not with the
-// next voters. The zone of an initial voter is not recorded: at the address of the added voter
-// it is the same, so a replica that takes the vote of the one before it on its machine
-// worsens nothing.
+// next voters. The zone of an initial voter is not recorded. If such a voter has the address
+// of the added voter, both replicas are on one machine, so the zone of the added voter is used
+// for both. Otherwise the replacement of an initial voter on its machine would be rejected.
 func worsensSpread(voters, next []paxos.Voter, added paxos.Voter) bool {
 	known := slices.Clone(voters)
 	for i := range known {
@@ -40,8 +41,8 @@
 	return survivesZoneLoss(known) && !survivesZoneLoss(next)
 }
 
-// situation is the input from which a move is planned.
-type situation struct {
+// planInput is the state of a cell from which its next move is planned.
+type planInput struct {
 	voters   []paxos.Voter
 	live     map[string]replicahost.PeerInfo // by address
 	isDown   func(address string) bool
@@ -59,27 +60,27 @@
 //
 //   - a voter whose machine returned with an empty disk is replaced by its new replica;
 //   - a cell with too few voters gets one more;
-//   - a voter that is out of contact for Timeouts.Voter is replaced by a node without a vote.
+//   - a voter that has been out of contact for Timeouts.Voter is replaced by a node without a vote.
 //
 // New voters come from the zone, then the region, with the fewest voters.
-func (s *situation) plan() (planned move, needed bool) {
-	for _, voter := range s.voters {
-		if peer, isLive := s.live[voter.Addr]; isLive && peer.ID != voter.ID {
+func (in *planInput) plan() (planned move, needed bool) {
+	for _, voter := range in.voters {
+		if peer, isLive := in.live[voter.Addr]; isLive && peer.ID != voter.ID {
 			return move{remove: voter.ID, add: voterOf(peer)}, true
 		}
 	}
-	lost, healthy := s.firstLost()
-	if lost == nil && len(s.voters) >= s.want {
+	lost, healthy := in.firstLost()
+	if lost == nil && len(in.voters) >= in.want {
 		return move{}, false
 	}
-	newcomer := s.bestCandidate(healthy)
-	if newcomer == nil {
+	candidate := in.bestCandidate(healthy)
+	if candidate == nil {
 		return move{}, false
 	}
-	if len(s.voters) < s.want {
-		return move{add: *newcomer}, true // adding comes before replacing
+	if len(in.voters) < in.want {
+		return move{add: *candidate}, true // adding comes before replacing
 	}
-	return move{remove: lost.ID, add: *newcomer}, true
+	return move{remove: lost.ID, add: *candidate}, true
 }
 
 func voterOf(peer replicahost.PeerInfo) paxos.Voter {
@@ -93,49 +94,50 @@
 
 // firstLost returns the first voter that is out of contact, or nil, and the spread of the
 // voters that are in contact.
-func (s *situation) firstLost() (lost *paxos.Voter, healthy spread) {
+func (in *planInput) firstLost() (lost *paxos.Voter, healthy spread) {
 	healthy = spread{zones: map[string]int{}, regions: map[string]int{}}
-	for i, voter := range s.voters {
-		if s.isDown(voter.Addr) {
+	for i, voter := range in.voters {
+		if in.isDown(voter.Addr) {
 			if lost == nil {
-				lost = &s.voters[i]
+				lost = &in.voters[i]
 			}
 			continue
 		}
 		zone := voter.Zone
-		if peer, isLive := s.live[voter.Addr]; isLive {
+		if peer, isLive := in.live[voter.Addr]; isLive {
 			zone = peer.Zone // initial voters are recorded without a zone
 		}
 		healthy.zones[zone]++
-		healthy.regions[s.regionOf(zone)]++
+		healthy.regions[in.regionOf(zone)]++
 	}
 	return lost, healthy
 }
 
 // bestCandidate returns the live node without a vote that gives the best spread, or nil.
-func (s *situation) bestCandidate(healthy spread) *paxos.Voter {
+func (in *planInput) bestCandidate(healthy spread) *paxos.Voter {
 	isVoter := map[string]bool{}
-	for _, voter := range s.voters {
+	for _, voter := range in.voters {
 		isVoter[voter.Addr] = true
 	}
 	var best *paxos.Voter
-	for _, peer := range s.live {
+	for _, peer := range in.live {
 		if isVoter[peer.Addr] {
 			continue
 		}
-		if candidate := voterOf(peer); best == nil || s.isBetter(healthy, candidate, *best) {
+		if candidate := voterOf(peer); best == nil || in.isBetter(healthy, candidate, *best) {
 			best = &candidate
 		}
 	}
 	return best
 }
 
-func (s *situation) isBetter(healthy spread, a, b paxos.Voter) bool {
+// isBetter reports whether candidate a gives a better spread than candidate b. The ID breaks a tie.
+func (in *planInput) isBetter(healthy spread, a, b paxos.Voter) bool {
 	if healthy.zones[a.Zone] != healthy.zones[b.Zone] {
 		return healthy.zones[a.Zone] < healthy.zones[b.Zone]
 	}
-	inRegionOfA := healthy.regions[s.regionOf(a.Zone)]
-	inRegionOfB := healthy.regions[s.regionOf(b.Zone)]
+	inRegionOfA := healthy.regions[in.regionOf(a.Zone)]
+	inRegionOfB := healthy.regions[in.regionOf(b.Zone)]
 	if inRegionOfA != inRegionOfB {
 		return inRegionOfA < inRegionOfB
 	}
--- a/internal/controlplane/placement/plan_test.go
+++ b/internal/controlplane/placement/plan_test.go
@@ -24,7 +24,7 @@
 		{"add before replacing", "a@1/x b@2/y c@3/z", "b@2/y c@3/z d@4/x", "1", 5, "+d"},
 		{"the region with fewer voters", "a@1/x1 b@2/y1 c@3/x2", "a@1/x1 b@2/y1 c@3/x2 d@4/x3 e@5/y3", "", 5, "+e"},
 	} {
-		s := situation{
+		input := planInput{
 			voters:   parseVoters(c.voters),
 			live:     map[string]replicahost.PeerInfo{},
 			isDown:   func(address string) bool { return c.silent != "" && address == c.silent },
@@ -32,9 +32,9 @@
 			regionOf: func(zone string) string { return zone[:1] },
 		}
 		for _, peer := range parseVoters(c.live) {
-			s.live[peer.Addr] = replicahost.PeerInfo{ID: peer.ID, Addr: peer.Addr, Zone: peer.Zone}
+			input.live[peer.Addr] = replicahost.PeerInfo{ID: peer.ID, Addr: peer.Addr, Zone: peer.Zone}
 		}
-		planned, needed := s.plan()
+		planned, needed := input.plan()
 		got := ""
 		if needed {
 			got = string(planned.remove) + "+" + string(planned.add.ID)
--- a/internal/controlplane/placement/timeouts.go
+++ b/internal/controlplane/placement/timeouts.go
@@ -6,23 +6,24 @@
 	"comethold/internal/controlplane/replicahost"
 )
 
-// Timeouts say after how long without contact the mover takes a machine for lost.
+// Timeouts are the times without contact after which the mover treats a machine as lost.
 type Timeouts struct {
-	// Voter is after how long a voter is replaced.
+	// Voter is the time without contact after which a voter is replaced.
 	Voter time.Duration
-	// Candidate is after how long a node can no longer become a voter. It is shorter than
-	// Voter: of two machines that were lost together, one must not replace the other.
+	// Candidate is the time without contact after which a node can no longer become a voter.
+	// It is shorter than Voter, so that a machine is not replaced by one that was lost at the
+	// same time.
 	Candidate time.Duration
 }
 
-// minVoterTimeout is two hello intervals of a voter, so that one late hello doesn't cost it its vote.
+// minVoterTimeout is two hello intervals of a voter, so that a voter is not replaced after one late hello.
 const minVoterTimeout = 2 * time.Second
 
-// TimeoutsFor returns the timeouts with which a lost voter is replaced within the time after
-// which the next machine may be lost, provided that its successor has caught up. One half of
-// that time is for noticing the loss. The other is for a new leader, the placement lease and the
-// moves, one after the other, since the lost machine may have had them. If catchUp is 0, losses
-// have no time limit.
+// TimeoutsFor returns the timeouts with which a lost voter is replaced within catchUp, the time
+// after which the next machine may be lost, provided that the new replica has caught up. One half
+// of catchUp is for detecting the loss. The other half is for electing a new leader, acquiring the
+// placement lease and executing the moves, one after the other, since the lost machine may have
+// been the leader and the owner of the lease. If catchUp is 0, there is no time limit.
 func TimeoutsFor(catchUp time.Duration) Timeouts {
 	voter := replicahost.DownTimeout
 	if catchUp > 0 {
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -13,8 +13,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// openReconciler makes the reconciler and the components that keep the endpoint list. It needs
-// s.host, s.distributor and the leases.
+// openReconciler creates the reconciler and the components that keep the endpoint list up to
+// date. It needs s.host, s.distributor and the leases.
 func (s *Server) openReconciler(self replicahost.PeerInfo) {
 	s.reconciler = reconcile.New(reconcile.Options{
 		Self:    self,
@@ -47,8 +47,8 @@
 	})
 }
 
-// receiveEndpoints sets the endpoint list that the polling node sent, if it sent more than the
-// revision, and returns the revision that is held afterwards.
+// receiveEndpoints stores the endpoint list that the polling node sent, unless it sent only a
+// revision. It returns the revision of the list that this node then has.
 func (s *Server) receiveEndpoints(list *distribution.EndpointList) any {
 	if list.Endpoints != nil {
 		return s.distributor.SetEndpoints(list)
@@ -56,7 +56,7 @@
 	return s.distributor.EndpointsRevision()
 }
 
-// handleFetchEndpoints answers with the endpoint list held here, or 404.
+// handleFetchEndpoints answers with this node's endpoint list, or 404 if it has none.
 func (s *Server) handleFetchEndpoints(c echo.Context) error {
 	if list := s.distributor.Endpoints(); list != nil {
 		return writeCBOR(c, list)
--- a/internal/controlplane/schematest/cell.go
+++ b/internal/controlplane/schematest/cell.go
@@ -52,7 +52,7 @@
 	return cell
 }
 
-// View runs a function that reads the state.
+// View runs a function that reads the applied state. It always reports true.
 func (c *Cell) View(read func(*paxos.Replica)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	c.proposals++
 	txn.ID = strconv.Itoa(c.proposals)
 	if err := c.replica.Propose(c.now, txn); err != nil {
-		c.tb.Errorf("transaction %s: %v", txn.ID, err)
+		c.tb.Errorf("Propose of transaction %s returned %v, want no error", txn.ID, err)
 		return false
 	}
 	return c.stepLocked()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -2,9 +2,9 @@
 // replicated state, accepts the operator's configuration, updates the state from the platform
 // and the nodes, and distributes it to the nodes.
 //
-// The Server only makes, connects, starts and stops components. Their logic is in the packages
-// below, one for each concern. startup.go makes them in order of dependency, startLoops starts
-// their loops, and applied.go passes them changes of the replicated state.
+// The Server only creates, connects, starts and stops components. Their logic is in the
+// subpackages, one for each concern. startup.go creates the components in order of dependency,
+// startLoops starts their loops, and applied.go passes them changes of the replicated state.
 package controlplane
 
 import (
@@ -36,7 +36,7 @@
 // stopTimeout is how long Stop waits for the loops and tasks, which also release the leases.
 const stopTimeout = time.Second
 
-// errStopped says that the server was stopped during its start.
+// errStopped means that the server was stopped before its start was complete.
 var errStopped = errors.New("controlplane: stopped")
 
 // Server is the control plane of one node.
@@ -46,18 +46,18 @@
 	disk      storage.Disk
 	network   rpc.Network
 	client    *rpc.Client
-	platform  *discovery.Client // nil if the node knows no platform
+	platform  *discovery.Client // nil if no platform is configured
 	usage     usageMetering
 	startedAt time.Time
 
-	ready chan struct{} // closed once the storage is open: the fields up to quit are set then
+	ready chan struct{} // closed once the storage is open and the fields up to quit are set
 
 	storage         *storage.Store
 	host            *replicahost.Host
 	distributor     *distributor.Distributor
 	longPoll        *distributor.LongPoll
 	reconciler      *reconcile.Reconciler
-	endpointPoller  *endpointlist.Poller // nil if the node knows no platform
+	endpointPoller  *endpointlist.Poller // nil if no platform is configured
 	endpointFetcher *endpointlist.Fetcher
 	discoveryLease  *lease.Lease
 	placementLease  *lease.Lease
@@ -81,7 +81,7 @@
 	stopped          bool
 }
 
-// New makes a server. It doesn't access the disk; Run does.
+// New returns a Server. It does not access the disk; Run does.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network, disk storage.Disk) *Server {
 	s := &Server{
 		settings:  set,
@@ -148,7 +148,7 @@
 }
 
 // Stop ends the loops, which release their leases, then stops the replicas and closes the
-// storage. If the storage is not open yet, it returns at once, since the disk may hang.
+// storage. If the storage is not open yet, it returns at once, since opening it may hang.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.mu.Lock()
@@ -168,7 +168,7 @@
 }
 
 // waitForLoops waits until the loops and tasks have ended, but at most stopTimeout, since a call
-// may hang on a peer that is down.
+// may wait for a peer that is down.
 func (s *Server) waitForLoops() {
 	ended := make(chan struct{})
 	go func() {
@@ -182,7 +182,7 @@
 	}
 }
 
-// Reload applies the seeds of new settings; the control plane reloads nothing else.
+// Reload applies the seed nodes of new settings and ignores all other changes.
 func (s *Server) Reload(set *settings.Settings) {
 	s.mu.Lock()
 	s.reloadedSettings = set
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -18,7 +18,7 @@
 	"comethold/internal/storage"
 )
 
-// Roles under which leases are stored.
+// Roles of the leases, which are part of their stored keys.
 const (
 	discoveryRole = "directory"
 	placementRole = "mover"
@@ -32,7 +32,7 @@
 )
 
 // openStorage opens the storage and retries until it succeeds or the server stops. Until then
-// this node sends nothing to the others and rejects calls.
+// this node sends nothing to other nodes and rejects calls.
 func (s *Server) openStorage() {
 	lastFault := ""
 	for ; ; time.Sleep(storage.RetryDelay) {
@@ -53,8 +53,8 @@
 }
 
 func (s *Server) tryOpenStorage() error {
-	late := time.AfterFunc(storage.UnresponsiveAfter, func() { s.logDiskFault(storage.ErrUnresponsive) })
-	defer late.Stop()
+	unresponsive := time.AfterFunc(storage.UnresponsiveAfter, func() { s.logDiskFault(storage.ErrUnresponsive) })
+	defer unresponsive.Stop()
 	store, err := storage.Open(s.settings.DataDirectory, s.disk, s.logDiskFault)
 	if err != nil {
 		return err
@@ -68,18 +68,18 @@
 
 func (s *Server) logDiskFault(err error) {
 	if errors.Is(err, storage.ErrCorrupt) {
-		s.log.Error(logging.StorageCorrupt).Err(err).Msg("the file of the replicas is corrupt and was put aside")
+		s.log.Error(logging.StorageCorrupt).Err(err).Msg("storage file is corrupt; renaming it and creating an empty one")
 		return
 	}
-	s.log.Warn(logging.DiskFault).Err(err).Msg("the disk rejects a write or does not answer; it is retried")
+	s.log.Warn(logging.DiskFault).Err(err).Msg("disk operation failed or is not completing; retrying")
 }
 
-// startReplicas makes the components and opens the replicas. The directory entries of the
-// storage's files are durable by now. The order matters: each open function names the fields
-// that it needs.
+// startReplicas creates the components and opens this node's replica of the meta cell. It
+// must be called after the directory entries of the storage's files are durable. The order of
+// its calls matters: the comment of each open function names the fields that it needs.
 func (s *Server) startReplicas(store *storage.Store) error {
 	initialVoters := s.initialVoters()
-	self, err := s.identify(store, initialVoters)
+	self, err := s.loadSelf(store, initialVoters)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	return s.becomeReady()
 }
 
-// openMover makes the mover of voters. It needs s.host and s.placementLease.
+// openMover creates the component that moves voters between nodes. It needs s.host and s.placementLease.
 func (s *Server) openMover() {
 	s.mover = placement.NewMover(placement.Options{
 		Host:     s.host,
@@ -114,7 +114,7 @@
 	})
 }
 
-// openOperatorAPI makes the handler of the operator's API. It needs s.host, s.distributor,
+// openOperatorAPI creates the handler of the operator API. It needs s.host, s.distributor,
 // s.quarantine and s.consumer.
 func (s *Server) openOperatorAPI() {
 	voters := placement.VotersFor(s.settings.Tolerance.MachineLosses)
@@ -124,7 +124,7 @@
 		IsForming:           func() bool { return placement.IsForming(s.host, voters) },
 		LatestConfiguration: s.distributor.LatestConfiguration,
 		Quarantine: func(notification *outbox.Notification, reason string) {
-			// In the background: Stop waits for it, but the operator's request doesn't.
+			// Runs in the background: the operator's request does not wait for it, but Stop does.
 			s.tasks.Go(func() { s.quarantine.Add(notification, reason) })
 		},
 		AppliedVersions: s.consumer.AppliedVersions,
@@ -135,12 +135,12 @@
 	for _, role := range s.settings.UnknownDuties() {
 		s.log.Warn(logging.UnknownDuty).
 			Str("duty", role).
-			Msg("the settings name a duty that this version does not know; it is not done")
+			Msg("settings list a duty that this version does not support; ignoring it")
 	}
 }
 
-// initialVoters returns the initial voters of the meta cell. There are none after the first start
-// of the system.
+// initialVoters returns the initial voters of the meta cell: the seed nodes at the first start of
+// the system, and none at later starts.
 func (s *Server) initialVoters() (initialVoters []paxos.Voter) {
 	if !s.settings.FirstStart {
 		return nil
@@ -151,8 +151,8 @@
 	return initialVoters
 }
 
-// identify loads or creates this node's replica ID and returns its PeerInfo.
-func (s *Server) identify(store *storage.Store, initialVoters []paxos.Voter) (self replicahost.PeerInfo, err error) {
+// loadSelf loads or creates this node's replica ID and returns this node's PeerInfo.
+func (s *Server) loadSelf(store *storage.Store, initialVoters []paxos.Voter) (self replicahost.PeerInfo, err error) {
 	set := s.settings
 	id, isNew, err := replicahost.LoadOrCreateIdentity(store, replicahost.NewNode{
 		Address:       set.IPAddress,
@@ -164,7 +164,7 @@
 		return self, err
 	}
 	if isNew && !set.FirstStart {
-		s.log.Warn(logging.DiskEmpty).Msg("the disk is empty on a later start: joining as a new replica")
+		s.log.Warn(logging.DiskEmpty).Msg("disk is empty, but this is not the first start; joining as a new replica")
 	}
 	return replicahost.PeerInfo{
 		ID:   id,
@@ -210,7 +210,7 @@
 	})
 }
 
-// becomeReady closes s.ready, unless the server was stopped meanwhile.
+// becomeReady closes s.ready. If the server was stopped meanwhile, it returns errStopped instead.
 func (s *Server) becomeReady() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/taskgroup/group.go
+++ b/internal/controlplane/taskgroup/group.go
@@ -1,5 +1,5 @@
-// Package taskgroup runs the short background tasks of a component, which can wait for them
-// when it ends.
+// Package taskgroup runs the background tasks of a component, and lets the component wait for
+// them when it stops.
 package taskgroup
 
 import "sync"
@@ -12,7 +12,7 @@
 	running sync.WaitGroup
 }
 
-// Go runs a task in a new goroutine. Once the group is closed it does nothing.
+// Go runs a task in a new goroutine. It does nothing if the group is closed.
 func (g *Group) Go(task func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// Close prevents further tasks and waits for the running ones.
+// Close prevents further tasks from starting and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
