--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -17,8 +17,9 @@
 	"comethold/internal/usage"
 )
 
-// TestCompatibleRecords: what is stored in cells and on the node's disk, and what
-// control nodes ask one another, decodes from the bytes of an earlier version.
+// TestCompatibleRecords guards against a change of encoding after which this version can't
+// decode what an earlier version stored in cells and on the node's disk, or what a control
+// node of that version sends.
 func TestCompatibleRecords(t *testing.T) {
 	isSet := true
 	voter := paxos.Voter{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1"}
@@ -68,8 +69,8 @@
 	})
 }
 
-// TestStoredNames: keys of cells and of the node's own values, and names of files, are
-// what data directories hold.
+// TestStoredNames guards against a changed key or file name, under which this version would
+// not find what an earlier version stored in the data directory.
 func TestStoredNames(t *testing.T) {
 	for name, want := range map[string]string{
 		schema.MetaCell:                 "exchange",
@@ -103,7 +104,7 @@
 		paxos.AppendedKey(schema.PurgeKeyPrefix, 6, "a.b-c"): "recall/00000000000000000006/a.b-c",
 	} {
 		if name != want {
-			t.Errorf("stored under %q, and before under %q", name, want)
+			t.Errorf("stored name is %q, want %q as in earlier versions", name, want)
 		}
 	}
 }
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -15,22 +15,22 @@
 
 const testDuration = time.Second
 
-// sharedCell is the meta cell as several nodes see it.
+// sharedCell is the meta cell of several nodes, which access it through a nodeView each.
 type sharedCell struct {
-	mu       sync.Mutex // guards the fields below
-	state    *schematest.Cell
-	cutOff   map[paxos.ReplicaID]bool // nodes whose proposals fail
-	lost     map[paxos.ReplicaID]bool // replicas that are gone for good
-	voteless map[paxos.ReplicaID]bool // replicas that have lost their vote
+	mu        sync.Mutex // guards the fields below
+	state     *schematest.Cell
+	cutOff    map[paxos.ReplicaID]bool // nodes whose proposals fail
+	lost      map[paxos.ReplicaID]bool // replicas whose incarnation has ended
+	nonVoters map[paxos.ReplicaID]bool // replicas that have lost their vote
 }
 
 func newSharedCell(t *testing.T) *sharedCell {
 	t.Helper()
 	return &sharedCell{
-		state:    schematest.NewCell(t),
-		cutOff:   map[paxos.ReplicaID]bool{},
-		lost:     map[paxos.ReplicaID]bool{},
-		voteless: map[paxos.ReplicaID]bool{},
+		state:     schematest.NewCell(t),
+		cutOff:    map[paxos.ReplicaID]bool{},
+		lost:      map[paxos.ReplicaID]bool{},
+		nonVoters: map[paxos.ReplicaID]bool{},
 	}
 }
 
@@ -43,7 +43,7 @@
 func (v nodeView) IsVoter() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.voteless[v.self]
+	return !v.nonVoters[v.self]
 }
 
 func (v nodeView) Get(_, key string) (paxos.Value, bool) {
@@ -56,7 +56,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.cutOff[v.self] {
-		return false, errors.New("cut off")
+		return false, errors.New("node is cut off from the cell")
 	}
 	return v.state.Commit(txn), nil
 }
@@ -84,7 +84,7 @@
 	})
 }
 
-// startNodes runs the lease at a, which acquires it, then at b.
+// startNodes runs the lease at node a, which acquires it, and then at node b.
 func startNodes(ctx context.Context, cell *sharedCell) (a, b *Lease, stopA, stopAll func()) {
 	var running sync.WaitGroup
 	ctxA, stopA := context.WithCancel(ctx)
@@ -111,12 +111,12 @@
 		}
 		time.Sleep(testDuration / 100)
 	}
-	t.Fatal("the lease is not taken")
+	t.Fatal("lease was not acquired within 20 lease durations")
 	return 0
 }
 
-// TestLeaseIsRenewed: while its holder is in touch nobody else takes a lease, and its term
-// stays.
+// TestLeaseIsRenewed guards against a change of owner or term while the owner can renew the
+// lease.
 func TestLeaseIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _, stop := startNodes(t.Context(), newSharedCell(t))
@@ -125,21 +125,22 @@
 		for range 1000 {
 			time.Sleep(testDuration / 50)
 			if term, held := a.Held(); !held || term != 1 {
-				t.Fatalf("a holds %v under term %d", held, term)
+				t.Fatalf("a.Held reports %v under term %d, want true under term 1", held, term)
 			}
 			if _, held := b.Held(); held {
-				t.Fatal("b holds it too")
+				t.Fatal("b.Held reports true while a holds the lease")
 			}
 			if condition, held := a.FenceCondition(1); !held || condition.Absent {
-				t.Fatal("there is no condition for its holder")
+				t.Fatal("a.FenceCondition(1) returned no condition on the record of the owner")
 			}
 		}
 	})
 }
 
-// TestLeaseOfLostHolder: a lease that is not renewed is taken only after its holder has
-// surely stopped, under a higher term; sooner if the holder is gone for good.
-func TestLeaseOfLostHolder(t *testing.T) {
+// TestLeaseOfLostOwner guards against two owners at a time. Another node acquires a lease that
+// is not renewed only after it has expired even on a slow clock of its owner, and under a
+// higher term. It acquires the lease sooner if the owner's incarnation has ended.
+func TestLeaseOfLostOwner(t *testing.T) {
 	for _, isLost := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			cell := newSharedCell(t)
@@ -153,23 +154,24 @@
 			}
 			waited := waitHeld(t, b)
 			if _, held := a.Held(); held {
-				t.Errorf("lost %v: both hold it", isLost)
+				t.Errorf("incarnation ended %v: a and b both hold the lease", isLost)
 			}
 			if a.Remaining(1) > 0 || b.Remaining(1) > 0 {
-				t.Errorf("lost %v: the former term lasts", isLost)
+				t.Errorf("incarnation ended %v: Remaining of the former term is above 0", isLost)
 			}
 			if term, _ := b.Held(); term != 2 {
-				t.Errorf("lost %v: the term is %d", isLost, term)
+				t.Errorf("incarnation ended %v: term of b is %d, want 2", isLost, term)
 			}
 			if isLost != (waited < (ClockSkewFactor-1)*testDuration) {
-				t.Errorf("lost %v: taken after %v", isLost, waited)
+				t.Errorf("incarnation ended %v: b acquired the lease after %v, want under 2 s only if ended", isLost, waited)
 			}
 		})
 	}
 }
 
-// TestLeaseIsGivenBack: a holder that stops, or yields, need not be waited for.
-func TestLeaseIsGivenBack(t *testing.T) {
+// TestLeaseIsReleased guards against a wait until the lease expires after its owner has stopped
+// or yielded.
+func TestLeaseIsReleased(t *testing.T) {
 	for _, yields := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b, stopA, stop := startNodes(t.Context(), newSharedCell(t))
@@ -181,16 +183,17 @@
 				stopA()
 			}
 			if waited := waitHeld(t, b); waited > testDuration {
-				t.Errorf("yields %v: taken after %v", yields, waited)
+				t.Errorf("yields %v: b acquired the lease after %v, want at most one lease duration", yields, waited)
 			}
 			if _, held := a.FenceCondition(1); held {
-				t.Errorf("yields %v: the former holder has a condition", yields)
+				t.Errorf("yields %v: a.FenceCondition(1) reports that a holds the lease, want not held", yields)
 			}
 		})
 	}
 }
 
-// TestForfeit: what a holder has forfeited it holds under another term only.
+// TestForfeit guards against an owner that holds a forfeited lease under its former term. It
+// must acquire the lease again under a new one.
 func TestForfeit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, _, _, stop := startNodes(t.Context(), newSharedCell(t))
@@ -198,29 +201,29 @@
 		waitHeld(t, a)
 		a.Forfeit()
 		if _, held := a.Held(); held {
-			t.Error("it is held still")
+			t.Error("lease is still held after Forfeit")
 		}
 		waitHeld(t, a)
 		if term, _ := a.Held(); term != 2 {
-			t.Errorf("the term is %d", term)
+			t.Errorf("term after Forfeit is %d, want 2", term)
 		}
 	})
 }
 
-// TestLeaseOfFormerVoter guards against a lease that nobody holds until it expires, since its
-// holder has lost its vote and renews it no more.
+// TestLeaseOfFormerVoter guards against a wait until the lease expires after its owner has lost
+// its vote and therefore no longer renews it.
 func TestLeaseOfFormerVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cell := newSharedCell(t)
 		a, b, _, stop := startNodes(t.Context(), cell)
 		defer stop()
 		waitHeld(t, a)
-		cell.set(cell.voteless, "a")
+		cell.set(cell.nonVoters, "a")
 		if took := waitHeld(t, b); took > testDuration/2 {
-			t.Errorf("it is taken after %v", took)
+			t.Errorf("b acquired the lease after %v, want at most half a lease duration", took)
 		}
 		if _, held := a.Held(); held {
-			t.Error("both hold it")
+			t.Error("a and b both hold the lease")
 		}
 	})
 }
--- a/internal/controlplane/notifications_test.go
+++ b/internal/controlplane/notifications_test.go
@@ -12,19 +12,20 @@
 	"comethold/internal/rpc"
 )
 
-// TestNotificationsInOrder: nodes ask for what comes after the newest log index that they
-// know, so a notification that waits for its state is not overtaken, and two at one index go
-// together.
+// TestNotificationsInOrder guards against notifications that a node never receives. A node
+// requests the notifications after the newest log index that it knows. So a notification that
+// waits for its configuration must not be overtaken by a later one, and notifications with
+// the same log index must be in the same update.
 func TestNotificationsInOrder(t *testing.T) {
 	r := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
 	r.openStorage()
 	go func() { _ = r.host.Run() }()
 	defer r.Stop()
-	// The election is not what is tested: the commit's own time-out must not include it.
+	// Waits for the election first, because the time-out of Commit must not include it.
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	if err := r.host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
-		t.Fatal("no leader:", err)
+		t.Fatal("WaitLinearizable failed, so there is no leader:", err)
 	}
 	change, err := outbox.Notification{
 		EventID:   "configuration/3",
@@ -57,23 +58,23 @@
 		row(10, "a", purges),
 		purged,
 	}}) {
-		t.Fatal("not committed")
+		t.Fatal("Commit did not commit the outbox rows")
 	}
-	known := uint64(1)
+	knownIndex := uint64(1)
 	expect := func(want int) {
 		t.Helper()
 		r.consumer.Apply()
-		held := distribution.HeldVersions{NotificationIndex: known}
+		held := distribution.HeldVersions{NotificationIndex: knownIndex}
 		update := r.distributor.Changes(&distribution.UpdateRequest{Held: held})
 		if update.Notifications == nil && want == 0 {
 			return
 		}
 		if update.Notifications == nil || len(update.Notifications.Notifications) != want {
-			t.Fatalf("an update has %v, not %d", update.Notifications, want)
+			t.Fatalf("update has notifications %v, want %d", update.Notifications, want)
 		}
-		known = update.Notifications.LogIndex
+		knownIndex = update.Notifications.LogIndex
 	}
-	expect(1) // the configuration is not here
+	expect(1) // the rows from index 9 on wait for configuration 3
 	expect(0)
 	r.distributor.SetConfiguration(3, []byte(`{"version":3}`))
 	expect(3)
--- a/internal/controlplane/operator_test.go
+++ b/internal/controlplane/operator_test.go
@@ -23,7 +23,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// newTestServer makes a server of a first start whose seeds are at the addresses.
+// newTestServer returns a server at the first start of a system with the given seed nodes.
 func newTestServer(t *testing.T, network rpc.Network, address string, seeds ...string) *Server {
 	t.Helper()
 	set := &settings.Settings{
@@ -37,21 +37,21 @@
 	return New(set, logging.Nop(), network, storage.LocalDisk{})
 }
 
-// dial connects to an address of this machine.
+// dial opens a TCP connection to an address.
 func dial(ctx context.Context, address net.Addr) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address.String())
 }
 
-// TestStoppedReplicaAnswersUnavailable: a node that stops after its replica was confirmed to
-// be current, and before it was read, rejects nothing for good; nor does one whose leader's
-// answer is empty.
+// TestStoppedReplicaAnswersUnavailable guards against a final rejection of a request, instead
+// of 503, in two cases: the node stops after the leader has confirmed that its replica is
+// current and before the replica is read, or the leader's answer is empty.
 func TestStoppedReplicaAnswersUnavailable(t *testing.T) {
 	amend := func(s *Server, c echo.Context) error { return s.operator.Amend(c) }
 	read := func(s *Server, c echo.Context) error { return s.operator.Read(c) }
 	for _, c := range []struct {
 		name            string
 		handle          func(*Server, echo.Context) error
-		leaderStopsNode bool // else its answers are empty
+		leaderStopsNode bool // otherwise the leader's answers are empty
 	}{
 		{"read, stopped", read, true},
 		{"amend, stopped", amend, true},
@@ -92,22 +92,22 @@
 		w := httptest.NewRecorder()
 		err := c.handle(s, echo.New().NewContext(request, w))
 		if err != nil || w.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s: %d %s %v", c.name, w.Code, w.Body, err)
+			t.Errorf("%s: handler answered %d %s and returned %v, want 503 and no error", c.name, w.Code, w.Body, err)
 		}
 		if isRunning := s.host.View(schema.MetaCell, func(*paxos.Replica) {}); isRunning == c.leaderStopsNode {
-			t.Errorf("%s: the node runs: %v", c.name, isRunning)
+			t.Errorf("%s: replica is running: %v, want the opposite", c.name, isRunning)
 		}
 		s.Stop()
 		leader.Close()
 	}
 }
 
-// TestTruncatedBody: a body that is truncated is a call that failed, not a change that is
-// wrong.
+// TestTruncatedBody guards against the rejection of a truncated request body as an invalid
+// change: the transfer failed, so the answer must be 408 and the connection must be closed.
 func TestTruncatedBody(t *testing.T) {
 	s := newTestServer(t, rpc.TCPNetwork, "127.0.0.1")
 	s.openStorage()
-	s.Stop() // nothing answers for it
+	s.Stop() // a truncated body is rejected before a replica is needed
 	server := httptest.NewServer(s.OperatorHandler())
 	defer server.Close()
 	for _, path := range []string{"/Configuration.Replace", "/Configuration.Amend", "/purge", "/Notices.Redrive"} {
@@ -126,7 +126,7 @@
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil {
 				if response.StatusCode != http.StatusRequestTimeout || !response.Close {
-					t.Errorf("%s: %d, close is %v", path, response.StatusCode, response.Close)
+					t.Errorf("truncated body to %s: status %d, close %v, want 408, true", path, response.StatusCode, response.Close)
 				}
 				_ = response.Body.Close()
 			}
--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -8,7 +8,7 @@
 	"comethold/internal/paxos"
 )
 
-// TestIsForming: of a cell that is to have five voters.
+// TestIsForming checks a cell that is intended to have five voters.
 func TestIsForming(t *testing.T) {
 	const (
 		long = time.Hour
@@ -20,32 +20,32 @@
 		voters          int
 		inEffect        bool
 		age             time.Duration
-		sinceDisturbed  time.Duration
+		stableFor       time.Duration
 		sinceVoterAdded time.Duration
 		liveWithoutVote int
 		isForming       bool
 	}{
-		{"this node started a moment ago", few, true, peerDiscoveryPeriod - 1, long, long, 0, true},
-		{"nodes have met, and nobody else is there", few, true, peerDiscoveryPeriod, long, long, 0, false},
-		{"a node is there that may become a voter", few, true, formationTimeout - 1, long, long, 1, true},
-		{"it has not become one for long", few, true, formationTimeout, long, long, 1, false},
-		{"the cell was disturbed", few, true, long, stablePeriod - 1, long, 0, true},
-		{"the cell is at rest", few, true, long, stablePeriod, long, 1, false},
-		{"the last voter was just added", all, false, long, 0, formationTimeout - 1, 0, true},
-		{"the last voter was added long ago", all, false, long, 0, formationTimeout, 0, false},
-		{"the last voter is not in effect since this node started", all, false, formationTimeout - 1, long, long, 0, true},
-		{"all voters are in effect", all, true, 0, 0, 0, 1, false},
-		{"there are more voters than it takes", all + 1, false, 0, 0, 0, 1, false},
+		{"before the end of peerDiscoveryPeriod", few, true, peerDiscoveryPeriod - 1, long, long, 0, true},
+		{"after peerDiscoveryPeriod, no live node without a vote", few, true, peerDiscoveryPeriod, long, long, 0, false},
+		{"live node without a vote, before formationTimeout", few, true, formationTimeout - 1, long, long, 1, true},
+		{"live node without a vote, after formationTimeout", few, true, formationTimeout, long, long, 1, false},
+		{"stable for less than stablePeriod", few, true, long, stablePeriod - 1, long, 0, true},
+		{"stable for stablePeriod", few, true, long, stablePeriod, long, 1, false},
+		{"last voter just added", all, false, long, 0, formationTimeout - 1, 0, true},
+		{"last voter added formationTimeout ago", all, false, long, 0, formationTimeout, 0, false},
+		{"last voter not in effect, this node started recently", all, false, formationTimeout - 1, long, long, 0, true},
+		{"all voters in effect", all, true, 0, 0, 0, 1, false},
+		{"more voters than intended", all + 1, false, 0, 0, 0, 1, false},
 	} {
 		cell := replicahost.Stability{
 			Voters:             make([]paxos.Voter, c.voters),
 			MembershipInEffect: c.inEffect,
 			Age:                c.age,
-			StableFor:          c.sinceDisturbed,
+			StableFor:          c.stableFor,
 			SinceVoterAdded:    c.sinceVoterAdded,
 		}
 		if got := isForming(cell, c.liveWithoutVote, all); got != c.isForming {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: isForming returned %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/internal/controlplane/placement/timeouts_test.go
+++ b/internal/controlplane/placement/timeouts_test.go
@@ -7,8 +7,8 @@
 	"comethold/internal/controlplane/replicahost"
 )
 
-// TestTimeouts guards against a voter that is replaced only when the next machine may be lost
-// already, and against a candidate that was lost together with the voter.
+// TestTimeouts guards against a lost voter that is replaced only after the next machine may be
+// lost, and against a candidate that was lost together with the voter.
 func TestTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		catchUp, voter time.Duration
@@ -21,10 +21,10 @@
 	} {
 		timeouts := TimeoutsFor(c.catchUp)
 		if timeouts.Voter != c.voter {
-			t.Errorf("catchUp %v: a voter is replaced after %v, not %v", c.catchUp, timeouts.Voter, c.voter)
+			t.Errorf("catchUp %v: voter timeout %v, want %v", c.catchUp, timeouts.Voter, c.voter)
 		}
 		if timeouts.Candidate >= timeouts.Voter {
-			t.Errorf("catchUp %v: candidates %v, voters %v", c.catchUp, timeouts.Candidate, timeouts.Voter)
+			t.Errorf("catchUp %v: candidate timeout %v, want below %v", c.catchUp, timeouts.Candidate, timeouts.Voter)
 		}
 	}
 }
--- a/internal/controlplane/replay_test.go
+++ b/internal/controlplane/replay_test.go
@@ -12,17 +12,19 @@
 	"comethold/internal/paxos"
 )
 
-// replayTest makes the transactions that are proposed twice, from the state as it is.
+// replayTest builds the transactions that are proposed twice from the current state of a cell.
 type replayTest struct {
 	*schematest.Cell
 	t            *testing.T
 	notification outbox.Notification
 }
 
-// TestReplayedTransactionsChangeNothing: whatever is proposed twice, or comes late, after
-// others of its kind, changes nothing. What is appended is excepted: a purge acts twice,
-// which does no harm. So is a mark for draining that comes after it was dropped: its
-// endpoint isn't listed, and the next look at the list drops it again.
+// TestReplayedTransactionsChangeNothing guards against a transaction that changes the state
+// again if it is proposed twice, or if it arrives after a later transaction of its kind.
+//
+// Two kinds are excepted. Appended values: a purge acts twice, which does no harm. Draining
+// marks that arrive after their removal: their endpoint isn't listed, so the next comparison
+// with the list removes them again.
 func TestReplayedTransactionsChangeNothing(t *testing.T) {
 	notification, err := outbox.Notification{
 		EventID:   "configuration/3",
@@ -41,24 +43,24 @@
 		if c.beforeFirst != nil {
 			c.beforeFirst()
 		}
-		late := c.replayed()
-		if !r.Commit(late) {
-			t.Errorf("%s: not committed", c.name)
+		txn := c.replayed()
+		if !r.Commit(txn) {
+			t.Errorf("%s: first proposal was not committed", c.name)
 		}
-		if r.Commit(late) {
-			t.Errorf("%s: committed twice", c.name)
+		if r.Commit(txn) {
+			t.Errorf("%s: second proposal was committed, want no change", c.name)
 		}
 		if !r.Commit(c.inBetween()) {
-			t.Errorf("%s: what came after it was not committed", c.name)
+			t.Errorf("%s: transaction in between was not committed", c.name)
 		}
-		if r.Commit(late) {
-			t.Errorf("%s: committed late", c.name)
+		if r.Commit(txn) {
+			t.Errorf("%s: proposal after the transaction in between was committed, want no change", c.name)
 		}
 	}
 	r.checkState()
 }
 
-// replayCase is a transaction that is proposed twice, and one of its kind in between.
+// replayCase is a transaction that is proposed repeatedly, and another one of its kind in between.
 type replayCase struct {
 	name        string
 	beforeFirst func() // may be nil
@@ -70,38 +72,38 @@
 	eventID := r.notification.EventID
 	return []replayCase{
 		{
-			name:      "a mark for draining",
+			name:      "addition of a draining mark",
 			replayed:  func() paxos.Txn { return r.mark("", distribution.ReasonDraining) },
 			inBetween: func() paxos.Txn { return paxos.Txn{} },
 		},
 		{
-			name:        "the end of a mark",
+			name:        "removal of a mark",
 			beforeFirst: func() { r.Commit(r.mark(distribution.ReasonDraining, distribution.ReasonUnresponsive)) },
 			replayed:    func() paxos.Txn { return r.mark(distribution.ReasonUnresponsive, "") },
 			inBetween:   func() paxos.Txn { return r.mark("", distribution.ReasonDraining) },
 		},
 		{
-			name:      "a shard set",
+			name:      "replacement of the shard set",
 			replayed:  func() paxos.Txn { return r.shardSet(3, "a") },
 			inBetween: func() paxos.Txn { return r.shardSet(5, "b") },
 		},
 		{
-			name:      "forgotten purges",
+			name:      "removal of old purges",
 			replayed:  func() paxos.Txn { return r.forgetPurges(10) },
 			inBetween: func() paxos.Txn { return r.forgetPurges(20) },
 		},
 		{
-			name:      "the sweep of the outbox",
+			name:      "sweep of the outbox",
 			replayed:  func() paxos.Txn { return outboxpublisher.SweepRows(schema.OutboxRows(r.Replica())).Txn },
 			inBetween: r.putPendingRow,
 		},
 		{
-			name:      "a redrive",
+			name:      "redrive that resends",
 			replayed:  func() paxos.Txn { return r.redrive(eventID, schema.RedriveResend, "case-1") },
 			inBetween: func() paxos.Txn { return r.redrive(eventID, schema.RedriveResend, "case-2") },
 		},
 		{
-			name:        "the end of a case",
+			name:        "redrive that closes a quarantine case",
 			beforeFirst: func() { r.Commit(r.quarantine("forged")) },
 			replayed:    func() paxos.Txn { return r.redrive("order", schema.RedriveClose, "case-1") },
 			inBetween:   func() paxos.Txn { return r.quarantine("forged again") },
@@ -109,10 +111,10 @@
 	}
 }
 
-// checkState looks at what the replayed transactions left.
+// checkState checks the state after all replays.
 func (r *replayTest) checkState() {
 	if value, _ := r.Replica().Get(schema.PurgeCompactedKey); !value.Equal(schema.UintValue(20)) {
-		r.t.Errorf("purges are forgotten up to %v", value.Int)
+		r.t.Errorf("low watermark of purges is %v, want 20", value.Int)
 	}
 	_, known, done := schema.RedriveTransaction(r.Replica(), &schema.RedriveRequest{
 		EventID:       r.notification.EventID,
@@ -121,18 +123,19 @@
 		Action:        schema.RedriveResend,
 	})
 	if !known || !done {
-		r.t.Error("a redrive that was taken is not known when it is sent again")
+		r.t.Error("repeated redrive case-1 is not reported as known and done")
 	}
 	held, found := r.Replica().Get(schema.ShardSetKey)
 	if !found {
 		return
 	}
 	if _, due := reconcile.ShardSetTxn(held, found, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
-		r.t.Error("an older shard set is due")
+		r.t.Error("ShardSetTxn of version 4 is due, although version 5 is stored")
 	}
 }
 
-// mark changes the mark of an endpoint from one reason to another; empty is none.
+// mark returns the transaction that changes the mark of endpoint l from one reason to another.
+// An empty reason stands for no mark.
 func (r *replayTest) mark(from, to string) paxos.Txn {
 	var next *distribution.EjectionMark
 	if to != "" {
@@ -148,7 +151,7 @@
 	record := schema.ShardSetRecord{Version: version, Services: []string{service}}
 	txn, due := reconcile.ShardSetTxn(held, found, record)
 	if !due {
-		r.t.Errorf("the shard set of %d is not due", version)
+		r.t.Errorf("ShardSetTxn of version %d is not due, want due", version)
 	}
 	return txn
 }
@@ -178,7 +181,7 @@
 		Action:        action,
 	})
 	if !known || done {
-		r.t.Errorf("redrive %s: known %v, done %v", correlationID, known, done)
+		r.t.Errorf("RedriveTransaction of %s returned known %v, done %v, want known and not done", correlationID, known, done)
 	}
 	return txn
 }
--- a/internal/controlplane/stop_test.go
+++ b/internal/controlplane/stop_test.go
@@ -15,7 +15,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// replaceConfiguration sends a configuration as an operator does, and returns the status.
+// replaceConfiguration sends a configuration to the operator API and returns the HTTP status.
 func replaceConfiguration(t *testing.T, s *Server, body string) int {
 	t.Helper()
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", strings.NewReader(body))
@@ -27,9 +27,9 @@
 	return w.Code
 }
 
-// TestContradictionWhileStopping: a change that contradicts a committed one is put in
-// quarantine also if it comes while the node stops, as long as its replicas run.
-func TestContradictionWhileStopping(t *testing.T) {
+// TestContradictionDuringStop guards against the loss of a change that contradicts a committed
+// one and arrives while the node stops: it must be quarantined as long as the replicas run.
+func TestContradictionDuringStop(t *testing.T) {
 	s := newTestServer(t, rpc.TCPNetwork, "10.0.0.1", "10.0.0.1:1")
 	s.openStorage()
 	go func() { _ = s.host.Run() }()
@@ -40,9 +40,9 @@
 	})
 	stopped, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.operator.Run(stopped) // what ends first when the node stops
+	s.operator.Run(stopped) // this loop ends before the replicas when the node stops
 	if status := replaceConfiguration(t, s, body+" "); status != http.StatusPreconditionFailed {
-		t.Errorf("the status is %d", status)
+		t.Errorf("Replace with contradicting content answered %d, want 412", status)
 	}
 	waitUntil(t, "the change is in quarantine", func() bool {
 		var keys []string
@@ -53,11 +53,11 @@
 	})
 }
 
-func waitUntil(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not so: %s", what)
+			t.Fatalf("condition not met within 30 s: %s", condition)
 		}
 	}
 }
--- a/internal/controlplane/taskgroup/group_test.go
+++ b/internal/controlplane/taskgroup/group_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestCloseWaits: Close returns after the last task that was started, and none starts later.
+// TestCloseWaits guards against tasks that run or start after Close has returned, when the
+// component that they use is closed.
 func TestCloseWaits(t *testing.T) {
 	var group Group
 	finished := false
@@ -15,8 +16,8 @@
 	})
 	group.Close()
 	if !finished {
-		t.Error("a task still runs after Close")
+		t.Error("task is still running after Close")
 	}
-	group.Go(func() { t.Error("a task started after Close") })
+	group.Go(func() { t.Error("task started after Close") })
 	group.Close()
 }
