--- a/internal/controlplane/placement/plan.go
+++ b/internal/controlplane/placement/plan.go
@@ -30,7 +30,7 @@
 // worsensSpread reports whether the cell survives the loss of any zone now, but not with the
 // next voters. The zone of an initial voter is not recorded. If such a voter has the address
 // of the added voter, both replicas are on one machine, so the zone of the added voter is used
-// for both. Otherwise the replacement of an initial voter on its machine would be rejected.
+// for both. Otherwise the replacement of an initial voter on its machine could be rejected.
 func worsensSpread(voters, next []paxos.Voter, added paxos.Voter) bool {
 	known := slices.Clone(voters)
 	for i := range known {
