--- a/internal/controlplane/metering/collector.go
+++ b/internal/controlplane/metering/collector.go
@@ -7,15 +7,15 @@
 	"comethold/internal/usage"
 )
 
-// Collector holds the counts that data plane nodes report to this control node, and the time
-// of day on which the control nodes agree.
+// Collector holds the counts that data plane nodes report to this control node, and the time on
+// which the control nodes agree.
 type Collector struct {
 	store       *usage.Store
 	clock       *usage.Clock
 	incarnation uint64 // of this node; identifies it in acknowledgements
 }
 
-// NewCollector returns a Collector without counts, of a new incarnation.
+// NewCollector returns a Collector without counts and with a new random incarnation number.
 func NewCollector() *Collector {
 	return &Collector{
 		store:       usage.NewStore(),
@@ -34,8 +34,8 @@
 // Window returns the counts of a window that this node holds.
 func (c *Collector) Window(window uint64) usage.IncarnationCounts { return c.store.Window(window) }
 
-// ReadClocks returns this machine's time of day and the agreed one, 0 if there is none yet;
-// both in Unix nanoseconds.
+// ReadClocks returns this machine's wall clock and the agreed time, both in Unix nanoseconds.
+// agreed is 0 if there is no agreed time yet.
 func (c *Collector) ReadClocks() (wall, agreed int64) {
 	now := time.Now()
 	if agreedTime, ok := c.clock.Now(now); ok {
--- a/internal/controlplane/metering/commit.go
+++ b/internal/controlplane/metering/commit.go
@@ -17,11 +17,11 @@
 const WindowPath = "/usage"
 
 const (
-	// reportDelayFraction is the fraction of ReporterOptions.Delay after which a complete
-	// report is made.
+	// reportDelayFraction is the fraction of ReporterOptions.Delay after which a report is
+	// committed if all control nodes have answered.
 	reportDelayFraction = 0.3
-	// incompleteReportFraction is the fraction after which a report is made even if control
-	// nodes don't answer.
+	// incompleteReportFraction is the fraction of ReporterOptions.Delay after which a report is
+	// committed even if some control nodes have not answered.
 	incompleteReportFraction = 0.7
 	collectTimeout           = 900 * time.Millisecond // of a call to a control node
 	maxPublishedReports      = 64                     // rows; older published ones are removed
@@ -34,7 +34,7 @@
 }
 
 // commitReports commits the reports that are due. A report is sent only after it is committed.
-// current is the window that has not ended.
+// current is the number of the window that has not ended yet.
 func (r *Reporter) commitReports(ctx context.Context, agreedTime time.Time, current, term uint64) {
 	delay := float64(r.options.Delay)
 	rows := r.rows()
@@ -55,8 +55,9 @@
 	}
 }
 
-// firstUnreportedWindow returns the first window without a report. If there is no report at
-// all, it is the oldest window of which this node holds counts.
+// firstUnreportedWindow returns the first window without a report, at most maxBacklogWindows
+// before current. If there is no report at all, it returns the oldest window for which this node
+// has held counts, or the window that was current at the first call if that is older.
 func (r *Reporter) firstUnreportedWindow(rows []schema.StoredRow, current uint64) uint64 {
 	if n := len(rows); n > 0 {
 		lastReported := rows[n-1].Row.Notification.Version
@@ -71,8 +72,8 @@
 	return r.firstWindow
 }
 
-// reportTxn makes the transaction that stores a report, claimed by this node, and removes old
-// ones. It reports false if this node no longer holds the lease.
+// reportTxn returns the transaction that stores a report, claimed by this node, and removes old
+// published reports. It reports false if the claim fails or this node no longer holds the lease.
 func (r *Reporter) reportTxn(
 	window, term uint64, counts usage.Counts, rows []schema.StoredRow,
 ) (txn paxos.Txn, ok bool) {
@@ -103,8 +104,8 @@
 	return txn, true
 }
 
-// collect adds up the counts of a window on all control nodes. complete says that all control
-// nodes that are not down have answered.
+// collect adds up the counts of a window on all control nodes. complete is true if all control
+// nodes that are not marked as down are live and have answered.
 func (r *Reporter) collect(ctx context.Context, window uint64) (counts usage.Counts, complete bool) {
 	live := r.options.Peers.LivePeers(replicahost.LearnerTimeout)
 	complete = true
@@ -121,7 +122,7 @@
 			continue
 		}
 		calls.Go(func() {
-			part, err := r.askPeer(ctx, address, window)
+			part, err := r.fetchPeerCounts(ctx, address, window)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -135,7 +136,7 @@
 	return usage.Total(parts...), complete
 }
 
-func (r *Reporter) askPeer(
+func (r *Reporter) fetchPeerCounts(
 	ctx context.Context, address string, window uint64,
 ) (counts usage.IncarnationCounts, err error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
--- a/internal/controlplane/metering/countstore.go
+++ b/internal/controlplane/metering/countstore.go
@@ -31,10 +31,11 @@
 	Counts usage.IncarnationCounts `cbor:"2,keyasint"`
 }
 
-// PersistedWindowKey is the key of the node's storage under which a window is kept.
+// PersistedWindowKey returns the key in NodeStorage under which a window is stored. Windows whose
+// numbers are equal modulo PersistedWindows share a key, so a new window overwrites an old one.
 func PersistedWindowKey(window uint64) string { return fmt.Sprint("usage/", window%PersistedWindows) }
 
-// CountStore stores the counts of the newest windows on disk. Otherwise they would be lost if
+// CountStore stores the counts of the newest windows on disk. Without it, counts would be lost if
 // a control node failed together with the data plane nodes that reported to it.
 type CountStore struct {
 	collector    *Collector
@@ -47,7 +48,8 @@
 	return &CountStore{collector: collector, storage: storage, windowLength: windowLength}
 }
 
-// Restore adds the counts that former incarnations stored to the collector.
+// Restore loads the counts that former incarnations stored into the collector. It skips records
+// that it can't decode.
 func (s *CountStore) Restore() {
 	for slot := range uint64(PersistedWindows) {
 		var persisted PersistedWindow
@@ -58,8 +60,8 @@
 	}
 }
 
-// Run stores counts until the context ends. Its pauses keep the writes below
-// persistBytesPerSecond.
+// Run stores changed counts until the context ends. It pauses between writes so that they stay
+// below persistBytesPerSecond. It writes nothing before there is an agreed time.
 func (s *CountStore) Run(ctx context.Context) {
 	pause := minPersistInterval
 	for {
@@ -76,8 +78,8 @@
 	}
 }
 
-// persist stores the changed ones of the newest windows, up to the current one. It returns
-// the number of bytes.
+// persist stores those of the newest PersistedWindows windows that have changed. It returns the
+// number of bytes.
 func (s *CountStore) persist(current uint64) (written int) {
 	oldest := current - min(current, PersistedWindows-1)
 	for _, window := range s.collector.store.TakeChanged(oldest) {
--- a/internal/controlplane/metering/countstore_test.go
+++ b/internal/controlplane/metering/countstore_test.go
@@ -16,8 +16,9 @@
 
 func (s memoryStorage) QueueNodeValue(key string, value []byte) { s[key] = value }
 
-// TestCountsOutliveRestart: the newest windows are known after a restart.
-func TestCountsOutliveRestart(t *testing.T) {
+// TestNewestCountsRestoredAfterRestart guards against counts that a restart loses. Only the newest
+// PersistedWindows windows are stored, and only when they have changed.
+func TestNewestCountsRestoredAfterRestart(t *testing.T) {
 	storage := memoryStorage{}
 	before := NewCollector()
 	for i := range uint64(PersistedWindows + 2) {
@@ -25,10 +26,10 @@
 	}
 	newest := uint64(window + PersistedWindows + 1)
 	if written := NewCountStore(before, storage, windowLength).persist(newest); written == 0 {
-		t.Error("nothing is written")
+		t.Error("persist with changed windows wrote 0 bytes, want more")
 	}
 	if written := NewCountStore(before, storage, windowLength).persist(newest); written != 0 {
-		t.Errorf("%d bytes are written without a change", written)
+		t.Errorf("persist without a change wrote %d bytes, want 0", written)
 	}
 	after := NewCollector()
 	NewCountStore(after, storage, windowLength).Restore()
@@ -38,14 +39,14 @@
 			want = i + 1
 		}
 		if got := usage.Total(after.Window(window + i))[tenant]; got != want {
-			t.Errorf("window %d: %d, not %d", i, got, want)
+			t.Errorf("window %d after Restore has a count of %d, want %d", i, got, want)
 		}
 	}
 }
 
-// TestNothingIsStoredWithoutAgreedTime: windows are not known before the control nodes agree
-// on the time.
-func TestNothingIsStoredWithoutAgreedTime(t *testing.T) {
+// TestCountsNotStoredWithoutAgreedTime guards against writes before the control nodes agree on the
+// time: the current window is unknown until then.
+func TestCountsNotStoredWithoutAgreedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		storage := memoryStorage{}
 		collector := NewCollector()
@@ -56,7 +57,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(storage) != 0 {
-			t.Errorf("%d windows are stored", len(storage))
+			t.Errorf("Run without an agreed time stored %d windows, want 0", len(storage))
 		}
 	})
 }
--- a/internal/controlplane/metering/fixture_test.go
+++ b/internal/controlplane/metering/fixture_test.go
@@ -24,12 +24,12 @@
 	windowLength = 10 * time.Second
 	reportDelay  = 10 * time.Second
 	tenant       = "t"
-	window       = 1000 // the first that is reported
+	window       = 1000 // the first reported window
 )
 
 var errUnreachable = errors.New("unreachable")
 
-// reportingLease is a lease on reporting that is held while a term is set.
+// reportingLease is a fake Lease that is held while a term is set.
 type reportingLease struct {
 	mu        sync.Mutex // guards the fields below
 	term      uint64     // 0: not held
@@ -62,16 +62,16 @@
 	l.forfeited = true
 }
 
-// collectingPeers are this control node and another.
-type collectingPeers struct {
-	counts usage.IncarnationCounts // of the other; nil: it does not answer
+// fakePeers consists of this control node and one other.
+type fakePeers struct {
+	counts usage.IncarnationCounts // of the other node; nil: calls to it fail
 }
 
-func (p *collectingPeers) LivePeers(time.Duration) map[string]replicahost.PeerInfo {
+func (p *fakePeers) LivePeers(time.Duration) map[string]replicahost.PeerInfo {
 	return map[string]replicahost.PeerInfo{selfAddress: {}, peerAddress: {}}
 }
 
-func (p *collectingPeers) CallPeer(_ context.Context, _, _ string, _, response any) error {
+func (p *fakePeers) CallPeer(_ context.Context, _, _ string, _, response any) error {
 	counts, ok := response.(*usage.IncarnationCounts)
 	if !ok || p.counts == nil {
 		return errUnreachable
@@ -80,18 +80,18 @@
 	return nil
 }
 
-// fixture is a control node that may report.
+// fixture is a Reporter on a control node that holds the lease, with its fakes.
 type fixture struct {
 	t         *testing.T
 	cell      *schematest.Cell
 	collector *Collector
 	lease     *reportingLease
-	peers     *collectingPeers
+	peers     *fakePeers
 	nodes     map[string]distribution.Node
 	reporter  *Reporter
 }
 
-// newFixture returns a node whose platform is at an address.
+// newFixture returns a fixture that sends reports to the given host:port.
 func newFixture(t *testing.T, platformAddress string) *fixture {
 	t.Helper()
 	f := &fixture{
@@ -99,7 +99,7 @@
 		cell:      schematest.NewCell(t),
 		collector: NewCollector(),
 		lease:     &reportingLease{term: 1},
-		peers:     &collectingPeers{counts: usage.IncarnationCounts{}},
+		peers:     &fakePeers{counts: usage.IncarnationCounts{}},
 		nodes:     map[string]distribution.Node{},
 	}
 	f.reporter = NewReporter(ReporterOptions{
@@ -124,7 +124,7 @@
 	return f
 }
 
-// record has this node receive counts in the window.
+// record delivers a report with a count for window to this node.
 func (f *fixture) record(count uint64) {
 	f.collector.Record(&usage.CountReport{
 		Incarnation: 6,
@@ -132,7 +132,8 @@
 	})
 }
 
-// commitReports commits the reports that are due at an age of the window before the current.
+// commitReports commits the reports that are due. age is the time since the end of the window
+// before current.
 func (f *fixture) commitReports(current uint64, age time.Duration) {
 	f.t.Helper()
 	now := usage.WindowEnd(current-1, windowLength).Add(age)
@@ -147,17 +148,17 @@
 			continue
 		}
 		if want := string(usage.EncodeReport(window, counts)); string(notification.Payload) != want {
-			f.t.Errorf("the report of window %d is %s, not %s", window, notification.Payload, want)
+			f.t.Errorf("the report of window %d is %s, want %s", window, notification.Payload, want)
 		}
 		return
 	}
-	f.t.Errorf("window %d has no report", window)
+	f.t.Errorf("no report of window %d is committed, want one", window)
 }
 
 func (f *fixture) wantReports(count int) {
 	f.t.Helper()
 	if got := len(f.reporter.rows()); got != count {
-		f.t.Errorf("%d reports are committed, not %d", got, count)
+		f.t.Errorf("%d reports are committed, want %d", got, count)
 	}
 }
 
--- a/internal/controlplane/metering/memoryconn_test.go
+++ b/internal/controlplane/metering/memoryconn_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// connQueueLength is how many writes may be on their way in one direction.
+// connQueueLength is the maximum number of writes in flight in one direction.
 const connQueueLength = 64
 
-// memoryConn is one end of a connection in memory. What was written arrives also if the writer closes after it, as
-// bytes do that the kernel has already sent.
+// memoryConn is one end of an in-memory connection. Written data is delivered even if the writer closes the
+// connection afterwards, like data that the kernel has already sent.
 type memoryConn struct {
 	in         <-chan []byte
 	out        chan<- []byte
-	rest       []byte        // of what was received last
-	suspension time.Duration // of the process, before each write
+	unread     []byte        // unread part of the last received write
+	suspension time.Duration // simulated suspension of the process before each write
 	own, peer  *connEnd
 }
 
-// connEnd says whether one end is closed, and how.
+// connEnd is the state of one end: whether it is closed, and whether by a reset.
 type connEnd struct {
 	once    sync.Once
 	closed  chan struct{}
@@ -36,30 +36,30 @@
 }
 
 func (c *memoryConn) Read(p []byte) (int, error) {
-	if len(c.rest) == 0 {
+	if len(c.unread) == 0 {
 		select {
-		case c.rest = <-c.in:
+		case c.unread = <-c.in:
 		default:
 			if err := c.awaitData(); err != nil {
 				return 0, err
 			}
 		}
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 func (c *memoryConn) awaitData() error {
 	select {
-	case c.rest = <-c.in:
+	case c.unread = <-c.in:
 		return nil
 	case <-c.own.closed:
 		return net.ErrClosed
 	case <-c.peer.closed:
 	}
 	select {
-	case c.rest = <-c.in: // written before the end
+	case c.unread = <-c.in: // written before the peer closed
 		return nil
 	default:
 	}
@@ -70,7 +70,7 @@
 }
 
 func (c *memoryConn) Write(p []byte) (int, error) {
-	if c.suspension > 0 { // the write comes before whatever else the process does when it goes on
+	if c.suspension > 0 { // after the suspension, the write runs before any other code of the process
 		time.Sleep(c.suspension)
 		c.out <- slices.Clone(p)
 		return len(p), nil
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// reset closes the connection so that the peer's next read fails.
+// reset closes the connection. The peer's next read without pending data fails with ECONNRESET.
 func (c *memoryConn) reset() {
 	c.own.once.Do(func() {
 		c.own.byReset = true
--- a/internal/controlplane/metering/platform.go
+++ b/internal/controlplane/metering/platform.go
@@ -20,7 +20,7 @@
 
 const (
 	maxCallDuration   = time.Second
-	leaseSafetyMargin = 150 * time.Millisecond // between the end of a call and that of the lease
+	leaseSafetyMargin = 150 * time.Millisecond // between the end of a call and the end of the lease
 	minCallBackoff    = 150 * time.Millisecond
 	maxCallBackoff    = time.Second
 	maxResponseBytes  = 64 << 10
@@ -32,14 +32,14 @@
 	fencingTokenHeader = "X-Comethold-Fence-Number"
 )
 
-// Errors of a call.
+// Errors of a call. ErrReportRejected also covers calls that failed before an answer arrived.
 var (
-	ErrLeaseExpired   = errors.New("the lease is over")
-	ErrFenced         = errors.New("another holder has called")
-	ErrReportRejected = errors.New("the platform does not take it")
+	ErrLeaseExpired   = errors.New("the lease on reporting has expired")
+	ErrFenced         = errors.New("another lease holder has called the platform")
+	ErrReportRejected = errors.New("the platform did not accept the report")
 )
 
-// LeaseTimer provides the time for which this node may call.
+// LeaseTimer provides the remaining time of the lease, during which this node may call.
 type LeaseTimer interface {
 	// Remaining returns how long this node still holds the lease under a term.
 	Remaining(term uint64) time.Duration
@@ -53,19 +53,20 @@
 	Lease    LeaseTimer
 	// LeaseDuration is how long the platform remembers the last caller.
 	LeaseDuration time.Duration
-	// MaxCallsPerSecond bounds successful calls; failed ones are bounded by the backoff.
+	// MaxCallsPerSecond limits successful calls; values below 1 count as 1. The backoff limits
+	// failed calls.
 	MaxCallsPerSecond float64
 	StartedAt         time.Time // of this incarnation of the node
 }
 
-// PlatformClient posts reports to the platform, under a lease.
+// PlatformClient posts reports to the platform while this node holds the lease.
 type PlatformClient struct {
 	options PlatformClientOptions
 
 	mu            sync.Mutex    // guards the fields below
 	lastCallAt    time.Time     // latest time at which a call of this incarnation was in flight
-	lastCallToken uint64        // its fencing token; 0 before the first call
-	nextCallAt    time.Time     // no call before then
+	lastCallToken uint64        // fencing token of that call; 0 before the first call
+	nextCallAt    time.Time     // earliest time of the next call
 	backoff       time.Duration // after the last call; 0 if it succeeded
 }
 
@@ -76,8 +77,8 @@
 
 // MayCall reports whether the platform may be called now under a term. A node that lost the
 // lease and acquired it again, or was restarted, first waits until the platform has forgotten
-// its former calls, because another node may have called in between. A former call may have
-// arrived as late as leaseSafetyMargin after its end.
+// the calls of the former term, because another node may have called in between. A call may
+// arrive at the platform up to leaseSafetyMargin after it has ended here.
 func (p *PlatformClient) MayCall(term uint64, now time.Time) bool {
 	forgottenAfter := p.options.LeaseDuration + leaseSafetyMargin
 	p.mu.Lock()
@@ -89,8 +90,9 @@
 	return !calledUnderOther || now.Sub(p.lastCallAt) >= forgottenAfter
 }
 
-// Post makes one call and sets when the next may be made. The error is or wraps
-// ErrLeaseExpired, ErrFenced or ErrReportRejected.
+// Post makes one call and sets the earliest time of the next one. Failed calls are followed by
+// exponential backoff with jitter. The error is or wraps ErrLeaseExpired, ErrFenced or
+// ErrReportRejected.
 func (p *PlatformClient) Post(ctx context.Context, report []byte, term uint64) error {
 	err := p.call(ctx, report, term)
 	p.mu.Lock()
@@ -126,7 +128,7 @@
 		return true
 	}
 	defer func() {
-		if written.Load() { // it may have been in flight until now
+		if written.Load() { // the call may have been in flight until now
 			p.recordCall(term)
 		}
 	}()
@@ -192,14 +194,15 @@
 	}
 }
 
-// leasedConn writes only while the lease is held.
+// leasedConn is a connection that rejects writes unless the lease is held.
 type leasedConn struct {
 	net.Conn
 	mayWrite func() bool
 }
 
-// newLeasedConn sets the linger time to 0, so that unsent data is dropped when the connection
-// is closed, also when the process is killed, and can't arrive after the lease.
+// newLeasedConn sets the linger time of a TCP connection to 0. The kernel then drops unsent data
+// when the connection is closed, also if the process is killed, so that the data can't arrive
+// after the lease has expired.
 func newLeasedConn(conn net.Conn, mayWrite func() bool) leasedConn {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/controlplane/metering/platform_test.go
+++ b/internal/controlplane/metering/platform_test.go
@@ -21,23 +21,25 @@
 	"comethold/internal/simulation"
 )
 
-// platformAddress is the address of a faultyPlatform. Nothing listens there: calls reach it through its network.
+// platformAddress is the address of a faultyPlatform. No process listens there: calls reach it through its network
+// method.
 const platformAddress = "192.0.2.1:80"
 
-// faultyPlatform takes calls and ends them in the ways that platforms do.
+// faultyPlatform receives calls and answers each with a random outcome, such as success, an error, a redirect, a
+// truncated response, a reset or no response.
 type faultyPlatform struct {
-	suspension time.Duration // of the caller's process, between its decision to write and the write
+	suspension time.Duration // of the caller's process, between its lease check and the write
 
 	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
 	received     int
 	lastReceived time.Time
 	lastFence    string
-	accepted     bool // the status of the newest call was good
+	accepted     bool // the last call was answered with a 2xx status
 }
 
-// outcomes is how many ways of ending a call there are.
-const outcomes = 10
+// outcomeCount is the number of outcomes of a call that respond implements.
+const outcomeCount = 10
 
 const (
 	okResponse    = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -52,7 +54,7 @@
 	return &faultyPlatform{rng: rand.New(rand.NewSource(int64(seed)))}
 }
 
-// network connects to the platform in memory, so that a test can run on simulated time.
+// network returns a dial function that connects to the platform in memory, so that a test can run on simulated time.
 func (p *faultyPlatform) network(time.Duration, time.Duration) rpc.DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		caller, platform := newMemoryConns()
@@ -77,7 +79,7 @@
 	p.mu.Lock()
 	delay := time.Duration(p.rng.Intn(20)) * time.Millisecond
 	p.mu.Unlock()
-	time.Sleep(delay) // the call is on its way
+	time.Sleep(delay) // network latency
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -90,12 +92,12 @@
 	}
 }
 
-// receive notes a call and draws how it ends.
+// receive records a call and returns a random outcome for it.
 func (p *faultyPlatform) receive(request *http.Request) (outcome int) {
 	body, err := io.ReadAll(request.Body)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	outcome = p.rng.Intn(outcomes)
+	outcome = p.rng.Intn(outcomeCount)
 	p.accepted = outcome < 3 || outcome == 9
 	if err == nil && len(body) > 0 || request.Method != http.MethodPost {
 		p.received++
@@ -105,14 +107,14 @@
 	return outcome
 }
 
-// respond reports whether the connection stays open.
+// respond answers a call with an outcome. It reports whether the connection stays open.
 func (p *faultyPlatform) respond(conn *memoryConn, outcome int) bool {
 	switch outcome {
 	case 0:
 		fmt.Fprint(conn, okResponse)
 	case 1:
 		fmt.Fprint(conn, earlyHints+okResponse+conflict)
-	case 2: // taken, and the rest of the answer is lost
+	case 2: // accepted, but the rest of the response is lost
 		fmt.Fprint(conn, truncatedBody)
 		return false
 	case 3:
@@ -127,17 +129,17 @@
 		status := 301 + 6*(outcome-6)
 		fmt.Fprintf(conn, "HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/elsewhere\r\nContent-Length: 0\r\n\r\n",
 			status, platformAddress)
-	case 8: // silence
+	case 8: // no response
 		_, _ = conn.Read(make([]byte, 1))
 		return false
-	case 9: // late, but inside the lease
+	case 9: // late, but before the lease expires
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprint(conn, noContent)
 	}
 	return true
 }
 
-// fakeLease is a lease that is held under one term until a time.
+// fakeLease is a LeaseTimer whose lease is held under one term until expiresAt.
 type fakeLease struct {
 	mu        sync.Mutex // guards the fields below
 	term      uint64
@@ -160,10 +162,10 @@
 	return time.Until(l.expiresAt)
 }
 
-// TestReportCalls: one call reaches the platform once at the most, is over before the lease
-// is, went well only if the platform said so, and leaves nothing in the socket, even if the
-// process is killed.
-func TestReportCalls(t *testing.T) {
+// TestCallDeliveredAtMostOnceWithinLease guards against two control nodes that call the platform at the same time, and
+// against duplicate reports: a call reaches the platform at most once, ends before its lease expires, succeeds only if
+// the platform accepted it, and leaves no unsent data in the socket, even if the process is killed.
+func TestCallDeliveredAtMostOnceWithinLease(t *testing.T) {
 	for seed := range simulation.SeedCount(2) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,8 +180,10 @@
 	checkLinger(t)
 }
 
-// TestSuspendedReportCall guards against a call that a suspended process repeats, forgets, or gives another fence.
-func TestSuspendedReportCall(t *testing.T) {
+// TestCallOfSuspendedProcess guards against a call that a process repeats, sends with another fencing token or no
+// longer accounts for. This can happen if the process is suspended between its lease check and the write: the lease
+// has expired when the process writes.
+func TestCallOfSuspendedProcess(t *testing.T) {
 	for _, suspension := range []time.Duration{200 * time.Millisecond, 2 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			platform, lease := newFaultyPlatform(0), &fakeLease{}
@@ -187,7 +191,7 @@
 			client := newTestPlatformClient(platform, lease)
 			const term = 7
 			lease.set(term, time.Now().Add(leaseSafetyMargin+60*time.Millisecond))
-			_ = client.call(t.Context(), []byte("{}"), term) // it may have failed
+			_ = client.call(t.Context(), []byte("{}"), term) // may fail
 			synctest.Wait()
 			ended := time.Now()
 			time.Sleep(suspension + time.Second)
@@ -195,13 +199,15 @@
 			received, fence := platform.received, platform.lastFence
 			platform.mu.Unlock()
 			if received > 1 || received == 1 && fence != strconv.Itoa(term) {
-				t.Errorf("suspended for %v: %d calls, the last with fence %s", suspension, received, fence)
+				t.Errorf("suspended for %v: received %d calls, the last with token %s, want at most 1, with the token of its term",
+					suspension, received, fence)
 			}
 			if err := client.call(t.Context(), []byte("{}"), term); !errors.Is(err, ErrLeaseExpired) {
-				t.Errorf("suspended for %v: the next call: %v", suspension, err)
+				t.Errorf("suspended for %v: the next call returned %v, want ErrLeaseExpired", suspension, err)
 			}
 			if client.MayCall(term+1, ended.Add(time.Second)) {
-				t.Errorf("suspended for %v: another term may call as if there had been no call", suspension)
+				t.Errorf("suspended for %v: MayCall under the next term returned true 1s after the call, want false",
+					suspension)
 			}
 		})
 	}
@@ -218,7 +224,7 @@
 	})
 }
 
-// checkCall makes a call under a term, and one under the term before.
+// checkCall makes a call under a term, and a second one under the former term, which must fail.
 func checkCall(t *testing.T, platform *faultyPlatform, lease *fakeLease, client *PlatformClient, term uint64) {
 	t.Helper()
 	platform.mu.Lock()
@@ -228,28 +234,30 @@
 	lease.set(term, expiresAt)
 	err := client.call(t.Context(), []byte("{}"), term)
 	if left := time.Until(expiresAt); left < leaseSafetyMargin {
-		t.Errorf("a call ended %v before the end of its lease", left)
+		t.Errorf("a call ended %v before its lease expired, want at least leaseSafetyMargin", left)
 	}
-	time.Sleep(2 * leaseSafetyMargin) // what is on its way arrives
+	time.Sleep(2 * leaseSafetyMargin) // data in flight arrives
 	platform.mu.Lock()
 	received, lastReceived, accepted := platform.received, platform.lastReceived, platform.accepted
 	platform.mu.Unlock()
 	if received > 1 || received == 1 && lastReceived.After(expiresAt) {
-		t.Errorf("a call came %d times, %v before the lease's end", received, expiresAt.Sub(lastReceived))
+		t.Errorf("a call was received %d times, last %v before its lease expired, want at most once and a positive time",
+			received, expiresAt.Sub(lastReceived))
 	}
 	later := lastReceived.Add(time.Second)
 	if received > 0 && (client.MayCall(term+1, later) || !client.MayCall(term, later)) {
-		t.Error("another term may call a second after it was written, not after it came")
+		t.Error("MayCall 1s after a call was received: want false under the next term and true under the same term")
 	}
 	if err == nil && (received != 1 || !accepted) {
-		t.Error("a call went well that was not accepted")
+		t.Error("a call returned no error, but the platform did not receive and accept it exactly once")
 	}
 	if err := client.call(t.Context(), []byte("{}"), term-1); !errors.Is(err, ErrLeaseExpired) {
-		t.Errorf("a call under a former term: %v", err)
+		t.Errorf("a call under a former term returned %v, want ErrLeaseExpired", err)
 	}
 }
 
-// checkLinger looks whether the kernel drops what is not sent when a connection ends.
+// checkLinger reports an error unless SO_LINGER is set on a leased connection, which makes the kernel drop unsent data
+// on close.
 func checkLinger(t *testing.T) {
 	t.Helper()
 	listener := listen(t)
@@ -262,7 +270,7 @@
 	defer func() { _ = conn.Close() }()
 	tcp, ok := newLeasedConn(conn, func() bool { return true }).Conn.(*net.TCPConn)
 	if !ok {
-		t.Fatal("not a TCP connection")
+		t.Fatal("newLeasedConn did not keep the TCP connection")
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -271,7 +279,7 @@
 	err = raw.Control(func(fd uintptr) {
 		on, err := unix.GetsockoptUint64(int(fd), unix.SOL_SOCKET, unix.SO_LINGER)
 		if err != nil || on != 1 {
-			t.Errorf("a kill leaves bytes to be sent: %d, %v", on, err)
+			t.Errorf("SO_LINGER of a leased connection is %d (error %v), want 1", on, err)
 		}
 	})
 	if err != nil {
--- a/internal/controlplane/metering/reporter.go
+++ b/internal/controlplane/metering/reporter.go
@@ -32,7 +32,7 @@
 	Forfeit()
 }
 
-// State reads and changes the replicated state that contains the reports.
+// State gives access to the replicated state that contains the reports.
 type State interface {
 	// View runs a function that reads the applied state of the meta cell. It reports false
 	// if the function did not run.
@@ -45,7 +45,8 @@
 
 // Peers are the control nodes that counts are collected from.
 type Peers interface {
-	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
+	// LivePeers returns, by address, this node and the control nodes that were in contact within
+	// the given time.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 	// CallPeer makes an RPC to a control node.
 	CallPeer(ctx context.Context, address, path string, request, response any) error
@@ -58,11 +59,11 @@
 	Lease     Lease
 	State     State
 	Peers     Peers
-	Nodes     func() map[string]distribution.Node // by name; not to be changed
+	Nodes     func() map[string]distribution.Node // by name; read-only
 	Address   string                              // of this node
-	Voters    int                                 // control nodes that agree on the time
+	Voters    int                                 // number of control nodes that agree on the time
 	Window    time.Duration                       // length of a window
-	Delay     time.Duration                       // after a window's end when its report is due
+	Delay     time.Duration                       // from the end of a window until its report is due
 	Log       *logging.Logger
 }
 
@@ -70,8 +71,8 @@
 // uses its state.
 type Reporter struct {
 	options ReporterOptions
-	// accepted holds, by key, when this incarnation recorded that the platform accepted a
-	// report, until the record is applied here.
+	// accepted holds, by row key, the time at which this incarnation last proposed to record that
+	// the platform accepted a report. An entry is removed once the record is applied here.
 	accepted map[string]time.Time
 	// firstWindow is the first window to report if there is no report yet; 0 until it is
 	// determined.
@@ -83,13 +84,13 @@
 	return &Reporter{options: options, accepted: map[string]time.Time{}}
 }
 
-// Run updates the agreed time, acquires and renews the lease, and reports while this node
-// holds it, until the context ends. It releases the lease only after the last call has ended.
+// Run updates the agreed time and keeps trying to hold the lease. It reports while this node holds
+// the lease. When the context ends, it releases the lease only after the last call has ended.
 func (r *Reporter) Run(ctx context.Context) {
 	leaseCtx, stopLease := context.WithCancel(context.WithoutCancel(ctx))
-	var lease sync.WaitGroup
-	lease.Go(func() { r.options.Lease.Run(leaseCtx) })
-	defer lease.Wait()
+	var leaseRun sync.WaitGroup
+	leaseRun.Go(func() { r.options.Lease.Run(leaseCtx) })
+	defer leaseRun.Wait()
 	defer stopLease()
 	lastUpdate := time.Now()
 	for {
@@ -108,7 +109,7 @@
 		window := usage.WindowAt(agreedTime, r.options.Window)
 		r.options.Collector.store.RemoveOld(window)
 		if term, held := r.options.Lease.Held(); held {
-			// Not cancelled when the node stops: the outcome must be recorded.
+			// Not cancelled when the node stops, because the result must be recorded.
 			reportCtx := context.WithoutCancel(ctx)
 			r.commitReports(reportCtx, agreedTime, window, term)
 			r.sendReports(reportCtx, term)
@@ -116,11 +117,11 @@
 	}
 }
 
-// rows lists the rows of the reports, oldest first.
+// rows returns the rows of the reports, oldest first.
 func (r *Reporter) rows() (rows []schema.StoredRow) {
 	r.options.State.View(func(replica *paxos.Replica) { rows = schema.UsageReportRows(replica) })
 	return rows
 }
 
-// ownerToken returns the token of claims by the lease owner of a term.
+// ownerToken returns the owner token of rows that the lease holder of a term claims.
 func ownerToken(term uint64) string { return "usage/" + strconv.FormatUint(term, 10) }
--- a/internal/controlplane/metering/reporter_test.go
+++ b/internal/controlplane/metering/reporter_test.go
@@ -16,8 +16,8 @@
 	"comethold/internal/usage"
 )
 
-// TestReportAddsUpAllNodes: a report holds what all control nodes know, each count of an
-// incarnation once, and is made once.
+// TestReportAddsUpAllNodes guards against counts that are missing or counted twice: control nodes
+// hold different counts of the same incarnation. A committed report must not change afterwards.
 func TestReportAddsUpAllNodes(t *testing.T) {
 	f := newFixture(t, "")
 	f.record(5)
@@ -30,8 +30,9 @@
 	}
 }
 
-// TestReportWaitsForNodes: a report is not made at once, and not without control nodes that
-// don't answer until it is nearly due; those that are down are not waited for.
+// TestReportWaitsForNodes guards against reports that are committed too early and miss counts, or
+// too late: control nodes that don't answer delay a report until 70% of its delay has passed.
+// Control nodes that are marked as down don't delay it.
 func TestReportWaitsForNodes(t *testing.T) {
 	missing := map[string]distribution.Node{"n3": {Addr: "10.0.0.3", ControlPlane: true}}
 	down := map[string]distribution.Node{"n3": {Addr: "10.0.0.3", ControlPlane: true, Down: true}}
@@ -43,11 +44,11 @@
 		want        int
 	}{
 		{"at the window's end", 0, nil, true, 0},
-		{"when all answer", reportDelay * 3 / 10, nil, true, 1},
-		{"when one does not answer", reportDelay / 2, nil, false, 0},
-		{"nearly due when one does not answer", reportDelay * 7 / 10, nil, false, 1},
-		{"when one is not live", reportDelay / 2, missing, true, 0},
-		{"when one is down", reportDelay / 2, down, true, 1},
+		{"after 30% of the delay, all nodes answer", reportDelay * 3 / 10, nil, true, 1},
+		{"after 50% of the delay, one node does not answer", reportDelay / 2, nil, false, 0},
+		{"after 70% of the delay, one node does not answer", reportDelay * 7 / 10, nil, false, 1},
+		{"after 50% of the delay, one node is not live", reportDelay / 2, missing, true, 0},
+		{"after 50% of the delay, one node is down", reportDelay / 2, down, true, 1},
 	} {
 		f := newFixture(t, "")
 		f.record(1)
@@ -57,13 +58,13 @@
 		}
 		f.commitReports(window+1, c.age)
 		if got := len(f.reporter.rows()); got != c.want {
-			t.Errorf("%s: %d reports, not %d", c.name, got, c.want)
+			t.Errorf("%s: %d reports are committed, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// TestEachWindowIsReported: after the first report there is one for each window, also for
-// those without counts, as far back as the backlog reaches.
+// TestEachWindowIsReported guards against gaps in the reports: after the first report each window
+// gets one, even without counts. Windows more than maxBacklogWindows old are skipped.
 func TestEachWindowIsReported(t *testing.T) {
 	f := newFixture(t, "")
 	f.record(1)
@@ -75,7 +76,7 @@
 	f.wantReports(4 + maxBacklogWindows)
 }
 
-// TestNoReportWithoutLease: a node that has lost the lease commits nothing.
+// TestNoReportWithoutLease guards against reports of a node that has lost the lease.
 func TestNoReportWithoutLease(t *testing.T) {
 	f := newFixture(t, "")
 	f.record(1)
@@ -84,11 +85,11 @@
 	f.wantReports(0)
 }
 
-// recordingPlatform takes reports and answers with a status.
+// recordingPlatform records calls and answers all with the same status.
 type recordingPlatform struct {
 	mu     sync.Mutex // guards the fields below
 	status int
-	calls  []string // fencing token and window of each
+	calls  []string // fencing token and body of each
 }
 
 func (p *recordingPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +100,7 @@
 	w.WriteHeader(p.status)
 }
 
-// startPlatform returns a platform and its address.
+// startPlatform starts a platform that answers with a status, and returns it and its address.
 func startPlatform(t *testing.T, status int) (*recordingPlatform, string) {
 	t.Helper()
 	platform := &recordingPlatform{status: status}
@@ -108,19 +109,20 @@
 	return platform, strings.TrimPrefix(server.URL, "http://")
 }
 
-// callNow lets the next call be made at once, whatever came of the last.
-func (f *fixture) callNow() {
+// skipCallDelay removes the delay before the next call.
+func (f *fixture) skipCallDelay() {
 	f.reporter.options.Platform.nextCallAt = time.Time{}
 }
 
-// TestReportsAreSentInOrder: reports are sent oldest first and recorded as published.
+// TestReportsAreSentInOrder guards against reports that are sent out of order or twice: they are
+// sent oldest first and recorded as published.
 func TestReportsAreSentInOrder(t *testing.T) {
 	platform, address := startPlatform(t, http.StatusOK)
 	f := newFixture(t, address)
 	f.record(1)
 	f.commitReports(window+3, reportDelay)
 	for range 3 {
-		f.callNow()
+		f.skipCallDelay()
 		f.reporter.sendReports(t.Context(), f.lease.term)
 	}
 	var want []string
@@ -132,17 +134,18 @@
 		want = append(want, "1 "+string(usage.EncodeReport(window+i, counts)))
 	}
 	if !slices.Equal(platform.calls, want) {
-		t.Errorf("the calls are %q, not %q", platform.calls, want)
+		t.Errorf("the platform received the calls %q, want %q", platform.calls, want)
 	}
 	published := []outbox.State{outbox.Published, outbox.Published, outbox.Published}
 	if got := f.states(); !slices.Equal(got, published) {
-		t.Errorf("the reports are %v", got)
+		t.Errorf("the reports are in states %v, want three that are published", got)
 	}
 }
 
-// TestSuccessorSendsTheSameBytes: a report that a former holder has committed is sent as it
-// is, under the term of the new holder.
-func TestSuccessorSendsTheSameBytes(t *testing.T) {
+// TestCommittedReportUnchangedAfterFailover guards against different reports of one window: counts
+// that arrive after the commit must not change the report that the next lease holder sends. It
+// sends the report under its term.
+func TestCommittedReportUnchangedAfterFailover(t *testing.T) {
 	platform, address := startPlatform(t, http.StatusOK)
 	f := newFixture(t, address)
 	f.record(1)
@@ -152,16 +155,17 @@
 	f.reporter.sendReports(t.Context(), f.lease.term)
 	want := "2 " + string(usage.EncodeReport(window, usage.Counts{tenant: 1}))
 	if !slices.Equal(platform.calls, []string{want}) {
-		t.Errorf("the calls are %q, not %q", platform.calls, want)
+		t.Errorf("the platform received the calls %q, want %q", platform.calls, want)
 	}
 	if got := f.states(); !slices.Equal(got, []outbox.State{outbox.Published}) {
-		t.Errorf("the reports are %v", got)
+		t.Errorf("the reports are in states %v, want one that is published", got)
 	}
 }
 
-// TestRefusedReportIsSentAgain: a report that the platform refuses stays, and a call that
-// another holder has overtaken ends the lease.
-func TestRefusedReportIsSentAgain(t *testing.T) {
+// TestRejectedReportIsKept guards against the loss of a report that the platform rejects: it stays
+// claimed, and is not sent again before the backoff ends. A 409 Conflict answer, which means that
+// another lease holder has called, makes the node give up the lease.
+func TestRejectedReportIsKept(t *testing.T) {
 	for status, wantForfeited := range map[int]bool{
 		http.StatusInternalServerError: false,
 		http.StatusConflict:            true,
@@ -171,12 +175,13 @@
 		f.record(1)
 		f.commitReports(window+1, reportDelay)
 		f.reporter.sendReports(t.Context(), 1)
-		f.reporter.sendReports(t.Context(), 1) // too early
+		f.reporter.sendReports(t.Context(), 1) // within the backoff: makes no call
 		if len(platform.calls) != 1 || f.lease.forfeited != wantForfeited {
-			t.Errorf("%d: %d calls, forfeited %v", status, len(platform.calls), f.lease.forfeited)
+			t.Errorf("status %d: %d calls, want 1; lease forfeited: %v, want true only for status 409",
+				status, len(platform.calls), f.lease.forfeited)
 		}
 		if got := f.states(); !slices.Equal(got, []outbox.State{outbox.Claimed}) {
-			t.Errorf("%d: the reports are %v", status, got)
+			t.Errorf("status %d: the reports are in states %v, want one that is claimed", status, got)
 		}
 	}
 }
--- a/internal/controlplane/metering/send.go
+++ b/internal/controlplane/metering/send.go
@@ -11,11 +11,11 @@
 	"comethold/internal/paxos"
 )
 
-// acceptedRecordDelay is how long to wait until the record of an accepted report is applied
-// here. After that it is made again.
-const acceptedRecordDelay = time.Second
+// acceptedRecordTimeout is how long to wait until the record of an accepted report is applied
+// here. After that the record is proposed again.
+const acceptedRecordTimeout = time.Second
 
-// sendReports sends unsent reports, oldest first, while calls may be made.
+// sendReports sends unsent reports, oldest first, while the platform client may call.
 func (r *Reporter) sendReports(ctx context.Context, term uint64) {
 	for r.options.Platform.MayCall(term, time.Now()) {
 		row, found := r.nextUnsent()
@@ -27,7 +27,7 @@
 			return
 		}
 		if _, accepted := r.accepted[row.Key]; accepted {
-			r.recordAccepted(row, term) // the first record was not committed
+			r.recordAccepted(row, term) // the earlier record has not been applied here
 			return
 		}
 		if !r.send(ctx, row, term) {
@@ -37,7 +37,7 @@
 }
 
 // nextUnsent returns the oldest report that is not recorded as sent. It skips reports that
-// were accepted within acceptedRecordDelay, whose record may not be applied here yet.
+// were accepted within acceptedRecordTimeout, because their record may not be applied here yet.
 func (r *Reporter) nextUnsent() (row schema.StoredRow, found bool) {
 	for _, row := range r.rows() {
 		if row.Row.State == outbox.Published {
@@ -45,15 +45,15 @@
 			continue
 		}
 		acceptedAt, accepted := r.accepted[row.Key]
-		if !accepted || time.Since(acceptedAt) > acceptedRecordDelay {
+		if !accepted || time.Since(acceptedAt) > acceptedRecordTimeout {
 			return row, true
 		}
 	}
 	return row, false
 }
 
-// claim takes over a report that a former lease owner has claimed. It reports false if that
-// was not committed.
+// claim claims a report that a former lease holder had claimed. It reports false unless the claim
+// is known to be committed.
 func (r *Reporter) claim(row schema.StoredRow, term uint64) (claimed schema.StoredRow, ok bool) {
 	owner := ownerToken(term)
 	if row.Row.Owner == owner {
@@ -82,18 +82,19 @@
 	err := r.options.Platform.Post(ctx, row.Row.Notification.Payload, term)
 	if err != nil {
 		r.options.Log.Warn(logging.UsageReportFailed).Uint64("window", window).Uint64("fence", term).Err(err).
-			Msg("a usage report was not accepted; it is sent again")
+			Msg("the platform did not accept a usage report; retrying")
 		if errors.Is(err, ErrFenced) {
 			r.options.Lease.Forfeit()
 		}
 		return false
 	}
 	r.options.Log.Info(logging.UsageReportAccepted).Uint64("window", window).Uint64("fence", term).
-		Int("attempts", row.Row.Attempts).Msg("a usage report was accepted")
+		Int("attempts", row.Row.Attempts).Msg("the platform accepted a usage report")
 	return r.recordAccepted(row, term)
 }
 
-// recordAccepted records that the platform accepted a report.
+// recordAccepted records that the platform accepted a report. It reports whether the record is
+// known to be committed.
 func (r *Reporter) recordAccepted(row schema.StoredRow, term uint64) bool {
 	r.accepted[row.Key] = time.Now()
 	next, err := row.Row.MarkPublished(ownerToken(term))
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// maxSampleAge is how long a peer's sample counts.
+	// maxSampleAge is how long a peer's sample is used.
 	maxSampleAge = 5 * time.Second
-	// initialAgreementWait is how long the first agreement waits for peers even if all
-	// have answered.
+	// initialAgreementWait is the minimum age of a clock at its first agreement, even if samples
+	// of all peers have arrived. It does not apply if a peer already has an agreed time.
 	initialAgreementWait = 1500 * time.Millisecond
-	// maxInitialWait is how long it waits for all of them; after that a majority is enough,
-	// and after twice as long this node's own time of day.
+	// maxInitialWait is how long the first agreement waits for all peers. After that a majority
+	// is enough, and after twice that time any number of samples, even this node's wall clock alone.
 	maxInitialWait = 6 * time.Second
-	// maxSlewPerSecond is the most that an agreed offset moves in a second.
+	// maxSlewPerSecond limits the change of the agreed offset per second.
 	maxSlewPerSecond = time.Millisecond
-	// maxWallDisagreement is the largest difference of the median time of day from the agreed
-	// time at which it still corrects it.
+	// maxWallDisagreement limits the difference between the median wall clock and the agreed
+	// time. A median that differs by this much or more does not correct the agreed time.
 	maxWallDisagreement = 200 * time.Millisecond
-	// wallCorrectionDivisor: each update corrects this part of that difference.
+	// wallCorrectionDivisor spreads the correction over several updates: each update aims to
+	// correct the difference divided by this number.
 	wallCorrectionDivisor = 8
 )
 
-// Clock is the true time on which the control plane agrees, as an offset to this node's
-// monotonic clock. Unlike times of day, monotonic clocks don't jump. So an agreed offset
+// Clock holds the time on which the control nodes agree, as an offset from this node's
+// monotonic clock. Unlike wall clocks, monotonic clocks don't jump. So an agreed offset
 // stays valid, and follows the offsets of the peers only in small steps. It is safe for
 // concurrent use.
 type Clock struct {
-	base time.Time // a moment of the monotonic clock
+	base time.Time // reference point on the monotonic clock
 
 	mu        sync.Mutex    // guards the fields below
-	offset    time.Duration // of true time since 1970, at base
+	offset    time.Duration // the agreed time at base, since the Unix epoch
 	hasOffset bool
 	peers     map[string]sample
 	createdAt time.Time
 }
 
-// sample is what a peer sent, as offsets to this node's monotonic clock.
+// sample holds the times that a peer sent, as offsets from this node's monotonic clock.
 type sample struct {
 	wall       time.Duration
 	agreed     time.Duration
@@ -51,8 +52,8 @@
 	return &Clock{base: now, createdAt: now, peers: map[string]sample{}}
 }
 
-// Observe records a peer's time of day and its agreed time, in nanoseconds since 1970. agreed
-// is 0 if the peer has none.
+// Observe records a peer's wall clock and its agreed time, both in Unix nanoseconds. agreed is 0
+// if the peer has no agreed time.
 func (c *Clock) Observe(peer string, wall, agreed int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,9 +65,9 @@
 	}
 }
 
-// Update updates the agreed time. wall is this machine's time of day in nanoseconds since 1970,
-// members the number of control nodes, observed or not, and elapsed the time since the last
-// update.
+// Update updates the agreed time. wall is this machine's wall clock in Unix nanoseconds. members
+// is the number of all control nodes, including those without a sample. elapsed is the time since
+// the last update.
 func (c *Clock) Update(wall int64, members int, elapsed time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +85,8 @@
 	}
 }
 
-// Set sets the true time, in nanoseconds since 1970. Data plane nodes call it with the agreed
-// time of the control plane.
+// Set sets the agreed time, in Unix nanoseconds. Data plane nodes call it with the time that they
+// receive from a control node.
 func (c *Clock) Set(unixNanos int64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,19 +94,19 @@
 	c.hasOffset = true
 }
 
-// Now returns the true time, and whether there is one yet.
+// Now returns the agreed time. It reports false if there is none yet.
 func (c *Clock) Now(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Unix(0, int64(c.offset+now.Sub(c.base))), c.hasOffset
 }
 
-// offsetOf returns the offset of a time of day to the monotonic clock.
+// offsetOf converts a time in Unix nanoseconds to an offset from the monotonic clock.
 func (c *Clock) offsetOf(unixNanos int64, now time.Time) time.Duration {
 	return time.Duration(unixNanos) - now.Sub(c.base)
 }
 
-// samplesLocked drops old samples and returns the offsets of the others.
+// samplesLocked removes samples older than maxSampleAge and returns the offsets of the others.
 func (c *Clock) samplesLocked(now time.Time) (walls, agreed []time.Duration) {
 	for peer, s := range c.peers {
 		if now.Sub(s.observedAt) > maxSampleAge {
@@ -120,13 +121,13 @@
 	return walls, agreed
 }
 
-// slewLocked moves the offset towards that of the peers.
+// slewLocked moves the offset towards the median of the peers, by at most maxSlewPerSecond.
 func (c *Clock) slewLocked(walls, agreed []time.Duration, elapsed time.Duration) {
 	target := c.offset
 	if len(agreed) > 0 {
 		target = median(append(agreed, c.offset))
 	}
-	// Ignore the times of day if their median is far off, as after a jump on many machines.
+	// Ignore the wall clocks if their median is far off, as after a clock jump on many machines.
 	if wall := median(walls); (wall - target).Abs() < maxWallDisagreement {
 		target += (wall - target) / wallCorrectionDivisor
 	}
@@ -134,8 +135,8 @@
 	c.offset += min(max(target-c.offset, -step), step)
 }
 
-// enoughForFirstAgreement reports whether the observed times of day, including this node's
-// own, are enough for a first agreement at an age of the clock.
+// enoughForFirstAgreement reports whether the observed wall clocks, including the one of this
+// node, are enough for a first agreement. age is the age of the Clock.
 func enoughForFirstAgreement(observed, members int, age time.Duration) bool {
 	switch {
 	case observed >= members && age >= initialAgreementWait:
@@ -146,7 +147,7 @@
 	return age >= 2*maxInitialWait
 }
 
-// median returns the median, the greater one of an even number.
+// median returns the median, or the upper median of an even number of offsets.
 func median(offsets []time.Duration) time.Duration {
 	sorted := slices.Clone(offsets)
 	slices.Sort(sorted)
--- a/internal/usage/clock_test.go
+++ b/internal/usage/clock_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// testClocks are the clocks of some control nodes that exchange their times.
+// testClocks simulates the clocks of control nodes that exchange their times.
 type testClocks struct {
 	clocks  []*Clock
-	skews   []time.Duration // of the nodes' times of day
+	skews   []time.Duration // errors of the nodes' wall clocks
 	started time.Time
 	now     time.Time
 }
@@ -26,13 +26,13 @@
 	return c
 }
 
-// truth is the true time now.
+// truth returns the current true time.
 func (c *testClocks) truth() time.Time { return trueTime.Add(c.now.Sub(c.started)) }
 
-// wall is what a node's time of day says.
+// wall returns a node's wall clock in Unix nanoseconds.
 func (c *testClocks) wall(node int) int64 { return c.truth().Add(c.skews[node]).UnixNano() }
 
-// run lets time pass; every node observes all others and updates its clock each 100 ms.
+// run advances the time by span. Every 100 ms each node observes all others and updates its clock.
 func (c *testClocks) run(span time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(step) {
@@ -54,35 +54,37 @@
 	}
 }
 
-// requireTrue fails unless all clocks show the true time.
-func (c *testClocks) requireTrue(t *testing.T, situation string) {
+// requireAccurate reports an error for each clock without an agreed time or with one that differs
+// from the true time by more than 20 ms.
+func (c *testClocks) requireAccurate(t *testing.T, situation string) {
 	t.Helper()
 	for i, clock := range c.clocks {
 		if at, ok := clock.Now(c.now); !ok || at.Sub(c.truth()).Abs() > 20*time.Millisecond {
-			t.Errorf("%s: clock %d is off by %v", situation, i, at.Sub(c.truth()))
+			t.Errorf("%s: clock %d differs from the true time by %v, want at most 20ms", situation, i, at.Sub(c.truth()))
 		}
 	}
 }
 
-// TestClock: a minority of wrong times of day moves nothing, neither at the first agreement
-// nor later, and a clock that starts anew takes what the others agree on.
-func TestClock(t *testing.T) {
+// TestClockToleratesWrongWallClocks guards against an agreed time that follows wrong wall clocks:
+// those of a minority at the first agreement, and any number that jump by seconds later. A node that restarts
+// must take over the agreed time of the others.
+func TestClockToleratesWrongWallClocks(t *testing.T) {
 	c := newTestClocks(5)
 	c.skews[4] = 3 * time.Second
 	c.run(3 * time.Second)
-	c.requireTrue(t, "at the start, one is wrong")
+	c.requireAccurate(t, "first agreement with one wrong wall clock")
 
 	c.skews[4] = 0
 	c.skews[0] = -5 * time.Second
 	c.skews[1] = 4 * time.Second
 	c.run(20 * time.Second)
-	c.requireTrue(t, "two jump")
+	c.requireAccurate(t, "after two wall clocks jumped")
 
-	c.skews[2] = 7 * time.Second // most are wrong: what was agreed on holds
+	c.skews[2] = 7 * time.Second // now the majority is wrong; the agreed time must stay
 	c.run(20 * time.Second)
-	c.requireTrue(t, "three jump")
+	c.requireAccurate(t, "after three wall clocks jumped")
 
 	c.clocks[3] = NewClock(c.now)
 	c.run(time.Second)
-	c.requireTrue(t, "one starts anew meanwhile")
+	c.requireAccurate(t, "after a node restarted with three wrong wall clocks")
 }
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxCountsPerReport bounds the counts in a report, which is one datagram.
+	// maxCountsPerReport limits the counts in a report, because a report is one datagram.
 	maxCountsPerReport = 250
-	// maxUnacknowledged bounds the reports that are remembered until they are acknowledged.
+	// maxUnacknowledged limits the reports that are kept until they are acknowledged.
 	maxUnacknowledged = 32
 )
 
@@ -22,9 +22,9 @@
 	mu       sync.Mutex // guards the fields below
 	windows  map[uint64]map[string]*count
 	sequence uint64 // of the last report
-	// unacknowledged holds the counts of reports by sequence number.
+	// unacknowledged holds the counts of unacknowledged reports, by sequence number.
 	unacknowledged map[uint64]Windows
-	// acknowledgedBy is the incarnation of the control node that acknowledged the counts.
+	// acknowledgedBy is the incarnation of the control node that sent the last acknowledgement.
 	acknowledgedBy uint64
 }
 
@@ -34,9 +34,9 @@
 	acknowledged uint64
 }
 
-// NewCounter returns a counter for one incarnation of a node. Its reports are numbered from
-// the incarnation's own number on, so that an answer to a former incarnation at the same
-// port acknowledges none of them.
+// NewCounter returns a counter for one incarnation of a node. Sequence numbers of reports start
+// at the incarnation number. A late acknowledgement for a former incarnation on the same port
+// therefore matches none of them.
 func NewCounter(incarnation uint64, windowLength time.Duration) *Counter {
 	return &Counter{
 		incarnation:    incarnation,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Add counts a request of a tenant that was admitted at a moment of true time.
+// Add counts a tenant's request that was admitted at the agreed time at.
 func (c *Counter) Add(tenant string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,15 +72,16 @@
 	}
 }
 
-// NextReport returns the next report, with the counts that are not acknowledged.
+// NextReport returns the next report. It holds at most maxCountsPerReport of the counts that are
+// not acknowledged.
 func (c *Counter) NextReport() *CountReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sequence++
 	report := &CountReport{Incarnation: c.incarnation, Sequence: c.sequence, Windows: Windows{}}
 	counts := 0
-	// Newest first: after a change of the control node everything is reported again, and the
-	// oldest windows have already been reported to the platform.
+	// Newest first: after a change of the control node all counts are sent again, and the control
+	// plane has already reported the oldest windows to the platform.
 	for _, window := range slices.Backward(slices.Sorted(maps.Keys(c.windows))) {
 		for tenant, counted := range c.windows[window] {
 			if counted.total <= counted.acknowledged || counts == maxCountsPerReport {
@@ -100,8 +101,8 @@
 	return report
 }
 
-// Acknowledge handles the answer to a report. If it is from another control node or
-// incarnation, the former acknowledgements no longer count.
+// Acknowledge handles the answer to a report. An answer of another control node, or of another
+// incarnation of it, invalidates all earlier acknowledgements.
 func (c *Counter) Acknowledge(ack *CountAck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/counter_test.go
+++ b/internal/usage/counter_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// testLink carries reports from counters to stores and loses, repeats and delays some.
-type testLink struct {
+// lossyLink delivers reports from counters to stores and loses, duplicates and delays some.
+type lossyLink struct {
 	rng          *rand.Rand
 	stores       []*Store
 	incarnations []uint64 // of the stores' nodes
-	late         []*CountReport
+	delayed      []*CountReport
 }
 
-// deliver sends the counter's next report to a store, and returns which one it was.
-func (l *testLink) deliver(counter *Counter) (store int) {
+// deliver sends the counter's next report to a random store and returns the store's index.
+func (l *lossyLink) deliver(counter *Counter) (store int) {
 	report := counter.NextReport()
 	i := l.rng.Intn(len(l.stores))
 	switch l.rng.Intn(5) {
 	case 0: // lost
-	case 1: // late, to another store
-		l.late = append(l.late, report)
-	case 2: // repeated, and the answer lost
+	case 1: // delayed, and delivered to the first store at the end
+		l.delayed = append(l.delayed, report)
+	case 2: // duplicated, and the answer is lost
 		l.stores[i].Add(report)
 		l.stores[i].Add(report)
 	default:
@@ -33,21 +33,22 @@
 	return i
 }
 
-// restart has a store's node restart now and then, which loses its counts.
-func (l *testLink) restart(i int) {
+// maybeRestart restarts a store's node with a probability of 1/60. The store loses its counts.
+func (l *lossyLink) maybeRestart(i int) {
 	if l.rng.Intn(60) == 0 {
 		l.stores[i] = NewStore()
 		l.incarnations[i] = uint64(l.rng.Int63())
 	}
 }
 
-// TestCountsSurviveLossAndRepetition: whatever is lost, repeated, late or sent to several
-// stores, some of which lose everything, the total is what was counted.
-func TestCountsSurviveLossAndRepetition(t *testing.T) {
+// TestTotalSurvivesLossDuplicationAndRestarts guards against requests that are counted twice or
+// not at all: reports are lost, duplicated, delayed or sent to several stores, and stores restart
+// without their counts.
+func TestTotalSurvivesLossDuplicationAndRestarts(t *testing.T) {
 	const windowLength = 5 * time.Second
 	start := time.Unix(1_700_000_000, 0)
 	for seed := range int64(30) {
-		link := &testLink{
+		link := &lossyLink{
 			rng:          rand.New(rand.NewSource(seed)),
 			stores:       []*Store{NewStore(), NewStore(), NewStore()},
 			incarnations: []uint64{1, 2, 3},
@@ -68,23 +69,23 @@
 			}
 			counted[window][tenant]++
 			store := link.deliver(counter)
-			link.restart(store) // the last report may be acknowledged and lost
+			link.maybeRestart(store) // may lose a report that is already acknowledged
 		}
-		for _, report := range link.late {
+		for _, report := range link.delayed {
 			link.stores[0].Add(report)
 		}
 		requireAllReported(t, seed, counters, link.stores[1], link.incarnations[1])
 		for window, want := range counted {
 			got := Total(link.stores[0].Window(window), link.stores[1].Window(window), link.stores[2].Window(window))
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("seed %d: window %d: got %v, want %v", seed, window, got, want)
+				t.Fatalf("seed %d: Total of window %d returned %v, want %v", seed, window, got, want)
 			}
 		}
 	}
 }
 
-// requireAllReported has each counter send all it has to one store, as it does to the node
-// that it gets its updates from, and fails if one reports anything again after that.
+// requireAllReported delivers two reports of each counter to one store, as a node does that stays
+// with one control node. It fails the test if a counter has unacknowledged counts after that.
 func requireAllReported(t *testing.T, seed int64, counters []*Counter, store *Store, incarnation uint64) {
 	t.Helper()
 	for _, counter := range counters {
@@ -94,28 +95,28 @@
 			counter.Acknowledge(&CountAck{Sequence: report.Sequence, Incarnation: incarnation})
 		}
 		if report := counter.NextReport(); len(report.Windows) > 0 {
-			t.Fatalf("seed %d: %v is reported again", seed, report.Windows)
+			t.Fatalf("seed %d: NextReport returned %v after all counts were acknowledged, want none", seed, report.Windows)
 		}
 	}
 }
 
-// TestAckOfFormerIncarnation: an answer to a report of a node's former incarnation
-// acknowledges nothing of the next, whose count would be missing for good.
-func TestAckOfFormerIncarnation(t *testing.T) {
+// TestAckOfFormerIncarnationIgnored guards against permanently lost counts: a late answer to a
+// node's former incarnation must not acknowledge a lost report of the next incarnation.
+func TestAckOfFormerIncarnationIgnored(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
 	former, next := NewCounter(100, time.Second), NewCounter(1<<40, time.Second)
 	former.Add("a", at)
-	late := &CountAck{Sequence: former.NextReport().Sequence, Incarnation: 1}
+	lateAck := &CountAck{Sequence: former.NextReport().Sequence, Incarnation: 1}
 	next.Add("a", at)
 	next.NextReport() // lost
-	next.Acknowledge(late)
+	next.Acknowledge(lateAck)
 	if report := next.NextReport(); len(report.Windows) != 1 {
-		t.Errorf("what was lost is not reported again: %v", report)
+		t.Errorf("NextReport after a lost report and an unrelated acknowledgement returned %v, want 1 window", report)
 	}
 }
 
-// TestNewestWindowsReportedFirst: a counter whose control node is another one reports
-// the newest windows first.
+// TestNewestWindowsReportedFirst guards against a report that is full of old windows: after a
+// change of the control node all counts are unacknowledged and don't fit into one report.
 func TestNewestWindowsReportedFirst(t *testing.T) {
 	counter := NewCounter(1, time.Second)
 	for window := range 20 {
@@ -125,7 +126,7 @@
 	}
 	report := counter.NextReport()
 	if len(report.Windows[1019]) != 100 || len(report.Windows[1018]) != 100 {
-		t.Errorf("the first report holds %d and %d counts of the newest windows, want 100 of each",
+		t.Errorf("the first report has %d and %d counts of the two newest windows, want 100 of each",
 			len(report.Windows[1019]), len(report.Windows[1018]))
 	}
 }
--- a/internal/usage/doc.go
+++ b/internal/usage/doc.go
@@ -1,10 +1,11 @@
-// Package usage meters the requests of tenants over all nodes, by windows of true time.
+// Package usage counts the requests of tenants on all nodes. Counts are grouped into windows of
+// equal length by the time on which the control nodes agree.
 //
-// A data plane node counts with a Counter and sends CountReports to a control node,
-// which keeps them in a Store and answers with a CountAck. Counts only grow, and are kept
-// by the incarnation of the node that made them, so that a report that is repeated, late or
-// arrives by two ways changes nothing. Total adds up what several control nodes hold
-// of a window. Clock is the true time that the control plane agrees on.
+// A data plane node counts with a Counter and sends CountReports to a control node. The control
+// node keeps the counts in a Store and answers with a CountAck. Counts only grow, and are stored
+// by the incarnation of the node that made them. A report is therefore idempotent: it may be
+// duplicated, delayed or received by several control nodes. Total merges the counts of a window
+// from several control nodes. Clock provides the agreed time.
 //
-// Time is passed in; the package does no input or output.
+// Callers pass in the current time; the package does no I/O.
 package usage
--- a/internal/usage/store.go
+++ b/internal/usage/store.go
@@ -2,12 +2,11 @@
 
 import "sync"
 
-// Store holds the counts that a control node has received. It is safe for concurrent
-// use.
+// Store holds the counts that a control node has received. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex // guards the fields below
 	windows map[uint64]IncarnationCounts
-	changed map[uint64]bool // windows that changed since TakeChanged
+	changed map[uint64]bool // windows that changed since the last call of TakeChanged
 }
 
 // NewStore returns an empty store.
@@ -22,7 +21,7 @@
 	}
 }
 
-// Merge merges counts into a window, keeping the greater of each.
+// Merge merges counts into a window. Of each count it keeps the greater value.
 func (s *Store) Merge(window uint64, counts IncarnationCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,8 +32,8 @@
 	s.changed[window] = true
 }
 
-// TakeChanged returns the windows, from first on, that have changed since the last call, in
-// no order.
+// TakeChanged returns the windows numbered first or higher that have changed since the last call,
+// in no particular order. It also forgets the changes of lower-numbered windows.
 func (s *Store) TakeChanged(first uint64) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +56,8 @@
 	return counts
 }
 
-// WindowsFrom returns the windows, from first on, that have counts, in no order.
+// WindowsFrom returns the windows numbered first or higher that have counts, in no particular
+// order.
 func (s *Store) WindowsFrom(first uint64) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retainedWindows is the number of former windows that nodes keep.
+// retainedWindows is the number of past windows that nodes keep.
 const retainedWindows = 40
 
 // Counts are numbers of requests by tenant.
@@ -14,22 +14,21 @@
 // Windows are counts by window number.
 type Windows map[uint64]Counts
 
-// IncarnationCounts are the counts of one window by the incarnation of the node that made
-// them.
+// IncarnationCounts are the counts of one window, by the incarnation of the node that made them.
 type IncarnationCounts map[uint64]Counts
 
-// WindowAt returns the number of the window that a moment of true time lies in.
+// WindowAt returns the number of the window that contains the agreed time at.
 func WindowAt(at time.Time, length time.Duration) uint64 {
 	return uint64(at.UnixNano() / int64(length))
 }
 
-// WindowEnd returns when a window ends.
+// WindowEnd returns the agreed time at which a window ends.
 func WindowEnd(window uint64, length time.Duration) time.Time {
 	return time.Unix(0, int64(window+1)*int64(length))
 }
 
-// Total adds up what several control nodes hold of a window: of each incarnation the
-// greatest count that any of them received.
+// Total returns the total counts of a window from the counts that several control nodes hold. Of
+// each incarnation and tenant it uses the greatest count that any control node received.
 func Total(held ...IncarnationCounts) Counts {
 	all := IncarnationCounts{}
 	for _, counts := range held {
@@ -51,12 +50,12 @@
 		InstanceCounts Counts `json:"instanceCounts"`
 	}{window, counts})
 	if err != nil {
-		panic(err) // numbers and strings always encode
+		panic(err) // unreachable: numbers and strings always encode
 	}
 	return encoded
 }
 
-// merge keeps the greater of each count.
+// merge merges other into c. Of each count it keeps the greater value.
 func (c IncarnationCounts) merge(other IncarnationCounts) {
 	for incarnation, counts := range other {
 		if c[incarnation] == nil {
