--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(expired) > 0 {
-		c.cells.commit(ctx, schema.MetaCell, ForgetPurgesTxn(lowWatermark, exists, expired))
+		c.cells.commit(ctx, schema.MetaCell, CompactPurgesTxn(lowWatermark, exists, expired))
 	}
 }
 
@@ -82,10 +82,10 @@
 	return retention
 }
 
-// ForgetPurgesTxn removes purges, given their keys in order of log index, and raises the low
+// CompactPurgesTxn removes purges, given their keys in order of log index, and raises the low
 // watermark. Its condition is that the watermark is unchanged: a late transaction would lower
 // it, and a node that lacks removed purges would not notice that.
-func ForgetPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
+func CompactPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
 	txn.Conditions = []paxos.Condition{schema.UnchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
 		txn.Ops = append(txn.Ops, schema.DeleteOp(key))
--- a/internal/controlplane/replay_test.go
+++ b/internal/controlplane/replay_test.go
@@ -155,7 +155,7 @@
 
 func (r *replayTest) forgetPurges(upTo uint64) paxos.Txn {
 	held, found := r.Replica().Get(schema.PurgeCompactedKey)
-	return reconcile.ForgetPurgesTxn(held, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
+	return reconcile.CompactPurgesTxn(held, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 }
 
 func (r *replayTest) putPendingRow() paxos.Txn {
