--- a/internal/controlplane/distributor/configurations.go
+++ b/internal/controlplane/distributor/configurations.go
@@ -7,8 +7,8 @@
 	"comethold/internal/routing"
 )
 
-// maxConfigurations is the number of configurations kept, so that nodes that hold a former one
-// are sent only the changes.
+// maxConfigurations is the number of configurations that are kept. A node that holds one of the
+// earlier ones receives only the changes.
 const maxConfigurations = 4
 
 // configurationHistory holds the last few configurations, newest last.
@@ -16,7 +16,7 @@
 	versions []*routing.Configuration
 }
 
-// add appends a configuration if it is newer than the others, and reports whether it was.
+// add appends a configuration if it is newer than the others, and reports whether it did.
 func (h *configurationHistory) add(configuration *routing.Configuration) bool {
 	if latest := h.latest(); latest != nil && latest.Version >= configuration.Version {
 		return false
@@ -35,15 +35,16 @@
 	return nil
 }
 
-// updateFrom returns the update for a node that holds a version; nil if it is up to date.
+// updateFrom returns the update for a node that holds the version held, or nil if the node is up
+// to date. The update is a delta if that version is in the history, else the full configuration.
 func (h *configurationHistory) updateFrom(held uint64) *distribution.ConfigUpdate {
 	latest := h.latest()
 	if latest == nil || latest.Version <= held {
 		return nil
 	}
-	for _, former := range h.versions {
-		if former.Version == held {
-			return distribution.ConfigDelta(former, latest)
+	for _, earlier := range h.versions {
+		if earlier.Version == held {
+			return distribution.ConfigDelta(earlier, latest)
 		}
 	}
 	return distribution.FullConfig(latest)
--- a/internal/controlplane/distributor/distributor.go
+++ b/internal/controlplane/distributor/distributor.go
@@ -1,9 +1,9 @@
 // Package distributor sends nodes the parts of the control plane's state that they need: the
 // configuration, the endpoint list, ejection marks, the node list, purges and notifications.
 //
-// A Distributor holds all parts in memory. The control plane sets changed parts, and each node
-// requests updates by long poll (see LongPoll), naming the versions that it holds. Each part
-// has its own versions and its own file.
+// A Distributor holds all parts in memory. The control plane sets the parts that change. Each
+// node requests updates by long poll (see LongPoll); its request contains the versions that it
+// holds. Each part has its own versions and its own file.
 package distributor
 
 import (
@@ -15,16 +15,17 @@
 	"comethold/internal/routing"
 )
 
-// nodePublishInterval is the minimal time between two publications of the node list. Without
-// it, a start of all nodes would send every node an update for each other node.
+// nodePublishInterval is the minimum time between two publications of the node list. Without
+// it, when all nodes start at once, every node would receive an update for each other node.
 const nodePublishInterval = 300 * time.Millisecond
 
-// Options are what a Distributor is made from.
+// Options configures a Distributor.
 type Options struct {
-	// SavedEndpoints is the endpoint list of this node's former incarnation, or nil. It is
-	// used until a newer one is set.
+	// SavedEndpoints is the endpoint list that this node saved before its last restart, or
+	// nil. It is used until a newer list is set.
 	SavedEndpoints *distribution.EndpointList
-	// SaveEndpoints is called with each newer list; it must not wait. It may be nil.
+	// SaveEndpoints is called with each newer list while the lock is held; it must not block.
+	// It may be nil.
 	SaveEndpoints func(*distribution.EndpointList)
 }
 
@@ -51,7 +52,7 @@
 	publishTimer *time.Timer
 }
 
-// New makes a Distributor.
+// New returns a Distributor.
 func New(options Options) *Distributor {
 	d := &Distributor{
 		saveEndpoints: options.SaveEndpoints,
@@ -82,15 +83,15 @@
 	clear(d.encoded)
 }
 
-// SetConfiguration sets a committed configuration and reports whether it is newer than the one
-// held. Concurrent calls may arrive in any order; the newest configuration is kept.
+// SetConfiguration sets a committed configuration if it is newer than the current one, and
+// reports whether it is. Concurrent calls may come in any order.
 func (d *Distributor) SetConfiguration(version uint64, raw []byte) bool {
 	if latest := d.LatestConfiguration(); version == 0 || latest != nil && latest.Version >= version {
 		return false
 	}
 	configuration, err := routing.Decode(raw)
 	if err != nil || configuration.Version != version {
-		return false // can't happen: it was validated before it was committed
+		return false // can't happen: the configuration was validated before it was committed
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,16 +102,16 @@
 	return true
 }
 
-// LatestConfiguration returns the newest configuration held, or nil. Callers must not change
-// it.
+// LatestConfiguration returns the newest configuration, or nil if there is none. Callers must
+// not change it.
 func (d *Distributor) LatestConfiguration() *routing.Configuration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.configurations.latest()
 }
 
-// SetEndpoints sets the endpoint list if it is newer, and returns the revision that is held
-// afterwards.
+// SetEndpoints sets the endpoint list if it is newer than the current one, and returns the
+// revision of the list that is then current.
 func (d *Distributor) SetEndpoints(list *distribution.EndpointList) distribution.Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +124,15 @@
 	return d.endpoints.list.Revision
 }
 
-// Endpoints returns the endpoint list, or nil. Callers must not change it.
+// Endpoints returns the endpoint list, or nil if there is none. Callers must not change it.
 func (d *Distributor) Endpoints() *distribution.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.endpoints.list
 }
 
-// EndpointsRevision returns the revision of the endpoint list, or zero.
+// EndpointsRevision returns the revision of the endpoint list, or the zero revision if there is
+// none.
 func (d *Distributor) EndpointsRevision() distribution.Revision {
 	if list := d.Endpoints(); list != nil {
 		return list.Revision
@@ -156,8 +158,9 @@
 	}
 }
 
-// SetNodes sets the node list as of a log index. It is published at once, or together with
-// later changes once nodePublishInterval has passed.
+// SetNodes sets the node list as of a log index. The list is published at once if
+// nodePublishInterval has passed since the last publication. Otherwise it is published at the
+// end of the interval, together with any later changes.
 func (d *Distributor) SetNodes(logIndex uint64, nodes []distribution.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +190,8 @@
 	return d.nodes.byName
 }
 
-// ControlAddresses lists the addresses of the control nodes of the node list, down or not.
+// ControlAddresses returns the addresses of all control nodes in the node list, including those
+// that are down.
 func (d *Distributor) ControlAddresses() (addresses []string) {
 	for _, node := range d.Nodes() {
 		if node.ControlPlane {
@@ -197,8 +201,8 @@
 	return addresses
 }
 
-// SetPurges adds new purges from the meta cell's state, and removes those that were compacted
-// there.
+// SetPurges adds the new purges in the meta cell's state, and removes those that the meta cell
+// has compacted.
 func (d *Distributor) SetPurges(replica *paxos.Replica) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,14 +211,14 @@
 	}
 }
 
-// PurgePosition returns the log index up to which purges are held.
+// PurgePosition returns the log index up to which this node has read the purges.
 func (d *Distributor) PurgePosition() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.purges.position
+	return d.purges.readIndex
 }
 
-// AddNotifications adds the notifications that are new in one step.
+// AddNotifications adds those notifications that are new. Nodes receive them in one update.
 func (d *Distributor) AddNotifications(notifications []distribution.OutboxNotification) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/distributor/longpoll.go
+++ b/internal/controlplane/distributor/longpoll.go
@@ -12,20 +12,21 @@
 	"github.com/labstack/echo/v4"
 )
 
-// longPollTimeout is the time after which a request is answered even without changes.
+// longPollTimeout is the time after which a request is answered even if there are no changes.
 const longPollTimeout = time.Second
 
-var errStopping = errors.New("distributor: this node stops")
+var errStopping = errors.New("distributor: this node is stopping")
 
 // LongPoll answers requests for updates as soon as there are changes.
 type LongPoll struct {
 	Distributor *Distributor
-	// IsStale reports whether this node has lost contact with the quorum. A request is then
+	// IsStale reports whether this node has lost contact with the quorum. Requests are then
 	// answered at once.
 	IsStale func() bool
-	// Record is called with each request, which contains reports of the node.
+	// Record is called with each request, to record the reports that it contains.
 	Record func(*distribution.UpdateRequest)
-	// Stopping is closed when this node stops.
+	// Stopping is closed when this node starts to stop. Pending requests are then answered
+	// with 503.
 	Stopping <-chan struct{}
 }
 
@@ -41,12 +42,14 @@
 	case errors.Is(err, errStopping):
 		return c.NoContent(http.StatusServiceUnavailable)
 	case err != nil:
-		return nil // the caller is gone
+		return nil // the client has disconnected
 	}
 	return c.Blob(http.StatusOK, rpc.ContentType, update.Body)
 }
 
-// wait returns the update for a caller once it is not empty, or after longPollTimeout.
+// wait returns the update for a request once it is not empty, or after longPollTimeout. It
+// returns at once if the state is stale or the request is immediate. The error is errStopping or
+// that of ctx.
 func (p *LongPoll) wait(ctx context.Context, request *distribution.UpdateRequest) (*EncodedUpdate, error) {
 	timeout := time.NewTimer(longPollTimeout)
 	defer timeout.Stop()
--- a/internal/controlplane/distributor/longpoll_test.go
+++ b/internal/controlplane/distributor/longpoll_test.go
@@ -9,8 +9,9 @@
 	"comethold/internal/distribution"
 )
 
-// TestLongPoll: a node is answered at once if it lacks something, or the state may be stale,
-// or it asks for that; else at the next change, or after longPollTimeout.
+// TestLongPoll: a request is answered at once if there are changes for the node, if the state may
+// be stale, or if the request is immediate. Otherwise it is answered at the next change, when
+// the node stops, or after longPollTimeout.
 func TestLongPoll(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -18,13 +19,13 @@
 		isStale bool
 		change  time.Duration // when the endpoint list changes
 		stop    time.Duration // when the node stops
-		want    time.Duration // when it is answered
+		want    time.Duration // when the request is answered
 		isEmpty bool
 		err     error
 	}{
-		{name: "lacks something", change: 0, want: 0},
-		{name: "change", change: 300 * time.Millisecond, want: 300 * time.Millisecond},
-		{name: "time-out", change: time.Hour, want: longPollTimeout, isEmpty: true},
+		{name: "changes at once", change: 0, want: 0},
+		{name: "change later", change: 300 * time.Millisecond, want: 300 * time.Millisecond},
+		{name: "timeout", change: time.Hour, want: longPollTimeout, isEmpty: true},
 		{name: "stale", isStale: true, change: time.Hour, want: 0, isEmpty: true},
 		{
 			name:    "immediate",
@@ -53,13 +54,13 @@
 				begin := time.Now()
 				update, err := poll.wait(t.Context(), &c.request)
 				if took := time.Since(begin); took != c.want {
-					t.Errorf("answered after %v, not %v", took, c.want)
+					t.Errorf("wait returned after %v, want %v", took, c.want)
 				}
 				if !errors.Is(err, c.err) {
-					t.Errorf("the error is %v", err)
+					t.Errorf("wait returned error %v, want %v", err, c.err)
 				}
 				if err == nil && update.IsEmpty != c.isEmpty {
-					t.Errorf("empty is %v", update.IsEmpty)
+					t.Errorf("wait returned an update with IsEmpty = %v, want %v", update.IsEmpty, c.isEmpty)
 				}
 			})
 		})
--- a/internal/controlplane/distributor/marks.go
+++ b/internal/controlplane/distributor/marks.go
@@ -5,10 +5,10 @@
 	"comethold/internal/distribution"
 )
 
-// maxMarkDigests is the number of digests that a markDigests remembers.
+// maxMarkDigests is the maximum number of digests in a markDigests.
 const maxMarkDigests = 64
 
-// markTable holds the ejection marks by index.
+// markTable holds the ejection marks of all indexes.
 type markTable struct {
 	byIndex map[string]distribution.EjectionMarks
 	digests markDigests
@@ -21,8 +21,8 @@
 	}
 }
 
-// set replaces the marks of an index, unless they differ only in their log index. It reports
-// whether they were replaced.
+// set replaces the marks of an index, unless they are equal or differ only in their log index.
+// It reports whether they were replaced.
 func (t *markTable) set(marks distribution.EjectionMarks) bool {
 	if held, exists := t.byIndex[marks.IndexName]; exists {
 		held.LogIndex = marks.LogIndex
@@ -45,21 +45,22 @@
 	return true
 }
 
+// updateDigest computes the digest of the current marks.
 func (t *markTable) updateDigest() {
 	logIndexes := make(map[string]uint64, len(t.byIndex))
 	for indexName, marks := range t.byIndex {
 		logIndexes[indexName] = marks.LogIndex
 	}
 	t.digests.current = distribution.MarksDigest(logIndexes)
-	t.digests.remember(t.digests.current, logIndexes)
+	t.digests.add(t.digests.current, logIndexes)
 }
 
-// addTo adds to an update the marks that a node lacks. If its digest is unknown, it sets
-// NeedMarkIndexes instead.
+// addTo adds to an update the marks that a node lacks. If the node's digest is unknown, it sets
+// NeedMarkIndexes instead, so that the node sends the log indexes of its marks.
 func (t *markTable) addTo(update *distribution.Update, held distribution.HeldVersions) {
 	heldIndexes := held.MarkIndexes
 	if heldIndexes != nil {
-		t.digests.remember(held.MarksDigest, heldIndexes)
+		t.digests.add(held.MarksDigest, heldIndexes)
 	} else if held.MarksDigest == t.digests.current {
 		return
 	} else if held.MarksDigest != 0 {
@@ -81,16 +82,17 @@
 	}
 }
 
-// markDigests maps the digests by which nodes name the marks that they hold to log indexes. It
-// remembers the last states here, and digests for which nodes sent the log indexes.
+// markDigests maps digests of marks to the log indexes from which they were computed. A node
+// sends only the digest of the marks that it holds. The map contains the digests of the recent
+// states of this node, and digests that nodes sent together with their log indexes.
 type markDigests struct {
-	current    uint64                       // of the marks held here
+	current    uint64                       // of the marks in the markTable
 	logIndexes map[uint64]map[string]uint64 // by digest
-	order      []uint64                     // oldest first
+	order      []uint64                     // digests, oldest first
 }
 
-// remember adds a digest, and drops the oldest if there are too many.
-func (d *markDigests) remember(digest uint64, logIndexes map[string]uint64) {
+// add adds a digest, and removes the oldest one if there are more than maxMarkDigests.
+func (d *markDigests) add(digest uint64, logIndexes map[string]uint64) {
 	if _, isKnown := d.logIndexes[digest]; isKnown {
 		return
 	}
--- a/internal/controlplane/distributor/nodes.go
+++ b/internal/controlplane/distributor/nodes.go
@@ -8,21 +8,22 @@
 
 // nodeTable holds the newest node list and the published one.
 type nodeTable struct {
-	byName  map[string]distribution.Node // the newest; replaced, never changed
-	pending *nodeList                    // the newest; nil once it is published
+	byName  map[string]distribution.Node // the newest list; replaced, never modified
+	pending *nodeList                    // the newest list; nil once it is published
 
 	published   distribution.DeltaTable[distribution.Node]
-	dataPlanes  int // data plane nodes in the published list that are not down
+	dataPlanes  int // number of data plane nodes in the published list that are not down
 	publishedAt time.Time
 }
 
+// nodeList is a node list that has not been published yet.
 type nodeList struct {
 	logIndex   uint64
 	byName     map[string]distribution.Node
 	dataPlanes int
 }
 
-// set sets the newest list. wasPending says that an older one was waiting to be published.
+// set sets the newest list. wasPending reports whether an older list was still unpublished.
 func (t *nodeTable) set(logIndex uint64, nodes []distribution.Node) (wasPending bool) {
 	next := &nodeList{
 		logIndex: logIndex,
@@ -40,7 +41,7 @@
 	return wasPending
 }
 
-// publish publishes the newest list, and reports whether it differs from the one before.
+// publish publishes the newest list, and reports whether it differs from the last published one.
 func (t *nodeTable) publish(now time.Time) bool {
 	next := t.pending
 	if next == nil {
@@ -55,8 +56,9 @@
 	return true
 }
 
-// updateFrom returns the update for a node in a zone; nil if it is up to date. The update
-// contains no data plane nodes of other zones, only the number of all.
+// updateFrom returns the update for a node in a zone, or nil if the node is up to date. The
+// update contains no data plane nodes of other zones, only the number of data plane nodes in all
+// zones.
 func (t *nodeTable) updateFrom(held distribution.HeldVersions, zone string) *distribution.NodeList {
 	logIndex := t.published.Revision().Sequence
 	if t.published.Len() == 0 || logIndex <= held.NodesIndex {
@@ -67,11 +69,11 @@
 		DataPlaneCount: t.dataPlanes,
 		Base:           held.NodesIndex,
 	}
-	concernsCaller := func(node distribution.Node) bool {
+	isRelevant := func(node distribution.Node) bool {
 		return !node.ServesClients() || node.Zone == zone
 	}
 	base := distribution.Revision{Sequence: held.NodesIndex}
-	update.Nodes, update.Removed, update.Delta = t.published.ChangesSince(base, concernsCaller)
+	update.Nodes, update.Removed, update.Delta = t.published.ChangesSince(base, isRelevant)
 	isUnchanged := update.Delta && len(update.Nodes)+len(update.Removed) == 0
 	if isUnchanged && update.DataPlaneCount == held.DataPlaneCount {
 		return nil
--- a/internal/controlplane/distributor/notifications.go
+++ b/internal/controlplane/distributor/notifications.go
@@ -10,18 +10,19 @@
 	"comethold/internal/distribution"
 )
 
-// notificationLog holds the last notifications of the outbox, ordered by log index.
+// notificationLog holds the latest notifications of the outbox, ordered by log index. It holds at
+// most schema.MaxPublishedRows.
 type notificationLog struct {
-	notifications []distribution.OutboxNotification // replaced, never changed
-	lowWatermark  uint64                            // notifications up to this log index were dropped
-	baseVersions  map[string]uint64                 // by aggregate: the newest version
+	notifications []distribution.OutboxNotification // replaced, never modified
+	lowWatermark  uint64                            // notifications up to this log index were removed
+	baseVersions  map[string]uint64                 // newest version by aggregate
 }
 
 func newNotificationLog() notificationLog {
 	return notificationLog{baseVersions: map[string]uint64{}}
 }
 
-// add adds the notifications that are new and reports whether there were any.
+// add adds those notifications that are new, and reports whether there were any.
 func (l *notificationLog) add(notifications []distribution.OutboxNotification) bool {
 	isHeld := map[string]bool{}
 	for i := range l.notifications {
@@ -52,10 +53,10 @@
 	return true
 }
 
-// updateFrom returns the update for a node that holds the notifications up to a log index; nil
-// if it is up to date. If the node holds none, or some that it lacks were dropped, the update
-// contains the newest versions instead, because the other parts of the update contain the
-// state after all notifications.
+// updateFrom returns the update for a node that holds the notifications up to the log index held,
+// or nil if the node is up to date. If the node holds no notifications, or lacks some that were
+// removed, the update contains the newest versions instead of notifications. These suffice
+// because the other parts of the update contain the state after all notifications.
 func (l *notificationLog) updateFrom(held uint64) *distribution.NotificationUpdate {
 	end := len(l.notifications)
 	if end == 0 || l.notifications[end-1].LogIndex <= held {
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -10,13 +10,13 @@
 	"comethold/internal/rpc"
 )
 
-// EncodedUpdate is an update ready to be sent.
+// EncodedUpdate is an update that is encoded for sending.
 type EncodedUpdate struct {
 	Body    []byte
-	IsEmpty bool // the caller is up to date
+	IsEmpty bool // the requesting node is up to date
 }
 
-// Changes returns the update for a caller.
+// Changes returns the update for the node that sent the request.
 func (d *Distributor) Changes(request *distribution.UpdateRequest) distribution.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,8 +34,8 @@
 	return update
 }
 
-// EncodedChanges returns the encoded update for a caller, and a channel that is closed at the
-// next change. isStale becomes the Stale field of the update.
+// EncodedChanges returns the encoded update for the node that sent the request, and a channel
+// that is closed at the next change. isStale becomes the Stale field of the update.
 func (d *Distributor) EncodedChanges(
 	request *distribution.UpdateRequest, isStale bool,
 ) (*EncodedUpdate, <-chan struct{}) {
@@ -55,8 +55,9 @@
 	return encoded, d.changed
 }
 
-// updateKey returns a key that is equal for callers that need the same update, and for no others:
-// the zone is quoted, since a digit at its end would run into the version.
+// updateKey returns the key of an update in Distributor.encoded. It is equal for
+// requests that need the same update, and for no others. The zone is quoted, because otherwise a
+// digit at its end could be read as part of the version that follows.
 func updateKey(request *distribution.UpdateRequest, isStale bool) string {
 	held := &request.Held
 	var key strings.Builder
