--- a/internal/controlplane/reconcile/fixture_test.go
+++ b/internal/controlplane/reconcile/fixture_test.go
@@ -14,31 +14,33 @@
 	"comethold/internal/paxos"
 )
 
-// testState is a meta cell and index cells, and all else that reconcilers look at.
+// testState implements the inputs of the reconcilers in memory: the meta cell, the index cells,
+// the lists, the peers and the prober.
 type testState struct {
 	t     *testing.T
 	cells map[string]*schematest.Cell
-	// rejectNext has the next transaction fail, as if another node had come first.
+	// rejectNext makes the next transaction fail, as if another node had committed a conflicting
+	// one first.
 	rejectNext bool
 
-	nodes     map[string]distribution.Node
-	endpoints *distribution.EndpointList
-	reports   *nodereports.Tracker
-	peers     map[string]replicahost.PeerInfo
-	silence   map[string]time.Duration
-	answers   map[string]bool // nodes that answer probes
+	nodes        map[string]distribution.Node
+	endpoints    *distribution.EndpointList
+	reports      *nodereports.Tracker
+	peers        map[string]replicahost.PeerInfo
+	contactAges  map[string]time.Duration
+	answersProbe map[string]bool // by node name
 }
 
 func newTestState(t *testing.T) *testState {
 	t.Helper()
 	return &testState{
-		t:       t,
-		cells:   map[string]*schematest.Cell{schema.MetaCell: schematest.NewCell(t)},
-		nodes:   map[string]distribution.Node{},
-		reports: nodereports.NewTracker(),
-		peers:   map[string]replicahost.PeerInfo{},
-		silence: map[string]time.Duration{},
-		answers: map[string]bool{},
+		t:            t,
+		cells:        map[string]*schematest.Cell{schema.MetaCell: schematest.NewCell(t)},
+		nodes:        map[string]distribution.Node{},
+		reports:      nodereports.NewTracker(),
+		peers:        map[string]replicahost.PeerInfo{},
+		contactAges:  map[string]time.Duration{},
+		answersProbe: map[string]bool{},
 	}
 }
 
@@ -56,7 +58,7 @@
 
 func (s *testState) committer() committer { return committer{s} }
 
-// cell returns a cell, which is made when it is first asked for.
+// cell returns a cell, and creates it on first use.
 func (s *testState) cell(name string) *schematest.Cell {
 	if s.cells[name] == nil {
 		s.cells[name] = schematest.NewCell(s.t)
@@ -86,7 +88,7 @@
 
 func (s *testState) LivePeers(time.Duration) map[string]replicahost.PeerInfo { return s.peers }
 
-func (s *testState) ContactAge(address string) time.Duration { return s.silence[address] }
+func (s *testState) ContactAge(address string) time.Duration { return s.contactAges[address] }
 
 func (s *testState) Nodes() map[string]distribution.Node { return s.nodes }
 
@@ -95,13 +97,13 @@
 func (s *testState) EndpointsRevision() distribution.Revision { return s.endpoints.Revision }
 
 func (s *testState) Probe(_ context.Context, node distribution.Node) error {
-	if s.answers[node.Name] {
+	if s.answersProbe[node.Name] {
 		return nil
 	}
 	return context.DeadlineExceeded
 }
 
-// readNodes takes the node list from the meta cell, as the distributor would.
+// readNodes copies the node list from the meta cell, like the distributor.
 func (s *testState) readNodes() {
 	s.nodes = map[string]distribution.Node{}
 	for _, node := range schema.ReadNodes(s.cell(schema.MetaCell).Replica()) {
@@ -109,14 +111,14 @@
 	}
 }
 
-// addIndex lists an index cell that holds the shards of services.
+// addIndex adds to the meta cell an index cell that holds the shards of services.
 func (s *testState) addIndex(name string, services ...string) {
 	s.cell(schema.MetaCell).Commit(paxos.Txn{Ops: []paxos.Op{
 		schema.PutOp(schema.IndexKeyPrefix+name, schema.IndexRecord{Services: services}),
 	}})
 }
 
-// marks returns the marks in an index cell.
+// marks returns the marks in an index cell by endpoint.
 func (s *testState) marks(indexName string) map[string]distribution.EjectionMark {
 	return schema.ReadEjections(indexName, s.cell(indexName).Replica()).Ejected
 }
--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// maxMarkAttempts bounds the attempts in a round to commit changes of marks, since other
-	// control nodes may change them meanwhile.
+	// maxMarkAttempts limits the attempts per round to commit changes of marks. An attempt
+	// fails if another control node changes a mark concurrently.
 	maxMarkAttempts = 3
-	// maxEjectionTime is how long an endpoint stays ejected as unresponsive unless it is
-	// reported again.
+	// maxEjectionTime is how long an endpoint stays ejected as unresponsive. Afterwards, new
+	// reports eject it again.
 	maxEjectionTime = 30 * time.Second
 )
 
 // markReconciler maintains the marks of ejected and draining endpoints in all index cells
-// that use them.
+// that use these endpoints.
 type markReconciler struct {
 	cells    committer
 	lists    Lists
 	reports  *nodereports.Tracker
 	reporter string // name of this node
 
-	// ejectedSince is when this node first saw the mark of an unresponsive endpoint.
+	// ejectedSince is the time at which this node first saw the mark of an unresponsive
+	// endpoint.
 	ejectedSince map[markID]time.Time
 }
 
@@ -49,26 +50,27 @@
 	}
 }
 
-// applyReports ejects endpoints that enough nodes report as faulty, and lifts the ejection of
-// endpoints that are reported as healthy. Other control nodes receive the same reports; if one
-// of them commits first, the remaining changes are computed again.
+// applyReports ejects the endpoints that enough nodes report as faulty, and lifts the ejection
+// of endpoints that are reported as healthy. Other control nodes receive the same reports; if
+// one of them commits first, applyReports computes the remaining changes again.
 func (m *markReconciler) applyReports(ctx context.Context) {
 	agreed := m.reports.Health(time.Now())
 	if agreed.IsEmpty() {
 		return
 	}
-	isDone := false
-	for attempt := 0; attempt < maxMarkAttempts && !isDone; attempt++ {
-		isDone = true
+	allCommitted := false
+	for attempt := 0; attempt < maxMarkAttempts && !allCommitted; attempt++ {
+		allCommitted = true
 		for indexName, txn := range m.reportedChanges(agreed).txns {
-			isDone = m.cells.commit(ctx, indexName, *txn) && isDone
+			allCommitted = m.cells.commit(ctx, indexName, *txn) && allCommitted
 		}
 	}
-	if isDone {
+	if allCommitted {
 		m.reports.Resolve(agreed)
 	}
 }
 
+// reportedChanges returns the changes that the reports require.
 func (m *markReconciler) reportedChanges(agreed nodereports.Health) *markChanges {
 	indexes := m.readIndexes()
 	changes := newMarkChanges()
@@ -78,16 +80,16 @@
 	}
 	for _, report := range agreed.Faults {
 		for _, indexName := range indexes.byService[report.Service] {
-			if held := indexes.mark(indexName, report.EndpointID); held.Reason == "" {
-				changes.add(markID{indexName, report.EndpointID}, held, ejected)
+			if current := indexes.mark(indexName, report.EndpointID); current.Reason == "" {
+				changes.add(markID{indexName, report.EndpointID}, current, ejected)
 			}
 		}
 	}
 	for _, report := range agreed.Recoveries {
 		for _, indexName := range indexes.byService[report.Service] {
-			held := indexes.mark(indexName, report.EndpointID)
-			if held.Reason == distribution.ReasonUnresponsive {
-				changes.add(markID{indexName, report.EndpointID}, held, nil)
+			current := indexes.mark(indexName, report.EndpointID)
+			if current.Reason == distribution.ReasonUnresponsive {
+				changes.add(markID{indexName, report.EndpointID}, current, nil)
 			}
 		}
 	}
@@ -107,7 +109,7 @@
 		for indexName, txn := range m.listedChanges(list).txns {
 			committed, err := m.cells.propose(ctx, indexName, *txn)
 			if err == nil && !committed {
-				hasConflict = true // another control node changed a mark meanwhile
+				hasConflict = true // another control node changed a mark concurrently
 			}
 		}
 		if !hasConflict {
@@ -116,6 +118,7 @@
 	}
 }
 
+// listedChanges returns the changes that the endpoint list and maxEjectionTime require.
 func (m *markReconciler) listedChanges(list *distribution.EndpointList) *markChanges {
 	indexes := m.readIndexes()
 	changes := newMarkChanges()
@@ -126,17 +129,17 @@
 			continue
 		}
 		for _, indexName := range indexes.byService[endpoint.Service] {
-			held := indexes.mark(indexName, endpoint.ID)
-			if held.Reason != distribution.ReasonDraining {
+			current := indexes.mark(indexName, endpoint.ID)
+			if current.Reason != distribution.ReasonDraining {
 				draining := &distribution.EjectionMark{Reason: distribution.ReasonDraining}
-				changes.add(markID{indexName, endpoint.ID}, held, draining)
+				changes.add(markID{indexName, endpoint.ID}, current, draining)
 			}
 		}
 	}
-	held := indexes.allMarks()
+	allMarks := indexes.allMarks()
 	now := time.Now()
-	m.observeEjections(held, now)
-	for id, mark := range held {
+	m.observeEjections(allMarks, now)
+	for id, mark := range allMarks {
 		since, isEjected := m.ejectedSince[id]
 		hasExpired := isEjected && now.Sub(since) > maxEjectionTime
 		if !isListed[id.endpoint] || hasExpired {
@@ -146,26 +149,28 @@
 	return changes
 }
 
-// observeEjections updates ejectedSince.
-func (m *markReconciler) observeEjections(held map[markID]distribution.EjectionMark, now time.Time) {
-	for id, mark := range held {
+// observeEjections updates ejectedSince from the marks in all indexes.
+func (m *markReconciler) observeEjections(allMarks map[markID]distribution.EjectionMark, now time.Time) {
+	for id, mark := range allMarks {
 		_, isKnown := m.ejectedSince[id]
 		if mark.Reason == distribution.ReasonUnresponsive && !isKnown {
 			m.ejectedSince[id] = now
 		}
 	}
 	maps.DeleteFunc(m.ejectedSince, func(id markID, _ time.Time) bool {
-		return held[id].Reason != distribution.ReasonUnresponsive
+		return allMarks[id].Reason != distribution.ReasonUnresponsive
 	})
 }
 
-// indexMarks holds the index cells of each service and caches the marks in them.
+// indexMarks holds the names of the index cells of each service, and caches the marks in the
+// cells.
 type indexMarks struct {
 	cells     Cells
 	byService map[string][]string                             // names of indexes, sorted
-	marks     map[string]map[string]distribution.EjectionMark // by index, read when needed
+	marks     map[string]map[string]distribution.EjectionMark // by index name, read on first use
 }
 
+// readIndexes reads from the meta cell the index cells of each service.
 func (m *markReconciler) readIndexes() *indexMarks {
 	indexes := &indexMarks{
 		cells:     m.cells,
@@ -185,8 +190,8 @@
 	return indexes
 }
 
-// marksOf returns the marks in an index by endpoint; none if its cell does not run here. They
-// are read once.
+// marksOf returns the marks in an index by endpoint; none if this node has no replica of its
+// cell. Each index is read only once.
 func (x *indexMarks) marksOf(indexName string) map[string]distribution.EjectionMark {
 	marks, isRead := x.marks[indexName]
 	if !isRead {
@@ -198,7 +203,8 @@
 	return marks
 }
 
-// mark returns the mark of an endpoint in an index; its reason is empty if there is none.
+// mark returns the mark of an endpoint in an index, or a mark with an empty reason if there is
+// none.
 func (x *indexMarks) mark(indexName, endpoint string) distribution.EjectionMark {
 	return x.marksOf(indexName)[endpoint]
 }
@@ -223,22 +229,24 @@
 
 func newMarkChanges() *markChanges { return &markChanges{txns: map[string]*paxos.Txn{}} }
 
-// add adds a change of a mark; see AddMarkChange.
-func (c *markChanges) add(id markID, held distribution.EjectionMark, next *distribution.EjectionMark) {
+// add adds the change of a mark from current to next; see AddMarkChange.
+func (c *markChanges) add(id markID, current distribution.EjectionMark, next *distribution.EjectionMark) {
 	txn := c.txns[id.indexName]
 	if txn == nil {
 		txn = &paxos.Txn{}
 		c.txns[id.indexName] = txn
 	}
-	AddMarkChange(txn, id.endpoint, held, next)
+	AddMarkChange(txn, id.endpoint, current, next)
 }
 
 // AddMarkChange adds to a transaction of an index cell the replacement of an endpoint's mark
-// by next, or its removal if next is nil. held is the mark as it was read, without a reason
-// if there was none. If the mark has changed, the transaction changes nothing.
-func AddMarkChange(txn *paxos.Txn, endpoint string, held distribution.EjectionMark, next *distribution.EjectionMark) {
+// by next, or its removal if next is nil. current is the mark as it was read; its reason is
+// empty if there was none. If the mark has changed since, the transaction has no effect.
+func AddMarkChange(
+	txn *paxos.Txn, endpoint string, current distribution.EjectionMark, next *distribution.EjectionMark,
+) {
 	key := schema.EjectionKeyPrefix + endpoint
-	condition := schema.UnchangedCondition(key, schema.MustEncode(held), held.Reason != "")
+	condition := schema.UnchangedCondition(key, schema.MustEncode(current), current.Reason != "")
 	op := schema.DeleteOp(key)
 	if next != nil {
 		op = schema.PutOp(key, *next)
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -20,15 +20,15 @@
 	probeTimeout = 700 * time.Millisecond
 	// downNodeRetention is how long a node that is down stays in the list.
 	downNodeRetention = 2 * time.Minute
-	// controlNodeSuffix distinguishes a control node in the node list from the data plane
-	// node of the same machine, which has the same name.
+	// controlNodeSuffix is appended to the name of a control node in the node list, since the
+	// data plane node of the same machine has the same name.
 	controlNodeSuffix = "/registrar"
 )
 
 // pathProbe is the RPC path of probes.
 const pathProbe = "/here"
 
-// controlNode returns the entry of a control node in the node list.
+// controlNode returns the node list entry of a control node.
 func controlNode(info replicahost.PeerInfo) distribution.Node {
 	return distribution.Node{
 		Name:         info.Name + controlNodeSuffix,
@@ -38,14 +38,14 @@
 	}
 }
 
-// RPCProber probes nodes by an RPC.
+// RPCProber probes nodes with an RPC.
 type RPCProber struct {
 	Client          *rpc.Client
 	DataPlanePort   int
 	ObjectCachePort int
 }
 
-// Probe returns nil if the node answers.
+// Probe returns nil if the node answered, and otherwise the error of the RPC.
 func (p RPCProber) Probe(ctx context.Context, node distribution.Node) error {
 	port := p.DataPlanePort
 	if node.ObjectCache {
@@ -64,7 +64,7 @@
 	prober  Prober
 	log     *logging.Logger
 
-	// downSince is when this node first saw a node of the list as down, by name.
+	// downSince is the time at which this node first saw a listed node as down, by name.
 	downSince map[string]time.Time
 }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// unlistedPeers returns live control nodes that are not in the node list. They can't add
-// themselves while they have no replica with the state.
+// unlistedPeers returns the live control nodes that are not in the node list. A control node
+// can't add itself while it has no replica with the state.
 func (n *nodeReconciler) unlistedPeers() (unlisted []distribution.Node) {
 	listed := n.lists.Nodes()
 	for _, peer := range n.peers.LivePeers(nodereports.ContactLifetime) {
@@ -93,8 +93,8 @@
 	return unlisted
 }
 
-// reconcile adds the nodes in contact to the list, and marks nodes as down that are suspected
-// and don't answer this node's probe either.
+// reconcile adds nodes that are in contact to the list and updates their entries. It marks a
+// node as down if it is suspected and does not answer this node's probe.
 func (n *nodeReconciler) reconcile(ctx context.Context) {
 	listed := n.lists.Nodes()
 	now := time.Now()
@@ -110,13 +110,13 @@
 	}
 	for _, node := range n.unreachable(ctx, n.suspects(listed, contacts, now)) {
 		replaceNode(&txn, node, downNode(node))
-		n.log.Warn(logging.NodeDown).Str("peer", node.Name).Msg("a node is missed by its neighbours and does not answer")
+		n.log.Warn(logging.NodeDown).Str("peer", node.Name).Msg("node missed heartbeats and a probe; marking it as down")
 	}
 	n.commit(ctx, txn)
 }
 
-// suspects returns the listed nodes whose heartbeats enough neighbours miss and that are not
-// in contact with this node.
+// suspects returns the listed nodes that are not in contact with this node and whose heartbeats
+// at least nodereports.WitnessesRequired neighbours miss, or all other nodes if there are fewer.
 func (n *nodeReconciler) suspects(
 	listed, contacts map[string]distribution.Node, now time.Time,
 ) (suspects []distribution.Node) {
@@ -131,24 +131,24 @@
 	return suspects
 }
 
-// unreachable probes suspects and returns those that don't answer. A suspect may be healthy:
-// it may get its updates from another control node, and a congested link loses heartbeats.
-// The suspicion of those that answer is cleared.
+// unreachable probes the suspects, returns those that don't answer, and clears the suspicion
+// of the others. A suspect may be healthy: it may get its updates from another control node,
+// and a congested link loses heartbeats.
 func (n *nodeReconciler) unreachable(
 	ctx context.Context, suspects []distribution.Node,
 ) (unreachable []distribution.Node) {
-	answers := make([]bool, len(suspects))
+	answered := make([]bool, len(suspects))
 	var probes sync.WaitGroup
 	for i, node := range suspects {
 		probes.Go(func() {
 			probeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 			defer cancel()
-			answers[i] = n.prober.Probe(probeCtx, node) == nil
+			answered[i] = n.prober.Probe(probeCtx, node) == nil
 		})
 	}
 	probes.Wait()
 	for i, node := range suspects {
-		if answers[i] {
+		if answered[i] {
 			n.reports.ClearSuspicion(node.Name)
 		} else {
 			unreachable = append(unreachable, node)
@@ -158,21 +158,21 @@
 }
 
 // expire marks control nodes as down after replicahost.DownTimeout without contact, and
-// removes nodes that have been down for downNodeRetention.
+// removes nodes that have been down for longer than downNodeRetention.
 func (n *nodeReconciler) expire(ctx context.Context) {
 	now := time.Now()
 	listed := n.lists.Nodes()
 	unreachable := n.unreachableControlNodes(listed)
 	var txn paxos.Txn
 	for name, node := range listed {
-		since, isWaiting := n.downSince[name]
+		since, isTracked := n.downSince[name]
 		switch {
 		case !node.Down:
 			delete(n.downSince, name)
 			if unreachable[name] {
 				replaceNode(&txn, node, downNode(node))
 			}
-		case !isWaiting:
+		case !isTracked:
 			n.downSince[name] = now
 		case now.Sub(since) > downNodeRetention:
 			delete(n.downSince, name)
@@ -182,8 +182,8 @@
 	n.commit(ctx, txn)
 }
 
-// unreachableControlNodes returns the set of names of control nodes that have been out of contact
-// for replicahost.DownTimeout.
+// unreachableControlNodes reports by name which of the listed control nodes that are not marked
+// as down have been out of contact for longer than replicahost.DownTimeout.
 func (n *nodeReconciler) unreachableControlNodes(listed map[string]distribution.Node) map[string]bool {
 	unreachable := map[string]bool{}
 	n.peers.Do(func() {
@@ -198,7 +198,7 @@
 
 func (n *nodeReconciler) commit(ctx context.Context, txn paxos.Txn) {
 	if len(txn.Ops) > 0 {
-		n.cells.commit(ctx, schema.MetaCell, txn) // if it fails, the next round tries again
+		n.cells.commit(ctx, schema.MetaCell, txn) // if it fails, the next round retries
 	}
 }
 
--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -17,9 +17,9 @@
 	"comethold/internal/rpc"
 )
 
-// TestProbeUnreachable: a node that its neighbours miss and that gets no updates from this
-// control node, but that answers, is not taken for down.
-func TestProbeUnreachable(t *testing.T) {
+// TestSuspectThatAnswersProbeIsReachable: a suspected node that requests its updates from another
+// control node, but answers the probe, must not be marked as down.
+func TestSuspectThatAnswersProbeIsReachable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNoContent)
 	}))
@@ -45,21 +45,22 @@
 		{Name: "b", Addr: "127.0.0.2"},
 	})
 	if len(unreachable) != 1 || unreachable[0].Name != "b" {
-		t.Errorf("unreachable: %v", unreachable)
+		t.Errorf("unreachable returned %v, want only b, which does not answer", unreachable)
 	}
 	suspects := reconciler.reports.Suspects(time.Now())
 	if suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
-		t.Errorf("suspected: %v", suspects)
+		t.Errorf("suspicions after the probes: %v, want only one of b", suspects)
 	}
 }
 
-// TestNodesAreListed: nodes that call are listed, those that their neighbours miss and that
-// don't answer are marked as down, and they are listed as up once they call again.
-func TestNodesAreListed(t *testing.T) {
+// TestNodeListFollowsContactsAndSuspicions: nodes that send requests are listed. A node whose
+// heartbeats two neighbours miss, and that does not answer the probe, is marked as down until it
+// sends a request again.
+func TestNodeListFollowsContactsAndSuspicions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestState(t)
 		nodes := newNodeReconciler(s.options(), s.committer())
-		call := func(name string, suspects ...string) {
+		request := func(name string, suspects ...string) {
 			node := distribution.Node{Name: name, Addr: name, Zone: "z"}
 			s.reports.Record(&distribution.UpdateRequest{Node: node, Suspects: suspects}, time.Now())
 		}
@@ -68,62 +69,62 @@
 			nodes.reconcile(t.Context())
 			s.readNodes()
 			if len(s.nodes) != len(wantDown) {
-				t.Errorf("%s: %v", when, s.nodes)
+				t.Errorf("%s: node list is %v, want %d nodes", when, s.nodes, len(wantDown))
 			}
 			for name, isDown := range wantDown {
 				if s.nodes[name].Down != isDown {
-					t.Errorf("%s: %s is down: %v", when, name, !isDown)
+					t.Errorf("%s: %s has Down = %v, want %v", when, name, !isDown, isDown)
 				}
 			}
 		}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			call(name)
+			request(name)
 		}
-		check("all call", map[string]bool{"a": false, "b": false, "c": false, "d": false})
+		check("all nodes in contact", map[string]bool{"a": false, "b": false, "c": false, "d": false})
 		time.Sleep(nodereports.ContactLifetime + time.Second)
-		s.answers["d"] = true
-		call("a", "c", "d")
-		check("one neighbour misses them", map[string]bool{"a": false, "b": false, "c": false, "d": false})
-		call("b", "c", "d")
-		check("two do", map[string]bool{"a": false, "b": false, "c": true, "d": false})
-		call("c")
-		check("one calls again", map[string]bool{"a": false, "b": false, "c": false, "d": false})
+		s.answersProbe["d"] = true
+		request("a", "c", "d")
+		check("c and d missed by one neighbour", map[string]bool{"a": false, "b": false, "c": false, "d": false})
+		request("b", "c", "d")
+		check("c and d missed by two, d answers probes", map[string]bool{"a": false, "b": false, "c": true, "d": false})
+		request("c")
+		check("c in contact again", map[string]bool{"a": false, "b": false, "c": false, "d": false})
 	})
 }
 
-// TestNodesExpire: control nodes that are silent are marked as down, and nodes that have been
-// down for downNodeRetention are removed.
+// TestNodesExpire: control nodes that are out of contact are marked as down, and nodes that have
+// been down for longer than downNodeRetention are removed. Other nodes are not changed.
 func TestNodesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestState(t)
 		nodes := newNodeReconciler(s.options(), s.committer())
 		for _, node := range []distribution.Node{
-			controlNode(replicahost.PeerInfo{Name: "silent", Addr: "1"}),
-			controlNode(replicahost.PeerInfo{Name: "heard", Addr: "2"}),
+			controlNode(replicahost.PeerInfo{Name: "out-of-contact", Addr: "1"}),
+			controlNode(replicahost.PeerInfo{Name: "in-contact", Addr: "2"}),
 			{Name: "data-plane", Addr: "1"},
 		} {
 			var txn paxos.Txn
 			addNode(&txn, node)
 			s.cell(schema.MetaCell).Commit(txn)
 		}
-		s.silence["1"] = replicahost.DownTimeout + time.Second
+		s.contactAges["1"] = replicahost.DownTimeout + time.Second
 		check := func(when string, listed int, isDown bool) {
 			t.Helper()
 			s.readNodes()
 			nodes.expire(t.Context())
 			s.readNodes()
-			if len(s.nodes) != listed || s.nodes["silent"+controlNodeSuffix].Down != isDown {
-				t.Errorf("%s: %v", when, s.nodes)
+			if len(s.nodes) != listed || s.nodes["out-of-contact"+controlNodeSuffix].Down != isDown {
+				t.Errorf("%s: node list is %v, want %d nodes and out-of-contact Down = %v", when, s.nodes, listed, isDown)
 			}
-			if s.nodes["heard"+controlNodeSuffix].Down || s.nodes["data-plane"].Down {
-				t.Errorf("%s: others are down: %v", when, s.nodes)
+			if s.nodes["in-contact"+controlNodeSuffix].Down || s.nodes["data-plane"].Down {
+				t.Errorf("%s: node list is %v, want no other node down", when, s.nodes)
 			}
 		}
-		check("at first", 3, true)
-		check("seen as down", 3, true)
+		check("after the first round", 3, true)
+		check("after the second round, which sees the node as down", 3, true)
 		time.Sleep(downNodeRetention)
-		check("at the end of the retention", 3, true)
+		check("at downNodeRetention", 3, true)
 		time.Sleep(time.Second)
-		check("after it", 2, false)
+		check("after downNodeRetention", 2, false)
 	})
 }
--- a/internal/controlplane/reconcile/purges.go
+++ b/internal/controlplane/reconcile/purges.go
@@ -10,11 +10,11 @@
 	"comethold/internal/routing"
 )
 
-// minPurgeRetention is the minimal time for which purges are kept.
+// minPurgeRetention is the minimum time for which purges are kept.
 const minPurgeRetention = 60 * time.Second
 
-// purgeCompactor removes purges that are older, by this node's monotonic clock, than any
-// response that may still be cached.
+// purgeCompactor removes a purge once every response that was cached before it has expired. It
+// measures the age of a purge with this node's monotonic clock.
 type purgeCompactor struct {
 	cells     committer
 	firstSeen map[string]time.Time // by key
@@ -24,6 +24,7 @@
 	return &purgeCompactor{cells: cells, firstSeen: map[string]time.Time{}}
 }
 
+// compact removes the expired purges and raises the low watermark.
 func (c *purgeCompactor) compact(ctx context.Context) {
 	var keys []string // in order of log index
 	var lowWatermark paxos.Value
@@ -39,7 +40,7 @@
 	c.observe(keys, now)
 	retention := minPurgeRetention
 	if len(keys) > 0 && now.Sub(c.firstSeen[keys[0]]) > retention {
-		retention = c.retention() // parses the configuration, so only if it matters
+		retention = c.retention() // only if a purge may have expired: it parses the configuration
 	}
 	var expired []string
 	for _, key := range keys {
@@ -65,7 +66,7 @@
 }
 
 // retention returns how long purges are kept: minPurgeRetention plus twice the longest cache
-// lifetime of any route in the committed configuration.
+// TTL of any route in the committed configuration.
 func (c *purgeCompactor) retention() time.Duration {
 	retention := minPurgeRetention
 	var raw []byte
@@ -74,7 +75,7 @@
 	})
 	configuration, err := routing.Parse(raw)
 	if err != nil {
-		return retention // none is committed
+		return retention // no configuration is committed
 	}
 	for i := range configuration.Routes {
 		retention = max(retention, 2*configuration.Routes[i].CacheTTL()+minPurgeRetention)
@@ -82,9 +83,10 @@
 	return retention
 }
 
-// CompactPurgesTxn removes purges, given their keys in order of log index, and raises the low
-// watermark. Its condition is that the watermark is unchanged: a late transaction would lower
-// it, and a node that lacks removed purges would not notice that.
+// CompactPurgesTxn returns the transaction that removes purges, given their keys in order of log
+// index, and raises the low watermark to the last of them. Its condition is that the watermark
+// is unchanged. Otherwise a delayed transaction could lower the watermark, and a node that lacks
+// removed purges would not detect that it lacks them.
 func CompactPurgesTxn(lowWatermark paxos.Value, exists bool, keys []string) (txn paxos.Txn) {
 	txn.Conditions = []paxos.Condition{schema.UnchangedCondition(schema.PurgeCompactedKey, lowWatermark, exists)}
 	for _, key := range keys {
--- a/internal/controlplane/reconcile/purges_test.go
+++ b/internal/controlplane/reconcile/purges_test.go
@@ -10,8 +10,8 @@
 	"comethold/internal/paxos"
 )
 
-// TestPurgesAreCompacted: a purge goes once it was seen for minPurgeRetention, and the low
-// watermark says up to where.
+// TestPurgesAreCompacted: a purge is removed once minPurgeRetention has passed since it was first
+// seen, and the low watermark is then its log index.
 func TestPurgesAreCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestState(t)
@@ -25,21 +25,21 @@
 			t.Helper()
 			compactor.compact(t.Context())
 			if got := meta.Replica().KeysWithPrefix(schema.PurgeKeyPrefix, schema.PurgeKeyPrefix); len(got) != keys {
-				t.Errorf("%s: %v", when, got)
+				t.Errorf("%s: keys of purges are %v, want %d keys", when, got, keys)
 			}
 			value, exists := meta.Replica().Get(schema.PurgeCompactedKey)
 			if exists != (lowWatermark > 0) || exists && !value.Equal(schema.UintValue(lowWatermark)) {
-				t.Errorf("%s: the low watermark is %v", when, value.Int)
+				t.Errorf("%s: low watermark is %v, want %d (0 is none)", when, value.Int, lowWatermark)
 			}
 		}
 		put(7)
-		check("at first", 1, 0)
+		check("after the first purge", 1, 0)
 		time.Sleep(minPurgeRetention / 2)
 		put(9)
-		check("halfway", 2, 0)
+		check("after half of its retention", 2, 0)
 		time.Sleep(minPurgeRetention/2 + time.Second)
-		check("after the first's retention", 1, 7)
+		check("after the retention of the first purge", 1, 7)
 		time.Sleep(minPurgeRetention / 2)
-		check("after the second's", 0, 9)
+		check("after the retention of the second purge", 0, 9)
 	})
 }
--- a/internal/controlplane/reconcile/reconciler.go
+++ b/internal/controlplane/reconcile/reconciler.go
@@ -1,11 +1,11 @@
-// Package reconcile updates the replicated state from what this control node observes: the
-// node list from contacts and missed heartbeats, the ejection marks from the reports of nodes
-// and the platform's endpoint list, and the index cells from the configuration.
+// Package reconcile updates the replicated state from the observations of this control node:
+// the node list from contacts and missed heartbeats, the ejection marks from the reports of
+// nodes and the platform's endpoint list, and the index cells from the configuration.
 //
-// All control nodes reconcile. Each change is a transaction with the condition that the value
-// to replace is unchanged, so a late or repeated one changes nothing; the next round computes
-// the remaining changes again. Changes that only one node should make need a lease; see
-// Reconciler.round.
+// All control nodes reconcile. Each change is a transaction on the condition that the value to
+// replace is unchanged, so a delayed or repeated transaction has no effect. The next round
+// computes the remaining changes again. Changes that only one node should make require a lease;
+// see Reconciler.round.
 package reconcile
 
 import (
@@ -22,11 +22,12 @@
 // Timing of the rounds. The reasons for these values are in docs/design.md.
 const (
 	roundInterval   = 400 * time.Millisecond
-	wakeDelay       = 30 * time.Millisecond // from Wake to the round, to batch reports
+	wakeDelay       = 30 * time.Millisecond // delay between Wake and the round, to batch reports
 	proposalTimeout = 1200 * time.Millisecond
 )
 
-// Cells is what reconcilers need of the replicated cells. *replicahost.Host implements it.
+// Cells reads the replicated cells and proposes transactions to them. *replicahost.Host
+// implements it.
 type Cells interface {
 	View(cell string, read func(*paxos.Replica)) bool
 	Get(cell, key string) (value paxos.Value, found bool)
@@ -34,7 +35,7 @@
 	QuorumContactAge() time.Duration
 }
 
-// Peers are the other control nodes. *replicahost.Host implements it.
+// Peers provides the contact state of the other control nodes. *replicahost.Host implements it.
 type Peers interface {
 	Do(task func())
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
@@ -42,7 +43,7 @@
 	ContactAge(address string) time.Duration
 }
 
-// Lists are the node list and the endpoint list. *distributor.Distributor implements it.
+// Lists provides the node list and the endpoint list. *distributor.Distributor implements it.
 type Lists interface {
 	Nodes() map[string]distribution.Node
 	Endpoints() *distribution.EndpointList
@@ -59,7 +60,7 @@
 	Probe(ctx context.Context, node distribution.Node) error
 }
 
-// Options are what a Reconciler is made from. All are required.
+// Options configures a Reconciler. All fields are required.
 type Options struct {
 	Self    replicahost.PeerInfo
 	Cells   Cells
@@ -74,7 +75,7 @@
 	Log            *logging.Logger
 }
 
-// Reconciler runs the reconcilers of a node, one after the other.
+// Reconciler runs the reconcilers of a control node one after another.
 type Reconciler struct {
 	options Options
 	wake    chan struct{} // has capacity for one signal
@@ -85,20 +86,20 @@
 	purges    *purgeCompactor
 }
 
-// New makes a Reconciler. Run starts it.
+// New returns a Reconciler. Run starts it.
 func New(options Options) *Reconciler {
-	state := committer{options.Cells}
+	cells := committer{options.Cells}
 	return &Reconciler{
 		options:   options,
 		wake:      make(chan struct{}, 1),
-		nodes:     newNodeReconciler(options, state),
-		marks:     newMarkReconciler(options, state),
-		shardSets: &shardSetReconciler{cells: state},
-		purges:    newPurgeCompactor(state),
+		nodes:     newNodeReconciler(options, cells),
+		marks:     newMarkReconciler(options, cells),
+		shardSets: &shardSetReconciler{cells: cells},
+		purges:    newPurgeCompactor(cells),
 	}
 }
 
-// Wake starts a round after wakeDelay. It doesn't wait.
+// Wake schedules a round after wakeDelay. It does not block.
 func (r *Reconciler) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -113,17 +114,18 @@
 	}
 }
 
-// Run does a round every roundInterval, or when it is woken, until ctx is done.
+// Run executes a round every roundInterval, and wakeDelay after a call of Wake, until ctx is
+// done.
 func (r *Reconciler) Run(ctx context.Context) {
 	for r.wait(ctx) {
 		if r.options.Cells.QuorumContactAge() > replicahost.StaleAfter {
-			continue // the state here may be stale, and nothing could be committed
+			continue // the local state may be stale, and a proposal would not reach a quorum
 		}
 		r.round(ctx)
 	}
 }
 
-// wait returns when the next round is due; false if ctx is done.
+// wait blocks until the next round is due and returns true. It returns false if ctx is done.
 func (r *Reconciler) wait(ctx context.Context) bool {
 	select {
 	case <-time.After(roundInterval):
@@ -147,7 +149,7 @@
 	}
 	r.nodes.reconcile(ctx)
 	r.marks.applyReports(ctx)
-	// A list of another term may be outdated.
+	// An endpoint list that was polled in another term of the lease may be outdated.
 	term, held := r.options.DiscoveryLease.Held()
 	if held && r.options.Lists.EndpointsRevision().Term == term {
 		r.marks.applyEndpointList(ctx)
@@ -159,18 +161,20 @@
 	}
 }
 
-// committer proposes the transactions of reconcilers.
+// committer proposes the transactions of the reconcilers.
 type committer struct {
 	Cells
 }
 
-// commit proposes a transaction and reports whether it is known to be committed. It is not
-// cancelled when the node stops.
+// commit proposes a transaction and reports whether it is known to be committed. The proposal
+// continues if ctx is cancelled, which happens when the node stops.
 func (c committer) commit(ctx context.Context, cell string, txn paxos.Txn) bool {
 	committed, err := c.propose(ctx, cell, txn)
 	return committed && err == nil
 }
 
+// propose proposes a transaction and waits for at most proposalTimeout, even if ctx is
+// cancelled.
 func (c committer) propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposalTimeout)
 	defer cancel()
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -9,17 +9,17 @@
 	"comethold/internal/rpc"
 )
 
-// shardSetReconciler makes the index cells follow the committed configuration: it updates
-// their list in the meta cell and the shard set in each of them.
+// shardSetReconciler applies the committed configuration to the index cells: it updates the
+// list of index cells in the meta cell, and the shard set in each index cell.
 type shardSetReconciler struct {
-	cells       committer
-	doneVersion uint64 // of the configuration that all index cells follow
+	cells          committer
+	appliedVersion uint64 // version of the last configuration that was applied to all index cells
 }
 
 // indexState is the part of the meta cell's state that determines the index cells.
 type indexState struct {
-	version     uint64 // of the configuration
-	raw         []byte
+	version     uint64                        // of the committed configuration
+	raw         []byte                        // the encoded configuration
 	indexes     map[string]schema.IndexRecord // by name
 	nextID      paxos.Value
 	nextIDFound bool
@@ -37,15 +37,15 @@
 	return state
 }
 
-// reconcile does nothing if the index cells follow the committed configuration already.
+// reconcile does nothing if the committed configuration is already applied to the index cells.
 func (s *shardSetReconciler) reconcile(ctx context.Context) {
 	state := s.readState()
-	if state.version == 0 || state.version == s.doneVersion {
+	if state.version == 0 || state.version == s.appliedVersion {
 		return
 	}
 	configuration, err := routing.Parse(state.raw)
 	if err != nil {
-		return // can't happen: it was validated before it was committed
+		return // can't happen: the configuration was validated before it was committed
 	}
 	indexes, txn := planIndexes(state, configuration)
 	if len(txn.Ops) > 0 && !s.cells.commit(ctx, schema.MetaCell, txn) {
@@ -57,17 +57,18 @@
 			Services: index.Services,
 			Routes:   index.Routes,
 		}
-		held, exists := s.cells.Get(name, schema.ShardSetKey)
-		txn, isDue := ShardSetTxn(held, exists, want)
-		if isDue && !s.cells.commit(ctx, name, txn) {
+		stored, exists := s.cells.Get(name, schema.ShardSetKey)
+		txn, isNeeded := ShardSetTxn(stored, exists, want)
+		if isNeeded && !s.cells.commit(ctx, name, txn) {
 			return // retried in the next round; the configuration is in effect anyway
 		}
 	}
-	s.doneVersion = state.version
+	s.appliedVersion = state.version
 }
 
 // planIndexes returns the index cells that a configuration needs, by name, and the transaction
-// that updates their list in the meta cell. It has no operations if the list is up to date.
+// that updates their list in the meta cell. The transaction has no operations if the list is up
+// to date.
 func planIndexes(state indexState, configuration *routing.Configuration) (map[string]schema.IndexRecord, paxos.Txn) {
 	routes := schema.GroupRoutesByServices(configuration)
 	kept, added, removed := schema.AssignIndexes(state.indexes, routes)
@@ -110,12 +111,13 @@
 	return indexes, txn
 }
 
-// ShardSetTxn makes the transaction that replaces the shard set of an index cell. isDue is
-// false if the stored one is newer or equal. If another transaction replaces it first, this
-// one changes nothing.
-func ShardSetTxn(held paxos.Value, exists bool, want schema.ShardSetRecord) (txn paxos.Txn, isDue bool) {
+// ShardSetTxn returns the transaction that replaces the shard set of an index cell by want.
+// stored is the encoded shard set as it was read, if one exists. isNeeded is false if stored has
+// a newer version, or differs from want at most in its version. If another transaction replaces
+// the shard set first, this one has no effect.
+func ShardSetTxn(stored paxos.Value, exists bool, want schema.ShardSetRecord) (txn paxos.Txn, isNeeded bool) {
 	var current schema.ShardSetRecord
-	if exists && rpc.Unmarshal(held.Bytes, &current) == nil {
+	if exists && rpc.Unmarshal(stored.Bytes, &current) == nil {
 		if current.Version > want.Version {
 			return paxos.Txn{}, false
 		}
@@ -125,7 +127,7 @@
 		}
 	}
 	return paxos.Txn{
-		Conditions: []paxos.Condition{schema.UnchangedCondition(schema.ShardSetKey, held, exists)},
+		Conditions: []paxos.Condition{schema.UnchangedCondition(schema.ShardSetKey, stored, exists)},
 		Ops:        []paxos.Op{schema.PutOp(schema.ShardSetKey, want)},
 	}, true
 }
--- a/internal/controlplane/reconcile/shardsets_test.go
+++ b/internal/controlplane/reconcile/shardsets_test.go
@@ -12,7 +12,7 @@
 	"comethold/internal/rpc"
 )
 
-// setConfiguration commits a configuration with a route to each of the services.
+// setConfiguration commits a configuration with one route to each of the services.
 func (s *testState) setConfiguration(version uint64, services ...string) {
 	s.t.Helper()
 	var routes, list []string
@@ -31,17 +31,18 @@
 	meta := s.cell(schema.MetaCell)
 	change := &schema.ConfigChange{Config: configuration, Raw: raw, Fingerprint: []byte("12345678")}
 	if !meta.Commit(schema.ConfigTxn(meta.Replica(), change)) {
-		s.t.Fatal("the configuration is not committed")
+		s.t.Fatal("Commit of the configuration returned false, want true")
 	}
 }
 
-// shardSets returns the services of the index cells that are listed, as these hold them.
+// shardSets returns the services in the shard set of each listed index cell, as sorted strings
+// "cell:service,service".
 func (s *testState) shardSets() (services []string) {
 	for name := range schema.ReadIndexes(s.cell(schema.MetaCell).Replica()) {
 		value, _ := s.Get(name, schema.ShardSetKey)
 		var record schema.ShardSetRecord
 		if err := rpc.Unmarshal(value.Bytes, &record); err != nil {
-			s.t.Errorf("%s: %v", name, err)
+			s.t.Errorf("decoding the shard set of %s: %v", name, err)
 		}
 		services = append(services, name+":"+strings.Join(record.Services, ","))
 	}
@@ -49,14 +50,15 @@
 	return services
 }
 
-// TestShardSetsFollowConfiguration: there is an index cell for each set of services that
-// routes name; one keeps its services, and its name is not used again.
+// TestShardSetsFollowConfiguration: each set of services that routes name has an index cell. A
+// cell keeps its services when the configuration changes, and the name of a removed cell is not
+// reused. The first transaction of each step fails, so the next round must retry it.
 func TestShardSetsFollowConfiguration(t *testing.T) {
 	s := newTestState(t)
 	shardSets := &shardSetReconciler{cells: s.committer()}
 	shardSets.reconcile(t.Context())
 	if got := s.shardSets(); len(got) != 0 {
-		t.Errorf("without a configuration: %v", got)
+		t.Errorf("shard sets without a configuration: %v, want none", got)
 	}
 	first, second, third := schema.IndexCellName(1), schema.IndexCellName(2), schema.IndexCellName(3)
 	for version, step := range []struct{ services, want []string }{
@@ -65,32 +67,34 @@
 		{[]string{"b", "c"}, []string{second + ":b", third + ":c"}},
 	} {
 		s.setConfiguration(uint64(version)+1, step.services...)
-		s.rejectNext = true // as if another node were first
+		s.rejectNext = true // as if another node had committed first
 		shardSets.reconcile(t.Context())
 		shardSets.reconcile(t.Context())
 		if got := s.shardSets(); !slices.Equal(got, step.want) {
-			t.Errorf("%v: %v, not %v", step.services, got, step.want)
+			t.Errorf("services %v: shard sets are %v, want %v", step.services, got, step.want)
 		}
 	}
 }
 
-// TestOlderShardSetIsNotDue: what an index cell holds is replaced by newer shard sets alone.
-func TestOlderShardSetIsNotDue(t *testing.T) {
-	held := schema.MustEncode(schema.ShardSetRecord{Version: 5, Services: []string{"a"}})
+// TestShardSetTxnIsNeededOnlyForNewerServices: an older shard set, which a delayed round may
+// propose, must not replace a newer one, and a new version with the same services needs no
+// transaction.
+func TestShardSetTxnIsNeededOnlyForNewerServices(t *testing.T) {
+	stored := schema.MustEncode(schema.ShardSetRecord{Version: 5, Services: []string{"a"}})
 	for _, c := range []struct {
-		name   string
-		held   paxos.Value
-		exists bool
-		want   schema.ShardSetRecord
-		isDue  bool
+		name     string
+		stored   paxos.Value
+		exists   bool
+		want     schema.ShardSetRecord
+		isNeeded bool
 	}{
-		{"none is held", paxos.Value{}, false, schema.ShardSetRecord{Version: 3}, true},
-		{"older", held, true, schema.ShardSetRecord{Version: 4, Services: []string{"b"}}, false},
-		{"the same services", held, true, schema.ShardSetRecord{Version: 6, Services: []string{"a"}}, false},
-		{"newer", held, true, schema.ShardSetRecord{Version: 6, Services: []string{"b"}}, true},
+		{"none is stored", paxos.Value{}, false, schema.ShardSetRecord{Version: 3}, true},
+		{"older", stored, true, schema.ShardSetRecord{Version: 4, Services: []string{"b"}}, false},
+		{"the same services", stored, true, schema.ShardSetRecord{Version: 6, Services: []string{"a"}}, false},
+		{"newer", stored, true, schema.ShardSetRecord{Version: 6, Services: []string{"b"}}, true},
 	} {
-		if _, isDue := ShardSetTxn(c.held, c.exists, c.want); isDue != c.isDue {
-			t.Errorf("%s: due is %v", c.name, isDue)
+		if _, isNeeded := ShardSetTxn(c.stored, c.exists, c.want); isNeeded != c.isNeeded {
+			t.Errorf("%s: ShardSetTxn returned isNeeded = %v, want %v", c.name, isNeeded, c.isNeeded)
 		}
 	}
 }
