--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -78,7 +78,7 @@
 		schema.ConfigDataKey:            "config/raw",
 		schema.ReceiptKeyPrefix:         "receipt/",
 		schema.ReceiptArchiveKeyPrefix:  "receipt-archive/",
-		schema.ReceiptsForgottenKey:     "receipt-forgotten",
+		schema.ReceiptsDeletedKey:       "receipt-forgotten",
 		schema.NodeKeyPrefix:            "node/",
 		schema.IndexKeyPrefix:           "index/",
 		schema.NextIndexIDKey:           "index-next",
--- a/internal/controlplane/nodereports/tracker.go
+++ b/internal/controlplane/nodereports/tracker.go
@@ -18,8 +18,9 @@
 	ReportLifetime    = 2 * time.Second // of a report on an endpoint's health
 )
 
-// WitnessesRequired is how many nodes must agree before a suspicion or a fault counts.
-const WitnessesRequired = 2
+// MinReporters is the number of nodes that must report a suspicion or a fault before it takes
+// effect.
+const MinReporters = 2
 
 // Tracker holds the reports of the last few seconds. It is safe for concurrent use.
 type Tracker struct {
@@ -107,8 +108,8 @@
 	t.faults[endpoint].last = report
 }
 
-// Contacts returns the nodes that called within ContactLifetime, by name.
-func (t *Tracker) Contacts(now time.Time) map[string]distribution.Node {
+// LiveNodes returns the nodes whose last request is at most ContactLifetime old, by name.
+func (t *Tracker) LiveNodes(now time.Time) map[string]distribution.Node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	nodes := map[string]distribution.Node{}
@@ -122,9 +123,10 @@
 	return nodes
 }
 
-// Suspects returns, by node name, how many nodes suspect a node. A node whose last suspicion
-// has just expired is listed once more, with 0.
-func (t *Tracker) Suspects(now time.Time) map[string]int {
+// SuspicionCounts returns the number of nodes that suspect a node, by the name of the suspected
+// node. A node whose last suspicion has expired since the previous call is included once more,
+// with a count of 0.
+func (t *Tracker) SuspicionCounts(now time.Time) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts := map[string]int{}
@@ -145,25 +147,25 @@
 	delete(t.suspicions, name)
 }
 
-// Health holds the agreed reports: faulty endpoints and recovered ones.
-type Health struct {
+// AgreedReports holds the health reports that enough nodes have sent to act on.
+type AgreedReports struct {
 	Faults     []distribution.HealthReport
 	Recoveries []distribution.HealthReport
 }
 
 // IsEmpty reports whether nothing is reported.
-func (h Health) IsEmpty() bool { return len(h.Faults)+len(h.Recoveries) == 0 }
+func (h AgreedReports) IsEmpty() bool { return len(h.Faults)+len(h.Recoveries) == 0 }
 
-// Health returns the faults that WitnessesRequired nodes reported within ReportLifetime, and
-// the recoveries that at least one node reported.
-func (t *Tracker) Health(now time.Time) (agreed Health) {
+// AgreedReports returns the faults that at least MinReporters nodes reported within
+// ReportLifetime, and the recoveries that at least one node reported within it.
+func (t *Tracker) AgreedReports(now time.Time) (agreed AgreedReports) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for endpoint, f := range t.faults {
 		f.reportedBy.forget(now.Add(-ReportLifetime))
 		if len(f.reportedBy) == 0 {
 			delete(t.faults, endpoint)
-		} else if len(f.reportedBy) >= WitnessesRequired {
+		} else if len(f.reportedBy) >= MinReporters {
 			agreed.Faults = append(agreed.Faults, f.last)
 		}
 	}
@@ -178,7 +180,7 @@
 }
 
 // Resolve drops reports that are now in the replicated state.
-func (t *Tracker) Resolve(done Health) {
+func (t *Tracker) Resolve(done AgreedReports) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, report := range done.Faults {
--- a/internal/controlplane/nodereports/tracker_test.go
+++ b/internal/controlplane/nodereports/tracker_test.go
@@ -22,24 +22,24 @@
 	now := time.Now()
 	reportHealth(tracker, "n1", false, now)
 	reportHealth(tracker, "n1", false, now)
-	if agreed := tracker.Health(now); !agreed.IsEmpty() {
+	if agreed := tracker.AgreedReports(now); !agreed.IsEmpty() {
 		t.Errorf("one node reports a fault: %v", agreed)
 	}
 	reportHealth(tracker, "n2", false, now.Add(ReportLifetime/2))
-	if agreed := tracker.Health(now.Add(ReportLifetime)); len(agreed.Faults) != 1 || len(agreed.Recoveries) != 0 {
+	if agreed := tracker.AgreedReports(now.Add(ReportLifetime)); len(agreed.Faults) != 1 || len(agreed.Recoveries) != 0 {
 		t.Errorf("two nodes report a fault: %v", agreed)
 	}
-	if agreed := tracker.Health(now.Add(ReportLifetime + time.Second/2)); !agreed.IsEmpty() {
+	if agreed := tracker.AgreedReports(now.Add(ReportLifetime + time.Second/2)); !agreed.IsEmpty() {
 		t.Errorf("the first report has expired: %v", agreed)
 	}
 	later := now.Add(ReportLifetime + time.Second)
 	reportHealth(tracker, "n3", true, later)
-	agreed := tracker.Health(later)
+	agreed := tracker.AgreedReports(later)
 	if len(agreed.Faults) != 0 || len(agreed.Recoveries) != 1 {
 		t.Errorf("a node reports a recovery: %v", agreed)
 	}
 	tracker.Resolve(agreed)
-	if agreed := tracker.Health(later); !agreed.IsEmpty() {
+	if agreed := tracker.AgreedReports(later); !agreed.IsEmpty() {
 		t.Errorf("it is resolved: %v", agreed)
 	}
 }
@@ -56,10 +56,10 @@
 	if tracker.Record(call, now) {
 		t.Error("a known node is urgent")
 	}
-	if contacts := tracker.Contacts(now.Add(ContactLifetime)); contacts["n1"] != call.Node {
+	if contacts := tracker.LiveNodes(now.Add(ContactLifetime)); contacts["n1"] != call.Node {
 		t.Errorf("known are %v", contacts)
 	}
-	if contacts := tracker.Contacts(now.Add(ContactLifetime + 1)); len(contacts) != 0 {
+	if contacts := tracker.LiveNodes(now.Add(ContactLifetime + 1)); len(contacts) != 0 {
 		t.Errorf("known are still %v", contacts)
 	}
 	if !tracker.Record(call, now) {
@@ -79,14 +79,14 @@
 		}, now)
 	}
 	tracker.ClearSuspicion("back")
-	if suspects := tracker.Suspects(now); len(suspects) != 1 || suspects["gone"] != 2 {
+	if suspects := tracker.SuspicionCounts(now); len(suspects) != 1 || suspects["gone"] != 2 {
 		t.Errorf("suspected are %v", suspects)
 	}
 	expired := now.Add(SuspicionLifetime + 1)
-	if suspects := tracker.Suspects(expired); len(suspects) != 1 || suspects["gone"] != 0 {
+	if suspects := tracker.SuspicionCounts(expired); len(suspects) != 1 || suspects["gone"] != 0 {
 		t.Errorf("suspected are %v at the end", suspects)
 	}
-	if suspects := tracker.Suspects(expired); len(suspects) != 0 {
+	if suspects := tracker.SuspicionCounts(expired); len(suspects) != 0 {
 		t.Errorf("suspected are %v after the end", suspects)
 	}
 }
--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -53,7 +53,7 @@
 // endpoints that are reported as healthy. Other control nodes receive the same reports; if one
 // of them commits first, the remaining changes are computed again.
 func (m *markReconciler) applyReports(ctx context.Context) {
-	agreed := m.reports.Health(time.Now())
+	agreed := m.reports.AgreedReports(time.Now())
 	if agreed.IsEmpty() {
 		return
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (m *markReconciler) reportedChanges(agreed nodereports.Health) *markChanges {
+func (m *markReconciler) reportedChanges(agreed nodereports.AgreedReports) *markChanges {
 	indexes := m.readIndexes()
 	changes := newMarkChanges()
 	ejected := &distribution.EjectionMark{
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -98,7 +98,7 @@
 func (n *nodeReconciler) reconcile(ctx context.Context) {
 	listed := n.lists.Nodes()
 	now := time.Now()
-	contacts := n.reports.Contacts(now)
+	contacts := n.reports.LiveNodes(now)
 	var txn paxos.Txn
 	for name, node := range contacts {
 		old, isListed := listed[name]
@@ -120,8 +120,8 @@
 func (n *nodeReconciler) suspects(
 	listed, contacts map[string]distribution.Node, now time.Time,
 ) (suspects []distribution.Node) {
-	required := min(nodereports.WitnessesRequired, len(listed)-1)
-	for name, witnesses := range n.reports.Suspects(now) {
+	required := min(nodereports.MinReporters, len(listed)-1)
+	for name, witnesses := range n.reports.SuspicionCounts(now) {
 		_, inContact := contacts[name]
 		node, isListed := listed[name]
 		if isListed && !node.Down && !inContact && witnesses >= required {
--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -47,7 +47,7 @@
 	if len(unreachable) != 1 || unreachable[0].Name != "b" {
 		t.Errorf("unreachable: %v", unreachable)
 	}
-	suspects := reconciler.reports.Suspects(time.Now())
+	suspects := reconciler.reports.SuspicionCounts(time.Now())
 	if suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
 		t.Errorf("suspected: %v", suspects)
 	}
--- a/internal/controlplane/schema/keys.go
+++ b/internal/controlplane/schema/keys.go
@@ -25,8 +25,8 @@
 	// ReceiptArchiveKeyPrefix is followed by the first version of an archive. The value is a
 	// list of ArchivedReceipt.
 	ReceiptArchiveKeyPrefix = "receipt-archive/"
-	// ReceiptsForgottenKey holds the version up to which receipts have been deleted.
-	ReceiptsForgottenKey = "receipt-forgotten"
+	// ReceiptsDeletedKey holds the version up to which receipts have been deleted.
+	ReceiptsDeletedKey = "receipt-forgotten"
 )
 
 // Keys of the meta cell: nodes, index cells and leases.
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -56,7 +56,7 @@
 	if current, _ := ReadConfig(replica); version > current {
 		return outbox.KeyUnused, false
 	}
-	if upTo, found := replica.Get(ReceiptsForgottenKey); found && upTo.Int != nil && upTo.Int.Uint64() >= version {
+	if upTo, found := replica.Get(ReceiptsDeletedKey); found && upTo.Int != nil && upTo.Int.Uint64() >= version {
 		return outbox.KeyUnused, true
 	}
 	archives := replica.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
@@ -134,7 +134,7 @@
 	ops = append(ops, DeleteOp(archives[0]))
 	if oldest := readReceiptArchive(replica, archives[0]); len(oldest) > 0 {
 		last := oldest[len(oldest)-1].Version
-		ops = append(ops, PutValueOp(ReceiptsForgottenKey, UintValue(last)))
+		ops = append(ops, PutValueOp(ReceiptsDeletedKey, UintValue(last)))
 	}
 	return ops
 }
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -69,7 +69,7 @@
 
 // receiptBytes is how much of the state remembers changes.
 func receiptBytes(replica *paxos.Replica) (size int) {
-	prefixes := []string{schema.ReceiptKeyPrefix, schema.ReceiptArchiveKeyPrefix, schema.ReceiptsForgottenKey}
+	prefixes := []string{schema.ReceiptKeyPrefix, schema.ReceiptArchiveKeyPrefix, schema.ReceiptsDeletedKey}
 	for _, prefix := range prefixes {
 		for _, key := range replica.KeysWithPrefix(prefix, prefix) {
 			value, _ := replica.Get(key)
