--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -81,7 +81,7 @@
 		schema.ReceiptsDeletedKey:       "receipt-forgotten",
 		schema.NodeKeyPrefix:            "node/",
 		schema.IndexKeyPrefix:           "index/",
-		schema.NextIndexIDKey:           "index-next",
+		schema.LastIndexIDKey:           "index-next",
 		schema.LeaseKeyPrefix:           "duty/",
 		schema.PurgeKeyPrefix:           "recall/",
 		schema.PurgeCompactedKey:        "recall-floor",
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -30,7 +30,7 @@
 	s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		state.version, state.raw = schema.ReadConfig(replica)
 		state.indexes = schema.ReadIndexes(replica)
-		state.nextID, _ = replica.Get(schema.NextIndexIDKey)
+		state.nextID, _ = replica.Get(schema.LastIndexIDKey)
 		state.nextIDFound = state.nextID.Int != nil
 		state.voters, _ = replica.Voters()
 	})
@@ -74,7 +74,7 @@
 	indexes := map[string]schema.IndexRecord{}
 	txn := paxos.Txn{Conditions: []paxos.Condition{
 		{Key: schema.ConfigVersionKey, Equals: schema.UintValue(state.version)},
-		schema.UnchangedCondition(schema.NextIndexIDKey, state.nextID, state.nextIDFound),
+		schema.UnchangedCondition(schema.LastIndexIDKey, state.nextID, state.nextIDFound),
 	}}
 	for name, group := range kept {
 		old := state.indexes[name]
@@ -105,7 +105,7 @@
 		txn.Ops = append(txn.Ops, schema.DeleteOp(schema.IndexKeyPrefix+name))
 	}
 	if len(added) > 0 {
-		txn.Ops = append(txn.Ops, schema.PutValueOp(schema.NextIndexIDKey, paxos.Int(lastID)))
+		txn.Ops = append(txn.Ops, schema.PutValueOp(schema.LastIndexIDKey, paxos.Int(lastID)))
 	}
 	return indexes, txn
 }
--- a/internal/controlplane/schema/configuration.go
+++ b/internal/controlplane/schema/configuration.go
@@ -10,7 +10,8 @@
 	"comethold/internal/routing"
 )
 
-// ReadConfig returns the version of the configuration and its text; 0 if there is none.
+// ReadConfig returns the version and the raw text of the current configuration, or 0 and nil if
+// none is stored.
 func ReadConfig(replica *paxos.Replica) (version uint64, raw []byte) {
 	value, found := replica.Get(ConfigVersionKey)
 	if !found || value.Int == nil {
@@ -20,16 +21,17 @@
 	return value.Int.Uint64(), data.Bytes
 }
 
-// ConfigChange is a change of the configuration, not yet committed.
+// ConfigChange is a configuration change that is not committed yet.
 type ConfigChange struct {
 	Config         *routing.Configuration
-	Raw            []byte   // its text
-	Fingerprint    []byte   // of the request as it was sent
-	ChangedTenants []string // tenants whose part differs
+	Raw            []byte   // text of Config
+	Fingerprint    []byte   // digest of the request as the operator sent it
+	ChangedTenants []string // tenants whose configuration differs from the current one
 }
 
-// ConfigTxn makes the transaction that replaces the current configuration. It stores the
-// receipt of the change, the configuration and the notification atomically.
+// ConfigTxn returns the transaction that replaces the current configuration. It stores the
+// receipt of the change, the configuration and the notification atomically. It changes nothing
+// if another configuration change is committed first.
 func ConfigTxn(replica *paxos.Replica, change *ConfigChange) paxos.Txn {
 	base, old := ReadConfig(replica)
 	version := change.Config.Version
@@ -53,7 +55,8 @@
 		txn.Ops = append(txn.Ops, paxos.Op{Kind: paxos.OpPatch, Key: ConfigDataKey, Value: patch})
 	}
 	txn.Ops = append(txn.Ops, compactReceipts(replica)...)
-	// The publisher sweeps the outbox, but many changes in a row outrun it.
+	// The publisher removes old rows from the outbox, but a burst of changes can add rows faster
+	// than it removes them.
 	rows := replica.KeysWithPrefix(OutboxKeyPrefix, OutboxKeyPrefix)
 	for i := 0; i+MaxOutboxRows <= len(rows); i++ {
 		txn.Ops = append(txn.Ops, DeleteOp(rows[i]))
@@ -71,7 +74,7 @@
 		PreviousVersion: base,
 	}.WithPayload(change)
 	if err != nil {
-		panic(err) // a record of ours can always be encoded
+		panic(err) // the payload type can always be encoded
 	}
 	return notification
 }
--- a/internal/controlplane/schema/keys.go
+++ b/internal/controlplane/schema/keys.go
@@ -1,14 +1,14 @@
-// Package schema defines the state of the control plane as the cells hold it: the keys, the
+// Package schema defines the control plane's state as it is stored in the cells: the keys, the
 // records under them and their encoding, and the transactions that change several of them
-// together.
+// atomically.
 //
 // There is one meta cell, which holds the state of the whole system, and an index cell for
-// each set of services that routes share. Functions that take a *paxos.Replica read the
-// state that is applied there; they must run on the goroutine that owns the replica (see
-// replicahost.Host.View). Keys and cbor field numbers are stored, so they never change.
+// each set of services that routes share. Functions that take a *paxos.Replica read its applied
+// state; they must run on the goroutine that owns the replica (see replicahost.Host.View). Keys
+// and cbor field numbers are stored, so they must never change.
 //
-// To add a key: name it in keys.go and define its record beside the others, and list it in
-// controlplane/compat_test.go. If nodes must react to its changes, add it to
+// To add a key, declare it in keys.go, define its record in this package and list it in
+// controlplane/compat_test.go. If nodes must react to its changes, also add it to
 // controlplane/applied.go.
 package schema
 
@@ -22,10 +22,11 @@
 	ConfigDataKey    = "config/raw"
 	// ReceiptKeyPrefix is followed by an idempotency key. The value is an outbox.Receipt.
 	ReceiptKeyPrefix = "receipt/"
-	// ReceiptArchiveKeyPrefix is followed by the first version of an archive. The value is a
-	// list of ArchivedReceipt.
+	// ReceiptArchiveKeyPrefix is followed by the lowest configuration version in an archive. The
+	// value is a list of ArchivedReceipt.
 	ReceiptArchiveKeyPrefix = "receipt-archive/"
-	// ReceiptsDeletedKey holds the version up to which receipts have been deleted.
+	// ReceiptsDeletedKey holds the highest configuration version whose receipt has been deleted.
+	// The receipts of all older versions have been deleted as well.
 	ReceiptsDeletedKey = "receipt-forgotten"
 )
 
@@ -35,14 +36,15 @@
 	NodeKeyPrefix = "node/"
 	// IndexKeyPrefix is followed by the name of an index cell. The value is an IndexRecord.
 	IndexKeyPrefix = "index/"
-	// NextIndexIDKey holds the number of the newest index cell.
-	NextIndexIDKey = "index-next"
-	// LeaseKeyPrefix is followed by a singleton role. The value is a LeaseRecord.
+	// LastIndexIDKey holds the number that was assigned last to an index cell.
+	LastIndexIDKey = "index-next"
+	// LeaseKeyPrefix is followed by the name of a singleton role. The value is a LeaseRecord.
 	LeaseKeyPrefix = "duty/"
-	// RateSharesKey holds the shares of services' rate limits: a map of node name to
-	// distribution.ShareLease.
+	// RateSharesKey holds the nodes' shares of the services' rate limits: a map from node name
+	// to distribution.ShareLease.
 	RateSharesKey = "shares"
-	// QuotaSharesKey holds the shares of tenants' quotas, in the form of RateSharesKey.
+	// QuotaSharesKey holds the nodes' shares of the tenants' quotas, in the same form as
+	// RateSharesKey.
 	QuotaSharesKey = "quota-shares"
 )
 
@@ -55,11 +57,11 @@
 	PurgeCompactedKey = "recall-floor"
 	// OutboxKeyPrefix is followed by a log index. The value is an outbox.Row.
 	OutboxKeyPrefix = "outbox/"
-	// UsageReportKeyPrefix is followed by a window. The value is an outbox.Row.
+	// UsageReportKeyPrefix is followed by the number of a usage window. The value is an outbox.Row.
 	UsageReportKeyPrefix = "usage/"
 	// QuarantineKeyPrefix is followed by an event ID. The value is a QuarantineRecord.
 	QuarantineKeyPrefix = "quarantine/"
-	// RedriveKeyPrefix is followed by a number. The value is a RedriveRequest.
+	// RedriveKeyPrefix is followed by a sequence number. The value is a RedriveRequest.
 	RedriveKeyPrefix = "redrive/"
 )
 
--- a/internal/controlplane/schema/operations.go
+++ b/internal/controlplane/schema/operations.go
@@ -13,8 +13,9 @@
 // DeleteOp returns the operation that removes a key.
 func DeleteOp(key string) paxos.Op { return paxos.Op{Kind: paxos.OpDelete, Key: key} }
 
-// UnchangedCondition returns the condition that a key still holds the value that was read,
-// or still holds none. A transaction with it changes nothing if another was applied first.
+// UnchangedCondition returns the condition that a key still holds the value that was read, or is
+// still absent if found is false. A transaction with this condition changes nothing if another
+// transaction changes the key first.
 func UnchangedCondition(key string, value paxos.Value, found bool) paxos.Condition {
 	if found {
 		return paxos.Condition{Key: key, Equals: value}
@@ -22,7 +23,7 @@
 	return paxos.Condition{Key: key, Absent: true}
 }
 
-// Unchanged is the condition that a row is stored as it was read.
+// Unchanged returns the condition that the row is still stored as it was read.
 func (r StoredRow) Unchanged() paxos.Condition {
 	return UnchangedCondition(r.Key, paxos.Bytes(r.Raw), true)
 }
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -9,26 +9,28 @@
 	"comethold/internal/rpc"
 )
 
-// Bounds of the outbox.
+// Limits on the number of rows in the outbox.
 const (
-	// MaxPublishedRows bounds the rows that every control node has received.
+	// MaxPublishedRows is the limit for published rows, which every control node has received.
 	MaxPublishedRows = 128
-	// MaxUnsentRows bounds the other rows. Older ones may be dropped, since the state
-	// already contains the changes that they announce.
+	// MaxUnsentRows is the limit for all other rows. The oldest are dropped beyond it, because
+	// the state already contains the changes that they announce.
 	MaxUnsentRows = 128
-	// MaxOutboxRows bounds all rows, between two sweeps of the publisher.
+	// MaxOutboxRows is the limit for all rows. It leaves room for rows that are added between two
+	// clean-ups by the publisher.
 	MaxOutboxRows = MaxPublishedRows + MaxUnsentRows + 64
 )
 
-// StoredRow is a row of the outbox under its key.
+// StoredRow is an outbox row with its key and its stored encoding.
 type StoredRow struct {
 	Key string
-	Raw []byte // as it is stored
+	Raw []byte // encoding of Row as stored
 	Row outbox.Row
 }
 
-// DecodeRow reads a row. A purge gets its version and its event ID from the log index at
-// which it was appended.
+// DecodeRow decodes a row, and reports false if the encoding is invalid. The version and the
+// event ID of a purge notification are not stored: they are derived from the key, which contains
+// the log index at which the row was appended.
 func DecodeRow(key string, raw []byte) (stored StoredRow, ok bool) {
 	stored = StoredRow{Key: key, Raw: raw}
 	if rpc.Unmarshal(raw, &stored.Row) != nil {
@@ -50,7 +52,7 @@
 	return readRows(replica, UsageReportKeyPrefix)
 }
 
-// UsageReportKey is the key of the report of a window.
+// UsageReportKey returns the key of the usage report of a window.
 func UsageReportKey(window uint64) string {
 	return fmt.Sprintf("%s%020d", UsageReportKeyPrefix, window)
 }
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -11,7 +11,7 @@
 	"comethold/internal/rpc"
 )
 
-// Bounds of the receipts. Together they cover at least the last
+// Limits on the number of stored receipts. Receipts and archives cover at least the last
 // MaxReceipts + ReceiptsPerArchive·(MaxReceiptArchives-1) changes.
 const (
 	MaxReceipts        = 128
@@ -19,19 +19,20 @@
 	MaxReceiptArchives = 64
 )
 
-// archivedFingerprintBytes is how much of a fingerprint is archived.
+// archivedFingerprintBytes is the number of leading bytes of a fingerprint that are archived.
 const archivedFingerprintBytes = 8
 
-// ArchivedReceipt is the short form of an old receipt.
+// ArchivedReceipt is the compact form of an old receipt.
 type ArchivedReceipt struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64
 	Base        uint64
-	Fingerprint []byte // the first bytes of it
+	Fingerprint []byte // the first archivedFingerprintBytes bytes
 }
 
-// ReceiptKey is the idempotency key of a change of the configuration. The operator sends
-// none, so it is made of the version and the one that the change builds on.
+// ReceiptKey returns the key of the receipt of a configuration change. Operators send no
+// idempotency key, so it is derived from the new version and the base version, which the change
+// replaces.
 func ReceiptKey(version, base uint64) string {
 	return fmt.Sprintf("%s%s/%020d/%d", ReceiptKeyPrefix, outbox.AggregateConfiguration, version, base)
 }
@@ -45,11 +46,12 @@
 	return nil
 }
 
-// CheckReplay looks up whether a change was committed, or another one under its version and
-// base. forgotten says that the change is older than all receipts, so that neither is known.
+// CheckReplay reports whether a configuration change was committed before, or a different change
+// with the same version and base. tooOld reports that the receipts of this version have been
+// deleted, so that use can't be determined and is KeyUnused.
 func CheckReplay(
 	replica *paxos.Replica, version, base uint64, fingerprint []byte,
-) (use outbox.KeyUse, forgotten bool) {
+) (use outbox.KeyUse, tooOld bool) {
 	if receipt := readReceipt(replica, ReceiptKey(version, base)); receipt != nil {
 		return receipt.Compare(fingerprint), false
 	}
@@ -73,7 +75,7 @@
 	return outbox.KeyUnused, false
 }
 
-// ReceiptArchiveKey is the key of the archive that begins with a version.
+// ReceiptArchiveKey returns the key of the archive whose lowest version is first.
 func ReceiptArchiveKey(first uint64) string {
 	return fmt.Sprintf("%s%020d", ReceiptArchiveKeyPrefix, first)
 }
@@ -85,9 +87,10 @@
 	return archive
 }
 
-// compactReceipts archives the oldest receipts once there are enough of them, and deletes the
-// oldest archive if there are too many. Its operations need no condition of their own: their
-// transaction is conditioned on the version, and receipts change only with the version.
+// compactReceipts returns the operations that move the oldest ReceiptsPerArchive receipts into an
+// archive, if that leaves at least MaxReceipts, and delete the oldest archive if there are too
+// many. The operations need no separate condition: their transaction is conditioned on the
+// configuration version, and receipts change only together with that version.
 func compactReceipts(replica *paxos.Replica) (ops []paxos.Op) {
 	keys := replica.KeysWithPrefix(ReceiptKeyPrefix, ReceiptKeyPrefix)
 	if len(keys) < MaxReceipts+ReceiptsPerArchive {
@@ -104,11 +107,11 @@
 		key := ReceiptArchiveKey(archive[0].Version)
 		ops = append(ops, PutOp(key, archive))
 	}
-	return append(ops, forgetOldestArchive(replica)...)
+	return append(ops, deleteOldestArchive(replica)...)
 }
 
-// archiveReceipt returns the short form of the receipt under a key. It reports false if the
-// receipt can't be read.
+// archiveReceipt returns the compact form of the receipt under a key. It reports false if the
+// receipt or its key can't be decoded.
 func archiveReceipt(replica *paxos.Replica, key string) (archived ArchivedReceipt, ok bool) {
 	receipt := readReceipt(replica, key)
 	versions := strings.TrimPrefix(key, ReceiptKeyPrefix+outbox.AggregateConfiguration+"/")
@@ -124,9 +127,9 @@
 	}, true
 }
 
-// forgetOldestArchive deletes the oldest archive if there are too many, and records the last
-// version in it.
-func forgetOldestArchive(replica *paxos.Replica) (ops []paxos.Op) {
+// deleteOldestArchive returns the operations that delete the oldest archive, if there are too
+// many, and record the highest version in it under ReceiptsDeletedKey.
+func deleteOldestArchive(replica *paxos.Replica) (ops []paxos.Op) {
 	archives := replica.KeysWithPrefix(ReceiptArchiveKeyPrefix, ReceiptArchiveKeyPrefix)
 	if len(archives) < MaxReceiptArchives {
 		return nil
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -16,10 +16,10 @@
 	return outbox.Digest(strconv.AppendUint(nil, version, 10))
 }
 
-// TestReceiptsOfOldChanges: a change that was committed thousands of changes ago is known
-// still, with its content; one that is older than that is not taken for one that was
-// rejected.
-func TestReceiptsOfOldChanges(t *testing.T) {
+// TestCheckReplayOfOldChanges checks that a change is recognized thousands of changes later, and
+// that a change whose receipt was deleted is reported as too old. Otherwise, a committed change
+// would be taken for one that was rejected.
+func TestCheckReplayOfOldChanges(t *testing.T) {
 	const changes = 5000
 	cell := schematest.NewCell(t)
 	replica := cell.Replica()
@@ -31,43 +31,44 @@
 			Raw:         []byte("{}"),
 			Fingerprint: fingerprintOf(version),
 		})
-		txn.Ops = slices.DeleteFunc(txn.Ops, isAppend) // nobody sweeps the outbox here
+		txn.Ops = slices.DeleteFunc(txn.Ops, isAppend) // no publisher removes outbox rows in this test
 		if !cell.Commit(txn) {
-			t.Fatalf("%d is not committed", version)
+			t.Fatalf("the change to version %d was not committed", version)
 		}
 	}
-	known := 0
+	recognized := 0
 	for version := uint64(3); version <= 3*changes; version += 3 {
 		base := baseOf(version)
-		use, forgotten := schema.CheckReplay(replica, version, base, fingerprintOf(version))
-		otherContent, forgotten2 := schema.CheckReplay(replica, version, base, fingerprintOf(version+1))
+		use, tooOld := schema.CheckReplay(replica, version, base, fingerprintOf(version))
+		otherContent, otherTooOld := schema.CheckReplay(replica, version, base, fingerprintOf(version+1))
 		otherBase, _ := schema.CheckReplay(replica, version, base+1, fingerprintOf(version))
 		otherVersion, _ := schema.CheckReplay(replica, version+1, base, fingerprintOf(version+1))
-		if forgotten != forgotten2 || forgotten && known > 0 {
-			t.Fatalf("%d: forgotten is %v, after newer ones", version, forgotten)
+		if tooOld != otherTooOld || tooOld && recognized > 0 {
+			t.Fatalf("CheckReplay(%d): tooOld is %v, want the same for any content, and false after a recognized version",
+				version, tooOld)
 		}
-		if forgotten {
+		if tooOld {
 			continue
 		}
-		known++
+		recognized++
 		if use != outbox.KeyRepeated || otherContent != outbox.KeyConflicting ||
 			otherBase != outbox.KeyUnused || otherVersion != outbox.KeyUnused {
-			t.Fatalf("%d: %v, other content %v, other base %v, other version %v",
+			t.Fatalf("CheckReplay(%d) = %v, other content %v, base %v, version %v; want repeated, conflicting, unused, unused",
 				version, use, otherContent, otherBase, otherVersion)
 		}
 	}
 	atLeast := schema.MaxReceipts + schema.ReceiptsPerArchive*(schema.MaxReceiptArchives-1)
-	if known < atLeast || known == changes {
-		t.Errorf("%d changes are remembered", known)
+	if recognized < atLeast || recognized == changes {
+		t.Errorf("CheckReplay recognized %d changes, want at least the guaranteed number, and not all", recognized)
 	}
 	size := receiptBytes(replica)
-	t.Logf("%d changes are remembered in %d bytes", known, size)
+	t.Logf("%d changes are recognized from %d bytes of receipts", recognized, size)
 	if size > 128<<10 {
-		t.Errorf("they take %d bytes", size)
+		t.Errorf("receipts and archives take %d bytes, want at most 128 KiB", size)
 	}
 }
 
-// receiptBytes is how much of the state remembers changes.
+// receiptBytes returns the size of all receipts and archives in the state, keys included.
 func receiptBytes(replica *paxos.Replica) (size int) {
 	prefixes := []string{schema.ReceiptKeyPrefix, schema.ReceiptArchiveKeyPrefix, schema.ReceiptsDeletedKey}
 	for _, prefix := range prefixes {
--- a/internal/controlplane/schema/records.go
+++ b/internal/controlplane/schema/records.go
@@ -11,34 +11,34 @@
 	"comethold/internal/rpc"
 )
 
-// IndexRecord lists an index cell in the meta cell.
+// IndexRecord describes an index cell. It is stored in the meta cell.
 type IndexRecord struct {
-	Voters   []paxos.Voter `cbor:"1,keyasint"` // the first voters of the cell
+	Voters   []paxos.Voter `cbor:"1,keyasint"` // initial voters of the cell
 	Routes   []string      `cbor:"2,keyasint"` // names of the routes, sorted
-	Services []string      `cbor:"3,keyasint"` // that these routes share, sorted
+	Services []string      `cbor:"3,keyasint"` // names of the services that these routes share, sorted
 }
 
-// ShardSetRecord lists the services and routes of an index cell as of a configuration.
+// ShardSetRecord holds the services and routes that a configuration assigns to an index cell.
 type ShardSetRecord struct {
-	Version  uint64   `cbor:"1,keyasint"` // of the configuration
+	Version  uint64   `cbor:"1,keyasint"` // version of the configuration
 	Services []string `cbor:"2,keyasint"`
 	Routes   []string `cbor:"3,keyasint"`
 }
 
-// LeaseRecord is a lease and its owner.
+// LeaseRecord is the stored state of a lease.
 type LeaseRecord struct {
-	Owner paxos.ReplicaID `cbor:"1,keyasint"` // the owner; empty if the lease is free
-	// Term is the fencing token. It rises each time the lease is acquired.
+	Owner paxos.ReplicaID `cbor:"1,keyasint"` // empty if the lease is free
+	// Term is the fencing token. It increases each time the lease is acquired.
 	Term uint64 `cbor:"2,keyasint"`
-	// Renewals rises each time the lease is renewed or released.
+	// Renewals increases each time the lease is renewed or released.
 	Renewals uint64 `cbor:"3,keyasint"`
 }
 
-// IndexCellName is the name of the index cell with a number.
+// IndexCellName returns the name of the index cell with the given number.
 func IndexCellName(number int64) string { return "i" + strconv.FormatInt(number, 10) }
 
-// MustEncode returns a record as a value. It panics if the record can't be encoded, which a
-// record of ours always can.
+// MustEncode encodes a record as a value. It panics on an encoding error, which can't occur for
+// the record types of the control plane.
 func MustEncode(record any) paxos.Value {
 	raw, err := rpc.Marshal(record)
 	if err != nil {
@@ -47,24 +47,25 @@
 	return paxos.Bytes(raw)
 }
 
-// EqualEncoding reports whether two records are stored as the same bytes.
+// EqualEncoding reports whether two records have the same encoding.
 func EqualEncoding(a, b any) bool {
 	encodedA, errA := rpc.Marshal(a)
 	encodedB, errB := rpc.Marshal(b)
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// UintValue returns a number as a value.
+// UintValue returns an integer value.
 func UintValue(n uint64) paxos.Value { return paxos.Value{Int: new(big.Int).SetUint64(n)} }
 
-// LogIndexOfKey reads the log index out of the key of an appended value.
+// LogIndexOfKey returns the log index in the key of an appended value (see paxos.AppendedKey), or
+// 0 if the key contains no number after the prefix.
 func LogIndexOfKey(key, prefix string) uint64 {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	index, _ := strconv.ParseUint(digits, 10, 64)
 	return index
 }
 
-// ReadNodes lists the registered nodes.
+// ReadNodes returns the registered nodes. Records that can't be decoded are skipped.
 func ReadNodes(replica *paxos.Replica) []distribution.Node {
 	var nodes []distribution.Node
 	for _, key := range replica.Keys() {
@@ -79,7 +80,8 @@
 	return nodes
 }
 
-// ReadIndexes returns the index cells by name.
+// ReadIndexes returns the records of the index cells by cell name. Records that can't be decoded
+// are skipped.
 func ReadIndexes(replica *paxos.Replica) map[string]IndexRecord {
 	indexes := map[string]IndexRecord{}
 	for _, key := range replica.Keys() {
@@ -94,8 +96,8 @@
 	return indexes
 }
 
-// ReadEjections returns the services of an index cell, and which of their endpoints are
-// ejected or draining.
+// ReadEjections returns the services of an index cell and the marks of those of their endpoints
+// that are ejected or draining.
 func ReadEjections(cell string, replica *paxos.Replica) distribution.EjectionMarks {
 	marks := distribution.EjectionMarks{
 		IndexName: cell,
--- a/internal/controlplane/schema/redrive.go
+++ b/internal/controlplane/schema/redrive.go
@@ -6,20 +6,20 @@
 	"comethold/internal/paxos"
 )
 
-// MaxRedriveRecords bounds the stored redrives; the oldest are deleted first.
+// MaxRedriveRecords is the maximum number of stored redrive requests. The oldest are deleted first.
 const MaxRedriveRecords = 256
 
-// Actions of a redrive.
+// Actions of a redrive request.
 const (
 	RedriveResend = "resend"
 	RedriveClose  = "close"
 )
 
-// ErrInvalidRedrive says which fields a redrive must have.
+// ErrInvalidRedrive is returned for a redrive request with a missing field or an unknown action.
 var ErrInvalidRedrive = errors.New("a redrive names eventId, operator, correlationId and action (resend or close)")
 
-// RedriveRequest is an operator's request to send a notification once more, or to close the
-// case of one that is quarantined. It is stored unchanged.
+// RedriveRequest is an operator's request to send a notification again (RedriveResend), or to
+// remove one from quarantine (RedriveClose). It is stored unchanged.
 type RedriveRequest struct {
 	EventID       string `json:"eventId" cbor:"1,keyasint"`
 	Operator      string `json:"operator" cbor:"2,keyasint"`
@@ -28,19 +28,20 @@
 }
 
 // Validate returns ErrInvalidRedrive if a field is missing or the action is unknown.
-func (d *RedriveRequest) Validate() error {
-	isKnownAction := d.Action == RedriveResend || d.Action == RedriveClose
-	if d.EventID == "" || d.Operator == "" || d.CorrelationID == "" || !isKnownAction {
+func (r *RedriveRequest) Validate() error {
+	isKnownAction := r.Action == RedriveResend || r.Action == RedriveClose
+	if r.EventID == "" || r.Operator == "" || r.CorrelationID == "" || !isKnownAction {
 		return ErrInvalidRedrive
 	}
 	return nil
 }
 
-// RedriveTransaction makes the transaction of a redrive: it stores the request and puts the
-// outbox row back into the pending state, with its notification unchanged. known is false if
-// neither an outbox row nor a quarantined notification has this event ID. done says that the
-// same request is stored already. If another redrive is committed first, the key of the
-// record exists and the transaction changes nothing.
+// RedriveTransaction returns the transaction that stores a redrive request and carries it out.
+// RedriveResend sets the outbox row back to pending, with its notification unchanged;
+// RedriveClose deletes the quarantine record. known is false if neither an outbox row nor a
+// quarantined notification has the event ID. done is true if the same request is already stored.
+// If another redrive is committed first, the key of the record exists and the transaction changes
+// nothing.
 func RedriveTransaction(replica *paxos.Replica, request *RedriveRequest) (txn paxos.Txn, known, done bool) {
 	encoded := MustEncode(request)
 	records := replica.KeysWithPrefix(RedriveKeyPrefix, RedriveKeyPrefix)
--- a/internal/controlplane/schema/shardsets.go
+++ b/internal/controlplane/schema/shardsets.go
@@ -7,12 +7,12 @@
 	"comethold/internal/routing"
 )
 
-// groupSeparator stands between the services that make up the key of a group.
+// groupSeparator separates the service names in the key of a group.
 const groupSeparator = "\x00"
 
-// GroupRoutesByServices groups the routes of a configuration into shard sets: the routes
-// that name the same services. The key of a group is its sorted services; see
-// ServicesOfGroup.
+// GroupRoutesByServices groups the routes of a configuration into shard sets: routes that name the
+// same services form a group. It returns the sorted names of the routes by the key of their group,
+// which consists of the sorted service names; see ServicesOfGroup.
 func GroupRoutesByServices(config *routing.Configuration) map[string][]string {
 	groups := map[string][]string{}
 	for i := range config.Routes {
@@ -27,13 +27,14 @@
 	return groups
 }
 
-// ServicesOfGroup returns the services that make up the key of a group.
+// ServicesOfGroup returns the service names in the key of a group.
 func ServicesOfGroup(key string) []string { return strings.Split(key, groupSeparator) }
 
-// AssignIndexes decides which index cell each group of routes belongs to. An index follows
-// its routes: a group keeps the index with which it shares the most routes, then the one
-// that has its services. It returns the index cells that are kept, with their groups, the
-// groups that need a new index cell, and the index cells to remove.
+// AssignIndexes assigns the existing index cells to groups of routes. Pairs of a cell and a group
+// are matched in the order of the number of routes that they share; matching services decide
+// between equal numbers, and can match a pair without shared routes. kept maps the name of each
+// cell that remains to its group. added lists the groups that need a new cell, and removed the
+// cells that no group needs.
 func AssignIndexes(
 	old map[string]IndexRecord, groups map[string][]string,
 ) (kept map[string]string, added, removed []string) {
@@ -60,14 +61,14 @@
 	return kept, added, removed
 }
 
-// indexCandidate is an index cell that may serve a group.
+// indexCandidate is a possible assignment of an index cell to a group.
 type indexCandidate struct {
 	index, group string
 	// weight is twice the number of shared routes, plus one if the services are the same.
 	weight int
 }
 
-// indexCandidates lists the candidates, best first.
+// indexCandidates returns the possible assignments, in order of decreasing weight.
 func indexCandidates(old map[string]IndexRecord, groups map[string][]string) []indexCandidate {
 	indexOfRoute := map[string]string{}
 	for index, record := range old {
--- a/internal/controlplane/schema/shardsets_test.go
+++ b/internal/controlplane/schema/shardsets_test.go
@@ -7,7 +7,9 @@
 	"comethold/internal/controlplane/schema"
 )
 
-// TestAssignIndexes: an index cell follows its routes, then its services.
+// TestAssignIndexes checks that a configuration change keeps the index cell of a group if the group
+// has most of the cell's routes, or else the same services. Otherwise, a change would replace cells
+// that are still needed.
 func TestAssignIndexes(t *testing.T) {
 	old := map[string]schema.IndexRecord{
 		"i1": {Routes: []string{"r1", "r2", "r3"}, Services: []string{"a"}},
@@ -35,7 +37,7 @@
 			removed: "[]",
 		},
 		{
-			name:    "the services keep the index where the routes are new",
+			name:    "an index without remaining routes is kept for its services",
 			groups:  map[string][]string{"a": {"r1"}, "b": {"r8"}},
 			kept:    "map[i1:a i2:b]",
 			added:   "[]",
@@ -49,7 +51,7 @@
 			removed: "[]",
 		},
 		{
-			name:    "all are gone",
+			name:    "all routes are removed",
 			groups:  nil,
 			kept:    "map[]",
 			added:   "[]",
@@ -58,7 +60,8 @@
 	} {
 		kept, added, removed := schema.AssignIndexes(old, c.groups)
 		if fmt.Sprint(kept) != c.kept || fmt.Sprint(added) != c.added || fmt.Sprint(removed) != c.removed {
-			t.Errorf("%s: kept %v, added %v, removed %v", c.name, kept, added, removed)
+			t.Errorf("%s: AssignIndexes returned kept %v, added %v, removed %v, want the values of the case",
+				c.name, kept, added, removed)
 		}
 	}
 }
