--- a/internal/controlplane/endpointlist/endpointlist_test.go
+++ b/internal/controlplane/endpointlist/endpointlist_test.go
@@ -16,23 +16,23 @@
 	"comethold/internal/logging"
 )
 
-var errPlatform = errors.New("the platform is down")
+var errPlatform = errors.New("the platform is unavailable")
 
-// testPlatform answers as set, and calls during, if set, before it does.
+// testPlatform returns the given list and error. If onList is set, it is called first.
 type testPlatform struct {
 	endpoints []distribution.Endpoint
 	err       error
-	during    func()
+	onList    func()
 }
 
 func (p *testPlatform) List(context.Context) ([]distribution.Endpoint, error) {
-	if p.during != nil {
-		p.during()
+	if p.onList != nil {
+		p.onList()
 	}
 	return p.endpoints, p.err
 }
 
-// testLease is held under a term, or not if that is 0.
+// testLease is held under the given term, or not held if the term is 0.
 type testLease struct {
 	term    uint64
 	yielded int
@@ -45,12 +45,12 @@
 	l.term = 0
 }
 
-// testPeers has one other control node, which keeps the calls that it gets.
+// testPeers has one peer, and records the calls to it.
 type testPeers struct {
 	mu    sync.Mutex
-	held  distribution.Revision
+	held  distribution.Revision // revision that the peer holds
 	calls []string
-	list  *distribution.EndpointList // that it hands out
+	list  *distribution.EndpointList // answer to PathFetch
 }
 
 func (p *testPeers) Do(task func()) { task() }
@@ -74,7 +74,7 @@
 	list, isList := request.(*distribution.EndpointList)
 	held, isRevision := response.(*distribution.Revision)
 	if !isList || !isRevision {
-		return errors.New("not a push")
+		return errors.New("a push must send an endpoint list and receive a revision")
 	}
 	if list.Endpoints == nil {
 		p.calls = append(p.calls, address+" revision")
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// takeCalls returns the calls since it was called last.
+// takeCalls returns and clears the recorded calls.
 func (p *testPeers) takeCalls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,14 +95,14 @@
 	return calls
 }
 
-// testPoller is a poller with all that it looks at.
+// testPoller is a Poller with fakes of its dependencies and a real store.
 type testPoller struct {
 	*Poller
 	platform testPlatform
 	lease    testLease
 	store    *distributor.Distributor
 	peers    testPeers
-	changes  int
+	changes  int // calls of OnChange
 }
 
 func newTestPoller() *testPoller {
@@ -119,7 +119,7 @@
 	return p
 }
 
-// pollOnce polls and waits for what it begins.
+// pollOnce polls once and waits for the broadcast that the poll starts.
 func (p *testPoller) pollOnce(t *testing.T) time.Duration {
 	t.Helper()
 	pause := p.poll(t.Context())
@@ -127,32 +127,33 @@
 	return pause
 }
 
-// TestPollerBroadcasts: a list that is new goes to the other control nodes as a whole; of
-// one that is unchanged they are sent the revision, and get the whole if theirs is older.
+// TestPollerBroadcasts checks that a new list is sent to the peers in full, that only the revision
+// of an unchanged list is sent, and that the list follows if the peer's revision is older.
+// Otherwise, a peer that restarts or misses a broadcast would keep an old list.
 func TestPollerBroadcasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPoller()
 		p.platform.endpoints = []distribution.Endpoint{{ID: "a"}}
-		check := func(when string, sequence uint64, changes int, calls ...string) {
+		check := func(name string, sequence uint64, changes int, calls ...string) {
 			t.Helper()
 			p.pollOnce(t)
 			if got := p.store.EndpointsRevision(); got != (distribution.Revision{Term: p.lease.term, Sequence: sequence}) {
-				t.Errorf("%s: the revision is %v", when, got)
+				t.Errorf("%s: the stored revision is %v, want the current term and sequence %d", name, got, sequence)
 			}
 			if p.changes != changes {
-				t.Errorf("%s: %d changes", when, p.changes)
+				t.Errorf("%s: OnChange was called %d times in total, want %d", name, p.changes, changes)
 			}
 			if got := p.peers.takeCalls(); !slices.Equal(got, calls) {
-				t.Errorf("%s: called are %v", when, got)
+				t.Errorf("%s: the calls to peers were %v, want %v", name, got, calls)
 			}
 		}
 		check("a new list", 1, 1, "peer list")
 		check("unchanged", 1, 1)
 		time.Sleep(revisionInterval)
-		check("unchanged for a while", 1, 1, "peer revision")
+		check("unchanged for revisionInterval", 1, 1, "peer revision")
 		time.Sleep(revisionInterval)
 		p.peers.held = distribution.Revision{}
-		check("unchanged, and the peer has lost it", 1, 1, "peer revision", "peer list")
+		check("unchanged, and the peer has lost the list", 1, 1, "peer revision", "peer list")
 		p.platform.endpoints = nil
 		check("an empty list", 2, 2, "peer list")
 		p.lease.term = 2
@@ -160,61 +161,65 @@
 	})
 }
 
-// TestPollerYields: after some polls in a row that fail another node may try, unless it is
-// the rate limit that they fail by.
-func TestPollerYields(t *testing.T) {
+// TestPollerYieldsLease checks that the lease is yielded after maxPollFailures consecutive failures,
+// but not if the platform's rate limit rejects the polls. Without the yield, a node that can't
+// reach the platform would keep the lease.
+func TestPollerYieldsLease(t *testing.T) {
 	p := newTestPoller()
 	p.platform.err = discovery.ErrRateLimited
 	for range 2 * maxPollFailures {
 		p.pollOnce(t)
 	}
 	if p.lease.yielded != 0 {
-		t.Error("yielded at the rate limit")
+		t.Error("the lease was yielded after rate-limited polls, want no yield")
 	}
 	p.platform.err = nil
 	p.pollOnce(t)
 	p.platform.err = errPlatform
 	for i := range maxPollFailures {
 		if p.lease.yielded != 0 {
-			t.Errorf("yielded after %d failures", i)
+			t.Errorf("the lease was yielded after %d failed polls, want a yield only after maxPollFailures", i)
 		}
 		if pause := p.pollOnce(t); pause != p.interval/2 {
-			t.Errorf("a failed poll is made again after %v", pause)
+			t.Errorf("the pause after a failed poll is %v, want half of the interval", pause)
 		}
 	}
 	if p.lease.yielded != 1 {
-		t.Errorf("yielded %d times", p.lease.yielded)
+		t.Errorf("the lease was yielded %d times after maxPollFailures failed polls, want once", p.lease.yielded)
 	}
 	if pause := p.pollOnce(t); pause != leaseCheckInterval {
-		t.Errorf("without the lease, the next look is after %v", pause)
+		t.Errorf("the pause without the lease is %v, want leaseCheckInterval", pause)
 	}
 }
 
-// TestPollerLosesLease: a list that comes after the lease has ended, or has been taken anew,
-// is not stored.
-func TestPollerLosesLease(t *testing.T) {
+// TestPollerDiscardsListAfterLeaseLoss checks that a list is neither stored nor broadcast if the
+// lease ends, or is acquired again under another term, while the platform is being polled.
+// Otherwise, a node that is no longer the owner would publish a list under an old term.
+func TestPollerDiscardsListAfterLeaseLoss(t *testing.T) {
 	for _, term := range []uint64{0, 2} {
 		p := newTestPoller()
 		p.platform.endpoints = []distribution.Endpoint{{ID: "a"}}
-		p.platform.during = func() { p.lease.term = term }
+		p.platform.onList = func() { p.lease.term = term }
 		p.pollOnce(t)
 		if list := p.store.Endpoints(); list != nil || len(p.peers.takeCalls()) > 0 {
-			t.Errorf("then held under %d: %v is stored", term, list)
+			t.Errorf("after the term changed to %d during a poll, the stored list is %v, want no list and no broadcast",
+				term, list)
 		}
 	}
 }
 
-// TestFetcher: a newer list of a peer is fetched, unless the poller's broadcast comes first.
-func TestFetcher(t *testing.T) {
+// TestFetcherWaitsForBroadcast checks that a newer list of a peer is fetched once, unless the
+// poller's broadcast arrives first. Otherwise, each new list would be transferred twice.
+func TestFetcherWaitsForBroadcast(t *testing.T) {
 	newer := distribution.Revision{Term: 1, Sequence: 2}
 	for _, c := range []struct {
 		name      string
-		broadcast time.Duration // when it comes
+		broadcast time.Duration // time of its arrival
 		want      []string
 	}{
 		{"no broadcast", time.Hour, []string{"peer fetch"}},
-		{"a broadcast", fetchDelay / 2, nil},
-		{"a broadcast before", 0, nil},
+		{"broadcast during fetchDelay", fetchDelay / 2, nil},
+		{"broadcast before the peer revision", 0, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -230,17 +235,17 @@
 					timer := time.AfterFunc(c.broadcast, func() { store.SetEndpoints(list) })
 					defer timer.Stop()
 				}
-				for range 3 { // the peer says so again and again
+				for range 3 { // the peer reports its revision repeatedly
 					fetcher.OnPeerRevision("peer", newer)
 				}
 				time.Sleep(2 * fetchDelay)
 				cancel()
 				synctest.Wait()
 				if got := peers.takeCalls(); !slices.Equal(got, c.want) {
-					t.Errorf("called are %v", got)
+					t.Errorf("the calls to peers were %v, want %v", got, c.want)
 				}
 				if got := store.EndpointsRevision(); got != newer {
-					t.Errorf("the revision is %v", got)
+					t.Errorf("the stored revision is %v, want %v", got, newer)
 				}
 			})
 		})
--- a/internal/controlplane/endpointlist/fetcher.go
+++ b/internal/controlplane/endpointlist/fetcher.go
@@ -9,21 +9,22 @@
 	"comethold/internal/distribution"
 )
 
-// fetchDelay is how long a node waits for the poller's broadcast before it fetches a list
-// from a peer.
+// fetchDelay is the time for which a node waits for the poller's broadcast before it fetches a
+// newer list from a peer.
 const fetchDelay = 300 * time.Millisecond
 
-// Fetcher fetches newer lists from peers, in case the poller can't reach this node.
+// Fetcher fetches newer lists from peers, because a broadcast of the poller may fail to reach this
+// node.
 type Fetcher struct {
 	store Store
 	peers Peers
 
-	stopping   chan struct{} // closed when Run ends
+	stopping   chan struct{} // closed when the context of Run is done
 	isFetching atomic.Bool
 	background taskgroup.Group
 }
 
-// NewFetcher makes a fetcher. Run must be called to end its fetches.
+// NewFetcher returns a Fetcher. Run must be called, because it ends the background fetches.
 func NewFetcher(store Store, peers Peers) *Fetcher {
 	return &Fetcher{store: store, peers: peers, stopping: make(chan struct{})}
 }
@@ -35,8 +36,8 @@
 	f.background.Close()
 }
 
-// OnPeerRevision is called with the revision that a peer holds. If it is newer, the list is
-// fetched in the background, one at a time.
+// OnPeerRevision handles the revision that the peer at an address holds. If it is newer than the
+// stored one and no other fetch is running, the list is fetched in the background.
 func (f *Fetcher) OnPeerRevision(address string, revision distribution.Revision) {
 	if !f.store.EndpointsRevision().Less(revision) || !f.isFetching.CompareAndSwap(false, true) {
 		return
@@ -54,7 +55,7 @@
 		return
 	}
 	if !f.store.EndpointsRevision().Less(revision) {
-		return // the broadcast has arrived
+		return // the broadcast arrived during the delay
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/controlplane/endpointlist/poller.go
+++ b/internal/controlplane/endpointlist/poller.go
@@ -2,8 +2,8 @@
 // of a lease polls the platform and broadcasts the list; the others receive it, or fetch it
 // from a peer that has a newer one.
 //
-// The revision of a list is the term of the lease and a sequence number, so all nodes agree
-// on which of two lists is newer.
+// The revision of a list consists of the term of the lease and a sequence number, so that all
+// nodes agree on which of two lists is newer.
 package endpointlist
 
 import (
@@ -19,7 +19,7 @@
 	"comethold/internal/logging"
 )
 
-// Paths between control nodes.
+// Paths of the requests between control nodes.
 const (
 	PathPush  = "/list"      // sends a list, or only its revision; returns the revision held
 	PathFetch = "/list/read" // returns the list held
@@ -28,13 +28,14 @@
 // Timing of the poller. The reasons for these values are in docs/design.md.
 const (
 	minPollInterval = 800 * time.Millisecond
-	// leaseCheckInterval is how often a node without the lease checks whether it has it now.
+	// leaseCheckInterval is the interval at which a node without the lease checks whether it has
+	// acquired it.
 	leaseCheckInterval = minPollInterval / 4
 	// pollFraction is the interval between two polls as a fraction of the drain time-out.
 	pollFraction = 0.3
-	// listTimeout is for all pages of a list; each page has its own time-out.
+	// listTimeout limits the request of all pages of a list; each page has a shorter time-out.
 	listTimeout = 10 * time.Second
-	// revisionInterval is how often the revision of an unchanged list is sent to peers.
+	// revisionInterval is the interval at which the revision of an unchanged list is sent to peers.
 	revisionInterval = time.Second
 	callTimeout      = time.Second
 )
@@ -47,21 +48,22 @@
 	List(ctx context.Context) ([]distribution.Endpoint, error)
 }
 
-// Lease is the lease of the node that polls.
+// Lease is the lease whose owner polls the platform. *lease.Lease implements it.
 type Lease interface {
+	// Held reports whether this node holds the lease, and under which term.
 	Held() (term uint64, held bool)
-	// Yield releases the lease and lets others acquire it first.
+	// Yield releases the lease and gives other nodes time to acquire it first.
 	Yield(ctx context.Context)
 }
 
-// Store holds the list on this node. *distributor.Distributor implements it.
+// Store holds the endpoint list on this node. *distributor.Distributor implements it.
 type Store interface {
 	Endpoints() *distribution.EndpointList
 	EndpointsRevision() distribution.Revision
 	SetEndpoints(list *distribution.EndpointList) distribution.Revision
 }
 
-// Peers are the other control nodes. *replicahost.Host implements it.
+// Peers provides access to the other control nodes. *replicahost.Host implements it.
 type Peers interface {
 	Do(task func())
 	PeerAddresses() []string
@@ -69,14 +71,14 @@
 	CallPeer(ctx context.Context, address, path string, request, response any) error
 }
 
-// PollerOptions are what a Poller is made from.
+// PollerOptions are the dependencies and settings of a Poller.
 type PollerOptions struct {
 	Platform    Platform
 	Lease       Lease
 	Store       Store
 	Peers       Peers
-	SelfAddress string // of this node, to which the list is not sent
-	// DrainTimeout is the time within which a draining endpoint must get no more requests.
+	SelfAddress string // address of this node, which is excluded from broadcasts
+	// DrainTimeout is the time after which a draining endpoint must receive no more requests.
 	DrainTimeout time.Duration
 	// OnChange is called when the list has changed.
 	OnChange func()
@@ -87,15 +89,15 @@
 type Poller struct {
 	options      PollerOptions
 	interval     time.Duration
-	broadcasting sync.WaitGroup
+	broadcasting sync.WaitGroup // counts running broadcasts
 
-	// The fields below belong to Run.
+	// The fields below are accessed only by Run.
 
-	failures    int // consecutive
-	broadcastAt time.Time
+	failures    int       // consecutive failed polls
+	broadcastAt time.Time // when the last broadcast was started
 }
 
-// NewPoller makes a poller. Run starts it.
+// NewPoller returns a Poller. It polls only while Run is running.
 func NewPoller(options PollerOptions) *Poller {
 	interval := time.Duration(pollFraction * float64(options.DrainTimeout))
 	return &Poller{options: options, interval: max(minPollInterval, interval)}
@@ -129,8 +131,8 @@
 		return p.interval / 2
 	}
 	p.failures = 0
-	if now, held := p.options.Lease.Held(); !held || now != term {
-		return p.interval // the lease ended before the platform answered
+	if currentTerm, held := p.options.Lease.Held(); !held || currentTerm != term {
+		return p.interval // the lease was lost before the platform answered
 	}
 	isNew := p.update(term, endpoints)
 	if isNew || time.Since(p.broadcastAt) >= revisionInterval {
@@ -141,7 +143,7 @@
 	return p.interval
 }
 
-// list calls the platform. The call is not cancelled when the node stops.
+// list requests the endpoint list from the platform. The request is not cancelled when ctx is done.
 func (p *Poller) list(ctx context.Context) ([]distribution.Endpoint, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), listTimeout)
 	defer cancel()
@@ -155,15 +157,16 @@
 		Int("failures", p.failures).
 		Msg("the platform's endpoint list could not be read")
 	if p.failures >= maxPollFailures && !errors.Is(err, discovery.ErrRateLimited) {
-		p.options.Lease.Yield(ctx) // another node may reach the platform
+		p.options.Lease.Yield(ctx) // another node may be able to reach the platform
 		p.failures = 0
 	}
 }
 
-// update stores a list and reports whether it differs from the one held.
+// update stores a list if it differs from the stored one or its term does, and reports whether it
+// did so.
 func (p *Poller) update(term uint64, endpoints []distribution.Endpoint) bool {
 	if endpoints == nil {
-		endpoints = []distribution.Endpoint{} // nil would mean a revision without a list on the wire
+		endpoints = []distribution.Endpoint{} // on the wire, nil means a revision without a list
 	}
 	next := &distribution.EndpointList{
 		Revision:  distribution.Revision{Term: term, Sequence: 1},
--- a/internal/controlplane/nodereports/tracker.go
+++ b/internal/controlplane/nodereports/tracker.go
@@ -1,7 +1,7 @@
-// Package nodereports keeps the reports that nodes send with their requests for updates:
-// that they are live, which neighbours' heartbeats they miss, and which endpoints they found
-// faulty or healthy again. It decides nothing; the reconcilers write into the replicated
-// state what enough nodes agree on.
+// Package nodereports keeps the reports that nodes send with their update requests: that they
+// are live, which neighbours' heartbeats they miss, and which endpoints they found faulty or
+// healthy again. The reports are kept in memory for a few seconds. Reconcilers act on them: they
+// write the facts that enough nodes agree on into the replicated state.
 package nodereports
 
 import (
@@ -13,64 +13,67 @@
 
 // Lifetimes of reports. The reasons for these values are in docs/design.md.
 const (
-	ContactLifetime   = 3 * time.Second // of a node that calls
-	SuspicionLifetime = 4 * time.Second // of a neighbour's report that it misses a node
-	ReportLifetime    = 2 * time.Second // of a report on an endpoint's health
+	ContactLifetime   = 3 * time.Second // of the last request of a node
+	SuspicionLifetime = 4 * time.Second // of a report that a node's heartbeats are missing
+	ReportLifetime    = 2 * time.Second // of a report on the health of an endpoint
 )
 
 // MinReporters is the number of nodes that must report a suspicion or a fault before it takes
 // effect.
 const MinReporters = 2
 
-// Tracker holds the reports of the last few seconds. It is safe for concurrent use.
+// Tracker holds the reports until they expire. It is safe for concurrent use.
 type Tracker struct {
-	mu         sync.Mutex // guards the fields below
-	contacts   map[string]contact
-	suspicions map[string]witnesses // by the name of the suspected node
-	faults     map[string]*fault    // by endpoint
-	recoveries map[string]recovery  // by endpoint
+	mu         sync.Mutex             // guards the fields below
+	contacts   map[string]contact     // by node name
+	suspicions map[string]reportTimes // by the name of the suspected node
+	faults     map[string]*fault      // by endpoint
+	recoveries map[string]recovery    // by endpoint
 }
 
+// contact is the last request of a node.
 type contact struct {
 	node distribution.Node
 	at   time.Time
 }
 
-// witnesses holds, by node name, the time of the last report of the same fact.
-type witnesses map[string]time.Time
+// reportTimes holds the times of the last reports of one fact, by the name of the reporting node.
+type reportTimes map[string]time.Time
 
-// forget drops the witnesses that reported before a time.
-func (w witnesses) forget(before time.Time) {
-	for name, at := range w {
+// expire removes the reports that are older than a time.
+func (r reportTimes) expire(before time.Time) {
+	for name, at := range r {
 		if at.Before(before) {
-			delete(w, name)
+			delete(r, name)
 		}
 	}
 }
 
+// fault holds the reports that an endpoint is faulty.
 type fault struct {
-	reportedBy witnesses
-	last       distribution.HealthReport
+	reports reportTimes
+	last    distribution.HealthReport
 }
 
-// recovery is kept for ReportLifetime, in case the ejection can't be lifted at once.
+// recovery is a report that an endpoint is healthy again. It is kept for ReportLifetime, so that
+// a failed attempt to lift the ejection is repeated.
 type recovery struct {
 	report distribution.HealthReport
 	at     time.Time
 }
 
-// NewTracker makes an empty tracker.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		contacts:   map[string]contact{},
-		suspicions: map[string]witnesses{},
+		suspicions: map[string]reportTimes{},
 		faults:     map[string]*fault{},
 		recoveries: map[string]recovery{},
 	}
 }
 
-// Record records the contact with a node and its reports. isUrgent says that a reconciler
-// should run soon: the node is new, or the health of an endpoint is reported.
+// Record stores a node's request time and its reports. isUrgent is true if a reconciler should run
+// at once, because the node is new or reports on the health of an endpoint.
 func (t *Tracker) Record(request *distribution.UpdateRequest, now time.Time) (isUrgent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,11 +83,11 @@
 		t.contacts[reporter] = contact{node: request.Node, at: now}
 		isUrgent = !isKnown
 	}
-	for _, missed := range request.Suspects {
-		if t.suspicions[missed] == nil {
-			t.suspicions[missed] = witnesses{}
+	for _, suspect := range request.Suspects {
+		if t.suspicions[suspect] == nil {
+			t.suspicions[suspect] = reportTimes{}
 		}
-		t.suspicions[missed][reporter] = now
+		t.suspicions[suspect][reporter] = now
 	}
 	for _, report := range request.Reports {
 		isUrgent = true
@@ -102,9 +105,9 @@
 	}
 	delete(t.recoveries, endpoint)
 	if t.faults[endpoint] == nil {
-		t.faults[endpoint] = &fault{reportedBy: witnesses{}}
+		t.faults[endpoint] = &fault{reports: reportTimes{}}
 	}
-	t.faults[endpoint].reportedBy[reporter] = now
+	t.faults[endpoint].reports[reporter] = now
 	t.faults[endpoint].last = report
 }
 
@@ -130,17 +133,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts := map[string]int{}
-	for name, missedBy := range t.suspicions {
-		missedBy.forget(now.Add(-SuspicionLifetime))
-		counts[name] = len(missedBy)
-		if len(missedBy) == 0 {
+	for name, reports := range t.suspicions {
+		reports.expire(now.Add(-SuspicionLifetime))
+		counts[name] = len(reports)
+		if len(reports) == 0 {
 			delete(t.suspicions, name)
 		}
 	}
 	return counts
 }
 
-// ClearSuspicion drops the suspicions of a node that has answered.
+// ClearSuspicion removes the suspicions of a node that has answered a probe.
 func (t *Tracker) ClearSuspicion(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,8 +156,8 @@
 	Recoveries []distribution.HealthReport
 }
 
-// IsEmpty reports whether nothing is reported.
-func (h AgreedReports) IsEmpty() bool { return len(h.Faults)+len(h.Recoveries) == 0 }
+// IsEmpty reports whether there are no faults and no recoveries.
+func (r AgreedReports) IsEmpty() bool { return len(r.Faults)+len(r.Recoveries) == 0 }
 
 // AgreedReports returns the faults that at least MinReporters nodes reported within
 // ReportLifetime, and the recoveries that at least one node reported within it.
@@ -162,10 +165,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for endpoint, f := range t.faults {
-		f.reportedBy.forget(now.Add(-ReportLifetime))
-		if len(f.reportedBy) == 0 {
+		f.reports.expire(now.Add(-ReportLifetime))
+		if len(f.reports) == 0 {
 			delete(t.faults, endpoint)
-		} else if len(f.reportedBy) >= MinReporters {
+		} else if len(f.reports) >= MinReporters {
 			agreed.Faults = append(agreed.Faults, f.last)
 		}
 	}
@@ -179,14 +182,14 @@
 	return agreed
 }
 
-// Resolve drops reports that are now in the replicated state.
-func (t *Tracker) Resolve(done AgreedReports) {
+// Resolve removes the reports that have been applied to the replicated state.
+func (t *Tracker) Resolve(applied AgreedReports) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, report := range done.Faults {
+	for _, report := range applied.Faults {
 		delete(t.faults, report.EndpointID)
 	}
-	for _, report := range done.Recoveries {
+	for _, report := range applied.Recoveries {
 		delete(t.recoveries, report.EndpointID)
 	}
 }
--- a/internal/controlplane/nodereports/tracker_test.go
+++ b/internal/controlplane/nodereports/tracker_test.go
@@ -7,7 +7,7 @@
 	"comethold/internal/distribution"
 )
 
-// reportHealth has a node report on the endpoint "e".
+// reportHealth records a report by reporter on the health of the endpoint "e".
 func reportHealth(tracker *Tracker, reporter string, healthy bool, now time.Time) {
 	tracker.Record(&distribution.UpdateRequest{
 		Node:    distribution.Node{Name: reporter},
@@ -15,61 +15,62 @@
 	}, now)
 }
 
-// TestHealthNeedsWitnesses: a fault counts once two nodes report it within ReportLifetime; a
-// recovery that any node reports takes its place.
-func TestHealthNeedsWitnesses(t *testing.T) {
+// TestFaultRequiresTwoReporters checks that a fault is agreed only when two nodes report it within
+// ReportLifetime, and that a recovery reported by any node replaces it. Otherwise, a single node
+// with a faulty network could eject endpoints that are healthy.
+func TestFaultRequiresTwoReporters(t *testing.T) {
 	tracker := NewTracker()
 	now := time.Now()
 	reportHealth(tracker, "n1", false, now)
 	reportHealth(tracker, "n1", false, now)
 	if agreed := tracker.AgreedReports(now); !agreed.IsEmpty() {
-		t.Errorf("one node reports a fault: %v", agreed)
+		t.Errorf("AgreedReports after a fault reported by one node returned %v, want none", agreed)
 	}
 	reportHealth(tracker, "n2", false, now.Add(ReportLifetime/2))
 	if agreed := tracker.AgreedReports(now.Add(ReportLifetime)); len(agreed.Faults) != 1 || len(agreed.Recoveries) != 0 {
-		t.Errorf("two nodes report a fault: %v", agreed)
+		t.Errorf("AgreedReports after a fault reported by two nodes returned %v, want one fault", agreed)
 	}
 	if agreed := tracker.AgreedReports(now.Add(ReportLifetime + time.Second/2)); !agreed.IsEmpty() {
-		t.Errorf("the first report has expired: %v", agreed)
+		t.Errorf("AgreedReports after one of two reports expired returned %v, want none", agreed)
 	}
 	later := now.Add(ReportLifetime + time.Second)
 	reportHealth(tracker, "n3", true, later)
 	agreed := tracker.AgreedReports(later)
 	if len(agreed.Faults) != 0 || len(agreed.Recoveries) != 1 {
-		t.Errorf("a node reports a recovery: %v", agreed)
+		t.Errorf("AgreedReports after a recovery returned %v, want one recovery and no fault", agreed)
 	}
 	tracker.Resolve(agreed)
 	if agreed := tracker.AgreedReports(later); !agreed.IsEmpty() {
-		t.Errorf("it is resolved: %v", agreed)
+		t.Errorf("AgreedReports after Resolve returned %v, want none", agreed)
 	}
 }
 
-// TestContactsExpire: a node that calls is known for ContactLifetime, and urgent only when it
-// is new.
-func TestContactsExpire(t *testing.T) {
+// TestLiveNodesExpire checks that a node is live for ContactLifetime after its last request, and
+// that a request is urgent only if the node is new or has expired.
+func TestLiveNodesExpire(t *testing.T) {
 	tracker := NewTracker()
 	now := time.Now()
-	call := &distribution.UpdateRequest{Node: distribution.Node{Name: "n1", Zone: "z"}}
-	if !tracker.Record(call, now) {
-		t.Error("a new node is not urgent")
+	request := &distribution.UpdateRequest{Node: distribution.Node{Name: "n1", Zone: "z"}}
+	if !tracker.Record(request, now) {
+		t.Error("Record of a new node returned isUrgent false, want true")
 	}
-	if tracker.Record(call, now) {
-		t.Error("a known node is urgent")
+	if tracker.Record(request, now) {
+		t.Error("Record of a known node returned isUrgent true, want false")
 	}
-	if contacts := tracker.LiveNodes(now.Add(ContactLifetime)); contacts["n1"] != call.Node {
-		t.Errorf("known are %v", contacts)
+	if nodes := tracker.LiveNodes(now.Add(ContactLifetime)); nodes["n1"] != request.Node {
+		t.Errorf("LiveNodes after ContactLifetime returned %v, want the node n1", nodes)
 	}
-	if contacts := tracker.LiveNodes(now.Add(ContactLifetime + 1)); len(contacts) != 0 {
-		t.Errorf("known are still %v", contacts)
+	if nodes := tracker.LiveNodes(now.Add(ContactLifetime + 1)); len(nodes) != 0 {
+		t.Errorf("LiveNodes after more than ContactLifetime returned %v, want none", nodes)
 	}
-	if !tracker.Record(call, now) {
-		t.Error("a node that is forgotten and comes again is not urgent")
+	if !tracker.Record(request, now) {
+		t.Error("Record of a node that had expired returned isUrgent false, want true")
 	}
 }
 
-// TestSuspectsExpire: a suspicion lasts SuspicionLifetime from its last report, and is listed
-// once more, with no witness, when it ends.
-func TestSuspectsExpire(t *testing.T) {
+// TestSuspicionsExpire checks that a suspicion expires SuspicionLifetime after its last report, and
+// that the node is then included once more, with a count of 0.
+func TestSuspicionsExpire(t *testing.T) {
 	tracker := NewTracker()
 	now := time.Now()
 	for _, reporter := range []string{"n1", "n2"} {
@@ -79,14 +80,14 @@
 		}, now)
 	}
 	tracker.ClearSuspicion("back")
-	if suspects := tracker.SuspicionCounts(now); len(suspects) != 1 || suspects["gone"] != 2 {
-		t.Errorf("suspected are %v", suspects)
+	if counts := tracker.SuspicionCounts(now); len(counts) != 1 || counts["gone"] != 2 {
+		t.Errorf("SuspicionCounts returned %v, want 2 for the node gone only", counts)
 	}
 	expired := now.Add(SuspicionLifetime + 1)
-	if suspects := tracker.SuspicionCounts(expired); len(suspects) != 1 || suspects["gone"] != 0 {
-		t.Errorf("suspected are %v at the end", suspects)
+	if counts := tracker.SuspicionCounts(expired); len(counts) != 1 || counts["gone"] != 0 {
+		t.Errorf("SuspicionCounts after the expiry returned %v, want 0 for the node gone only", counts)
 	}
-	if suspects := tracker.SuspicionCounts(expired); len(suspects) != 0 {
-		t.Errorf("suspected are %v after the end", suspects)
+	if counts := tracker.SuspicionCounts(expired); len(counts) != 0 {
+		t.Errorf("second SuspicionCounts after the expiry returned %v, want none", counts)
 	}
 }
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -59,7 +59,7 @@
 	}
 	atLeast := schema.MaxReceipts + schema.ReceiptsPerArchive*(schema.MaxReceiptArchives-1)
 	if recognized < atLeast || recognized == changes {
-		t.Errorf("CheckReplay recognized %d changes, want at least the guaranteed number, and not all", recognized)
+		t.Errorf("CheckReplay recognized %d changes, want at least %d, and fewer than %d", recognized, atLeast, changes)
 	}
 	size := receiptBytes(replica)
 	t.Logf("%d changes are recognized from %d bytes of receipts", recognized, size)
--- a/internal/controlplane/schema/shardsets_test.go
+++ b/internal/controlplane/schema/shardsets_test.go
@@ -60,8 +60,8 @@
 	} {
 		kept, added, removed := schema.AssignIndexes(old, c.groups)
 		if fmt.Sprint(kept) != c.kept || fmt.Sprint(added) != c.added || fmt.Sprint(removed) != c.removed {
-			t.Errorf("%s: AssignIndexes returned kept %v, added %v, removed %v, want the values of the case",
-				c.name, kept, added, removed)
+			t.Errorf("%s: AssignIndexes returned kept %v, added %v, removed %v, want %s, %s, %s",
+				c.name, kept, added, removed, c.kept, c.added, c.removed)
 		}
 	}
 }
