--- a/internal/controlplane/nodereports/tracker.go
+++ b/internal/controlplane/nodereports/tracker.go
@@ -150,7 +150,7 @@
 	delete(t.suspicions, name)
 }
 
-// AgreedReports holds the health reports that enough nodes have sent to act on.
+// AgreedReports holds the health reports that enough nodes agree on.
 type AgreedReports struct {
 	Faults     []distribution.HealthReport
 	Recoveries []distribution.HealthReport
--- a/internal/controlplane/nodereports/tracker_test.go
+++ b/internal/controlplane/nodereports/tracker_test.go
@@ -7,7 +7,7 @@
 	"comethold/internal/distribution"
 )
 
-// reportHealth records a report by reporter on the health of the endpoint "e".
+// reportHealth records a report from reporter on the health of the endpoint "e".
 func reportHealth(tracker *Tracker, reporter string, healthy bool, now time.Time) {
 	tracker.Record(&distribution.UpdateRequest{
 		Node:    distribution.Node{Name: reporter},
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -29,8 +29,8 @@
 }
 
 // DecodeRow decodes a row, and reports false if the encoding is invalid. The version and the
-// event ID of a purge notification are not stored: they are derived from the key, which contains
-// the log index at which the row was appended.
+// event ID of a purge notification are derived from the key, because they depend on the log index
+// at which the row was appended, which is unknown when the notification is made.
 func DecodeRow(key string, raw []byte) (stored StoredRow, ok bool) {
 	stored = StoredRow{Key: key, Raw: raw}
 	if rpc.Unmarshal(raw, &stored.Row) != nil {
