--- a/internal/controlplane/reconcile/marks.go
+++ b/internal/controlplane/reconcile/marks.go
@@ -54,7 +54,7 @@
 // of endpoints that are reported as healthy. Other control nodes receive the same reports; if
 // one of them commits first, applyReports computes the remaining changes again.
 func (m *markReconciler) applyReports(ctx context.Context) {
-	agreed := m.reports.Health(time.Now())
+	agreed := m.reports.AgreedReports(time.Now())
 	if agreed.IsEmpty() {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // reportedChanges returns the changes that the reports require.
-func (m *markReconciler) reportedChanges(agreed nodereports.Health) *markChanges {
+func (m *markReconciler) reportedChanges(agreed nodereports.AgreedReports) *markChanges {
 	indexes := m.readIndexes()
 	changes := newMarkChanges()
 	ejected := &distribution.EjectionMark{
--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -47,7 +47,7 @@
 	if len(unreachable) != 1 || unreachable[0].Name != "b" {
 		t.Errorf("unreachable returned %v, want only b, which does not answer", unreachable)
 	}
-	suspects := reconciler.reports.Suspects(time.Now())
+	suspects := reconciler.reports.SuspicionCounts(time.Now())
 	if suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
 		t.Errorf("suspicions after the probes: %v, want only one of b", suspects)
 	}
