--- a/internal/paxos/catch_up_test.go
+++ b/internal/paxos/catch_up_test.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// heartbeatCount is the length of the catch-up tests in heartbeats.
+// heartbeatCount is the number of heartbeats in each catch-up test.
 const heartbeatCount = 100
 
-// catchUpConfig is that of replica "a", which never campaigns.
+// catchUpConfig returns the configuration of replica "a". Its long election timeout keeps it from
+// campaigning during a test.
 func catchUpConfig() Config {
 	config := testConfig("a", func() float64 { return 0 })
 	config.ElectionTimeout = time.Hour
 	return config
 }
 
-// newReplicaAt starts replica "a" from a snapshot at an index, and entries after it.
+// newReplicaAt starts replica "a" from a snapshot at the given index, in which key "k" has the given
+// value. The entries that follow the snapshot are committed.
 func newReplicaAt(index uint64, value Value, entries ...Entry) *Replica {
 	snapshot := initialSnapshot(votersOf("a", "b", "c"))
 	snapshot.AppliedIndex = index
@@ -24,8 +26,8 @@
 	return NewReplica(catchUpConfig(), PersistedState{Snapshot: snapshot, Entries: entries, CommitIndex: commitIndex}, 0)
 }
 
-// takeKind returns the messages of one kind that a replica sends.
-func takeKind(r *Replica, kind MessageKind) []Message {
+// takeMessagesOfKind returns the messages of one kind from the next Ready of a replica, and drops the others.
+func takeMessagesOfKind(r *Replica, kind MessageKind) []Message {
 	var found []Message
 	for _, msg := range r.Ready().Messages {
 		if msg.Kind == kind {
@@ -35,7 +37,7 @@
 	return found
 }
 
-// heartbeatFromB announces a commit index to replica "a".
+// heartbeatFromB returns a heartbeat that announces a commit index to replica "a".
 func heartbeatFromB(commitIndex uint64) Message {
 	return Message{
 		Cell: testCell, Kind: Heartbeat, From: "b", To: "a",
@@ -43,14 +45,15 @@
 	}
 }
 
-// catchUpRequestFromB asks replica "a" for the entries after an index.
+// catchUpRequestFromB returns a request to replica "a" for the entries after an index.
 func catchUpRequestFromB(index uint64) Message {
 	return Message{Cell: testCell, Kind: CatchUpRequest, From: "b", To: "a", Index: index}
 }
 
-// TestCatchUpBacksOffWithoutProgress: a replica that makes no progress requests, and is sent,
-// snapshots less and less often; one that makes progress is answered at once. A snapshot in a
-// promise for another campaign is applied nevertheless.
+// TestCatchUpBacksOffWithoutProgress guards against repeated snapshot transfers to a replica that
+// makes no progress: both its requests and the answers must back off. A replica that has made
+// progress must be answered at once, and a snapshot in a promise for another campaign must be
+// applied.
 func TestCatchUpBacksOffWithoutProgress(t *testing.T) {
 	sender := newReplicaAt(100, Int(1))
 	learner := newReplicaAt(5, Int(1))
@@ -60,20 +63,21 @@
 	for i := range heartbeatCount {
 		now := time.Duration(i) * interval
 		sender.Step(now, catchUpRequestFromB(5))
-		responses += len(takeKind(sender, CatchUpResponse))
+		responses += len(takeMessagesOfKind(sender, CatchUpResponse))
 		learner.Step(now, heartbeatFromB(100))
-		requests += len(takeKind(learner, CatchUpRequest))
+		requests += len(takeMessagesOfKind(learner, CatchUpRequest))
 	}
 	const least, most = heartbeatCount / maxBackoffHeartbeats, heartbeatCount/maxBackoffHeartbeats + 6
-	for what, count := range map[string]int{"responses": responses, "requests": requests} {
+	for kind, count := range map[string]int{"responses": responses, "requests": requests} {
 		if count < least || count > most {
-			t.Errorf("%d %s in %d heartbeats, not %d to %d", count, what, heartbeatCount, least, most)
+			t.Errorf("replica without progress: got %d %s in %d heartbeats, want %d to %d",
+				count, kind, heartbeatCount, least, most)
 		}
 	}
 	now := heartbeatCount * interval
 	sender.Step(now, catchUpRequestFromB(6))
-	if len(takeKind(sender, CatchUpResponse)) != 1 {
-		t.Error("a replica that has made progress is not answered")
+	if len(takeMessagesOfKind(sender, CatchUpResponse)) != 1 {
+		t.Error("request after progress from index 5 to 6 was not answered with exactly one CatchUpResponse")
 	}
 	candidate := newReplicaAt(5, Int(1))
 	candidate.campaign(now)
@@ -82,13 +86,14 @@
 		CommitIndex: 100, Snapshot: sender.state.Snapshot(100),
 	})
 	if candidate.AppliedIndex() != 100 {
-		t.Errorf("a late snapshot is not learned: at %d", candidate.AppliedIndex())
+		t.Errorf("applied index is %d after a promise for another campaign with a snapshot at 100, want 100",
+			candidate.AppliedIndex())
 	}
 }
 
-// TestCatchUpOfFewEntriesIsNotDelayed: a replica that lacks no more than the pipeline holds
-// asks with each heartbeat, and is answered each time if the answer is small; the sender backs
-// off with large answers.
+// TestCatchUpOfFewEntriesIsNotDelayed guards against a backoff after the loss of a single message.
+// A replica that lacks at most Alpha entries must send a request on each heartbeat. The sender must
+// answer each request if the answer is small, and back off if it is large.
 func TestCatchUpOfFewEntriesIsNotDelayed(t *testing.T) {
 	for name, test := range map[string]struct{ bytes, least, most int }{
 		"small": {100, heartbeatCount, heartbeatCount},
@@ -105,14 +110,14 @@
 		for i := range heartbeatCount {
 			now := time.Duration(i) * catchUpConfig().HeartbeatInterval
 			learner.Step(now, heartbeatFromB(8))
-			for _, request := range takeKind(learner, CatchUpRequest) {
+			for _, request := range takeMessagesOfKind(learner, CatchUpRequest) {
 				requests++
 				sender.Step(now, catchUpRequestFromB(request.Index))
 			}
-			responses += len(takeKind(sender, CatchUpResponse))
+			responses += len(takeMessagesOfKind(sender, CatchUpResponse))
 		}
 		if requests != heartbeatCount || responses < test.least || responses > test.most {
-			t.Errorf("%s: in %d heartbeats %d requests, %d responses, not %d to %d",
+			t.Errorf("%s entries: in %d heartbeats got %d requests, want one each; got %d responses, want %d to %d",
 				name, heartbeatCount, requests, responses, test.least, test.most)
 		}
 	}
--- a/internal/paxos/changed_keys_test.go
+++ b/internal/paxos/changed_keys_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestChangedKeys: Ready names the keys that a transaction changed; after a snapshot was loaded
-// it says that all keys may have changed.
-func TestChangedKeys(t *testing.T) {
+// TestReadyReportsChangedKeys guards against watchers that miss a change. Ready must report each key
+// that a committed transaction changed. After a start from a snapshot, Ready must report that all
+// keys may have changed.
+func TestReadyReportsChangedKeys(t *testing.T) {
 	snapshot := initialSnapshot(votersOf("a"))
 	snapshot.State["x"] = Int(1)
 	c := newTestCluster([]ReplicaID{"a"}, func(ReplicaID) PersistedState {
@@ -29,7 +30,7 @@
 		return changed
 	}
 	if changed := run(); !changed.AnyWithPrefix("anything") {
-		t.Error("a start does not change all keys")
+		t.Error("ChangedKeys after the start does not include every prefix, want All to be set")
 	}
 	putY := putInt("3", "y", 1)
 	putY.Conditions = []Condition{{Key: "x", Equals: Int(1)}}
@@ -63,7 +64,7 @@
 		changed := run()
 		for prefix, want := range test.want {
 			if changed.AnyWithPrefix(prefix) != want {
-				t.Errorf("%s: AnyWithPrefix(%q) is %v", test.name, prefix, !want)
+				t.Errorf("%s: AnyWithPrefix(%q) returned %v, want the opposite", test.name, prefix, !want)
 			}
 		}
 	}
--- a/internal/paxos/chaos_test.go
+++ b/internal/paxos/chaos_test.go
@@ -13,21 +13,21 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// A chaosRun draws faults from a seed, on a cell of five voters on six machines that tolerates
-// the loss of two. Clients propose changes and read at every replica that considers itself the
-// leader, on both sides of a partition. Besides the checks of the simulation, in the end every
-// acknowledged change must be there, no two of them may build on the same value, and the history
-// of changes and reads must be linearizable.
+// A chaosRun injects random faults, drawn from a seed, into a cell that has five voters on six
+// machines and tolerates the loss of two disks. Clients propose changes and read at every replica
+// that considers itself the leader, on both sides of a partition. The checks of the simulation run
+// all the time. At the end, the state must include every acknowledged change, no two acknowledged
+// changes may replace the same value, and the history of changes and reads must be linearizable.
 type chaosRun struct {
 	*cellSimulation
-	incarnations  int
+	incarnations  int // number of replaced disks; makes the IDs of new replicas unique
 	lastOperation int
 
-	// Of the changes of registerKey, by transaction:
-	baseOf  map[string]string // the value that it builds on
-	valueOf map[string]string // the value that it makes
+	// The changes of registerKey, by transaction ID:
+	baseOf  map[string]string // the value that the change replaces
+	valueOf map[string]string // the value that the change writes
 	changes map[string]*porcupine.Operation
-	// successorOf has the acknowledged value that builds on a value.
+	// successorOf maps a value to the acknowledged value that replaced it.
 	successorOf map[string]string
 
 	pendingReads  map[uint64]*porcupine.Operation
@@ -35,20 +35,20 @@
 }
 
 const (
-	// voterCount is the number of voters that repairs restore.
+	// voterCount is the number of voters to which repairMembership restores the cell.
 	voterCount = 5
-	// tolerableLosses is how many disks of the cell may be lost at once.
+	// tolerableLosses is the number of disks that the cell may lose at once.
 	tolerableLosses = 2
-	// registerKey is the key that clients change and read.
+	// registerKey is the key that clients change and read. The history of its values is checked.
 	registerKey = "config"
-	// changeKeyPrefix begins the keys that show which changes took effect.
+	// changeKeyPrefix is the prefix of the keys that record which changes took effect.
 	changeKeyPrefix = "was/"
 )
 
-// machineOf returns the machine that a replica runs on: its name is one letter.
+// machineOf returns the machine that a replica runs on: the first letter of the replica's ID.
 func machineOf(id ReplicaID) string { return string(id)[:1] }
 
-// newChaosRun starts a cell and waits until it has all its voters.
+// newChaosRun starts a cell with three initial voters and waits until it has voterCount voters.
 func newChaosRun(t *testing.T, name string, seed int64) *chaosRun {
 	t.Helper()
 	c := &chaosRun{
@@ -74,22 +74,24 @@
 	return c
 }
 
-// runSeeds plays a few seeds, or as many as COMETHOLD_SEEDS says, several at once.
-func runSeeds(t *testing.T, few int, play func(t *testing.T, seed int64)) {
+// runSeeds calls runSeed for each seed below defaultCount, or below COMETHOLD_SEEDS if that is set.
+// The seeds are split into groups that run in parallel.
+func runSeeds(t *testing.T, defaultCount int, runSeed func(t *testing.T, seed int64)) {
 	t.Helper()
-	const parts = 8
-	seeds := int64(simulation.SeedCount(few))
-	for part := range int64(parts) {
-		t.Run(strconv.FormatInt(part, 10), func(t *testing.T) {
+	const groups = 8
+	seeds := int64(simulation.SeedCount(defaultCount))
+	for group := range int64(groups) {
+		t.Run(strconv.FormatInt(group, 10), func(t *testing.T) {
 			t.Parallel()
-			for seed := part; seed < seeds; seed += parts {
-				play(t, seed)
+			for seed := group; seed < seeds; seed += groups {
+				runSeed(t, seed)
 			}
 		})
 	}
 }
 
-// runChaos draws ten faults, with traffic before, during and after each.
+// runChaos injects ten random faults, with traffic before, during and after each, and then checks
+// the acknowledged changes.
 func runChaos(t *testing.T, seed int64) *chaosRun {
 	t.Helper()
 	c := newChaosRun(t, fmt.Sprintf("chaos %d", seed), seed)
@@ -103,6 +105,8 @@
 	return c
 }
 
+// TestChaos guards against lost acknowledged changes, stale reads and disagreement of replicas when
+// machines, disks, processes and links fail in random order.
 func TestChaos(t *testing.T) {
 	runSeeds(t, 60, func(t *testing.T, seed int64) {
 		t.Helper()
@@ -110,40 +114,41 @@
 	})
 }
 
-// TestChaosIsDeterministic: two runs of one seed are identical, message by message.
+// TestChaosIsDeterministic guards against seeds that can't be replayed: two runs of one seed must
+// send the same number of messages and end at the same simulated time.
 func TestChaosIsDeterministic(t *testing.T) {
 	for _, seed := range []int64{9, 13} {
 		first := runChaos(t, seed)
 		second := runChaos(t, seed)
 		if first.messagesSent != second.messagesSent || first.now != second.now {
-			t.Errorf("seed %d: %d messages until %v, then %d until %v",
+			t.Errorf("seed %d: first run sent %d messages until %v, second run sent %d until %v, want the same",
 				seed, first.messagesSent, first.now, second.messagesSent, second.now)
 		}
 	}
 }
 
-// randomDurationMillis draws a whole number of milliseconds below a bound.
+// randomDurationMillis returns a random whole number of milliseconds, from 0 to below-1.
 func (c *chaosRun) randomDurationMillis(below int) time.Duration {
 	return time.Duration(c.rng.Intn(below)) * time.Millisecond
 }
 
-// shuffled returns the names in random order.
+// shuffled returns a copy of the names in random order.
 func (c *chaosRun) shuffled(names []string) []string {
 	names = slices.Clone(names)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names
 }
 
-// nextOperation numbers the operations of clients.
+// nextOperation returns the number of the next client operation, counted from 1.
 func (c *chaosRun) nextOperation() int {
 	c.lastOperation++
 	return c.lastOperation
 }
 
-// changeID is the transaction of a client's operation.
+// changeID returns the ID of the transaction that an operation proposes.
 func changeID(operation int) string { return fmt.Sprintf("o%d", operation) }
 
-// putOps gives a value to several keys.
+// putOps returns operations that set several keys to one value.
 func putOps(value string, keys ...string) []Op {
 	var ops []Op
 	for _, key := range keys {
@@ -152,8 +157,8 @@
 	return ops
 }
 
-// proposeChange sends a change that builds on the newest value known to one replica, and
-// returns its transaction.
+// proposeChange proposes a change that replaces the value that one replica holds for registerKey,
+// and returns the ID of its transaction.
 func (c *chaosRun) proposeChange(node *simulatedNode) string {
 	operation := c.nextOperation()
 	id := changeID(operation)
@@ -176,7 +181,7 @@
 	return id
 }
 
-// readRegister starts a read at a replica that considers itself the leader.
+// readRegister starts a read of registerKey at a replica that considers itself the leader.
 func (c *chaosRun) readRegister(node *simulatedNode) {
 	ticket := uint64(c.nextOperation())
 	c.startRead(ticket)
@@ -186,7 +191,7 @@
 	c.handleReady(node)
 }
 
-// leaders returns the live nodes whose replicas consider themselves the leader.
+// leaders returns the running nodes whose replicas consider themselves the leader.
 func (c *chaosRun) leaders() []*simulatedNode {
 	var leaders []*simulatedNode
 	for _, name := range c.nodeNames() {
@@ -197,7 +202,8 @@
 	return leaders
 }
 
-// runTraffic lets time pass and periodically sends two changes and a read to each leader.
+// runTraffic advances the time by duration. Every 10 to 70 ms it sends two changes and a read to
+// each leader, and repairs the membership.
 func (c *chaosRun) runTraffic(duration time.Duration) {
 	for end := c.now + duration; c.now < end; {
 		for _, leader := range c.leaders() {
@@ -210,7 +216,8 @@
 	}
 }
 
-// runSparseTraffic sends a change and a read to each leader, more rarely.
+// runSparseTraffic is like runTraffic, but sends one change and one read to each leader every 200 to
+// 600 ms.
 func (c *chaosRun) runSparseTraffic(duration time.Duration) {
 	for end := c.now + duration; c.now < end; {
 		for _, leader := range c.leaders() {
@@ -222,8 +229,8 @@
 	}
 }
 
-// commitChange returns at the moment at which a change is acknowledged, with an index that
-// the leader had applied then.
+// commitChange proposes changes until one is acknowledged, and returns in the same millisecond of
+// simulated time. It returns the applied index of the leader at that time.
 func (c *chaosRun) commitChange() uint64 {
 	const attempts, waits = 4000, 200
 	for range attempts {
@@ -238,13 +245,14 @@
 		}
 		c.run(10 * time.Millisecond)
 	}
-	c.t.Fatalf("%s at %v: nothing is acknowledged", c.name, c.now)
+	c.t.Fatalf("%s at %v: no change was acknowledged in 4000 attempts, want one", c.name, c.now)
 	return 0
 }
 
-// repairMembership proposes, at the leader, to replace a voter whose disk was lost by the replica
-// that now runs on its machine, or to add a voter up to voterCount, once the new replica has
-// caught up.
+// repairMembership proposes a membership change at the leader once a new replica has caught up. The
+// new replica replaces the voter that ran on the same machine and lost its disk, or it is added if
+// the cell has fewer than voterCount voters. While the newest change is incomplete,
+// repairMembership proposes an empty transaction instead.
 func (c *chaosRun) repairMembership() {
 	leader := c.leader()
 	if leader == nil {
@@ -255,47 +263,50 @@
 		c.propose(leader, "noop", Txn{})
 		return
 	}
-	kept, newcomer := c.nextVoters(voters)
-	if newcomer == "" || !hasCaughtUp(leader.replica, newcomer) {
+	kept, joining := c.nextVoters(voters)
+	if joining == "" || !hasCaughtUp(leader.replica, joining) {
 		return
 	}
 	version, _ := leader.replica.Get(MembershipVersionKey)
 	condition := Condition{Key: MembershipVersionKey, Equals: version, Absent: version.Int == nil}
-	machine := machineOf(newcomer)
-	next := append(kept, Voter{ID: newcomer, Addr: machine, Zone: machine})
+	machine := machineOf(joining)
+	next := append(kept, Voter{ID: joining, Addr: machine, Zone: machine})
 	id := fmt.Sprintf("move%d", c.nextOperation())
 	c.propose(leader, id, Txn{Conditions: []Condition{condition}, Ops: []Op{{Kind: OpSetVoters, Voters: next}}})
 }
 
-// nextVoters returns the voters that stay, and the replica that should join them or "".
-func (c *chaosRun) nextVoters(voters []Voter) (kept []Voter, newcomer ReplicaID) {
+// nextVoters returns the voters that remain, and the ID of the replica to add to them. The ID is
+// empty if there is nothing to repair.
+func (c *chaosRun) nextVoters(voters []Voter) (kept []Voter, joining ReplicaID) {
 	for _, voter := range voters {
-		if node := c.nodes[machineOf(voter.ID)]; node.id != voter.ID && newcomer == "" {
-			newcomer = node.id
+		if node := c.nodes[machineOf(voter.ID)]; node.id != voter.ID && joining == "" {
+			joining = node.id
 			continue
 		}
 		kept = append(kept, voter)
 	}
 	for _, name := range c.nodeNames() {
 		node := c.nodes[name]
-		if newcomer == "" && len(kept) < voterCount && node.up && !(Membership{Voters: kept}).Contains(node.id) {
-			newcomer = node.id
+		if joining == "" && len(kept) < voterCount && node.up && !(Membership{Voters: kept}).Contains(node.id) {
+			joining = node.id
 		}
 	}
-	return kept, newcomer
+	return kept, joining
 }
 
-// hasCaughtUp reports whether a new replica's disk holds nearly everything that the leader has
-// applied.
-func hasCaughtUp(leader *Replica, newcomer ReplicaID) bool {
-	durable := leader.DurableCommitIndex(newcomer)
+// hasCaughtUp reports whether the durable commit index that a new replica has reported is at most
+// Alpha entries behind the applied index of the leader. A new replica that has reported none has not
+// caught up.
+func hasCaughtUp(leader *Replica, joining ReplicaID) bool {
+	durable := leader.DurableCommitIndex(joining)
 	if durable == 0 && leader.AppliedIndex() > 0 {
 		return false
 	}
 	return durable+leader.config.Alpha >= leader.AppliedIndex()
 }
 
-// waitUntilRepaired waits until the cell has all its voters, and they run and have caught up.
+// waitUntilRepaired repairs the membership until isRepaired holds on the leader. The test fails
+// after 20 s of simulated time.
 func (c *chaosRun) waitUntilRepaired() {
 	for range 400 {
 		if leader := c.leader(); leader != nil && c.isRepaired(leader.replica) {
@@ -304,11 +315,12 @@
 		c.run(50 * time.Millisecond)
 		c.repairMembership()
 	}
-	c.t.Fatalf("%s at %v: the membership was not repaired", c.name, c.now)
+	c.t.Fatalf("%s at %v: the membership is not repaired after 20 s, want all voters running and caught up", c.name, c.now)
 }
 
-// isRepaired reports whether, according to the leader, the cell is complete and all voters are up
-// to date.
+// isRepaired reports whether the newest membership change is complete on the leader, with voterCount
+// voters. All of them must be running, be at most two entries behind the leader and have no pending
+// syncs.
 func (c *chaosRun) isRepaired(leader *Replica) bool {
 	voters, complete := leader.Voters()
 	if !complete || len(voters) != voterCount {
@@ -316,24 +328,24 @@
 	}
 	for _, voter := range voters {
 		node := c.nodes[machineOf(voter.ID)]
-		lives := node.id == voter.ID && node.up
-		if !lives || node.replica.AppliedIndex()+2 < leader.AppliedIndex() || len(node.pendingSyncs) > 0 {
+		isRunning := node.id == voter.ID && node.up
+		if !isRunning || node.replica.AppliedIndex()+2 < leader.AppliedIndex() || len(node.pendingSyncs) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// killNode ends a process. Writes that are not synced yet are lost.
+// killNode ends the process of a node. Writes that are not synced yet are lost.
 func (c *chaosRun) killNode(node *simulatedNode) { node.stop() }
 
-// restartNode starts a replica from its machine's disk.
+// restartNode starts the replica of a node from the node's disk.
 func (c *chaosRun) restartNode(node *simulatedNode) {
 	c.startNode(node)
 	c.updateLearners()
 }
 
-// startAllNodes starts the machines that are down.
+// startAllNodes starts all nodes that are down.
 func (c *chaosRun) startAllNodes() {
 	for _, name := range c.nodeNames() {
 		if node := c.nodes[name]; !node.up {
@@ -343,7 +355,8 @@
 	c.updateLearners()
 }
 
-// replaceDisk takes a machine down and gives it an empty disk.
+// replaceDisk stops a machine, replaces its disk with an empty one, and schedules reports of the
+// loss to the other machines. The machine gets a new replica ID and stays down.
 func (c *chaosRun) replaceDisk(name string) {
 	c.incarnations++
 	node := c.nodes[name]
@@ -352,21 +365,22 @@
 	c.scheduleLossReports(node, former)
 }
 
-// leaderOr returns the name of the leader's machine, or another one if there is no leader.
-func (c *chaosRun) leaderOr(other string) string {
+// leaderMachineOr returns the machine of the leader, or fallback if there is no leader.
+func (c *chaosRun) leaderMachineOr(fallback string) string {
 	if leader := c.leader(); leader != nil {
 		return machineOf(leader.id)
 	}
-	return other
+	return fallback
 }
 
-// dropInTransit loses all messages from a replica that have not arrived yet.
+// dropInTransit removes all messages from a replica that have not arrived yet from the network.
 func (c *chaosRun) dropInTransit(id ReplicaID) {
 	c.network = slices.DeleteFunc(c.network, func(item inTransit) bool { return item.message.From == id })
 	heap.Init(&c.network)
 }
 
-// forceElection makes a replica campaign until it leads or the time is over.
+// forceElection expires the election timeout of a replica, and waits up to 400 ms until it is the
+// leader.
 func (c *chaosRun) forceElection(name string) {
 	node := c.nodes[name]
 	node.replica.electionDeadline = c.now
@@ -375,10 +389,11 @@
 	}
 }
 
-// sortByDisk sorts the machines whose disk meets a condition first.
-func (c *chaosRun) sortByDisk(names []string, first func(disk *simulatedDisk) bool) {
+// sortByDisk moves the machines whose disk matches a condition to the front, and otherwise keeps the
+// order.
+func (c *chaosRun) sortByDisk(names []string, matches func(disk *simulatedDisk) bool) {
 	rank := func(name string) int {
-		if first(&c.nodes[name].disk) {
+		if matches(&c.nodes[name].disk) {
 			return 0
 		}
 		return 1
--- a/internal/paxos/example_test.go
+++ b/internal/paxos/example_test.go
@@ -8,20 +8,20 @@
 	"comethold/internal/paxos"
 )
 
-// owner is a minimal owner of a replica: it performs the I/O that Ready asks for.
+// owner is a minimal owner of a replica: it performs the I/O that Ready returns.
 type owner struct {
 	replica *paxos.Replica
 	now     time.Duration
 }
 
-// advance lets time pass.
+// advance moves the clock forward and handles the results.
 func (o *owner) advance(duration time.Duration) {
 	o.now += duration
 	o.replica.Tick(o.now)
 	o.handleReady()
 }
 
-// handleReady performs everything that the replica asks for until there is nothing left.
+// handleReady calls Ready and performs its I/O until the replica sends no more messages.
 func (o *owner) handleReady() {
 	for {
 		ready := o.replica.Ready()
@@ -32,9 +32,9 @@
 			value, _ := o.replica.Get("greeting")
 			fmt.Printf("linearizable read: %s\n", value.Bytes)
 		}
-		// Here a real owner sends ready.Messages to the other replicas, syncs ready.Writes to
-		// its disk, and only then sends ready.MessagesAfterSync. In a cell of one voter all of
-		// them go to the replica itself.
+		// A real owner sends ready.Messages to the other replicas here, syncs ready.Writes to
+		// its disk, and only then sends ready.MessagesAfterSync. In a cell of one voter, all
+		// messages are addressed to the replica itself.
 		messages := slices.Concat(ready.Messages, ready.MessagesAfterSync)
 		if len(messages) == 0 {
 			return
@@ -45,7 +45,8 @@
 	}
 }
 
-// A cell of one voter elects it, commits a transaction and answers a read.
+// ExampleReplica runs a cell of one voter, which is elected, commits a transaction and answers a
+// linearizable read.
 func ExampleReplica() {
 	config := paxos.Config{
 		Cell: "example", Self: "a",
@@ -73,7 +74,7 @@
 	if err := o.replica.Read(o.now, 1); err != nil {
 		fmt.Println(err)
 	}
-	o.advance(config.HeartbeatInterval) // the next heartbeat confirms it
+	o.advance(config.HeartbeatInterval) // the answer to the next heartbeat confirms the read
 
 	// Output:
 	// leader: a
--- a/internal/paxos/faults_test.go
+++ b/internal/paxos/faults_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The faults of TestChaos. Each is a function that gets the machines in random order, and a
-// duration.
+// This file contains the faults of TestChaos.
 
-// fault causes a fault and repairs it in the end.
+// fault causes a fault, runs traffic for span and then repairs the fault. The machines are in random
+// order. Some faults have a fixed duration and ignore span.
 type fault func(c *chaosRun, machines []string, span time.Duration)
 
-// faults are drawn by injectFault; the order is part of what a seed draws.
+// faults lists the faults from which injectFault chooses. A change of the order changes the faults
+// that a seed selects.
 var faults = []fault{
 	faultPowerLossOfOne,
 	faultPartitionWithLeader,
@@ -23,14 +24,14 @@
 	faultDiskLossDuringPartition,
 }
 
-// injectFault draws one of the faults.
+// injectFault runs a random fault of the list faults.
 func (c *chaosRun) injectFault(machines []string) {
 	span := c.randomDurationMillis(1500)
 	machines = c.shuffled(machines)
 	faults[c.rng.Intn(len(faults))](c, machines, span)
 }
 
-// faultPowerLossOfOne: a machine loses power and is back at once.
+// faultPowerLossOfOne cuts the power of one machine and restarts it at once.
 func faultPowerLossOfOne(c *chaosRun, machines []string, span time.Duration) {
 	node := c.nodes[machines[0]]
 	c.losePower(node)
@@ -38,7 +39,7 @@
 	c.runTraffic(span)
 }
 
-// faultPartitionWithLeader: the leader is partitioned alone, or with another machine.
+// faultPartitionWithLeader partitions the leader from the others, alone or with one other machine.
 func faultPartitionWithLeader(c *chaosRun, machines []string, span time.Duration) {
 	isolated := machines[:1+c.rng.Intn(2)]
 	if leader := c.leader(); leader != nil && !slices.Contains(isolated, machineOf(leader.id)) {
@@ -49,21 +50,22 @@
 	c.healAll()
 }
 
-// faultPause: a process is paused.
+// faultPause pauses one process.
 func faultPause(c *chaosRun, machines []string, span time.Duration) {
 	c.nodes[machines[0]].paused = true
 	c.runTraffic(span)
 	c.resumeAll()
 }
 
-// faultDiskHangs: a disk does not complete its syncs.
+// faultDiskHangs makes one disk complete no syncs.
 func faultDiskHangs(c *chaosRun, machines []string, span time.Duration) {
 	c.nodes[machines[0]].diskHangs = true
 	c.runTraffic(span)
 	c.repairDisks()
 }
 
-// faultPowerLossOfAllAfterCommit: right after an acknowledgement power fails everywhere.
+// faultPowerLossOfAllAfterCommit cuts the power of all machines right after a change was
+// acknowledged.
 func faultPowerLossOfAllAfterCommit(c *chaosRun, machines []string, _ time.Duration) {
 	c.commitChange()
 	for _, machine := range machines {
@@ -72,8 +74,9 @@
 	c.startAllNodes()
 }
 
-// faultDiskLossesAfterCommit: right after an acknowledgement power fails everywhere, and two
-// of the disks that hold it are lost. The machine that holds it still starts last.
+// faultDiskLossesAfterCommit cuts the power of all machines right after a change was acknowledged.
+// Two of the disks that store the change are lost. A remaining machine that stores it starts one
+// second after the others, which must not commit anything else in its place.
 func faultDiskLossesAfterCommit(c *chaosRun, machines []string, _ time.Duration) {
 	committed := c.commitChange()
 	c.sortByDisk(machines, func(disk *simulatedDisk) bool { return disk.stores(committed) })
@@ -96,7 +99,7 @@
 	c.waitUntilRepaired()
 }
 
-// faultDiskLossDuringPause: a disk is lost while another machine is paused.
+// faultDiskLossDuringPause replaces a disk while another machine is paused.
 func faultDiskLossDuringPause(c *chaosRun, machines []string, span time.Duration) {
 	c.replaceDisk(machines[0])
 	c.nodes[machines[1]].paused = true
@@ -107,7 +110,7 @@
 	c.waitUntilRepaired()
 }
 
-// faultDiskLossDuringPartition: a disk is lost while another machine is partitioned.
+// faultDiskLossDuringPartition replaces a disk while another machine is partitioned from the others.
 func faultDiskLossDuringPartition(c *chaosRun, machines []string, span time.Duration) {
 	c.setPartitioned(c.nodes[machines[0]], true)
 	c.replaceDisk(machines[1])
--- a/internal/paxos/lagging_replica_test.go
+++ b/internal/paxos/lagging_replica_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// TestLaggingReplicaIsElected: a voter misses hundreds of changes and returns under load. Soon
-// after, the leader and the voter that has applied most are lost, so that the lagging voter
-// belongs to the only majority, and it becomes leader. All acknowledged changes must stay, and
-// reads must be linearizable.
+// TestLaggingReplicaIsElected guards against a new leader that lacks acknowledged changes. A voter
+// misses hundreds of changes and restarts under load. Soon after, the leader and the voter with the
+// highest applied index are lost, so every majority includes the lagging voter, and it is made the
+// leader. All acknowledged changes must survive, and reads must be linearizable.
 func TestLaggingReplicaIsElected(t *testing.T) {
 	runSeeds(t, 52, func(t *testing.T, seed int64) {
 		t.Helper()
@@ -24,13 +24,13 @@
 			}
 		}
 		if elected == 0 {
-			t.Errorf("%s: no lagging replica ever came to lead", c.name)
+			t.Errorf("%s: the lagging replica was elected in 0 of 3 rounds, want at least 1", c.name)
 		}
 		c.checkAcknowledged()
 	})
 }
 
-// electLaggingReplica plays the case once, and reports whether the replica became leader.
+// electLaggingReplica runs one round, and reports whether the lagging replica became leader.
 func (c *chaosRun) electLaggingReplica() bool {
 	leader := c.leader()
 	voters, _ := leader.replica.Voters()
@@ -49,11 +49,11 @@
 	for _, voter := range voters[1:] {
 		others = append(others, machineOf(voter.ID))
 	}
-	c.sortByKnowledge(others, c.leaderOr(lagging))
+	c.sortByAppliedIndex(others, c.leaderMachineOr(lagging))
 	for _, machine := range others[:tolerableLosses] {
 		c.loseDiskOrProcess(machine)
 	}
-	elected := c.electOneOf(lagging, others[tolerableLosses:])
+	elected := c.electMachine(lagging, others[tolerableLosses:])
 
 	c.lossRate = 0.03
 	c.runTraffic(500 * time.Millisecond)
@@ -64,7 +64,8 @@
 	return elected
 }
 
-// commitUntil proposes one transaction after the other until the leader has applied an index.
+// commitUntil proposes transactions until the leader has applied an index. While a change of
+// registerKey is pending, it proposes puts to another key.
 func (c *chaosRun) commitUntil(index uint64) {
 	for range 20000 {
 		leader := c.leader()
@@ -81,8 +82,8 @@
 	}
 }
 
-// sortByKnowledge sorts the leader first, and the others by their applied index.
-func (c *chaosRun) sortByKnowledge(machines []string, leader string) {
+// sortByAppliedIndex sorts the leader first, and the others by descending applied index.
+func (c *chaosRun) sortByAppliedIndex(machines []string, leader string) {
 	applied := func(machine string) uint64 {
 		if machine == leader {
 			return math.MaxUint64
@@ -92,8 +93,8 @@
 	slices.SortStableFunc(machines, func(a, b string) int { return cmp.Compare(applied(b), applied(a)) })
 }
 
-// loseDiskOrProcess kills a machine's process, or takes the machine down and loses its disk and its
-// messages in transit.
+// loseDiskOrProcess stops a machine. At random, it either kills the process only, or also replaces
+// the disk and drops the machine's messages in transit.
 func (c *chaosRun) loseDiskOrProcess(machine string) {
 	if c.rng.Intn(2) == 0 {
 		c.dropInTransit(c.nodes[machine].id)
@@ -103,9 +104,9 @@
 	}
 }
 
-// electOneOf makes one machine campaign until it leads; another machine that becomes leader first
-// is restarted.
-func (c *chaosRun) electOneOf(machine string, others []string) bool {
+// electMachine makes the replica of one machine campaign until it is the leader, and reports whether it
+// succeeded. If another machine becomes the leader first, it is killed and restarted.
+func (c *chaosRun) electMachine(machine string, others []string) bool {
 	for range 20 {
 		for _, other := range others {
 			if node := c.nodes[other]; node.replica.Role() == Leader {
--- a/internal/paxos/leader_learning_test.go
+++ b/internal/paxos/leader_learning_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// A testCluster runs a few replicas without a simulated network: the test delivers each message.
+// A testCluster contains a few replicas without a simulated network: the test delivers each message.
 type testCluster struct {
 	ids      []ReplicaID
 	replicas map[ReplicaID]*Replica
 	now      time.Duration
 }
 
-// fixedJitter takes the place of random numbers.
+// fixedJitter is a Config.Jitter that makes timeouts deterministic.
 func fixedJitter() float64 { return 0.5 }
 
-// votersOf returns voters with the given names.
+// votersOf returns voters with the given IDs.
 func votersOf(ids ...ReplicaID) []Voter {
 	var voters []Voter
 	for _, id := range ids {
@@ -25,12 +25,12 @@
 	return voters
 }
 
-// putInt is a transaction that sets a key to an integer.
+// putInt returns a transaction that sets a key to an integer.
 func putInt(id, key string, value int64) Txn {
 	return Txn{ID: id, Ops: []Op{{Kind: OpPut, Key: key, Value: Int(value)}}}
 }
 
-// newTestCluster starts replicas from what their disks hold.
+// newTestCluster starts replicas from the state that diskOf returns for each of them.
 func newTestCluster(ids []ReplicaID, diskOf func(id ReplicaID) PersistedState) *testCluster {
 	c := &testCluster{ids: ids, replicas: map[ReplicaID]*Replica{}}
 	for _, id := range ids {
@@ -39,7 +39,7 @@
 	return c
 }
 
-// takeMessages returns the messages that the replicas send, in the order of the replicas.
+// takeMessages returns the messages from the next Ready of each replica, in the order of ids.
 func (c *testCluster) takeMessages() []Message {
 	var messages []Message
 	for _, id := range c.ids {
@@ -48,13 +48,13 @@
 	return messages
 }
 
-// allMessages returns all messages of a Ready, as if its writes were synced.
+// allMessages returns all messages of a Ready, as if its writes were already synced.
 func allMessages(ready Ready) []Message {
 	return slices.Concat(ready.Messages, ready.MessagesAfterSync)
 }
 
-// deliver delivers messages and the answers to them among the named replicas; messages to others
-// are lost.
+// deliver delivers messages, and the answers to them, to the listed recipients. Messages to other
+// replicas are lost.
 func (c *testCluster) deliver(recipients ...ReplicaID) {
 	const rounds = 20
 	for range rounds {
@@ -66,7 +66,8 @@
 	}
 }
 
-// exchange hands a message to its recipient, and the synced answers back to the sender.
+// exchange delivers a message to its recipient, and delivers the answers that the recipient sends
+// after a sync to the sender.
 func (c *testCluster) exchange(msg Message) {
 	recipient := c.replicas[msg.To]
 	recipient.Step(c.now, msg)
@@ -75,10 +76,10 @@
 	}
 }
 
-// newLeaderOfOldEntry returns a cluster in which "a" has just been elected with the promises of
-// a, b and c, and "c" reported an entry of an older leader, which "d" and "e" know to be
-// committed already.
-func newLeaderOfOldEntry(t *testing.T) *testCluster {
+// newClusterWithAdoptedEntry returns a cluster in which "a" has just been elected with the promises of
+// "a", "b" and "c". The promise of "c" reported entry 1 of an older leader, which "a" adopted. On
+// "d" and "e" this entry is already committed.
+func newClusterWithAdoptedEntry(t *testing.T) *testCluster {
 	t.Helper()
 	ids := []ReplicaID{"a", "b", "c", "d", "e"}
 	oldLeader := ProposalNumber{Term: 1, Proposer: "c"}
@@ -99,32 +100,34 @@
 		c.now += 50 * time.Millisecond
 		a.Tick(c.now)
 	}
-	c.deliver("b", "a") // its term is on its disk; b alone is no majority
+	c.deliver("b", "a") // "a" persists its term; it then has the promise of "b" and not yet its own
 	if a.Role() != Candidate {
-		t.Fatalf("it is %v with two promises of five", a.Role())
+		t.Fatalf("replica a has role %v before a majority has promised, want Candidate", a.Role())
 	}
 	c.exchange(c.prepareTo("c"))
-	c.deliver("a") // its own promise comes last
+	c.deliver("a") // the own promise of "a" arrives last
 	if a.Role() != Leader || a.AppliedIndex() != 0 {
-		t.Fatalf("it is %v and has applied %d", a.Role(), a.AppliedIndex())
+		t.Fatalf("replica a has role %v and applied index %d after three promises, want Leader and 0",
+			a.Role(), a.AppliedIndex())
 	}
 	return c
 }
 
-// prepareTo is the Prepare of the campaign of "a".
+// prepareTo returns a Prepare of the campaign of "a".
 func (c *testCluster) prepareTo(to ReplicaID) Message {
 	return Message{Cell: testCell, Kind: Prepare, From: "a", To: to, ProposalNumber: c.replicas["a"].proposer.number}
 }
 
-// TestLeaderLearnsAdoptedEntryAndStays: a new leader learns late, from one more promise, that an
-// entry which it proposes again was already committed. It must stay leader: stepping down would
-// leave the cell without a leader for an election timeout.
-func TestLeaderLearnsAdoptedEntryAndStays(t *testing.T) {
-	c := newLeaderOfOldEntry(t)
+// TestLeaderRemainsLeaderAfterLearningAdoptedEntry guards against an unnecessary step-down, which
+// leaves the cell without a leader for an election timeout. A new leader proposes an adopted entry
+// again, and a further promise arrives late and shows that this entry was already committed.
+func TestLeaderRemainsLeaderAfterLearningAdoptedEntry(t *testing.T) {
+	c := newClusterWithAdoptedEntry(t)
 	a := c.replicas["a"]
-	c.exchange(c.prepareTo("d")) // the late promise, which brings entry 1
+	c.exchange(c.prepareTo("d")) // the late promise contains entry 1 as committed
 	if a.Role() != Leader || a.AppliedIndex() != 1 {
-		t.Fatalf("having learned what it had adopted, it is %v and has applied %d", a.Role(), a.AppliedIndex())
+		t.Fatalf("after the late promise replica a has role %v and applied index %d, want Leader and 1",
+			a.Role(), a.AppliedIndex())
 	}
 	if err := a.Propose(c.now, putInt("u", "l", 8)); err != nil {
 		t.Fatal(err)
@@ -138,15 +141,15 @@
 		k, _ := c.replicas[id].Get("k")
 		l, _ := c.replicas[id].Get("l")
 		if !k.Equal(Int(7)) || !l.Equal(Int(8)) {
-			t.Errorf("%s holds %v and %v", id, k, l)
+			t.Errorf("replica %s has k=%v and l=%v, want 7 and 8", id, k, l)
 		}
 	}
 	checkStartedFollowerIsNotCurrent(t, c)
 	checkDeposedLeaderStepsDown(t, c)
 }
 
-// checkStartedFollowerIsNotCurrent: a replica that has just started and lacks entries up to its
-// leader's commit index does not report its state as current.
+// checkStartedFollowerIsNotCurrent checks that a replica does not report its state as current if it
+// has just started and lacks entries up to the commit index of its leader.
 func checkStartedFollowerIsNotCurrent(t *testing.T, c *testCluster) {
 	t.Helper()
 	a := c.replicas["a"]
@@ -156,12 +159,13 @@
 		HeartbeatSequence: 99, CommitIndex: a.AppliedIndex(),
 	})
 	if started.Leader() != "a" || started.Staleness(c.now) < time.Hour {
-		t.Errorf("behind %q it seems %v old", started.Leader(), started.Staleness(c.now))
+		t.Errorf("started replica b has leader %q and staleness %v, want leader a and at least 1 h",
+			started.Leader(), started.Staleness(c.now))
 	}
 }
 
-// checkDeposedLeaderStepsDown: a leader steps down when it learns an entry that was committed
-// under a newer proposal number.
+// checkDeposedLeaderStepsDown checks that a leader steps down when it learns an entry that was
+// committed under a newer proposal number.
 func checkDeposedLeaderStepsDown(t *testing.T, c *testCluster) {
 	t.Helper()
 	a := c.replicas["a"]
@@ -174,6 +178,6 @@
 		CommitIndex: newer.Index, Entries: []Entry{newer},
 	})
 	if a.Role() == Leader {
-		t.Error("deposed, it still leads")
+		t.Error("replica a is still the leader after it learned an entry with a newer proposal number")
 	}
 }
--- a/internal/paxos/linearizability_test.go
+++ b/internal/paxos/linearizability_test.go
@@ -9,13 +9,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The history of a chaosRun is checked against a register with compare-and-set: each change names
-// the value that it replaces.
+// The history of a chaosRun is checked against the model of a register with compare-and-set: each
+// change is conditional on the value that it replaces.
 
-// change is the input of an operation that replaces one value by another; a read has none.
+// change is the input of an operation that replaces the value base with value. A read has a nil
+// input.
 type change struct{ base, value string }
 
-// changeOutcome is the output of a change; that of a read is the value.
+// changeOutcome is the output of a change. The output of a read is the value as a string.
 type changeOutcome int
 
 const (
@@ -24,7 +25,8 @@
 	outcomeIgnored
 )
 
-// registerModel is the specification.
+// registerModel is the sequential specification of registerKey. Its state is the value, "" if the key
+// does not exist.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -43,7 +45,7 @@
 	},
 }
 
-// startChange records that a change is proposed now.
+// startChange records a change that is proposed now. Until its outcome is known it has no end.
 func (c *chaosRun) startChange(id string) {
 	c.changes[id] = &porcupine.Operation{
 		Input:  change{c.baseOf[id], c.valueOf[id]},
@@ -53,12 +55,12 @@
 	}
 }
 
-// startRead records that a read starts now.
+// startRead records a read that starts now.
 func (c *chaosRun) startRead(ticket uint64) {
 	c.pendingReads[ticket] = &porcupine.Operation{Call: int64(c.now)}
 }
 
-// recordHistory records when changes and reads end.
+// recordHistory sets the callbacks that record the ends and results of changes and reads.
 func (c *chaosRun) recordHistory() {
 	c.onOutcome = func(_ *simulatedNode, outcome Outcome) {
 		operation := c.changes[outcome.TxnID]
@@ -84,8 +86,9 @@
 	}
 }
 
-// history returns the operations to check. Every change leaves a key in the state: of those
-// with an unknown outcome, the ones without that key never took effect.
+// history returns the operations to check. Each change that takes effect writes a key with
+// changeKeyPrefix. A change with an unknown outcome is omitted if the leader lacks that key, and
+// counted as committed otherwise.
 func (c *chaosRun) history() []porcupine.Operation {
 	operations := slices.Clone(c.finishedReads)
 	for _, id := range slices.Sorted(maps.Keys(c.changes)) {
@@ -97,7 +100,7 @@
 			operation.Output = outcomeCommitted
 		}
 		if operation.Output == outcomeIgnored && operation.Return-operation.Call > int64(time.Second) {
-			continue // it says next to nothing, and many of them take too long to check
+			continue // a long ignored change hardly constrains the history, and many of them slow the check down
 		}
 		operations = append(operations, operation)
 	}
@@ -107,21 +110,22 @@
 	return operations
 }
 
-// checkLinearizable checks the history.
+// checkLinearizable checks that the history is linearizable. The check must end within timeout.
 func (c *chaosRun) checkLinearizable() {
 	const timeout = 20 * time.Second
 	operations := c.history()
 	switch porcupine.CheckOperationsTimeout(registerModel, operations, timeout) {
 	case porcupine.Illegal:
-		c.t.Fatalf("%s: the history of %d changes and reads is not linearizable", c.name, len(operations))
+		c.t.Fatalf("%s: the history of %d changes and reads is not linearizable, want a linearizable one",
+			c.name, len(operations))
 	case porcupine.Unknown:
-		c.t.Errorf("%s: a history of %d changes and reads could not be checked in time", c.name, len(operations))
+		c.t.Errorf("%s: the check of a history of %d changes and reads did not end within 20 s", c.name, len(operations))
 	case porcupine.Ok:
 	}
 }
 
-// checkAcknowledged checks the history, that all acknowledged changes are there, and that no
-// two of them build on the same value.
+// checkAcknowledged checks that the history is linearizable, that every running voter has all
+// acknowledged changes, and that no two acknowledged changes replace the same value.
 func (c *chaosRun) checkAcknowledged() {
 	c.checkLinearizable()
 	c.putUntilCommitted("last"+strconv.Itoa(c.lastOperation), "x")
@@ -133,7 +137,8 @@
 		}
 		base := c.baseOf[id]
 		if other, taken := c.successorOf[base]; taken && other != value {
-			c.t.Fatalf("%s at %v: %s and %s were both acknowledged on top of %q", c.name, c.now, other, value, base)
+			c.t.Fatalf("%s at %v: %s and %s were both acknowledged as replacements of %q, want one",
+				c.name, c.now, other, value, base)
 		}
 		c.successorOf[base] = value
 	}
--- a/internal/paxos/membership_durability_test.go
+++ b/internal/paxos/membership_durability_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// TestDiskLossRightAfterMembershipChange: at the moment at which a membership change is complete,
-// two of the disks that hold all entries before it are lost, and the other machines are killed or
-// lose power. Messages are lost, duplicated and reordered, some disks are slow, and the cell has
-// no traffic except its repairs.
+// TestDiskLossRightAfterMembershipChange guards against a membership change that is reported as
+// complete before enough disks of the new voters store the earlier entries. As soon as the change is
+// complete on the leader, two of the disks that store all entries before it are lost, and the other
+// machines are killed or lose power. Until then, messages are lost, duplicated and reordered, some
+// disks are slow, and the only traffic comes from the repairs of the membership.
 func TestDiskLossRightAfterMembershipChange(t *testing.T) {
 	runSeeds(t, 90, func(t *testing.T, seed int64) {
 		t.Helper()
@@ -25,7 +26,7 @@
 	})
 }
 
-// loseDisksAfterMembershipChange plays the case once.
+// loseDisksAfterMembershipChange replaces a voter and loses the disks once the change is complete.
 func (c *chaosRun) loseDisksAfterMembershipChange() {
 	machines := c.shuffled(c.nodeNames())
 	c.replaceDisk(machines[0])
--- a/internal/paxos/read_after_membership_change_test.go
+++ b/internal/paxos/read_after_membership_change_test.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// membershipChangeCluster is a cell in which "b" led and was replaced by "f". Entry 4, the
-// first that the new membership votes on, is acknowledged and known to "c" and "f" alone.
+// membershipChangeCluster is a cell of "a" to "e" in which the leader "b" replaced the voter "a" with
+// "f". The new voters vote on entry 4 and later. Entry 4 is acknowledged, and of the running
+// replicas only "c" and "f" have it.
 type membershipChangeCluster struct {
 	*testCluster
 	candidate *Replica // "d", which has entries 1 to 3
 	confirmed []uint64
 }
 
-// newMembershipChangeCluster starts all but "b", with "d" about to campaign.
+// newMembershipChangeCluster starts all replicas except "b". The election timeout of "d" has expired,
+// so it campaigns on its first tick.
 func newMembershipChangeCluster() *membershipChangeCluster {
 	number := ProposalNumber{Term: 1, Proposer: "b"}
 	change := Txn{Ops: []Op{{Kind: OpSetVoters, Voters: votersOf("b", "c", "d", "e", "f")}}}
@@ -41,7 +43,8 @@
 	return &membershipChangeCluster{testCluster: c, candidate: candidate}
 }
 
-// run lets time pass; Prepare messages to the named replicas are lost.
+// run advances the time by 400 ms and delivers messages. Prepare messages to the replicas in
+// unprepared are lost.
 func (c *membershipChangeCluster) run(unprepared ...ReplicaID) {
 	const steps = 40
 	for range steps {
@@ -71,31 +74,36 @@
 	return messages
 }
 
-// TestReadWaitsForPromisesAfterMembershipChange: a new leader was elected by the voters of the next
-// indexes, and has not asked the voters after a membership change. Until a majority of those has
-// promised, they may hold acknowledged entries that the leader lacks, so it must not confirm reads.
+// TestReadWaitsForPromisesAfterMembershipChange guards against stale reads after a membership change.
+// A new leader was elected by the voters from before the change. Until a majority of the voters from
+// after the change has promised, these may have acknowledged entries that the leader lacks, so it
+// must not confirm reads.
 func TestReadWaitsForPromisesAfterMembershipChange(t *testing.T) {
 	c := newMembershipChangeCluster()
 	d := c.candidate
 	c.run("c", "f")
 	if d.Role() != Leader || d.AppliedIndex() != 3 {
-		t.Fatalf("it is %v and has applied %d", d.Role(), d.AppliedIndex())
+		t.Fatalf("replica d has role %v and applied index %d after the election, want Leader and 3",
+			d.Role(), d.AppliedIndex())
 	}
 	err := d.Read(c.now, 1)
 	c.run("c", "f")
 	if err == nil && len(c.confirmed) > 0 {
-		t.Errorf("a read was confirmed at %d, though 4 was acknowledged", d.AppliedIndex())
+		t.Errorf("read was confirmed at applied index %d, want no confirmation before acknowledged entry 4 is applied",
+			d.AppliedIndex())
 	}
 	for _, id := range []ReplicaID{"d", "e"} {
 		replica := c.replicas[id]
 		if staleness := replica.Staleness(c.now); staleness < time.Hour {
-			t.Errorf("%s takes itself to be %v old at %d, though 4 was acknowledged", id, staleness, replica.AppliedIndex())
+			t.Errorf("staleness of %s is %v at applied index %d, want at least 1 h before acknowledged entry 4 is applied",
+				id, staleness, replica.AppliedIndex())
 		}
 	}
 	c.run()
 	err = d.Read(c.now, 2)
 	c.run()
 	if k, _ := d.Get("k"); err != nil || !slices.Contains(c.confirmed, 2) || !k.Equal(Int(7)) {
-		t.Errorf("a read at %d: %v, confirmed %v, %v", d.AppliedIndex(), err, c.confirmed, k)
+		t.Errorf("read at applied index %d returned %v, confirmed tickets %v, k=%v; want no error, ticket 2 and k=7",
+			d.AppliedIndex(), err, c.confirmed, k)
 	}
 }
--- a/internal/paxos/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -12,19 +12,19 @@
 	"comethold/internal/simulation"
 )
 
-// The files of testdata are scenarios, one command per line, played on a simulation.
+// The files in testdata are scenarios with one command per line. They run on a cellSimulation.
 
 // scenarioCommand is one line of a scenario.
 type scenarioCommand struct {
 	*cellSimulation
 	line  string
-	words []string // after the verb
+	words []string // the arguments after the verb
 }
 
-// word returns an argument; if it is missing, the test fails.
+// word returns the argument with index i, counted from 0. The test fails if it is missing.
 func (c scenarioCommand) word(i int) string {
 	if i >= len(c.words) {
-		c.t.Fatalf("%s: %q lacks a word", c.name, c.line)
+		c.t.Fatalf("%s: command %q has too few arguments", c.name, c.line)
 	}
 	return c.words[i]
 }
@@ -33,7 +33,7 @@
 func (c scenarioCommand) number() float64 {
 	value, err := strconv.ParseFloat(c.word(0), 64)
 	if err != nil {
-		c.t.Fatalf("%s: %q: %v", c.name, c.line, err)
+		c.t.Fatalf("%s: first argument of %q is not a number: %v", c.name, c.line, err)
 	}
 	return value
 }
@@ -43,18 +43,18 @@
 	return time.Duration(c.number()) * time.Millisecond
 }
 
-// node returns the node that the first argument names.
+// node returns the node with the name in the first argument.
 func (c scenarioCommand) node() *simulatedNode { return c.findNode(c.word(0)) }
 
-// scenarioCommands maps each verb to its function.
+// scenarioCommands maps each verb to the function that runs the command.
 var scenarioCommands = map[string]func(c scenarioCommand){
-	// The set-up.
+	// Setup and time.
 	"seed":        func(c scenarioCommand) { c.rng = rand.New(rand.NewSource(int64(c.number()))) },
 	"cell":        func(c scenarioCommand) { c.bootstrapCell(c.words) },
 	"add-learner": func(c scenarioCommand) { c.addLearner(c.word(0)) },
 	"run":         func(c scenarioCommand) { c.run(c.millis()) },
 
-	// The network and the disks.
+	// Network and disks.
 	"message-loss":       func(c scenarioCommand) { c.lossRate = c.number() },
 	"message-duplicates": func(c scenarioCommand) { c.duplicateRate = c.number() },
 	"message-delay":      func(c scenarioCommand) { c.messageDelay = c.millis() },
@@ -67,14 +67,14 @@
 	"repair-disks":       func(c scenarioCommand) { c.repairDisks() },
 	"lose-disk":          loseDiskCommand,
 
-	// The processes.
+	// Processes.
 	"kill":       func(c scenarioCommand) { c.node().stop() },
 	"lose-power": func(c scenarioCommand) { c.losePower(c.node()) },
 	"start":      func(c scenarioCommand) { c.startNode(c.node()) },
 	"pause":      func(c scenarioCommand) { c.node().paused = true },
 	"resume-all": func(c scenarioCommand) { c.resumeAll() },
 
-	// The clients.
+	// Clients and membership changes.
 	"put":           func(c scenarioCommand) { c.putUntilCommitted(c.word(0), c.word(1)) },
 	"put-many":      putManyCommand,
 	"propose-burst": proposeBurstCommand,
@@ -82,7 +82,7 @@
 	"read":          readCommand,
 	"replace-voter": replaceVoterCommand,
 
-	// The expectations.
+	// Checks.
 	"want":                     wantCommand,
 	"want-some":                wantSomeCommand,
 	"want-one-committed":       wantOneCommittedCommand,
@@ -94,7 +94,7 @@
 	"want-acknowledged":        func(c scenarioCommand) { c.settleAndCheckAcknowledged() },
 }
 
-// runCommand runs one line.
+// runCommand runs one line of a scenario.
 func (s *cellSimulation) runCommand(line string) {
 	fields := strings.Fields(line)
 	command, ok := scenarioCommands[fields[0]]
@@ -104,7 +104,7 @@
 	command(scenarioCommand{cellSimulation: s, line: line, words: fields[1:]})
 }
 
-// lose-disk NODE ID: the disk is lost, and the machine comes back as another replica.
+// loseDiskCommand runs "lose-disk NODE ID": the node restarts with an empty disk as the replica ID.
 func loseDiskCommand(c scenarioCommand) {
 	node := c.node()
 	former := node.id
@@ -114,14 +114,15 @@
 	c.updateLearners()
 }
 
-// put-many N: N puts, one after the other.
+// putManyCommand runs "put-many N": it commits N puts, one after the other.
 func putManyCommand(c scenarioCommand) {
 	for i := range int(c.number()) {
 		c.putUntilCommitted(fmt.Sprintf("k%d", i%7), fmt.Sprintf("v%d.%d", i, c.rng.Intn(1000)))
 	}
 }
 
-// propose-burst N: N proposals at once, named burst0 and so on.
+// proposeBurstCommand runs "propose-burst N": it proposes N transactions at once, with the IDs
+// burst0, burst1 and so on.
 func proposeBurstCommand(c scenarioCommand) {
 	leader := c.findNode("leader")
 	for i := range int(c.number()) {
@@ -129,7 +130,8 @@
 	}
 }
 
-// race KEY OLD A B: two conditional changes of one value, named race-A and race-B.
+// raceCommand runs "race KEY OLD A B": it proposes transactions race-A and race-B, which set KEY to A
+// and to B on condition that its value is OLD.
 func raceCommand(c scenarioCommand) {
 	leader := c.findNode("leader")
 	key := c.word(0)
@@ -142,7 +144,8 @@
 	delete(c.acknowledgedValues, key)
 }
 
-// read NODE: asks for a linearizable read there, whose status is that of "read".
+// readCommand runs "read NODE": it starts a linearizable read at the node. The command "want" checks
+// its status under the ID "read".
 func readCommand(c scenarioCommand) {
 	const ticket = 1
 	node := c.node()
@@ -156,9 +159,10 @@
 	}
 }
 
-// replace-voter OUT IN [OUT IN]: a voter is replaced, and at once after it another. An OUT
-// that does not vote ("-") means that a voter is added. The status of the two changes is that
-// of "first" and "second".
+// replaceVoterCommand runs "replace-voter OUT IN [OUT IN]": it proposes to replace the voter OUT with
+// IN, and immediately afterwards proposes the second replacement. If OUT is not a voter, such as
+// "-", IN is added. The command "want" checks the status of the two changes under the IDs "first"
+// and "second".
 func replaceVoterCommand(c scenarioCommand) {
 	leader := c.findNode("leader")
 	voters, _ := leader.replica.Voters()
@@ -182,7 +186,7 @@
 	}
 }
 
-// withoutVoter returns a copy of the voters that lacks one.
+// withoutVoter returns a copy of the voters without the one with this ID.
 func withoutVoter(voters []Voter, id ReplicaID) []Voter {
 	var rest []Voter
 	for _, voter := range voters {
@@ -193,24 +197,27 @@
 	return rest
 }
 
-// want ID STATUS
+// wantCommand runs "want ID STATUS": the transaction or read must have this status.
 func wantCommand(c scenarioCommand) {
 	if got, want := c.txnStatus[c.word(0)], txnStatus(c.word(1)); got != want {
-		c.t.Fatalf("%s at %v: %s is %q, want %q", c.name, c.now, c.word(0), got, want)
+		c.t.Fatalf("%s at %v: status of %s is %q, want %q", c.name, c.now, c.word(0), got, want)
 	}
 }
 
-// want-some STATUS PREFIX: at least one transaction.
+// wantSomeCommand runs "want-some STATUS PREFIX": at least one transaction whose ID has the prefix
+// must have this status.
 func wantSomeCommand(c scenarioCommand) {
 	for id, status := range c.txnStatus {
 		if status == txnStatus(c.word(0)) && strings.HasPrefix(id, c.word(1)) {
 			return
 		}
 	}
-	c.t.Fatalf("%s at %v: none of %s* is %s: %v", c.name, c.now, c.word(1), c.word(0), c.txnStatus)
+	c.t.Fatalf("%s at %v: no transaction %s* has status %s, want at least one; statuses: %v",
+		c.name, c.now, c.word(1), c.word(0), c.txnStatus)
 }
 
-// want-one-committed PREFIX: exactly one transaction.
+// wantOneCommittedCommand runs "want-one-committed PREFIX": exactly one transaction whose ID has the
+// prefix must be committed.
 func wantOneCommittedCommand(c scenarioCommand) {
 	count := 0
 	for id, status := range c.txnStatus {
@@ -219,39 +226,40 @@
 		}
 	}
 	if count != 1 {
-		c.t.Fatalf("%s at %v: %d of %s* committed: %v", c.name, c.now, count, c.word(0), c.txnStatus)
+		c.t.Fatalf("%s at %v: %d transactions %s* are committed, want 1; statuses: %v",
+			c.name, c.now, count, c.word(0), c.txnStatus)
 	}
 }
 
-// want-leader yes|no
+// wantLeaderCommand runs "want-leader yes|no": the cell must have a leader or not.
 func wantLeaderCommand(c scenarioCommand) {
 	if leader := c.leader(); (leader != nil) != (c.word(0) == "yes") {
-		c.t.Fatalf("%s at %v: leader: %v", c.name, c.now, leader)
+		c.t.Fatalf("%s at %v: leader is %v, want a leader: %s", c.name, c.now, leader, c.word(0))
 	}
 }
 
-// want-not-leader NODE
+// wantNotLeaderCommand runs "want-not-leader NODE": the node must not be a leader.
 func wantNotLeaderCommand(c scenarioCommand) {
 	if c.node().replica.Role() == Leader {
-		c.t.Fatalf("%s at %v: %s leads", c.name, c.now, c.word(0))
+		c.t.Fatalf("%s at %v: node %s is a leader, want another role", c.name, c.now, c.word(0))
 	}
 }
 
-// wantVoter checks whether the node that the command names is a voter.
+// wantVoter checks whether the node in the first argument considers itself a voter.
 func (c scenarioCommand) wantVoter(want bool) {
 	if got := c.node().replica.IsVoter(); got != want {
-		c.t.Fatalf("%s at %v: voter: %v", c.name, c.now, got)
+		c.t.Fatalf("%s at %v: IsVoter returned %v, want %v on node %s", c.name, c.now, got, want, c.word(0))
 	}
 }
 
-// settleAndCheckAcknowledged waits for messages in transit, and then checks that every live voter
-// holds all acknowledged values.
+// settleAndCheckAcknowledged runs for 500 ms, so that messages in transit arrive, and then checks
+// that every running voter has all acknowledged values.
 func (s *cellSimulation) settleAndCheckAcknowledged() {
 	s.run(500 * time.Millisecond)
 	s.checkAcknowledgedValues()
 }
 
-// propose proposes a transaction at one node.
+// propose proposes a transaction at one node and records its status.
 func (s *cellSimulation) propose(node *simulatedNode, id string, txn Txn) {
 	txn.ID = id
 	err := node.replica.Propose(s.now, txn)
@@ -266,7 +274,7 @@
 	s.handleReady(node)
 }
 
-// putUntilCommitted sets a key at the current leader, and repeats that until it is committed.
+// putUntilCommitted proposes a put at the current leader, and repeats it until it is committed.
 func (s *cellSimulation) putUntilCommitted(key, value string) {
 	const attempts = 200
 	for range attempts {
@@ -275,10 +283,10 @@
 		}
 		s.run(50 * time.Millisecond)
 	}
-	s.t.Fatalf("%s at %v: %s=%s was never committed", s.name, s.now, key, value)
+	s.t.Fatalf("%s at %v: put %s=%s was not committed in 200 attempts", s.name, s.now, key, value)
 }
 
-// putOnce proposes a value, waits for the outcome and reports whether it was committed.
+// putOnce proposes a put, waits for its outcome for up to 1.2 s, and reports whether it was committed.
 func (s *cellSimulation) putOnce(leader *simulatedNode, key, value string) bool {
 	const waits = 60
 	s.lastTxn++
@@ -291,7 +299,7 @@
 	return s.txnStatus[id] == statusCommitted
 }
 
-// scenarioWorld plays scenario files on a simulation.
+// scenarioWorld runs the commands of scenario files on a cellSimulation.
 type scenarioWorld struct{ *cellSimulation }
 
 func (w scenarioWorld) Do(c simulation.Command) error {
@@ -299,11 +307,13 @@
 	return nil
 }
 
+// TestScenarios runs the scenario files. The comment at the head of each file states the fault and the
+// expected result.
 func TestScenarios(t *testing.T) {
-	inRealTime := func(t *testing.T, run func(*testing.T)) { t.Helper(); run(t) }
+	withoutSynctest := func(t *testing.T, run func(*testing.T)) { t.Helper(); run(t) }
 	newWorld := func(t *testing.T) simulation.World {
 		t.Helper()
 		return scenarioWorld{newCellSimulation(t, t.Name())}
 	}
-	simulation.Play(t, "testdata", inRealTime, newWorld)
+	simulation.Play(t, "testdata", withoutSynctest, newWorld)
 }
--- a/internal/paxos/severe_faults_test.go
+++ b/internal/paxos/severe_faults_test.go
@@ -7,34 +7,37 @@
 	"time"
 )
 
-// The faults of TestSevereFaults come in combinations that operators have met: disks hang
-// through a kill, messages arrive an incarnation late, partitions block one direction or last
-// for twenty seconds with clients on both sides, disks are lost at the moment at which a
-// membership change is committed or complete, and a replica comes back after hundreds of
+// This file contains the faults of TestSevereFaults. They are combinations that operators have seen:
+// a disk hangs until its process is killed, messages arrive after their sender or recipient has
+// restarted, partitions block one direction or last for 20 s with clients on both sides, disks are
+// lost when a membership change is committed or complete, and a replica returns after hundreds of
 // changes.
 
-// severeFaults are drawn by injectSevereFault; the order is part of what a seed draws.
+// severeFaults lists the faults from which injectSevereFault chooses. A change of the order changes
+// the faults that a seed selects.
 var severeFaults = []fault{
-	faultElectedWithHungDisk,
+	faultElectionWithHungDisk,
 	faultLateMessages,
 	faultOneWayPartition,
 	faultLongPartition,
 	faultDiskLossesAfterRepair,
 	faultLossAtMembershipCommit,
 	faultKilledDuringCatchUp,
-	faultNewcomerLostDuringCatchUp,
+	faultNewReplicaLostDuringCatchUp,
 	faultPowerLossDuringElection,
-	faultOfChaos,
+	faultFromChaosTest,
 	faultPausedLeaderIsolatedOnResume,
 }
 
-// injectSevereFault draws one of the faults.
+// injectSevereFault runs a random fault of the list severeFaults.
 func (c *chaosRun) injectSevereFault(machines []string) {
 	span := c.randomDurationMillis(1500)
 	machines = c.shuffled(machines)
 	severeFaults[c.rng.Intn(len(severeFaults))](c, machines, span)
 }
 
+// TestSevereFaults guards against lost acknowledged changes and stale reads when several faults
+// coincide.
 func TestSevereFaults(t *testing.T) {
 	runSeeds(t, 40, func(t *testing.T, seed int64) {
 		t.Helper()
@@ -49,16 +52,16 @@
 	})
 }
 
-// faultElectedWithHungDisk: a disk hangs, its replica is elected all the same, is killed, and
-// is elected again from what the disk holds.
-func faultElectedWithHungDisk(c *chaosRun, machines []string, span time.Duration) {
+// faultElectionWithHungDisk makes a disk hang and its replica campaign. The replica is then killed,
+// restarts from the synced state, and campaigns again.
+func faultElectionWithHungDisk(c *chaosRun, machines []string, span time.Duration) {
 	machine := machines[0]
 	node := c.nodes[machine]
 	node.diskHangs = true
-	if leader := c.leaderOr(machines[1]); leader != machine {
+	if leader := c.leaderMachineOr(machines[1]); leader != machine {
 		c.killNode(c.nodes[leader])
 	}
-	c.run(300 * time.Millisecond) // the others then accept another leader
+	c.run(300 * time.Millisecond) // the others lose contact with the killed leader and accept another one
 	c.forceElection(machine)
 	c.lateRate = 0.7
 	c.runTraffic(span / 20)
@@ -73,7 +76,7 @@
 	c.startAllNodes()
 }
 
-// faultLateMessages: some messages arrive seconds late, during one of the faults of TestChaos.
+// faultLateMessages delays some messages by up to 4 s during one of the faults of TestChaos.
 func faultLateMessages(c *chaosRun, machines []string, span time.Duration) {
 	c.lateRate = 0.02 + 0.2*c.rng.Float64()
 	c.runTraffic(span)
@@ -81,9 +84,9 @@
 	c.lateRate = 0
 }
 
-// faultOneWayPartition: no message reaches the leader, or none of its own messages arrives.
+// faultOneWayPartition blocks either all messages to the leader or all messages from it.
 func faultOneWayPartition(c *chaosRun, machines []string, span time.Duration) {
-	leader := c.nodes[c.leaderOr(machines[0])].id
+	leader := c.nodes[c.leaderMachineOr(machines[0])].id
 	inbound := c.rng.Intn(2) == 0
 	for _, name := range c.nodeNames() {
 		other := c.nodes[name].id
@@ -97,10 +100,10 @@
 	c.healAll()
 }
 
-// faultLongPartition: the leader is partitioned for twenty seconds, alone or with another, and
-// there are clients on both sides.
+// faultLongPartition partitions the leader for 20 s, alone or with one other machine. Clients on both
+// sides continue.
 func faultLongPartition(c *chaosRun, machines []string, _ time.Duration) {
-	isolated := []string{c.leaderOr(machines[0])}
+	isolated := []string{c.leaderMachineOr(machines[0])}
 	if machines[1] != isolated[0] && c.rng.Intn(2) == 0 {
 		isolated = append(isolated, machines[1])
 	}
@@ -109,14 +112,14 @@
 	c.healAll()
 }
 
-// faultDiskLossesAfterRepair: two disks are lost at the moment at which a membership change is
-// complete on the leader, and maybe power fails on the other machines.
+// faultDiskLossesAfterRepair loses two disks as soon as a membership change is complete on the
+// leader. At random, the other machines lose power as well.
 func faultDiskLossesAfterRepair(c *chaosRun, machines []string, span time.Duration) {
 	c.replaceDisk(machines[0])
 	c.nodes[machines[0]].diskDelay = c.randomDurationMillis(300)
 	c.startAllNodes()
 	c.waitForRepairOnLeader()
-	if leader := c.leaderOr(machines[0]); leader != machines[0] || c.rng.Intn(2) == 0 {
+	if leader := c.leaderMachineOr(machines[0]); leader != machines[0] || c.rng.Intn(2) == 0 {
 		isLeader := func(machine string) bool { return machine == leader }
 		machines = append([]string{leader}, slices.DeleteFunc(slices.Clone(machines), isLeader)...)
 	}
@@ -141,8 +144,8 @@
 	c.waitUntilRepaired()
 }
 
-// waitForRepairOnLeader waits until the leader considers the newest membership change complete,
-// with voterCount voters whose disks are not lost. The other replicas need not know.
+// waitForRepairOnLeader repairs the membership until isRepairedOnLeader holds. It does not wait for
+// the other replicas to learn this. The test fails after 20 s of simulated time.
 func (c *chaosRun) waitForRepairOnLeader() {
 	for range 20000 {
 		if leader := c.leader(); leader != nil && c.isRepairedOnLeader(leader.replica) {
@@ -151,24 +154,25 @@
 		c.run(time.Millisecond)
 		c.repairMembership()
 	}
-	c.t.Fatalf("%s at %v: no repair was completed", c.name, c.now)
+	c.t.Fatalf("%s at %v: the membership repair is not complete on the leader after 20 s", c.name, c.now)
 }
 
-// isRepairedOnLeader is the condition of waitForRepairOnLeader.
+// isRepairedOnLeader reports whether the newest membership change is complete on the leader, with
+// voterCount voters that have not lost their disks.
 func (c *chaosRun) isRepairedOnLeader(leader *Replica) bool {
 	voters, complete := leader.Voters()
 	isLost := func(voter Voter) bool { return c.nodes[machineOf(voter.ID)].id != voter.ID }
 	return complete && len(voters) == voterCount && !slices.ContainsFunc(voters, isLost)
 }
 
-// faultLossAtMembershipCommit: power fails, or the leader is killed, at the moment at which a
+// faultLossAtMembershipCommit kills the leader, or cuts the power of all machines, as soon as a
 // membership change is committed.
 func faultLossAtMembershipCommit(c *chaosRun, machines []string, span time.Duration) {
 	c.replaceDisk(machines[0])
 	c.startAllNodes()
 	c.waitForMembershipCommit()
 	if c.rng.Intn(2) == 0 {
-		c.killNode(c.nodes[c.leaderOr(machines[1])])
+		c.killNode(c.nodes[c.leaderMachineOr(machines[1])])
 		c.runTraffic(span)
 	} else {
 		for _, machine := range machines {
@@ -179,8 +183,8 @@
 	c.waitUntilRepaired()
 }
 
-// waitForMembershipCommit returns at the moment at which a membership change is committed, or
-// after four seconds.
+// waitForMembershipCommit repairs the membership until a change is committed, and returns in the same
+// millisecond of simulated time. It returns after 4 s in any case.
 func (c *chaosRun) waitForMembershipCommit() {
 	const unknown = -1
 	before := unknown
@@ -200,8 +204,8 @@
 	}
 }
 
-// faultKilledDuringCatchUp: a machine is down for hundreds of changes, and killed while it
-// catches up.
+// faultKilledDuringCatchUp kills a process, restarts it after up to 300 proposed changes, and kills
+// it again while it catches up.
 func faultKilledDuringCatchUp(c *chaosRun, machines []string, span time.Duration) {
 	machine := machines[0]
 	node := c.nodes[machine]
@@ -219,16 +223,16 @@
 	c.startAllNodes()
 	c.runTraffic(c.randomDurationMillis(300))
 	c.lateRate = 0
-	if leader := c.leaderOr(machines[1]); leader != machine { // it may be the next to lead
+	if leader := c.leaderMachineOr(machines[1]); leader != machine { // the restarted replica may become the next leader
 		c.setPartitioned(c.nodes[leader], true)
 		c.runTraffic(span)
 		c.healAll()
 	}
 }
 
-// faultNewcomerLostDuringCatchUp: a new replica loses power, or its disk again, while it catches
-// up.
-func faultNewcomerLostDuringCatchUp(c *chaosRun, machines []string, _ time.Duration) {
+// faultNewReplicaLostDuringCatchUp replaces a disk. The new replica loses power, or its disk as well,
+// while it catches up.
+func faultNewReplicaLostDuringCatchUp(c *chaosRun, machines []string, _ time.Duration) {
 	c.replaceDisk(machines[0])
 	c.startAllNodes()
 	c.runTraffic(c.randomDurationMillis(200))
@@ -241,10 +245,10 @@
 	c.waitUntilRepaired()
 }
 
-// faultPowerLossDuringElection: the leader is killed, and power fails everywhere before or
-// after another is elected.
+// faultPowerLossDuringElection kills the leader, and cuts the power of all machines before or after
+// another leader is elected.
 func faultPowerLossDuringElection(c *chaosRun, machines []string, _ time.Duration) {
-	c.killNode(c.nodes[c.leaderOr(machines[0])])
+	c.killNode(c.nodes[c.leaderMachineOr(machines[0])])
 	c.run(c.randomDurationMillis(900))
 	for _, machine := range machines {
 		c.losePower(c.nodes[machine])
@@ -252,13 +256,13 @@
 	c.startAllNodes()
 }
 
-// faultOfChaos is one of the faults of TestChaos.
-func faultOfChaos(c *chaosRun, machines []string, _ time.Duration) { c.injectFault(machines) }
+// faultFromChaosTest runs one of the faults of TestChaos.
+func faultFromChaosTest(c *chaosRun, machines []string, _ time.Duration) { c.injectFault(machines) }
 
-// faultPausedLeaderIsolatedOnResume: the leader is paused while answers to it are in transit, and
-// is partitioned when it resumes. It must not confirm a read.
+// faultPausedLeaderIsolatedOnResume pauses the leader while answers to it are in transit, and
+// partitions it before it resumes. It must not confirm a read with these old answers.
 func faultPausedLeaderIsolatedOnResume(c *chaosRun, machines []string, span time.Duration) {
-	leader := c.nodes[c.leaderOr(machines[0])]
+	leader := c.nodes[c.leaderMachineOr(machines[0])]
 	leader.paused = true
 	c.run(5*time.Millisecond + c.randomDurationMillis(20))
 	c.setPartitioned(leader, true)
--- a/internal/paxos/simulated_disk_test.go
+++ b/internal/paxos/simulated_disk_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pendingSync is the writes of one Ready and the messages that wait for their sync.
+// pendingSync contains the writes of one Ready and the messages to send after they are synced.
 type pendingSync struct {
 	dueAt    time.Duration
 	replica  *Replica
@@ -14,13 +14,13 @@
 	messages []Message
 }
 
-// simulatedDisk is the durable state of a node.
+// simulatedDisk holds the durable state of a node.
 type simulatedDisk struct {
 	persisted PersistedState
 	entries   map[uint64]Entry
 }
 
-// write applies a replica's writes.
+// write applies the writes of a replica to the durable state.
 func (d *simulatedDisk) write(writes Writes) {
 	if d.entries == nil {
 		d.entries = map[uint64]Entry{}
@@ -47,14 +47,15 @@
 	}
 }
 
-// load returns the state that a replica finds when it starts.
+// load returns the state from which a replica starts.
 func (d *simulatedDisk) load() PersistedState {
 	persisted := d.persisted
 	persisted.Entries = slices.Collect(maps.Values(d.entries))
 	return persisted
 }
 
-// recoverableIndex is the applied index of a replica that is restarted from the disk.
+// recoverableIndex returns the applied index of a replica that restarts from the disk: the end of the
+// contiguous committed entries after the snapshot.
 func (d *simulatedDisk) recoverableIndex() uint64 {
 	index := uint64(0)
 	if d.persisted.Snapshot != nil {
@@ -68,13 +69,13 @@
 	return index
 }
 
-// stores reports whether the disk has an entry, or a snapshot that includes it.
+// stores reports whether the disk has the entry at an index, or a snapshot that includes it.
 func (d *simulatedDisk) stores(index uint64) bool {
 	_, ok := d.entries[index]
 	return ok || d.persisted.Snapshot != nil && d.persisted.Snapshot.AppliedIndex >= index
 }
 
-// drawSyncDelay draws how long a sync takes.
+// drawSyncDelay returns the random duration of a sync, which is below twice syncDelay.
 func (s *cellSimulation) drawSyncDelay() time.Duration {
 	if s.syncDelay == 0 {
 		return 0
@@ -107,8 +108,8 @@
 	}
 }
 
-// losePower simulates a loss of power at a node: of the writes that are not synced, a random number
-// of the first may have reached the disk, and none after them.
+// losePower simulates a loss of power at a node. A random number of the oldest pending writes reaches
+// the disk, and the others are lost.
 func (s *cellSimulation) losePower(node *simulatedNode) {
 	if len(node.pendingSyncs) > 0 {
 		for _, sync := range node.pendingSyncs[:s.rng.Intn(len(node.pendingSyncs)+1)] {
@@ -118,14 +119,15 @@
 	node.stop()
 }
 
-// loseDisk replaces a node's disk by an empty one: the machine returns as another replica.
+// loseDisk stops a node and replaces its disk with an empty one. The node later restarts as the
+// replica successor.
 func (s *cellSimulation) loseDisk(node *simulatedNode, successor ReplicaID) {
 	node.stop()
 	node.disk = simulatedDisk{}
 	node.id = successor
 }
 
-// flushDueDisks completes the syncs that are due on all nodes.
+// flushDueDisks completes the syncs that are due on all running nodes.
 func (s *cellSimulation) flushDueDisks() {
 	for _, name := range s.nodeNames() {
 		if node := s.nodes[name]; node.up && !node.paused && len(node.pendingSyncs) > 0 {
@@ -134,7 +136,7 @@
 	}
 }
 
-// repairDisks repairs disks that hang or fail.
+// repairDisks makes all disks that hang or fail work again, and completes the syncs that are due.
 func (s *cellSimulation) repairDisks() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
--- a/internal/paxos/simulated_network_test.go
+++ b/internal/paxos/simulated_network_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// link is one direction between two replicas.
+// link is the directed connection from one replica to another.
 type link struct{ from, to ReplicaID }
 
-// inTransit is a message in transit.
+// inTransit is a message that has not arrived yet. Messages that arrive at the same time are ordered
+// by sequence.
 type inTransit struct {
 	arrivesAt time.Duration
 	sequence  int
 	message   Message
 }
 
-// network is a heap of the messages in transit, by time of arrival.
+// network is a heap of the messages in transit, ordered by time of arrival.
 type network []inTransit
 
 func (n network) Len() int      { return len(n) }
@@ -32,7 +33,7 @@
 func (n *network) Push(x any) {
 	item, ok := x.(inTransit)
 	if !ok {
-		panic("not a message in transit")
+		panic("network.Push: the value is not an inTransit message")
 	}
 	*n = append(*n, item)
 }
@@ -43,7 +44,8 @@
 	return last
 }
 
-// sendMessages sends messages over the network, and returns the ones to the node itself.
+// sendMessages sends messages over the network, some of them twice. It returns the messages to the
+// node itself instead of sending them.
 func (s *cellSimulation) sendMessages(node *simulatedNode, messages []Message) []Message {
 	var toSelf []Message
 	for _, msg := range messages {
@@ -62,7 +64,7 @@
 	return toSelf
 }
 
-// transmit loses a message or draws when it arrives.
+// transmit drops a message at random, or adds it to the network with a random time of arrival.
 func (s *cellSimulation) transmit(msg Message) {
 	if s.rng.Float64() < s.lossRate {
 		return
@@ -70,12 +72,13 @@
 	s.messagesSent++
 	delay := s.messageDelay + s.randomDuration(s.messageDelay)
 	if s.lateRate > 0 && s.rng.Float64() < s.lateRate {
-		delay += s.randomDuration(lateDelay)
+		delay += s.randomDuration(maxLateDelay)
 	}
 	heap.Push(&s.network, inTransit{arrivesAt: s.now + delay, sequence: s.messagesSent, message: msg})
 }
 
-// nextArrival removes the next message from the network if its time of arrival is reached.
+// nextArrival removes the next message from the network and returns it if its time of arrival has
+// been reached.
 func (s *cellSimulation) nextArrival() (Message, bool) {
 	if len(s.network) == 0 || s.network[0].arrivesAt > s.now {
 		return Message{}, false
@@ -95,7 +98,7 @@
 	}
 }
 
-// setPartitioned blocks or opens all links of one node.
+// setPartitioned blocks or opens all links from and to one node.
 func (s *cellSimulation) setPartitioned(node *simulatedNode, blocked bool) {
 	for _, name := range s.nodeNames() {
 		if other := s.nodes[name]; other != node {
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// The checks of a simulation while time passes: agreement, staleness, and the truth of the commit
-// indexes that replicas report as durable.
+// This file contains the checks of a simulation. They check that replicas apply the same entries,
+// that the reported staleness is an upper bound, and that the commit indexes which replicas report as
+// durable are on their disks.
 
-// acknowledgement is the time at which a client was notified of a commit, and the applied index of
-// its node at that time.
+// acknowledgement holds the time at which a client was notified of a commit, and the applied index
+// of its node at that time.
 type acknowledgement struct {
 	at    time.Duration
 	index uint64
@@ -30,14 +31,14 @@
 		}
 		content := strings.Join(ids, ",")
 		if other, ok := s.committedContent[index]; ok && other != content {
-			s.t.Fatalf("%s at %v: index %d is %q at %s, %q elsewhere", s.name, s.now, index, content, node.id, other)
+			s.t.Fatalf("%s at %v: index %d has %q on %s, want %q as on others", s.name, s.now, index, content, node.id, other)
 		}
 		s.committedContent[index] = content
 	}
 }
 
-// checkStaleness checks that a replica has everything that was acknowledged up to the time until
-// which it reports its state as current.
+// checkStaleness checks that each running replica has applied everything that was acknowledged before
+// the time up to which it reports its state as current.
 func (s *cellSimulation) checkStaleness() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
@@ -47,7 +48,7 @@
 		currentUntil := s.now - node.replica.Staleness(s.now)
 		newest, ok := s.lastAcknowledgementBefore(currentUntil)
 		if ok && node.replica.appliedIndex < newest.index {
-			s.t.Fatalf("%s at %v: %s has applied %d and takes itself to be current until %v, when %d was acknowledged",
+			s.t.Fatalf("%s at %v: %s has applied index %d and reports its state as current up to %v, want index %d or higher",
 				s.name, s.now, node.id, node.replica.appliedIndex, currentUntil, newest.index)
 		}
 	}
@@ -63,8 +64,8 @@
 	return acknowledgement{}, false
 }
 
-// checkDurableCommits checks the durable commit indexes that replicas reported to a leader: a
-// restart must find the entries up to them, and know them to be committed.
+// checkDurableCommits checks the durable commit indexes that replicas have reported to a leader: a
+// replica that restarts from its disk must recover at least the reported index.
 func (s *cellSimulation) checkDurableCommits() {
 	for _, name := range s.nodeNames() {
 		leader := s.nodes[name]
@@ -74,17 +75,17 @@
 		for id, reported := range leader.replica.followers.durableCommitIndexes {
 			node := s.nodeByID(id)
 			if node == nil {
-				continue // its disk was lost
+				continue // this replica lost its disk
 			}
 			if found := node.disk.recoverableIndex(); found < reported {
-				s.t.Fatalf("%s at %v: to %s it was reported that %s holds %d, a restart would find %d",
+				s.t.Fatalf("%s at %v: leader %s has a report that %s stores index %d, but a restart would recover only %d",
 					s.name, s.now, leader.id, id, reported, found)
 			}
 		}
 	}
 }
 
-// recordOutcome records the outcome that a client gets for its transaction.
+// recordOutcome records the outcome that a client receives for its transaction.
 func (s *cellSimulation) recordOutcome(node *simulatedNode, outcome Outcome) {
 	if s.onOutcome != nil {
 		s.onOutcome(node, outcome)
@@ -103,7 +104,7 @@
 	}
 }
 
-// checkAcknowledgedValues checks that every live voter holds all acknowledged values.
+// checkAcknowledgedValues checks that every running voter has all acknowledged values.
 func (s *cellSimulation) checkAcknowledgedValues() {
 	voters, _ := s.findNode("leader").replica.Voters()
 	for _, name := range s.nodeNames() {
@@ -113,20 +114,21 @@
 		}
 		for key, want := range s.acknowledgedValues {
 			if got, _ := node.replica.Get(key); string(got.Bytes) != want {
-				s.t.Fatalf("%s at %v: %s has %s=%q, acknowledged was %q", s.name, s.now, name, key, got.Bytes, want)
+				s.t.Fatalf("%s at %v: voter %s has %s=%q, want the acknowledged value %q",
+					s.name, s.now, name, key, got.Bytes, want)
 			}
 		}
 	}
 }
 
-// checkMembershipComplete checks that the newest membership change is complete, and that all live
-// voters know this.
+// checkMembershipComplete checks that all running voters consider the newest membership change
+// complete.
 func (s *cellSimulation) checkMembershipComplete() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
 		voters, complete := node.replica.Voters()
 		if node.up && (Membership{Voters: voters}).Contains(node.id) && !complete {
-			s.t.Fatalf("%s at %v: to %s the membership change is not complete", s.name, s.now, name)
+			s.t.Fatalf("%s at %v: on voter %s the membership change is incomplete, want it complete", s.name, s.now, name)
 		}
 	}
 }
--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A cellSimulation runs the replicas of one cell on simulated time, with a network that delays,
-// loses and duplicates messages and disks that take time to sync. All its random numbers come
-// from one seed. While time passes it runs the checks of simulation_checks_test.go.
+// A cellSimulation runs the replicas of one cell in simulated time. Its network delays, loses and
+// duplicates messages, and its disks take time to sync. All random numbers come from one seed. The
+// checks in simulation_checks_test.go run while the time advances.
 type cellSimulation struct {
 	t    *testing.T
 	name string
@@ -26,30 +26,30 @@
 	messagesSent  int
 	lossRate      float64
 	duplicateRate float64
-	lateRate      float64 // of messages that arrive up to lateDelay later than others
+	lateRate      float64 // fraction of messages with an additional delay of up to maxLateDelay
 	messageDelay  time.Duration
 	blockedLinks  map[link]bool
 
-	syncDelay time.Duration // half of the most that a sync takes
+	syncDelay time.Duration // mean duration of a sync; the maximum is twice as long
 
-	// What clients have seen:
+	// State of the clients:
 	lastTxn            int
 	txnStatus          map[string]txnStatus
-	proposedWrites     map[string]keyValue // by transaction
+	proposedWrites     map[string]keyValue // by transaction ID
 	acknowledgedValues map[string]string   // by key
 	confirmedReads     map[uint64]bool
 	onOutcome          func(node *simulatedNode, outcome Outcome)
 	onRead             func(node *simulatedNode, ticket uint64)
 
-	// What the checks remember:
-	committedContent map[uint64]string // the transactions of each log index
+	// State of the checks:
+	committedContent map[uint64]string // the transaction IDs of each log index, joined by commas
 	acknowledgements []acknowledgement
 }
 
-// keyValue is what a transaction writes.
+// keyValue is the key that a transaction writes, and its new value.
 type keyValue struct{ key, value string }
 
-// txnStatus is a transaction's status as its client knows it.
+// txnStatus is the status of a transaction or read, as known to its client.
 type txnStatus string
 
 const (
@@ -59,19 +59,19 @@
 	statusCommitted    txnStatus = "committed"
 	statusIgnored      txnStatus = "ignored"
 	statusUnknown      txnStatus = "unknown"
-	// Of a read:
+	// The status of a read:
 	statusConfirmed   txnStatus = "confirmed"
 	statusUnconfirmed txnStatus = "unconfirmed"
 )
 
 // Timing of the simulation.
 const (
-	simulationStep   = time.Millisecond
-	tickInterval     = 20 * time.Millisecond
-	lateDelay        = 4 * time.Second
-	lossReportDelay  = time.Second
-	defaultDelay     = 5 * time.Millisecond
-	wrongReportOneIn = 10 // reports of a lost replica that name its successor instead
+	simulationStep      = time.Millisecond
+	tickInterval        = 20 * time.Millisecond
+	maxLateDelay        = 4 * time.Second
+	maxLossReportDelay  = time.Second
+	defaultMessageDelay = 5 * time.Millisecond
+	wrongReportOneIn    = 10 // one in this many loss reports names the successor instead of the lost replica
 )
 
 // simulatedNode is a machine with its disk and, while it is up, a replica.
@@ -83,13 +83,13 @@
 	disk         simulatedDisk
 	diskHangs    bool
 	diskFails    bool
-	diskDelay    time.Duration // beyond the other disks' delay
+	diskDelay    time.Duration // additional duration of each sync
 	pendingSyncs []pendingSync
 
 	paused       bool
-	heldMessages []Message // that arrived while it was paused
+	heldMessages []Message // messages that arrived while the node was paused
 
-	checkedIndex uint64 // up to which agreement was checked in this incarnation
+	checkedIndex uint64 // index up to which checkAgreement has checked this incarnation
 }
 
 // stop ends a node's process. Writes that are not synced yet are lost.
@@ -99,7 +99,7 @@
 	n.heldMessages = nil
 }
 
-// lossReport tells a replica that another's incarnation has ended.
+// lossReport is a report to one node that a replica is lost permanently.
 type lossReport struct {
 	arrivesAt time.Duration
 	recipient *simulatedNode
@@ -111,7 +111,7 @@
 	return &cellSimulation{
 		t: t, name: name, rng: rand.New(rand.NewSource(1)),
 		nodes:              map[string]*simulatedNode{},
-		messageDelay:       defaultDelay,
+		messageDelay:       defaultMessageDelay,
 		blockedLinks:       map[link]bool{},
 		txnStatus:          map[string]txnStatus{},
 		proposedWrites:     map[string]keyValue{},
@@ -125,7 +125,7 @@
 	return testConfig(id, s.rng.Float64)
 }
 
-// testConfig is the configuration of the replicas of all tests.
+// testConfig returns the configuration of the replicas in all tests of this package.
 func testConfig(id ReplicaID, jitter func() float64) Config {
 	return Config{
 		Cell: testCell, Self: id,
@@ -136,7 +136,7 @@
 	}
 }
 
-// testCell is the name of the cell in all tests.
+// testCell is the name of the cell in all tests of this package.
 const testCell = "c"
 
 // bootstrapCell starts a new cell with its initial voters.
@@ -152,12 +152,12 @@
 	}
 }
 
-// initialSnapshot is the snapshot on the disk of each initial voter of a new cell.
+// initialSnapshot returns the snapshot on the disk of each initial voter of a new cell.
 func initialSnapshot(voters []Voter) *Snapshot {
 	return &Snapshot{State: map[string]Value{}, Memberships: []Membership{{EffectiveFrom: 1, Voters: voters}}}
 }
 
-// addLearner starts an empty machine whose replica is a learner.
+// addLearner starts a node with an empty disk whose replica is a learner.
 func (s *cellSimulation) addLearner(name string) {
 	node := &simulatedNode{id: ReplicaID(name)}
 	s.nodes[name] = node
@@ -165,7 +165,7 @@
 	s.updateLearners()
 }
 
-// startNode starts a replica from what the node's disk holds.
+// startNode starts the replica of a node from the node's disk.
 func (s *cellSimulation) startNode(node *simulatedNode) {
 	node.replica = NewReplica(s.config(node.id), node.disk.load(), s.now)
 	node.up = true
@@ -174,7 +174,7 @@
 	s.checkAgreement(node)
 }
 
-// updateLearners sets, on each replica, the learners: all replicas that are not initial voters.
+// updateLearners sets the learners on each running replica: all replicas that are not initial voters.
 func (s *cellSimulation) updateLearners() {
 	var ids []ReplicaID
 	for _, name := range s.nodeNames() {
@@ -190,7 +190,7 @@
 	}
 }
 
-// handleReady performs the I/O that a node's replica asks for.
+// handleReady performs the I/O that the replica of a node returns from Ready.
 func (s *cellSimulation) handleReady(node *simulatedNode) {
 	for node.up {
 		ready := node.replica.Ready()
@@ -223,13 +223,14 @@
 	}
 }
 
-// randomDuration draws a duration below a bound.
+// randomDuration returns a random duration that is less than below.
 func (s *cellSimulation) randomDuration(below time.Duration) time.Duration {
 	return time.Duration(s.rng.Int63n(int64(below)))
 }
 
-// scheduleLossReports schedules reports to the other replicas, each with its own delay, that a
-// replica's incarnation has ended. Some reports are wrong: they name the new incarnation.
+// scheduleLossReports schedules reports to all other nodes that the replica former is lost. Each
+// report has a random delay below maxLossReportDelay. Some reports are wrong: they name the new
+// replica of the node.
 func (s *cellSimulation) scheduleLossReports(node *simulatedNode, former ReplicaID) {
 	for _, name := range s.nodeNames() {
 		recipient := s.nodes[name]
@@ -240,7 +241,7 @@
 		if s.rng.Intn(wrongReportOneIn) == 0 {
 			lost = node.id
 		}
-		arrivesAt := s.now + s.randomDuration(lossReportDelay)
+		arrivesAt := s.now + s.randomDuration(maxLossReportDelay)
 		s.lossReports = append(s.lossReports, lossReport{arrivesAt, recipient, lost})
 	}
 }
@@ -257,7 +258,7 @@
 	})
 }
 
-// run lets time pass.
+// run advances the simulated time by duration, in steps of simulationStep.
 func (s *cellSimulation) run(duration time.Duration) {
 	for end := s.now + duration; s.now < end; {
 		s.now += simulationStep
@@ -276,7 +277,8 @@
 	}
 }
 
-// deliver hands a message to its recipient, if that is up and the link is not blocked.
+// deliver passes a message to its recipient, or holds it if the recipient is paused. It drops the
+// message if the recipient is down or the link is blocked.
 func (s *cellSimulation) deliver(msg Message) {
 	node := s.nodeByID(msg.To)
 	if node == nil || !node.up || s.blockedLinks[link{msg.From, msg.To}] {
@@ -290,7 +292,7 @@
 	s.handleReady(node)
 }
 
-// tickNodes lets time pass for the replicas.
+// tickNodes passes the current time to the replicas of all running nodes.
 func (s *cellSimulation) tickNodes() {
 	for _, name := range s.nodeNames() {
 		if node := s.nodes[name]; node.up && !node.paused {
@@ -300,7 +302,7 @@
 	}
 }
 
-// nodeNames returns the machines in order; callers must not change the list.
+// nodeNames returns the names of all nodes in sorted order. Callers must not modify the slice.
 func (s *cellSimulation) nodeNames() []string {
 	if len(s.sortedNames) != len(s.nodes) {
 		s.sortedNames = slices.Sorted(maps.Keys(s.nodes))
@@ -308,7 +310,7 @@
 	return s.sortedNames
 }
 
-// nodeByID returns the machine that runs a replica, or nil.
+// nodeByID returns the node with a replica ID, or nil if there is none.
 func (s *cellSimulation) nodeByID(id ReplicaID) *simulatedNode {
 	for _, node := range s.nodes {
 		if node.id == id {
@@ -318,7 +320,8 @@
 	return nil
 }
 
-// leader returns the node that leads under the highest proposal number, or nil.
+// leader returns the running node that is the leader with the highest proposal number, or nil if
+// there is none.
 func (s *cellSimulation) leader() *simulatedNode {
 	var best *simulatedNode
 	for _, name := range s.nodeNames() {
@@ -333,14 +336,15 @@
 	return best
 }
 
-// findNode returns a node by its name, or the "leader", or the first live "follower".
+// findNode returns the node with a name. The name "leader" selects the current leader, and "follower"
+// the first other running voter. The test fails if there is no such node.
 func (s *cellSimulation) findNode(name string) *simulatedNode {
 	switch name {
 	case "leader":
 		if node := s.leader(); node != nil {
 			return node
 		}
-		s.t.Fatalf("%s at %v: no leader", s.name, s.now)
+		s.t.Fatalf("%s at %v: no node is the leader, want one", s.name, s.now)
 	case "follower":
 		leader := s.leader()
 		for _, other := range s.nodeNames() {
@@ -351,12 +355,12 @@
 	}
 	node := s.nodes[name]
 	if node == nil {
-		s.t.Fatalf("%s at %v: no node %q", s.name, s.now, name)
+		s.t.Fatalf("%s at %v: found no node %q, want one", s.name, s.now, name)
 	}
 	return node
 }
 
-// resumeAll lets paused nodes go on, with all that arrived in the meantime.
+// resumeAll resumes the paused nodes and delivers the messages that arrived while they were paused.
 func (s *cellSimulation) resumeAll() {
 	for _, name := range s.nodeNames() {
 		node := s.nodes[name]
