--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -21,7 +21,7 @@
 
 // quotaAllocation groups the components that allocate the tenants' quotas.
 type quotaAllocation struct {
-	tenants    *allocation.Tenants
+	tenants    *allocation.TenantLimits
 	renewer    *allocation.QuotaShareRenewer
 	watermarks *allocation.WatermarkStore
 	borrower   *allocation.Borrower
@@ -33,7 +33,7 @@
 	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
 	watermarks := allocation.NewWatermarkStore(allocator, store)
-	tenants := allocation.NewTenants(s.settings.Bounds.QuotaRules(), allocator)
+	tenants := allocation.NewTenantLimits(s.settings.Bounds.QuotaRules(), allocator)
 	borrower := allocation.NewBorrower(allocation.BorrowerOptions{
 		Allocator: allocator,
 		Peers:     s.host,
@@ -47,12 +47,12 @@
 		watermarks: watermarks,
 		borrower:   borrower,
 		renewer: allocation.NewQuotaShareRenewer(allocation.QuotaShareRenewerOptions{
-			NodeName:   s.settings.NodeName,
-			Allocator:  allocator,
-			Tenants:    tenants,
-			Shares:     s.shares,
-			Watermarks: watermarks.Load(),
-			Log:        s.log,
+			NodeName:     s.settings.NodeName,
+			Allocator:    allocator,
+			TenantLimits: tenants,
+			Shares:       s.shares,
+			Watermarks:   watermarks.Load(),
+			Log:          s.log,
 		}),
 		tokens: allocation.NewTokenServer(allocation.TokenServerOptions{
 			Allocator:   allocator,
--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -90,10 +90,12 @@
 	return lenders
 }
 
-// Fill borrows the tokens that a result lacks of a demand, first from the own region. Surplus
+// BorrowMissing borrows the tokens that a result lacks of a demand, first from the own region. Surplus
 // tokens go to this node's slice, up to its depth. It blocks until the lenders have answered
 // or their time-out has passed.
-func (b *Borrower) Fill(demand quota.TenantDemand, result *quota.TenantGrant, lenders Lenders, sender Sender) {
+func (b *Borrower) BorrowMissing(
+	demand quota.TenantDemand, result *quota.TenantGrant, lenders Lenders, sender Sender,
+) {
 	missing := float64(demand.Required - result.Granted)
 	// Start with the fraction of a token that is left here.
 	collected := b.options.Allocator.Withdraw(demand.Tenant, missing, time.Now())
--- a/internal/controlplane/allocation/doc.go
+++ b/internal/controlplane/allocation/doc.go
@@ -6,7 +6,7 @@
 // and object caches hold shares of the rate limits; control nodes hold shares of the quotas.
 //
 // Tenants' quotas. Each control node has a slice of every tenant's token bucket in a
-// quota.Allocator. Tenants applies the limits of a configuration, QuotaShareRenewer renews the
+// quota.Allocator. TenantLimits applies the limits of a configuration, QuotaShareRenewer renews the
 // lease on this node's share, TokenServer grants tokens to data plane nodes and borrows missing
 // ones from other control nodes, and WatermarkStore stores a lower bound of each bucket's level
 // on disk, so that buckets are not empty after a restart.
--- a/internal/controlplane/allocation/renewer.go
+++ b/internal/controlplane/allocation/renewer.go
@@ -31,10 +31,10 @@
 
 // QuotaShareRenewerOptions are what a QuotaShareRenewer needs.
 type QuotaShareRenewerOptions struct {
-	NodeName  string
-	Allocator *quota.Allocator
-	Tenants   *Tenants
-	Shares    ShareRequester
+	NodeName     string
+	Allocator    *quota.Allocator
+	TenantLimits *TenantLimits
+	Shares       ShareRequester
 	// Watermarks are the stored low watermarks by tenant; nil if they can't be read.
 	Watermarks map[string]float64
 	Log        *logging.Logger
@@ -62,7 +62,7 @@
 func (r *QuotaShareRenewer) Run(ctx context.Context) {
 	for {
 		interval := quotaAcquireInterval
-		if r.options.Tenants.HasLimits() && r.renew(ctx) && r.holdsFairShare() {
+		if r.options.TenantLimits.HasLimits() && r.renew(ctx) && r.holdsFairShare() {
 			interval = quotaRenewInterval
 		}
 		jitter := minJitter + jitterRange*rand.Float64()
--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -55,20 +55,20 @@
 type renewal struct {
 	shares    *fakeShares
 	allocator *quota.Allocator
-	tenants   *Tenants
+	tenants   *TenantLimits
 	renewer   *QuotaShareRenewer
 }
 
 func newRenewal(watermarks map[string]float64) *renewal {
 	r := &renewal{shares: &fakeShares{}, allocator: quota.NewAllocator()}
-	r.tenants = NewTenants(quota.Rules{Window: time.Second, Overshoot: 0.1}, r.allocator)
+	r.tenants = NewTenantLimits(quota.Rules{Window: time.Second, Overshoot: 0.1}, r.allocator)
 	r.renewer = NewQuotaShareRenewer(QuotaShareRenewerOptions{
-		NodeName:   "n",
-		Allocator:  r.allocator,
-		Tenants:    r.tenants,
-		Shares:     r.shares,
-		Watermarks: watermarks,
-		Log:        logging.Nop(),
+		NodeName:     "n",
+		Allocator:    r.allocator,
+		TenantLimits: r.tenants,
+		Shares:       r.shares,
+		Watermarks:   watermarks,
+		Log:          logging.Nop(),
 	})
 	return r
 }
@@ -76,7 +76,7 @@
 // limitTenant brings a configuration with one limited tenant into force.
 func (r *renewal) limitTenant(version uint64) {
 	limited := routing.Tenant{Name: tenant, RatePerSecond: slowRefillRate, BurstSize: bucketDepth}
-	r.tenants.SetTenants(&routing.Configuration{Version: version, Tenants: []routing.Tenant{limited}})
+	r.tenants.Apply(&routing.Configuration{Version: version, Tenants: []routing.Tenant{limited}})
 }
 
 func (r *renewal) run(t *testing.T, test func()) {
@@ -212,11 +212,11 @@
 func TestOlderTenantsArePassedOver(t *testing.T) {
 	r := newRenewal(nil)
 	r.limitTenant(2)
-	r.tenants.SetTenants(&routing.Configuration{Version: 1})
+	r.tenants.Apply(&routing.Configuration{Version: 1})
 	if !r.tenants.HasLimits() {
 		t.Error("the limits are gone")
 	}
-	r.tenants.SetTenants(&routing.Configuration{Version: 3})
+	r.tenants.Apply(&routing.Configuration{Version: 3})
 	if r.tenants.HasLimits() {
 		t.Error("the limits are there still")
 	}
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -13,9 +13,9 @@
 	"comethold/internal/rpc"
 )
 
-// LeaderPath is the RPC path of requests for shares that control nodes forward to the leader
+// ShareRequestPath is the RPC path of requests for shares that control nodes forward to the leader
 // of the meta cell.
-const LeaderPath = "/claim"
+const ShareRequestPath = "/claim"
 
 const (
 	maxWaitingRequests = 256
@@ -82,7 +82,7 @@
 ) (distribution.ShareGrant, error) {
 	result, err := s.state.CallLeader(ctx, replicahost.LeaderCall{
 		Cell:    schema.MetaCell,
-		Path:    LeaderPath,
+		Path:    ShareRequestPath,
 		Request: &request,
 		Local: func(ctx context.Context) replicahost.ProposeResult {
 			return s.DecideLocal(ctx, request)
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -8,8 +8,8 @@
 	"comethold/internal/routing"
 )
 
-// Tenants applies the quotas of tenants to this node's allocator.
-type Tenants struct {
+// TenantLimits applies the quotas of tenants to this node's allocator.
+type TenantLimits struct {
 	rules     quota.Rules
 	allocator *quota.Allocator
 
@@ -18,13 +18,13 @@
 	hasLimits bool       // some of its tenants have limits
 }
 
-// NewTenants returns Tenants that have applied no configuration.
-func NewTenants(rules quota.Rules, allocator *quota.Allocator) *Tenants {
-	return &Tenants{rules: rules, allocator: allocator}
+// NewTenantLimits returns TenantLimits that have applied no configuration.
+func NewTenantLimits(rules quota.Rules, allocator *quota.Allocator) *TenantLimits {
+	return &TenantLimits{rules: rules, allocator: allocator}
 }
 
-// SetTenants applies the tenants of a configuration, unless it is not newer than the last.
-func (t *Tenants) SetTenants(configuration *routing.Configuration) {
+// Apply applies the tenants of a configuration, unless it is not newer than the last.
+func (t *TenantLimits) Apply(configuration *routing.Configuration) {
 	limits := map[string]quota.BucketLimits{}
 	for _, tenant := range configuration.Tenants {
 		tenantLimits := t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
@@ -43,7 +43,7 @@
 }
 
 // HasLimits reports whether some tenants have limits.
-func (t *Tenants) HasLimits() bool {
+func (t *TenantLimits) HasLimits() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasLimits
--- a/internal/controlplane/allocation/tokenserver.go
+++ b/internal/controlplane/allocation/tokenserver.go
@@ -74,7 +74,7 @@
 	s.borrowing.Go(func() {
 		var loans sync.WaitGroup
 		for _, i := range short {
-			loans.Go(func() { s.options.Borrower.Fill(request.Demands[i], &grant.Results[i], lenders, sender) })
+			loans.Go(func() { s.options.Borrower.BorrowMissing(request.Demands[i], &grant.Results[i], lenders, sender) })
 		}
 		loans.Wait()
 		sender.SendDatagram(from, reply)
--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compat_test.go
@@ -73,7 +73,7 @@
 func TestStoredNames(t *testing.T) {
 	for name, want := range map[string]string{
 		schema.MetaCell:                 "exchange",
-		latency.FileName:                "estimates.jsonl",
+		latency.ExportFileName:          "estimates.jsonl",
 		schema.ConfigVersionKey:         "config/version",
 		schema.ConfigDataKey:            "config/raw",
 		schema.ReceiptKeyPrefix:         "receipt/",
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -51,7 +51,7 @@
 	e.POST(placement.PathMove, handleBoundedRPC(func(ctx context.Context, request *placement.MoveRequest) any {
 		return s.mover.MoveLocal(ctx, request)
 	}))
-	e.POST(allocation.LeaderPath, s.handleShareDecision)
+	e.POST(allocation.ShareRequestPath, s.handleShareDecision)
 	e.POST(endpointlist.PathPush, handleRPC(s.receiveEndpoints))
 	e.POST(endpointlist.PathFetch, s.handleFetchEndpoints)
 	e.POST(metering.WindowPath, s.handleUsageWindow)
--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -18,7 +18,7 @@
 // latencyEstimates groups the components that collect and export latency estimates.
 type latencyEstimates struct {
 	collector *latency.Collector
-	file      *latency.File
+	file      *latency.ExportFile
 	exporter  *latency.Exporter
 }
 
@@ -26,7 +26,7 @@
 // needs s.distributor.
 func (s *Server) openLatencyEstimates() {
 	collector := latency.NewCollector(s.distributor.Nodes, s.settings.PortOf(settings.DataPlane), s.client)
-	file := latency.NewFile(s.settings.DataDirectory, s.disk)
+	file := latency.NewExportFile(s.settings.DataDirectory, s.disk)
 	s.estimates = latencyEstimates{
 		collector: collector,
 		file:      file,
--- a/internal/controlplane/latency/exporter.go
+++ b/internal/controlplane/latency/exporter.go
@@ -12,16 +12,16 @@
 	exportTimeout  = 10 * time.Second
 )
 
-// Exporter writes the estimates of the data plane nodes of a zone to a File.
+// Exporter writes the estimates of the data plane nodes of a zone to an ExportFile.
 type Exporter struct {
 	collector *Collector
-	file      *File
+	file      *ExportFile
 	zone      string
 	log       *logging.Logger
 }
 
 // NewExporter returns an Exporter; Run starts it.
-func NewExporter(collector *Collector, file *File, zone string, log *logging.Logger) *Exporter {
+func NewExporter(collector *Collector, file *ExportFile, zone string, log *logging.Logger) *Exporter {
 	return &Exporter{collector: collector, file: file, zone: zone, log: log}
 }
 
--- a/internal/controlplane/latency/file.go
+++ b/internal/controlplane/latency/file.go
@@ -8,10 +8,10 @@
 	"path/filepath"
 )
 
-// FileName is the name of the file in the data directory. The rotated one has rotatedSuffix.
+// ExportFileName is the name of the file in the data directory. The rotated one has rotatedSuffix.
 const (
-	FileName      = "estimates.jsonl"
-	rotatedSuffix = ".1"
+	ExportFileName = "estimates.jsonl"
+	rotatedSuffix  = ".1"
 )
 
 // maxFileSize is the size in bytes above which the file is rotated.
@@ -24,19 +24,19 @@
 	SyncDir(dir string) error
 }
 
-// File holds views, one a line, oldest first.
-type File struct {
+// ExportFile holds views, one a line, oldest first.
+type ExportFile struct {
 	dir  string
 	disk Disk
 }
 
-// NewFile returns the file in a data directory. The first Append creates it.
-func NewFile(dir string, disk Disk) *File { return &File{dir: dir, disk: disk} }
+// NewExportFile returns the file in a data directory. The first Append creates it.
+func NewExportFile(dir string, disk Disk) *ExportFile { return &ExportFile{dir: dir, disk: disk} }
 
-func (f *File) path() string { return filepath.Join(f.dir, FileName) }
+func (f *ExportFile) path() string { return filepath.Join(f.dir, ExportFileName) }
 
 // Lines returns the stored views, oldest first. Torn lines are skipped.
-func (f *File) Lines() []json.RawMessage {
+func (f *ExportFile) Lines() []json.RawMessage {
 	lines := []json.RawMessage{}
 	for _, path := range []string{f.path() + rotatedSuffix, f.path()} {
 		raw, err := os.ReadFile(path)
@@ -54,7 +54,7 @@
 
 // Append adds a view and returns once it is durable. If a crash left a torn line at the end of
 // the file, the view goes to a new line after it.
-func (f *File) Append(view View) error {
+func (f *ExportFile) Append(view View) error {
 	size, err := f.rotate()
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 }
 
 // rotate renames the file if it is too large. It returns the size of the file to append to.
-func (f *File) rotate() (size int64, err error) {
+func (f *ExportFile) rotate() (size int64, err error) {
 	info, err := os.Stat(f.path())
 	if err != nil {
 		return 0, nil // the file doesn't exist, or opening it returns the error
--- a/internal/controlplane/latency/file_test.go
+++ b/internal/controlplane/latency/file_test.go
@@ -17,8 +17,8 @@
 func TestSavedEstimates(t *testing.T) {
 	dir := t.TempDir()
 	disk := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
-	file := NewFile(dir, disk)
-	path := filepath.Join(dir, FileName)
+	file := NewExportFile(dir, disk)
+	path := filepath.Join(dir, ExportFileName)
 	torn := `{"nodes":7,"una`
 	for i, before := range []string{"", torn, strings.Repeat(" ", maxFileSize) + "\n", ""} {
 		appendRaw(t, path, before)
@@ -44,7 +44,7 @@
 }
 
 // savedNodes reads the views back as an operator gets them.
-func savedNodes(t *testing.T, file *File) (nodes []int) {
+func savedNodes(t *testing.T, file *ExportFile) (nodes []int) {
 	t.Helper()
 	raw, err := json.Marshal(file.Lines())
 	if err != nil {
