--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	regionalLendTimeout = 8 * time.Millisecond   // for lenders of the own region
-	remoteLendTimeout   = 45 * time.Millisecond  // for lenders of other regions
-	emptyLenderBackoff  = 150 * time.Millisecond // until a lender that had too little is asked again
-	maxEmptyLenders     = 4096                   // entries in emptyUntil; beyond that it is cleared
+	regionalLendTimeout = 8 * time.Millisecond   // for lenders in this node's region
+	remoteLendTimeout   = 45 * time.Millisecond  // for lenders in other regions
+	emptyLenderBackoff  = 150 * time.Millisecond // before a lender that had too little is asked again
+	maxEmptyLenders     = 4096                   // entries in emptyUntil above which it is cleared
 )
 
-// rounding is the tolerance for rounding errors in sums of fractions of tokens.
-const rounding = 1e-6
+// roundingTolerance is the tolerance, in tokens, for rounding errors in sums of fractional tokens.
+const roundingTolerance = 1e-6
 
 // Peers lists control nodes.
 type Peers interface {
-	// LivePeers returns, by address, the control nodes in contact within a time, and this node.
+	// LivePeers returns this node and the control nodes from which a message arrived within the
+	// given duration, by address.
 	LivePeers(within time.Duration) map[string]replicahost.PeerInfo
 }
 
-// BorrowerOptions are what a Borrower needs.
+// BorrowerOptions are the dependencies and settings of a Borrower.
 type BorrowerOptions struct {
 	Allocator *quota.Allocator
 	Peers     Peers
 	Address   string // of this node
-	Port      int    // to which control nodes take datagrams
+	Port      int    // on which control nodes receive datagrams
 	Region    string // of this node
 	RegionOf  func(zone string) string
 }
 
-// Lenders are the addresses of other control nodes.
+// Lenders holds the addresses of the other control nodes, by whether they are in this node's region.
 type Lenders struct {
 	sameRegion   []string
 	otherRegions []string
 }
 
-// Borrower borrows missing tokens from other control nodes. Safe for concurrent use.
+// Borrower borrows missing tokens from other control nodes. It is safe for concurrent use.
 type Borrower struct {
 	options BorrowerOptions
 
 	mu            sync.Mutex // guards the fields below
 	lastRequestID uint64
 	pendingLoans  map[uint64]pendingLoan  // by request ID
-	emptyUntil    map[lenderKey]time.Time // when a lender that had too little is asked again
+	emptyUntil    map[lenderKey]time.Time // when a lender that had too little may be asked again
 }
 
-// pendingLoan is a request to a lender. If reply is nil, Fill no longer waits for the answer;
-// tokens that arrive before the deadline then go to this node's slice.
+// pendingLoan is an unanswered request to a lender. reply is nil once BorrowMissing no longer waits
+// for the answer. Tokens that arrive after that, but before the deadline, go to this node's slice.
 type pendingLoan struct {
 	tenant   string
 	deadline time.Time
@@ -76,7 +77,7 @@
 	}
 }
 
-// Lenders lists the other control nodes.
+// Lenders returns the other control nodes in contact within replicahost.LearnerTimeout.
 func (b *Borrower) Lenders() (lenders Lenders) {
 	for address, peer := range b.options.Peers.LivePeers(replicahost.LearnerTimeout) {
 		switch {
@@ -90,24 +91,25 @@
 	return lenders
 }
 
-// BorrowMissing borrows the tokens that a result lacks of a demand, first from the own region. Surplus
-// tokens go to this node's slice, up to its depth. It blocks until the lenders have answered
-// or their time-out has passed.
+// BorrowMissing borrows the required tokens that result does not yet grant and adds them to it. It
+// asks the lenders in this node's region first, and those in other regions only for the rest. Tokens
+// that are not granted go to this node's slice, up to its depth. BorrowMissing blocks until the
+// lenders have answered or timed out.
 func (b *Borrower) BorrowMissing(
 	demand quota.TenantDemand, result *quota.TenantGrant, lenders Lenders, sender Sender,
 ) {
 	missing := float64(demand.Required - result.Granted)
-	// Start with the fraction of a token that is left here.
+	// The slice may still hold a fraction of a token.
 	collected := b.options.Allocator.Withdraw(demand.Tenant, missing, time.Now())
-	for _, from := range []lenderGroup{
+	for _, group := range []lenderGroup{
 		{lenders.sameRegion, regionalLendTimeout},
 		{lenders.otherRegions, remoteLendTimeout},
 	} {
-		if collected < missing-rounding {
-			collected += b.borrow(from, demand.Tenant, missing-collected, sender)
+		if collected < missing-roundingTolerance {
+			collected += b.borrow(group, demand.Tenant, missing-collected, sender)
 		}
 	}
-	added := min(int(collected+rounding), demand.Required-result.Granted)
+	added := min(int(collected+roundingTolerance), demand.Required-result.Granted)
 	b.options.Allocator.Deposit(demand.Tenant, max(0, collected-float64(added)), time.Now())
 	result.Granted += added
 	if result.Granted >= demand.Required {
@@ -115,27 +117,27 @@
 	}
 }
 
-// lenderGroup is a set of lenders that are asked at once, and the time-out for them.
+// lenderGroup is a set of lenders that are asked in parallel, and their time-out.
 type lenderGroup struct {
 	addresses []string
 	timeout   time.Duration
 }
 
-// borrow asks all lenders of a group at once for the whole amount, and returns the tokens that
-// arrive in time.
-func (b *Borrower) borrow(from lenderGroup, tenant string, amount float64, sender Sender) (collected float64) {
-	replies := make(chan quota.TenantGrant, len(from.addresses)) // buffered, so that ReceiveGrant never blocks
-	asked := b.registerLoans(from.addresses, tenant, replies)
-	for id, address := range asked {
-		demand := quota.TenantDemand{Tenant: tenant, MilliTokens: int64(amount*milli + 0.999)}
+// borrow asks all lenders of a group in parallel, each for the whole amount, and returns the number
+// of tokens that arrive before the time-out.
+func (b *Borrower) borrow(group lenderGroup, tenant string, amount float64, sender Sender) (collected float64) {
+	replies := make(chan quota.TenantGrant, len(group.addresses)) // buffered, so that ReceiveGrant never blocks
+	requestedFrom := b.registerLoans(group.addresses, tenant, replies)
+	for id, address := range requestedFrom {
+		demand := quota.TenantDemand{Tenant: tenant, MilliTokens: int64(amount*milliPerToken + 0.999)}
 		request := &quota.TokenRequest{ID: id, Loan: true, Demands: []quota.TenantDemand{demand}}
 		to := &net.UDPAddr{IP: net.ParseIP(address), Port: b.options.Port}
 		sender.SendDatagram(to, &distribution.Datagram{TokenRequest: request})
 	}
-	timer := time.NewTimer(from.timeout)
+	timer := time.NewTimer(group.timeout)
 	defer timer.Stop()
 	timedOut := false
-	for answers := 0; answers < len(asked) && collected < amount && !timedOut; {
+	for answers := 0; answers < len(requestedFrom) && collected < amount && !timedOut; {
 		select {
 		case reply := <-replies:
 			answers++
@@ -144,20 +146,20 @@
 			timedOut = true
 		}
 	}
-	collected += b.endLoans(asked, replies)
+	collected += b.stopWaiting(requestedFrom, replies)
 	if collected < amount {
-		b.markEmpty(asked, tenant)
+		b.markEmpty(requestedFrom, tenant)
 	}
 	return collected
 }
 
-// registerLoans registers a request to each lender except those that lately had too little.
-// It returns the addresses by request ID.
+// registerLoans registers a request to each lender, except to those that recently had too little (see
+// emptyUntil). It returns the addresses of the lenders to ask, by request ID.
 func (b *Borrower) registerLoans(
 	addresses []string, tenant string, replies chan<- quota.TenantGrant,
-) (asked map[uint64]string) {
+) (requestedFrom map[uint64]string) {
 	now := time.Now()
-	asked = map[uint64]string{}
+	requestedFrom = map[uint64]string{}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, loan := range b.pendingLoans {
@@ -175,17 +177,17 @@
 			deadline: now.Add(remoteLendTimeout),
 			reply:    replies,
 		}
-		asked[b.lastRequestID] = address
+		requestedFrom[b.lastRequestID] = address
 	}
-	return asked
+	return requestedFrom
 }
 
-// endLoans stops waiting for lenders that have not answered. It returns the tokens that have
-// arrived meanwhile.
-func (b *Borrower) endLoans(asked map[uint64]string, replies <-chan quota.TenantGrant) (collected float64) {
+// stopWaiting makes ReceiveGrant put the tokens of later answers into this node's slice. It returns
+// the number of tokens in answers that were received but not yet counted.
+func (b *Borrower) stopWaiting(requestedFrom map[uint64]string, replies <-chan quota.TenantGrant) (collected float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id := range asked {
+	for id := range requestedFrom {
 		if loan, pending := b.pendingLoans[id]; pending {
 			loan.reply = nil
 			b.pendingLoans[id] = loan
@@ -197,11 +199,11 @@
 	return collected
 }
 
-// markEmpty sets emptyUntil for lenders that together had too little.
-func (b *Borrower) markEmpty(asked map[uint64]string, tenant string) {
+// markEmpty sets emptyUntil for lenders that together lent less than was requested.
+func (b *Borrower) markEmpty(requestedFrom map[uint64]string, tenant string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, address := range asked {
+	for _, address := range requestedFrom {
 		b.emptyUntil[lenderKey{address: address, tenant: tenant}] = time.Now().Add(emptyLenderBackoff)
 	}
 	if len(b.emptyUntil) > maxEmptyLenders {
@@ -209,7 +211,7 @@
 	}
 }
 
-// ReceiveGrant handles the answer of a lender.
+// ReceiveGrant handles a lender's answer. It ignores answers that are unknown, duplicate or late.
 func (b *Borrower) ReceiveGrant(grant *quota.TokenGrant) {
 	if len(grant.Results) != 1 {
 		return
@@ -221,13 +223,13 @@
 	loan, pending := b.pendingLoans[grant.ID]
 	delete(b.pendingLoans, grant.ID)
 	switch {
-	case !pending || now.After(loan.deadline): // unknown, a duplicate or too late
+	case !pending || now.After(loan.deadline): // unknown, duplicate or too late
 	case loan.reply != nil:
-		loan.reply <- lent // never blocks; see borrow
+		loan.reply <- lent // never blocks: borrow buffers one reply per request
 	default:
 		b.options.Allocator.Deposit(loan.tenant, tokensOf(lent), now)
 	}
 }
 
 // tokensOf returns the number of tokens in a loan.
-func tokensOf(lent quota.TenantGrant) float64 { return float64(lent.MilliTokens) / milli }
+func tokensOf(lent quota.TenantGrant) float64 { return float64(lent.MilliTokens) / milliPerToken }
--- a/internal/controlplane/allocation/renewer.go
+++ b/internal/controlplane/allocation/renewer.go
@@ -13,40 +13,40 @@
 
 const (
 	quotaRenewInterval   = ratelimit.QuotaLeaseDuration / 5
-	quotaAcquireInterval = 150 * time.Millisecond // until this node has its fair share
+	quotaAcquireInterval = 150 * time.Millisecond // while this node does not hold its fair share
 	quotaRequestTimeout  = ratelimit.QuotaLeaseDuration / 5
 )
 
-// The pause is an interval times a random factor from minJitter to minJitter+jitterRange, so
-// that nodes don't renew at the same time.
+// The pause between two requests is the interval times a random factor from minJitter to
+// minJitter+jitterRange, so that nodes don't renew at the same time.
 const (
 	minJitter   = 0.8
 	jitterRange = 0.4
 )
 
-// ShareRequester requests shares. *ShareService implements it.
+// ShareRequester requests shares from the leader. *ShareService implements it.
 type ShareRequester interface {
 	Request(ctx context.Context, request distribution.ShareRequest) (distribution.ShareGrant, error)
 }
 
-// QuotaShareRenewerOptions are what a QuotaShareRenewer needs.
+// QuotaShareRenewerOptions are the dependencies and settings of a QuotaShareRenewer.
 type QuotaShareRenewerOptions struct {
 	NodeName     string
 	Allocator    *quota.Allocator
 	TenantLimits *TenantLimits
 	Shares       ShareRequester
-	// Watermarks are the stored low watermarks by tenant; nil if they can't be read.
+	// Watermarks holds the stored low watermarks by tenant. It is nil if they can't be read.
 	Watermarks map[string]float64
 	Log        *logging.Logger
 }
 
-// QuotaShareRenewer renews the lease on this node's share of the tenants' quotas while there
-// are tenants with limits. Only Run's goroutine uses its state.
+// QuotaShareRenewer renews the lease on this node's share of the tenants' quotas while at least
+// one tenant has limits. Only Run's goroutine uses its state.
 type QuotaShareRenewer struct {
 	options      QuotaShareRenewerOptions
 	requests     distribution.RequestNumber
 	fairPermille int                // as of the last grant
-	watermarks   map[string]float64 // to restore with the first grant; nil afterwards
+	watermarks   map[string]float64 // restored with the first grant, then nil
 }
 
 // NewQuotaShareRenewer returns a QuotaShareRenewer; Run starts it.
@@ -80,9 +80,9 @@
 	return share != 0 && int(share*ratelimit.FullShare+0.5) == r.fairPermille
 }
 
-// renew requests the share that was fair at the last renewal, and reports whether a share was
-// granted. It stops using the excess before it sends the request, which is not cancelled when
-// the node stops.
+// renew requests the share that was fair as of the last grant, and reports whether a share was
+// granted. If this node holds more than that, renew gives up the excess before it sends the
+// request. The request is not cancelled when the node stops.
 func (r *QuotaShareRenewer) renew(ctx context.Context) bool {
 	allocator := r.options.Allocator
 	requestedAt := time.Now()
@@ -103,7 +103,7 @@
 	grantedShare := float64(grant.Permille) / ratelimit.FullShare
 	if grantedShare != share {
 		r.options.Log.Info(logging.QuotaShareChanged).Int("permille", grant.Permille).
-			Int("fair", grant.FairPermille).Msg("the share of the tenants' quotas has changed")
+			Int("fair", grant.FairPermille).Msg("share of the tenants' quotas changed")
 	}
 	now := time.Now()
 	allocator.Renew(grantedShare, requestedAt.Add(ratelimit.QuotaLeaseDuration), now)
--- a/internal/controlplane/allocation/shares.go
+++ b/internal/controlplane/allocation/shares.go
@@ -8,12 +8,12 @@
 	"comethold/internal/ratelimit"
 )
 
-// shareTable holds shares by node name. It is the value of one key of the replicated state.
+// shareTable holds shares by node name. It is stored under one key of the replicated state.
 type shareTable map[string]distribution.ShareLease
 
-// shareAllocator decides requests for shares of one table. It never grants more than is left
-// of the whole. A share expires only after this allocator has seen it unrenewed for
-// clockSkewFactor times its lease.
+// shareAllocator decides requests for shares of one table. It grants at most the part of the whole
+// that other nodes do not hold. A share expires once this allocator has seen no renewal of it for
+// clockSkewFactor times the lease duration.
 type shareAllocator struct {
 	tableKey        string // in the replicated state
 	leaseDuration   time.Duration
@@ -23,14 +23,14 @@
 	observed map[string]observedShare // by node
 }
 
-// observedShare is a share and when it was first seen with this value.
+// observedShare is a share and the time at which it was first seen with this value.
 type observedShare struct {
 	share distribution.ShareLease
 	since time.Time
 }
 
-// newShareAllocator returns a shareAllocator. clockSkewFactor is how many times faster the
-// fastest clock may run than the slowest.
+// newShareAllocator returns a shareAllocator. clockSkewFactor is the greatest ratio allowed between
+// the rates of the fastest and the slowest clock.
 func newShareAllocator(tableKey string, leaseDuration time.Duration, clockSkewFactor int) *shareAllocator {
 	return &shareAllocator{
 		tableKey:        tableKey,
@@ -40,31 +40,31 @@
 	}
 }
 
-// allocate decides a request. It returns the table with the granted share and without expired
-// ones.
+// allocate decides a request. It returns the grant and a copy of the table that contains the granted
+// share and no expired shares of other nodes.
 func (a *shareAllocator) allocate(
 	table shareTable, request distribution.ShareRequest, now time.Time,
-) (next shareTable, grant distribution.ShareGrant) {
+) (updated shareTable, grant distribution.ShareGrant) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.observeLocked(table, now)
-	next = shareTable{}
+	updated = shareTable{}
 	heldByOthers := 0
 	for node, share := range table {
 		if node == request.Node {
-			next[node] = share
+			updated[node] = share
 			continue
 		}
 		if now.Sub(a.observed[node].since) <= a.clockSkewFactor*a.leaseDuration {
-			next[node] = share
+			updated[node] = share
 			heldByOthers += share.Permille
 		}
 	}
-	held, hasLease := next[request.Node]
+	held, hasLease := updated[request.Node]
 	if hasLease && request.Number.IsStale(held.Request) {
-		return next, grant // the node already uses the grant of a newer request
+		return updated, grant // a newer request of this node was granted already
 	}
-	leaseholders := len(next)
+	leaseholders := len(updated)
 	if !hasLease {
 		leaseholders++
 	}
@@ -76,16 +76,16 @@
 		wanted = grant.FairPermille
 	}
 	grant.Permille = max(0, min(wanted, ratelimit.FullShare-heldByOthers))
-	next[request.Node] = distribution.ShareLease{
+	updated[request.Node] = distribution.ShareLease{
 		Permille: grant.Permille,
 		Renewals: held.Renewals + 1,
 		Request:  request.Number,
 	}
-	return next, grant
+	return updated, grant
 }
 
-// observeLocked updates observed for the current table. Each renewal changes a share, also
-// one earlier in the same batch.
+// observeLocked updates observed from the current table. Every renewal changes the stored share, so
+// a renewal decided earlier in the same batch also counts as a change.
 func (a *shareAllocator) observeLocked(table shareTable, now time.Time) {
 	for node, share := range table {
 		if seen, found := a.observed[node]; !found || seen.share != share {
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -13,7 +13,7 @@
 	"comethold/internal/rpc"
 )
 
-// ShareRequestPath is the RPC path of requests for shares that control nodes forward to the leader
+// ShareRequestPath is the RPC path on which control nodes forward requests for shares to the leader
 // of the meta cell.
 const ShareRequestPath = "/claim"
 
@@ -28,14 +28,14 @@
 	// View runs a function that reads the applied state of a cell. It reports false if the
 	// function did not run.
 	View(cell string, read func(*paxos.Replica)) bool
-	// ProposeLocal proposes a transaction at this node, which must lead the cell.
+	// ProposeLocal proposes a transaction at this node, which must be the leader of the cell.
 	ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult
-	// CallLeader makes a call to the leader of a cell, here or at another node.
+	// CallLeader calls the leader of a cell, which may be this node.
 	CallLeader(ctx context.Context, call replicahost.LeaderCall) (replicahost.ProposeResult, error)
 }
 
-// ShareService grants shares. Requests are decided at the leader of the meta cell, so that
-// their transactions don't conflict; other control nodes forward requests to it.
+// ShareService grants shares. The leader of the meta cell decides all requests, so that their
+// transactions don't conflict; other control nodes forward requests to it.
 type ShareService struct {
 	state      ShareState
 	allocators map[distribution.ShareTable]*shareAllocator
@@ -43,14 +43,14 @@
 	stopping   chan struct{} // closed when Run's context ends
 }
 
-// pendingShareRequest is a request that waits for Run at the leader.
+// pendingShareRequest is a request queued for Run at the leader.
 type pendingShareRequest struct {
 	request distribution.ShareRequest
 	result  chan replicahost.ProposeResult
 }
 
-// NewShareService returns the service of the shares of rate limits and of quotas.
-// clockSkewFactor is how many times faster the fastest clock may run than the slowest.
+// NewShareService returns a ShareService for the shares of rate limits and of quotas; Run starts it.
+// clockSkewFactor is the greatest ratio allowed between the rates of the fastest and the slowest clock.
 func NewShareService(state ShareState, clockSkewFactor int) *ShareService {
 	return &ShareService{
 		state: state,
@@ -65,18 +65,18 @@
 	}
 }
 
-// HasTable reports whether there are shares of a table.
+// HasTable reports whether the service grants shares of a table.
 func (s *ShareService) HasTable(table distribution.ShareTable) bool {
 	return s.allocators[table] != nil
 }
 
-// IsValid reports whether the fields of a request are within their bounds.
+// IsValid reports whether a request names a node and a known table, and its share is within bounds.
 func (s *ShareService) IsValid(request *distribution.ShareRequest) bool {
 	return request.Node != "" && request.Permille >= 0 && request.Permille <= ratelimit.FullShare &&
 		s.HasTable(request.Table)
 }
 
-// Request requests a share from the leader. The errors are those of Host.CallLeader.
+// Request requests a share from the leader. It returns the errors of ShareState.CallLeader.
 func (s *ShareService) Request(
 	ctx context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
@@ -94,7 +94,8 @@
 	return result.Grant, nil
 }
 
-// DecideLocal decides a request at this node, which must lead the meta cell.
+// DecideLocal decides a request at this node, which must be the leader of the meta cell. The result
+// is Busy if too many requests are waiting, and Unknown if ctx or the service ends before the decision.
 func (s *ShareService) DecideLocal(
 	ctx context.Context, request distribution.ShareRequest,
 ) replicahost.ProposeResult {
@@ -113,8 +114,9 @@
 	return replicahost.ProposeResult{Unknown: true}
 }
 
-// Run decides requests until the context ends, all waiting ones in one transaction per table.
-// When the context ends it completes the batch under way, but DecideLocal returns at once.
+// Run decides requests until the context ends. It decides all waiting requests as a batch, with one
+// transaction per table. When the context ends, Run completes the current batch, while DecideLocal
+// returns immediately.
 func (s *ShareService) Run(ctx context.Context) {
 	context.AfterFunc(ctx, func() { close(s.stopping) })
 	for {
@@ -156,8 +158,9 @@
 	}
 }
 
-// commit decides requests and commits the resulting table. It retries if the table has changed
-// meanwhile.
+// commit decides requests and commits the resulting table. If the table was changed concurrently, it
+// decides them again, with up to maxCommitAttempts attempts in all. The grants are valid only if the
+// result is Committed.
 func (s *ShareService) commit(
 	ctx context.Context, allocator *shareAllocator, requests []*pendingShareRequest,
 ) (replicahost.ProposeResult, []distribution.ShareGrant) {
@@ -180,15 +183,15 @@
 	return replicahost.ProposeResult{Busy: true}, nil
 }
 
-// readTable returns a table and the condition that it is unchanged.
+// readTable returns a table and the condition that its stored value is unchanged.
 func (s *ShareService) readTable(key string) (shareTable, paxos.Condition) {
 	table := shareTable{}
 	var stored paxos.Value
-	isRead := false
+	valid := false
 	s.state.View(schema.MetaCell, func(replica *paxos.Replica) {
 		var found bool
 		stored, found = replica.Get(key)
-		isRead = found && rpc.Unmarshal(stored.Bytes, &table) == nil
+		valid = found && rpc.Unmarshal(stored.Bytes, &table) == nil
 	})
-	return table, schema.UnchangedCondition(key, stored, isRead)
+	return table, schema.UnchangedCondition(key, stored, valid)
 }
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -8,22 +8,23 @@
 	"comethold/internal/routing"
 )
 
-// TenantLimits applies the quotas of tenants to this node's allocator.
+// TenantLimits applies the tenants' limits of a configuration to this node's allocator.
 type TenantLimits struct {
 	rules     quota.Rules
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
-	version   uint64     // of the configuration that was applied last
-	hasLimits bool       // some of its tenants have limits
+	version   uint64     // of the configuration applied last
+	hasLimits bool       // whether any of its tenants has limits
 }
 
-// NewTenantLimits returns TenantLimits that have applied no configuration.
+// NewTenantLimits returns TenantLimits that has not applied a configuration yet.
 func NewTenantLimits(rules quota.Rules, allocator *quota.Allocator) *TenantLimits {
 	return &TenantLimits{rules: rules, allocator: allocator}
 }
 
-// Apply applies the tenants of a configuration, unless it is not newer than the last.
+// Apply applies the tenants' limits of a configuration. It ignores a configuration that is not newer
+// than the one applied last.
 func (t *TenantLimits) Apply(configuration *routing.Configuration) {
 	limits := map[string]quota.BucketLimits{}
 	for _, tenant := range configuration.Tenants {
@@ -42,7 +43,7 @@
 	t.allocator.SetTenants(limits, time.Now())
 }
 
-// HasLimits reports whether some tenants have limits.
+// HasLimits reports whether any tenant has limits.
 func (t *TenantLimits) HasLimits() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/controlplane/allocation/watermarks.go
+++ b/internal/controlplane/allocation/watermarks.go
@@ -8,7 +8,7 @@
 	"comethold/internal/rpc"
 )
 
-// WatermarkStorageKey is the key of the node's storage under which low watermarks are kept.
+// WatermarkStorageKey is the key of the low watermarks in the node's storage.
 const WatermarkStorageKey = "quota-floors"
 
 const (
@@ -18,18 +18,18 @@
 
 // NodeStorage stores values that belong to this node.
 type NodeStorage interface {
-	// NodeValue returns a stored value, or nil.
+	// NodeValue returns a stored value, or nil if there is none.
 	NodeValue(key string) []byte
-	// SetNodeValue returns once a value is durable.
+	// SetNodeValue stores a value and returns once it is durable.
 	SetNodeValue(key string, value []byte) error
 }
 
-// WatermarkStore stores a lower bound of the level of every bucket on disk, so that buckets
-// are not empty after a restart. Under normal load nothing is written.
+// WatermarkStore stores a lower bound of the level of every bucket on disk, so that buckets are not
+// empty after a restart. It writes only when a bound must change, which is rare under normal load.
 type WatermarkStore struct {
 	allocator *quota.Allocator
 	storage   NodeStorage
-	wakeup    chan struct{} // holds an element after Wake
+	wakeup    chan struct{} // signals Run; buffered, so that Wake never blocks
 }
 
 // NewWatermarkStore returns a WatermarkStore; Run starts it.
@@ -37,8 +37,8 @@
 	return &WatermarkStore{allocator: allocator, storage: storage, wakeup: make(chan struct{}, 1)}
 }
 
-// Load returns the stored low watermarks by tenant. They are nil if they can't be decoded, and
-// empty if none are stored.
+// Load returns the stored low watermarks by tenant. The map is nil if the stored value can't be
+// decoded, and empty if no value is stored.
 func (w *WatermarkStore) Load() map[string]float64 {
 	watermarks := map[string]float64{}
 	raw := w.storage.NodeValue(WatermarkStorageKey)
@@ -48,7 +48,7 @@
 	return watermarks
 }
 
-// Wake makes Run check whether watermarks must change. It does not block.
+// Wake makes Run check whether any low watermark must change. It does not block.
 func (w *WatermarkStore) Wake() {
 	select {
 	case w.wakeup <- struct{}{}:
@@ -56,7 +56,7 @@
 	}
 }
 
-// Run stores changed watermarks until the context ends.
+// Run stores the low watermarks whenever one must change, until the context ends.
 func (w *WatermarkStore) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/controlplane/latency/collector.go
+++ b/internal/controlplane/latency/collector.go
@@ -13,26 +13,26 @@
 	"comethold/internal/latencyestimate"
 )
 
-// estimatesPath is the RPC path on which data plane nodes return their estimates.
+// estimatesPath is the RPC path of data plane nodes that returns their estimates.
 const estimatesPath = "/estimates"
 
 const (
 	maxConcurrentQueries = 16
-	queryTimeout         = 800 * time.Millisecond // of one node
+	queryTimeout         = 800 * time.Millisecond // for one node
 )
 
 // View is the response to an operator's request for estimates.
 type View struct {
 	At         time.Time                    `json:"at"`
 	Nodes      int                          `json:"nodes"`      // data plane nodes that answered
-	Unanswered int                          `json:"unanswered"` // data plane nodes that did not
+	Unanswered int                          `json:"unanswered"` // data plane nodes that did not answer
 	Replicas   []ReplicaEstimate            `json:"copies"`
 	Slow       []latencyestimate.SlowLookup `json:"slow"` // oldest first
 	Counters   latencyestimate.Counters     `json:"tally"`
 }
 
-// dropSlowUntil drops slow lookups up to a time.
-func (v *View) dropSlowUntil(until time.Time) {
+// dropSlowThrough drops slow lookups at or before a time.
+func (v *View) dropSlowThrough(until time.Time) {
 	first := slices.IndexFunc(v.Slow, func(lookup latencyestimate.SlowLookup) bool { return lookup.At.After(until) })
 	if first < 0 {
 		first = len(v.Slow)
@@ -40,8 +40,8 @@
 	v.Slow = v.Slow[first:]
 }
 
-// KeepRecent drops slow lookups that are older than an age.
-func (v *View) KeepRecent(age time.Duration) { v.dropSlowUntil(v.At.Add(-age)) }
+// KeepRecent drops slow lookups that are not more recent than the given age.
+func (v *View) KeepRecent(age time.Duration) { v.dropSlowThrough(v.At.Add(-age)) }
 
 // ReplicaEstimate is the estimate for one replica.
 type ReplicaEstimate struct {
@@ -51,29 +51,29 @@
 
 // Caller makes RPCs.
 type Caller interface {
-	// Call posts in to the path at an address and decodes the answer into out.
+	// Call posts in to a path at an address and decodes the response into out.
 	Call(ctx context.Context, address, path string, in, out any) error
 }
 
 // Collector asks data plane nodes for their estimates.
 type Collector struct {
-	nodes  func() map[string]distribution.Node // by name; not to be changed
-	port   int                                 // of the RPCs of data plane nodes
+	nodes  func() map[string]distribution.Node // by name; the map must not be modified
+	port   int                                 // on which data plane nodes serve RPCs
 	caller Caller
 }
 
-// NewCollector returns a Collector. nodes returns all nodes by name, port is that of the RPCs
-// of data plane nodes.
+// NewCollector returns a Collector. nodes returns all nodes by name; the Collector does not modify
+// the map. port is the port on which data plane nodes serve RPCs.
 func NewCollector(nodes func() map[string]distribution.Node, port int, caller Caller) *Collector {
 	return &Collector{nodes: nodes, port: port, caller: caller}
 }
 
-// CollectAll asks all data plane nodes.
+// CollectAll sends a request to all data plane nodes and merges their estimates.
 func (c *Collector) CollectAll(ctx context.Context, request distribution.EstimatesRequest) View {
 	return c.collect(ctx, request, func(distribution.Node) bool { return true })
 }
 
-// CollectZone asks the data plane nodes of a zone for all their estimates.
+// CollectZone requests all estimates of the data plane nodes in a zone and merges them.
 func (c *Collector) CollectZone(ctx context.Context, zone string) View {
 	inZone := func(node distribution.Node) bool { return node.Zone == zone }
 	return c.collect(ctx, distribution.EstimatesRequest{}, inZone)
@@ -106,11 +106,11 @@
 		})
 	}
 	queries.Wait()
-	view.add(latencyestimate.MergeSnapshots(snapshots...))
+	view.addMerged(latencyestimate.MergeSnapshots(snapshots...))
 	return view
 }
 
-// query asks one node.
+// query requests the estimates of one node.
 func (c *Collector) query(
 	ctx context.Context, host string, request distribution.EstimatesRequest,
 ) (snapshot latencyestimate.Snapshot, err error) {
@@ -121,8 +121,8 @@
 	return snapshot, err
 }
 
-// add adds the merged snapshots to the view, sorted.
-func (v *View) add(merged latencyestimate.Snapshot) {
+// addMerged adds a merged snapshot to the view and sorts the replicas and the slow lookups.
+func (v *View) addMerged(merged latencyestimate.Snapshot) {
 	for _, keyed := range merged.Sketches {
 		v.Replicas = append(v.Replicas, ReplicaEstimate{Key: keyed.Key, Estimate: keyed.Sketch.Estimate()})
 	}
--- a/internal/controlplane/latency/exporter.go
+++ b/internal/controlplane/latency/exporter.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	exportInterval = 2 * time.Minute // nodes keep estimates of the last one to two minutes
+	exportInterval = 2 * time.Minute // nodes keep the estimates of the last one to two minutes
 	exportTimeout  = 10 * time.Second
 )
 
-// Exporter writes the estimates of the data plane nodes of a zone to an ExportFile.
+// Exporter appends the estimates of the data plane nodes of a zone to an ExportFile.
 type Exporter struct {
 	collector *Collector
 	file      *ExportFile
@@ -25,7 +25,7 @@
 	return &Exporter{collector: collector, file: file, zone: zone, log: log}
 }
 
-// Run exports until the context ends.
+// Run exports the estimates every exportInterval until the context ends.
 func (e *Exporter) Run(ctx context.Context) {
 	var lastExport time.Time
 	for {
@@ -35,16 +35,16 @@
 			return
 		}
 		view := e.collect(ctx)
-		view.dropSlowUntil(lastExport)
+		view.dropSlowThrough(lastExport)
 		lastExport = view.At
 		if err := e.file.Append(view); err != nil {
-			e.log.Warn(logging.EstimateExportFailed).Err(err).Msg("the estimates could not be written")
+			e.log.Warn(logging.EstimateExportFailed).Err(err).Msg("failed to write the latency estimates to the export file")
 		}
 	}
 }
 
-// collect requests the estimates of the nodes. It is not cancelled when this node stops, since
-// nodes that were not asked would be recorded as unanswered.
+// collect requests the estimates of the nodes. It is not cancelled when this node stops: a cancelled
+// collection would record the remaining nodes as unanswered.
 func (e *Exporter) collect(ctx context.Context) View {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), exportTimeout)
 	defer cancel()
