--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -17,10 +17,10 @@
 
 var errNoLeader = errors.New("no leader")
 
-// fakeShares grants what it is set to.
+// fakeShares answers every request with the grant that the test sets, and records the requests.
 type fakeShares struct {
 	mu       sync.Mutex               // guards the fields below
-	grant    *distribution.ShareGrant // nil refuses
+	grant    *distribution.ShareGrant // if nil, requests fail with errNoLeader
 	requests []distribution.ShareRequest
 }
 
@@ -51,16 +51,16 @@
 	return *s.grant, nil
 }
 
-// renewal is a node that renews its share of the quotas.
-type renewal struct {
+// renewalFixture is a QuotaShareRenewer with its dependencies.
+type renewalFixture struct {
 	shares    *fakeShares
 	allocator *quota.Allocator
 	tenants   *TenantLimits
 	renewer   *QuotaShareRenewer
 }
 
-func newRenewal(watermarks map[string]float64) *renewal {
-	r := &renewal{shares: &fakeShares{}, allocator: quota.NewAllocator()}
+func newRenewalFixture(watermarks map[string]float64) *renewalFixture {
+	r := &renewalFixture{shares: &fakeShares{}, allocator: quota.NewAllocator()}
 	r.tenants = NewTenantLimits(quota.Rules{Window: time.Second, Overshoot: 0.1}, r.allocator)
 	r.renewer = NewQuotaShareRenewer(QuotaShareRenewerOptions{
 		NodeName:     "n",
@@ -73,13 +73,14 @@
 	return r
 }
 
-// limitTenant brings a configuration with one limited tenant into force.
-func (r *renewal) limitTenant(version uint64) {
+// limitTenant applies a configuration with one tenant that has limits.
+func (r *renewalFixture) limitTenant(version uint64) {
 	limited := routing.Tenant{Name: tenant, RatePerSecond: slowRefillRate, BurstSize: bucketDepth}
 	r.tenants.Apply(&routing.Configuration{Version: version, Tenants: []routing.Tenant{limited}})
 }
 
-func (r *renewal) run(t *testing.T, test func()) {
+// run calls test while the renewer runs.
+func (r *renewalFixture) run(t *testing.T, test func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -88,21 +89,21 @@
 	test()
 }
 
-// TestShareIsRenewedWhileThereAreLimits: no share is asked for without limited tenants; one
-// is asked for often until it is the fair one, and then seldom.
-func TestShareIsRenewedWhileThereAreLimits(t *testing.T) {
+// TestShareRenewedOnlyWithLimits: no share is requested while no tenant has limits. Otherwise
+// requests are frequent until the fair share is held, and rare afterwards.
+func TestShareRenewedOnlyWithLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRenewal(nil)
+		r := newRenewalFixture(nil)
 		r.run(t, func() {
 			time.Sleep(time.Minute)
 			if n := len(r.shares.takeRequests()); n != 0 {
-				t.Errorf("%d requests without limits", n)
+				t.Errorf("Run sent %d requests in a minute without limits, want 0", n)
 			}
 			r.limitTenant(1)
 			time.Sleep(time.Minute)
 			requests := r.shares.takeRequests()
 			if n := len(requests); n < 300 || !requests[n-1].HoldsNone {
-				t.Errorf("%d requests without a grant", n)
+				t.Errorf("Run sent %d requests in a minute without a grant, want at least 300, the last with HoldsNone", n)
 			}
 			r.shares.setGrant(&distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500})
 			time.Sleep(time.Second)
@@ -110,90 +111,91 @@
 			time.Sleep(time.Minute)
 			requests = r.shares.takeRequests()
 			if n := len(requests); n < 30 || n > 48 {
-				t.Errorf("%d requests in a minute with a fair share", n)
+				t.Errorf("Run sent %d requests in a minute with the fair share, want 30 to 48", n)
 			}
 			for _, request := range requests {
 				if request.HoldsNone || request.Permille != 500 || request.Table != distribution.QuotaShares {
-					t.Fatalf("the request is %+v", request)
+					t.Fatalf("Run sent request %+v, want 500 thousandths of QuotaShares without HoldsNone", request)
 				}
 			}
 			if share, leased := r.allocator.Share(time.Now()); share != 0.5 || !leased {
-				t.Errorf("the share is %g, leased %v", share, leased)
+				t.Errorf("Share returned %g with lease %v after renewals, want 0.5 with a lease", share, leased)
 			}
 		})
 	})
 }
 
-// slowShares answers when it is let go.
+// slowShares blocks requests until the test releases them.
 type slowShares struct {
-	begun chan context.Context // gets the context of a request
-	goOn  chan struct{}        // closed to let requests go
+	started chan context.Context // receives the context of each request
+	release chan struct{}        // closed to let requests return
 }
 
 func (s *slowShares) Request(
 	ctx context.Context, _ distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
-	s.begun <- ctx
-	<-s.goOn
+	s.started <- ctx
+	<-s.release
 	return distribution.ShareGrant{}, ctx.Err()
 }
 
-// TestStopLeavesRenewalUnderWay: a request that is under way when the node stops is not
-// cancelled before its time-out.
-func TestStopLeavesRenewalUnderWay(t *testing.T) {
+// TestStopDoesNotCancelRenewal: a request that is pending when the node stops ends with its own
+// time-out, not with the node's context.
+func TestStopDoesNotCancelRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRenewal(nil)
+		r := newRenewalFixture(nil)
 		r.limitTenant(1)
-		shares := &slowShares{begun: make(chan context.Context, 1), goOn: make(chan struct{})}
+		shares := &slowShares{started: make(chan context.Context, 1), release: make(chan struct{})}
 		r.renewer.options.Shares = shares
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { r.renewer.Run(ctx) })
-		request := <-shares.begun
+		requestContext := <-shares.started
 		stop()
 		synctest.Wait()
-		if request.Err() != nil {
-			t.Error("it is cancelled")
+		if requestContext.Err() != nil {
+			t.Error("stopping Run cancelled the pending request, want it to go on until its time-out")
 		}
 		time.Sleep(quotaRequestTimeout)
 		synctest.Wait()
-		if request.Err() == nil {
-			t.Error("it has no time-out")
+		if requestContext.Err() == nil {
+			t.Error("the pending request did not time out after quotaRequestTimeout")
 		}
-		close(shares.goOn)
+		close(shares.release)
 		running.Wait()
 	})
 }
 
-// TestShareLapsesWithoutRenewal: the share is over a lease's time after the last grant.
-func TestShareLapsesWithoutRenewal(t *testing.T) {
+// TestShareExpiresWithoutRenewal: a share that is not renewed expires a lease duration after the
+// last grant, so that it is not in use when the leader reassigns it.
+func TestShareExpiresWithoutRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRenewal(nil)
+		r := newRenewalFixture(nil)
 		r.limitTenant(1)
 		r.shares.setGrant(&distribution.ShareGrant{Granted: true, Permille: 500, FairPermille: 500})
 		r.run(t, func() {
 			r.shares.setGrant(nil)
 			time.Sleep(ratelimit.QuotaLeaseDuration)
 			if _, leased := r.allocator.Share(time.Now()); leased {
-				t.Error("it is held after that")
+				t.Error("the share is still leased a full lease duration after the last grant, want it expired")
 			}
 		})
 	})
 }
 
-// TestWatermarksAreRestoredOnce: what a former incarnation left is there after the first
-// grant, if nobody else had the share since, and is not added again.
-func TestWatermarksAreRestoredOnce(t *testing.T) {
+// TestWatermarksRestoredOnce: the first grant restores the tokens that the former incarnation stored,
+// if no other node has held its share since. Later grants don't add the tokens again.
+func TestWatermarksRestoredOnce(t *testing.T) {
 	for _, uninterrupted := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRenewal(map[string]float64{tenant: 40})
+			r := newRenewalFixture(map[string]float64{tenant: 40})
 			r.limitTenant(1)
 			r.shares.setGrant(&distribution.ShareGrant{
 				Granted: true, Permille: 500, FairPermille: 500, Uninterrupted: uninterrupted,
 			})
 			r.run(t, func() {
 				time.Sleep(time.Minute)
-				// Tokens below the low watermark are given once the disk holds another.
+				// Tokens below the stored low watermark are available only once a lower one is stored.
 				r.allocator.LowWatermarksStored(nil)
 				want := 0.0
 				if uninterrupted {
@@ -201,23 +203,24 @@
 				}
 				got := r.allocator.Withdraw(tenant, bucketDepth, time.Now())
 				if got < want-0.01 || got > want+0.01 {
-					t.Errorf("uninterrupted %v: %g tokens, not %g", uninterrupted, got, want)
+					t.Errorf("restored with Uninterrupted %v: Withdraw returned %g tokens, want %g", uninterrupted, got, want)
 				}
 			})
 		})
 	}
 }
 
-// TestOlderTenantsArePassedOver: limits of an older configuration change nothing.
-func TestOlderTenantsArePassedOver(t *testing.T) {
-	r := newRenewal(nil)
+// TestOlderConfigurationIsIgnored: a configuration that arrives after a newer one does not replace
+// its limits.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	r := newRenewalFixture(nil)
 	r.limitTenant(2)
 	r.tenants.Apply(&routing.Configuration{Version: 1})
 	if !r.tenants.HasLimits() {
-		t.Error("the limits are gone")
+		t.Error("HasLimits returned false after an older configuration without limits, want it ignored")
 	}
 	r.tenants.Apply(&routing.Configuration{Version: 3})
 	if r.tenants.HasLimits() {
-		t.Error("the limits are there still")
+		t.Error("HasLimits returned true after a newer configuration without limits, want false")
 	}
 }
--- a/internal/controlplane/allocation/shares_test.go
+++ b/internal/controlplane/allocation/shares_test.go
@@ -9,9 +9,10 @@
 	"comethold/internal/ratelimit"
 )
 
-// TestShareAllocation: whatever order requests come in and whoever dies, the shares held
-// never exceed the whole, and a dead holder's share is free in the end.
-func TestShareAllocation(t *testing.T) {
+// TestSharesNeverExceedWhole: the shares held never add up to more than the whole, in any order of
+// requests and when a node fails. The share of a failed node is reassigned only after it has
+// certainly stopped using it.
+func TestSharesNeverExceedWhole(t *testing.T) {
 	allocator := NewShareService(nil, lease.ClockSkewFactor).allocators[distribution.RateShares]
 	table := shareTable{}
 	fair := map[string]int{}
@@ -21,11 +22,11 @@
 		table, grant = allocator.allocate(table, distribution.ShareRequest{Node: node, Permille: fair[node]}, now)
 		fair[node] = grant.FairPermille
 		sum := 0
-		for _, s := range table {
-			sum += s.Permille
+		for _, share := range table {
+			sum += share.Permille
 		}
 		if sum > ratelimit.FullShare {
-			t.Fatalf("shares add up to %d: %v", sum, table)
+			t.Fatalf("shares add up to %d thousandths, want at most 1000: %v", sum, table)
 		}
 	}
 	nodes := []string{"a", "b", "c", "d"}
@@ -37,35 +38,35 @@
 			}
 		}
 		if round == 9 && table["b"].Permille != 250 {
-			t.Fatalf("not shared evenly: %v", table)
+			t.Fatalf("after 10 rounds of renewals by 4 nodes the shares are %v, want 250 thousandths for each node", table)
 		}
 		if _, held := table["b"]; round == 12 && !held {
-			t.Fatal("a share lapsed before its holder surely stopped")
+			t.Fatal("the share of node b expired 3 s after its last renewal, want 9 s (clock skew factor 3, lease 3 s)")
 		}
 	}
 	if _, held := table["b"]; held || table["a"].Permille != 333 {
-		t.Fatalf("the dead holder's share is not free: %v", table)
+		t.Fatalf("30 s after the last renewal by node b the shares are %v, want none for b and 333 for a", table)
 	}
-	// Back after a restart a holder has its share by its first request; a newcomer
-	// gets no more than what the others leave.
+	// After a restart, a node gets its recorded share with its first request. A new node gets only
+	// what the other nodes do not hold.
 	returning := distribution.ShareRequest{Node: "a", HoldsNone: true}
 	if _, grant := allocator.allocate(table, returning, now); grant.Permille != 333 {
-		t.Errorf("a restarted holder is granted %d", grant.Permille)
+		t.Errorf("a restarted node with a recorded share was granted %d thousandths, want 333", grant.Permille)
 	}
 	newcomer := distribution.ShareRequest{Node: "b", HoldsNone: true}
 	if _, grant := allocator.allocate(table, newcomer, now); grant.Permille > 1 {
-		t.Errorf("a newcomer is granted %d of what others hold", grant.Permille)
+		t.Errorf("a new node was granted %d thousandths, want at most the 1 that other nodes do not hold", grant.Permille)
 	}
-	// A request that was given up and is decided after a newer one changes nothing.
+	// A request that is decided after a newer request of the same node is rejected.
 	numbers := distribution.NewRequestNumber()
 	old := distribution.ShareRequest{Node: "a", Permille: 100, Number: numbers.Next()}
 	newer := distribution.ShareRequest{Node: "a", Permille: 300, Number: numbers.Next()}
 	table, _ = allocator.allocate(table, newer, now)
 	if after, grant := allocator.allocate(table, old, now); grant.Granted || after["a"] != table["a"] {
-		t.Errorf("a late request is granted: %v, the share is %v", grant, after["a"])
+		t.Errorf("an outdated request got %+v and set the share to %+v, want no grant and no change", grant, after["a"])
 	}
 	restarted := distribution.ShareRequest{Node: "a", Permille: 300, Number: distribution.NewRequestNumber()}
 	if _, grant := allocator.allocate(table, restarted, now); !grant.Granted {
-		t.Error("the first request of a new incarnation is not granted")
+		t.Error("the first request of a new incarnation was rejected, want a grant")
 	}
 }
--- a/internal/controlplane/allocation/shareservice_test.go
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -16,13 +16,13 @@
 	"comethold/internal/ratelimit"
 )
 
-// leaderState is the replicated state at the leader.
+// leaderState is the replicated state at a leader that applies proposals at once.
 type leaderState struct {
 	cell *schematest.Cell
 
 	mu        sync.Mutex // guards the fields below
 	commits   int
-	conflicts int // how many commits are still to fail since the table has changed
+	conflicts int // number of further proposals that fail because the table was changed concurrently
 }
 
 func (s *leaderState) View(_ string, read func(*paxos.Replica)) bool { return s.cell.View(read) }
@@ -63,9 +63,9 @@
 	return service, state
 }
 
-// TestSharesAreCommitted: shares that many nodes ask for at once never exceed the whole, and
-// stand in the replicated state, each table for itself.
-func TestSharesAreCommitted(t *testing.T) {
+// TestConcurrentRequestsShareTheWhole: shares granted to many concurrent requests are committed, each
+// table on its own, and never add up to more than the whole.
+func TestConcurrentRequestsShareTheWhole(t *testing.T) {
 	service, _ := startShareService(t)
 	var requests sync.WaitGroup
 	for i := range 20 {
@@ -76,7 +76,7 @@
 			}
 			request := distribution.ShareRequest{Table: table, Node: fmt.Sprint("n", i), HoldsNone: true}
 			if grant, err := service.Request(t.Context(), request); err != nil || !grant.Granted {
-				t.Errorf("%s: %+v, %v", request.Node, grant, err)
+				t.Errorf("request of node %s returned %+v, %v, want a grant", request.Node, grant, err)
 			}
 		})
 	}
@@ -88,14 +88,14 @@
 			sum += share.Permille
 		}
 		if len(table) != 10 || sum > ratelimit.FullShare {
-			t.Errorf("%s: %d shares of %d in all", key, len(table), sum)
+			t.Errorf("%s holds %d shares of %d thousandths in total, want 10 shares of at most 1000", key, len(table), sum)
 		}
 	}
 }
 
-// TestChangedTableIsReadAgain: a table that has changed meanwhile is decided anew, up to a
-// number of times.
-func TestChangedTableIsReadAgain(t *testing.T) {
+// TestCommitRetriesAfterConflict: requests are decided again if the table was changed between the
+// read and the commit, but at most maxCommitAttempts times.
+func TestCommitRetriesAfterConflict(t *testing.T) {
 	service, state := startShareService(t)
 	request := distribution.ShareRequest{Table: distribution.RateShares, Node: "n", HoldsNone: true}
 	for conflicts, wantErr := range map[int]bool{maxCommitAttempts - 1: false, maxCommitAttempts: true} {
@@ -104,13 +104,14 @@
 		state.mu.Unlock()
 		grant, err := service.Request(t.Context(), request)
 		if (err != nil) != wantErr || grant.Granted == wantErr {
-			t.Errorf("%d conflicts: %+v, %v", conflicts, grant, err)
+			t.Errorf("request with %d conflicts got %+v, %v; want an error only after maxCommitAttempts", conflicts, grant, err)
 		}
 	}
 }
 
-// TestStoppedServiceAnswersUnknown: once the service has stopped, nobody waits for it.
-func TestStoppedServiceAnswersUnknown(t *testing.T) {
+// TestStoppedServiceReturnsUnknown: a request to a stopped service returns at once, although Run no
+// longer reads the queue.
+func TestStoppedServiceReturnsUnknown(t *testing.T) {
 	service := NewShareService(&leaderState{cell: schematest.NewCell(t)}, lease.ClockSkewFactor)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -119,30 +120,30 @@
 	defer cancelWait()
 	result := service.DecideLocal(waiting, distribution.ShareRequest{Node: "n"})
 	if !result.Unknown || waiting.Err() != nil {
-		t.Errorf("the result is %+v, %v", result, waiting.Err())
+		t.Errorf("DecideLocal after Run ended returned %+v, context error %v; want Unknown at once", result, waiting.Err())
 	}
 }
 
-// slowState is the replicated state at a leader whose commits hang until they are let go.
+// slowState is a leaderState that blocks commits until the test releases them.
 type slowState struct {
 	leaderState
-	begun chan struct{} // gets an element when a commit has begun
-	goOn  chan struct{} // closed to let commits go
+	started chan struct{} // receives an element when a commit starts
+	release chan struct{} // closed to let commits finish
 }
 
 func (s *slowState) ProposeLocal(ctx context.Context, cell string, txn paxos.Txn) replicahost.ProposeResult {
-	s.begun <- struct{}{}
-	<-s.goOn
+	s.started <- struct{}{}
+	<-s.release
 	return s.leaderState.ProposeLocal(ctx, cell, txn)
 }
 
-// TestStopKeepsNobodyWaiting: when the node stops, a request that is being decided is
-// answered at once; the decision is brought to its end.
-func TestStopKeepsNobodyWaiting(t *testing.T) {
+// TestStopReturnsUnknownDuringCommit: when the node stops during a commit, the waiting request
+// returns at once, and the commit still completes.
+func TestStopReturnsUnknownDuringCommit(t *testing.T) {
 	state := &slowState{
 		leaderState: leaderState{cell: schematest.NewCell(t)},
-		begun:       make(chan struct{}, 1),
-		goOn:        make(chan struct{}),
+		started:     make(chan struct{}, 1),
+		release:     make(chan struct{}),
 	}
 	service := NewShareService(state, lease.ClockSkewFactor)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -152,51 +153,52 @@
 	go func() {
 		results <- service.DecideLocal(t.Context(), distribution.ShareRequest{Node: "n", HoldsNone: true})
 	}()
-	<-state.begun
+	<-state.started
 	cancel()
 	select {
 	case result := <-results:
 		if !result.Unknown {
-			t.Errorf("the result is %+v", result)
+			t.Errorf("DecideLocal returned %+v when the service stopped during a commit, want Unknown", result)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it is kept waiting")
+		t.Error("DecideLocal did not return within 10 s of the stop")
 	}
-	close(state.goOn)
+	close(state.release)
 	running.Wait()
 	if table, _ := service.readTable(schema.RateSharesKey); table["n"].Permille != ratelimit.FullShare {
-		t.Errorf("committed are %v", table)
+		t.Errorf("the table after the stop is %v, want 1000 thousandths for node n", table)
 	}
 }
 
-// TestFullQueueIsBusy: more requests than can wait are refused at once.
-func TestFullQueueIsBusy(t *testing.T) {
+// TestFullQueueReturnsBusy: a request is rejected at once if the queue is full.
+func TestFullQueueReturnsBusy(t *testing.T) {
 	service := NewShareService(nil, lease.ClockSkewFactor)
 	for range cap(service.waiting) {
 		service.waiting <- &pendingShareRequest{}
 	}
 	if result := service.DecideLocal(t.Context(), distribution.ShareRequest{Node: "n"}); !result.Busy {
-		t.Errorf("the result is %+v", result)
+		t.Errorf("DecideLocal with a full queue returned %+v, want Busy", result)
 	}
 }
 
-// TestValidShareRequests: a request names its node, a table and a part of the whole.
-func TestValidShareRequests(t *testing.T) {
+// TestShareRequestValidation: a request must have a node name, a known table and a share between
+// nothing and the whole.
+func TestShareRequestValidation(t *testing.T) {
 	service := NewShareService(nil, lease.ClockSkewFactor)
 	for _, c := range []struct {
 		name    string
 		request distribution.ShareRequest
 		want    bool
 	}{
-		{"all of it", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare}, true},
-		{"quotas", distribution.ShareRequest{Node: "n", Table: distribution.QuotaShares}, true},
+		{"the whole", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare}, true},
+		{"quota table", distribution.ShareRequest{Node: "n", Table: distribution.QuotaShares}, true},
 		{"no node", distribution.ShareRequest{}, false},
-		{"less than nothing", distribution.ShareRequest{Node: "n", Permille: -1}, false},
-		{"more than all", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare + 1}, false},
-		{"another table", distribution.ShareRequest{Node: "n", Table: 99}, false},
+		{"negative share", distribution.ShareRequest{Node: "n", Permille: -1}, false},
+		{"more than the whole", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare + 1}, false},
+		{"unknown table", distribution.ShareRequest{Node: "n", Table: 99}, false},
 	} {
 		if got := service.IsValid(&c.request); got != c.want {
-			t.Errorf("%s: valid is %v", c.name, got)
+			t.Errorf("%s: IsValid returned %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/internal/controlplane/allocation/watermarks_test.go
+++ b/internal/controlplane/allocation/watermarks_test.go
@@ -12,12 +12,12 @@
 	"comethold/internal/rpc"
 )
 
-// fakeStorage keeps one value and may refuse it.
+// fakeStorage stores one value. Writes fail while failWrites is set.
 type fakeStorage struct {
-	mu      sync.Mutex // guards the fields below
-	value   []byte
-	refuses bool
-	writes  int
+	mu         sync.Mutex // guards the fields below
+	value      []byte
+	failWrites bool
+	writes     int
 }
 
 func (s *fakeStorage) NodeValue(string) []byte {
@@ -26,13 +26,13 @@
 	return s.value
 }
 
-func (s *fakeStorage) setRefuses(refuses bool) {
+func (s *fakeStorage) setFailWrites(failWrites bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuses = refuses
+	s.failWrites = failWrites
 }
 
-// takeWrites returns how many writes there were since the last call.
+// takeWrites returns the number of attempted writes since the last call.
 func (s *fakeStorage) takeWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,43 +45,43 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
-	if s.refuses {
+	if s.failWrites {
 		return errors.ErrUnsupported
 	}
 	s.value = value
 	return nil
 }
 
-// TestWatermarksOutliveRestart: watermarks that are stored are loaded; what can't be read is
-// told from what is empty.
-func TestWatermarksOutliveRestart(t *testing.T) {
+// TestLoadStoredWatermarks: Load returns the stored watermarks. It distinguishes a value that can't
+// be decoded (nil) from a missing one (empty).
+func TestLoadStoredWatermarks(t *testing.T) {
 	disk := &fakeStorage{}
 	store := NewWatermarkStore(quota.NewAllocator(), disk)
 	if got := store.Load(); got == nil || len(got) != 0 {
-		t.Errorf("without stored ones: %v", got)
+		t.Errorf("Load without a stored value returned %v, want an empty map", got)
 	}
 	if !store.store(map[string]float64{tenant: 3}) || store.Load()[tenant] != 3 {
-		t.Errorf("loaded are %v", store.Load())
+		t.Errorf("Load after storing 3 tokens returned %v, want 3 tokens", store.Load())
 	}
 	disk.value = []byte("garbled")
 	if got := store.Load(); got != nil {
-		t.Errorf("of garbled ones: %v", got)
+		t.Errorf("Load of a corrupt value returned %v, want nil", got)
 	}
 }
 
-// TestWatermarksAreStoredWhenDue: watermarks are written when they have to move and not
-// otherwise, also after a disk has refused one.
-func TestWatermarksAreStoredWhenDue(t *testing.T) {
+// TestWatermarksStoredOnlyWhenDue: watermarks are written only when one must change. A failed write
+// is retried.
+func TestWatermarksStoredOnlyWhenDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		allocator := quota.NewAllocator()
-		disk := &fakeStorage{refuses: true}
+		disk := &fakeStorage{failWrites: true}
 		store := NewWatermarkStore(allocator, disk)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go store.Run(ctx)
 		time.Sleep(time.Minute)
 		if writes := disk.takeWrites(); writes != 0 {
-			t.Errorf("%d writes without a share", writes)
+			t.Errorf("Run made %d writes in a minute without a share, want 0", writes)
 		}
 		now := time.Now()
 		limits := quota.BucketLimits{Rate: slowRefillRate, Depth: bucketDepth}
@@ -90,20 +90,20 @@
 		allocator.Deposit(tenant, bucketDepth, now)
 		time.Sleep(time.Second)
 		if writes := disk.takeWrites(); writes == 0 || disk.NodeValue("") != nil {
-			t.Errorf("%d writes to a disk that refuses", writes)
+			t.Errorf("Run made %d writes to a failing storage, want at least 1 and no stored value", writes)
 		}
-		disk.setRefuses(false)
+		disk.setFailWrites(false)
 		allocator.Withdraw(tenant, 0.9*bucketDepth, time.Now())
 		store.Wake()
 		time.Sleep(time.Second)
 		var watermarks map[string]float64
 		if rpc.Unmarshal(disk.NodeValue(""), &watermarks) != nil || watermarks[tenant] <= 0 {
-			t.Errorf("stored are %v", watermarks)
+			t.Errorf("stored watermarks are %v after a withdrawal, want a positive one", watermarks)
 		}
 		disk.takeWrites()
 		time.Sleep(time.Minute)
 		if writes := disk.takeWrites(); writes != 0 {
-			t.Errorf("%d writes while nothing moves", writes)
+			t.Errorf("Run made %d writes in a minute without changes, want 0", writes)
 		}
 	})
 }
--- a/internal/controlplane/latency/file_test.go
+++ b/internal/controlplane/latency/file_test.go
@@ -12,9 +12,9 @@
 	"comethold/internal/storage"
 )
 
-// TestSavedEstimates: a line that was torn costs no other line, and what was saved before
-// a loss of power is there after it, also right after the file was rotated.
-func TestSavedEstimates(t *testing.T) {
+// TestAppendedViewsSurvivePowerLoss: views are durable once Append returns. After a rotation this requires
+// that the directory entry of the new file is durable too. A torn line costs no other view.
+func TestAppendedViewsSurvivePowerLoss(t *testing.T) {
 	dir := t.TempDir()
 	disk := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
 	file := NewExportFile(dir, disk)
@@ -28,7 +28,7 @@
 		disk.LosePower()
 	}
 	if got := savedNodes(t, file); fmt.Sprint(got) != "[1 2 3 4]" {
-		t.Errorf("saved are %v", got)
+		t.Errorf("after power losses the file holds views %v, want [1 2 3 4]", got)
 	}
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// savedNodes reads the views back as an operator gets them.
+// savedNodes returns the Nodes field of each stored view, decoded from the JSON that operators get.
 func savedNodes(t *testing.T, file *ExportFile) (nodes []int) {
 	t.Helper()
 	raw, err := json.Marshal(file.Lines())
