--- a/internal/controlplane/allocation/doc.go
+++ b/internal/controlplane/allocation/doc.go
@@ -11,8 +11,8 @@
 // tokens from other control nodes, and WatermarkStore stores a lower bound of each bucket's level
 // on disk, so that buckets are not empty after a restart.
 //
-// A node uses its share until the lease expires by the node's clock; the lease starts when the
-// node sends the request. The leader reassigns a share only if it sees no renewal for a multiple
+// A node uses its share until the lease expires by the node's clock; the lease starts just before
+// the node sends the request. The leader reassigns a share only if it sees no renewal for a multiple
 // of the lease duration, which allows for clocks that run at different rates. So the shares in use
 // never add up to more than the whole limit.
 package allocation
--- a/internal/controlplane/allocation/shareservice.go
+++ b/internal/controlplane/allocation/shareservice.go
@@ -76,7 +76,7 @@
 		s.HasTable(request.Table)
 }
 
-// Request requests a share from the leader. It returns the errors of ShareState.CallLeader.
+// Request requests a share from the leader. It returns the errors of replicahost.Host.CallLeader.
 func (s *ShareService) Request(
 	ctx context.Context, request distribution.ShareRequest,
 ) (distribution.ShareGrant, error) {
--- a/internal/controlplane/allocation/watermarks.go
+++ b/internal/controlplane/allocation/watermarks.go
@@ -25,7 +25,7 @@
 }
 
 // WatermarkStore stores a lower bound of the level of every bucket on disk, so that buckets are not
-// empty after a restart. It writes only when a bound must change, which is rare under normal load.
+// empty after a restart. It writes only when a bound must change; under normal load it writes nothing.
 type WatermarkStore struct {
 	allocator *quota.Allocator
 	storage   NodeStorage
