--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -8,23 +8,24 @@
 	"comethold/internal/routing"
 )
 
-// Tenants applies the quotas of tenants to this node's allocator.
-type Tenants struct {
+// TenantLimits applies the tenants' limits of a configuration to this node's allocator.
+type TenantLimits struct {
 	rules     quota.Rules
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
-	version   uint64     // of the configuration that was applied last
-	hasLimits bool       // some of its tenants have limits
+	version   uint64     // of the configuration applied last
+	hasLimits bool       // whether any of its tenants has limits
 }
 
-// NewTenants returns Tenants that have applied no configuration.
-func NewTenants(rules quota.Rules, allocator *quota.Allocator) *Tenants {
-	return &Tenants{rules: rules, allocator: allocator}
+// NewTenantLimits returns TenantLimits that has not applied a configuration yet.
+func NewTenantLimits(rules quota.Rules, allocator *quota.Allocator) *TenantLimits {
+	return &TenantLimits{rules: rules, allocator: allocator}
 }
 
-// SetTenants applies the tenants of a configuration, unless it is not newer than the last.
-func (t *Tenants) SetTenants(configuration *routing.Configuration) {
+// Apply applies the tenants' limits of a configuration. It ignores a configuration that is not newer
+// than the one applied last.
+func (t *TenantLimits) Apply(configuration *routing.Configuration) {
 	limits := map[string]quota.BucketLimits{}
 	for _, tenant := range configuration.Tenants {
 		tenantLimits := t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
@@ -42,8 +43,8 @@
 	t.allocator.SetTenants(limits, time.Now())
 }
 
-// HasLimits reports whether some tenants have limits.
-func (t *Tenants) HasLimits() bool {
+// HasLimits reports whether any tenant has limits.
+func (t *TenantLimits) HasLimits() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hasLimits
