--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -16,22 +16,23 @@
 const (
 	headerAuthorization = "Authorization"
 
-	// deadlineMarginPerHop is subtracted from the time that a client gives, for the
-	// way through this node.
+	// deadlineMarginPerHop is subtracted from the remaining time that a client states. It
+	// covers the time that the request takes through this node.
 	deadlineMarginPerHop = 2 * time.Millisecond
-	// maxDeadlineMs bounds the time that a client may give, in milliseconds.
+	// maxDeadlineMs is the longest remaining time that a client may state, in milliseconds.
 	maxDeadlineMs = 1e12
-	// revocationMargin covers the age of the revocations when the control plane sends
-	// them, and the time until they are applied here.
+	// revocationMargin is subtracted from the revocation time-out. It covers the age of the
+	// revocations when the control plane sends them, and the time until this node applies them.
 	revocationMargin = 2500 * time.Millisecond
-	// minRetryAfter is the least time that a client at its limit is asked to wait.
+	// minRetryAfter is the lower bound of the Retry-After of a request that got no quota token.
 	minRetryAfter = time.Millisecond
-	// unreadyRetryAfter is the Retry-After of a node that may not serve, in seconds.
+	// unreadyRetryAfter is the Retry-After, in seconds, of a node that has no route table or
+	// whose list of revoked keys may be outdated.
 	unreadyRetryAfter = "0.5"
 )
 
-// exchange is one request of a client and its reply. It keeps the route table that
-// was in force when the request arrived.
+// exchange is one client request and its reply. It keeps the route table that was in force
+// when the request arrived.
 type exchange struct {
 	*frontend
 	start   time.Time
@@ -77,26 +78,26 @@
 		x.reject(rejected)
 		return
 	}
-	client, stopWatching := x.watchClient()
+	clientCtx, stopWatching := x.watchClient()
 	defer stopWatching()
-	if rejected := x.spendToken(client, remaining); rejected != nil {
+	if rejected := x.spendToken(clientCtx, remaining); rejected != nil {
 		x.reject(rejected)
 		return
 	}
-	x.dispatch(client)
+	x.dispatch(clientCtx)
 }
 
 // watchClient returns a context that is canceled when the client closes its connection. After
-// stop it is not canceled any more: the context of the request is canceled when its handler
-// returns, but calls that outlast a reply go on.
-func (x *exchange) watchClient() (client context.Context, stop func() bool) {
-	client, cancel := context.WithCancel(context.Background())
-	return client, context.AfterFunc(x.request.Context(), cancel)
+// a call of stop it is no longer canceled: net/http cancels the context of a request when its
+// handler returns, but calls that are still running after the reply must continue.
+func (x *exchange) watchClient() (clientCtx context.Context, stop func() bool) {
+	clientCtx, cancel := context.WithCancel(context.Background())
+	return clientCtx, context.AfterFunc(x.request.Context(), cancel)
 }
 
-// findRoute finds the route in the table that is in force.
+// findRoute matches the request to a route of the route table in force.
 func (x *exchange) findRoute(path string) *rejection {
-	x.table = x.client.RouteTable()
+	x.table = x.controlClient.RouteTable()
 	if x.table == nil {
 		return unavailable("no configuration yet", unreadyRetryAfter)
 	}
@@ -107,11 +108,12 @@
 	return nil
 }
 
-// authenticate finds the tenant. It accepts no key if the node's knowledge of revoked
-// keys is older than the revocation time-out allows.
+// authenticate sets the identity by the key in the Authorization header. If requests need a
+// key, it rejects all of them while the node's list of revoked keys may be older than the
+// revocation time-out.
 func (x *exchange) authenticate() *rejection {
-	revocation := x.client.Settings.Bounds.RevocationTimeout()
-	if revocation > 0 && x.table.RequiresKey() && x.client.Disconnected(revocation-revocationMargin) {
+	revocation := x.controlClient.Settings.Bounds.RevocationTimeout()
+	if revocation > 0 && x.table.RequiresKey() && x.controlClient.Disconnected(revocation-revocationMargin) {
 		return unavailable("no word of which keys are still good", unreadyRetryAfter)
 	}
 	identity, ok := x.table.Authenticate(x.route, x.request.Header[headerAuthorization])
@@ -125,8 +127,8 @@
 	return nil
 }
 
-// identifyTenant sets the tenant header for the endpoint. A value that the client sent
-// is dropped.
+// identifyTenant sets the tenant header of the forwarded request. It removes a tenant header
+// that the client sent, and credentials that are not meant for the endpoint.
 func (x *exchange) identifyTenant() {
 	header := x.forwarded.Header
 	delete(header, upstream.HeaderTenant)
@@ -138,8 +140,8 @@
 	}
 }
 
-// setDeadline sets the deadline to the earlier of the route's and the client's, and
-// returns the time that remains.
+// setDeadline sets the deadline to the earlier of the route's and the client's, but at least
+// 1 ms after the start of the request. It returns the remaining time without that lower bound.
 func (x *exchange) setDeadline() (remaining time.Duration, rejected *rejection) {
 	remaining = x.route.Timeout
 	if given := x.request.Header.Get(upstream.HeaderDeadlineRemaining); given != "" {
@@ -156,12 +158,12 @@
 	return remaining, nil
 }
 
-// spendToken spends a token of the tenant's quota.
-func (x *exchange) spendToken(client context.Context, remaining time.Duration) *rejection {
+// spendToken spends a token of the tenant's quota. It returns a rejection if it gets none.
+func (x *exchange) spendToken(clientCtx context.Context, remaining time.Duration) *rejection {
 	if x.identity.Tenant == nil {
 		return nil
 	}
-	admission := x.tokens.admit(client, x.identity.Tenant, x.route.TargetLatency, remaining, x.start)
+	admission := x.tokens.admit(clientCtx, x.identity.Tenant, x.route.TargetLatency, remaining, x.start)
 	retryAfter := max(admission.retryAfter, minRetryAfter)
 	switch admission.verdict {
 	case tenantLimited:
@@ -176,9 +178,9 @@
 	}
 }
 
-// dispatch carries the request to its endpoints, or answers it from the object
-// cache, and writes the reply. client is canceled when the client has left.
-func (x *exchange) dispatch(client context.Context) {
+// dispatch forwards the request to its endpoints, or answers it from the object
+// cache, and writes the reply. clientCtx is canceled when the client disconnects.
+func (x *exchange) dispatch(clientCtx context.Context) {
 	if !x.pending.markDispatched() {
 		return
 	}
@@ -190,7 +192,7 @@
 			onExecuted(time.Now()) // on cacheable routes usage counts successes only
 		}
 	} else {
-		reply = x.dispatcher.Dispatch(client, x.route, x.forwarded, x.start, onExecuted)
+		reply = x.dispatcher.Dispatch(clientCtx, x.route, x.forwarded, x.start, onExecuted)
 	}
 	if x.pending.claimAnswer() {
 		writeReply(x.writer, x.request.Method, reply)
@@ -201,7 +203,7 @@
 	return x.objects != nil && x.route.RouteKind == routing.KindCacheable && x.request.Method == http.MethodGet
 }
 
-// usageCallback returns the function that counts the request for its tenant, or nil if
+// usageCallback returns a function that counts the request for its tenant, or nil if
 // usage is not counted. It does not capture the exchange, so that the exchange can stay
 // on the stack.
 func (x *exchange) usageCallback() func(at time.Time) {
@@ -219,8 +221,8 @@
 	}
 }
 
-// recoverPanic answers a request whose handling panicked. It must be deferred directly:
-// recover works only there.
+// recoverPanic answers a request whose handling panicked. It must be deferred directly,
+// because recover returns nil in functions that a deferred function calls.
 func (x *exchange) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -230,10 +232,10 @@
 	x.reject(&rejection{status: http.StatusInternalServerError, reason: "internal failure"})
 }
 
-// logPanic logs a panic that costs one request.
+// logPanic logs a recovered panic in the handling of one request.
 func logPanic(log *logging.Logger, cause any) {
 	log.Error(logging.RequestPanic).
 		Any("panic", cause).
 		Str("stack", string(debug.Stack())).
-		Msg("the handling of a request panicked")
+		Msg("recovered from a panic in the handling of a request")
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -15,18 +15,19 @@
 
 const (
 	headerReadTimeout = 30 * time.Second
-	// serverHeaderBytes bounds headers before the route table's own limit applies.
+	// serverHeaderBytes is the limit that net/http applies to the size of request headers, before
+	// the limit of the route table applies.
 	serverHeaderBytes = 1 << 20
 )
 
-// frontend serves the clients. It is safe for concurrent use.
+// frontend serves client requests. It is safe for concurrent use.
 type frontend struct {
-	client     *controlclient.Client
-	dispatcher *scatter.Dispatcher
-	objects    *objectcache.Client // nil outside content deployments
-	tokens     *tokenClient
-	usage      *usageReporter // nil where usage is not reported
-	log        *logging.Logger
+	controlClient *controlclient.Client
+	dispatcher    *scatter.Dispatcher
+	objects       *objectcache.Client // nil unless the deployment mode is content
+	tokens        *tokenClient
+	usage         *usageReporter // nil if the settings don't ask for usage reports
+	log           *logging.Logger
 
 	draining        atomic.Bool // the node is shutting down
 	idle            *idleTracker
@@ -34,22 +35,23 @@
 }
 
 func newFrontend(
-	client *controlclient.Client, dispatcher *scatter.Dispatcher, objects *objectcache.Client, log *logging.Logger,
+	controlClient *controlclient.Client, dispatcher *scatter.Dispatcher,
+	objects *objectcache.Client, log *logging.Logger,
 ) *frontend {
 	return &frontend{
-		client:          client,
+		controlClient:   controlClient,
 		dispatcher:      dispatcher,
 		objects:         objects,
-		tokens:          newTokenClient(client),
-		usage:           newUsageReporter(client),
+		tokens:          newTokenClient(controlClient),
+		usage:           newUsageReporter(controlClient),
 		log:             log,
-		idle:            newIdleTracker(client),
+		idle:            newIdleTracker(controlClient),
 		pendingRequests: newPendingRequests(),
 	}
 }
 
-// newHTTPServer makes the server of the clients' port. Hosts and paths are the
-// operator's, so echo routes none of them itself.
+// newHTTPServer returns the HTTP server for client requests. The operator's route table
+// defines hosts and paths, so all requests bypass echo's own routing.
 func (f *frontend) newHTTPServer() *http.Server {
 	e := echo.New()
 	e.HideBanner = true
@@ -64,7 +66,7 @@
 	}
 }
 
-// serve handles one request of a client.
+// serve handles one client request.
 func (f *frontend) serve(c echo.Context) error {
 	x := &exchange{
 		frontend: f,
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// idleTimeoutNotice is added to the time in which a configuration is applied: for
-	// that long a longer idle timeout stays in force after a shorter one replaced it.
+	// idleTimeoutNotice is added to the time within which a configuration is applied. After a
+	// shorter idle timeout has replaced a longer one, the longer one stays in force for that sum.
 	idleTimeoutNotice = time.Second
-	// standstillFactor is the number of maintenance intervals without a run of
+	// suspensionIntervals is the number of maintenance intervals without a run of
 	// closeExpired after which this node counts as having been suspended.
-	standstillFactor = 4
-	noIdleTimeout    = time.Duration(math.MaxInt64)
+	suspensionIntervals = 4
+	noIdleTimeout       = time.Duration(math.MaxInt64)
 )
 
 // idleTracker closes connections that clients leave idle for too long. It is safe for
 // concurrent use.
 type idleTracker struct {
-	table        func() *routing.RouteTable // in force, or nil
-	applyTimeout func() time.Duration       // in which a configuration is applied
+	table        func() *routing.RouteTable // returns the route table in force, or nil
+	applyTimeout func() time.Duration       // returns the time within which a configuration is applied
 
 	mu          sync.Mutex // guards the fields below
 	connections map[net.Conn]idleConnection
-	checkedAt   time.Time
-	timeout     time.Duration // of the route table, as last seen
-	// previousTimeout is the longer timeout that timeout replaced. It stays in force
-	// until previousUntil, for clients that still rely on it.
+	checkedAt   time.Time     // when closeExpired last ran with a route table
+	timeout     time.Duration // the idle timeout of the route table when it was last read
+	// previousTimeout is the longer timeout that timeout replaced. It stays in force until
+	// previousUntil, because clients still rely on it.
 	previousTimeout time.Duration
 	previousUntil   time.Time
 }
 
-// idleConnection records since when a connection is idle, and the longest timeout that
-// was in force since then: the client may rely on it.
+// idleConnection is the time since which a connection is idle, and the longest timeout that
+// was in force since then. The client may rely on that timeout.
 type idleConnection struct {
 	since   time.Time
 	timeout time.Duration
 }
 
-func newIdleTracker(client *controlclient.Client) *idleTracker {
+func newIdleTracker(controlClient *controlclient.Client) *idleTracker {
 	return &idleTracker{
-		table:        client.RouteTable,
-		applyTimeout: func() time.Duration { return client.Settings.Bounds.ConfigApplyTimeout() },
+		table:        controlClient.RouteTable,
+		applyTimeout: func() time.Duration { return controlClient.Settings.Bounds.ConfigApplyTimeout() },
 		connections:  map[net.Conn]idleConnection{},
 	}
 }
@@ -64,8 +64,8 @@
 	t.connections[conn] = idleConnection{since: now, timeout: t.effectiveTimeoutLocked(now)}
 }
 
-// effectiveTimeoutLocked returns how long a client may leave a connection idle from now
-// on; 0 without a route table. A shorter timeout takes effect with a delay, since
+// effectiveTimeoutLocked returns how long a client may leave a connection idle from now on,
+// or 0 if there is no route table. A shorter timeout takes effect with a delay, because
 // clients learn of it later than this node.
 func (t *idleTracker) effectiveTimeoutLocked(now time.Time) time.Duration {
 	table := t.table()
@@ -89,8 +89,8 @@
 	return timeout
 }
 
-// closeExpired closes connections whose idle timeout has passed. In the first run after
-// this node was suspended it closes none: requests may have arrived that are not read yet.
+// closeExpired closes connections whose idle timeout has passed. The first run after a
+// suspension of this node closes none: their clients may have sent requests that are not read yet.
 func (t *idleTracker) closeExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +98,7 @@
 	if timeout <= 0 {
 		return
 	}
-	wasSuspended := now.Sub(t.checkedAt) > standstillFactor*maintenanceInterval
+	wasSuspended := now.Sub(t.checkedAt) > suspensionIntervals*maintenanceInterval
 	t.checkedAt = now
 	for conn, idle := range t.connections {
 		if idle.timeout < timeout {
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -9,7 +9,7 @@
 	"comethold/internal/routing"
 )
 
-// idleTest is a tracker whose route table the test sets.
+// idleTest is an idleTracker whose route table is set by the test.
 type idleTest struct {
 	*idleTracker
 	current *routing.RouteTable
@@ -30,11 +30,11 @@
 	i.current = routing.Compile(&routing.Configuration{Limits: limits})
 }
 
-// idles has a new connection become idle at a moment.
-func (i *idleTest) idles(t *testing.T, since time.Time) net.Conn {
+// addIdle adds a connection that has been idle since the given time.
+func (i *idleTest) addIdle(t *testing.T, since time.Time) net.Conn {
 	t.Helper()
-	conn, far := net.Pipe()
-	t.Cleanup(func() { _ = conn.Close(); _ = far.Close() })
+	conn, clientConn := net.Pipe()
+	t.Cleanup(func() { _ = conn.Close(); _ = clientConn.Close() })
 	i.connectionChanged(conn, http.StateIdle)
 	idle := i.connections[conn]
 	idle.since = since
@@ -47,42 +47,43 @@
 	return tracked
 }
 
-// TestIdleTimeout: a connection is closed when it was idle for longer than the timeout,
-// not while it carries a request, and never without a timeout.
+// TestIdleTimeout guards against connections that are closed before their idle timeout, while
+// they carry a request or although no timeout is set, and against idle ones that stay open.
 func TestIdleTimeout(t *testing.T) {
 	test := newIdleTest()
 	start := time.Now()
-	test.closeExpired(start) // without a route table nothing is closed
+	test.closeExpired(start) // no route table: closes nothing
 	test.setTimeout(2 * time.Second)
-	conn := test.idles(t, start)
-	busy := test.idles(t, start)
+	conn := test.addIdle(t, start)
+	busy := test.addIdle(t, start)
 	test.connectionChanged(busy, http.StateActive)
 	for at := time.Duration(0); at <= 2*time.Second; at += maintenanceInterval {
 		test.closeExpired(start.Add(at))
 		if !test.isOpen(conn) {
-			t.Fatalf("closed after %v", at)
+			t.Fatalf("idle connection closed after %v, want it open until its timeout of 2s has passed", at)
 		}
 	}
 	test.closeExpired(start.Add(2*time.Second + maintenanceInterval))
 	if test.isOpen(conn) || test.isOpen(busy) {
-		t.Error("not closed after its timeout, or a busy one is tracked")
+		t.Error("after the timeout of 2s a connection is still tracked; want the idle one closed, the busy one untracked")
 	}
 	test.setTimeout(0)
-	endless := test.idles(t, start)
+	withoutTimeout := test.addIdle(t, start)
 	test.closeExpired(start.Add(time.Hour))
 	test.closeExpired(start.Add(time.Hour + maintenanceInterval))
-	if !test.isOpen(endless) {
-		t.Error("closed without a timeout")
+	if !test.isOpen(withoutTimeout) {
+		t.Error("idle connection closed although no timeout is set")
 	}
 }
 
-// TestShorterIdleTimeout: a connection that was idle before a shorter timeout came into
-// force keeps the longer one, and so do others until clients know of the new one.
+// TestShorterIdleTimeout guards against connections that are closed while their clients still
+// rely on a longer timeout: those that were idle before a shorter one came into force, and
+// others until the configuration has been applied everywhere.
 func TestShorterIdleTimeout(t *testing.T) {
 	test := newIdleTest()
 	start := time.Now()
 	test.setTimeout(10 * time.Second)
-	older := test.idles(t, start)
+	older := test.addIdle(t, start)
 	test.setTimeout(time.Second)
 	now := start
 	sweepUntil := func(end time.Duration) {
@@ -92,35 +93,36 @@
 	}
 	sweepUntil(time.Second)
 	if got := test.effectiveTimeoutLocked(now); got != 10*time.Second {
-		t.Errorf("%v is in force before clients know of the new one", got)
+		t.Errorf("timeout in force less than 2s after the change to 1s is %v, want still 10s", got)
 	}
 	sweepUntil(3 * time.Second)
 	if got := test.effectiveTimeoutLocked(now); got != time.Second {
-		t.Errorf("%v is in force after that", got)
+		t.Errorf("timeout in force more than 2s after the change to 1s is %v, want 1s", got)
 	}
 	sweepUntil(9 * time.Second)
 	if !test.isOpen(older) {
-		t.Error("a connection is closed before the timeout that its client knew")
+		t.Error("connection closed after 9s, want it open for the 10s that were in force when it became idle")
 	}
 	sweepUntil(11 * time.Second)
 	if test.isOpen(older) {
-		t.Error("it stays open after that")
+		t.Error("connection open after 11s, want it closed after 10s")
 	}
 }
 
-// TestIdleAfterStandstill: after a standstill of the node connections are spared once.
-func TestIdleAfterStandstill(t *testing.T) {
+// TestIdleAfterSuspension guards against the loss of requests that arrived while the node was
+// suspended: the first check after a suspension must not close the connections.
+func TestIdleAfterSuspension(t *testing.T) {
 	test := newIdleTest()
 	start := time.Now()
 	test.setTimeout(time.Second)
-	conn := test.idles(t, start)
+	conn := test.addIdle(t, start)
 	test.closeExpired(start)
 	test.closeExpired(start.Add(5 * time.Second))
 	if !test.isOpen(conn) {
-		t.Error("closed at once after a standstill")
+		t.Error("idle connection closed by the first check after a suspension, want it open")
 	}
 	test.closeExpired(start.Add(5*time.Second + maintenanceInterval))
 	if test.isOpen(conn) {
-		t.Error("not closed after it was spared")
+		t.Error("idle connection open after the second check after a suspension, want it closed")
 	}
 }
--- a/internal/proxy/object.go
+++ b/internal/proxy/object.go
@@ -12,7 +12,7 @@
 	"comethold/internal/upstream"
 )
 
-// objectReply makes the reply to a request for an object of a cacheable route.
+// objectReply returns the reply to a request for an object on a cacheable route.
 func (x *exchange) objectReply() *scatter.Reply {
 	object, failure := x.objects.Get(objectcache.Request{
 		Host:     x.forwarded.Host,
@@ -32,23 +32,23 @@
 	return conditionalReply(object, x.request.Header, x.forwarded.ID)
 }
 
-// conditionalReply makes the reply to a request that may be conditional (If-None-Match)
-// or ask for a range.
-func conditionalReply(object *responsecache.Response, requested http.Header, requestID string) *scatter.Reply {
+// conditionalReply returns the reply to a request for an object. It evaluates If-None-Match,
+// Range and If-Range, and ignores ranges that parseRange does not accept.
+func conditionalReply(object *responsecache.Response, requestHeader http.Header, requestID string) *scatter.Reply {
 	header := withRequestID(object.Header, requestID)
-	if object.ETag != "" && etagMatches(requested.Get("If-None-Match"), object.ETag) {
+	if object.ETag != "" && etagMatches(requestHeader.Get("If-None-Match"), object.ETag) {
 		return &scatter.Reply{Status: http.StatusNotModified, Header: header}
 	}
-	whole := &scatter.Reply{Status: http.StatusOK, Header: header, Body: object.Body}
-	ranges := requested["Range"]
-	condition := requested.Get("If-Range")
+	fullReply := &scatter.Reply{Status: http.StatusOK, Header: header, Body: object.Body}
+	ranges := requestHeader["Range"]
+	condition := requestHeader.Get("If-Range")
 	if len(ranges) != 1 || condition != "" && condition != object.ETag {
-		return whole
+		return fullReply
 	}
 	size := len(object.Body)
 	first, last, ok := parseRange(ranges[0], size)
 	if !ok {
-		return whole
+		return fullReply
 	}
 	if first >= size {
 		header.Set("Content-Range", "bytes */"+strconv.Itoa(size))
@@ -58,7 +58,7 @@
 	return &scatter.Reply{Status: http.StatusPartialContent, Header: header, Body: object.Body[first : last+1]}
 }
 
-// withRequestID returns a copy of a cached header with the ID of one request.
+// withRequestID returns a copy of cached headers with the given request ID, or nil for nil.
 func withRequestID(cached http.Header, requestID string) http.Header {
 	if cached == nil {
 		return nil
@@ -68,8 +68,8 @@
 	return header
 }
 
-// parseRange reads a single range that names its first byte; for any other form ok is
-// false. last is inclusive and within size.
+// parseRange parses a single byte range that states its first byte; ok is false for any other
+// form. last is inclusive and less than size; first may be size or more.
 func parseRange(value string, size int) (first, last int, ok bool) {
 	spec, isBytes := strings.CutPrefix(strings.TrimSpace(value), "bytes=")
 	firstText, lastText, isRange := strings.Cut(strings.TrimSpace(spec), "-")
@@ -91,7 +91,7 @@
 	return first, min(last, given), true
 }
 
-// parseDigits reads a number without sign or spaces.
+// parseDigits parses a decimal number without sign or spaces.
 func parseDigits(text string) (int, bool) {
 	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, false
@@ -100,7 +100,8 @@
 	return number, err == nil
 }
 
-// etagMatches reports whether an If-None-Match names the tag, by weak comparison.
+// etagMatches reports whether the value of an If-None-Match header matches the entity tag, by
+// weak comparison.
 func etagMatches(value, tag string) bool {
 	if strings.TrimSpace(value) == "*" {
 		return true
--- a/internal/proxy/object_test.go
+++ b/internal/proxy/object_test.go
@@ -9,8 +9,8 @@
 	"comethold/internal/upstream"
 )
 
-// TestConditionalReply: what of an object a client gets, by the versions and ranges that
-// it names.
+// TestConditionalReply guards against a reply with the wrong status, bytes or Content-Range for
+// a conditional or range request, and against a request ID that is stored in the cached header.
 func TestConditionalReply(t *testing.T) {
 	object := &responsecache.Response{ETag: `"v1"`, Header: http.Header{"Etag": {`"v1"`}}, Body: []byte("0123456789")}
 	for _, c := range []struct {
@@ -37,10 +37,10 @@
 		reply := conditionalReply(object, c.header, "q")
 		got := fmt.Sprintf("%d %s %s", reply.Status, reply.Body, reply.Header.Get("Content-Range"))
 		if got != c.want {
-			t.Errorf("%v: got %q, want %q", c.header, got, c.want)
+			t.Errorf("request with headers %v: got %q, want %q", c.header, got, c.want)
 		}
 		if reply.Header.Get(upstream.HeaderRequestID) != "q" || object.Header.Get(upstream.HeaderRequestID) != "" {
-			t.Errorf("%v: the request id is missing, or in the cached header", c.header)
+			t.Errorf("request with headers %v: the reply lacks the request ID, or the cached header has it", c.header)
 		}
 	}
 }
--- a/internal/proxy/pending.go
+++ b/internal/proxy/pending.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// abortRetryAfter is the Retry-After for a request that was not forwarded because the
-// node shuts down, in seconds.
+// abortRetryAfter is the Retry-After, in seconds, of a request that was not forwarded because
+// the node shuts down.
 const abortRetryAfter = "0.05"
 
-// pendingRequest is a request whose response has not begun.
+// pendingRequest is a request whose response has not been started.
 type pendingRequest struct {
 	mu         sync.Mutex // guards the fields below, and the writer until it is answered
 	writer     http.ResponseWriter
-	dispatched bool // an endpoint may have got the request
-	answered   bool // the right to answer is claimed
+	dispatched bool // an endpoint may have received the request
+	answered   bool // claimAnswer or abort was called; no other call may answer
 }
 
 // markDispatched must be called before the request is sent to an endpoint. If it
@@ -54,11 +54,11 @@
 	} else {
 		unavailable("this node ends", abortRetryAfter).write(p.writer)
 	}
-	_ = http.NewResponseController(p.writer).Flush() // a client that went away needs no response
+	_ = http.NewResponseController(p.writer).Flush() // fails if the client has disconnected
 }
 
-// pendingRequests are the requests whose responses have not begun. It is safe for
-// concurrent use.
+// pendingRequests is the set of requests whose responses have not been started. It is safe
+// for concurrent use.
 type pendingRequests struct {
 	mu     sync.Mutex // guards the fields below
 	open   map[*pendingRequest]struct{}
@@ -69,8 +69,8 @@
 	return &pendingRequests{open: map[*pendingRequest]struct{}{}}
 }
 
-// register adds a request that has been read. After abortAll it is answered at once and
-// ok is false. The caller must unregister it in both cases.
+// register adds a request that has been read. After abortAll it answers the request at once
+// and ok is false. The caller must unregister the request in both cases.
 func (r *pendingRequests) register(writer http.ResponseWriter) (pending *pendingRequest, ok bool) {
 	pending = &pendingRequest{writer: writer}
 	r.mu.Lock()
@@ -89,8 +89,8 @@
 	delete(r.open, pending)
 }
 
-// abortAll answers all open requests at the end of a shutdown: a client whose connection
-// closes without a response can't know whether its request was executed.
+// abortAll answers all open requests at the end of a shutdown, because a client whose
+// connection closes without a response can't know whether its request was executed.
 func (r *pendingRequests) abortAll() {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/proxy/pending_test.go
+++ b/internal/proxy/pending_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestAbortPending: when a node ends, each open request is answered once: one that an
-// endpoint may have got by 502, another by 503, and what comes later at once. A
-// rejection of another kind is written by the same code, with its own header and text.
+// TestAbortPending guards against open requests that get no answer, two answers or the wrong
+// status at a shutdown: 502 if an endpoint may have received the request, otherwise 503, at once
+// for later requests. A client that gets 503 for an executed request may execute it twice.
 func TestAbortPending(t *testing.T) {
 	requests := newPendingRequests()
 	register := func() (*pendingRequest, *httptest.ResponseRecorder, bool) {
@@ -19,15 +19,15 @@
 	waiting, waitingRecorder, _ := register()
 	dispatched, dispatchedRecorder, _ := register()
 	answered, answeredRecorder, _ := register()
-	gone, goneRecorder, _ := register()
+	unregistered, unregisteredRecorder, _ := register()
 	if !dispatched.markDispatched() || !answered.claimAnswer() {
-		t.Fatal("an open request can't be dispatched or answered")
+		t.Fatal("markDispatched or claimAnswer of an open request returned false, want true")
 	}
-	requests.unregister(gone)
+	requests.unregister(unregistered)
 	requests.abortAll()
 	_, lateRecorder, ok := register()
 	if ok {
-		t.Error("a request is begun after the end")
+		t.Error("register after abortAll returned ok, want false")
 	}
 	unreadyRecorder := httptest.NewRecorder()
 	unavailable("why", unreadyRetryAfter).write(unreadyRecorder)
@@ -46,13 +46,14 @@
 		header := c.recorder.Header()
 		if c.recorder.Code != c.status || c.recorder.Body.String() != c.text ||
 			header.Get("Retry-After") != c.retryAfter || header.Get("Connection") != c.connection {
-			t.Errorf("%s: %d %v %q", name, c.recorder.Code, header, c.recorder.Body)
+			t.Errorf("%s: got status %d, headers %v, body %q; want status %d, Retry-After %q, Connection %q, body %q",
+				name, c.recorder.Code, header, c.recorder.Body, c.status, c.retryAfter, c.connection, c.text)
 		}
 	}
-	if answeredRecorder.Body.Len() != 0 || goneRecorder.Body.Len() != 0 {
-		t.Error("a request was answered twice, or after it was done")
+	if answeredRecorder.Body.Len() != 0 || unregisteredRecorder.Body.Len() != 0 {
+		t.Error("abortAll answered a request that was already answered or unregistered")
 	}
 	if waiting.markDispatched() || dispatched.claimAnswer() {
-		t.Error("an aborted request can still be dispatched or answered")
+		t.Error("markDispatched or claimAnswer of an aborted request returned true, want false")
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,19 +10,21 @@
 	"comethold/internal/upstream"
 )
 
-// Limits that apply if the configuration sets none.
+// Limits that apply if the configuration sets none, in bytes.
 const (
 	defaultMaxBodyBytes   = 1 << 20
 	defaultMaxHeaderBytes = 64 << 10
 )
 
-// What a request line and a header field take besides their texts, in bytes.
+// Sizes in bytes that headerSize adds to a request line and to each header field for their fixed
+// parts, such as separators and line ends.
 const (
 	requestLineOverhead = 24
 	headerFieldOverhead = 4
 )
 
-// requestTarget returns the target of a request as the client sent it, and its path.
+// requestTarget returns the request target as the client sent it, without the scheme and host of
+// an absolute URI, and the path of the target. path is empty if there is none, as for CONNECT.
 func requestTarget(request *http.Request) (target, path string) {
 	target = request.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -53,7 +55,8 @@
 	return defaultLimit
 }
 
-// readRequest reads a complete request within the limits.
+// readRequest reads the complete request. It returns a rejection if the request exceeds a limit,
+// lacks a request ID or has an incomplete body.
 func readRequest(
 	writer http.ResponseWriter, request *http.Request, limits routing.Limits, target string,
 ) (*upstream.Request, *rejection) {
@@ -79,12 +82,12 @@
 	}, nil
 }
 
-// isBodyFramed reports whether the client announced a body.
+// isBodyFramed reports whether Content-Length or Transfer-Encoding announces a body.
 func isBodyFramed(request *http.Request) bool {
 	return request.ContentLength != 0 || len(request.TransferEncoding) > 0
 }
 
-// expectsBody reports whether requests of a method have a body, which may be empty.
+// expectsBody reports whether requests with the method have a body, which may be empty.
 func expectsBody(method string) bool {
 	switch method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -13,7 +13,8 @@
 	"comethold/internal/upstream"
 )
 
-// TestRequestTarget: the target as the client sent it, without the host of an absolute one.
+// TestRequestTarget guards against a target that is decoded or normalized on its way to the
+// endpoint, or that keeps the host of an absolute URI.
 func TestRequestTarget(t *testing.T) {
 	for _, c := range []struct{ method, uri, target, path string }{
 		{http.MethodGet, "/a/b?x=%20", "/a/b?x=%20", "/a/b"},
@@ -24,22 +25,24 @@
 	} {
 		request := httptest.NewRequestWithContext(t.Context(), c.method, c.uri, nil)
 		if c.method == http.MethodOptions {
-			c.path = "" // an OPTIONS request for the whole server names no path
+			c.path = "" // an OPTIONS request for the whole server has no path
 			request.URL.Path = ""
 		}
 		if target, path := requestTarget(request); target != c.target || path != c.path {
-			t.Errorf("%s %s: %s and %s, want %s and %s", c.method, c.uri, target, path, c.target, c.path)
+			t.Errorf("requestTarget of %s %s: target %q and path %q, want %q and %q",
+				c.method, c.uri, target, path, c.target, c.path)
 		}
 	}
 }
 
-// TestReadRequest: what is read within the limits, and what is rejected.
+// TestReadRequest guards against requests that exceed a limit, lack an ID or break off and are
+// forwarded nevertheless, and against an empty body that is forwarded as none.
 func TestReadRequest(t *testing.T) {
 	limits := routing.Limits{MaxHeaderBytes: 200, MaxBodyBytes: 10}
 	noID := http.Header{}
 	id := http.Header{upstream.HeaderRequestID: {"q"}}
 	for _, c := range []struct {
-		why     string
+		name    string
 		method  string
 		header  http.Header
 		body    io.Reader
@@ -48,7 +51,7 @@
 	}{
 		{"no id", http.MethodGet, noID, nil, http.StatusBadRequest, false},
 		{"two ids", http.MethodGet, http.Header{upstream.HeaderRequestID: {"q", "r"}}, nil, http.StatusBadRequest, false},
-		{"without a body", http.MethodGet, id, nil, 0, false},
+		{"no body", http.MethodGet, id, nil, 0, false},
 		{"an empty body", http.MethodPost, id, nil, 0, true},
 		{"a body", http.MethodGet, id, strings.NewReader("0123456789"), 0, true},
 		{"a long body", http.MethodPut, id, strings.NewReader("0123456789x"), http.StatusRequestEntityTooLarge, false},
@@ -68,12 +71,13 @@
 		read, rejected := readRequest(httptest.NewRecorder(), request, limits, "/a")
 		if c.status != 0 {
 			if rejected == nil || rejected.status != c.status {
-				t.Errorf("%s: %+v, want status %d", c.why, rejected, c.status)
+				t.Errorf("request with %s: rejection %+v, want status %d", c.name, rejected, c.status)
 			}
 			continue
 		}
 		if rejected != nil || read.HasBody != c.hasBody || read.ID != "q" || read.Target != "/a" {
-			t.Errorf("%s: %+v, %+v", c.why, read, rejected)
+			t.Errorf("request with %s: read %+v, rejection %+v; want HasBody %v, ID q, target /a and no rejection",
+				c.name, read, rejected, c.hasBody)
 		}
 	}
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -12,11 +12,11 @@
 
 const headerRetryAfter = "Retry-After"
 
-// rejection is why a request is not forwarded, and the response to its client.
+// rejection is the response to a request that is not forwarded. reason is the body.
 type rejection struct {
 	status int
 	reason string
-	// A header that goes with it, if there is one.
+	// The name and value of an additional header; header is empty if there is none.
 	header string
 	value  string
 }
@@ -31,8 +31,8 @@
 	}
 }
 
-// closingRejection returns a rejection that closes the connection: the request was not read
-// completely, so that no other one can follow it.
+// closingRejection returns a rejection that closes the connection. It is for a request that was
+// not read completely: no other request can follow on that connection.
 func closingRejection(status int, reason string) *rejection {
 	return &rejection{status: status, reason: reason, header: "Connection", value: "close"}
 }
@@ -44,19 +44,20 @@
 	writeText(writer, r.status, r.reason)
 }
 
-// formatSeconds formats a time for Retry-After.
+// formatSeconds formats a duration for Retry-After, in seconds with three decimals.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// writeText writes a response of this node's own.
+// writeText writes a plain-text response that this node generates.
 func writeText(writer http.ResponseWriter, status int, text string) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("Content-Length", strconv.Itoa(len(text)+1))
 	writer.WriteHeader(status)
-	_, _ = io.WriteString(writer, text+"\n") // a client that went away needs no response
+	_, _ = io.WriteString(writer, text+"\n") // fails if the client has disconnected
 }
 
-// writeReply writes a reply to a request of the given method.
+// writeReply writes a reply to a request of the given method. A reply without headers comes from
+// this node: its reason becomes the body.
 func writeReply(writer http.ResponseWriter, method string, reply *scatter.Reply) {
 	header := writer.Header()
 	if reply.Header == nil {
@@ -73,17 +74,17 @@
 		header[upstream.HeaderRequestID] = ids
 	}
 	if header["Content-Type"] == nil {
-		header["Content-Type"] = nil // so that net/http adds none
+		header["Content-Type"] = nil // keeps net/http from adding a detected type
 	}
 	setContentLength(header, method, reply)
 	writer.WriteHeader(reply.Status)
 	if len(reply.Body) > 0 {
-		_, _ = writer.Write(reply.Body) // a client that went away needs no response
+		_, _ = writer.Write(reply.Body) // fails if the client has disconnected
 	}
 }
 
-// setContentLength sets the length of a reply to that of its body; for HEAD it is the
-// one that the endpoint stated.
+// setContentLength sets Content-Length to the length of the reply's body, or for HEAD to the
+// length that the endpoint stated. It sets none for the statuses 204 and 304.
 func setContentLength(header http.Header, method string, reply *scatter.Reply) {
 	switch {
 	case method == http.MethodHead:
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -20,19 +20,20 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Timing of a shutdown. The platform asks for readiness once a second and takes a
-// node out after two misses.
+// Timing of a shutdown.
 const (
+	// readinessNoticeTime is how long a draining node still accepts connections. The platform
+	// checks readiness once a second and removes a node after two failed checks.
 	readinessNoticeTime = 2300 * time.Millisecond
-	// shutdownMargin is how long before the end of the grace period the requests that
-	// are still pending are answered.
+	// shutdownMargin is the time before the end of the grace period at which the requests
+	// that are still pending are aborted.
 	shutdownMargin     = 700 * time.Millisecond
 	defaultGracePeriod = 6 * time.Second
 )
 
 const maintenanceInterval = 250 * time.Millisecond
 
-// objectCacheBytes is the size of a node's own cache of objects.
+// objectCacheBytes is the size of the object cache in a node's memory.
 const objectCacheBytes = 16 << 20
 
 // Server is the data plane of one node.
@@ -77,10 +78,10 @@
 	}
 }
 
-// Handler answers clients' requests.
+// Handler returns the handler of client requests.
 func (s *Server) Handler() http.Handler { return s.httpServer.Handler }
 
-// Serve answers clients on a listener until Shutdown.
+// Serve serves client requests on a listener. After Shutdown it returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	err := s.httpServer.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -90,7 +91,7 @@
 	return err
 }
 
-// ReportUsage reports the tenants' usage to the control plane until the node ends.
+// ReportUsage reports the tenants' usage to the control plane until the server is closed.
 func (s *Server) ReportUsage() error {
 	if s.frontend.usage != nil {
 		s.frontend.usage.run()
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// CollectLatencies processes the latency samples of lookups until the node ends.
+// CollectLatencies processes the latency samples of lookups until the server is closed.
 func (s *Server) CollectLatencies() error {
 	if s.dispatcher.Latencies != nil {
 		s.dispatcher.Latencies.Run(s.Done())
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// LatencyEstimates returns this node's snapshot of the latencies of lookups. It is empty
-// if they are not sampled.
+// LatencyEstimates returns this node's snapshot of lookup latencies. It is empty if they are not
+// sampled.
 func (s *Server) LatencyEstimates(request distribution.EstimatesRequest) latencyestimate.Snapshot {
 	if s.dispatcher.Latencies == nil {
 		return latencyestimate.MergeSnapshots()
@@ -117,7 +118,7 @@
 	return s.dispatcher.Latencies.Snapshot(request.Service, request.Class)
 }
 
-// InternalHandler serves other nodes.
+// InternalHandler returns the handler of requests from other nodes.
 func (s *Server) InternalHandler() *echo.Echo {
 	e := s.Client.InternalHandler()
 	e.POST("/estimates", s.serveEstimates)
@@ -136,7 +137,7 @@
 	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeBody(encoded))
 }
 
-// RunMaintenance closes idle connections and drops expired state until the node ends.
+// RunMaintenance closes idle connections and removes expired state until the server is closed.
 func (s *Server) RunMaintenance() error {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -152,7 +153,7 @@
 	}
 }
 
-// Readiness serves the platform's readiness checks.
+// Readiness returns the handler of the platform's readiness checks.
 func (s *Server) Readiness() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -166,9 +167,9 @@
 	return e
 }
 
-// Shutdown drains the node: it is no longer ready, new connections are still served
-// until the platform has noticed that, and every pending request is answered. It
-// returns when the process may exit.
+// Shutdown drains the node. The node reports that it is not ready, and serves new connections
+// until the platform has noticed that. Requests that are still pending shortly before the end of
+// the grace period are aborted with an answer. Shutdown returns when the process may exit.
 func (s *Server) Shutdown() {
 	s.shutdownOnce.Do(func() {
 		s.frontend.draining.Store(true)
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -13,36 +13,45 @@
 	"comethold/internal/routing"
 )
 
-// Pacing of token requests; see docs/design.md.
+// Timing of token requests; see docs/design.md.
 const (
-	// The least time between two datagrams. Demands that arrive in between are sent in
-	// one datagram; a busy node waits longer, to send fewer datagrams with more demands.
-
-	minSendInterval  = 10 * time.Millisecond
+	// minSendInterval is the shortest time between two datagrams. Demands that arrive in between
+	// are sent in one datagram.
+	minSendInterval = 10 * time.Millisecond
+	// busySendInterval replaces minSendInterval on a busy node, which sends fewer datagrams with
+	// more demands each.
 	busySendInterval = 30 * time.Millisecond
-	busySendRate     = 20.0 // datagrams a second from which a node is busy
-
-	responseTimeout  = 30 * time.Millisecond // after which another node is asked
-	lateGrantWindow  = time.Second           // after responseTimeout, in which late tokens are still used
-	maxTokenAttempts = 3                     // requests for one waiter until it is rejected
+	// busySendRate is the rate, in datagrams a second, above which a node is busy.
+	busySendRate = 20.0
 
-	// A request waits half its target latency for a token, within these bounds.
+	// responseTimeout is the time without a response after which another node is asked.
+	responseTimeout = 30 * time.Millisecond
+	// lateGrantWindow is the time after responseTimeout in which the tokens of a late grant are
+	// still accepted.
+	lateGrantWindow = time.Second
+	// maxTokenAttempts is the number of failed requests after which a waiter is rejected.
+	maxTokenAttempts = 3
 
+	// minTokenWait and maxTokenWait are the bounds of the time that a request waits for a token,
+	// which is half its target latency.
 	minTokenWait = 40 * time.Millisecond
 	maxTokenWait = 200 * time.Millisecond
 
+	// unavailableRetryAfter is the Retry-After of unavailableQuota, and the longest time for which
+	// a tenant is recorded as exhausted.
 	unavailableRetryAfter = 150 * time.Millisecond
 )
 
+// unavailableQuota is the result of a request that got no decision from the control plane.
 var unavailableQuota = admission{verdict: quotaUnavailable, retryAfter: unavailableRetryAfter}
 
-// tokenClient requests quota tokens for tenants from the control plane. Requests for
-// which the cache has no token wait; one datagram asks for all of them. It is safe for
-// concurrent use.
+// tokenClient requests quota tokens for tenants from the control plane. Client requests for
+// which the cache has no token wait; one datagram requests tokens for all of them. It is safe
+// for concurrent use.
 type tokenClient struct {
-	client *controlclient.Client
-	rules  quota.Rules
-	cache  *quota.TokenCache
+	controlClient *controlclient.Client
+	rules         quota.Rules
+	cache         *quota.TokenCache
 
 	mu            sync.Mutex            // guards the fields below
 	queues        map[string]*waitQueue // by tenant
@@ -54,34 +63,34 @@
 	targets       targetSelector
 }
 
-// tokenRequest is a datagram to the control plane that is not yet answered.
+// tokenRequest is a datagram to the control plane whose answer is still accepted.
 type tokenRequest struct {
 	target    net.Addr
 	sentAt    time.Time
 	demands   []quota.TenantDemand
-	lifetimes []time.Duration // of the tokens, by demand
+	lifetimes []time.Duration // lifetimes[i] is that of the tokens for demands[i]
 }
 
-func newTokenClient(client *controlclient.Client) *tokenClient {
+func newTokenClient(controlClient *controlclient.Client) *tokenClient {
 	t := &tokenClient{
-		client:        client,
-		rules:         client.Settings.Bounds.QuotaRules(),
+		controlClient: controlClient,
+		rules:         controlClient.Settings.Bounds.QuotaRules(),
 		cache:         quota.NewTokenCache(),
 		queues:        map[string]*waitQueue{},
 		inFlight:      map[uint64]*tokenRequest{},
 		nextRequestID: rand.Uint64(),
-		targets:       targetSelector{list: client.ControlPlaneAddrs, avoidUntil: map[string]time.Time{}},
+		targets:       targetSelector{list: controlClient.ControlPlaneAddrs, avoidUntil: map[string]time.Time{}},
 	}
-	client.OnTokenGrant(t.handleGrant)
-	client.OnTenantsChanged(func(names []string) { t.cache.Discard(names) })
+	controlClient.OnTokenGrant(t.handleGrant)
+	controlClient.OnTenantsChanged(func(names []string) { t.cache.Discard(names) })
 	return t
 }
 
-// admit spends a token for a request of the tenant, if it needs one. It waits for a
-// token for at most half the target latency, within bounds, and the remaining time, and
-// not after the client has left.
+// admit spends a token for a request of the tenant, if the tenant's rate is limited. It waits
+// for a token for half the target latency, between minTokenWait and maxTokenWait, but no longer
+// than the remaining time. It stops waiting when clientCtx is canceled.
 func (t *tokenClient) admit(
-	client context.Context, tenant *routing.Tenant, targetLatency, remaining time.Duration, now time.Time,
+	clientCtx context.Context, tenant *routing.Tenant, targetLatency, remaining time.Duration, now time.Time,
 ) admission {
 	if !t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize).Limited() {
 		return admission{verdict: granted}
@@ -100,8 +109,8 @@
 	case result := <-waiting.done:
 		return result
 	case <-timer.C:
-	case <-client.Done():
-	case <-t.client.Done():
+	case <-clientCtx.Done():
+	case <-t.controlClient.Done():
 	}
 	return t.stopWaiting(queue, waiting)
 }
@@ -121,8 +130,8 @@
 	return queue, waiting
 }
 
-// stopWaiting removes a waiter from its queue and returns its result: the answer, if one
-// has arrived, and otherwise unavailableQuota.
+// stopWaiting removes a waiter from its queue. It returns the waiter's result if that has
+// arrived, and otherwise unavailableQuota.
 func (t *tokenClient) stopWaiting(queue *waitQueue, waiting *waiter) admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,8 +144,8 @@
 	}
 }
 
-// scheduleSendLocked schedules a token request for the waiters: at once, or when the
-// least interval after the last datagram is over.
+// scheduleSendLocked schedules a token request for the waiters: at once, or when the send
+// interval since the last datagram has passed.
 func (t *tokenClient) scheduleSendLocked(now time.Time) {
 	if t.sendScheduled {
 		return
@@ -153,10 +162,10 @@
 	go t.send()
 }
 
-// send sends one datagram with the demands that were not requested yet.
+// send sends one datagram with the demands that have not been requested yet.
 func (t *tokenClient) send() {
 	now := time.Now()
-	table := t.client.RouteTable()
+	table := t.controlClient.RouteTable()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sendScheduled = false
@@ -175,14 +184,14 @@
 	t.inFlight[id] = request
 	t.sendRate = t.sendRate*max(0, 1-now.Sub(t.lastSentAt).Seconds()) + 1
 	t.lastSentAt = now
-	t.client.Send(target, &distribution.Datagram{
+	t.controlClient.Send(target, &distribution.Datagram{
 		TokenRequest: &quota.TokenRequest{ID: id, Demands: request.demands},
 	})
 	time.AfterFunc(responseTimeout, func() { t.handleTimeout(id) })
 }
 
-// addDemandsLocked adds the demands of the queues to a request, up to quota.MaxDemands;
-// the next request gets the others.
+// addDemandsLocked adds the demands of the queues to a request, up to quota.MaxDemands. It
+// schedules another request for the rest, and deletes unused queues.
 func (t *tokenClient) addDemandsLocked(request *tokenRequest, table *routing.RouteTable) {
 	now := request.sentAt
 	for name, queue := range t.queues {
@@ -213,7 +222,8 @@
 	}
 }
 
-// handleGrant processes the answer to a request.
+// handleGrant processes the answer to a request. It ignores an answer to an unknown request or
+// with the wrong number of results.
 func (t *tokenClient) handleGrant(grant *quota.TokenGrant) {
 	now := time.Now()
 	t.mu.Lock()
@@ -228,8 +238,8 @@
 	}
 }
 
-// handleTenantGrantLocked processes the answer to the demand i of a request. The
-// lifetime of tokens counts from when the request was sent.
+// handleTenantGrantLocked processes the answer to demand i of a request. The lifetime of the
+// tokens starts when the request is sent.
 func (t *tokenClient) handleTenantGrantLocked(request *tokenRequest, i int, grant quota.TenantGrant, now time.Time) {
 	demand := request.demands[i]
 	if grant.Granted > 0 {
@@ -239,7 +249,7 @@
 	if queue == nil {
 		return
 	}
-	queue.answered(demand.Required)
+	queue.endRequest(demand.Required)
 	for len(queue.waiters) > 0 && t.cache.SpendGranted(demand.Tenant, now) {
 		queue.grantFirst()
 	}
@@ -254,8 +264,8 @@
 	}
 }
 
-// handleTimeout handles a request without an answer in time: its demands are requested
-// again, from another control plane node.
+// handleTimeout handles a request that was not answered within responseTimeout. Its demands are
+// requested again, preferably from another control plane node.
 func (t *tokenClient) handleTimeout(id uint64) {
 	now := time.Now()
 	t.mu.Lock()
@@ -268,15 +278,15 @@
 	for i := range request.demands {
 		demand := &request.demands[i]
 		if queue := t.queues[demand.Tenant]; queue != nil {
-			queue.answered(demand.Required)
+			queue.endRequest(demand.Required)
 			t.requeueLocked(queue, demand.Required, now)
 		}
-		demand.Required = 0 // the tokens of a late answer are kept, but no waiter needs them
+		demand.Required = 0 // a late answer adds tokens to the cache, but must not reject waiters
 	}
 	time.AfterFunc(lateGrantWindow, func() { t.forget(id) })
 }
 
-// forget drops a request whose late grants are no longer used.
+// forget removes a request whose late grants are no longer accepted.
 func (t *tokenClient) forget(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -297,7 +307,7 @@
 	}
 }
 
-// removeExpired drops the state of idle tenants and of targets that recovered.
+// removeExpired removes the state of idle tenants, and of targets that are no longer avoided.
 func (t *tokenClient) removeExpired(now time.Time) {
 	t.cache.RemoveIdle(now)
 	t.mu.Lock()
--- a/internal/proxy/token_target.go
+++ b/internal/proxy/token_target.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// avoidDuration is how long a control plane node is avoided after it did not
-	// answer or had no share of the quota.
+	// avoidDuration is how long a control plane node is avoided after it did not answer in
+	// time or held no share of the quotas.
 	avoidDuration = time.Second
-	// targetsMaxAge is how long the list of the control plane nodes is reused.
+	// targetsMaxAge is how long the list of control plane nodes is reused.
 	targetsMaxAge = 250 * time.Millisecond
 )
 
-// targetSelector picks the control plane node that tokens are requested from. It is
-// guarded by tokenClient.mu.
+// targetSelector picks the control plane node that tokens are requested from.
+// tokenClient.mu guards it.
 type targetSelector struct {
-	list       func() []net.Addr // the control plane nodes, the preferred first
+	list       func() []net.Addr // returns the control plane nodes in order of preference
 	targets    []net.Addr
 	listedAt   time.Time
 	avoidUntil map[string]time.Time // by address
 }
 
-// pick returns the first target that is not avoided, or the one that is avoided for
-// the shortest time, or nil if there is none.
+// pick returns the first target that is not avoided. If all are, it returns the one whose
+// avoidance ends first, and nil if there are no targets.
 func (s *targetSelector) pick(now time.Time) net.Addr {
 	if now.Sub(s.listedAt) > targetsMaxAge {
 		s.targets = s.list()
--- a/internal/proxy/token_test.go
+++ b/internal/proxy/token_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// waiting makes a queue of count waiters.
-func waiting(count int) *waitQueue {
+// newWaitQueue returns a queue of count waiters.
+func newWaitQueue(count int) *waitQueue {
 	queue := &waitQueue{}
 	for range count {
 		queue.waiters = append(queue.waiters, &waiter{done: make(chan admission, 1)})
@@ -16,7 +16,7 @@
 	return queue
 }
 
-// verdicts are what waiters learnt so far; -1 for those that still wait.
+// verdicts receives the verdicts that have been sent to the waiters; -1 stands for none.
 func verdicts(waiters []*waiter) (out []int) {
 	for _, w := range waiters {
 		select {
@@ -29,15 +29,17 @@
 	return out
 }
 
-// TestWaitQueue: the oldest waiters are answered first, each once.
+// TestWaitQueue guards against a waiter that is answered out of order, twice or not at all, and
+// against a count of requested tokens that becomes negative when late answers arrive.
 func TestWaitQueue(t *testing.T) {
-	queue := waiting(5)
+	queue := newWaitQueue(5)
 	all := slices.Clone(queue.waiters)
 	queue.requested = 3
 	if queue.unrequested() != 2 || queue.isUnused() {
-		t.Errorf("%d are unrequested", queue.unrequested())
+		t.Errorf("5 waiters with 3 tokens requested: unrequested %d, isUnused %v; want 2, false",
+			queue.unrequested(), queue.isUnused())
 	}
-	queue.answered(7)
+	queue.endRequest(7)
 	queue.grantFirst()
 	queue.remove(all[3])
 	queue.remove(all[3])
@@ -52,30 +54,30 @@
 		t.Errorf("verdicts %v, want %v", got, want)
 	}
 	if !queue.isUnused() {
-		t.Error("an empty queue is in use")
+		t.Error("isUnused of an empty queue returned false, want true")
 	}
 }
 
-// TestWaitQueueAttempts: a waiter is rejected after its last attempt failed, and those
-// that no token was requested for have not had one.
+// TestWaitQueueAttempts guards against a waiter that is not rejected after its last attempt
+// failed, and against failures that are counted for waiters without a requested token.
 func TestWaitQueueAttempts(t *testing.T) {
-	queue := waiting(2)
+	queue := newWaitQueue(2)
 	all := slices.Clone(queue.waiters)
 	for range maxTokenAttempts - 1 {
 		if !queue.failAttempt(1) {
-			t.Fatal("nobody waits before the last attempt")
+			t.Fatal("failAttempt before the last attempt returned false, want both waiters left")
 		}
 	}
 	if !queue.failAttempt(1) || queue.waiters[0] != all[1] {
-		t.Error("the second waiter does not wait any more")
+		t.Error("the second waiter is not first in the queue after the first was rejected")
 	}
 	if got := verdicts(all); !slices.Equal(got, []int{int(quotaUnavailable), -1}) {
-		t.Errorf("verdicts %v", got)
+		t.Errorf("verdicts %v, want quotaUnavailable for the first waiter and -1 for the second", got)
 	}
 }
 
-// TestTargetSelector: the first target that is not avoided, and if all are, the one
-// that is avoided for the shortest time.
+// TestTargetSelector guards against requests to a target that failed recently while another is
+// available, and against no choice at all if all targets failed.
 func TestTargetSelector(t *testing.T) {
 	var addrs []net.Addr
 	for _, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
@@ -91,13 +93,13 @@
 	pick := func(want net.Addr) {
 		t.Helper()
 		if got := selector.pick(now); got != want {
-			t.Errorf("picked %v, want %v", got, want)
+			t.Errorf("pick returned %v, want %v", got, want)
 		}
 	}
 	pick(addrs[0])
 	pick(addrs[0])
 	if lists != 1 {
-		t.Errorf("listed %d times at once", lists)
+		t.Errorf("two picks at the same time listed the targets %d times, want 1", lists)
 	}
 	selector.avoid(addrs[0], now)
 	pick(addrs[1])
@@ -107,7 +109,7 @@
 	pick(addrs[2])
 	selector.removeExpired(now.Add(avoidDuration))
 	if len(selector.avoidUntil) != 1 {
-		t.Errorf("%d are avoided", len(selector.avoidUntil))
+		t.Errorf("%d targets are avoided after removeExpired, want 1", len(selector.avoidUntil))
 	}
 	listed = nil
 	now = now.Add(targetsMaxAge + 1)
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -10,22 +10,23 @@
 	"comethold/internal/usage"
 )
 
-// Pacing of usage reports; see docs/design.md.
+// Timing of usage reports; see docs/design.md.
 const (
 	reportInterval = 150 * time.Millisecond
-	// Reports are spread over reportJitter of their interval, from reportJitterMin on.
+	// The interval is multiplied by a random factor from reportJitterMin to
+	// reportJitterMin+reportJitter.
 	reportJitterMin = 0.9
 	reportJitter    = 0.2
-	// clockSyncInterval is the longest time between two reports. Their answers carry
-	// the control plane's time.
+	// clockSyncInterval is the time after which a report is sent even if there are no counts,
+	// because the answer carries the control plane's time.
 	clockSyncInterval = 2 * time.Second
-	// clockSampleMaxAge is the age from which a sample of the control plane's time is
-	// replaced even by one with a longer round trip.
+	// clockSampleMaxAge is the age above which a sample of the control plane's time is replaced
+	// even by one with a longer round trip.
 	clockSampleMaxAge = time.Minute
 	// reportsBeforeFailover is the number of unanswered reports after which reports go
 	// to another control plane node.
 	reportsBeforeFailover = 3
-	// ackWindow is how long an answer to a report is accepted.
+	// ackWindow is how long after a report its answer still counts for failover and the clock.
 	ackWindow = 5 * time.Second
 )
 
@@ -33,58 +34,58 @@
 // the control plane's time, and reports them to the control plane. It is safe for
 // concurrent use.
 type usageReporter struct {
-	client  *controlclient.Client
-	counter *usage.Counter
-	clock   *usage.Clock
+	controlClient *controlclient.Client
+	counter       *usage.Counter
+	clock         *usage.Clock
 
 	mu              sync.Mutex           // guards the fields below
 	sentAt          map[uint64]time.Time // of unanswered reports, by sequence number
-	unanswered      int                  // reports in a row without an answer
+	unanswered      int                  // counts reports without an answer; selects the target of the next report
 	lastReportAt    time.Time
-	bestRoundTrip   time.Duration // of the sample that the clock was set by
+	bestRoundTrip   time.Duration // of the sample that the clock is set to
 	bestRoundTripAt time.Time
 }
 
 // newUsageReporter returns nil if the settings don't ask for usage reports.
-func newUsageReporter(client *controlclient.Client) *usageReporter {
-	if !client.Settings.ReportsUsage() {
+func newUsageReporter(controlClient *controlclient.Client) *usageReporter {
+	if !controlClient.Settings.ReportsUsage() {
 		return nil
 	}
 	r := &usageReporter{
-		client:  client,
-		counter: usage.NewCounter(rand.Uint64(), client.Settings.Bounds.UsageWindow()),
-		clock:   usage.NewClock(time.Now()),
-		sentAt:  map[uint64]time.Time{},
+		controlClient: controlClient,
+		counter:       usage.NewCounter(rand.Uint64(), controlClient.Settings.Bounds.UsageWindow()),
+		clock:         usage.NewClock(time.Now()),
+		sentAt:        map[uint64]time.Time{},
 	}
-	client.OnUsageAck(r.handleAck)
+	controlClient.OnUsageAck(r.handleAck)
 	return r
 }
 
-// recordExecuted counts a request of a tenant whose execution began at a moment of the
-// monotonic clock.
+// recordExecuted counts an executed request of a tenant. at is the time of the execution by
+// this node's clock.
 func (r *usageReporter) recordExecuted(tenant string, at time.Time) {
 	controlPlaneTime, ok := r.clock.Now(at)
 	if !ok {
-		controlPlaneTime = at // no better time is known
+		controlPlaneTime = at // the control plane's time is not known yet
 	}
 	r.counter.Add(tenant, controlPlaneTime)
 }
 
-// run sends reports until the node ends, and a last one then.
+// run sends reports until the control client is closed, and then a last one.
 func (r *usageReporter) run() {
 	for {
 		jitter := reportJitterMin + reportJitter*rand.Float64()
 		select {
 		case <-time.After(time.Duration(jitter * float64(reportInterval))):
 			r.report(time.Now())
-		case <-r.client.Done():
+		case <-r.controlClient.Done():
 			r.report(time.Now())
 			return
 		}
 	}
 }
 
-// report sends the counts, if there are any or the clock needs a sample.
+// report sends the counts, if there are any or clockSyncInterval has passed since the last report.
 func (r *usageReporter) report(now time.Time) {
 	report := r.counter.NextReport()
 	r.mu.Lock()
@@ -92,7 +93,7 @@
 	if len(report.Windows) == 0 && now.Sub(r.lastReportAt) < clockSyncInterval {
 		return
 	}
-	targets := r.client.ControlPlaneAddrs()
+	targets := r.controlClient.ControlPlaneAddrs()
 	if len(targets) == 0 {
 		return
 	}
@@ -104,11 +105,12 @@
 		}
 	}
 	target := targets[r.unanswered/reportsBeforeFailover%len(targets)]
-	r.client.Send(target, &distribution.Datagram{UsageReport: report})
+	r.controlClient.Send(target, &distribution.Datagram{UsageReport: report})
 	r.unanswered++
 }
 
-// handleAck processes the answer to a report.
+// handleAck processes the answer to a report. It rounds the number of unanswered reports down to
+// a multiple of reportsBeforeFailover, so that reports go on to the node that answers.
 func (r *usageReporter) handleAck(ack *usage.CountAck) {
 	now := time.Now()
 	r.counter.Acknowledge(ack)
@@ -119,14 +121,15 @@
 		return
 	}
 	delete(r.sentAt, ack.Sequence)
-	r.unanswered -= r.unanswered % reportsBeforeFailover // keep to the node that answers
+	r.unanswered -= r.unanswered % reportsBeforeFailover // keeps the target
 	if ack.UnixNanos != 0 {
 		r.syncClockLocked(ack.UnixNanos, now.Sub(sentAt), now)
 	}
 }
 
-// syncClockLocked sets the clock by a sample of the control plane's time, unless a
-// recent one has a shorter round trip.
+// syncClockLocked sets the clock to a sample of the control plane's time, unless the current
+// sample is recent and has a shorter round trip. It assumes that the sample was taken after half
+// the round trip.
 func (r *usageReporter) syncClockLocked(unixNanos int64, roundTrip time.Duration, now time.Time) {
 	hasBetter := !r.bestRoundTripAt.IsZero() &&
 		roundTrip > r.bestRoundTrip &&
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// TestLimiterKeepsShareOfRate: over ten seconds a node starts about its share of the rate,
-// whether it asks all the time or rests in between, and nothing without a lease.
+// TestLimiterKeepsShareOfRate guards against a node that exceeds its share of the rate, be it
+// after pauses or after its lease expired, or that can't use most of the share.
 func TestLimiterKeepsShareOfRate(t *testing.T) {
 	const rate, permille, seconds = 200, 250, 10
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		situation  string
-		restEvery  time.Duration // 0: it never rests
-		least      int
-		allowed    int
-		leaseUntil time.Time
+		situation   string
+		pauseEvery  time.Duration // length of each period and of the pause after it; 0 for no pauses
+		minBegun    int
+		maxBegun    int
+		leaseExpiry time.Time
 	}{
-		{"asks all the time", 0, 470, 500, start.Add(time.Hour)},
-		{"rests every other second", time.Second, 230, 265, start.Add(time.Hour)},
-		{"its lease ended", 0, 0, 0, start},
+		{"requests without pauses", 0, 470, 500, start.Add(time.Hour)},
+		{"a pause every other second", time.Second, 230, 265, start.Add(time.Hour)},
+		{"an expired lease", 0, 0, 0, start},
 	} {
 		l := New()
-		l.Renew(permille, c.leaseUntil)
+		l.Renew(permille, c.leaseExpiry)
 		begun := 0
 		for at := time.Duration(0); at < seconds*time.Second; at += time.Millisecond {
-			if c.restEvery > 0 && at/c.restEvery%2 == 1 {
+			if c.pauseEvery > 0 && at/c.pauseEvery%2 == 1 {
 				continue
 			}
 			if ok, _ := l.Take("s", rate, start.Add(at)); ok {
 				begun++
 			}
 		}
-		if begun < c.least || begun > c.allowed {
-			t.Errorf("%s: %d requests began, want %d to %d", c.situation, begun, c.least, c.allowed)
+		if begun < c.minBegun || begun > c.maxBegun {
+			t.Errorf("%s: Take allowed %d requests in 10 s, want %d to %d", c.situation, begun, c.minBegun, c.maxBegun)
 		}
 	}
 }
 
-// TestLimiterGivesUpShare: a part of the share that is given up is not used any more.
-func TestLimiterGivesUpShare(t *testing.T) {
+// TestLimiterShrinkAndExpiry guards against the use of a share that was returned or has expired
+// and may be held by another node, and against a limit for services without a rate.
+func TestLimiterShrinkAndExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New()
 	l.Renew(500, now.Add(LeaseDuration))
 	l.Shrink(200)
-	l.Shrink(300) // is no less than what is held
+	l.Shrink(300) // must not raise the share
 	if got := l.Share(now); got != 200 {
-		t.Errorf("the share is %d, want 200", got)
+		t.Errorf("share after Shrink to 200 and to 300 is %d, want 200", got)
 	}
 	if got := l.Share(now.Add(LeaseDuration)); got != 0 {
-		t.Errorf("the share is %d after the lease ended", got)
+		t.Errorf("share after the lease expired is %d, want 0", got)
 	}
 	if ok, _ := l.Take("s", 0, now.Add(LeaseDuration)); !ok {
-		t.Error("a service without a rate is limited")
+		t.Error("Take with rate 0 returned false after the lease expired, want true")
 	}
 }
--- a/internal/responsecache/cache.go
+++ b/internal/responsecache/cache.go
@@ -7,7 +7,8 @@
 	"comethold/internal/distribution"
 )
 
-// maxResponseDivisor is the divisor of a cache's size that gives the largest response kept.
+// maxResponseDivisor limits the size of a response: the largest one that is cached has the size
+// of the cache divided by maxResponseDivisor.
 const maxResponseDivisor = 4
 
 // Cache holds responses up to a number of bytes; the least recently used are evicted
@@ -17,11 +18,11 @@
 
 	mu        sync.Mutex // guards the fields below
 	usedBytes int
-	entries   map[string]*list.Element // by key, in recency
-	recency   *list.List               // of *Response, the most recently used in front
+	entries   map[string]*list.Element // by key; elements of recency
+	recency   *list.List               // of *Response, most recently used first
 }
 
-// New makes a cache for maxBytes bytes.
+// New returns an empty cache for maxBytes bytes.
 func New(maxBytes int) *Cache {
 	return &Cache{maxBytes: maxBytes, entries: map[string]*list.Element{}, recency: list.New()}
 }
@@ -31,7 +32,7 @@
 	return response
 }
 
-// Get returns the response of a key, or nil.
+// Get returns the cached response for a key, or nil, and marks it as the most recently used.
 func (c *Cache) Get(key string) *Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,8 +44,8 @@
 	return responseOf(element)
 }
 
-// Put replaces the older version of a response. If the response is too large for the
-// cache, it only removes the older version.
+// Put adds a response and removes the older version of the object. If the response is too large
+// for the cache, Put only removes the older version.
 func (c *Cache) Put(response *Response) {
 	size := response.memorySize()
 	key := response.Key()
@@ -61,7 +62,7 @@
 	}
 }
 
-// Remove drops a response, unless another version has replaced it.
+// Remove removes a response, unless another version has replaced it.
 func (c *Cache) Remove(response *Response) {
 	key := response.Key()
 	c.mu.Lock()
@@ -71,8 +72,8 @@
 	}
 }
 
-// ApplyPurges drops the responses that newer purges name. With Reset it drops all, since
-// the update may lack some purges.
+// ApplyPurges removes the responses that match a purge newer than their PurgeIndex. If Reset is
+// set, it removes all responses, because the update may lack some purges.
 func (c *Cache) ApplyPurges(update *distribution.PurgeUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +90,7 @@
 	}
 }
 
-// isPurged reports whether a purge after the response's PurgeIndex names it.
+// isPurged reports whether the response matches a purge after its PurgeIndex.
 func isPurged(response *Response, purges []distribution.Purge) bool {
 	for _, purge := range purges {
 		if purge.LogIndex > response.PurgeIndex && response.MatchesPurge(purge) {
@@ -99,7 +100,7 @@
 	return false
 }
 
-// Len is the number of responses.
+// Len returns the number of cached responses.
 func (c *Cache) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/responsecache/response.go
+++ b/internal/responsecache/response.go
@@ -10,26 +10,26 @@
 	"comethold/internal/distribution"
 )
 
-// Response is one version of an object. It never changes.
+// Response is one version of an object. It is immutable.
 type Response struct {
 	Host    string
 	Target  string // path and query
 	Service string
 	ETag    string
-	Labels  []string // by which purges may name it
+	Labels  []string // that purges can match
 	Header  http.Header
 	Body    []byte
-	// ValidatedAt is the start of the last read of the origin that confirmed this
-	// version, by this process's monotonic clock. Zero: not known.
+	// ValidatedAt is the start of the last read from the origin that confirmed this version,
+	// by this process's monotonic clock. It is zero if that time is not known.
 	ValidatedAt time.Time
 	// PurgeIndex is the log index of the newest purge known at the start of that read.
 	PurgeIndex uint64
 }
 
-// Key names an object: the host, without case or port, and the target.
+// Key returns the cache key of an object: the host in lower case without its port, and the target.
 func Key(host, target string) string { return NormalizeHost(host) + " " + target }
 
-// NormalizeHost returns the host of a Host header in lower case without its port.
+// NormalizeHost returns the value of a Host header in lower case, without the port.
 func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -37,13 +37,13 @@
 	return strings.ToLower(host)
 }
 
-// Key names the object of the response.
+// Key returns the cache key of the response's object.
 func (r *Response) Key() string { return Key(r.Host, r.Target) }
 
-// unknownAge is the age of a response without ValidatedAt: longer than any time to live.
+// unknownAge is the age of a response without ValidatedAt. It is longer than any time to live.
 const unknownAge = time.Duration(math.MaxInt64/2 + 1)
 
-// Age is the time since the read that confirmed the response.
+// Age returns the time since ValidatedAt, or unknownAge if that is zero.
 func (r *Response) Age(now time.Time) time.Duration {
 	if r.ValidatedAt.IsZero() {
 		return unknownAge
@@ -51,7 +51,7 @@
 	return now.Sub(r.ValidatedAt)
 }
 
-// MatchesPurge reports whether a purge names the response, by label or by target.
+// MatchesPurge reports whether a purge matches the response, by label or by host and target.
 func (r *Response) MatchesPurge(purge distribution.Purge) bool {
 	if purge.Label != "" {
 		return slices.Contains(r.Labels, purge.Label)
@@ -59,8 +59,8 @@
 	return PurgeMatchesTarget(purge, r.Host, r.Target)
 }
 
-// PurgeMatchesTarget reports whether a purge names an object by host and path, with
-// or without its query.
+// PurgeMatchesTarget reports whether a purge without a label matches an object by host and
+// path. A purge path without a query matches the path with every query.
 func PurgeMatchesTarget(purge distribution.Purge, host, target string) bool {
 	if purge.Label != "" || NormalizeHost(host) != purge.Host {
 		return false
@@ -69,7 +69,7 @@
 	return purge.Path == target || purge.Path == path
 }
 
-// The memory of a response besides its strings and body, in bytes.
+// Bytes that memorySize adds per response and per header name, on top of strings and body.
 const (
 	responseOverhead = 512
 	headerOverhead   = 32
@@ -77,7 +77,7 @@
 
 // memorySize estimates how many bytes of memory the response takes.
 func (r *Response) memorySize() int {
-	// The target is held a second time, in the key.
+	// The target counts twice, because the key holds a copy of it.
 	size := responseOverhead + len(r.Host) + 2*len(r.Target) + len(r.Body)
 	for name, values := range r.Header {
 		size += len(name) + headerOverhead
