--- a/internal/controlclient/heartbeats.go
+++ b/internal/controlclient/heartbeats.go
@@ -96,7 +96,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ports := map[string]int{} // by IP address
-	watchers, _ := heartbeat.Assign(h.settings.NodeName, h.zoneNodeNamesLocked())
+	watchers, _ := heartbeat.AssignWatchers(h.settings.NodeName, h.zoneNodeNamesLocked())
 	for _, watcher := range watchers {
 		for _, n := range h.nodes {
 			if n.Name != watcher || n.ControlPlane {
--- a/internal/heartbeat/assign.go
+++ b/internal/heartbeat/assign.go
@@ -1,9 +1,10 @@
-// Package heartbeat detects failed nodes. Every node sends heartbeats to a few other nodes, its watchers, and suspects
-// the nodes that it watches itself if their heartbeats are missing.
+// Package heartbeat detects failed nodes. Every node sends heartbeats to a few other nodes, its watchers. A watcher
+// suspects a watched node when several heartbeats in a row are missing.
 //
-// The watchers follow from the names of the nodes alone (Assign): every node has a position on a hash ring, and the
-// next few nodes on the ring watch it. A Detector records the heartbeats of the nodes that one node watches. The
-// package does no I/O and reads no clock; its owner sends and receives, and passes the time.
+// [AssignWatchers] derives the watchers from the names of the nodes alone: every node has a position on a hash ring,
+// and the next [WatchersPerNode] nodes on the ring watch it. A [Detector] records the heartbeats of the nodes that one
+// node watches. The package does no I/O and reads no clock: the caller sends and receives the heartbeats and passes
+// the current time.
 package heartbeat
 
 import "sort"
@@ -11,9 +12,10 @@
 // WatchersPerNode is how many nodes watch each node.
 const WatchersPerNode = 3
 
-// Assign returns the nodes that watch a node, and the nodes that it watches, among all nodes. The result must never
-// change: nodes of all versions must agree on it.
-func Assign(node string, nodes []string) (watchers, watched []string) {
+// AssignWatchers returns the nodes that watch the given node and the nodes that it watches. The list of nodes may
+// include the node itself. The algorithm must never change, because nodes of all versions must compute the same
+// result.
+func AssignWatchers(node string, nodes []string) (watchers, watched []string) {
 	type position struct {
 		name string
 		hash uint64
--- a/internal/heartbeat/assign_test.go
+++ b/internal/heartbeat/assign_test.go
@@ -16,7 +16,7 @@
 		// Each pair "watcher>watched" must be named by both sides.
 		named := map[string]int{}
 		for _, node := range nodes {
-			watchers, watched := Assign(node, nodes)
+			watchers, watched := AssignWatchers(node, nodes)
 			want := min(WatchersPerNode, size-1)
 			if len(watchers) != want || len(watched) != want || slices.Contains(watchers, node) {
 				t.Fatalf("%d nodes: %s is watched by %v and watches %v", size, node, watchers, watched)
--- a/internal/heartbeat/detector.go
+++ b/internal/heartbeat/detector.go
@@ -29,7 +29,7 @@
 // SetNodes sets the names of all nodes. A newly watched node counts as if its heartbeat had arrived now.
 func (d *Detector) SetNodes(nodes []string, now time.Time) {
 	watched := map[string]bool{}
-	_, names := Assign(d.self, nodes)
+	_, names := AssignWatchers(d.self, nodes)
 	for _, name := range names {
 		watched[name] = true
 		if !d.watched[name] {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -64,7 +64,7 @@
 	var objects *objectcache.Client
 	if set.DeploymentMode == settings.ContentMode {
 		objects = objectcache.NewClient(client, objectCacheBytes)
-		options.AwaitRate = objects.Permit
+		options.AwaitRateLimit = objects.Permit
 	}
 	dispatcher := scatter.NewDispatcher(options)
 	frontend := newFrontend(client, dispatcher, objects, log)
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -18,9 +18,9 @@
 
 const (
 	defaultWindow = 10 * time.Second
-	// safetyMargin is the usable part of the budget: the windows of different nodes
+	// usableShare is the usable part of the budget: the windows of different nodes
 	// begin at different times.
-	safetyMargin = 0.85
+	usableShare = 0.85
 	// initialNodeCount leaves almost no slack until the number of nodes is known.
 	initialNodeCount = 1 << 20
 )
@@ -78,11 +78,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	window := b.windowLocked(service, now)
-	budget := safetyMargin * (b.config.Ratio*window.requestCount() + b.slackLocked(now))
-	if window.attemptCount()+1 > budget*(1-reserve) {
+	budget := usableShare * (b.config.Ratio*window.requestCount() + b.slackLocked(now))
+	if window.extraAttemptCount()+1 > budget*(1-reserve) {
 		return false
 	}
-	window.addAttempt()
+	window.addExtraAttempt()
 	return true
 }
 
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -83,13 +83,13 @@
 	}
 }
 
-// TestWindowForgets: what is older than a window no longer counts, whether time goes
+// TestWindowDropsOldCounts: what is older than a window no longer counts, whether time goes
 // on bucket by bucket or at once.
-func TestWindowForgets(t *testing.T) {
-	for _, step := range []int64{1, 7, keptBuckets, 10 * keptBuckets} {
+func TestWindowDropsOldCounts(t *testing.T) {
+	for _, step := range []int64{1, 7, ringBuckets, 10 * ringBuckets} {
 		window := &slidingWindow{}
 		window.addRequest()
-		window.addAttempt()
+		window.addExtraAttempt()
 		for bucket := step; ; bucket += step {
 			window.advance(bucket)
 			wantRequests, wantAttempts := 0.0, 0.0
@@ -99,11 +99,11 @@
 			if bucket <= windowBuckets {
 				wantAttempts = 1
 			}
-			if window.requestCount() != wantRequests || window.attemptCount() != wantAttempts {
+			if window.requestCount() != wantRequests || window.extraAttemptCount() != wantAttempts {
 				t.Errorf("step %d, bucket %d: %v requests and %v attempts, want %v and %v",
-					step, bucket, window.requestCount(), window.attemptCount(), wantRequests, wantAttempts)
+					step, bucket, window.requestCount(), window.extraAttemptCount(), wantRequests, wantAttempts)
 			}
-			if bucket > 3*keptBuckets {
+			if bucket > 3*ringBuckets {
 				break
 			}
 		}
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -39,13 +39,13 @@
 	retryAfter time.Duration // if cancelled: when the rate limit allows more
 }
 
-func (a *attempt) current() attemptState { return attemptState(a.state.Load()) }
+func (a *attempt) currentState() attemptState { return attemptState(a.state.Load()) }
 
-func (a *attempt) enter(state attemptState) { a.state.Store(int32(state)) }
+func (a *attempt) setState(state attemptState) { a.state.Store(int32(state)) }
 
-// hedge records that a second attempt was sent because this one is overdue. An attempt
+// markHedged records that a second attempt was sent because this one is overdue. An attempt
 // that is still queued or has ended keeps its state.
-func (a *attempt) hedge() {
+func (a *attempt) markHedged() {
 	a.state.CompareAndSwap(int32(attemptSent), int32(attemptHedged))
 }
 
@@ -54,19 +54,19 @@
 // outlast the fan-out.
 func (f *fanOut) perform(a *attempt) {
 	defer f.recoverPanic(a)
-	if !f.awaitTurn(a) {
+	if !f.awaitRateLimit(a) {
 		f.Clusters.Release(a.endpoint)
-		a.enter(attemptCancelled)
+		a.setState(attemptCancelled)
 		f.deliver(a)
 		return
 	}
-	a.enter(attemptSent)
+	a.setState(attemptSent)
 	sentAt := time.Now()
 	pair := a.shard.pair
 	contended := pair != nil && f.Clusters.Contended(a.endpoint)
-	a.response, a.err = f.Clusters.Call(f.calls, a.endpoint, f.request)
+	a.response, a.err = f.Clusters.Call(f.callCtx, a.endpoint, f.request)
 	a.duration = time.Since(sentAt)
-	a.enter(attemptCompleted)
+	a.setState(attemptCompleted)
 	f.deliver(a)
 	if pair != nil {
 		f.recordSample(a, contended)
@@ -83,31 +83,31 @@
 	if f.OnPanic != nil {
 		f.OnPanic(cause)
 	}
-	switch a.current() {
+	switch a.currentState() {
 	case attemptQueued:
 		f.Clusters.Release(a.endpoint)
-		a.enter(attemptCancelled)
+		a.setState(attemptCancelled)
 	case attemptSent, attemptHedged:
 		a.response = nil
 		a.err = fmt.Errorf("%w: panic: %v", upstream.ErrResponseLost, cause)
-		a.enter(attemptCompleted)
+		a.setState(attemptCompleted)
 	case attemptCompleted, attemptCancelled:
 		return // it was delivered
 	}
 	f.deliver(a)
 }
 
-// awaitTurn waits until the service's rate limit allows the call of an attempt. It reports
+// awaitRateLimit waits until the service's rate limit allows the call of an attempt. It reports
 // false if the call must not be made: the limit allows none in time, or the client has left.
-func (f *fanOut) awaitTurn(a *attempt) bool {
-	if f.AwaitRate == nil {
+func (f *fanOut) awaitRateLimit(a *attempt) bool {
+	if f.AwaitRateLimit == nil {
 		return true
 	}
-	ok, retryAfter := f.AwaitRate(f.client, a.endpoint.Info().Service, f.request.Deadline)
+	ok, retryAfter := f.AwaitRateLimit(f.clientCtx, a.endpoint.Info().Service, f.request.Deadline)
 	if !ok {
 		a.retryAfter = retryAfter
 	}
-	return ok && f.client.Err() == nil
+	return ok && f.clientCtx.Err() == nil
 }
 
 // deliver sends an attempt that ended to the fan-out, unless that has ended too.
--- a/internal/scatter/attempt_test.go
+++ b/internal/scatter/attempt_test.go
@@ -22,10 +22,10 @@
 		attemptCancelled: attemptCancelled,
 	} {
 		a := &attempt{}
-		a.enter(before)
-		a.hedge()
-		if a.current() != want {
-			t.Errorf("state %d became %d, want %d", before, a.current(), want)
+		a.setState(before)
+		a.markHedged()
+		if a.currentState() != want {
+			t.Errorf("state %d became %d, want %d", before, a.currentState(), want)
 		}
 	}
 }
@@ -77,12 +77,13 @@
 	}
 }
 
-// TestPanicCostsOneRequest guards against a panic in an attempt that ends the process, or leaves its request waiting.
-func TestPanicCostsOneRequest(t *testing.T) {
+// TestAttemptPanicFailsOnlyItsRequest guards against a panic in an attempt that ends the process or blocks its request
+// until the timeout: no result would reach the fan-out.
+func TestAttemptPanicFailsOnlyItsRequest(t *testing.T) {
 	leafs := newLeafSet(t, func(w http.ResponseWriter, _ *http.Request, _ int64) { succeed(w, "body") }, "s-0", "s-1")
 	var panics atomic.Int64
 	leafs.dispatcher.OnPanic = func(any) { panics.Add(1) }
-	leafs.dispatcher.AwaitRate = func(context.Context, string, time.Time) (bool, time.Duration) {
+	leafs.dispatcher.AwaitRateLimit = func(context.Context, string, time.Time) (bool, time.Duration) {
 		if panics.Load() == 0 {
 			panic("broken rate limit")
 		}
--- a/internal/scatter/dispatch_test.go
+++ b/internal/scatter/dispatch_test.go
@@ -21,7 +21,7 @@
 // leafSet is the leafs of a test. All of them answer by one handler, which also
 // gets how many requests came before.
 type leafSet struct {
-	client     context.Context // of the requests
+	clientCtx  context.Context // of the requests
 	dispatcher *Dispatcher
 	requests   atomic.Int64
 	executed   atomic.Int64 // calls of the callback of Dispatch
@@ -48,7 +48,7 @@
 // after it: s-0 and s-1 are two of s.
 func newLeafSet(tb testing.TB, handler leafHandler, ids ...string) *leafSet {
 	tb.Helper()
-	set := &leafSet{client: tb.Context()}
+	set := &leafSet{clientCtx: tb.Context()}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler(w, r, set.requests.Add(1)-1)
 	}))
@@ -89,7 +89,7 @@
 	request := &upstream.Request{
 		Method: http.MethodGet, Target: "/", Host: "h", ID: "q", Deadline: start.Add(compiled.Timeout),
 	}
-	return s.dispatcher.Dispatch(s.client, compiled, request, start, func(time.Time) { s.executed.Add(1) })
+	return s.dispatcher.Dispatch(s.clientCtx, compiled, request, start, func(time.Time) { s.executed.Add(1) })
 }
 
 // Handlers of leafs.
@@ -98,10 +98,10 @@
 
 func alwaysReject(w http.ResponseWriter, _ *http.Request, _ int64) { reject(w) }
 
-func alwaysBreakOff(http.ResponseWriter, *http.Request, int64) { panic(http.ErrAbortHandler) }
+func alwaysAbort(http.ResponseWriter, *http.Request, int64) { panic(http.ErrAbortHandler) }
 
-// neverAnswer waits until the node gives the request up.
-func neverAnswer(_ http.ResponseWriter, r *http.Request, _ int64) { <-r.Context().Done() }
+// neverRespond waits until the node gives the request up.
+func neverRespond(_ http.ResponseWriter, r *http.Request, _ int64) { <-r.Context().Done() }
 
 func alwaysStatus(status int) leafHandler {
 	return func(w http.ResponseWriter, _ *http.Request, _ int64) { w.WriteHeader(status) }
@@ -148,11 +148,11 @@
 		status:  http.StatusInternalServerError, requests: 1, executed: 1,
 	},
 	"a lost response of an unsafe request": {
-		handler: alwaysBreakOff, route: routing.Route{MaxAttempts: 3, RouteKind: routing.KindUnsafe},
+		handler: alwaysAbort, route: routing.Route{MaxAttempts: 3, RouteKind: routing.KindUnsafe},
 		status: http.StatusBadGateway, requests: 1, executed: 1,
 	},
 	"an unsafe request without a response": {
-		handler: neverAnswer,
+		handler: neverRespond,
 		route:   routing.Route{MaxAttempts: 3, RouteKind: routing.KindUnsafe, TimeoutMs: 300, TargetLatencyMs: 20},
 		status:  http.StatusGatewayTimeout, requests: 1, executed: 1,
 	},
@@ -175,7 +175,7 @@
 				t.Errorf("%d requests, %d executed, want %d and %d",
 					set.requests.Load(), set.executed.Load(), c.requests, c.executed)
 			}
-			if comesBack := reply.RetryAfter > 0; comesBack != (c.status == http.StatusServiceUnavailable) {
+			if hasRetryAfter := reply.RetryAfter > 0; hasRetryAfter != (c.status == http.StatusServiceUnavailable) {
 				t.Errorf("retry after %v", reply.RetryAfter)
 			}
 		})
@@ -224,7 +224,7 @@
 func TestRateLimit(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
 	allowed := false
-	set.dispatcher.AwaitRate = func(context.Context, string, time.Time) (bool, time.Duration) {
+	set.dispatcher.AwaitRateLimit = func(context.Context, string, time.Time) (bool, time.Duration) {
 		return allowed, 7 * time.Second
 	}
 	reply := set.dispatch(routing.Route{})
@@ -308,7 +308,7 @@
 func TestFanOutCutoff(t *testing.T) {
 	set := newLeafSet(t, func(w http.ResponseWriter, r *http.Request, earlier int64) {
 		if earlier == 0 {
-			neverAnswer(w, r, earlier)
+			neverRespond(w, r, earlier)
 			return
 		}
 		succeed(w, "")
@@ -382,9 +382,9 @@
 	}
 }
 
-// TestClientLeaves guards against leafs that work on for a client that has left, and against
+// TestClientDisconnectCancelsCalls guards against leafs that work on for a client that has left, and against
 // further attempts for it.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnectCancelsCalls(t *testing.T) {
 	for name, route := range map[string]routing.Route{
 		"single":  {Service: "s0", MaxAttempts: 3},
 		"fan-out": fanOutRoute(3, 1),
@@ -396,14 +396,14 @@
 				<-r.Context().Done()
 				working.Add(-1)
 			}, fanOutIDs(3)...)
-			client, leave := context.WithCancel(t.Context())
-			set.client = client
+			clientCtx, disconnect := context.WithCancel(t.Context())
+			set.clientCtx = clientCtx
 			ended := make(chan *Reply)
 			route.TimeoutMs = 20000
 			go func() { ended <- set.dispatch(route) }()
 			shards := int64(max(1, len(route.FanoutServices)))
 			waitFor(t, "the leafs work", func() bool { return working.Load() == shards })
-			leave()
+			disconnect()
 			if reply := <-ended; reply.Status/100 == 2 || impliesNotExecuted(reply.Status) {
 				t.Errorf("status %d", reply.Status)
 			}
@@ -415,33 +415,33 @@
 	}
 }
 
-// TestClientLeavesUnsafe: a request that must not be executed twice goes on to its end, without
+// TestClientDisconnectKeepsUnsafeCall: a request that must not be executed twice goes on to its end, without
 // a further attempt.
-func TestClientLeavesUnsafe(t *testing.T) {
+func TestClientDisconnectKeepsUnsafeCall(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter){
 		"success":   func(w http.ResponseWriter) { succeed(w, "body") },
 		"rejection": reject,
 	} {
 		t.Run(name, func(t *testing.T) {
-			goOn := make(chan struct{})
+			unblock := make(chan struct{})
 			set := newLeafSet(t, func(w http.ResponseWriter, r *http.Request, _ int64) {
 				select {
-				case <-goOn:
+				case <-unblock:
 					answer(w)
 				case <-r.Context().Done():
 					t.Error("the request was broken off")
 				}
 			}, "s-0", "s-1")
-			client, leave := context.WithCancel(t.Context())
-			set.client = client
+			clientCtx, disconnect := context.WithCancel(t.Context())
+			set.clientCtx = clientCtx
 			ended := make(chan *Reply)
 			go func() {
 				ended <- set.dispatch(routing.Route{RouteKind: routing.KindUnsafe, MaxAttempts: 3, TimeoutMs: 20000})
 			}()
 			waitFor(t, "a leaf works", func() bool { return set.requests.Load() == 1 })
-			leave()
+			disconnect()
 			time.Sleep(20 * time.Millisecond)
-			close(goOn)
+			close(unblock)
 			if reply := <-ended; name == "success" && reply.Status != http.StatusOK {
 				t.Errorf("status %d", reply.Status)
 			}
@@ -452,14 +452,14 @@
 	}
 }
 
-// TestClientLeavesQueue: a request that waits for its service's rate is not sent once its client
+// TestClientDisconnectDuringRateLimitWait: a request that waits for its service's rate is not sent once its client
 // has left, nor is one whose client has left before.
-func TestClientLeavesQueue(t *testing.T) {
+func TestClientDisconnectDuringRateLimitWait(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
-	client, leave := context.WithCancel(t.Context())
-	set.client = client
+	clientCtx, disconnect := context.WithCancel(t.Context())
+	set.clientCtx = clientCtx
 	waiting := make(chan struct{})
-	set.dispatcher.AwaitRate = func(ctx context.Context, _ string, _ time.Time) (bool, time.Duration) {
+	set.dispatcher.AwaitRateLimit = func(ctx context.Context, _ string, _ time.Time) (bool, time.Duration) {
 		close(waiting)
 		<-ctx.Done()
 		return true, 0 // allowed, but too late
@@ -467,24 +467,24 @@
 	ended := make(chan *Reply)
 	go func() { ended <- set.dispatch(routing.Route{}) }()
 	<-waiting
-	leave()
+	disconnect()
 	<-ended
-	set.dispatcher.AwaitRate = nil
+	set.dispatcher.AwaitRateLimit = nil
 	set.dispatch(routing.Route{})
-	set.client = t.Context()
+	set.clientCtx = t.Context()
 	if reply := set.dispatch(routing.Route{}); reply.Status != http.StatusOK || set.requests.Load() != 1 {
 		t.Errorf("status %d, %d requests", reply.Status, set.requests.Load())
 	}
 }
 
-// TestHedgeOutlastsReply: an attempt that is overtaken by its hedge is not broken off.
-func TestHedgeOutlastsReply(t *testing.T) {
-	goOn := make(chan struct{})
+// TestHedgedAttemptOutlastsReply: an attempt that is overtaken by its hedge is not broken off.
+func TestHedgedAttemptOutlastsReply(t *testing.T) {
+	unblock := make(chan struct{})
 	var completed atomic.Bool
 	set := newLeafSet(t, func(w http.ResponseWriter, r *http.Request, earlier int64) {
 		if earlier == 0 {
 			select {
-			case <-goOn:
+			case <-unblock:
 				completed.Store(true)
 			case <-r.Context().Done():
 			}
@@ -495,6 +495,6 @@
 	if reply.Status != http.StatusOK || set.requests.Load() != 2 {
 		t.Fatalf("status %d, %d requests", reply.Status, set.requests.Load())
 	}
-	close(goOn)
+	close(unblock)
 	waitFor(t, "the first attempt ends", completed.Load)
 }
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -18,10 +18,10 @@
 	Clusters    *upstream.ClusterManager
 	RetryBudget *retrybudget.Budget
 
-	// AwaitRate, if set, waits until a call may be made to a service whose rate is
+	// AwaitRateLimit, if set, waits until a call may be made to a service whose rate is
 	// limited. If it may not be made before the deadline, or ctx is done before, it
 	// returns false and the time after which the client may retry.
-	AwaitRate func(ctx context.Context, service string, deadline time.Time) (ok bool, retryAfter time.Duration)
+	AwaitRateLimit func(ctx context.Context, service string, deadline time.Time) (ok bool, retryAfter time.Duration)
 
 	// Latencies, if set, gets the latencies of requests on routes that have a
 	// lookup class. ShadowShare is the share of them that is sent to a second
--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -25,11 +25,11 @@
 // fanOut is one request under way. It belongs to the goroutine that runs it.
 type fanOut struct {
 	*Dispatcher
-	client  context.Context // canceled when the client has left
-	calls   context.Context // canceled when the calls under way are given up
-	route   *routing.CompiledRoute
-	request *upstream.Request
-	latency *latencyHistogram // of the route
+	clientCtx context.Context // canceled when the client has left
+	callCtx   context.Context // canceled when the calls under way are given up
+	route     *routing.CompiledRoute
+	request   *upstream.Request
+	latency   *latencyHistogram // of the route
 
 	start      time.Time
 	hedgeDelay time.Duration // after which an attempt counts as overdue
@@ -49,13 +49,13 @@
 }
 
 func (d *Dispatcher) newFanOut(
-	client context.Context, route *routing.CompiledRoute, request *upstream.Request, services []string, start time.Time,
+	clientCtx context.Context, route *routing.CompiledRoute, request *upstream.Request, services []string, start time.Time,
 ) *fanOut {
 	latency := d.histogram(route.Name)
 	f := &fanOut{
 		Dispatcher: d,
-		client:     client,
-		calls:      client,
+		clientCtx:  clientCtx,
+		callCtx:    clientCtx,
 		route:      route,
 		request:    request,
 		latency:    latency,
@@ -68,7 +68,7 @@
 		openShards: len(services),
 	}
 	if request.NonIdempotent {
-		f.calls = context.WithoutCancel(client)
+		f.callCtx = context.WithoutCancel(clientCtx)
 	}
 	sampled := d.samplesLatency(route)
 	for i, service := range services {
@@ -90,7 +90,7 @@
 // run handles results and timers until the reply can be made, or the client has left. A
 // result changes one shard only; handleDue visits all shards, but only when one of them is due.
 func (f *fanOut) run() {
-	clientLeft := f.client.Done()
+	clientDone := f.clientCtx.Done()
 	timer := time.NewTimer(idleTimerInterval)
 	defer timer.Stop()
 	var armedFor time.Time
@@ -99,7 +99,7 @@
 		if !f.nextDue.After(now) {
 			f.handleDue(now)
 		}
-		if f.isOver(now) || f.reachesCutoff(now) {
+		if f.isFinished(now) || f.reachesCutoff(now) {
 			return
 		}
 		if wakeAt := f.wakeAt(); !wakeAt.Equal(armedFor) {
@@ -112,17 +112,17 @@
 			f.handleWaitingResults()
 		case <-timer.C:
 			armedFor = time.Time{}
-		case <-clientLeft:
-			if !f.awaitsExecution() {
+		case <-clientDone:
+			if !f.awaitsUncancelableCall() {
 				return
 			}
-			clientLeft = nil
+			clientDone = nil
 		}
 	}
 }
 
-// awaitsExecution reports whether a call is under way that goes on though the client has left.
-func (f *fanOut) awaitsExecution() bool {
+// awaitsUncancelableCall reports whether a call is under way that goes on though the client has left.
+func (f *fanOut) awaitsUncancelableCall() bool {
 	return f.request.NonIdempotent && f.shards[0].pendingAttempts > 0
 }
 
@@ -138,9 +138,9 @@
 	}
 }
 
-// isOver reports whether no more responses can arrive, too few of them for a success,
+// isFinished reports whether no more responses can arrive, too few of them for a success,
 // or all of them too late.
-func (f *fanOut) isOver(now time.Time) bool {
+func (f *fanOut) isFinished(now time.Time) bool {
 	return f.openShards == 0 ||
 		f.completeShards+f.openShards < f.required ||
 		!f.request.Deadline.After(now)
--- a/internal/scatter/histogram.go
+++ b/internal/scatter/histogram.go
@@ -24,7 +24,7 @@
 	hedgeQuantile = 0.95
 	// The least delay before a hedge, with a known quantile and without one.
 	minHedgeDelay        = 5 * time.Millisecond
-	minUnknownHedgeDelay = 10 * time.Millisecond
+	minInitialHedgeDelay = 10 * time.Millisecond
 )
 
 // latencyHistogram measures the response latency of a route; old samples lose weight.
@@ -86,7 +86,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.samples < minHistogramSamples || h.hedgeLatency == 0 {
-		return max(targetLatency/2, minUnknownHedgeDelay)
+		return max(targetLatency/2, minInitialHedgeDelay)
 	}
 	return max(h.hedgeLatency, minHedgeDelay)
 }
--- a/internal/scatter/histogram_test.go
+++ b/internal/scatter/histogram_test.go
@@ -10,7 +10,7 @@
 func TestHedgeDelay(t *testing.T) {
 	histogram := &latencyHistogram{}
 	for target, want := range map[time.Duration]time.Duration{
-		0:                      minUnknownHedgeDelay,
+		0:                      minInitialHedgeDelay,
 		100 * time.Millisecond: 50 * time.Millisecond,
 	} {
 		if got := histogram.hedgeDelay(target); got != want {
--- a/internal/scatter/reply.go
+++ b/internal/scatter/reply.go
@@ -66,7 +66,7 @@
 	case s.pendingAttempts > 0 || s.timedOut:
 		return failureReply(http.StatusGatewayTimeout, "the leaf did not answer in time")
 	case s.mayHaveExecuted():
-		if isOwnFailure(s.lastFailure) {
+		if isForwardableFailure(s.lastFailure) {
 			return responseReply(s.lastFailure)
 		}
 		return failureReply(http.StatusBadGateway, "the leaf's answer was lost")
@@ -76,9 +76,9 @@
 	return f.retryLater("no leaf takes the request now")
 }
 
-// isOwnFailure reports whether a response is an endpoint's failure that may be passed
+// isForwardableFailure reports whether a response is an endpoint's failure that may be passed
 // on to the client: it must not suggest that the request was not executed.
-func isOwnFailure(response *upstream.Response) bool {
+func isForwardableFailure(response *upstream.Response) bool {
 	return response != nil && response.Status/100 != 2 &&
 		!response.NotExecuted() && !impliesNotExecuted(response.Status)
 }
--- a/internal/scatter/result.go
+++ b/internal/scatter/result.go
@@ -14,7 +14,7 @@
 	s := ended.shard
 	s.pendingAttempts--
 	now := time.Now()
-	if ended.current() == attemptCancelled {
+	if ended.currentState() == attemptCancelled {
 		s.sentAttempts--
 		f.retryAfter = max(f.retryAfter, ended.retryAfter)
 		f.failIfExhausted(s)
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -28,7 +28,7 @@
 // endpoint only if no other endpoint has the request or may have executed it. A client that
 // has left gets no more attempts.
 func (f *fanOut) reserve(s *shard) *upstream.Endpoint {
-	if f.client.Err() != nil {
+	if f.clientCtx.Err() != nil {
 		return nil
 	}
 	if !f.request.Retryable(s.worstOutcome) || f.request.NonIdempotent && s.pendingAttempts > 0 {
@@ -85,7 +85,7 @@
 		return // a second attempt would only slow down all of them
 	}
 	if f.retry(s, hedgeBudgetReserve, now) {
-		overdue.hedge()
+		overdue.markHedged()
 	}
 }
 
