--- a/internal/heartbeat/assign_test.go
+++ b/internal/heartbeat/assign_test.go
@@ -6,31 +6,33 @@
 	"testing"
 )
 
-// TestAssign: the watchers of a node are the nodes that say they watch it, on rings of any size.
-func TestAssign(t *testing.T) {
+// TestAssignWatchers: a node is a watcher of another exactly if it computes itself that it watches the other, on rings
+// of any size. Otherwise heartbeats would be sent to nodes that ignore them, or a node would be suspected wrongly.
+func TestAssignWatchers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 5, 50} {
 		var nodes []string
 		for i := range size {
 			nodes = append(nodes, fmt.Sprint("n", i))
 		}
-		// Each pair "watcher>watched" must be named by both sides.
-		named := map[string]int{}
+		// Counts each pair "watcher>watched" once for each of the two nodes that computes it.
+		pairs := map[string]int{}
 		for _, node := range nodes {
 			watchers, watched := AssignWatchers(node, nodes)
 			want := min(WatchersPerNode, size-1)
 			if len(watchers) != want || len(watched) != want || slices.Contains(watchers, node) {
-				t.Fatalf("%d nodes: %s is watched by %v and watches %v", size, node, watchers, watched)
+				t.Fatalf("%d nodes: AssignWatchers(%s) returned watchers %v, watched %v, want %d others of each",
+					size, node, watchers, watched, want)
 			}
 			for _, watcher := range watchers {
-				named[watcher+">"+node]++
+				pairs[watcher+">"+node]++
 			}
 			for _, other := range watched {
-				named[node+">"+other]++
+				pairs[node+">"+other]++
 			}
 		}
-		for pair, n := range named {
+		for pair, n := range pairs {
 			if n != 2 {
-				t.Errorf("%d nodes: %s is known to one side only", size, pair)
+				t.Errorf("%d nodes: only one of the two nodes computes the pair %s", size, pair)
 			}
 		}
 	}
--- a/internal/heartbeat/detector_test.go
+++ b/internal/heartbeat/detector_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSuspects: a watched node is suspected after three missed heartbeats and a half, not before, and no longer once
-// a heartbeat arrives, it is gone from the list, or after this process was suspended itself.
+// TestSuspects: a watched node is suspected after 3.5 intervals without a heartbeat, not earlier. The suspicion ends
+// when a heartbeat arrives, when the node is removed, or when Reset is called after this process was suspended.
 func TestSuspects(t *testing.T) {
 	const interval = time.Second
 	start := time.Unix(1000, 0)
@@ -16,24 +16,24 @@
 	expect := func(step string, now time.Time, want ...string) {
 		t.Helper()
 		if got := d.Suspects(now); fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: suspects are %v, not %v", step, got, want)
+			t.Errorf("%s: Suspects returned %v, want %v", step, got, want)
 		}
 	}
 	d.SetNodes([]string{"a", "b", "c"}, start)
 	expect("three missed heartbeats", at(3.5))
 	expect("more than three", at(3.6), "b", "c")
 	d.RecordHeartbeat("b", at(3.6))
-	d.RecordHeartbeat("stranger", at(3.6))
-	expect("a heartbeat of one", at(3.7), "c")
+	d.RecordHeartbeat("unwatched", at(3.6))
+	expect("after a heartbeat of one node", at(3.7), "c")
 	d.SetNodes([]string{"a", "b"}, at(3.8))
-	expect("the other is gone", at(3.9))
+	expect("after the other node was removed", at(3.9))
 	d.SetNodes([]string{"a", "b", "c"}, at(7))
-	expect("a node that is new", at(7.2), "b")
+	expect("after a node was added", at(7.2), "b")
 	d.Reset(at(7.3))
 	expect("after this process was suspended", at(7.4))
 }
 
-// TestHash: all versions must compute the same positions.
+// TestHash: Hash returns fixed values, because nodes of all versions must compute the same positions and scores.
 func TestHash(t *testing.T) {
 	for _, c := range []struct {
 		names []string
@@ -44,7 +44,7 @@
 		{[]string{""}, 0xecba3df2c3383c52},
 	} {
 		if got := Hash(c.names...); got != c.want {
-			t.Errorf("the hash of %q is %#x, not %#x", c.names, got, c.want)
+			t.Errorf("Hash(%q) = %#x, want %#x", c.names, got, c.want)
 		}
 	}
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,14 +1,15 @@
-// Package retrybudget is this node's part of the retry budget that all nodes share.
+// Package retrybudget implements this node's share of the retry budget that all nodes
+// have in common.
 //
-// Over any window, the attempts at a service past the first of each request may
-// not exceed a ratio of the requests plus a slack. The ratio is earned from
-// requests that this node itself forwarded; the slack is divided among the nodes
-// that are alive. A node that has just started has no slack until a window has
-// passed, since it does not know what its former incarnation has spent.
+// Every attempt after the first one of a request is an extra attempt. Over any window,
+// the extra attempts at a service may not exceed the number of requests times a ratio,
+// plus a slack. Each node applies the ratio to the requests that it forwarded itself. The
+// slack is divided among the live nodes. A node that has just started has no slack until
+// a window has passed, because it does not know how much the previous process on the same
+// node has used.
 //
-// The owner of a [Budget] calls [Budget.Deposit] for each request of a client and
-// [Budget.TryWithdraw] before each further attempt, and [Budget.SetNodeCount] when
-// the number of nodes changes.
+// The caller calls [Budget.Deposit] for each request of a client, [Budget.TryWithdraw]
+// before each extra attempt, and [Budget.SetNodeCount] when the number of nodes changes.
 package retrybudget
 
 import (
@@ -18,17 +19,18 @@
 
 const (
 	defaultWindow = 10 * time.Second
-	// usableShare is the usable part of the budget: the windows of different nodes
-	// begin at different times.
+	// usableShare is the share of the budget that may be used. The rest is a safety
+	// margin, because the windows of different nodes begin at different times.
 	usableShare = 0.85
-	// initialNodeCount leaves almost no slack until the number of nodes is known.
+	// initialNodeCount is so high that almost no slack is available until SetNodeCount
+	// is called.
 	initialNodeCount = 1 << 20
 )
 
-// Config sets how large a budget is.
+// Config sets the size of a budget.
 type Config struct {
-	Ratio  float64       // of further attempts to requests
-	Slack  float64       // further attempts in a window beyond the ratio, of all nodes together
+	Ratio  float64       // extra attempts per request
+	Slack  float64       // extra attempts per window beyond the ratio, of all nodes together
 	Window time.Duration // 10 seconds if 0
 }
 
@@ -55,8 +57,8 @@
 	}
 }
 
-// SetNodeCount sets the number of nodes that share the slack. A count that is not
-// positive changes nothing.
+// SetNodeCount sets the number of nodes that share the slack. It ignores a count that is
+// not positive.
 func (b *Budget) SetNodeCount(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,8 +74,8 @@
 	b.windowLocked(service, now).addRequest()
 }
 
-// TryWithdraw withdraws one further attempt at a service, and reports whether the budget
-// allowed it. reserve is the share of the budget, from 0 to 1, that must remain.
+// TryWithdraw withdraws one extra attempt at a service if the budget allows it, and reports
+// whether it did. reserve is the share of the budget, from 0 to 1, that must remain.
 func (b *Budget) TryWithdraw(service string, now time.Time, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +88,7 @@
 	return true
 }
 
-// slackLocked returns this node's part of the slack.
+// slackLocked returns this node's share of the slack.
 func (b *Budget) slackLocked(now time.Time) float64 {
 	if now.Sub(b.startedAt) < b.config.Window {
 		return 0
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestBudgetHoldsOverAnyWindow: over any window the further attempts of all nodes
-// stay within the ratio of the requests and the slack, whatever the order they
-// come in.
+// TestBudgetHoldsOverAnyWindow: over any window, the extra attempts of all nodes stay within
+// the ratio of the requests plus the slack, also when traffic pauses and resumes. The slack of a
+// node that has just started must not be available yet.
 func TestBudgetHoldsOverAnyWindow(t *testing.T) {
 	const (
 		nodes  = 4
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(attempts) == 0 {
-		t.Fatal("nothing was ever withdrawn")
+		t.Fatal("TryWithdraw never allowed an extra attempt")
 	}
 	count := func(list []time.Duration, from time.Duration) (n float64) {
 		for _, at := range list {
@@ -50,16 +50,16 @@
 	for from := -window; from < end; from += 250 * time.Millisecond {
 		most := 0.2*max(count(requests, from), count(requests, from-window), count(requests, from-window/2)) + 20
 		if got := count(attempts, from); got > most {
-			t.Fatalf("%v further attempts in the window from %v, at most %v", got, from, most)
+			t.Fatalf("%v extra attempts in the window from %v, want at most %v", got, from, most)
 		}
 	}
 	if fresh := New(config, start); fresh.TryWithdraw("s", start, 0) {
-		t.Fatal("a node that has just started has slack")
+		t.Fatal("TryWithdraw allowed an extra attempt on a node that has just started, want no slack")
 	}
 }
 
-// TestWithdrawLeavesReserve: a withdrawal that leaves a reserve stops before one
-// that leaves none, and services have budgets of their own.
+// TestWithdrawLeavesReserve: a withdrawal with a reserve leaves that share of the budget
+// unused, and each service has a separate budget.
 func TestWithdrawLeavesReserve(t *testing.T) {
 	start := time.Now()
 	withdrawn := func(reserve float64) (n int) {
@@ -71,20 +71,21 @@
 			n++
 		}
 		if budget.TryWithdraw("other", start, 0) {
-			t.Error("a service without requests has a budget")
+			t.Error("TryWithdraw allowed an extra attempt at a service without requests")
 		}
 		return n
 	}
-	if got := withdrawn(0); got != 42 { // 0.85 of half of 100
-		t.Errorf("%d withdrawn, want 42", got)
+	if got := withdrawn(0); got != 42 { // usableShare 0.85 of half of 100 requests
+		t.Errorf("without a reserve, %d extra attempts were allowed, want 42", got)
 	}
 	if got := withdrawn(0.6); got != 17 {
-		t.Errorf("%d withdrawn with a reserve, want 17", got)
+		t.Errorf("with a reserve of 0.6, %d extra attempts were allowed, want 17", got)
 	}
 }
 
-// TestWindowDropsOldCounts: what is older than a window no longer counts, whether time goes
-// on bucket by bucket or at once.
+// TestWindowDropsOldCounts: counts older than a window are not included, whether the window
+// advances bucket by bucket, skips buckets or skips the whole ring. A bucket of the ring that
+// is not cleared would be counted again.
 func TestWindowDropsOldCounts(t *testing.T) {
 	for _, step := range []int64{1, 7, ringBuckets, 10 * ringBuckets} {
 		window := &slidingWindow{}
--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -16,11 +16,11 @@
 type attemptState int32
 
 const (
-	attemptQueued    attemptState = iota // has an endpoint reserved and waits for the service's rate limit
+	attemptQueued    attemptState = iota // an endpoint is reserved; the attempt waits for the service's rate limit
 	attemptSent                          // the call is under way
-	attemptHedged                        // the call is under way and overdue; a hedge was sent
+	attemptHedged                        // the call is under way and overdue, and a hedge was sent
 	attemptCompleted                     // ended, with a response or an error
-	attemptCancelled                     // not sent: the rate limit allowed no call in time, or the client has left
+	attemptCancelled                     // not sent: rate limit, client disconnect or panic before the call
 )
 
 // attempt is one call of a shard's request to one endpoint.
@@ -31,27 +31,27 @@
 	state     atomic.Int32 // an attemptState
 
 	// The result. The attempt's goroutine sets it before it sends the attempt to the
-	// fan-out. It does not change after that.
+	// fan-out, and it does not change afterwards.
 
 	response   *upstream.Response
 	err        error
 	duration   time.Duration // of the call
-	retryAfter time.Duration // if cancelled: when the rate limit allows more
+	retryAfter time.Duration // if cancelled by the rate limit: time until it allows another call
 }
 
 func (a *attempt) currentState() attemptState { return attemptState(a.state.Load()) }
 
 func (a *attempt) setState(state attemptState) { a.state.Store(int32(state)) }
 
-// markHedged records that a second attempt was sent because this one is overdue. An attempt
-// that is still queued or has ended keeps its state.
+// markHedged records that a hedge was sent because this attempt is overdue. It changes nothing
+// if the attempt is still queued or has ended.
 func (a *attempt) markHedged() {
 	a.state.CompareAndSwap(int32(attemptSent), int32(attemptHedged))
 }
 
-// perform makes the call of an attempt and sends the attempt to the fan-out. It
-// runs in a goroutine of its own, which ends by the request's deadline, and may
-// outlast the fan-out.
+// perform makes the call of an attempt and sends the attempt to the fan-out. It runs
+// in a separate goroutine, which may outlast the fan-out but ends by the request's
+// deadline.
 func (f *fanOut) perform(a *attempt) {
 	defer f.recoverPanic(a)
 	if !f.awaitRateLimit(a) {
@@ -73,8 +73,9 @@
 	}
 }
 
-// recoverPanic ends an attempt that panicked: before its call as one that was cancelled, during it as one whose
-// response was lost. It must be deferred directly: recover works only there.
+// recoverPanic ends an attempt that panicked. An attempt that panicked before its call counts as cancelled. One that
+// panicked during its call fails with ErrResponseLost, because the endpoint may have executed the request. recoverPanic
+// must be the deferred function itself, because recover works only if the deferred function calls it directly.
 func (f *fanOut) recoverPanic(a *attempt) {
 	cause := recover()
 	if cause == nil {
@@ -92,13 +93,14 @@
 		a.err = fmt.Errorf("%w: panic: %v", upstream.ErrResponseLost, cause)
 		a.setState(attemptCompleted)
 	case attemptCompleted, attemptCancelled:
-		return // it was delivered
+		return // already delivered
 	}
 	f.deliver(a)
 }
 
-// awaitRateLimit waits until the service's rate limit allows the call of an attempt. It reports
-// false if the call must not be made: the limit allows none in time, or the client has left.
+// awaitRateLimit waits until the service's rate limit allows the call of an attempt. It returns
+// false if the call must not be made, because the limit does not allow it before the request's
+// deadline or the client has disconnected.
 func (f *fanOut) awaitRateLimit(a *attempt) bool {
 	if f.AwaitRateLimit == nil {
 		return true
@@ -110,7 +112,7 @@
 	return ok && f.clientCtx.Err() == nil
 }
 
-// deliver sends an attempt that ended to the fan-out, unless that has ended too.
+// deliver sends an ended attempt to the fan-out. It drops the attempt if the fan-out has ended.
 func (f *fanOut) deliver(a *attempt) {
 	select {
 	case f.results <- a:
--- a/internal/scatter/dispatch_test.go
+++ b/internal/scatter/dispatch_test.go
@@ -18,21 +18,21 @@
 	"comethold/internal/upstream"
 )
 
-// leafSet is the leafs of a test. All of them answer by one handler, which also
-// gets how many requests came before.
+// leafSet is a set of leafs with a dispatcher. All leafs share one listener and one
+// handler, which also receives the number of earlier requests.
 type leafSet struct {
-	clientCtx  context.Context // of the requests
+	clientCtx  context.Context // context of the requests; canceled when the client disconnects
 	dispatcher *Dispatcher
 	requests   atomic.Int64
-	executed   atomic.Int64 // calls of the callback of Dispatch
+	executed   atomic.Int64 // number of calls of onExecuted
 }
 
 type leafHandler func(w http.ResponseWriter, r *http.Request, earlier int64)
 
-// stamps counts the successes: each has a server stamp of its own.
+// stamps counts the successes, so that each gets a unique server stamp.
 var stamps atomic.Int64
 
-// succeed answers with a body as the protocol demands of a success.
+// succeed answers with status 200, a body and the server stamp that a success must have.
 func succeed(w http.ResponseWriter, body string) {
 	w.Header().Set(upstream.HeaderServerStamp, fmt.Sprint("stamp-", stamps.Add(1)))
 	_, _ = fmt.Fprint(w, body)
@@ -44,8 +44,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// newLeafSet starts leafs and a dispatcher to them. The leafs of a service are named
-// after it: s-0 and s-1 are two of s.
+// newLeafSet starts leafs with the given ids and a dispatcher for them. The part of an id
+// before the hyphen is the service: s-0 and s-1 are two leafs of the service s.
 func newLeafSet(tb testing.TB, handler leafHandler, ids ...string) *leafSet {
 	tb.Helper()
 	set := &leafSet{clientCtx: tb.Context()}
@@ -68,8 +68,8 @@
 	return set
 }
 
-// dispatch dispatches one request on a route whose attempts and timeout have
-// defaults.
+// dispatch dispatches one request on the route. Fields of the route that are not set get
+// defaults: a timeout of 2 s, a safe request and the service s.
 func (s *leafSet) dispatch(route routing.Route) *Reply {
 	if route.TimeoutMs == 0 {
 		route.TimeoutMs = 2000
@@ -100,14 +100,14 @@
 
 func alwaysAbort(http.ResponseWriter, *http.Request, int64) { panic(http.ErrAbortHandler) }
 
-// neverRespond waits until the node gives the request up.
+// neverRespond blocks until the node aborts the request.
 func neverRespond(_ http.ResponseWriter, r *http.Request, _ int64) { <-r.Context().Done() }
 
 func alwaysStatus(status int) leafHandler {
 	return func(w http.ResponseWriter, _ *http.Request, _ int64) { w.WriteHeader(status) }
 }
 
-// succeedAfter makes a handler that fails the first request in the given way.
+// succeedAfter returns a handler that passes the first request to first and answers all others with success.
 func succeedAfter(first leafHandler) leafHandler {
 	return func(w http.ResponseWriter, r *http.Request, earlier int64) {
 		if earlier == 0 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// replyCase is what the leafs of a single service do, what the client gets, how many
-// requests the leafs get, and how often the request counts as executed.
+// replyCase is a case of TestSingleReplies: the handler of the leafs, the route, and the
+// expected status, number of requests at the leafs and number of calls of onExecuted.
 type replyCase struct {
 	handler  leafHandler
 	route    routing.Route
@@ -156,34 +156,35 @@
 		route:   routing.Route{MaxAttempts: 3, RouteKind: routing.KindUnsafe, TimeoutMs: 300, TargetLatencyMs: 20},
 		status:  http.StatusGatewayTimeout, requests: 1, executed: 1,
 	},
-	"a status that promises that nothing was executed": {
+	"a status that implies that the request was not executed": {
 		handler: alwaysStatus(http.StatusTooManyRequests),
 		status:  http.StatusBadGateway, requests: 1, executed: 1,
 	},
 }
 
-// TestSingleReplies: what becomes of a request on a route with one service.
+// TestSingleReplies: the reply, the attempts and the count of executions of a request on a route with one service.
 func TestSingleReplies(t *testing.T) {
 	for name, c := range replyCases {
 		t.Run(name, func(t *testing.T) {
 			set := newLeafSet(t, c.handler, "s-0", "s-1", "s-2")
 			reply := set.dispatch(c.route)
 			if reply.Status != c.status {
-				t.Errorf("status %d (%s), want %d", reply.Status, reply.Reason, c.status)
+				t.Errorf("Dispatch returned status %d (%s), want %d", reply.Status, reply.Reason, c.status)
 			}
 			if set.requests.Load() != c.requests || set.executed.Load() != c.executed {
-				t.Errorf("%d requests, %d executed, want %d and %d",
+				t.Errorf("leafs got %d requests, onExecuted was called %d times, want %d and %d",
 					set.requests.Load(), set.executed.Load(), c.requests, c.executed)
 			}
 			if hasRetryAfter := reply.RetryAfter > 0; hasRetryAfter != (c.status == http.StatusServiceUnavailable) {
-				t.Errorf("retry after %v", reply.RetryAfter)
+				t.Errorf("RetryAfter is %v, want more than 0 exactly for status 503", reply.RetryAfter)
 			}
 		})
 	}
 }
 
-// TestUnreachableEndpoints: attempts that no endpoint got are replaced, also those of
-// an unsafe request and beyond the attempt limit, and if all fail nothing was executed.
+// TestUnreachableEndpoints: attempts that did not reach an endpoint are replaced, even for
+// an unsafe request and beyond the attempt limit. If all of them fail, the request does not
+// count as executed.
 func TestUnreachableEndpoints(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
 	listed := map[string]distribution.Endpoint{}
@@ -194,15 +195,16 @@
 	set.dispatcher.Clusters.SetEndpoints(listed)
 	reply := set.dispatch(routing.Route{Service: "gone", RouteKind: routing.KindUnsafe})
 	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter <= 0 || set.executed.Load() != 0 {
-		t.Errorf("status %d, retry after %v, %d executed", reply.Status, reply.RetryAfter, set.executed.Load())
+		t.Errorf("Dispatch returned status %d, RetryAfter %v with %d calls of onExecuted, want 503, more than 0 and no call",
+			reply.Status, reply.RetryAfter, set.executed.Load())
 	}
 	if set.dispatcher.Clusters.Reserve("gone", nil, false) != nil {
-		t.Error("not all endpoints were tried and ejected")
+		t.Error("Reserve returned an endpoint, want none because all were tried and ejected")
 	}
 }
 
-// TestHedging: a safe request that takes longer than most is sent to a second
-// endpoint, whose response counts; an unsafe one is not.
+// TestHedging: an overdue safe request is hedged at a second endpoint, whose response
+// becomes the reply. An unsafe request is not hedged, since it could be executed twice.
 func TestHedging(t *testing.T) {
 	slowFirst := func(w http.ResponseWriter, r *http.Request, earlier int64) {
 		if earlier == 0 {
@@ -214,13 +216,14 @@
 		set := newLeafSet(t, slowFirst, "s-0", "s-1")
 		reply := set.dispatch(routing.Route{MaxAttempts: 2, RouteKind: kind, TargetLatencyMs: 60})
 		if string(reply.Body) != want || set.executed.Load() != 1 {
-			t.Errorf("%s: %d %q, %d executed", kind, reply.Status, reply.Body, set.executed.Load())
+			t.Errorf("%s: Dispatch returned status %d, body %q with %d calls of onExecuted, want body %q and 1 call",
+				kind, reply.Status, reply.Body, set.executed.Load(), want)
 		}
 	}
 }
 
-// TestRateLimit: a request whose service's rate is spent reaches no leaf, and its
-// client comes back when the rate allows more.
+// TestRateLimit: a request that exceeds the rate limit of its service reaches no leaf, and
+// its reply carries the wait that the rate limit asked for.
 func TestRateLimit(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
 	allowed := false
@@ -229,20 +232,21 @@
 	}
 	reply := set.dispatch(routing.Route{})
 	if reply.Status != http.StatusServiceUnavailable || reply.RetryAfter != 7*time.Second {
-		t.Errorf("status %d, retry after %v", reply.Status, reply.RetryAfter)
+		t.Errorf("Dispatch returned status %d, RetryAfter %v, want 503 and 7s", reply.Status, reply.RetryAfter)
 	}
 	if set.requests.Load() != 0 || set.executed.Load() != 0 {
-		t.Errorf("%d requests, %d executed", set.requests.Load(), set.executed.Load())
+		t.Errorf("leafs got %d requests, onExecuted was called %d times, want 0 and 0",
+			set.requests.Load(), set.executed.Load())
 	}
 	allowed = true
-	for range 10 { // the reservations of cancelled attempts are free again
+	for range 10 { // cancelled attempts must have released their reservations
 		if reply := set.dispatch(routing.Route{}); reply.Status != http.StatusOK {
-			t.Fatalf("status %d (%s)", reply.Status, reply.Reason)
+			t.Fatalf("Dispatch within the rate limit returned status %d (%s), want 200", reply.Status, reply.Reason)
 		}
 	}
 }
 
-// fanOutRoute is a route over the services s0, s1 and so on.
+// fanOutRoute returns a route that fans out to the services s0, s1 and so on.
 func fanOutRoute(services int, share float64) routing.Route {
 	route := routing.Route{MinimumShardShare: share, ResultCount: 100, MaxAttempts: 1}
 	for i := range services {
@@ -251,7 +255,7 @@
 	return route
 }
 
-// fanOutIDs are the ids of a leaf for each service of a fan-out.
+// fanOutIDs returns the ids of one leaf for each service of a fan-out.
 func fanOutIDs(services int) (ids []string) {
 	for i := range services {
 		ids = append(ids, fmt.Sprintf("s%d-0", i))
@@ -259,8 +263,8 @@
 	return ids
 }
 
-// TestFanOut: the responses of the shards are merged, and the reply names those that
-// are missing, if enough answered.
+// TestFanOut: if enough shards answer, their responses are merged and the reply states the
+// number of missing shards. Otherwise the request fails.
 func TestFanOut(t *testing.T) {
 	failing := func(failures int64) leafHandler {
 		return func(w http.ResponseWriter, r *http.Request, earlier int64) {
@@ -285,7 +289,8 @@
 		set := newLeafSet(t, failing(c.failures), fanOutIDs(4)...)
 		reply := set.dispatch(fanOutRoute(4, c.share))
 		if reply.Status != c.status || reply.Header.Get(HeaderMissingParts) != c.missing {
-			t.Errorf("%+v: status %d, %s missing", c, reply.Status, reply.Header.Get(HeaderMissingParts))
+			t.Errorf("case %+v: Dispatch returned status %d, %q missing parts",
+				c, reply.Status, reply.Header.Get(HeaderMissingParts))
 		}
 		if reply.Status != http.StatusOK {
 			continue
@@ -293,18 +298,20 @@
 		records := 4 - int(c.failures)
 		stamps := strings.Split(reply.Header.Get(HeaderPartStamps), ", ")
 		if len(reply.Body) != records*recordSize || len(stamps) != records {
-			t.Errorf("%+v: %d bytes, stamps %v", c, len(reply.Body), stamps)
+			t.Errorf("case %+v: got %d bytes and stamps %v, want one record and one stamp for each answer",
+				c, len(reply.Body), stamps)
 		}
 	}
 	set := newLeafSet(t, failing(0), fanOutIDs(3)...)
 	reply := set.dispatch(fanOutRoute(4, 1))
 	if reply.Status != http.StatusServiceUnavailable || set.requests.Load() != 0 {
-		t.Errorf("with a shard without leafs: status %d, %d requests", reply.Status, set.requests.Load())
+		t.Errorf("with a shard without leafs: status %d, leafs got %d requests, want 503 and 0",
+			reply.Status, set.requests.Load())
 	}
 }
 
-// TestFanOutCutoff: with enough responses the reply is made in time for the target
-// latency, without the shards that are late.
+// TestFanOutCutoff: once enough shards have answered, the reply is built in time for the
+// target latency and does not wait for late shards.
 func TestFanOutCutoff(t *testing.T) {
 	set := newLeafSet(t, func(w http.ResponseWriter, r *http.Request, earlier int64) {
 		if earlier == 0 {
@@ -319,14 +326,16 @@
 	reply := set.dispatch(route)
 	took := time.Since(start)
 	if reply.Status != http.StatusOK || reply.Header.Get(HeaderMissingParts) != "1" {
-		t.Errorf("status %d, %s missing", reply.Status, reply.Header.Get(HeaderMissingParts))
+		t.Errorf("Dispatch returned status %d, %q missing parts, want 200 and 1",
+			reply.Status, reply.Header.Get(HeaderMissingParts))
 	}
 	if took < 80*time.Millisecond || took > time.Second {
-		t.Errorf("the reply took %v with a target of 100ms", took)
+		t.Errorf("the reply took %v with a target latency of 100ms, want 80ms to 1s", took)
 	}
 }
 
-// TestAdmitRequest: what the least of the needed services has the capacity for decides.
+// TestAdmitRequest: the lowest admit rate among the required shards decides. Shards that are not required must not
+// cause rejections.
 func TestAdmitRequest(t *testing.T) {
 	for _, c := range []struct {
 		rates    []float64
@@ -339,24 +348,25 @@
 		{[]float64{0, 1, 1}, 3, false},
 	} {
 		if got := admitRequest(c.rates, c.required); got != c.want {
-			t.Errorf("%v, %d required: %v", c.rates, c.required, got)
+			t.Errorf("admitRequest(%v, %d) = %v, want %v", c.rates, c.required, got, c.want)
 		}
 	}
 }
 
-// TestRetainRoutes: only routes of the table keep what was learnt.
+// TestRetainRoutes: only routes of the table keep their latency histogram. Otherwise the histograms of removed routes
+// would accumulate.
 func TestRetainRoutes(t *testing.T) {
 	d := NewDispatcher(Options{})
 	kept := d.histogram("kept")
 	gone := d.histogram("gone")
 	d.RetainRoutes(routing.Compile(&routing.Configuration{Routes: []routing.Route{{Name: "kept"}}}))
 	if d.histogram("kept") != kept || d.histogram("gone") == gone {
-		t.Error("the wrong routes were forgotten")
+		t.Error("RetainRoutes must keep the histogram of route kept and drop that of route gone")
 	}
 }
 
-// BenchmarkDispatch measures a request to one service, and a fan-out to 64, with leafs
-// on local sockets.
+// BenchmarkDispatch measures a request to one service and a fan-out to 64 services, with
+// leafs on local sockets.
 func BenchmarkDispatch(b *testing.B) {
 	answer := func(w http.ResponseWriter, r *http.Request, _ int64) { succeed(w, strings.Repeat("x", recordSize)) }
 	for name, route := range map[string]routing.Route{"Single": {Service: "s0"}, "FanOut64": fanOutRoute(64, 1)} {
@@ -372,18 +382,18 @@
 	}
 }
 
-// waitFor waits until a condition holds, for ten seconds at most.
+// waitFor waits until a condition holds and fails the test after ten seconds.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within ten seconds: %s", what)
+			t.Fatalf("condition not met within ten seconds: %s", what)
 		}
 	}
 }
 
-// TestClientDisconnectCancelsCalls guards against leafs that work on for a client that has left, and against
-// further attempts for it.
+// TestClientDisconnectCancelsCalls: when the client disconnects, the calls under way are aborted and no attempt is
+// started. Otherwise leafs would spend capacity on replies that are discarded.
 func TestClientDisconnectCancelsCalls(t *testing.T) {
 	for name, route := range map[string]routing.Route{
 		"single":  {Service: "s0", MaxAttempts: 3},
@@ -402,21 +412,21 @@
 			route.TimeoutMs = 20000
 			go func() { ended <- set.dispatch(route) }()
 			shards := int64(max(1, len(route.FanoutServices)))
-			waitFor(t, "the leafs work", func() bool { return working.Load() == shards })
+			waitFor(t, "every shard's leaf processes a request", func() bool { return working.Load() == shards })
 			disconnect()
 			if reply := <-ended; reply.Status/100 == 2 || impliesNotExecuted(reply.Status) {
-				t.Errorf("status %d", reply.Status)
+				t.Errorf("Dispatch returned status %d, want a failure that does not imply not executed", reply.Status)
 			}
-			waitFor(t, "no leaf works", func() bool { return working.Load() == 0 })
+			waitFor(t, "the calls of all leafs are aborted", func() bool { return working.Load() == 0 })
 			if n := set.requests.Load(); n != shards {
-				t.Errorf("%d requests, not %d", n, shards)
+				t.Errorf("leafs got %d requests, want %d", n, shards)
 			}
 		})
 	}
 }
 
-// TestClientDisconnectKeepsUnsafeCall: a request that must not be executed twice goes on to its end, without
-// a further attempt.
+// TestClientDisconnectKeepsUnsafeCall: the call of an unsafe request runs to completion after the client disconnects,
+// because it would be unknown whether an aborted one was executed. It is not retried.
 func TestClientDisconnectKeepsUnsafeCall(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter){
 		"success":   func(w http.ResponseWriter) { succeed(w, "body") },
@@ -429,7 +439,7 @@
 				case <-unblock:
 					answer(w)
 				case <-r.Context().Done():
-					t.Error("the request was broken off")
+					t.Error("the call was aborted, want it to run to completion")
 				}
 			}, "s-0", "s-1")
 			clientCtx, disconnect := context.WithCancel(t.Context())
@@ -438,22 +448,22 @@
 			go func() {
 				ended <- set.dispatch(routing.Route{RouteKind: routing.KindUnsafe, MaxAttempts: 3, TimeoutMs: 20000})
 			}()
-			waitFor(t, "a leaf works", func() bool { return set.requests.Load() == 1 })
+			waitFor(t, "a leaf processes the request", func() bool { return set.requests.Load() == 1 })
 			disconnect()
 			time.Sleep(20 * time.Millisecond)
 			close(unblock)
 			if reply := <-ended; name == "success" && reply.Status != http.StatusOK {
-				t.Errorf("status %d", reply.Status)
+				t.Errorf("Dispatch returned status %d, want 200", reply.Status)
 			}
 			if n := set.requests.Load(); n != 1 {
-				t.Errorf("%d requests", n)
+				t.Errorf("leafs got %d requests, want 1", n)
 			}
 		})
 	}
 }
 
-// TestClientDisconnectDuringRateLimitWait: a request that waits for its service's rate is not sent once its client
-// has left, nor is one whose client has left before.
+// TestClientDisconnectDuringRateLimitWait: a request is not sent if its client disconnects while it waits for the rate
+// limit of its service, or has disconnected before.
 func TestClientDisconnectDuringRateLimitWait(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
 	clientCtx, disconnect := context.WithCancel(t.Context())
@@ -462,7 +472,7 @@
 	set.dispatcher.AwaitRateLimit = func(ctx context.Context, _ string, _ time.Time) (bool, time.Duration) {
 		close(waiting)
 		<-ctx.Done()
-		return true, 0 // allowed, but too late
+		return true, 0 // the call is allowed after the client has disconnected
 	}
 	ended := make(chan *Reply)
 	go func() { ended <- set.dispatch(routing.Route{}) }()
@@ -473,11 +483,12 @@
 	set.dispatch(routing.Route{})
 	set.clientCtx = t.Context()
 	if reply := set.dispatch(routing.Route{}); reply.Status != http.StatusOK || set.requests.Load() != 1 {
-		t.Errorf("status %d, %d requests", reply.Status, set.requests.Load())
+		t.Errorf("Dispatch for a connected client returned status %d, leafs got %d requests in all, want 200 and 1",
+			reply.Status, set.requests.Load())
 	}
 }
 
-// TestHedgedAttemptOutlastsReply: an attempt that is overtaken by its hedge is not broken off.
+// TestHedgedAttemptOutlastsReply: an attempt whose hedge answers first is not aborted when the reply is returned.
 func TestHedgedAttemptOutlastsReply(t *testing.T) {
 	unblock := make(chan struct{})
 	var completed atomic.Bool
@@ -493,8 +504,8 @@
 	}, "s-0", "s-1")
 	reply := set.dispatch(routing.Route{MaxAttempts: 2, TargetLatencyMs: 50})
 	if reply.Status != http.StatusOK || set.requests.Load() != 2 {
-		t.Fatalf("status %d, %d requests", reply.Status, set.requests.Load())
+		t.Fatalf("Dispatch returned status %d, leafs got %d requests, want 200 and 2", reply.Status, set.requests.Load())
 	}
 	close(unblock)
-	waitFor(t, "the first attempt ends", completed.Load)
+	waitFor(t, "the first attempt completes at its leaf", completed.Load)
 }
--- a/internal/scatter/dispatcher.go
+++ b/internal/scatter/dispatcher.go
@@ -13,27 +13,27 @@
 	"comethold/internal/upstream"
 )
 
-// Options are what a Dispatcher works with.
+// Options holds the dependencies and settings of a Dispatcher.
 type Options struct {
 	Clusters    *upstream.ClusterManager
 	RetryBudget *retrybudget.Budget
 
-	// AwaitRateLimit, if set, waits until a call may be made to a service whose rate is
-	// limited. If it may not be made before the deadline, or ctx is done before, it
-	// returns false and the time after which the client may retry.
+	// AwaitRateLimit, if set, waits until the rate limit of a service allows a call. If the
+	// limit does not allow it before the deadline, or ctx is done first, it returns false
+	// and the time after which the client may retry.
 	AwaitRateLimit func(ctx context.Context, service string, deadline time.Time) (ok bool, retryAfter time.Duration)
 
-	// Latencies, if set, gets the latencies of requests on routes that have a
-	// lookup class. ShadowShare is the share of them that is sent to a second
-	// replica too, for comparison only.
+	// Latencies, if set, receives the latencies of calls on routes that have a
+	// lookup class. ShadowShare is the share of these lookups, from 0 to 1, that are also
+	// sent to a second replica to compare the two responses.
 	Latencies   *latencyestimate.Collector
 	ShadowShare float64
 
-	// OnPanic, if set, is called with the value of a panic in an attempt. It may be called from several goroutines.
+	// OnPanic, if set, is called with the value of a panic in an attempt. It must be safe for concurrent use.
 	OnPanic func(cause any)
 }
 
-// Dispatcher carries requests to endpoints. It is safe for concurrent use.
+// Dispatcher forwards requests to endpoints. It is safe for concurrent use.
 type Dispatcher struct {
 	Options
 
@@ -41,7 +41,7 @@
 	histograms map[string]*latencyHistogram // by route name
 }
 
-// NewDispatcher makes a dispatcher.
+// NewDispatcher returns a dispatcher without latency histograms.
 func NewDispatcher(options Options) *Dispatcher {
 	return &Dispatcher{Options: options, histograms: map[string]*latencyHistogram{}}
 }
@@ -70,14 +70,15 @@
 	return histogram
 }
 
-// Dispatch carries a request that arrived at start to the endpoints of its route
-// and returns the reply. onExecuted, if given, is called once if an endpoint
-// executed the request or may have, with the time at which that endpoint got it.
+// Dispatch forwards a request that arrived at start to the endpoints of its route
+// and returns the reply. If an endpoint executed the request or may have executed it,
+// Dispatch calls onExecuted, if not nil, once with the time at which that endpoint
+// received the request.
 //
-// ctx is canceled when the client has left, and must not be canceled after Dispatch has
-// returned: calls that are still under way then go on. Once it is canceled no further call
-// is made. Calls under way are given up if the request is idempotent; otherwise they go on to
-// their end, since a request that is broken off may have been executed or not.
+// The caller cancels ctx when the client disconnects. It must not cancel ctx after Dispatch
+// has returned, because calls may still be under way. Once ctx is canceled, no further call is
+// made. Calls under way are aborted if the request is idempotent. Otherwise they run to
+// completion, because it is unknown whether an aborted request was executed.
 func (d *Dispatcher) Dispatch(
 	ctx context.Context,
 	route *routing.CompiledRoute, request *upstream.Request, start time.Time, onExecuted func(at time.Time),
@@ -114,10 +115,11 @@
 	return f.singleReply()
 }
 
-// admitRequest decides whether a request is started. When endpoints reject calls,
-// requests beyond their capacity would use slots and fail nevertheless. A share of
-// the requests is therefore rejected before any call. The share follows the
-// least admit rate among the required shards with the highest rates. It sorts admitRates.
+// admitRequest decides at random whether a request is admitted. When endpoints reject
+// calls, requests beyond their capacity would occupy slots and still fail, so a share of
+// the requests is rejected before any call is made. The share of admitted requests is
+// the required-th highest admit rate: the lowest one among the shards that a successful
+// reply needs. admitRequest sorts admitRates.
 func admitRequest(admitRates []float64, required int) bool {
 	slices.Sort(admitRates)
 	share := admitRates[len(admitRates)-required]
--- a/internal/scatter/doc.go
+++ b/internal/scatter/doc.go
@@ -1,22 +1,26 @@
-// Package scatter carries a client's request to the endpoints that a route names
-// and makes the reply: to one endpoint of one service, or to one endpoint of
-// each shard of a fan-out, whose responses it merges.
+// Package scatter forwards a client's request to the endpoints of its route and
+// builds the reply. A route without fan-out sends the request to one endpoint of one
+// service. A fan-out sends it to one endpoint of each shard and merges the responses.
 //
 // A [Dispatcher] serves all requests of a node. Each call of
 // [Dispatcher.Dispatch] runs one fanOut in the calling goroutine, with one shard
 // for each service (a route without fan-out has a single shard) and one attempt
-// for each endpoint that is tried for a shard. An attempt performs its call in a
-// goroutine of its own, and sends itself to the fan-out when it has ended. Only
-// the fan-out makes decisions:
+// for each endpoint that is tried for a shard. Each attempt makes its call in a
+// separate goroutine and is sent to the fan-out over a channel when the call ends.
+// Only the fan-out decides what follows:
 //
-//   - an attempt that could not be sent is replaced at once;
+//   - an attempt that could not be sent is replaced immediately;
 //   - an attempt that an endpoint rejected or that failed is retried on another
-//     endpoint, as far as the route's attempt limit and the retry budget allow;
-//   - an attempt that takes longer than most is hedged by another.
+//     endpoint, within the route's attempt limit and the retry budget;
+//   - an attempt that exceeds the route's hedge delay, which is its 95th latency
+//     percentile once enough samples exist, is hedged by a second attempt at another
+//     endpoint.
 //
-// A request that is not idempotent has at most one attempt that an endpoint may
-// have executed. A fan-out ends when all shards answered or failed, when too few
-// can still answer, when its deadline has passed, or, with enough shards
-// answered, shortly before its target latency passes. Attempts still under way
-// then end by the same deadline, and their responses are dropped.
+// For a request that is not idempotent, at most one attempt may have been executed
+// by an endpoint. A fan-out ends when every shard has answered or failed, when too few
+// shards can still answer, or when its deadline has passed. Once enough shards have
+// answered, it ends shortly before its target latency has passed. It also ends when the
+// client disconnects, except that a call of a request that is not idempotent runs to
+// completion. Attempts that are under way when a fan-out ends run until the request's
+// deadline at the latest, and their responses are discarded.
 package scatter
--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// maxUnsentAttempts is how many attempts of a shard that could not be sent are
-	// replaced. They don't count against the route's attempt limit.
+	// maxUnsentAttempts is the maximum number of attempts of a shard that are replaced
+	// because they could not be sent. They don't count against the route's attempt limit.
 	maxUnsentAttempts = 3
-	// deliveryMargin is how long before the target latency a reply is made, to
-	// get it to the client in time.
+	// deliveryMargin is how long before the target latency the reply is built, so that
+	// it reaches the client in time.
 	deliveryMargin = 12 * time.Millisecond
 	// lateCutoffFactor is the number of target latencies after which a reply that
-	// missed its target is made with the shards that answered.
+	// missed its target is built from the shards that have answered.
 	lateCutoffFactor = 3
 	// idleTimerInterval is the initial value of a timer that is reset before it fires.
 	idleTimerInterval = time.Hour
 )
 
-// fanOut is one request under way. It belongs to the goroutine that runs it.
+// fanOut is the state of one request. Only the goroutine that calls run may change it.
 type fanOut struct {
 	*Dispatcher
-	clientCtx context.Context // canceled when the client has left
-	callCtx   context.Context // canceled when the calls under way are given up
+	clientCtx context.Context // canceled when the client disconnects
+	callCtx   context.Context // of the calls; canceled to abort those under way
 	route     *routing.CompiledRoute
 	request   *upstream.Request
-	latency   *latencyHistogram // of the route
+	latency   *latencyHistogram // of the route's responses
 
 	start      time.Time
-	hedgeDelay time.Duration // after which an attempt counts as overdue
-	cutoff     time.Time     // when a reply is made with the shards that answered
-	required   int           // shards that a success needs
+	hedgeDelay time.Duration // time after which an attempt counts as overdue
+	cutoff     time.Time     // when the reply is built from the shards that have answered
+	required   int           // number of shards that a successful reply needs
 
 	shards         []shard
-	results        chan *attempt // attempts that ended
-	ended          chan struct{} // closed when no more results are read
-	completeShards int           // shards that have a response
-	openShards     int           // shards that may still get one
-	nextDue        time.Time     // when to run handleDue next; never after the earliest hedge or retry
-
-	retryAfter      time.Duration      // the longest that a rate limit asked to wait
-	onExecuted      func(at time.Time) // nil after its call
-	maybeExecutedAt time.Time          // when an endpoint that may have executed the request got it
+	results        chan *attempt // ended attempts
+	ended          chan struct{} // closed when results are no longer read
+	completeShards int           // number of shards that have a response
+	openShards     int           // number of shards that may still get one
+	nextDue        time.Time     // when to call handleDue next; not later than the earliest hedge or retry
+
+	retryAfter      time.Duration      // longest wait that a rate limit asked for
+	onExecuted      func(at time.Time) // nil after it was called
+	maybeExecutedAt time.Time          // when an endpoint received the request and may have executed it
 }
 
 func (d *Dispatcher) newFanOut(
@@ -87,8 +87,8 @@
 	}
 }
 
-// run handles results and timers until the reply can be made, or the client has left. A
-// result changes one shard only; handleDue visits all shards, but only when one of them is due.
+// run handles results and timers until the reply can be built or the client disconnects. A
+// result affects only its shard. handleDue visits all shards, so it runs only when one is due.
 func (f *fanOut) run() {
 	clientDone := f.clientCtx.Done()
 	timer := time.NewTimer(idleTimerInterval)
@@ -121,12 +121,12 @@
 	}
 }
 
-// awaitsUncancelableCall reports whether a call is under way that goes on though the client has left.
+// awaitsUncancelableCall reports whether a call is under way that must complete after the client disconnects.
 func (f *fanOut) awaitsUncancelableCall() bool {
 	return f.request.NonIdempotent && f.shards[0].pendingAttempts > 0
 }
 
-// handleWaitingResults handles the results that are already in the channel.
+// handleWaitingResults handles the results that are already in the channel, without blocking.
 func (f *fanOut) handleWaitingResults() {
 	for {
 		select {
@@ -138,23 +138,24 @@
 	}
 }
 
-// isFinished reports whether no more responses can arrive, too few of them for a success,
-// or all of them too late.
+// isFinished reports whether no shard can still get a response, too few shards can get one
+// for a successful reply, or the request's deadline has passed.
 func (f *fanOut) isFinished(now time.Time) bool {
 	return f.openShards == 0 ||
 		f.completeShards+f.openShards < f.required ||
 		!f.request.Deadline.After(now)
 }
 
-// awaitsCutoff reports whether the fan-out has a success already, and waits for
-// more shards only until its cutoff.
+// awaitsCutoff reports whether enough shards have answered for a successful reply, so
+// that the fan-out waits for the other shards only until its cutoff.
 func (f *fanOut) awaitsCutoff() bool {
 	return f.request.FanOut && f.completeShards >= f.required && f.route.TargetLatency > 0
 }
 
-// reachesCutoff reports whether to make the reply now with the shards that answered:
-// an incomplete reply within the target latency is better than a complete one later.
-// If the target latency is already missed, it moves the cutoff to a late one instead.
+// reachesCutoff reports whether to build the reply now from the shards that have answered,
+// because an incomplete reply within the target latency is better than a complete one after
+// it. If the target latency is already missed, reachesCutoff postpones the cutoff to
+// lateCutoffFactor target latencies after the start.
 func (f *fanOut) reachesCutoff(now time.Time) bool {
 	if !f.awaitsCutoff() || f.cutoff.After(now) {
 		return false
@@ -167,7 +168,7 @@
 	return false
 }
 
-// wakeAt returns when the fan-out must act if no result arrives before.
+// wakeAt returns when the fan-out must act next if no result arrives earlier.
 func (f *fanOut) wakeAt() time.Time {
 	wakeAt := f.request.Deadline
 	if !f.nextDue.IsZero() && f.nextDue.Before(wakeAt) {
@@ -179,14 +180,14 @@
 	return wakeAt
 }
 
-// scheduleBy makes run call handleDue at the given time or before.
+// scheduleBy makes run call handleDue at the given time or earlier.
 func (f *fanOut) scheduleBy(at time.Time) {
 	if f.nextDue.IsZero() || at.Before(f.nextDue) {
 		f.nextDue = at
 	}
 }
 
-// handleDue performs the retries and hedges that are due, and sets nextDue.
+// handleDue starts the retries and hedges that are due and updates nextDue.
 func (f *fanOut) handleDue(now time.Time) {
 	f.nextDue = time.Time{}
 	for i := range f.shards {
@@ -214,7 +215,7 @@
 	f.scheduleBy(s.hedgeAt)
 }
 
-// complete sets the response of a shard, unless it has one already.
+// complete sets the response of a shard unless it already has one.
 func (f *fanOut) complete(s *shard, response *upstream.Response) {
 	if s.response != nil {
 		return
@@ -226,7 +227,7 @@
 	}
 }
 
-// failIfExhausted marks the shard as failed if it is open and no attempt is under way.
+// failIfExhausted marks an open shard as failed if none of its attempts is under way.
 func (f *fanOut) failIfExhausted(s *shard) {
 	if s.isIdle() && !s.failed {
 		s.failed = true
--- a/internal/scatter/histogram.go
+++ b/internal/scatter/histogram.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// The buckets' bounds grow by a fifth from firstBucketBound, in nanoseconds.
+	// The upper bounds of the buckets start at firstBucketBound, in nanoseconds. Each is
+	// bucketGrowth times the previous one.
 	bucketCount      = 80
 	firstBucketBound = float64(500 * time.Microsecond)
 	bucketGrowth     = 1.2
 
-	// maxHistogramWeight is the number of samples after which older ones are halved.
+	// maxHistogramWeight is the total weight above which all weights are halved, so that
+	// old samples lose influence.
 	maxHistogramWeight = 600
-	// minHistogramSamples is the number of samples from which the quantile is used.
+	// minHistogramSamples is the minimum number of samples for the quantile to be used.
 	minHistogramSamples = 40
 	// quantileInterval is the number of samples between two computations of the quantile.
 	quantileInterval = 16
 
-	// hedgeQuantile is the quantile of the latency from which an attempt counts as
+	// hedgeQuantile is the quantile of the latency above which an attempt counts as
 	// overdue.
 	hedgeQuantile = 0.95
-	// The least delay before a hedge, with a known quantile and without one.
+	// The minimum delay before a hedge, with a known quantile and without one.
 	minHedgeDelay        = 5 * time.Millisecond
 	minInitialHedgeDelay = 10 * time.Millisecond
 )
 
-// latencyHistogram measures the response latency of a route; old samples lose weight.
+// latencyHistogram records the latencies of a route's responses and gives recent ones more weight.
 // It is safe for concurrent use.
 type latencyHistogram struct {
 	mu           sync.Mutex // guards the fields below
 	buckets      [bucketCount]float64
-	total        float64 // of the buckets
-	samples      int     // ever recorded
-	hedgeLatency time.Duration
+	total        float64       // sum of the buckets
+	samples      int           // ever recorded
+	hedgeLatency time.Duration // at hedgeQuantile when last computed; 0 before
 }
 
 // record adds the latency of one response.
@@ -69,7 +71,7 @@
 	}
 }
 
-// quantileLocked returns the upper bound of the bucket that holds a quantile.
+// quantileLocked returns the upper bound of the bucket that contains the quantile.
 func (h *latencyHistogram) quantileLocked(quantile float64) time.Duration {
 	bucket := 0
 	for left := quantile * h.total; bucket < bucketCount; bucket++ {
@@ -81,7 +83,8 @@
 	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(bucket)))
 }
 
-// hedgeDelay is how long an attempt may take before it counts as overdue.
+// hedgeDelay returns the time after which an attempt counts as overdue. Without enough samples it
+// derives the time from the route's target latency.
 func (h *latencyHistogram) hedgeDelay(targetLatency time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scatter/histogram_test.go
+++ b/internal/scatter/histogram_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestHedgeDelay: half the target latency while too little is known, and after that
-// what nineteen of twenty responses take, within a bucket.
+// TestHedgeDelay: the hedge delay is half the target latency until there are enough
+// samples, and then the 95th percentile of the recent latencies, to the accuracy of a
+// bucket and not below its minimum.
 func TestHedgeDelay(t *testing.T) {
 	histogram := &latencyHistogram{}
 	for target, want := range map[time.Duration]time.Duration{
@@ -14,7 +15,7 @@
 		100 * time.Millisecond: 50 * time.Millisecond,
 	} {
 		if got := histogram.hedgeDelay(target); got != want {
-			t.Errorf("without samples, target %v: %v, want %v", target, got, want)
+			t.Errorf("without samples, target latency %v: hedge delay is %v, want %v", target, got, want)
 		}
 	}
 	for i := range 400 {
@@ -25,29 +26,30 @@
 		histogram.record(latency)
 	}
 	if got := histogram.hedgeDelay(time.Second); got < 100*time.Millisecond || got > 120*time.Millisecond {
-		t.Errorf("with a tenth of 100ms: %v", got)
+		t.Errorf("a tenth of the latencies is 100ms: hedge delay is %v, want 100ms to 120ms", got)
 	}
 	for range 4000 {
 		histogram.record(20 * time.Millisecond)
 	}
 	if got := histogram.hedgeDelay(time.Second); got < 20*time.Millisecond || got > 24*time.Millisecond {
-		t.Errorf("after the slow ones faded: %v", got)
+		t.Errorf("after 4000 latencies of 20ms: hedge delay is %v, want 20ms to 24ms", got)
 	}
 	for range 4000 {
 		histogram.record(time.Microsecond)
 	}
 	if got := histogram.hedgeDelay(time.Second); got != minHedgeDelay {
-		t.Errorf("with fast ones: %v", got)
+		t.Errorf("after 4000 latencies of 1us: hedge delay is %v, want minHedgeDelay", got)
 	}
 }
 
-// TestBucketOf: a latency is at most its bucket's bound, and the bounds grow by a fifth.
+// TestBucketOf: a latency does not exceed the upper bound of its bucket, and each bound is 1.2 times the previous one.
+// An error of one in the index would make every quantile a fifth too low or too high.
 func TestBucketOf(t *testing.T) {
 	last := 0
 	for latency := time.Microsecond; latency < time.Hour; latency = latency*11/10 + 1 {
 		bucket := bucketOf(latency)
 		if bucket < last || bucket > last+1 || bucket >= bucketCount {
-			t.Fatalf("%v is in bucket %d after %d", latency, bucket, last)
+			t.Fatalf("bucketOf(%v) = %d, want the previous bucket %d or the next", latency, bucket, last)
 		}
 		last = bucket
 		histogram := &latencyHistogram{total: 1}
@@ -55,10 +57,10 @@
 		bound := histogram.quantileLocked(1)
 		if bucket < bucketCount-1 && (float64(latency) > float64(bound)*1.001 || float64(latency) < float64(bound)/1.21) &&
 			bucket > 0 {
-			t.Errorf("%v is in the bucket up to %v", latency, bound)
+			t.Errorf("%v is in the bucket with upper bound %v, want a bound up to 1.2 times the latency", latency, bound)
 		}
 	}
 	if last != bucketCount-1 {
-		t.Errorf("the last bucket is %d", last)
+		t.Errorf("latencies up to one hour reach bucket %d, want the last bucket", last)
 	}
 }
--- a/internal/scatter/merge.go
+++ b/internal/scatter/merge.go
@@ -8,8 +8,9 @@
 // recordSize is the size of a record in the responses of shards, in bytes.
 const recordSize = 16
 
-// Merge returns the n greatest records of the bodies, greatest first. Bytes past
-// the last whole record of a body are ignored. Equal records all count.
+// Merge returns the n greatest records of the bodies in descending byte order. Bytes
+// after the last complete record of a body are ignored. Equal records are not
+// deduplicated.
 func Merge(bodies [][]byte, n int) []byte {
 	kept := greatest(bodies, n)
 	slices.SortFunc(kept, func(a, b []byte) int { return bytes.Compare(b, a) })
@@ -20,7 +21,7 @@
 	return merged
 }
 
-// greatest returns the n greatest records of the bodies.
+// greatest returns the n greatest records of the bodies as a heap.
 func greatest(bodies [][]byte, n int) recordHeap {
 	total := 0
 	for _, body := range bodies {
@@ -46,11 +47,11 @@
 	return kept
 }
 
-// recordHeap is a heap of records with the least on top. It is written out because
-// container/heap costs a conversion for each record.
+// recordHeap is a min-heap of records. It does not use container/heap, which converts
+// each record to an interface value.
 type recordHeap [][]byte
 
-// siftUp moves the last record up to its place.
+// siftUp restores the heap order after a record was appended.
 func (h recordHeap) siftUp() {
 	for i := len(h) - 1; i > 0; {
 		parent := (i - 1) / 2
@@ -62,7 +63,7 @@
 	}
 }
 
-// siftDown moves the first record down to its place.
+// siftDown restores the heap order after the first record was replaced.
 func (h recordHeap) siftDown() {
 	for i := 0; ; {
 		child := 2*i + 1
--- a/internal/scatter/merge_test.go
+++ b/internal/scatter/merge_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// randomBody makes the sorted records of a shard, of few different values so that
-// some are equal.
+// randomBody returns the records of a shard. They have few different values, so that
+// some records are equal.
 func randomBody(random *rand.Rand, records int) []byte {
 	var all [][]byte
 	for range records {
@@ -21,7 +21,7 @@
 	return bytes.Join(all, nil)
 }
 
-// mergeBySorting is what Merge must return.
+// mergeBySorting is the reference implementation of Merge.
 func mergeBySorting(bodies [][]byte, n int) []byte {
 	var all [][]byte
 	for _, body := range bodies {
@@ -33,8 +33,8 @@
 	return bytes.Join(all[:min(n, len(all))], nil)
 }
 
-// TestMerge: the n greatest records of all bodies, greatest first, equal ones each
-// by itself, without the bytes past the last whole record of a body.
+// TestMerge: Merge returns the n greatest records of all bodies in descending order,
+// keeps equal records and ignores bytes after the last complete record of a body.
 func TestMerge(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, shards := range []int{0, 1, 3, 20} {
@@ -45,13 +45,13 @@
 				bodies = append(bodies, append(body, make([]byte, random.IntN(recordSize))...))
 			}
 			if got, want := Merge(bodies, n), mergeBySorting(bodies, n); !bytes.Equal(got, want) {
-				t.Errorf("%d shards, %d records: got %x, want %x", shards, n, got, want)
+				t.Errorf("Merge of %d shards to %d records returned %x, want %x", shards, n, got, want)
 			}
 		}
 	}
 }
 
-// BenchmarkMerge measures the merge of 64 shards of 100 records to 100.
+// BenchmarkMerge measures the merge of 64 shards with 100 records each to 10, 100 and 1000 records.
 func BenchmarkMerge(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var bodies [][]byte
--- a/internal/scatter/reply.go
+++ b/internal/scatter/reply.go
@@ -9,20 +9,20 @@
 	"comethold/internal/upstream"
 )
 
-// Headers of replies to fan-outs.
+// Headers of the replies of fan-outs.
 const (
 	HeaderPartStamps   = "X-Comethold-Part-Stamps"   // the server stamps of the merged responses
-	HeaderMissingParts = "X-Comethold-Missing-Parts" // the number of shards without one
+	HeaderMissingParts = "X-Comethold-Missing-Parts" // the number of shards without a merged response
 )
 
-// minRetryAfter is the least time that a client is asked to wait before it
-// repeats a request that was not executed; at most it is three times that.
+// minRetryAfter is the minimum time that a client is asked to wait before it repeats
+// a request that was not executed. Jitter adds up to twice this time.
 const minRetryAfter = 50 * time.Millisecond
 
-// Reply is what the client gets.
+// Reply is the reply to a client.
 type Reply struct {
 	Status int
-	// Header is nil for a reply that this node made itself; it has a Reason instead
+	// Header is nil if this node generated the reply. Such a reply has a Reason instead
 	// of a Body.
 	Header http.Header
 	Body   []byte
@@ -49,15 +49,15 @@
 	}
 }
 
-// retryLater returns a retryLaterReply that also respects the rate limits which
-// cancelled attempts.
+// retryLater returns a retryLaterReply whose RetryAfter is at least the wait that the
+// rate limits asked for when they cancelled attempts.
 func (f *fanOut) retryLater(reason string) *Reply {
 	reply := retryLaterReply(reason)
 	reply.RetryAfter = max(reply.RetryAfter, f.retryAfter)
 	return reply
 }
 
-// singleReply makes the reply of a route without fan-out.
+// singleReply builds the reply of a route without fan-out.
 func (f *fanOut) singleReply() *Reply {
 	s := &f.shards[0]
 	switch {
@@ -76,8 +76,9 @@
 	return f.retryLater("no leaf takes the request now")
 }
 
-// isForwardableFailure reports whether a response is an endpoint's failure that may be passed
-// on to the client: it must not suggest that the request was not executed.
+// isForwardableFailure reports whether a response is an endpoint's failure that may be forwarded
+// to the client. A response that implies that the request was not executed may not, because
+// the client could repeat a request that was executed.
 func isForwardableFailure(response *upstream.Response) bool {
 	return response != nil && response.Status/100 != 2 &&
 		!response.NotExecuted() && !impliesNotExecuted(response.Status)
@@ -96,7 +97,7 @@
 	return false
 }
 
-// mergedReply makes the reply of a fan-out.
+// mergedReply builds the reply of a fan-out.
 func (f *fanOut) mergedReply() *Reply {
 	if f.completeShards < f.required {
 		return f.incompleteReply()
@@ -122,7 +123,7 @@
 	return &Reply{Status: http.StatusOK, Header: header, Body: body}
 }
 
-// incompleteReply makes the reply of a fan-out with too few responses.
+// incompleteReply builds the reply of a fan-out with too few responses.
 func (f *fanOut) incompleteReply() *Reply {
 	executed := false
 	pending := false
--- a/internal/scatter/result.go
+++ b/internal/scatter/result.go
@@ -9,7 +9,7 @@
 	"comethold/internal/upstream"
 )
 
-// handleResult updates the shard of an attempt that ended, and retries it if it failed.
+// handleResult updates the shard of an ended attempt, and retries or replaces the attempt if it failed.
 func (f *fanOut) handleResult(ended *attempt) {
 	s := ended.shard
 	s.pendingAttempts--
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleNotSent replaces an attempt that was not sent, and reports whether it could.
+// handleNotSent replaces an attempt that was not sent, if possible. It reports whether a replacement was started.
 func (f *fanOut) handleNotSent(s *shard, now time.Time) bool {
 	s.sentAttempts--
 	s.unsentAttempts++
@@ -62,8 +62,9 @@
 	return f.startAttempt(s, now)
 }
 
-// handleRejection retries an attempt that its endpoint rejected: at once if the request
-// was misdirected, and otherwise after a backoff. It reports whether there is a retry.
+// handleRejection retries an attempt that its endpoint rejected: immediately if the request
+// was misdirected, otherwise after a backoff. It reports whether a retry was started or
+// scheduled.
 func (f *fanOut) handleRejection(ended *attempt, now time.Time) bool {
 	s := ended.shard
 	s.lastFailure = ended.response
@@ -81,8 +82,8 @@
 	return true
 }
 
-// handleFailure retries an attempt that failed at its endpoint or without a response,
-// and reports whether it could.
+// handleFailure retries an attempt that its endpoint answered with a failure or that got no
+// complete response, if possible. It reports whether a retry was started.
 func (f *fanOut) handleFailure(ended *attempt, outcome upstream.Outcome, now time.Time) bool {
 	s := ended.shard
 	s.lastFailure = ended.response
@@ -96,7 +97,7 @@
 	return s.isIdle() && f.retry(s, noBudgetReserve, now)
 }
 
-// markExecuted records, once, that an endpoint executed the request.
+// markExecuted calls onExecuted on the first call only. at is when the endpoint received the request.
 func (f *fanOut) markExecuted(at time.Time) {
 	if f.onExecuted != nil {
 		f.onExecuted(at)
@@ -104,8 +105,8 @@
 	}
 }
 
-// markPossiblyExecuted counts a request as executed if an endpoint got it and never
-// said whether it executed it: such endpoints mostly had begun the work.
+// markPossiblyExecuted counts a request as executed if an endpoint received it but did not
+// report whether it was executed, because most such endpoints have already begun to execute it.
 func (f *fanOut) markPossiblyExecuted() {
 	for i := range f.shards {
 		if s := &f.shards[i]; s.pendingAttempts > 0 && f.maybeExecutedAt.IsZero() {
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// hedgeBudgetReserve is the share of the retry budget that hedges leave for
+	// hedgeBudgetReserve is the share of the retry budget that hedges leave to
 	// retries after a failure.
 	hedgeBudgetReserve = 0.6
-	// shadowBudgetReserve is the share that shadow attempts, which only compare
-	// replicas, leave for retries and hedges.
+	// shadowBudgetReserve is the share that shadow attempts leave to retries and
+	// hedges. Shadow attempts serve only to compare replicas.
 	shadowBudgetReserve = 0.8
 	// noBudgetReserve lets retries after a failure use the whole retry budget.
 	noBudgetReserve = 0.0
 
-	// The bounds of the backoff after a rejected attempt, before jitter.
+	// The bounds, before jitter, of the backoff after a rejected attempt.
 
 	minRejectionBackoff = 6 * time.Millisecond
 	maxRejectionBackoff = 40 * time.Millisecond
 )
 
-// reserve reserves an endpoint for one more attempt, or returns nil. All attempts
-// reserve here, which keeps an invariant: a request that is not idempotent gets an
-// endpoint only if no other endpoint has the request or may have executed it. A client that
-// has left gets no more attempts.
+// reserve reserves an endpoint for one more attempt. It returns nil if there is none, or if
+// the client has disconnected. All attempts must reserve their endpoint here, which maintains
+// an invariant: a request that is not idempotent gets an endpoint only if no other endpoint is
+// processing it or may have executed it.
 func (f *fanOut) reserve(s *shard) *upstream.Endpoint {
 	if f.clientCtx.Err() != nil {
 		return nil
@@ -38,8 +38,8 @@
 }
 
 // startAttempt starts an attempt that does not count against the retry budget: the
-// first one, or a replacement for one that was not sent. It reports whether an
-// endpoint accepted it.
+// first one, or a replacement for one that was not sent. It returns false if no
+// endpoint could be reserved.
 func (f *fanOut) startAttempt(s *shard, now time.Time) bool {
 	endpoint := f.reserve(s)
 	if endpoint == nil {
@@ -50,9 +50,9 @@
 	return true
 }
 
-// retry starts an attempt at another endpoint, if the route's attempt limit and
-// the retry budget allow it, and reports whether it did. budgetReserve is the share
-// of the budget that must remain after it.
+// retry starts an attempt at another endpoint if the route's attempt limit, the request's
+// deadline and the retry budget allow it, and reports whether it did. budgetReserve is the
+// share of the budget, from 0 to 1, that must remain afterwards.
 func (f *fanOut) retry(s *shard, budgetReserve float64, now time.Time) bool {
 	if s.sentAttempts >= f.route.AttemptLimit || !f.request.Deadline.After(now) {
 		return false
@@ -76,21 +76,21 @@
 	go f.perform(added)
 }
 
-// handleOverdue reports and hedges the newest attempt of a shard, which is overdue.
+// handleOverdue reports the newest attempt of a shard as overdue to the cluster manager and hedges it.
 func (f *fanOut) handleOverdue(s *shard, now time.Time) {
 	overdue := s.newest
 	f.Clusters.ReportOverdue(overdue.endpoint, overdue.startedAt, f.hedgeDelay)
 	s.hedgeAt = now.Add(f.hedgeDelay)
 	if f.Clusters.Overloaded(s.service) {
-		return // a second attempt would only slow down all of them
+		return // extra load would only slow down all attempts
 	}
 	if f.retry(s, hedgeBudgetReserve, now) {
 		overdue.markHedged()
 	}
 }
 
-// rejectionBackoff returns how long to wait after an endpoint rejected an attempt:
-// about one mean latency, after which it or another endpoint has a free slot.
+// rejectionBackoff returns the time to wait after an endpoint rejected an attempt. It is
+// about one mean latency, after which this or another endpoint is likely to have a free slot.
 func rejectionBackoff(meanLatency time.Duration) time.Duration {
 	backoff := min(max(meanLatency, minRejectionBackoff), maxRejectionBackoff)
 	return backoff/2 + rand.N(backoff)
--- a/internal/scatter/sampling.go
+++ b/internal/scatter/sampling.go
@@ -9,12 +9,12 @@
 	"comethold/internal/upstream"
 )
 
-// replicaPair joins the responses of two replicas to one lookup.
+// replicaPair collects the responses of two different replicas to the same lookup.
 type replicaPair struct {
 	mu        sync.Mutex // guards the fields below
 	first     *latencyestimate.Sample
 	firstBody []byte
-	done      bool
+	done      bool // a pair was returned
 }
 
 // samplesLatency reports whether the latencies of lookups on the route are sampled.
@@ -22,12 +22,12 @@
 	return d.Latencies != nil && route.LookupClass != ""
 }
 
-// recordSample submits the latency of a call. It runs in the attempt's own goroutine,
-// after the attempt was sent to the fan-out, and does not block.
+// recordSample submits the latency of a call. It runs in the attempt's goroutine after the
+// attempt was sent to the fan-out, and does not block.
 func (f *fanOut) recordSample(ended *attempt, contended bool) {
 	timedOut := errors.Is(ended.err, upstream.ErrTimeout)
 	if !timedOut && (ended.err != nil || !ended.response.IsSuccess()) {
-		return // a failure does not show how long a lookup takes
+		return // the duration of a failed call is no measure of lookup latency
 	}
 	info := ended.endpoint.Info()
 	sample := latencyestimate.Sample{
@@ -47,8 +47,8 @@
 	}
 }
 
-// add adds the response of a replica, and returns the pair when a second replica has
-// answered.
+// add records the response of a replica. It returns the pair once, when a second replica
+// has answered.
 func (p *replicaPair) add(sample latencyestimate.Sample, body []byte) (pair latencyestimate.AnswerPair, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 		return pair, false
 	}
 	p.done = true
-	// The slower one is the lookup, the other shows what a second replica took.
+	// First is the slower response, so that a slow lookup can be compared with a faster replica.
 	if sample.Duration > p.first.Duration {
 		return latencyestimate.AnswerPair{
 			First: sample, Second: *p.first, FirstPart: body, SecondPart: p.firstBody,
--- a/internal/scatter/shard.go
+++ b/internal/scatter/shard.go
@@ -6,35 +6,35 @@
 	"comethold/internal/upstream"
 )
 
-// shard is one service of a fan-out and the attempts for it. It is open until it has
-// a response or has failed; a failed shard has no attempt under way and gets none.
+// shard is one service of a fan-out with its attempts. It is open until it has a
+// response or has failed. A failed shard has no attempt under way and gets no more.
 // Only the fan-out changes it.
 type shard struct {
 	service string
-	pair    *replicaPair // of sampled responses; nil where they are not sampled
+	pair    *replicaPair // the sampled responses; nil if latencies are not sampled
 
 	// The attempts so far.
 
-	first           attempt // storage of the first attempt; saves an allocation
+	first           attempt // storage for the first attempt, which avoids an allocation
 	newest          *attempt
 	triedEndpoints  []*upstream.Endpoint
-	sentAttempts    int                // that reached an endpoint, or still may
-	unsentAttempts  int                // that could not be sent
-	pendingAttempts int                // that have not ended
-	worstOutcome    upstream.Outcome   // of the attempts that completed
-	lastFailure     *upstream.Response // of the newest completed attempt without success
-	timedOut        bool               // an attempt timed out
+	sentAttempts    int                // attempts that reached an endpoint or still may
+	unsentAttempts  int                // attempts that could not be sent
+	pendingAttempts int                // attempts that have not ended
+	worstOutcome    upstream.Outcome   // of the completed attempts
+	lastFailure     *upstream.Response // response of the last attempt that was rejected or failed; may be nil
+	timedOut        bool               // whether an attempt timed out
 
 	// The next steps.
 
 	hedgeAt time.Time // when the newest attempt counts as overdue
-	retryAt time.Time // when a rejected attempt is retried; zero if none is
+	retryAt time.Time // when a rejected attempt is retried; zero if no retry is scheduled
 
 	response *upstream.Response
 	failed   bool
 }
 
-// addAttempt adds an attempt at a reserved endpoint.
+// addAttempt adds an attempt at an endpoint that the caller has reserved.
 func (s *shard) addAttempt(endpoint *upstream.Endpoint, now time.Time) *attempt {
 	added := &s.first
 	if s.newest != nil {
@@ -53,9 +53,9 @@
 // isOpen reports whether the shard may still get a response.
 func (s *shard) isOpen() bool { return s.response == nil && !s.failed }
 
-// isIdle reports whether the shard lacks a response and no attempt is under way.
+// isIdle reports whether the shard has neither a response nor an attempt under way.
 func (s *shard) isIdle() bool { return s.response == nil && s.pendingAttempts == 0 }
 
-// mayHaveExecuted reports whether an endpoint executed the shard's request or may
-// have, as far as attempts completed.
+// mayHaveExecuted reports whether an endpoint executed or may have executed the shard's
+// request, judged by the completed attempts only.
 func (s *shard) mayHaveExecuted() bool { return s.worstOutcome > upstream.Rejected }
