--- a/internal/upstream/balancer.go
+++ b/internal/upstream/balancer.go
@@ -9,31 +9,31 @@
 
 // Weights of the score. docs/design.md derives them.
 const (
-	// unknownMeanLatency is assumed of a cluster without samples, in seconds.
+	// unknownMeanLatency is the assumed mean latency of a cluster without samples, in seconds.
 	unknownMeanLatency = 0.02
-	// scoreJitter spreads calls over endpoints that score alike.
+	// scoreJitter spreads calls over endpoints with similar scores.
 	scoreJitter = 0.1
 
-	// remoteZoneMeanShare is the part of the mean latency that is added to the distance
-	// of another zone.
+	// remoteZoneMeanShare is the share of the mean latency that is added to the dial
+	// latency of another zone; the sum is the distance of the zone.
 	remoteZoneMeanShare = 0.5
 	// remoteZoneFactor is the weight of the distance in the score.
 	remoteZoneFactor = 1.0
 
 	// The unit of the costs below is the mean latency of the cluster.
 
-	queueCost     = 1.5  // for each active call, divided by the slots
+	queueCost     = 1.5  // per active call, divided by the number of slots
 	errorCost     = 20.0 // at an error rate of 1
-	warmingUpCost = 0.5  // of an endpoint that is warming up
+	warmingUpCost = 0.5  // for an endpoint that is warming up
 	slowStartCost = 4.0  // at the start of slowStartWindow
-	rejectionCost = 4.0  // of an endpoint that has just rejected a call
-	dialCost      = 0.4  // of opening a connection, if connections are rarely reused
+	rejectionCost = 4.0  // for an endpoint that has just rejected a call
+	dialCost      = 0.4  // for opening a connection, if connections are rarely reused
 
-	// slowStartWindow is the time in which a reinstated endpoint gets its full traffic
-	// back.
+	// slowStartWindow is the time over which the traffic of a reinstated endpoint grows
+	// to its full share.
 	slowStartWindow = 2 * time.Second
-	// rareReuseNodes is the number of nodes per endpoint from which connections count
-	// as rarely reused; up to half of that they count as often reused.
+	// rareReuseNodes is the number of nodes per endpoint at which dialCost applies in
+	// full. Up to half of that number, it does not apply.
 	rareReuseNodes = 20
 	// overloadRejectionRate is the share of rejected calls above which a cluster
 	// counts as overloaded.
@@ -50,8 +50,8 @@
 	subsets        *subsetter
 }
 
-// pick picks the endpoint for an attempt, leaving out those already tried: one of
-// the node's subset or, if none of those accepts the call, any.
+// pick returns the best endpoint for an attempt, except those already tried, or nil.
+// It considers endpoints outside of the node's subset only if none in it accepts the call.
 func (b *loadBalancer) pick(cluster *Cluster, tried []*Endpoint, nonIdempotent bool, now time.Time) *Endpoint {
 	subset := b.subsets.subset(cluster)
 	endpoint := b.pickBest(subset, tried, nonIdempotent, now)
@@ -61,7 +61,8 @@
 	return endpoint
 }
 
-// pickBest picks the endpoint of a list that has the lowest score.
+// pickBest returns the candidate with the lowest score that accepts the call and was
+// not tried yet, or nil.
 func (b *loadBalancer) pickBest(candidates, tried []*Endpoint, nonIdempotent bool, now time.Time) *Endpoint {
 	var best *Endpoint
 	var bestScore float64
@@ -78,8 +79,8 @@
 	return best
 }
 
-// accepts reports whether an endpoint may get a call. An endpoint on probation gets no
-// call that is not idempotent for probationPatience.
+// accepts reports whether an endpoint may get a call. An endpoint on probation gets only
+// idempotent calls for the first nonIdempotentProbationDelay.
 func (b *loadBalancer) accepts(endpoint *Endpoint, nonIdempotent bool, now time.Time) bool {
 	if endpoint.info.Load().Draining || endpoint.terminating || endpoint.activeCalls >= b.maxActiveCalls(endpoint) {
 		return false
@@ -87,8 +88,8 @@
 	switch endpoint.health.state {
 	case stateHealthy:
 		return !endpoint.fleetEjected
-	case stateProbation: // also while ejected by the fleet: a successful call ends that
-		return endpoint.activeCalls == 0 && endpoint.health.mayEndProbation(nonIdempotent, now)
+	case stateProbation: // also if fleetEjected: a successful call ends the fleet ejection
+		return endpoint.activeCalls == 0 && endpoint.health.allowsProbationCall(nonIdempotent, now)
 	default:
 		return false
 	}
@@ -101,7 +102,7 @@
 	})
 }
 
-// maxActiveCalls returns how many calls this node may have under way at an endpoint.
+// maxActiveCalls returns the maximum number of concurrent calls from this node to an endpoint.
 func (b *loadBalancer) maxActiveCalls(endpoint *Endpoint) int {
 	limit := endpoint.cluster.connectionLimit
 	if b.slotOvercommit <= 0 {
@@ -112,8 +113,8 @@
 	return min(limit, max(1, share))
 }
 
-// score estimates how long a call would take, in seconds, with penalties for distance,
-// errors, rejections and a cold start.
+// score returns the estimated duration of a call in seconds, with penalties for
+// distance, errors, rejections, opening a connection, warm-up and slow start.
 func (b *loadBalancer) score(endpoint *Endpoint, now time.Time) float64 {
 	info := endpoint.info.Load()
 	mean := endpoint.cluster.load.meanLatency
@@ -144,14 +145,14 @@
 }
 
 // rejectionPenalty returns the estimated time in seconds until an endpoint that
-// rejected a call has worked off its queue.
+// rejected a call has processed its queue.
 func rejectionPenalty(endpoint *Endpoint, mean float64, now time.Time) float64 {
-	left := rejectionCost*mean - now.Sub(endpoint.load.lastRejectedAt).Seconds()
-	return max(0, left)
+	remaining := rejectionCost*mean - now.Sub(endpoint.load.lastRejectedAt).Seconds()
+	return max(0, remaining)
 }
 
-// slowStartPenalty returns a cost in seconds that keeps most traffic from an endpoint
-// that was just reinstated. It falls to 0 over slowStartWindow.
+// slowStartPenalty returns a cost in seconds that keeps most traffic away from a newly
+// reinstated endpoint. It decreases linearly to 0 over slowStartWindow.
 func slowStartPenalty(endpoint *Endpoint, mean float64, now time.Time) float64 {
 	since := now.Sub(endpoint.health.healthySince)
 	if endpoint.health.state != stateHealthy || endpoint.health.ejectionTime == 0 || since >= slowStartWindow {
@@ -160,7 +161,7 @@
 	return mean * slowStartCost * (1 - float64(since)/float64(slowStartWindow))
 }
 
-// observe updates the load of an endpoint and its cluster with a call that ended.
+// observe updates the load of an endpoint and its cluster with a completed call.
 func (b *loadBalancer) observe(endpoint *Endpoint, ended endedCall, now time.Time) {
 	switch ended.result {
 	case callSucceeded:
@@ -173,9 +174,9 @@
 	}
 }
 
-// reuseRarity estimates how rarely, from 0 to 1, this node reuses a connection of the
-// cluster. The more nodes share each endpoint, the longer connections are idle, and the
-// more of them are opened for a single call.
+// reuseRarity estimates how rarely this node reuses a connection of the cluster, from 0
+// (often) to 1 (rarely). The more nodes share each endpoint, the longer connections are
+// idle, and the more of them are opened for a single call.
 func (b *loadBalancer) reuseRarity(cluster *Cluster) float64 {
 	nodesPerEndpoint := float64(b.nodeCount) / float64(max(1, len(cluster.endpoints)))
 	return min(1, max(0, nodesPerEndpoint/rareReuseNodes*2-1))
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -32,8 +32,8 @@
 }
 
 // Reserve reserves the best endpoint of a service for one call, except the ones
-// already tried, or returns nil. nonIdempotent says that the call must not be
-// executed twice. The reservation ends with Call or Release.
+// already tried, or returns nil. nonIdempotent marks a call that must not be
+// executed twice. Call or Release ends the reservation.
 func (m *ClusterManager) Reserve(service string, tried []*Endpoint, nonIdempotent bool) *Endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,7 @@
 	return endpoint
 }
 
-// Release gives up a reservation that was not used.
+// Release ends a reservation without a call.
 func (m *ClusterManager) Release(endpoint *Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,10 +56,10 @@
 }
 
 // Call sends a request to an endpoint that Reserve returned, and ends the
-// reservation. The request names the endpoint, so that another endpoint at the same
-// address rejects it. When ctx is canceled, the connection is closed, by which the
-// endpoint learns that nobody waits for the response. The error wraps ErrNotSent,
-// ErrResponseLost, ErrTimeout or ErrCanceled.
+// reservation. The request contains the ID of the endpoint, so that another endpoint
+// at the same address rejects it. When ctx is done, Call closes the connection, so
+// that the endpoint can detect that the response is no longer needed. The error wraps
+// ErrNotSent, ErrResponseLost, ErrTimeout or ErrCanceled.
 func (m *ClusterManager) Call(ctx context.Context, endpoint *Endpoint, request *Request) (*Response, error) {
 	conn, err := m.connect(ctx, endpoint, request)
 	start := time.Now()
@@ -84,7 +84,7 @@
 	return response, err
 }
 
-// withCancellation makes the error of a call wrap ErrCanceled if the caller gave the call up.
+// withCancellation makes the error of a call also wrap ErrCanceled if ctx was canceled.
 func withCancellation(ctx context.Context, err error) error {
 	if err == nil || !errors.Is(ctx.Err(), context.Canceled) {
 		return err
@@ -92,7 +92,8 @@
 	return fmt.Errorf("%w: %w", ErrCanceled, err)
 }
 
-// connect takes an idle connection of the endpoint or opens a new one by the request's deadline.
+// connect returns an idle connection of the endpoint, or opens a new one before the
+// request's deadline. It closes idle connections that can't be reused.
 func (m *ClusterManager) connect(ctx context.Context, endpoint *Endpoint, request *Request) (*connection, error) {
 	for {
 		conn := endpoint.pool.take()
@@ -104,14 +105,14 @@
 		}
 		if conn.unexpectedBytes {
 			m.log.Warn(logging.EndpointSurplusData).Str("upstream", endpoint.info.Load().ID).
-				Msg("unexpected bytes after a complete response; connection closed")
+				Msg("idle connection closed: unexpected bytes after a complete response")
 		}
 		conn.close()
 	}
 }
 
-// recordCall ends a reservation and records how its call ended, under one lock: no
-// other call may pick the endpoint in between.
+// recordCall ends a reservation and records the result of its call. Both happen in one
+// critical section, so that no other call picks the endpoint in between.
 func (m *ClusterManager) recordCall(endpoint *Endpoint, ended endedCall) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,12 +122,12 @@
 	m.outliers.observe(endpoint, ended, now)
 }
 
-// ReportOverdue reports that a call sent at sentAt takes longer than usual, which may
-// eject its endpoint.
-func (m *ClusterManager) ReportOverdue(endpoint *Endpoint, sentAt time.Time, usual time.Duration) {
+// ReportOverdue reports that a call sent at sentAt takes longer than the usual latency.
+// This may eject its endpoint.
+func (m *ClusterManager) ReportOverdue(endpoint *Endpoint, sentAt time.Time, usualLatency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.outliers.observeOverdue(endpoint, sentAt, time.Now(), usual)
+	m.outliers.observeOverdue(endpoint, sentAt, time.Now(), usualLatency)
 }
 
 // Overloaded reports whether the endpoints of a service reject too many calls as full.
@@ -137,15 +138,15 @@
 	return cluster != nil && cluster.load.rejectionRate > overloadRejectionRate
 }
 
-// Contended reports whether this node has other calls under way at an endpoint, or
-// its service is overloaded.
+// Contended reports whether this node has more than one active call to an endpoint, or
+// the endpoint's service is overloaded.
 func (m *ClusterManager) Contended(endpoint *Endpoint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return endpoint.activeCalls > 1 || endpoint.cluster.load.rejectionRate > overloadRejectionRate
 }
 
-// MeanLatency is how long calls of a service take on average, 0 if unknown.
+// MeanLatency returns the smoothed latency of a service's successful calls, 0 if unknown.
 func (m *ClusterManager) MeanLatency(service string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/upstream/cluster.go
+++ b/internal/upstream/cluster.go
@@ -8,14 +8,14 @@
 
 // Endpoint is one leaf server as this node sees it.
 type Endpoint struct {
-	info    atomic.Pointer[distribution.Endpoint] // what it points to never changes
+	info    atomic.Pointer[distribution.Endpoint] // the value is never modified, only replaced
 	cluster *Cluster
 	rank    subsetRank
 	pool    *connectionPool
 
 	// The fields below are guarded by ClusterManager.mu.
 
-	activeCalls  int  // calls reserved or under way
+	activeCalls  int  // calls reserved or in progress
 	fleetEjected bool // ejected for all nodes by the control plane
 	terminating  bool // fleetEjected because the platform drains it
 	removed      bool // no longer in the endpoint list
@@ -27,24 +27,24 @@
 // Info returns the endpoint's entry in the endpoint list.
 func (e *Endpoint) Info() distribution.Endpoint { return *e.info.Load() }
 
-// resetStatistics drops the measurements from before a change of health.
+// resetStatistics discards the latency and the error rate measured before a change of
+// the health state.
 func (e *Endpoint) resetStatistics() {
 	e.load.latency = 0
 	e.load.samples = 0
 	e.errorRate.reset()
 }
 
-// Cluster is the endpoints of one service. Its fields are guarded by
-// ClusterManager.mu.
+// Cluster is the set of endpoints of one service. ClusterManager.mu guards its fields.
 type Cluster struct {
 	name      string
 	endpoints []*Endpoint
-	subset    []*Endpoint // endpoints to use first; nil: not computed yet
-	// serviceConnectionLimit is how many connections each endpoint accepts from
-	// all nodes together; 0 if that is not configured.
+	subset    []*Endpoint // preferred endpoints; nil: not computed yet
+	// serviceConnectionLimit is the number of connections that each endpoint accepts
+	// from all nodes together; 0 if it is not configured.
 	serviceConnectionLimit int
-	connectionLimit        int    // connections to each endpoint from this node
-	healthPath             string // of health checks; empty if there are none
+	connectionLimit        int    // from this node to each endpoint
+	healthPath             string // of health checks; empty if the service has none
 	load                   clusterLoad
 }
 
@@ -52,13 +52,13 @@
 	return &Cluster{name: name, load: clusterLoad{admitRate: maxAdmitRate}}
 }
 
-// invalidateSubset makes the next use of the subset compute it again.
+// invalidateSubset discards the subset; its next use computes it again.
 func (c *Cluster) invalidateSubset() { c.subset = nil }
 
 func (c *Cluster) remove(endpoint *Endpoint) {
 	for i, other := range c.endpoints {
 		if other == endpoint {
-			// A new array: the subset may share the old one.
+			// Copies to a new array, since the subset may share the old one.
 			c.endpoints = append(c.endpoints[:i:i], c.endpoints[i+1:]...)
 			return
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -18,8 +18,8 @@
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 2 << 10
 
-	// maxIdleNonIdempotent is how long a connection may have been idle and still
-	// carry a request that must not be executed twice.
+	// maxIdleNonIdempotent is the longest idle time after which a connection may carry
+	// a request that must not be executed twice.
 	maxIdleNonIdempotent = 200 * time.Millisecond
 )
 
@@ -27,22 +27,22 @@
 // and is used by one goroutine at a time.
 type connection struct {
 	conn   net.Conn
-	source *boundedio.Reader // of conn
-	reader *bufio.Reader     // of source
+	source *boundedio.Reader // reads from conn
+	reader *bufio.Reader     // reads from source
 	writer *bufio.Writer
 
-	reusableUntil time.Time // after this the endpoint may close it
+	reusableUntil time.Time // the endpoint may close it after this time
 	idleSince     time.Time
-	// unexpectedBytes says that bytes followed a complete response. They belong to no
+	// unexpectedBytes is set if bytes followed a complete response. They belong to no
 	// request, so the connection is closed.
 	unexpectedBytes bool
 
-	// These distinguish a response to the current request from a late one to an
-	// earlier request; see belongsTo.
+	// The fields below distinguish a response to the current request from a late
+	// response to an earlier request; see belongsTo.
 
-	lastUnidentified bool   // the last response had neither request id nor server stamp
-	echoedKinds      []int  // kinds of responses that had a request id; see responseKind
-	lastStamp        string // server stamp of the last response
+	lastUnidentified   bool   // the last response had neither a request ID nor a server stamp
+	kindsWithRequestID []int  // kinds of responses that had a request ID; see responseKind
+	lastStamp          string // server stamp of the last response
 }
 
 func newConnection(conn net.Conn) *connection {
@@ -68,8 +68,8 @@
 	return c.isIdleAndOpen()
 }
 
-// isIdleAndOpen reports whether the connection is still open with nothing to
-// read. It records unexpected bytes.
+// isIdleAndOpen reports whether the connection is open and has no bytes to read. It
+// sets unexpectedBytes if there are any.
 func (c *connection) isIdleAndOpen() bool {
 	if c.reader.Buffered() > 0 {
 		c.unexpectedBytes = true
@@ -77,7 +77,7 @@
 	}
 	socket, ok := c.conn.(syscall.Conn)
 	if !ok {
-		return true // a simulated connection has no socket to read
+		return true // simulated connections have no socket
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -94,8 +94,8 @@
 	return err == nil && open
 }
 
-// responseKind returns a number for each group of responses in which an endpoint sets
-// the request id either always or never: the status, negative for a fan-out.
+// responseKind returns the kind of a response: its status, negative for a fan-out. An
+// endpoint sets the request ID either in all responses of a kind or in none.
 func responseKind(request *Request, response *Response) int {
 	if request.FanOut {
 		return -response.Status
@@ -103,12 +103,12 @@
 	return response.Status
 }
 
-// belongsTo reports whether a response belongs to the request. A surplus response to
-// an earlier request can arrive after the next request was sent. It has the earlier
-// request's id, or no id although responses of its kind on this connection have one,
-// or the earlier server stamp.
+// belongsTo reports whether a response belongs to the request. An extra response to
+// an earlier request can arrive after the next request was sent. It has the ID of the
+// earlier request, or no ID although responses of its kind on this connection have one,
+// or, for a fan-out, the server stamp of the earlier response.
 func (c *connection) belongsTo(request *Request, response *Response) bool {
-	if request.ID != "" && !c.namesRequest(request, response) {
+	if request.ID != "" && !c.hasExpectedIDs(request, response) {
 		return false
 	}
 	stamp := response.Header.Get(HeaderServerStamp)
@@ -119,12 +119,12 @@
 	return true
 }
 
-// namesRequest reports whether the request ids of a response are those expected for
-// the request, and records the kinds of responses that have ids.
-func (c *connection) namesRequest(request *Request, response *Response) bool {
+// hasExpectedIDs reports whether a response has the ID of the request, or no ID if no
+// earlier response of its kind had one. It records the kinds of responses that have IDs.
+func (c *connection) hasExpectedIDs(request *Request, response *Response) bool {
 	kind := responseKind(request, response)
 	ids := response.Header[HeaderRequestID]
-	echoed := slices.Contains(c.echoedKinds, kind)
+	echoed := slices.Contains(c.kindsWithRequestID, kind)
 	if echoed && len(ids) == 0 {
 		return false
 	}
@@ -132,16 +132,16 @@
 		return false
 	}
 	if !echoed && len(ids) > 0 {
-		c.echoedKinds = append(c.echoedKinds, kind)
+		c.kindsWithRequestID = append(c.kindsWithRequestID, kind)
 	}
 	return true
 }
 
-// noteIdentity records whether the response can be distinguished from the next one,
-// and reports whether the connection may be reused. Two unidentified responses in a
-// row may be the same response sent twice: the next request would then get a
-// response to another one.
-func (c *connection) noteIdentity(header http.Header) bool {
+// recordIdentity records whether the response has a request ID or a server stamp, and
+// reports whether the connection may be reused. Two responses in a row with neither may
+// be the same response sent twice: the next request would then get the response to an
+// earlier one.
+func (c *connection) recordIdentity(header http.Header) bool {
 	before := c.lastUnidentified
 	c.lastUnidentified = header.Get(HeaderRequestID) == "" && header.Get(HeaderServerStamp) == ""
 	return !before || !c.lastUnidentified
--- a/internal/upstream/dialer.go
+++ b/internal/upstream/dialer.go
@@ -13,25 +13,26 @@
 const (
 	// dialTimeout bounds the opening of a connection to an endpoint.
 	dialTimeout = 600 * time.Millisecond
-	// unknownDialLatency is assumed for a zone to which no connection was opened
-	// yet, in seconds.
+	// unknownDialLatency is the assumed dial latency of a zone without measurements,
+	// in seconds.
 	unknownDialLatency = 0.02
-	// dialLatencyWeight is the weight of a new measurement above the known latency.
-	// A lower one replaces the known latency: the least measured is the one without
-	// queueing.
+	// dialLatencyWeight is the weight of a new measurement that is above the known
+	// latency. A lower measurement replaces the known latency, since the minimum is the
+	// latency without queueing.
 	dialLatencyWeight = 0.01
 )
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialer opens connections to endpoints and measures how long that takes.
+// dialer opens connections to endpoints and measures the dial latency of each zone.
 type dialer struct {
 	dial    DialFunc
 	latency zoneLatency
 }
 
-// connect opens a connection to an endpoint, by the deadline. Its error wraps ErrNotSent.
+// connect opens a connection to an endpoint before the deadline and within dialTimeout.
+// Its error wraps ErrNotSent.
 func (d *dialer) connect(
 	ctx context.Context, endpoint *distribution.Endpoint, deadline time.Time,
 ) (*connection, error) {
@@ -49,14 +50,13 @@
 	return newConnection(conn), nil
 }
 
-// zoneLatency measures how long opening a connection to each zone takes. It is safe
-// for concurrent use.
+// zoneLatency holds the dial latency of each zone. It is safe for concurrent use.
 type zoneLatency struct {
 	mu     sync.Mutex         // guards the fields below
 	byZone map[string]float64 // seconds
 }
 
-// record adds a measurement in seconds.
+// record adds a measurement in seconds; see dialLatencyWeight.
 func (l *zoneLatency) record(zone string, seconds float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	l.byZone[zone] = known + dialLatencyWeight*(seconds-known)
 }
 
-// seconds returns the latency of a zone in seconds.
+// seconds returns the dial latency of a zone in seconds.
 func (l *zoneLatency) seconds(zone string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/dialer_test.go
+++ b/internal/upstream/dialer_test.go
@@ -10,11 +10,12 @@
 	"comethold/internal/distribution"
 )
 
-// TestZoneLatency: the least measurement counts, and longer ones raise it slowly.
+// TestZoneLatency: a lower measurement replaces the latency, and higher ones raise it
+// slowly.
 func TestZoneLatency(t *testing.T) {
 	var latency zoneLatency
 	if got := latency.seconds("a"); got != unknownDialLatency {
-		t.Errorf("an unknown zone has %v", got)
+		t.Errorf("latency of a zone without measurements is %v, want unknownDialLatency", got)
 	}
 	for _, c := range []struct{ sample, want float64 }{
 		{0.5, 0.5},
@@ -23,27 +24,26 @@
 	} {
 		latency.record("a", c.sample)
 		if got := latency.seconds("a"); got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("after %v: %v, want %v", c.sample, got, c.want)
+			t.Errorf("latency after a measurement of %v is %v, want %v", c.sample, got, c.want)
 		}
 	}
 	if got := latency.seconds("b"); got != unknownDialLatency {
-		t.Errorf("another zone has %v", got)
+		t.Errorf("latency of another zone is %v, want unknownDialLatency", got)
 	}
 }
 
-// TestDialerErrors: a connection that can't be opened means that nothing was sent,
-// and measures nothing.
+// TestDialerErrors: a failed dial returns ErrNotSent and records no latency.
 func TestDialerErrors(t *testing.T) {
 	refused := errors.New("refused")
 	d := dialer{dial: func(context.Context, string, string) (net.Conn, error) { return nil, refused }}
 	_, err := d.connect(context.Background(), &distribution.Endpoint{Addr: "x", Zone: "a"}, time.Now().Add(time.Second))
 	if !errors.Is(err, ErrNotSent) || !errors.Is(err, refused) {
-		t.Errorf("got %v", err)
+		t.Errorf("connect returned %v, want ErrNotSent and the dial error", err)
 	}
 	if OutcomeOf(nil, err) != NotSent {
-		t.Errorf("its outcome is %v", OutcomeOf(nil, err))
+		t.Errorf("OutcomeOf returned %v, want NotSent", OutcomeOf(nil, err))
 	}
 	if got := d.latency.seconds("a"); got != unknownDialLatency {
-		t.Errorf("the zone has %v", got)
+		t.Errorf("latency after a failed dial is %v, want unknownDialLatency", got)
 	}
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -16,7 +16,7 @@
 	HeaderTenant            = "X-Comethold-Tenant"
 )
 
-// hopByHopHeaders are the headers that concern one connection only, and those
+// hopByHopHeaders contains the headers that apply to a single connection, and those
 // that this package writes itself.
 var hopByHopHeaders = map[string]bool{
 	"Connection":            true,
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -14,8 +14,8 @@
 	// admitDecrease is subtracted from the admit rate for each call that a full
 	// endpoint rejected.
 	admitDecrease = 0.08
-	admitIncrease = 0.005 // added for each success
-	maxAdmitRate  = 1.1   // above 1, so that a single rejection does not shed requests
+	admitIncrease = 0.005 // added for each successful call
+	maxAdmitRate  = 1.1   // above 1, so that a single rejection sheds no requests
 	minAdmitRate  = 0.3
 )
 
@@ -38,9 +38,9 @@
 // clusterLoad holds the load balancer's measurements of a whole cluster.
 type clusterLoad struct {
 	meanLatency   float64 // seconds, smoothed
-	rejectionRate float64 // share of calls that endpoints rejected as full, smoothed
+	rejectionRate float64 // share of calls that full endpoints rejected, smoothed
 	// admitRate estimates the share of requests that the endpoints have the capacity
-	// for: additive increase, additive decrease.
+	// for. It is controlled by additive increase and additive decrease.
 	admitRate float64
 }
 
@@ -61,16 +61,16 @@
 
 const (
 	errorWeight = 0.2             // of a new sample in an error rate
-	errorDecay  = 3 * time.Second // in which an error rate falls to 1/e without new samples
+	errorDecay  = 3 * time.Second // time in which an error rate falls to 1/e without new samples
 )
 
-// decayingRate is a smoothed share of errors that decays with time.
+// decayingRate is a smoothed error rate, from 0 to 1, that decays exponentially with time.
 type decayingRate struct {
 	value     float64 // as of updatedAt
 	updatedAt time.Time
 }
 
-// current returns the share of errors, decayed until now.
+// current returns the error rate, decayed until now.
 func (r *decayingRate) current(now time.Time) float64 {
 	if r.value == 0 {
 		return 0
@@ -78,7 +78,7 @@
 	return r.value * math.Exp(-float64(now.Sub(r.updatedAt))/float64(errorDecay))
 }
 
-// record adds one call: 1 for an error, 0 for none.
+// record adds one call; sample is 1 for an error and 0 otherwise.
 func (r *decayingRate) record(now time.Time, sample float64) {
 	before := r.current(now)
 	r.value = before + errorWeight*(sample-before)
--- a/internal/upstream/manager.go
+++ b/internal/upstream/manager.go
@@ -9,11 +9,11 @@
 	"comethold/internal/logging"
 )
 
-// defaultConnectionLimit is how many connections a node may have to each endpoint
-// of a service without a configured limit.
+// defaultConnectionLimit is the maximum number of connections from a node to each
+// endpoint of a service without a configured limit.
 const defaultConnectionLimit = 64
 
-// Locality is the name and the place of a node.
+// Locality is the name and the location of a node.
 type Locality struct {
 	Node     string
 	Zone     string
@@ -26,16 +26,16 @@
 	dialer dialer
 
 	// OnHealthChange is called when this node ejects or reinstates an endpoint. It
-	// runs under mu and must not block. It is set before the first call.
+	// runs with mu held and must not block. It must be set before the first call.
 	OnHealthChange func(distribution.HealthReport)
-	// BodyMemory bounds the bodies of responses that are being read. It is set before the
-	// first call; nil sets no bound.
+	// BodyMemory bounds the total memory of response bodies that are being read; nil sets
+	// no bound. It must be set before the first call.
 	BodyMemory *boundedio.Budget
 
 	mu               sync.Mutex // guards the fields below and those of clusters and endpoints
 	clusters         map[string]*Cluster
-	endpoints        map[string]*Endpoint // by id
-	connectionLimits map[string]int       // by service, of all nodes together
+	endpoints        map[string]*Endpoint // by ID
+	connectionLimits map[string]int       // by service; per endpoint, for all nodes together
 	healthPaths      map[string]string    // by service
 	subsets          subsetter
 	balancer         loadBalancer
@@ -68,8 +68,8 @@
 	return m
 }
 
-// SetServices sets the connection limits and health check paths by service. The
-// limits are those of an endpoint for all nodes together.
+// SetServices sets the connection limits and health check paths by service. A limit is
+// the number of connections that each endpoint accepts from all nodes together.
 func (m *ClusterManager) SetServices(limits map[string]int, paths map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +78,8 @@
 	m.applyLimits()
 }
 
-// SetNodeCount sets among how many nodes the connection limits are divided.
+// SetNodeCount sets the number of nodes that share the endpoints. Connection limits and
+// slots are divided among them.
 func (m *ClusterManager) SetNodeCount(count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,15 +89,15 @@
 	m.applyLimits()
 }
 
-// SetSlotOvercommit bounds the active calls of an endpoint to its slots times
-// overcommit, divided among the nodes; 0 leaves the bound to the connections.
+// SetSlotOvercommit bounds the active calls to an endpoint to its slots times
+// overcommit, divided among the nodes. With 0, only the connection limit applies.
 func (m *ClusterManager) SetSlotOvercommit(overcommit float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.balancer.slotOvercommit = overcommit
 }
 
-// applyLimits applies the limits, paths and the number of nodes to all clusters.
+// applyLimits applies the limits, health check paths and the node count to all clusters.
 func (m *ClusterManager) applyLimits() {
 	for _, cluster := range m.clusters {
 		m.applyLimitsTo(cluster)
@@ -116,7 +117,7 @@
 	}
 }
 
-// cluster returns the cluster of a service. It creates a missing one.
+// cluster returns the cluster of a service. It creates the cluster if there is none.
 func (m *ClusterManager) cluster(service string) *Cluster {
 	cluster := m.clusters[service]
 	if cluster == nil {
@@ -127,7 +128,8 @@
 	return cluster
 }
 
-// SetEndpoints sets the platform's complete list of endpoints, by id.
+// SetEndpoints sets the platform's complete list of endpoints, by ID. Endpoints that are
+// missing from it are removed.
 func (m *ClusterManager) SetEndpoints(listed map[string]distribution.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -138,7 +140,7 @@
 			endpoint = m.add(info, now)
 		}
 		if known := endpoint.info.Load(); known == nil || *known != info {
-			stored := info // allocated only for what is new
+			stored := info // allocates only for new or changed entries
 			endpoint.info.Store(&stored)
 			endpoint.cluster.invalidateSubset()
 		}
@@ -172,7 +174,7 @@
 }
 
 // SetFleetEjections sets the endpoints that the control plane ejects for all
-// nodes, by id.
+// nodes, by ID.
 func (m *ClusterManager) SetFleetEjections(ejected map[string]distribution.EjectionMark) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +193,7 @@
 	}
 }
 
-// CloseExpiredConnections closes idle connections that endpoints may close by now.
+// CloseExpiredConnections closes idle connections whose reuse time has passed.
 func (m *ClusterManager) CloseExpiredConnections() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// maxConsecutiveFailures is the number of calls in a row without a response after
+	// maxConsecutiveFailures is the number of consecutive calls without a response after
 	// which an endpoint is ejected.
 	maxConsecutiveFailures = 3
-	// ejectionErrorRate is the share of errors above which an endpoint is ejected.
+	// ejectionErrorRate is the error rate above which an endpoint is ejected.
 	ejectionErrorRate = 0.6
-	// The first probe of an ejected endpoint is sent after its ejection time. That is
-	// baseEjectionTime at first, and doubles with each further ejection and each failed
-	// probe, up to maxEjectionTime. Further probes follow after maxProbeInterval at most.
+	// The first probe of an ejected endpoint is sent after its ejection time. This is
+	// initially baseEjectionTime, and doubles with each further ejection and each failed
+	// probe, up to maxEjectionTime. Further probes follow after at most maxProbeInterval.
 	baseEjectionTime = 400 * time.Millisecond
 	maxEjectionTime  = 3 * time.Second
 	maxProbeInterval = time.Second
 
-	// probationPatience is the time after which calls that are not idempotent may end
-	// a probation too.
-	probationPatience = time.Second
-	// overdueFactor is the number of usual latencies without any response after which
+	// nonIdempotentProbationDelay is the time from the start of a probation in which the
+	// endpoint gets only idempotent calls.
+	nonIdempotentProbationDelay = time.Second
+	// overdueFactor times the usual latency is the time without any response after which
 	// an endpoint counts as unresponsive.
 	overdueFactor = 3
 )
 
-// healthState says whether an endpoint may get calls from this node.
+// healthState is the health of an endpoint as seen by this node.
 type healthState uint8
 
-// States of health. A healthy endpoint that fails is ejected. When it answers a probe,
-// it is on probation until a call succeeds (healthy) or fails (ejected).
+// Health states. A healthy endpoint that fails is ejected. When it answers a probe, it
+// is on probation until a call succeeds (healthy) or fails (ejected).
 const (
 	stateHealthy   healthState = iota // gets calls
-	stateEjected                      // gets none
-	stateProbation                    // gets one at a time
+	stateEjected                      // gets no calls
+	stateProbation                    // gets one call at a time
 )
 
 // endpointHealth is the health of one endpoint and the observations behind it.
@@ -46,36 +46,35 @@
 	state               healthState
 	healthySince        time.Time
 	probationSince      time.Time
-	lastAnswerAt        time.Time // of any response but a rejection or a misrouted one
+	lastResponseAt      time.Time // of any response except rejected and misrouted calls
 	consecutiveFailures int
-	ejectionTime        time.Duration // of the latest ejection; 0 before the first
-	probing             bool          // a probe is scheduled or under way
+	ejectionTime        time.Duration // of the latest ejection; 0 before the first one
+	probing             bool          // a probe is scheduled or in progress
 }
 
-// mayEndProbation reports whether a call may be sent during the probation, which ends
-// with it.
-func (h *endpointHealth) mayEndProbation(nonIdempotent bool, now time.Time) bool {
-	return !nonIdempotent || now.Sub(h.probationSince) > probationPatience
+// allowsProbationCall reports whether a call may be sent to an endpoint on probation.
+func (h *endpointHealth) allowsProbationCall(nonIdempotent bool, now time.Time) bool {
+	return !nonIdempotent || now.Sub(h.probationSince) > nonIdempotentProbationDelay
 }
 
-// callResult is the result of a call for the endpoint's health and load.
+// callResult classifies the result of a call for the endpoint's health and load.
 type callResult uint8
 
 const (
 	callSucceeded   callResult = iota
-	callMisrouted              // another endpoint has the address now
+	callMisrouted              // another endpoint uses the address now
 	callRejected               // the endpoint is full
-	callAnswered               // a response that is neither a success nor a server error
-	callServerError            // a server error
+	callOtherStatus            // another status below 500
+	callServerError            // a 5xx status, and the request may have been executed
 	callFailed                 // no response
-	callCanceled               // given up by the caller, which says nothing of the endpoint
+	callCanceled               // canceled by the caller; no information about the endpoint
 )
 
-// endedCall is a call that ended, with its result and times.
+// endedCall is a completed call with its result and times.
 type endedCall struct {
 	result   callResult
-	err      error     // of callFailed
-	start    time.Time // when it was sent
+	err      error     // set for callFailed and callCanceled
+	start    time.Time // when the request was sent or the dial failed
 	duration time.Duration
 }
 
@@ -92,7 +91,7 @@
 	case response.NotExecuted():
 		return callRejected
 	case response.Status < http.StatusInternalServerError:
-		return callAnswered
+		return callOtherStatus
 	default:
 		return callServerError
 	}
@@ -102,32 +101,32 @@
 // Callers hold ClusterManager.mu.
 type outlierDetector struct {
 	log *logging.Logger
-	// report is called for each ejected or reinstated endpoint. It must not block.
+	// report is called when an endpoint is ejected or reinstated. It must not block.
 	report func(distribution.HealthReport)
-	// scheduleProbe schedules a probe of an ejected endpoint after about the given time.
+	// scheduleProbe schedules a probe of an ejected endpoint after approximately the given time.
 	scheduleProbe func(endpoint *Endpoint, after time.Duration)
 }
 
-// observe updates the health of an endpoint with a call that ended.
+// observe updates the health of an endpoint with a completed call.
 func (d *outlierDetector) observe(endpoint *Endpoint, ended endedCall, now time.Time) {
 	health := &endpoint.health
 	switch ended.result {
 	case callSucceeded:
 		health.consecutiveFailures = 0
-		health.lastAnswerAt = now
+		health.lastResponseAt = now
 		endpoint.errorRate.record(now, 0)
 		d.reinstateUnlessHealthy(endpoint, now)
 	case callMisrouted:
-		d.eject(endpoint, "another leaf has its address")
+		d.eject(endpoint, "misdirected request: another endpoint uses the address")
 	case callRejected:
 		if health.state == stateProbation {
 			d.eject(endpoint, "rejected a call on probation")
 		}
-	case callAnswered:
-		health.lastAnswerAt = now
+	case callOtherStatus:
+		health.lastResponseAt = now
 		d.reinstateUnlessHealthy(endpoint, now)
 	case callServerError:
-		health.lastAnswerAt = now
+		health.lastResponseAt = now
 		endpoint.errorRate.record(now, 1)
 		failing := endpoint.errorRate.current(now) > ejectionErrorRate && canEject(endpoint.cluster)
 		if health.state == stateProbation || failing {
@@ -136,17 +135,17 @@
 	case callFailed:
 		health.consecutiveFailures++
 		endpoint.errorRate.record(now, 1)
-		if shouldEjectFailed(health, ended) {
+		if shouldEjectAfterFailure(health, ended) {
 			d.eject(endpoint, ended.err.Error())
 		}
 	case callCanceled:
 	}
 }
 
-// shouldEjectFailed decides whether a call without a response ejects its endpoint.
-func shouldEjectFailed(health *endpointHealth, ended endedCall) bool {
+// shouldEjectAfterFailure reports whether a call without a response ejects its endpoint.
+func shouldEjectAfterFailure(health *endpointHealth, ended endedCall) bool {
 	unreachable := errors.Is(ended.err, ErrNotSent)
-	unresponsive := errors.Is(ended.err, ErrTimeout) && health.lastAnswerAt.Before(ended.start)
+	unresponsive := errors.Is(ended.err, ErrTimeout) && health.lastResponseAt.Before(ended.start)
 	return health.state == stateProbation ||
 		health.consecutiveFailures >= maxConsecutiveFailures ||
 		unreachable ||
@@ -154,8 +153,8 @@
 }
 
 // canEject reports whether one more endpoint of a cluster may be ejected for its
-// errors: at least half of all must stay healthy. If more fail, the fault is the
-// service's, and ejecting endpoints would not help.
+// server errors. At least half of all endpoints must stay healthy: if more of them
+// fail, the fault is in the service, and ejections would not help.
 func canEject(cluster *Cluster) bool {
 	healthy := 0
 	for _, endpoint := range cluster.endpoints {
@@ -166,16 +165,16 @@
 	return 2*(healthy-1) >= len(cluster.endpoints)
 }
 
-// observeOverdue ejects the endpoint of a call that takes longer than usual if nothing
-// was received from the endpoint since sentAt, for overdueFactor usual latencies.
-func (d *outlierDetector) observeOverdue(endpoint *Endpoint, sentAt, now time.Time, usual time.Duration) {
-	if endpoint.health.lastAnswerAt.Before(sentAt) && now.Sub(sentAt) >= overdueFactor*usual {
+// observeOverdue ejects the endpoint of a call sent at sentAt if overdueFactor times the
+// usual latency has passed without any response from the endpoint.
+func (d *outlierDetector) observeOverdue(endpoint *Endpoint, sentAt, now time.Time, usualLatency time.Duration) {
+	if endpoint.health.lastResponseAt.Before(sentAt) && now.Sub(sentAt) >= overdueFactor*usualLatency {
 		d.eject(endpoint, "unresponsive")
 	}
 }
 
-// eject takes an endpoint out of service until it answers a probe. The time before the
-// probe grows with each ejection.
+// eject takes an endpoint out of service until it answers a probe. The delay of the
+// first probe grows with each ejection.
 func (d *outlierDetector) eject(endpoint *Endpoint, cause string) {
 	if endpoint.health.state == stateEjected || endpoint.removed {
 		return
@@ -197,8 +196,8 @@
 	}
 }
 
-// reinstate puts an endpoint back in service, with a slow start, and reports that to
-// the control plane, which may have ejected it for all nodes.
+// reinstate returns an endpoint to service, with a slow start if it was ejected before,
+// and reports this to the control plane, which may have ejected it for all nodes.
 func (d *outlierDetector) reinstate(endpoint *Endpoint, now time.Time) {
 	if endpoint.health.state == stateHealthy && !endpoint.fleetEjected {
 		return
@@ -214,8 +213,8 @@
 	d.report(distribution.HealthReport{EndpointID: info.ID, Service: info.Service, Healthy: true})
 }
 
-// observeProbe records the result of a probe: an answer begins the probation, and
-// otherwise the probe is repeated.
+// observeProbe records the result of a probe. It begins the probation if the endpoint
+// answered, and otherwise schedules another probe.
 func (d *outlierDetector) observeProbe(endpoint *Endpoint, answered bool, now time.Time) {
 	endpoint.health.probing = false
 	if endpoint.removed || endpoint.health.state != stateEjected {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// connectionPool keeps the idle connections of one endpoint. The one released
-// last is reused first. It is safe for concurrent use.
+// connectionPool keeps the idle connections of one endpoint. The most recently used
+// connection is reused first. It is safe for concurrent use.
 type connectionPool struct {
-	// idleCount is len(idle), for the load balancer to read without the lock.
+	// idleCount is len(idle). The load balancer reads it without the lock.
 	idleCount atomic.Int32
 
 	mu      sync.Mutex // guards the fields below
@@ -22,8 +22,8 @@
 	return &connectionPool{maxIdle: maxIdle}
 }
 
-// take removes and returns an idle connection, or nil. The caller checks whether
-// it is still reusable.
+// take removes and returns an idle connection, or returns nil. The caller must check
+// whether the connection is still reusable.
 func (p *connectionPool) take() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	return conn
 }
 
-// put keeps a connection for reuse, or closes it if the pool is full or closed.
+// put stores a connection for reuse, or closes it if the pool is full or closed.
 func (p *connectionPool) put(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +48,8 @@
 	p.setIdleLocked(append(p.idle, conn))
 }
 
-// setMaxIdle bounds the idle connections that later calls of put keep.
+// setMaxIdle bounds the number of idle connections. It does not close any: the bound
+// applies to later calls of put.
 func (p *connectionPool) setMaxIdle(maxIdle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +66,7 @@
 	p.closeIdleLocked()
 }
 
-// close closes all idle connections, and makes put close the connections it gets.
+// close closes all idle connections. Later calls of put close their connections.
 func (p *connectionPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +74,7 @@
 	p.closeIdleLocked()
 }
 
-// closeExpired closes the idle connections whose keep-alive time has passed.
+// closeExpired closes the idle connections whose reuse time has passed.
 func (p *connectionPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pooled makes a connection that an endpoint keeps open for a while.
-func pooled(t *testing.T) (conn *connection, isClosed func() bool) {
+// newPipeConnection returns a connection over a pipe that is reusable for a minute.
+func newPipeConnection(t *testing.T) (conn *connection, isClosed func() bool) {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
@@ -26,34 +26,34 @@
 func TestPoolReusesNewestFirst(t *testing.T) {
 	pool := newConnectionPool(2)
 	if pool.take() != nil || pool.hasIdle() {
-		t.Fatal("an empty pool has a connection")
+		t.Fatal("take or hasIdle of an empty pool found a connection")
 	}
-	first, _ := pooled(t)
-	second, _ := pooled(t)
+	first, _ := newPipeConnection(t)
+	second, _ := newPipeConnection(t)
 	pool.put(first)
 	pool.put(second)
 	if first.idleSince.IsZero() || !pool.hasIdle() {
-		t.Error("a kept connection does not count as idle")
+		t.Error("put did not set idleSince, or hasIdle is false after put")
 	}
 	if pool.take() != second || pool.take() != first || pool.take() != nil {
-		t.Error("connections come back in the wrong order")
+		t.Error("take did not return the connections in the reverse order of put")
 	}
 	if pool.hasIdle() {
-		t.Error("a taken connection counts as idle")
+		t.Error("hasIdle is true after all connections were taken")
 	}
 }
 
-func TestPoolClosesWhatItDoesNotKeep(t *testing.T) {
+func TestPoolClosesUnusableConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(pool *connectionPool, conn *connection)
 		kept bool
 	}{
-		"within the limit": {func(p *connectionPool, conn *connection) { p.put(conn) }, true},
-		"beyond the limit": {func(p *connectionPool, conn *connection) {
+		"put within the limit": {func(p *connectionPool, conn *connection) { p.put(conn) }, true},
+		"put beyond the limit": {func(p *connectionPool, conn *connection) {
 			p.setMaxIdle(0)
 			p.put(conn)
 		}, false},
-		"after the endpoint was removed": {func(p *connectionPool, conn *connection) {
+		"put after the endpoint was removed": {func(p *connectionPool, conn *connection) {
 			p.close()
 			p.put(conn)
 		}, false},
@@ -65,7 +65,7 @@
 			p.put(conn)
 			p.closeIdle()
 		}, false},
-		"put back after an ejection": {func(p *connectionPool, conn *connection) {
+		"put after an ejection": {func(p *connectionPool, conn *connection) {
 			p.closeIdle()
 			p.put(conn)
 		}, true},
@@ -80,20 +80,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newConnectionPool(1)
-			conn, isClosed := pooled(t)
+			conn, isClosed := newPipeConnection(t)
 			c.act(pool, conn)
 			if pool.hasIdle() != c.kept || isClosed() == c.kept {
-				t.Errorf("idle %v, closed %v, want kept %v", pool.hasIdle(), isClosed(), c.kept)
+				t.Errorf("hasIdle %v, connection closed %v, want connection kept %v", pool.hasIdle(), isClosed(), c.kept)
 			}
 		})
 	}
 }
 
-// TestPoolGivesAConnectionOnce: concurrent callers never share a connection.
-func TestPoolGivesAConnectionOnce(t *testing.T) {
+// TestPoolTakeIsExclusive guards against two concurrent callers that get the same connection.
+func TestPoolTakeIsExclusive(t *testing.T) {
 	pool := newConnectionPool(8)
 	for range 8 {
-		conn, _ := pooled(t)
+		conn, _ := newPipeConnection(t)
 		pool.put(conn)
 	}
 	var mu sync.Mutex
@@ -110,7 +110,7 @@
 				}
 				mu.Lock()
 				if inUse[conn] {
-					t.Error("two callers have one connection")
+					t.Error("take returned a connection that another caller uses")
 				}
 				inUse[conn] = true
 				mu.Unlock()
@@ -123,6 +123,6 @@
 	}
 	workers.Wait()
 	if len(pool.idle) != 8 || pool.idleCount.Load() != 8 {
-		t.Errorf("%d connections, counted %d, want 8", len(pool.idle), pool.idleCount.Load())
+		t.Errorf("%d idle connections, idleCount %d, want 8", len(pool.idle), pool.idleCount.Load())
 	}
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// probeTimeout bounds a whole probe: connecting, request and response. How long
-	// after an ejection probes are sent is set in outlier.go.
+	// probeTimeout bounds a whole probe: connecting, request and response. The constants
+	// in outlier.go set the delay of probes.
 	probeTimeout = 500 * time.Millisecond
 	// The delay of a probe is multiplied by a random factor from probeJitterMin to
-	// probeJitterMin+probeJitter, so that nodes don't probe an endpoint all at once.
+	// probeJitterMin+probeJitter, so that nodes don't probe an endpoint simultaneously.
 	probeJitterMin = 0.8
 	probeJitter    = 0.4
 )
 
-// scheduleProbe schedules a probe of an ejected endpoint after about the given time,
-// unless one is scheduled already. The caller holds mu.
+// scheduleProbe schedules a probe of an ejected endpoint after approximately the given
+// time, unless a probe is scheduled or in progress. The caller holds mu.
 func (m *ClusterManager) scheduleProbe(endpoint *Endpoint, after time.Duration) {
 	if endpoint.health.probing {
 		return
@@ -34,8 +34,8 @@
 	if !needed {
 		return
 	}
-	// The status of the answer does not matter: an endpoint that answers at all goes on
-	// probation, where calls show how it is. Without a health path it does so unprobed.
+	// The status of the response does not matter: probation begins with any response, and
+	// calls then show the health. Without a health path, it begins without a probe.
 	answered := path == ""
 	if path != "" && !endpoint.info.Load().Draining {
 		answered = m.sendProbe(endpoint, path)
@@ -54,8 +54,8 @@
 	return endpoint.cluster.healthPath, needed
 }
 
-// sendProbe sends a health check and reports whether the endpoint itself answered,
-// rather than another one at its address.
+// sendProbe sends a health check. It reports whether the response came from the endpoint
+// and not from another one at the same address.
 func (m *ClusterManager) sendProbe(endpoint *Endpoint, path string) bool {
 	request := &Request{
 		Method:   http.MethodGet,
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// Errors of a call. They say whether the request may have been executed.
+// Errors of a call. They state whether the request may have been executed.
 var (
-	// ErrNotSent means that no byte of the request was sent: it was not executed.
-	ErrNotSent = errors.New("upstream: the endpoint could not be reached")
-	// ErrResponseLost means that the request may have been executed, but no
-	// complete response was received.
-	ErrResponseLost = errors.New("upstream: the response was lost")
-	// ErrCanceled means that the caller gave the call up. The request may have been
-	// executed, unless the error wraps ErrNotSent too.
-	ErrCanceled = errors.New("upstream: the call was given up")
-	// ErrTimeout means that the request may have been executed, but its deadline
-	// passed.
-	ErrTimeout = errors.New("upstream: the endpoint did not answer in time")
+	// ErrNotSent means that no byte of the request was sent, so it was not executed.
+	ErrNotSent = errors.New("upstream: connection to the endpoint failed")
+	// ErrResponseLost means that no complete and valid response was received. The
+	// request may have been executed.
+	ErrResponseLost = errors.New("upstream: no valid response received")
+	// ErrCanceled means that the caller canceled the call. The request may have been
+	// executed, unless the error also wraps ErrNotSent.
+	ErrCanceled = errors.New("upstream: call canceled by the caller")
+	// ErrTimeout means that no complete response was received before the deadline. The
+	// request may have been executed.
+	ErrTimeout = errors.New("upstream: endpoint did not respond before the deadline")
 )
 
-// Request is a request to an endpoint, with target, header and body as the client sent
-// them.
+// Request is a request to an endpoint. Its target, header and body are sent unchanged.
 type Request struct {
 	Method string
 	Target string
@@ -30,59 +29,59 @@
 	// Header has no hop-by-hop headers; see EndToEndHeaders.
 	Header http.Header
 	Body   []byte
-	// HasBody says that the client framed a body, even an empty one.
+	// HasBody is true if the request has a body, even an empty one; Content-Length is then sent.
 	HasBody bool
 	ID      string
 	// Deadline is the time after which the response is not used.
 	Deadline time.Time
-	// NonIdempotent says that the request must not be executed twice. It is not sent
-	// on a connection that was idle for long, since the endpoint may have closed it,
-	// nor on one whose last response can't be distinguished from the next one.
+	// NonIdempotent marks a request that must not be executed twice. It is not sent on a
+	// connection that was idle for longer than maxIdleNonIdempotent, since the endpoint may
+	// have closed it, nor on one whose last response had neither ID nor server stamp.
 	NonIdempotent bool
-	// FanOut says that the response is one of several to be merged: its server
-	// stamp belongs to this request alone.
+	// FanOut is true if the response is one of several to be merged. Its server stamp
+	// must then differ from that of the previous response on the connection.
 	FanOut bool
 }
 
-// Retryable reports whether the request may be sent to an endpoint once more
-// after an attempt with the given outcome.
+// Retryable reports whether the request may be sent again after an attempt with the
+// given outcome.
 func (r *Request) Retryable(outcome Outcome) bool {
 	return !r.NonIdempotent || outcome == NotSent || outcome == Rejected
 }
 
-// Response is an endpoint's complete response.
+// Response is a complete response of an endpoint.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// NotExecuted reports whether the endpoint says that it did not execute the request.
+// NotExecuted reports whether the response states that the request was not executed.
 func (r *Response) NotExecuted() bool {
 	return r.Status == http.StatusMisdirectedRequest || r.Header.Get(HeaderNotExecuted) != ""
 }
 
-// IsSuccess reports whether this is a valid success: one with a server stamp and
-// without a content encoding.
+// IsSuccess reports whether the response is a valid success: a 2xx status with a server
+// stamp and without a content encoding.
 func (r *Response) IsSuccess() bool {
 	return isSuccessStatus(r.Status) && r.Header.Get(HeaderServerStamp) != "" && r.Header.Get("Content-Encoding") == ""
 }
 
 func isSuccessStatus(status int) bool { return status/100 == 2 }
 
-// Outcome says whether a request was sent to an endpoint and executed.
+// Outcome states whether a request was sent to an endpoint and executed.
 type Outcome uint8
 
-// The outcomes, in an order that comparisons rely on: up to Rejected it is certain that
+// Outcomes. Comparisons rely on their order: for NotSent and Rejected it is certain that
 // the endpoint did not execute the request.
 const (
 	NotSent  Outcome = iota // no byte of the request was sent
-	Rejected                // the endpoint says that it did not execute it
-	Executed                // the endpoint answered
+	Rejected                // the response states that the request was not executed
+	Executed                // any other complete response was received
 	Unknown                 // no complete response was received
 )
 
-// OutcomeOf returns the outcome of a call by its response and error.
+// OutcomeOf returns the outcome of a call from its response and error.
 func OutcomeOf(response *Response, err error) Outcome {
 	switch {
 	case errors.Is(err, ErrNotSent):
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -19,25 +19,25 @@
 	// all informational responses before it.
 	maxResponseHeadBytes = 64 << 10
 
-	// defaultIdleTimeout is how long an idle connection is reused when the
-	// endpoint states no keep-alive time.
+	// defaultIdleTimeout is the reuse time of an idle connection, counted from the start
+	// of the request, if the response has no Keep-Alive timeout.
 	defaultIdleTimeout = 3 * time.Second
-	// idleTimeoutMargin is how long before the stated keep-alive time ends a
-	// connection is no longer reused.
+	// idleTimeoutMargin is subtracted from the Keep-Alive timeout, so that a connection
+	// is not reused when the endpoint is about to close it.
 	idleTimeoutMargin = 600 * time.Millisecond
-	// maxKeepAliveSeconds is the bound from which a stated keep-alive time is ignored.
+	// maxKeepAliveSeconds is the value from which a Keep-Alive timeout is ignored.
 	maxKeepAliveSeconds = 1 << 20
 )
 
-// roundTrip sends the request and reads the complete response. expectedInstance, if
-// not empty, is sent in a header, so that another endpoint at the same address rejects
-// the request. reuse reports whether the connection may carry another request. Errors
-// wrap ErrTimeout or ErrResponseLost.
+// roundTrip sends the request and reads the complete response. A non-empty
+// expectedInstance is sent in a header, so that another endpoint at the same address
+// rejects the request. reuse reports whether the connection may carry another request.
+// Errors wrap ErrTimeout or ErrResponseLost.
 func (c *connection) roundTrip(
 	request *Request, expectedInstance string, bodies *boundedio.Budget,
 ) (response *Response, reuse bool, err error) {
 	start := time.Now()
-	_ = c.conn.SetDeadline(request.Deadline) // fails only on a broken connection; so does the write below
+	_ = c.conn.SetDeadline(request.Deadline) // fails only if the write below fails too
 	if err := c.writeRequest(request, expectedInstance, request.Deadline.Sub(start)); err != nil {
 		return nil, false, wrapIOError(err)
 	}
@@ -51,21 +51,20 @@
 	}
 	response = &Response{Status: received.StatusCode, Header: received.Header, Body: body}
 	if !c.belongsTo(request, response) {
-		return nil, false, fmt.Errorf("%w: it belongs to another request", ErrResponseLost)
+		return nil, false, fmt.Errorf("%w: response belongs to another request", ErrResponseLost)
 	}
 	if c.reader.Buffered() > 0 {
 		c.unexpectedBytes = true
 	}
 	c.reusableUntil = start.Add(defaultIdleTimeout)
-	if stated, ok := parseKeepAlive(received.Header.Get("Keep-Alive")); ok {
-		c.reusableUntil = time.Now().Add(stated - min(idleTimeoutMargin, stated/2))
+	if keepAlive, ok := parseKeepAlive(received.Header.Get("Keep-Alive")); ok {
+		c.reusableUntil = time.Now().Add(keepAlive - min(idleTimeoutMargin, keepAlive/2))
 	}
-	identified := c.noteIdentity(response.Header)
+	identified := c.recordIdentity(response.Header)
 	return response, !received.Close && !c.unexpectedBytes && identified, nil
 }
 
-// writeRequest sends the request. The buffered writer keeps its first error, which
-// Flush returns.
+// writeRequest sends the request. Flush returns the first error of the buffered writer.
 func (c *connection) writeRequest(request *Request, expectedInstance string, remaining time.Duration) error {
 	w := c.writer
 	_, _ = w.WriteString(request.Method)
@@ -96,9 +95,9 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// readHead reads the status line and headers of the final response. It skips
-// informational responses. It reads at most maxResponseHeadBytes, since http.ReadResponse
-// bounds neither a line nor a head.
+// readHead reads the status line and headers of the final response and skips
+// informational responses. It reads at most maxResponseHeadBytes, since
+// http.ReadResponse bounds neither the length of a line nor that of all headers.
 func (c *connection) readHead(method string) (*http.Response, error) {
 	c.source.Bound(maxResponseHeadBytes)
 	defer c.source.Unbound()
@@ -112,17 +111,18 @@
 			return received, nil
 		}
 		if received.StatusCode == http.StatusSwitchingProtocols {
-			return nil, fmt.Errorf("%w: the endpoint switched protocols unasked", ErrResponseLost)
+			return nil, fmt.Errorf("%w: unexpected status 101 (Switching Protocols)", ErrResponseLost)
 		}
 	}
 }
 
-// readBody reads the whole body. A body without a length or chunks is an error.
+// readBody reads the whole body. A body with neither Content-Length nor chunked encoding
+// is an error.
 func readBody(received *http.Response, method string, bodies *boundedio.Budget) ([]byte, error) {
 	bodiless := method == http.MethodHead ||
 		received.StatusCode == http.StatusNoContent ||
 		received.StatusCode == http.StatusNotModified
-	expected := int(min(received.ContentLength, maxResponseBytes)) + 1 // one more, to read its end
+	expected := int(min(received.ContentLength, maxResponseBytes)) + 1 // one more, to detect the end
 	body, err := bodies.ReadAll(received.Body, expected, maxResponseBytes)
 	if err == nil {
 		err = received.Body.Close()
@@ -132,8 +132,8 @@
 	}
 	chunked := len(received.TransferEncoding) > 0
 	if received.ContentLength < 0 && !chunked && !bodiless {
-		// Only the close of the connection ends it: a truncated body would look complete.
-		return nil, fmt.Errorf("%w: its end is not marked", ErrResponseLost)
+		// The body ends when the connection closes: a truncated one would seem complete.
+		return nil, fmt.Errorf("%w: response body has neither Content-Length nor chunked encoding", ErrResponseLost)
 	}
 	return body, nil
 }
@@ -147,7 +147,7 @@
 	return fmt.Errorf("%w: %w", ErrResponseLost, err)
 }
 
-// parseKeepAlive reads the timeout of a Keep-Alive header.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header.
 func parseKeepAlive(value string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, text, ok := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/internal/upstream/roundtrip_test.go
+++ b/internal/upstream/roundtrip_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestParseKeepAlive: the stated timeout, whatever else the header says.
+// TestParseKeepAlive: the first valid timeout parameter is used and all others are ignored.
 func TestParseKeepAlive(t *testing.T) {
 	for value, want := range map[string]string{
 		"":                      "0s false",
@@ -20,50 +20,51 @@
 		"timeout=99999999":      "0s false",
 		"timeout=x, timeout=30": "30s true",
 	} {
-		stated, ok := parseKeepAlive(value)
-		if got := fmt.Sprint(stated, " ", ok); got != want {
-			t.Errorf("%q: %s, want %s", value, got, want)
+		keepAlive, ok := parseKeepAlive(value)
+		if got := fmt.Sprint(keepAlive, " ", ok); got != want {
+			t.Errorf("parseKeepAlive(%q) returned %s, want %s", value, got, want)
 		}
 	}
 }
 
-// TestEndToEndHeaders: headers of one connection, and those that connections name, are
-// not forwarded.
+// TestEndToEndHeaders: hop-by-hop headers, and headers named in a Connection header, are not
+// forwarded.
 func TestEndToEndHeaders(t *testing.T) {
 	header := http.Header{
 		"X": {"1", "2"}, "Connection": {"close, x-hop", "Y"}, "X-Hop": {"3"}, "Y": {"4"}, "Te": {"5"},
 		"Content-Length": {"6"}, HeaderRequestID: {"7"}, HeaderTenant: {"8"},
 	}
 	if got := fmt.Sprint(EndToEndHeaders(header)); got != "map[X:[1 2] X-Comethold-Tenant:[8]]" {
-		t.Errorf("forwarded %s", got)
+		t.Errorf("EndToEndHeaders returned %s, want only X and X-Comethold-Tenant", got)
 	}
 	if len(header) != 8 {
-		t.Error("the original was changed")
+		t.Error("EndToEndHeaders modified its argument")
 	}
 }
 
-// TestReusable: which idle connections carry a request.
+// TestReusable: an idle connection is reused until it expires. A non-idempotent request also
+// requires a short idle time and a last response with a request ID or server stamp.
 func TestReusable(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		why           string
+		name          string
 		conn          connection
 		idempotent    bool
 		nonIdempotent bool
 	}{
-		{"a fresh one", connection{reusableUntil: now.Add(1), idleSince: now}, true, true},
-		{"an expired one", connection{reusableUntil: now, idleSince: now}, false, false},
-		{"one that was idle for long", connection{reusableUntil: now.Add(1), idleSince: now.Add(-time.Second)}, true, false},
-		{"one after an unidentified response", connection{reusableUntil: now.Add(1), lastUnidentified: true}, true, false},
+		{"recently used", connection{reusableUntil: now.Add(1), idleSince: now}, true, true},
+		{"expired", connection{reusableUntil: now, idleSince: now}, false, false},
+		{"idle for 1 s", connection{reusableUntil: now.Add(1), idleSince: now.Add(-time.Second)}, true, false},
+		{"last response unidentified", connection{reusableUntil: now.Add(1), lastUnidentified: true}, true, false},
 	} {
-		pipe, _ := pooled(t)
+		pipe, _ := newPipeConnection(t)
 		c.conn.conn = pipe.conn
 		c.conn.reader = pipe.reader
 		if got := c.conn.reusable(false, now); got != c.idempotent {
-			t.Errorf("%s: reusable %v", c.why, got)
+			t.Errorf("%s: reusable for an idempotent request is %v, want the opposite", c.name, got)
 		}
 		if got := c.conn.reusable(true, now); got != c.nonIdempotent {
-			t.Errorf("%s, not idempotent: reusable %v", c.why, got)
+			t.Errorf("%s: reusable for a non-idempotent request is %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/internal/upstream/subset.go
+++ b/internal/upstream/subset.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// maxSubsetSize is the most endpoints of a service that a node uses while they
-	// are healthy. A smaller subset would load the endpoints unevenly.
+	// maxSubsetSize is the maximum number of endpoints in the subset of a cluster. A
+	// smaller value would load the endpoints unevenly.
 	maxSubsetSize = 24
-	// subsetOverlap leaves a margin for endpoints that are in more subsets than average.
+	// subsetOverlap divides the subset size if connections are scarce, as a margin for
+	// endpoints that are in more subsets than average.
 	subsetOverlap = 2
 )
 
-// subsetter assigns each node a part of a large cluster. This bounds the connections and
-// the statistics of a node, and its connections are reused more often. The part depends
-// on names only: endpoints of the zone are first, then the region, then the others, and
-// within each in an order that differs from node to node. Callers hold ClusterManager.mu.
+// subsetter selects this node's subset of a large cluster. The subset bounds the
+// connections and statistics of the node, and its connections are reused more often.
+// Endpoints in the node's zone come first, then those in its region, then all others;
+// within each group, a hash of names orders them differently on each node. Callers hold
+// ClusterManager.mu.
 type subsetter struct {
 	locality  Locality
 	nodeCount int // nodes that share the endpoints
@@ -30,7 +32,7 @@
 	otherRegion
 )
 
-// subsetRank orders the endpoints of a cluster for a node, lowest first.
+// subsetRank is the sort key of an endpoint for a node; the lowest rank is used first.
 type subsetRank struct {
 	distance int
 	hash     uint64
@@ -55,8 +57,8 @@
 	return rank
 }
 
-// size returns how many endpoints of a cluster a node uses. If there are more nodes
-// than connections that an endpoint accepts, not every node can use every endpoint.
+// size returns the size of a node's subset of a cluster. If there are more nodes than
+// connections that an endpoint accepts, not every node can use every endpoint.
 func (s *subsetter) size(cluster *Cluster) int {
 	size := maxSubsetSize
 	limit := cluster.serviceConnectionLimit
@@ -66,8 +68,8 @@
 	return max(1, size)
 }
 
-// subset returns the endpoints of a cluster that this node uses first. Draining and
-// ejected endpoints are replaced by the next in order.
+// subset returns the endpoints of a cluster that this node prefers. The subset of a large
+// cluster excludes draining and ejected endpoints; those next in rank replace them.
 func (s *subsetter) subset(cluster *Cluster) []*Endpoint {
 	if cluster.subset != nil {
 		return cluster.subset
@@ -95,7 +97,7 @@
 	}
 	switch endpoint.health.state {
 	case stateProbation:
-		return true // its ejection by the fleet ends with a successful call
+		return true // also if fleetEjected: a successful call ends the fleet ejection
 	case stateEjected:
 		return false
 	default:
--- a/internal/upstream/subset_test.go
+++ b/internal/upstream/subset_test.go
@@ -8,13 +8,13 @@
 	"comethold/internal/logging"
 )
 
-// testLocality is a locality whose zones are named after their region: a1 is a
-// zone of a.
+// testLocality returns a locality where the first letter of a zone names its region: a1 is
+// a zone of the region a.
 func testLocality(node, zone string) Locality {
 	return Locality{Node: node, Zone: zone, RegionOf: func(zone string) string { return zone[:1] }}
 }
 
-// endpointsAcross lists count endpoints of the service s, evenly over zones.
+// endpointsAcross returns count endpoints of the service s, spread evenly over zones.
 func endpointsAcross(zones []string, count int) map[string]distribution.Endpoint {
 	listed := map[string]distribution.Endpoint{}
 	for i := range count {
@@ -26,9 +26,9 @@
 
 var subsetZones = []string{"a1", "a2", "b1"}
 
-// managersOf makes the managers of nodes over three zones that share endpoints of
+// newTestManagers returns the managers of nodes in three zones. They share the endpoints of
 // the service s, each of which accepts limit connections.
-func managersOf(nodes, limit, endpoints int) []*ClusterManager {
+func newTestManagers(nodes, limit, endpoints int) []*ClusterManager {
 	var managers []*ClusterManager
 	for i := range nodes {
 		m := NewClusterManager(testLocality(fmt.Sprint("node-", i), subsetZones[i%3]), nil, logging.Nop())
@@ -42,58 +42,58 @@
 
 func (m *ClusterManager) testSubset() []*Endpoint { return m.subsets.subset(m.clusters["s"]) }
 
-// TestSubsetOfLargeCluster: near endpoints come first, all endpoints are used, and
-// each by its part of the nodes.
+// TestSubsetOfLargeCluster: a subset contains only endpoints of the node's zone if there are
+// enough of them, and each endpoint is in the subset of some node.
 func TestSubsetOfLargeCluster(t *testing.T) {
 	users := map[string]int{}
-	for i, m := range managersOf(60, 400, 120) {
+	for i, m := range newTestManagers(60, 400, 120) {
 		subset := m.testSubset()
 		if len(subset) != maxSubsetSize {
-			t.Fatalf("node %d uses %d endpoints", i, len(subset))
+			t.Fatalf("subset of node %d has %d endpoints, want maxSubsetSize", i, len(subset))
 		}
 		for _, endpoint := range subset {
 			info := endpoint.Info()
 			users[info.ID]++
 			if info.Zone != subsetZones[i%3] {
-				t.Errorf("node %d of %s uses %s of %s, with 40 endpoints near", i, subsetZones[i%3], info.ID, info.Zone)
+				t.Errorf("node %d in %s uses %s in %s, want only its own zone", i, subsetZones[i%3], info.ID, info.Zone)
 			}
 		}
 	}
 	if len(users) != 120 {
-		t.Errorf("only %d of 120 endpoints are used", len(users))
+		t.Errorf("subsets of all nodes contain %d endpoints, want 120", len(users))
 	}
 }
 
-func TestSubsetOfSmallClusterIsAllOfIt(t *testing.T) {
-	if m := managersOf(1, 400, 12)[0]; len(m.testSubset()) != 12 {
-		t.Error("a small cluster is cut")
+func TestSubsetOfSmallClusterHasAllEndpoints(t *testing.T) {
+	if m := newTestManagers(1, 400, 12)[0]; len(m.testSubset()) != 12 {
+		t.Error("subset of a cluster of 12 endpoints does not contain all of them")
 	}
 }
 
-// TestSubsetKeepsConnectionLimit: where more nodes than an endpoint accepts
-// connections share it, each node opens one, within the limit.
+// TestSubsetKeepsConnectionLimit guards against more connections to an endpoint than it accepts
+// if there are more nodes than that: each node may open one, and few enough nodes use it.
 func TestSubsetKeepsConnectionLimit(t *testing.T) {
 	users := map[string]int{}
-	for _, m := range managersOf(90, 30, 30) {
+	for _, m := range newTestManagers(90, 30, 30) {
 		for _, endpoint := range m.testSubset() {
 			users[endpoint.Info().ID]++
 			if m.clusters["s"].connectionLimit != 1 {
-				t.Fatal("a node may open more than one connection to an endpoint")
+				t.Fatal("connectionLimit of a node is not 1")
 			}
 		}
 	}
 	for id, count := range users {
 		if count > 30 {
-			t.Errorf("%s is used by %d nodes and accepts 30 connections", id, count)
+			t.Errorf("%s is in the subsets of %d nodes, want at most 30", id, count)
 		}
 	}
 }
 
-// TestSubsetLeavesOutEjected: what the fleet ejects leaves its place to the next in
-// order, and when the zone has too few left the region is used. With the whole
-// subset full, any other endpoint serves.
-func TestSubsetLeavesOutEjected(t *testing.T) {
-	m := managersOf(1, 400, 120)[0]
+// TestSubsetExcludesEjected: the endpoints next in rank replace those that the fleet ejects,
+// also from other zones of the region if the own zone has too few. When all endpoints of
+// the subset are full, Reserve returns one outside of it.
+func TestSubsetExcludesEjected(t *testing.T) {
+	m := newTestManagers(1, 400, 120)[0]
 	marks := map[string]distribution.EjectionMark{}
 	for id, endpoint := range m.endpoints {
 		if endpoint.Info().Zone == "a1" && len(marks) < 30 {
@@ -105,17 +105,17 @@
 	for _, endpoint := range m.testSubset() {
 		info := endpoint.Info()
 		if _, ejected := marks[info.ID]; ejected {
-			t.Errorf("%s is ejected and used", info.ID)
+			t.Errorf("%s is ejected by the fleet and in the subset", info.ID)
 		}
 		byZone[info.Zone]++
 	}
 	if byZone["a1"] != 10 || byZone["a2"] != maxSubsetSize-10 {
-		t.Errorf("used by zone: %v", byZone)
+		t.Errorf("subset has endpoints by zone: %v, want 10 in a1 and the rest in a2", byZone)
 	}
 	for _, endpoint := range m.testSubset() {
 		endpoint.activeCalls = m.balancer.maxActiveCalls(endpoint)
 	}
 	if m.Reserve("s", nil, false) == nil {
-		t.Error("no endpoint is used when the subset is full")
+		t.Error("Reserve returned no endpoint while all in the subset are full")
 	}
 }
