--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -61,7 +61,7 @@
 
 func newRenewal(watermarks map[string]float64) *renewal {
 	r := &renewal{shares: &fakeShares{}, allocator: quota.NewAllocator()}
-	r.tenants = NewTenants(quota.Rules{Window: time.Second, Overshoot: 0.1}, r.allocator)
+	r.tenants = NewTenants(quota.AdmissionBounds{Window: time.Second, Overshoot: 0.1}, r.allocator)
 	r.renewer = NewQuotaShareRenewer(QuotaShareRenewerOptions{
 		NodeName:   "n",
 		Allocator:  r.allocator,
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -10,7 +10,7 @@
 
 // Tenants applies the quotas of tenants to this node's allocator.
 type Tenants struct {
-	rules     quota.Rules
+	rules     quota.AdmissionBounds
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
@@ -19,7 +19,7 @@
 }
 
 // NewTenants returns Tenants that have applied no configuration.
-func NewTenants(rules quota.Rules, allocator *quota.Allocator) *Tenants {
+func NewTenants(rules quota.AdmissionBounds, allocator *quota.Allocator) *Tenants {
 	return &Tenants{rules: rules, allocator: allocator}
 }
 
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -41,7 +41,7 @@
 // concurrent use.
 type tokenClient struct {
 	client *controlclient.Client
-	rules  quota.Rules
+	rules  quota.AdmissionBounds
 	cache  *quota.TokenCache
 
 	mu            sync.Mutex            // guards the fields below
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Rules are the deployment's bounds of quotas: in any Window a tenant may have
-// (rate x Window + burst) x (1 + Overshoot) + Slack requests admitted.
-type Rules struct {
+// AdmissionBounds limit how many requests of a tenant all nodes together admit: in any period
+// of length Window at most (rate x Window + burst) x (1 + Overshoot) + Slack.
+type AdmissionBounds struct {
 	Window    time.Duration
 	Overshoot float64 // a share, 0.1 for 10 %
 	Slack     float64 // requests
@@ -38,11 +38,11 @@
 // The tokens spent in any window are among those that were granted and alive at its start
 // (Rate x TokenLifetime at most), those that lay in the bucket (Depth at most) and those
 // that came in (Rate x Window).
-func (r Rules) LimitsFor(rate, burst float64) BucketLimits {
+func (b AdmissionBounds) LimitsFor(rate, burst float64) BucketLimits {
 	if rate <= 0 {
 		return BucketLimits{}
 	}
-	allowance := r.Overshoot*(rate*r.Window.Seconds()+burst) + r.Slack
+	allowance := b.Overshoot*(rate*b.Window.Seconds()+burst) + b.Slack
 	lifetime := time.Duration(lifetimeFraction * allowance / rate * float64(time.Second))
 	limits := BucketLimits{
 		Rate:          rate,
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// maxInWindow is how many requests the rules allow in a window.
-func (r Rules) maxInWindow(rate, burst float64) float64 {
-	return (rate*r.Window.Seconds()+burst)*(1+r.Overshoot) + r.Slack
+// maxInWindow returns the number of requests that b allows in one window.
+func (b AdmissionBounds) maxInWindow(rate, burst float64) float64 {
+	return (rate*b.Window.Seconds()+burst)*(1+b.Overshoot) + b.Slack
 }
 
 // TestLimitsWithinRules: what can be spent in a window is within the rules, and a tenant's
 // own burst fits into the bucket where the rules leave any room.
 func TestLimitsWithinRules(t *testing.T) {
-	for _, r := range []Rules{{5 * time.Second, 0.1, 20}, {10 * time.Second, 0.05, 3}, {time.Second, 0.2, 40}} {
+	for _, r := range []AdmissionBounds{{5 * time.Second, 0.1, 20}, {10 * time.Second, 0.05, 3}, {time.Second, 0.2, 40}} {
 		for _, rate := range []float64{0.2, 3, 17, 78, 2000} {
 			for _, burst := range []float64{0, 17, 4000} {
 				limits := r.LimitsFor(rate, burst)
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	if (Rules{}).LimitsFor(0, 9).Limited() {
+	if (AdmissionBounds{}).LimitsFor(0, 9).Limited() {
 		t.Error("a rate of 0 sets a limit")
 	}
 }
--- a/internal/quota/sliding_window_test.go
+++ b/internal/quota/sliding_window_test.go
@@ -115,7 +115,7 @@
 // restart, and data plane nodes draw ahead, keep tokens to the last moment and spend them at
 // once: in no window more is spent than the rules allow.
 func TestSlidingWindows(t *testing.T) {
-	rules := Rules{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
+	rules := AdmissionBounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	for seed := range int64(40) {
 		rate := []float64{0.5, 3, 17, 78, 900}[seed%5]
 		burst := []float64{0, 3, 17, 78}[seed%4]
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -46,8 +46,8 @@
 func (b Bounds) StaleSlack() time.Duration { return seconds(b.StaleSlackS) }
 
 // QuotaRules are the bounds of the tenants' quotas.
-func (b Bounds) QuotaRules() quota.Rules {
-	return quota.Rules{Window: seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
+func (b Bounds) QuotaRules() quota.AdmissionBounds {
+	return quota.AdmissionBounds{Window: seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
 }
 
 // RevocationTimeout is the time within which every node must reject a revoked key, even without contact to the control
