--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// bucketMemory is how long the bucket of a removed tenant is kept. If the share has been
-	// held for so long, a tenant without a bucket is new and starts with a full slice;
-	// otherwise it starts with an empty one.
-	bucketMemory = 30 * time.Second
-	// maxRetryDelay bounds the RetryAfterMs of grants.
+	// removedBucketRetention is how long the bucket of a removed tenant is kept. If the share
+	// has been held for at least this long, a tenant without a bucket is new and starts with
+	// a full slice. Otherwise its tokens may have been granted recently, so it starts with an
+	// empty slice.
+	removedBucketRetention = 30 * time.Second
+	// maxRetryDelay bounds TenantGrant.RetryAfterMs.
 	maxRetryDelay = 2 * time.Second
 )
 
-// Allocator is one control node's slice of every tenant's bucket. It is safe for
-// concurrent use.
+// Allocator holds one control node's slice of every tenant's bucket and grants tokens from
+// it. It is safe for concurrent use.
 type Allocator struct {
 	mu          sync.Mutex // guards the fields below
-	share       float64    // of every bucket, 0 to 1
+	share       float64    // fraction of every bucket, 0 to 1
 	leaseExpiry time.Time  // of the share
-	heldSince   time.Time  // the share has been held without a gap since then
+	heldSince   time.Time  // start of the current period in which the share is held without a gap
 	limits      map[string]BucketLimits
 	buckets     map[string]*bucket
-	// orphanWatermarks are stored low watermarks of tenants that have no bucket.
+	// orphanWatermarks holds the stored low watermarks of tenants that have no bucket.
 	orphanWatermarks map[string]float64
 }
 
@@ -36,14 +37,15 @@
 	}
 }
 
-// Share returns the share held now, and whether there is a lease on one at all.
+// Share returns the share held now, and whether its lease is valid. The share of a valid lease
+// may be 0.
 func (a *Allocator) Share(now time.Time) (share float64, leased bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.shareLocked(now), a.leasedLocked(now)
 }
 
-// Shrink reduces the share held from now on. A greater share changes nothing.
+// Shrink reduces the share. It has no effect unless share is less than the current one.
 func (a *Allocator) Shrink(share float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -56,8 +58,8 @@
 }
 
 // Renew sets the granted share, which expires at expiry by this node's clock. If no share was
-// held just before, another node or a former incarnation may have granted its tokens, so the
-// slices start empty.
+// held at now, another node or a former incarnation may have granted its tokens, so the slices
+// start empty.
 func (a *Allocator) Renew(share float64, expiry, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +67,7 @@
 		a.refillAllLocked(now)
 	} else {
 		a.heldSince = now
-		for _, b := range a.buckets { // their low watermarks on the disk stand
+		for _, b := range a.buckets { // the low watermarks on disk still apply
 			b.level = 0
 			b.updatedAt = now
 		}
@@ -91,7 +93,7 @@
 			continue
 		}
 		level := 0.0
-		if a.shareLocked(now) > 0 && now.Sub(a.heldSince) >= bucketMemory {
+		if a.shareLocked(now) > 0 && now.Sub(a.heldSince) >= removedBucketRetention {
 			level = depth
 		}
 		a.addBucketLocked(tenant, level, now)
@@ -99,8 +101,8 @@
 	a.expireRemovedLocked(now)
 }
 
-// expireRemovedLocked marks the buckets of tenants that have no limits any more, and drops
-// those that were marked long ago.
+// expireRemovedLocked empties the buckets of tenants that no longer have limits, and deletes
+// each of them after removedBucketRetention.
 func (a *Allocator) expireRemovedLocked(now time.Time) {
 	for tenant, b := range a.buckets {
 		_, limited := a.limits[tenant]
@@ -108,7 +110,7 @@
 		case !limited && b.removedAt.IsZero():
 			b.removedAt = now
 			b.level = 0
-		case !b.removedAt.IsZero() && now.Sub(b.removedAt) > bucketMemory:
+		case !b.removedAt.IsZero() && now.Sub(b.removedAt) > removedBucketRetention:
 			delete(a.buckets, tenant)
 			if b.lowWatermark > 0 {
 				a.orphanWatermarks[tenant] = b.lowWatermark
@@ -118,7 +120,7 @@
 }
 
 // Take grants up to n whole tokens. If fewer are granted, retryAfter is the time until the next
-// one is available. Unknown tenants get none.
+// one is available, at most maxRetryDelay. Unknown tenants get none.
 func (a *Allocator) Take(tenant string, n int, now time.Time) (granted int, retryAfter time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,22 +138,22 @@
 	return granted, retryAfter
 }
 
-// Withdraw takes up to most tokens, including fractions, from the slice and returns the
+// Withdraw removes up to maxTokens tokens, including fractions, from the slice and returns the
 // amount.
-func (a *Allocator) Withdraw(tenant string, most float64, now time.Time) float64 {
+func (a *Allocator) Withdraw(tenant string, maxTokens float64, now time.Time) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	b := a.activeBucketLocked(tenant, now)
 	if b == nil {
 		return 0
 	}
-	taken := max(0, min(most, b.available()))
+	taken := max(0, min(maxTokens, b.available()))
 	b.level -= taken
 	return taken
 }
 
-// Deposit adds tokens that were withdrawn here or lent by another node, up to the depth of the
-// slice.
+// Deposit adds tokens to the slice, up to its depth. The tokens come from Withdraw or from a
+// loan of another node.
 func (a *Allocator) Deposit(tenant string, tokens float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// leasedLocked reports whether the lease on the share runs.
+// leasedLocked reports whether the lease on the share is valid.
 func (a *Allocator) leasedLocked(now time.Time) bool { return now.Before(a.leaseExpiry) }
 
 // shareLocked returns the share held now.
@@ -171,7 +173,8 @@
 	return a.share
 }
 
-// activeBucketLocked returns a tenant's bucket as it is now, or nil if nothing may be taken.
+// activeBucketLocked returns a tenant's bucket, refilled up to now. It returns nil if no tokens
+// may be taken: the tenant has no limits or no bucket, or no share is held.
 func (a *Allocator) activeBucketLocked(tenant string, now time.Time) *bucket {
 	b := a.buckets[tenant]
 	if _, limited := a.limits[tenant]; !limited || b == nil || a.shareLocked(now) <= 0 {
@@ -181,7 +184,7 @@
 	return b
 }
 
-// addBucketLocked adds a tenant's bucket, if it has none.
+// addBucketLocked adds a bucket for a tenant that has none.
 func (a *Allocator) addBucketLocked(tenant string, level float64, now time.Time) {
 	if a.buckets[tenant] != nil {
 		return
@@ -190,7 +193,8 @@
 	delete(a.orphanWatermarks, tenant)
 }
 
-// refillAllLocked brings all buckets up to date, before what they depend on changes.
+// refillAllLocked refills all buckets up to now. It must be called before the share, its lease
+// or the limits change.
 func (a *Allocator) refillAllLocked(now time.Time) {
 	for tenant, b := range a.buckets {
 		a.refillLocked(tenant, b, now)
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -9,11 +9,11 @@
 	// removedAt is when the tenant's limits were removed; zero while it has limits.
 	removedAt time.Time
 	// lowWatermark is the stored low watermark, or a higher one that is being written. No
-	// tokens are granted below it, so that the next incarnation can start from it.
+	// tokens are granted below it, so that the next incarnation can start at this level.
 	lowWatermark float64
 }
 
-// available returns how many tokens may be taken.
+// available returns the number of tokens above the low watermark, which may be taken.
 func (b *bucket) available() float64 { return max(0, b.level-b.lowWatermark) }
 
 // refill adds the tokens since the last update, at rate if the share was held, and caps the
@@ -31,22 +31,23 @@
 const (
 	// watermarkFraction is the low watermark as a fraction of the level.
 	watermarkFraction = 0.5
-	// lowerThreshold is a fraction of the depth. The watermark is lowered if fewer tokens are
-	// available above it.
+	// lowerThreshold is a fraction of the depth. The watermark is lowered when fewer tokens
+	// than this are available above it.
 	lowerThreshold = 0.125
-	// raiseThreshold is a fraction of the depth. The watermark is raised from this level on.
+	// raiseThreshold is a fraction of the depth. The watermark is raised only when the level
+	// is at least this high.
 	raiseThreshold = 0.8
 
 	// minWatermark is the smallest watermark that is stored, in tokens.
 	minWatermark = 1
-	// A watermark w is raised only above raiseFactor*w + raiseMargin tokens.
+	// A watermark w is raised only to a value above raiseFactor*w + raiseMargin tokens.
 	raiseFactor = 1.5
 	raiseMargin = 0.5
 )
 
-// nextLowWatermark returns what the low watermark should be for a slice of the given depth,
-// and whether it must change now.
-func (b *bucket) nextLowWatermark(depth float64) (watermark float64, move bool) {
+// nextLowWatermark returns the low watermark to use for a slice of the given depth, and whether
+// it must replace the current one now.
+func (b *bucket) nextLowWatermark(depth float64) (watermark float64, replace bool) {
 	target := watermarkFraction * b.level
 	switch {
 	case b.lowWatermark > 0 && b.available() < lowerThreshold*depth:
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,14 +1,14 @@
-// Package quota bounds how many requests of a tenant are admitted over all nodes together.
+// Package quota limits how many requests of a tenant all nodes together admit.
 //
-// A tenant's token bucket is divided into slices. Each control node holds a leased
-// share of every bucket, grants tokens out of its slice (Allocator), and lends to the
-// others. Data plane nodes draw tokens, which expire soon, and spend one for each request
-// (TokenCache). A token is spent once or lost; none is ever returned. TokenRequest and
-// TokenGrant are the messages between them.
+// A tenant's token bucket is divided into slices. Each control node holds a leased share of
+// every bucket, grants tokens from its slice (Allocator) and lends tokens to other control
+// nodes. Data plane nodes request tokens, which have a short lifetime, and spend one for each
+// request (TokenCache). Data plane nodes never return tokens: a token is spent once or expires.
+// TokenRequest and TokenGrant are the messages between the nodes.
 //
-// So that a control node that restarts need not begin with empty slices, an Allocator
-// works out low watermarks: levels below which it grants nothing until the disk holds lower
-// ones.
+// An Allocator computes low watermarks, so that a control node that restarts does not start
+// with empty slices. A low watermark is a level below which the Allocator grants no tokens
+// until a lower one is stored on disk.
 //
-// Time is passed in; the package does no input or output.
+// The caller passes in the current time. The package does no I/O.
 package quota
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -6,16 +6,16 @@
 // of length Window at most (rate x Window + burst) x (1 + Overshoot) + Slack.
 type AdmissionBounds struct {
 	Window    time.Duration
-	Overshoot float64 // a share, 0.1 for 10 %
+	Overshoot float64 // a fraction: 0.1 is 10 %
 	Slack     float64 // requests
 }
 
-// BucketLimits are the limits of one tenant's bucket, over all slices together. The zero
-// value sets no limit.
+// BucketLimits are the limits of one tenant's bucket, for all slices together. The zero value
+// sets no limit.
 type BucketLimits struct {
-	Rate  float64 // tokens a second
-	Depth float64 // the most tokens that the bucket holds
-	// TokenLifetime is how long a granted token may be spent, counted from before it was
+	Rate  float64 // tokens per second
+	Depth float64 // capacity of the bucket in tokens
+	// TokenLifetime is how long a token may be spent. It starts just before the token is
 	// requested.
 	TokenLifetime time.Duration
 }
@@ -23,10 +23,10 @@
 // The allowance beyond rate and burst is divided into these fractions. The rest covers the
 // delay between spending a token and the arrival of the request at the endpoint.
 const (
-	// lifetimeFraction is for granted tokens that are not spent yet while the bucket
-	// fills again.
+	// lifetimeFraction covers granted tokens that are still unspent while the bucket refills.
 	lifetimeFraction = 0.5
-	// depthFraction makes the bucket deeper, for slices that run empty unevenly.
+	// depthFraction increases the depth of the bucket, because some slices run empty before
+	// others.
 	depthFraction = 0.4
 
 	minTokenLifetime = 100 * time.Millisecond
@@ -35,9 +35,9 @@
 
 // LimitsFor returns the limits of a tenant's bucket; a rate of 0 sets no limit.
 //
-// The tokens spent in any window are among those that were granted and alive at its start
-// (Rate x TokenLifetime at most), those that lay in the bucket (Depth at most) and those
-// that came in (Rate x Window).
+// The tokens spent in any window are a subset of three groups: tokens that were granted before
+// the window and have not expired (at most Rate x TokenLifetime), tokens in the bucket at its
+// start (at most Depth), and tokens added during the window (Rate x Window).
 func (b AdmissionBounds) LimitsFor(rate, burst float64) BucketLimits {
 	if rate <= 0 {
 		return BucketLimits{}
@@ -48,11 +48,11 @@
 		Rate:          rate,
 		TokenLifetime: min(max(lifetime, minTokenLifetime), maxTokenLifetime),
 	}
-	// Where the rules allow too little for the shortest lifetime, the bucket is shallower.
+	// If the allowance is too small for minTokenLifetime, the depth is reduced instead.
 	extraDepth := min(depthFraction*allowance, allowance-rate*limits.TokenLifetime.Seconds())
 	limits.Depth = max(1, burst+extraDepth)
 	return limits
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether a limit is set.
 func (l BucketLimits) Limited() bool { return l.Rate > 0 }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -1,27 +1,27 @@
 package quota
 
 const (
-	// MaxDemands bounds the demands of a TokenRequest: one with more is ignored.
+	// MaxDemands bounds the demands of a TokenRequest. A request with more is ignored.
 	MaxDemands = 32
-	// MaxTokensPerDemand bounds the tokens of a demand: no more are granted.
+	// MaxTokensPerDemand bounds the tokens granted for one demand.
 	MaxTokensPerDemand = 1 << 12
 )
 
 // TokenRequest asks a control node for tokens.
 type TokenRequest struct {
-	ID      uint64         `cbor:"1,keyasint"` // repeated in the answer
+	ID      uint64         `cbor:"1,keyasint"` // copied to the answer
 	Demands []TenantDemand `cbor:"2,keyasint"`
-	// Loan marks a request of one control node to another, which grants only from its own
-	// slices and doesn't borrow.
+	// Loan marks a request from one control node to another. The receiver grants tokens only
+	// from its slices and doesn't borrow.
 	Loan bool `cbor:"3,keyasint,omitempty"`
 }
 
-// TenantDemand asks for tokens of one tenant.
+// TenantDemand is the number of tokens that a TokenRequest asks for, for one tenant.
 type TenantDemand struct {
 	Tenant   string `cbor:"1,keyasint"`
-	Required int    `cbor:"2,keyasint"`           // tokens that requests wait for
-	Prefetch int    `cbor:"3,keyasint,omitempty"` // tokens to draw ahead
-	// MilliTokens is what a loan asks for instead, in thousandths of a token.
+	Required int    `cbor:"2,keyasint"`           // tokens that pending requests wait for
+	Prefetch int    `cbor:"3,keyasint,omitempty"` // tokens for expected requests
+	// MilliTokens replaces Required and Prefetch in a loan request, in thousandths of a token.
 	MilliTokens int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -34,10 +34,11 @@
 // TenantGrant is the result of one demand.
 type TenantGrant struct {
 	Granted int `cbor:"1,keyasint,omitempty"`
-	// RetryAfterMs is when to ask again, if Granted is less than was required.
+	// RetryAfterMs is the time to wait before the next request, if Granted is less than
+	// Required.
 	RetryAfterMs int64 `cbor:"2,keyasint,omitempty"`
-	// NoShare says that this node holds no share now; another may.
+	// NoShare reports that this control node holds no share now. Another may hold one.
 	NoShare bool `cbor:"3,keyasint,omitempty"`
-	// MilliTokens is what a loan granted, in thousandths of a token.
+	// MilliTokens is the amount granted for a loan request, in thousandths of a token.
 	MilliTokens int64 `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	// rateSmoothing is the time over which a tenant's request rate is smoothed.
+	// rateSmoothing is the period over which a tenant's request rate is smoothed.
 	rateSmoothing = time.Second
-	// prefetchFraction is the fraction of a token's lifetime for which tokens are prefetched.
+	// prefetchFraction is a fraction of a token's lifetime. Tokens are prefetched for the
+	// requests expected in that time.
 	prefetchFraction = 0.6
 	// accountIdleTimeout is how long the account of an idle tenant is kept.
 	accountIdleTimeout = 20 * time.Second
 )
 
-// TokenCache holds the tokens of one data plane node, and the request rates from which the
-// number of tokens to prefetch follows. It is safe for concurrent use.
+// TokenCache holds the tokens of one data plane node, and the tenants' request rates, from which
+// it computes the number of tokens to prefetch. It is safe for concurrent use.
 type TokenCache struct {
 	mu       sync.Mutex // guards the fields below
 	accounts map[string]*account
 }
 
-// account is what a TokenCache holds of one tenant.
+// account holds one tenant's tokens and request rate.
 type account struct {
 	batches        []tokenBatch // oldest first
-	requestRate    float64      // requests a second, smoothed
+	requestRate    float64      // requests per second, smoothed
 	rateUpdatedAt  time.Time
-	exhaustedUntil time.Time // no node has a token for this tenant before then
+	exhaustedUntil time.Time // no control node has a token for this tenant before then
 }
 
-// tokenBatch is what is left of the tokens of one grant.
+// tokenBatch holds the remaining tokens of one grant.
 type tokenBatch struct {
 	count  int
 	expiry time.Time
@@ -38,8 +39,9 @@
 // NewTokenCache returns an empty cache.
 func NewTokenCache() *TokenCache { return &TokenCache{accounts: map[string]*account{}} }
 
-// Spend counts a request of the tenant and spends a token if there is one. If not, wait is how
-// long no node has a token; it may be negative.
+// Spend counts a request of the tenant and spends a token if there is one. If there is none, wait
+// is the time until a control node may have a token; a negative wait means that the time has
+// passed.
 func (c *TokenCache) Spend(tenant string, now time.Time) (ok bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,14 +53,16 @@
 	return false, a.exhaustedUntil.Sub(now)
 }
 
-// SpendGranted spends a newly granted token for a request that Spend has counted already.
+// SpendGranted spends a newly granted token for a request that Spend has already counted. It
+// reports whether there was a token.
 func (c *TokenCache) SpendGranted(tenant string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.accountLocked(tenant, now).spend(now)
 }
 
-// PrefetchCount returns the number of tokens to request beyond those that requests wait for.
+// PrefetchCount returns the number of tokens to request in addition to those that pending
+// requests wait for.
 func (c *TokenCache) PrefetchCount(tenant string, limits BucketLimits, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,15 +79,16 @@
 	a.exhaustedUntil = time.Time{}
 }
 
-// MarkExhausted records that no node has a token for the tenant until retryAfter has passed.
+// MarkExhausted records that no control node has a token for the tenant until retryAfter has
+// passed.
 func (c *TokenCache) MarkExhausted(tenant string, retryAfter time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accountLocked(tenant, now).exhaustedUntil = now.Add(retryAfter)
 }
 
-// Discard drops the tokens of tenants whose limits changed: they were drawn under the old
-// ones.
+// Discard drops the tokens of tenants whose limits changed, because the tokens were granted under
+// the old limits.
 func (c *TokenCache) Discard(tenants []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +111,7 @@
 	}
 }
 
-// accountLocked returns the tenant's account, a new one if there is none.
+// accountLocked returns the tenant's account. It creates the account if there is none.
 func (c *TokenCache) accountLocked(tenant string, now time.Time) *account {
 	a := c.accounts[tenant]
 	if a == nil {
@@ -116,14 +121,15 @@
 	return a
 }
 
-// recordRequest counts a request into the smoothed rate.
+// recordRequest adds a request to the smoothed rate.
 func (a *account) recordRequest(now time.Time) {
 	decay := max(0, 1-now.Sub(a.rateUpdatedAt).Seconds()/rateSmoothing.Seconds())
 	a.requestRate = a.requestRate*decay + 1/rateSmoothing.Seconds()
 	a.rateUpdatedAt = now
 }
 
-// spend takes a token out of the oldest batch that has not expired.
+// spend takes a token from the oldest batch that has not expired. It reports whether there was
+// one.
 func (a *account) spend(now time.Time) bool {
 	for len(a.batches) > 0 {
 		oldest := &a.batches[0]
--- a/internal/quota/watermark.go
+++ b/internal/quota/watermark.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LowWatermarks returns the low watermarks to store, by tenant, and whether any of them must
-// change. Until LowWatermarksStored is called, the higher of the old and the new one applies.
+// LowWatermarks returns the low watermarks by tenant, and whether they must be stored. Until
+// LowWatermarksStored is called, the higher of the old and the new watermark of a tenant applies.
 func (a *Allocator) LowWatermarks(now time.Time) (watermarks map[string]float64, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -18,8 +18,8 @@
 		if !limited {
 			continue
 		}
-		watermark, move := b.nextLowWatermark(l.Depth * a.share)
-		if move {
+		watermark, replace := b.nextLowWatermark(l.Depth * a.share)
+		if replace {
 			due = true
 		}
 		if watermark > 0 {
@@ -34,7 +34,7 @@
 	return watermarks, due
 }
 
-// LowWatermarksStored records that exactly these low watermarks are stored.
+// LowWatermarksStored records that the disk holds exactly these low watermarks.
 func (a *Allocator) LowWatermarksStored(watermarks map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -44,10 +44,10 @@
 	clear(a.orphanWatermarks)
 }
 
-// Restore sets the low watermarks that a former incarnation stored. If its share was
-// uninterrupted, no other node has had it since, so the slices start with these tokens;
-// nothing is added for the time since then. Otherwise the slices stay empty, but the
-// watermarks apply until others are stored.
+// Restore sets the low watermarks that a former incarnation stored. If uninterrupted is true, no
+// other node has held the share since then, so each slice gets as many tokens as its watermark;
+// no tokens are added for the time since the watermarks were stored. Otherwise the slices stay
+// empty. In both cases the watermarks apply until others are stored.
 func (a *Allocator) Restore(watermarks map[string]float64, uninterrupted bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/quota/watermark_test.go
+++ b/internal/quota/watermark_test.go
@@ -21,7 +21,8 @@
 	r.Restore(r.disk, uninterrupted, now)
 }
 
-// store writes the low watermarks if they ought to move; the allocator may not know yet.
+// store writes the low watermarks to the disk if they are due. At random, the allocator is not
+// notified of the completed write.
 func (r *restartingAllocator) store(rng *rand.Rand, now time.Time) {
 	watermarks, due := r.LowWatermarks(now)
 	if !due {
@@ -33,9 +34,9 @@
 	}
 }
 
-// TestLowWatermarksAcrossRestarts: an allocator that restarts again and again, at any moment
-// between two writes, grants no more than one that never does; and one that restarts in calm
-// times goes on with half of what it had.
+// TestLowWatermarksAcrossRestarts guards against an allocator that grants tokens twice because it
+// restarts, at any point between two writes of the low watermarks. It also checks that a restart
+// with an uninterrupted share doesn't empty the slices.
 func TestLowWatermarksAcrossRestarts(t *testing.T) {
 	limits := map[string]BucketLimits{"t": {Rate: 10, Depth: 40, TokenLifetime: time.Second}}
 	for seed := range int64(50) {
@@ -49,17 +50,18 @@
 		}
 		r.restart(true, now)
 		if got := r.Withdraw("t", 1, now); got != 0 {
-			t.Fatalf("seed %d: %v tokens are granted before the watermark is lowered on the disk", seed, got)
+			t.Fatalf("seed %d: %v tokens are granted before a lower watermark is stored, want 0", seed, got)
 		}
 		watermarks, due := r.LowWatermarks(now)
 		if !due {
-			t.Fatalf("seed %d: nothing is available, and the watermarks stay", seed)
+			t.Fatalf("seed %d: no tokens are available, but LowWatermarks has nothing to store", seed)
 		}
 		r.disk = watermarks
 		r.LowWatermarksStored(watermarks)
 		spent := r.Withdraw("t", 99, now)
 		if spent < 5 {
-			t.Fatalf("seed %d: %v tokens are granted after a restart in calm times", seed, spent)
+			t.Fatalf("seed %d: %v tokens are granted after a restart with an uninterrupted share, want at least 5",
+				seed, spent)
 		}
 		for step := range 200 {
 			if step%4 == 0 {
@@ -75,7 +77,7 @@
 			}
 		}
 		if allowed := 40 + 10*2.5 + 0.001; spent > allowed {
-			t.Fatalf("seed %d: %v tokens were granted, %v are allowed", seed, spent, allowed)
+			t.Fatalf("seed %d: %v tokens were granted across restarts, want at most %v", seed, spent, allowed)
 		}
 	}
 }
