--- a/internal/controlclient/applied_state.go
+++ b/internal/controlclient/applied_state.go
@@ -15,12 +15,13 @@
 	"comethold/internal/upstream"
 )
 
-// sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control node
-// asked for it. A control node asks at most once in that time.
-const sendMarkIndexesFor = 10 * time.Second
+// markIndexesDuration is how long update requests contain HeldVersions.MarkIndexes after a
+// control node asked for it. A control node asks at most once in that time.
+const markIndexesDuration = 10 * time.Second
 
-// appliedState is the state that this node received in updates. Each part only moves
-// forward. The callbacks are set before the first update and are called under mu.
+// appliedState is the state that this node received in updates. A part of the state is replaced
+// only by a newer version. The callbacks are set before the first update and are called with mu
+// held.
 type appliedState struct {
 	log         *logging.Logger
 	upstreams   *upstream.ClusterManager
@@ -30,18 +31,19 @@
 	onRouteTable     func(*routing.RouteTable)
 	onPurges         func(*distribution.PurgeUpdate)
 	onTenantsChanged func(tenants []string)
-	// sharingNodes returns how many nodes share the endpoints with this one; nil: all data
-	// plane nodes do.
+	// sharingNodes returns the number of nodes, including this one, among which the connection
+	// limits of endpoints and the slack of the retry budget are divided. If it is nil, the
+	// number of data plane nodes is used.
 	sharingNodes func() int
 
-	// These are written under mu and read without it.
+	// The next three fields are written with mu held and read without it.
 	routeTable atomic.Pointer[routing.RouteTable] // nil until the first configuration
 	purgeIndex atomic.Uint64
-	// confirmed says that an update was received from a node in contact with the majority.
+	// confirmed is set when an update is received from a node in contact with the majority.
 	confirmed atomic.Bool
 
 	mu        sync.Mutex // guards the fields below
-	contactAt time.Time  // when the last such update was received
+	contactAt time.Time  // when an update last came from a node in contact with the majority
 
 	endpointRevision distribution.Revision
 	hasEndpoints     bool
@@ -51,17 +53,17 @@
 	marksDigest          uint64                                // of ejectionMarks
 	sendMarkIndexesUntil time.Time
 
-	nodesIndex     uint64                       // log index of the directory
+	nodesIndex     uint64                       // log index of the directory of nodes
 	nodes          map[string]distribution.Node // by name
 	dataPlaneCount int
 	nodeCounts     []nodeCount // oldest first
 
-	purges     []distribution.Purge // the newest, in order
-	purgeFloor uint64               // purges up to this log index are not in purges
+	purges     []distribution.Purge // the newest purges, in log order
+	purgeFloor uint64               // purges contains no purges up to this log index
 
 	inbox             *outbox.Inbox
 	notificationIndex uint64                            // log index of the newest notification received
-	deferred          []distribution.OutboxNotification // early ones, in order
+	deferred          []distribution.OutboxNotification // early notifications, in order
 }
 
 func newAppliedState(
@@ -83,7 +85,7 @@
 	}
 }
 
-// ready reports whether there are a configuration and an endpoint list.
+// ready reports whether a configuration and an endpoint list have been applied.
 func (s *appliedState) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +100,7 @@
 	return time.Since(s.contactAt) > span
 }
 
-// heldVersions returns the versions of the held state for the next update request.
+// heldVersions returns the versions of the applied state, for the next update request.
 func (s *appliedState) heldVersions() distribution.HeldVersions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +123,7 @@
 	return held
 }
 
-// apply applies the parts of an update that are newer than what is held.
+// apply applies the parts of an update that are newer than the current state.
 func (s *appliedState) apply(u *distribution.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +137,7 @@
 		s.applyEndpointsLocked(u.Endpoints)
 	}
 	if u.NeedMarkIndexes {
-		s.sendMarkIndexesUntil = time.Now().Add(sendMarkIndexesFor)
+		s.sendMarkIndexesUntil = time.Now().Add(markIndexesDuration)
 	}
 	if len(u.EjectionMarks) > 0 || len(u.RemovedIndexes) > 0 {
 		s.applyEjectionMarksLocked(u.EjectionMarks, u.RemovedIndexes)
@@ -143,7 +145,7 @@
 	if u.Nodes != nil {
 		s.applyNodesLocked(u.Nodes)
 	}
-	// After the rest of the update: notifications refer to state that must be applied first.
+	// Notifications come last, because they refer to state that must be applied before them.
 	s.applyNotificationsLocked(u.Notifications)
 	s.updateNodeCountLocked(time.Now())
 	if !u.Stale {
@@ -174,7 +176,7 @@
 	s.log.Info(logging.ConfigApplied).
 		Uint64("version", table.Version).
 		Int("routes", len(config.Routes)).
-		Msg("configuration in force")
+		Msg("configuration applied")
 }
 
 func (s *appliedState) applyEndpointsLocked(l *distribution.EndpointList) {
@@ -201,8 +203,8 @@
 	s.upstreams.SetFleetEjections(s.ejectedLocked())
 }
 
-// ejectedLocked returns the ejected endpoints of all search indexes by ID. If several mark
-// the same endpoint, ReasonDraining takes precedence.
+// ejectedLocked returns the ejection marks of all search indexes by endpoint ID. If several
+// indexes mark the same endpoint, ReasonDraining takes precedence.
 func (s *appliedState) ejectedLocked() map[string]distribution.EjectionMark {
 	ejected := map[string]distribution.EjectionMark{}
 	for _, marks := range s.ejectionMarks {
--- a/internal/controlclient/applied_state_test.go
+++ b/internal/controlclient/applied_state_test.go
@@ -16,7 +16,7 @@
 	return newAppliedState(logging.Nop(), upstreams, retrybudget.New(retrybudget.Config{}, time.Now()))
 }
 
-// testUpdate is an update with each part that nodes pass on to one another.
+// testUpdate returns an update with all parts that a node sends to other nodes.
 func testUpdate() *distribution.Update {
 	return &distribution.Update{
 		Config:    distribution.FullConfig(&routing.Configuration{Version: 7}),
@@ -38,15 +38,16 @@
 	}
 }
 
-// TestUpdateForPeers: a node passes on what another one lacks, the directory of nodes within
-// its zone alone, and nothing to one that holds the same.
-func TestUpdateForPeers(t *testing.T) {
+// TestUpdateForPeerOmitsHeldState checks that a node sends another node the state that it lacks,
+// and an empty update if it lacks nothing. It guards against sending the directory of nodes to
+// another zone, and against a receiver that takes state from a data plane node as confirmed.
+func TestUpdateForPeerOmitsHeldState(t *testing.T) {
 	sender := newTestState()
 	sender.apply(testUpdate())
 	for _, c := range []struct {
-		situation string
-		sameZone  bool
-		nodes     uint64
+		receiverNode string
+		sameZone     bool
+		nodesIndex   uint64
 	}{
 		{"a node of the same zone", true, 20},
 		{"a node of another zone", false, 0},
@@ -57,22 +58,22 @@
 		want := sender.heldVersions()
 		if held.ConfigVersion != want.ConfigVersion || held.EndpointRevision != want.EndpointRevision ||
 			held.PurgeIndex != want.PurgeIndex || held.MarksDigest != want.MarksDigest {
-			t.Errorf("%s holds %+v, the sender %+v", c.situation, held, want)
+			t.Errorf("%s holds %+v after the update, want the state of the sender: %+v", c.receiverNode, held, want)
 		}
-		if held.NodesIndex != c.nodes {
-			t.Errorf("%s holds the directory at %d, want %d", c.situation, held.NodesIndex, c.nodes)
+		if held.NodesIndex != c.nodesIndex {
+			t.Errorf("%s holds the directory of log index %d, want %d", c.receiverNode, held.NodesIndex, c.nodesIndex)
 		}
 		if receiver.confirmed.Load() {
-			t.Errorf("%s is confirmed by a node that is no control node", c.situation)
+			t.Errorf("%s is confirmed after an update from a data plane node, want unconfirmed", c.receiverNode)
 		}
 		held.MarkIndexes = map[string]uint64{"ix": 12}
 		if again := sender.updateFor(held, false); !again.Empty() {
-			t.Errorf("%s gets what it holds: %+v", c.situation, again)
+			t.Errorf("%s gets %+v although it holds the same state, want an empty update", c.receiverNode, again)
 		}
 	}
 }
 
-// TestAppliedStateKeepsNewest: an older update changes nothing.
+// TestAppliedStateKeepsNewest guards against a delayed, older update that replaces newer state.
 func TestAppliedStateKeepsNewest(t *testing.T) {
 	s := newTestState()
 	s.apply(testUpdate())
@@ -88,37 +89,37 @@
 	if got.ConfigVersion != want.ConfigVersion || got.EndpointRevision != want.EndpointRevision ||
 		got.MarksDigest != want.MarksDigest || got.NodesIndex != want.NodesIndex ||
 		got.DataPlaneCount != want.DataPlaneCount || got.PurgeIndex != want.PurgeIndex {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("held versions after an older update are %+v, want %+v", got, want)
 	}
 }
 
-// TestPurgedSince: a purge is found by those who read before it, and purges that are
-// forgotten count as a match.
-func TestPurgedSince(t *testing.T) {
+// TestPurgedSinceMatchesAndDiscardedPurges guards against objects that are cached although they were
+// read before a purge, including a purge that this node has discarded.
+func TestPurgedSinceMatchesAndDiscardedPurges(t *testing.T) {
 	s := newTestState()
 	s.apply(testUpdate())
-	ofPathA := func(p distribution.Purge) bool { return p.Path == "/a" }
-	if !s.purgedSince(29, ofPathA) {
-		t.Error("a purge after the log index is not found")
+	matchesPathA := func(p distribution.Purge) bool { return p.Path == "/a" }
+	if !s.purgedSince(29, matchesPathA) {
+		t.Error("purgedSince(29) is false with a matching purge at 30, want true")
 	}
-	if s.purgedSince(30, ofPathA) {
-		t.Error("a purge up to the log index is found")
+	if s.purgedSince(30, matchesPathA) {
+		t.Error("purgedSince(30) is true with the last matching purge at 30, want false")
 	}
 	s.apply(&distribution.Update{Purges: &distribution.PurgeUpdate{LogIndex: 40, Reset: true}})
-	if !s.purgedSince(39, ofPathA) {
-		t.Error("a forgotten purge doesn't count as a match")
+	if !s.purgedSince(39, matchesPathA) {
+		t.Error("purgedSince(39) is false after purges up to 40 were discarded, want true")
 	}
-	if s.purgedSince(40, ofPathA) {
-		t.Error("a purge up to a reset is found after it")
+	if s.purgedSince(40, matchesPathA) {
+		t.Error("purgedSince(40) is true after a reset at 40, want false")
 	}
 }
 
-// TestNodeCountWindow: limits are divided among the most nodes that there were in the last
-// nodeCountWindow.
-func TestNodeCountWindow(t *testing.T) {
+// TestNodeCountIsMaximumInWindow guards against limits that are exceeded just after a node left: the
+// limits must be divided by the highest node count of the last nodeCountWindow.
+func TestNodeCountIsMaximumInWindow(t *testing.T) {
 	s := newTestState()
 	now := time.Unix(1000, 0)
-	most := func() int {
+	highestCount := func() int {
 		count := 0
 		for _, c := range s.nodeCounts {
 			count = max(count, c.count)
@@ -135,13 +136,13 @@
 		{nodeCountWindow, 2, 4},
 		{time.Second, 2, 2},
 		{time.Second, 5, 5},
-		{0, 0, 5}, // no directory
+		{0, 0, 5}, // no directory of nodes
 	} {
 		now = now.Add(step.after)
 		s.dataPlaneCount = step.count
 		s.updateNodeCountLocked(now)
-		if got := most(); got != step.want {
-			t.Errorf("with %d nodes at %v: got %d, want %d", step.count, now.Unix(), got, step.want)
+		if got := highestCount(); got != step.want {
+			t.Errorf("with %d nodes at %v s: the highest count is %d, want %d", step.count, now.Unix(), got, step.want)
 		}
 	}
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -21,16 +21,16 @@
 	"comethold/internal/usage"
 )
 
-// Time-outs of connections to endpoints. The dial time-out is an upper bound only: package
-// upstream gives up on a dial earlier, after its own dialTimeout. An open connection fails
-// when the endpoint acknowledges nothing for upstreamSilenceTimeout.
+// Time-outs of connections to endpoints. upstreamDialTimeout is only an upper bound: package
+// upstream cancels a dial earlier, after its own dialTimeout. An open connection fails when the
+// endpoint acknowledges no data for upstreamSilenceTimeout.
 const (
 	upstreamDialTimeout    = time.Second
 	upstreamSilenceTimeout = 5 * time.Second
 )
 
-// bodyMemoryDivisor is the divisor of a process's memory that gives how much of it the bodies of
-// endpoints' responses may take while they are read.
+// bodyMemoryDivisor sets the memory for response bodies that are being read from endpoints: it is
+// the memory limit of the process divided by bodyMemoryDivisor.
 const bodyMemoryDivisor = 4
 
 // Client is one node's client of the control plane. Its exported fields are set by New and
@@ -49,10 +49,10 @@
 	datagrams    *datagramSocket
 	done         chan struct{} // closed by Close
 	closeOnce    sync.Once
-	objectCaches atomic.Pointer[[]distribution.Node] // those that are not down
+	objectCaches atomic.Pointer[[]distribution.Node] // object caches that are not down
 }
 
-// Options are what New needs.
+// Options configure a Client. New requires all fields.
 type Options struct {
 	Settings *settings.Settings
 	Log      *logging.Logger
@@ -60,7 +60,7 @@
 	Network  rpc.Network
 }
 
-// New returns a client that holds nothing yet.
+// New returns a client without state.
 func New(o Options) *Client {
 	set := o.Settings
 	locality := upstream.Locality{Node: set.NodeName, Zone: set.AvailabilityZone, RegionOf: set.RegionOf}
@@ -97,24 +97,24 @@
 	return c
 }
 
-// OnRouteTable sets what is called with a new route table. Like the other On functions it
-// must be called before RunUpdates; the callback must not block.
+// OnRouteTable sets the callback for a new route table. Like the other On methods, it must be
+// called before RunUpdates, and the callback must not block.
 func (c *Client) OnRouteTable(f func(*routing.RouteTable)) { c.state.onRouteTable = f }
 
-// OnPurges sets what is called with purges, before PurgeIndex moves. See OnRouteTable.
+// OnPurges sets the callback for purges. It runs before PurgeIndex advances. See OnRouteTable.
 func (c *Client) OnPurges(f func(*distribution.PurgeUpdate)) { c.state.onPurges = f }
 
-// OnTenantsChanged sets what is called with the tenants whose keys or limits changed. See
+// OnTenantsChanged sets the callback for the tenants whose keys or limits changed. See
 // OnRouteTable.
 func (c *Client) OnTenantsChanged(f func(tenants []string)) { c.state.onTenantsChanged = f }
 
-// OnTokenGrant sets what is called with grants of tokens. See OnRouteTable.
+// OnTokenGrant sets the callback for token grants. See OnRouteTable.
 func (c *Client) OnTokenGrant(f func(*quota.TokenGrant)) { c.datagrams.onTokenGrant = f }
 
-// OnUsageAck sets what is called with answers to usage reports. See OnRouteTable.
+// OnUsageAck sets the callback for answers to usage reports. See OnRouteTable.
 func (c *Client) OnUsageAck(f func(*usage.CountAck)) { c.datagrams.onUsageAck = f }
 
-// SetInitialPurgeIndex sets the log index up to which purges are applied to the objects
+// SetInitialPurgeIndex sets the log index up to which purges have been applied to the objects
 // that this node loaded from its disk. It must be called before RunUpdates.
 func (c *Client) SetInitialPurgeIndex(index uint64) {
 	c.state.purgeIndex.Store(index)
@@ -141,14 +141,16 @@
 	return err
 }
 
-// Send sends a datagram to another process, if RunHeartbeats has begun. It may be lost.
+// Send sends a datagram to another process. The datagram may be lost, and is dropped if
+// RunHeartbeats has not started.
 func (c *Client) Send(to net.Addr, d *distribution.Datagram) { c.datagrams.send(to, d) }
 
 // Apply applies an update as RunUpdates does.
 func (c *Client) Apply(u *distribution.Update) { c.state.apply(u) }
 
-// SwitchSource makes the update stream poll another control node. It is for callers that
-// saw newer state on another node: this node's control node may have lost contact.
+// SwitchSource makes the update stream poll another control node. Callers use it when they see
+// newer state on another node, since the polled control node may have lost contact with the
+// majority. A call shortly after a switch has no effect.
 func (c *Client) SwitchSource() { c.updates.switchSource() }
 
 // Reload applies the seed nodes of new settings.
@@ -157,14 +159,14 @@
 // Done returns a channel that Close closes.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Close ends RunUpdates and RunHeartbeats. It doesn't wait for them.
+// Close makes RunUpdates and RunHeartbeats return. It doesn't wait for them.
 func (c *Client) Close() { c.closeOnce.Do(func() { close(c.done) }) }
 
 // Ready reports whether the node has a configuration and an endpoint list.
 func (c *Client) Ready() bool { return c.state.ready() }
 
-// Confirmed reports whether the node received an update, since its start, from a node in
-// contact with the majority of the control plane. Until then it must not use state that it
+// Confirmed reports whether the node, since its start, has received an update from a node in
+// contact with the majority of the control plane. Until then, the node must not use state that it
 // loaded from its disk.
 func (c *Client) Confirmed() bool { return c.state.confirmed.Load() }
 
@@ -172,26 +174,26 @@
 // the control plane is older than span.
 func (c *Client) Disconnected(span time.Duration) bool { return c.state.disconnected(span) }
 
-// RouteTable returns the route table in force, or nil.
+// RouteTable returns the current route table, or nil before the first configuration.
 func (c *Client) RouteTable() *routing.RouteTable { return c.state.routeTable.Load() }
 
-// PurgeIndex returns the log index of the newest purge known here.
+// PurgeIndex returns the log index up to which this node has applied purges.
 func (c *Client) PurgeIndex() uint64 { return c.state.purgeIndex.Load() }
 
-// PurgedSince reports whether a purge after the log index matches, or whether that is no
-// longer known.
+// PurgedSince reports whether a purge with a log index above index matches. It also returns true
+// if the client has discarded purges above index.
 func (c *Client) PurgedSince(index uint64, matches func(distribution.Purge) bool) bool {
 	return c.state.purgedSince(index, matches)
 }
 
-// Endpoints returns the endpoints that this node holds, in no order.
+// Endpoints returns the known endpoints, in no particular order.
 func (c *Client) Endpoints() []distribution.Endpoint {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
 	return slices.Collect(maps.Values(c.state.endpoints))
 }
 
-// Ejected returns the endpoints that the control plane holds as ejected, by ID.
+// Ejected returns the ejection marks of the control plane by endpoint ID.
 func (c *Client) Ejected() map[string]distribution.EjectionMark {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
@@ -202,11 +204,11 @@
 	return ejected
 }
 
-// ObjectCaches returns the object caches that are not down. Callers must not change it.
+// ObjectCaches returns the object caches that are not down. Callers must not change the slice.
 func (c *Client) ObjectCaches() []distribution.Node { return *c.objectCaches.Load() }
 
-// ControlPlaneHosts returns the addresses (host and port) of the control nodes, the
-// preferred first.
+// ControlPlaneHosts returns the addresses (host and port) of the control nodes, the preferred
+// one first.
 func (c *Client) ControlPlaneHosts() []string {
 	var addresses []string
 	port := strconv.Itoa(c.Settings.PortOf(settings.ControlPlane))
--- a/internal/controlclient/datagrams.go
+++ b/internal/controlclient/datagrams.go
@@ -13,10 +13,10 @@
 
 const (
 	maxDatagramBytes  = 16 << 10
-	receiveRetryPause = 50 * time.Millisecond // after an error of the socket
+	receiveRetryPause = 50 * time.Millisecond // after a read error
 )
 
-// datagramSocket sends datagrams, and passes received ones to callbacks.
+// datagramSocket sends datagrams, and passes received datagrams to callbacks.
 type datagramSocket struct {
 	onTokenGrant func(*quota.TokenGrant) // set before open
 	onUsageAck   func(*usage.CountAck)   // set before open
@@ -32,14 +32,14 @@
 	}
 }
 
-// open makes send use conn.
+// open sets the connection that send uses.
 func (s *datagramSocket) open(conn net.PacketConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn = conn
 }
 
-// send sends a datagram, if the socket is open. It may be lost.
+// send sends a datagram. The datagram may be lost, and is dropped if open has not been called.
 func (s *datagramSocket) send(to net.Addr, d *distribution.Datagram) {
 	s.mu.Lock()
 	conn := s.conn
@@ -48,12 +48,13 @@
 		return
 	}
 	if encoded, err := rpc.Marshal(d); err == nil {
-		_, _ = conn.WriteTo(encoded, to) // the receiver doesn't rely on any datagram
+		_, _ = conn.WriteTo(encoded, to) // receivers tolerate lost datagrams
 	}
 }
 
-// receive passes the datagrams received on conn to their callbacks. It returns on the first
-// read error after done is closed: close conn to end it. Invalid datagrams are dropped.
+// receive passes the datagrams received on conn to their callbacks. It returns on the first read
+// error after done is closed, so the caller must close conn to stop it. Invalid datagrams are
+// dropped.
 func (s *datagramSocket) receive(conn net.PacketConn, onHeartbeat func(node string), done <-chan struct{}) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
--- a/internal/controlclient/heartbeats.go
+++ b/internal/controlclient/heartbeats.go
@@ -12,12 +12,12 @@
 )
 
 // heartbeats sends this node's heartbeats to the nodes that watch it, and records the
-// heartbeats of the nodes that it watches. All of them are in its own zone, so that the
-// costs of failure detection don't depend on the number of zones.
+// heartbeats of the nodes that it watches. All these nodes are in the zone of this node, so that
+// the cost of failure detection doesn't depend on the number of zones.
 //
-// A node whose heartbeats are missing is a suspect. Each poll of the update stream reports
-// the suspects to the control plane (UpdateRequest.Suspects); package nodereports counts the
-// reports there, and the node reconciler of package reconcile marks the node as down.
+// A node whose heartbeats are missing is a suspect. Each poll of the update stream reports the
+// suspects to the control plane (UpdateRequest.Suspects). There, package nodereports counts the
+// reports, and the node reconciler of package reconcile marks the node as down.
 type heartbeats struct {
 	settings *settings.Settings
 	interval time.Duration
@@ -51,7 +51,7 @@
 	return h.detector.Suspects(time.Now())
 }
 
-// record records a heartbeat of a node.
+// record records a heartbeat received from a node.
 func (h *heartbeats) record(node string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,19 +79,20 @@
 		}
 		lastTick = now
 		for _, watcher := range h.watcherAddrs() {
-			_, _ = conn.WriteTo(message, watcher) // a lost heartbeat is followed by the next
+			_, _ = conn.WriteTo(message, watcher) // ignore errors: the next heartbeat follows after one interval
 		}
 	}
 }
 
-// resetDetector counts as if a heartbeat of every watched node had arrived now.
+// resetDetector treats every watched node as if its heartbeat had arrived now. Heartbeats that
+// were not read while this process was suspended must not make their senders suspects.
 func (h *heartbeats) resetDetector(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.detector.Reset(now)
 }
 
-// watcherAddrs returns the addresses of the nodes that watch this one, each once.
+// watcherAddrs returns the addresses of the nodes that watch this node, without duplicates.
 func (h *heartbeats) watcherAddrs() []net.Addr {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +119,8 @@
 	return addresses
 }
 
-// zoneNodeNamesLocked returns the nodes of this zone that take part in failure detection.
+// zoneNodeNamesLocked returns the names of the nodes of this zone that take part in failure
+// detection.
 func (h *heartbeats) zoneNodeNamesLocked() []string {
 	var names []string
 	for _, n := range h.nodes {
--- a/internal/controlclient/internal_api.go
+++ b/internal/controlclient/internal_api.go
@@ -13,17 +13,17 @@
 
 // Paths of the internal API.
 const (
-	updatePath    = "/feed" // also that of the control plane
-	reachablePath = "/here" // for the control plane's probes of suspects
+	updatePath = "/feed" // the control plane serves updates at the same path
+	probePath  = "/here" // the control plane probes suspects here
 )
 
-// InternalHandler returns the internal API for other nodes: updates for nodes that reach no
-// control node, and an answer to the control plane's probes.
+// InternalHandler returns the handler of the internal API. It serves updates to nodes that can't
+// reach a control node, and answers the control plane's probes.
 func (c *Client) InternalHandler() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.POST(reachablePath, func(ec echo.Context) error { return ec.NoContent(http.StatusNoContent) })
+	e.POST(probePath, func(ec echo.Context) error { return ec.NoContent(http.StatusNoContent) })
 	e.POST(updatePath, c.handleUpdateRequest)
 	return e
 }
--- a/internal/controlclient/node_count.go
+++ b/internal/controlclient/node_count.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// nodeCountWindow is how long a node that left the directory, or is down, still counts when
-// limits are divided among the nodes: its requests still count in the windows of the limits.
+// nodeCountWindow is how long a node that left the directory, or is down, is still included when
+// limits are divided among the nodes. Its recent requests are still in the windows over which the
+// limits are measured.
 const nodeCountWindow = 15 * time.Second
 
-// nodeCount is how many nodes shared the limits from a time on.
+// nodeCount is the number of nodes that share the limits, starting at a time.
 type nodeCount struct {
 	count int
 	since time.Time
 }
 
-// updateNodeCountLocked divides the shared limits by the highest number of nodes in the last
+// updateNodeCountLocked divides the shared limits by the highest node count within the last
 // nodeCountWindow.
 func (s *appliedState) updateNodeCountLocked(now time.Time) {
 	count := s.dataPlaneCount
@@ -28,10 +29,10 @@
 	for len(s.nodeCounts) > 1 && now.Sub(s.nodeCounts[1].since) > nodeCountWindow {
 		s.nodeCounts = s.nodeCounts[1:]
 	}
-	most := 0
+	highest := 0
 	for _, c := range s.nodeCounts {
-		most = max(most, c.count)
+		highest = max(highest, c.count)
 	}
-	s.upstreams.SetNodeCount(most)
-	s.retryBudget.SetNodeCount(most)
+	s.upstreams.SetNodeCount(highest)
+	s.retryBudget.SetNodeCount(highest)
 }
--- a/internal/controlclient/notifications.go
+++ b/internal/controlclient/notifications.go
@@ -7,12 +7,13 @@
 	"comethold/internal/rpc"
 )
 
-// maxDeferredNotifications bounds the early notifications that a node keeps.
+// maxDeferredNotifications bounds the deferred notifications that a node keeps. Further ones are
+// dropped.
 const maxDeferredNotifications = 128
 
-// applyNotificationsLocked decides the deferred notifications and the ones of an update,
-// which may be nil, and acts on the ones that apply. The state that they refer to must be
-// applied before.
+// applyNotificationsLocked passes the deferred notifications and those of u, which may be nil, to
+// the inbox, and acts on those that the inbox applies. The state that the notifications refer to
+// must be applied before the call.
 func (s *appliedState) applyNotificationsLocked(u *distribution.NotificationUpdate) {
 	heldVersions := map[string]uint64{outbox.AggregatePurges: s.purgeIndex.Load()}
 	if table := s.routeTable.Load(); table != nil {
@@ -36,13 +37,13 @@
 	}
 }
 
-// decideNotificationLocked decides one notification and acts on it if it applies. held is
-// the version of its aggregate that this node holds.
+// decideNotificationLocked passes one notification to the inbox and handles its decision. held is
+// the version of the aggregate that this node holds.
 func (s *appliedState) decideNotificationLocked(n *distribution.OutboxNotification, held uint64) {
 	message := &n.Notification
 	if message.Version <= held {
-		// Notifications are sent in order: a missing earlier one will not arrive any more,
-		// but the held state already has its change.
+		// Notifications are sent in order, so missing earlier ones will not arrive. The held
+		// state already contains their changes.
 		s.inbox.SetBaseVersion(message.Aggregate, message.PreviousVersion)
 	}
 	switch decision, err := s.inbox.Decide(message, held); decision {
@@ -57,12 +58,12 @@
 		s.log.Error(logging.NotificationQuarantined).
 			Str("eventId", message.EventID).
 			Err(err).
-			Msg("a notification is quarantined")
+			Msg("notification quarantined")
 	}
 }
 
-// actOnNotificationLocked acts on a notification that applies: after a change of the
-// configuration it calls onTenantsChanged.
+// actOnNotificationLocked acts on an applied notification: it calls onTenantsChanged after a
+// change of the configuration.
 func (s *appliedState) actOnNotificationLocked(message *outbox.Notification) {
 	if message.Aggregate != outbox.AggregateConfiguration {
 		return
--- a/internal/controlclient/purges.go
+++ b/internal/controlclient/purges.go
@@ -6,11 +6,12 @@
 	"comethold/internal/distribution"
 )
 
-// maxRememberedPurges bounds the purges that a node remembers.
-const maxRememberedPurges = 4096
+// maxRetainedPurges bounds the purges that a node keeps for purgedSince and for updates of other
+// nodes.
+const maxRetainedPurges = 4096
 
-// applyPurgesLocked records purges and drops cached objects. It moves purgeIndex last, so
-// that whoever reads the index finds the purges applied.
+// applyPurgesLocked records purges and calls onPurges, which drops the cached objects. It advances
+// purgeIndex last, so that all purges up to an index that a reader sees are applied.
 func (s *appliedState) applyPurgesLocked(u *distribution.PurgeUpdate) {
 	held := s.purgeIndex.Load()
 	if u.LogIndex <= held && !u.Reset {
@@ -25,7 +26,7 @@
 			s.purges = append(s.purges, purge)
 		}
 	}
-	if excess := len(s.purges) - maxRememberedPurges; excess > 0 {
+	if excess := len(s.purges) - maxRetainedPurges; excess > 0 {
 		s.purgeFloor = s.purges[excess-1].LogIndex
 		s.purges = slices.Clone(s.purges[excess:])
 	}
@@ -33,8 +34,8 @@
 	s.purgeIndex.Store(u.LogIndex)
 }
 
-// purgedSince reports whether a purge after the log index matches, or whether that is no
-// longer known.
+// purgedSince reports whether a purge with a log index above index matches. It also returns true
+// if purges above index have been discarded.
 func (s *appliedState) purgedSince(index uint64, matches func(distribution.Purge) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_for.go
+++ b/internal/controlclient/update_for.go
@@ -7,9 +7,10 @@
 	"comethold/internal/distribution"
 )
 
-// updateFor returns the state that is newer here than what another node holds. The update is
-// marked stale: this node can't know whether its state is the newest. Only nodes of the same
-// zone get the directory of nodes, since it contains only this zone's nodes.
+// updateFor returns an update with the parts of the state that are newer on this node than on
+// another node, which holds the given versions. The update is marked stale, because this node
+// can't know whether its state is the newest. Only nodes of the same zone get the directory of
+// nodes, because it contains only the nodes of this zone.
 func (s *appliedState) updateFor(held distribution.HeldVersions, sameZone bool) *distribution.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_source.go
+++ b/internal/controlclient/update_source.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// avoidDuration is how long a control node that failed or is stale is asked last.
+	// avoidDuration is how long a control node is ranked last after a failed poll or a stale
+	// answer.
 	avoidDuration = 3 * time.Second
-	// minSwitchInterval is the least time between two calls of switchSource that take effect:
-	// behind a network partition no control node may have newer state.
+	// minSwitchInterval is the minimum time between two calls of switchSource that take effect.
+	// Behind a network partition, it is possible that no reachable control node has newer
+	// state, and further switches would not help.
 	minSwitchInterval = 600 * time.Millisecond
 )
 
-// sourceRank orders the control nodes to poll; the least comes first.
+// sourceRank orders the control nodes to poll. The lowest rank comes first.
 type sourceRank int
 
 const (
 	rankSameZone sourceRank = iota
 	rankSameRegion
 	rankOtherRegion
-	rankSeed // not in the directory of nodes, or there is none yet
+	rankSeed // a seed node that is not in the directory of nodes, or no directory is held yet
 	rankDown
 
-	// rankAvoided is added to the rank of a node to avoid, so that it follows all others.
+	// rankAvoided is added to the rank of a node to avoid, so that the node follows all others.
 	rankAvoided sourceRank = 10
 )
 
@@ -34,12 +36,12 @@
 type updateSource struct {
 	host string
 	rank sourceRank
-	// preference orders control nodes of one rank. It is a hash with this node's name, so
-	// that nodes prefer different control nodes and keep their preference.
+	// preference orders control nodes of the same rank. It is a hash of this node's name and the
+	// host, so that different nodes prefer different control nodes and the order is stable.
 	preference uint64
 }
 
-// rankedHosts returns the control nodes to poll, the best first.
+// rankedHosts returns the hosts of the control nodes in the order in which to poll them.
 func (s *updateStream) rankedHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +102,9 @@
 	s.avoidUntil[host] = time.Now().Add(avoidDuration)
 }
 
-// switchSource ends the open poll and avoids its node, since another node holds newer state.
+// switchSource cancels the open poll and avoids its control node, because another node holds
+// newer state. It has no effect within minSwitchInterval of the last switch, or if no poll may
+// be cancelled.
 func (s *updateStream) switchSource() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +141,8 @@
 	s.seeds = hosts
 }
 
-// peerHosts returns the data plane nodes of this zone and the seed nodes.
+// peerHosts returns the hosts of the other data plane nodes of this zone and of the other seed
+// nodes.
 func (s *updateStream) peerHosts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlclient/update_source_test.go
+++ b/internal/controlclient/update_source_test.go
@@ -31,13 +31,13 @@
 	return distribution.Node{Name: name, Addr: addr, Zone: zone, ControlPlane: true, Down: down}
 }
 
-// TestRankedHosts: the control node of the same zone is polled first, seed nodes that are not
-// in the directory after those that are, a node that is down after these, and a node to avoid
-// last.
-func TestRankedHosts(t *testing.T) {
+// TestRankedHostsOrder checks the order in which control nodes are polled: the same zone first, then
+// other nodes of the directory, seed nodes outside of the directory, nodes that are down, and nodes
+// to avoid last.
+func TestRankedHostsOrder(t *testing.T) {
 	s := newTestStream("10.0.0.8:80")
 	if got, want := s.rankedHosts(), []string{"10.0.0.8"}; !slices.Equal(got, want) {
-		t.Errorf("without a directory: got %v, want %v", got, want)
+		t.Errorf("rankedHosts without a directory of nodes returned %v, want %v", got, want)
 	}
 	s.setNodes([]distribution.Node{
 		controlNode("c1", "10.0.0.1", "r1a", true),
@@ -46,17 +46,17 @@
 		{Name: "d1", Addr: "10.0.0.4", Zone: "r1a"},
 	})
 	if got, want := s.rankedHosts(), []string{"10.0.0.3", "10.0.0.2", "10.0.0.8", "10.0.0.1"}; !slices.Equal(got, want) {
-		t.Errorf("with a directory: got %v, want %v", got, want)
+		t.Errorf("rankedHosts with a directory of nodes returned %v, want %v", got, want)
 	}
 	s.avoid("10.0.0.3")
 	if got, want := s.rankedHosts(), []string{"10.0.0.2", "10.0.0.8", "10.0.0.1", "10.0.0.3"}; !slices.Equal(got, want) {
-		t.Errorf("with a node to avoid: got %v, want %v", got, want)
+		t.Errorf("rankedHosts with a node to avoid returned %v, want %v", got, want)
 	}
 }
 
-// TestPeerHosts: the other data plane nodes of the zone and the seed nodes are asked when no
-// control node answers.
-func TestPeerHosts(t *testing.T) {
+// TestPeerHostsAreInZoneOrSeeds checks that this node, control nodes, object caches and nodes of other
+// zones are not polled as peers.
+func TestPeerHostsAreInZoneOrSeeds(t *testing.T) {
 	s := newTestStream("10.0.0.8:80", "10.0.0.9:80")
 	s.setNodes([]distribution.Node{
 		controlNode("c1", "10.0.0.1", "r1a", false),
@@ -66,6 +66,6 @@
 		{Name: "s1", Addr: "10.0.0.6", Zone: "r1a", ObjectCache: true},
 	})
 	if got, want := s.peerHosts(), []string{"10.0.0.4", "10.0.0.8"}; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("peerHosts returned %v, want %v", got, want)
 	}
 }
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -17,50 +17,51 @@
 
 // Timing of the update stream; see docs/design.md.
 const (
-	// pollTimeout bounds the wait for an answer to begin, since the control plane answers within
-	// a second, and then each pause in it.
+	// pollTimeout bounds the wait until an answer begins, and then each pause within the answer.
+	// The control plane answers a long poll within one second.
 	pollTimeout = 1800 * time.Millisecond
-	// maxPollDuration bounds a poll whose answer goes on and on.
+	// maxPollDuration bounds a whole poll, in case its answer never ends.
 	maxPollDuration = 30 * time.Second
 	// retryPause is the mean pause after a poll that failed or returned stale state.
 	retryPause = 60 * time.Millisecond
 
 	// Until the first configuration is received, all control nodes are polled in parallel:
-	// each answer must begin within firstPollTimeout, each node starts firstStagger after the
-	// one before, and it is polled again after firstPollPause if it had no configuration.
+	// each answer must begin within firstPollTimeout, the first polls of the nodes are
+	// firstStagger apart, and a node that had no configuration is polled again after
+	// firstPollPause.
 	firstPollTimeout = 800 * time.Millisecond
 	firstStagger     = 60 * time.Millisecond
 	firstPollPause   = 400 * time.Millisecond
 
-	// reportDelay is how long a health report waits for others to be sent with it: faults
-	// often affect several endpoints.
+	// reportDelay is how long a health report is delayed to send others with it, because a
+	// fault often affects several endpoints.
 	reportDelay = 30 * time.Millisecond
-	maxReports  = 64 // queued; further ones are dropped
+	maxReports  = 64 // length of the queue; further reports are dropped
 
-	// failuresBeforePeers is the number of failed polls in a row after which data plane
+	// failuresBeforePeerPoll is the number of consecutive failed polls after which data plane
 	// nodes are polled.
-	failuresBeforePeers = 4
-	maxPeersAsked       = 2
-	peerPollTimeout     = 500 * time.Millisecond
+	failuresBeforePeerPoll = 4
+	maxPeersPolled         = 2
+	peerPollTimeout        = 500 * time.Millisecond
 )
 
-// errPollInterrupted says that this node cancelled a poll, so that the next one can carry
-// reports or go to another node.
-var errPollInterrupted = errors.New("controlclient: the poll was interrupted")
+// errPollInterrupted is returned when this node cancelled a poll, so that the next poll can carry
+// reports or go to another control node.
+var errPollInterrupted = errors.New("controlclient: poll cancelled by this node")
 
-// updateStream keeps the applied state up to date: one long poll at a time waits at a control
-// plane node, the one of this zone if it is healthy.
+// updateStream keeps the applied state up to date. It has one long poll at a time open at a control
+// node, preferably a healthy one of this zone.
 type updateStream struct {
 	settings *settings.Settings
 	state    *appliedState
 	log      *logging.Logger
 	client   *rpc.Client
 	self     distribution.Node
-	suspects func() []string // the nodes whose heartbeats are missing
+	suspects func() []string // names of the nodes whose heartbeats are missing
 
-	// Used by run alone.
+	// The next three fields are used only by run.
 	firstPolls sync.WaitGroup
-	failures   int    // polls that failed in a row
+	failures   int    // consecutive failed polls
 	lastHost   string // of the last successful poll
 
 	mu             sync.Mutex // guards the fields below
@@ -69,9 +70,9 @@
 	dataPlaneNodes []distribution.Node // without this node
 	avoidUntil     map[string]time.Time
 	reports        []distribution.HealthReport // for the next poll
-	cancelPoll     func()                      // ends the open long poll; nil if there is none
-	polledHost     string                      // where that poll waits
-	switchedAt     time.Time
+	cancelPoll     func()                      // cancels the open long poll; nil if none may be cancelled
+	polledHost     string                      // host of the open long poll
+	switchedAt     time.Time                   // last switch by switchSource
 }
 
 func newUpdateStream(o Options, state *appliedState) *updateStream {
@@ -97,7 +98,7 @@
 func (s *updateStream) run(done <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer s.firstPolls.Wait()
-	defer cancel() // ends the first polls that are still in flight
+	defer cancel() // cancels the first polls that are still in flight
 	s.fetchFirstConfig(ctx, done)
 	for {
 		select {
@@ -136,8 +137,8 @@
 	}
 }
 
-// handleFailure avoids a control node whose poll failed. After every failuresBeforePeers
-// failures it polls other data plane nodes.
+// handleFailure avoids a control node whose poll failed. After each failuresBeforePeerPoll
+// consecutive failures, it polls other data plane nodes.
 func (s *updateStream) handleFailure(ctx context.Context, host string, err error, done <-chan struct{}) {
 	s.avoid(host)
 	s.failures++
@@ -145,18 +146,18 @@
 		s.log.Warn(logging.ControlPlaneLost).
 			Str("controlNode", host).
 			Err(err).
-			Msg("no updates from a control node: the poll failed")
+			Msg("poll of a control node failed; receiving no updates")
 	}
-	if s.failures%failuresBeforePeers == 0 {
+	if s.failures%failuresBeforePeerPoll == 0 {
 		s.pollPeers(ctx)
 	}
 	pause(retryPause, done)
 }
 
-// fetchFirstConfig gets the first configuration after a start. It polls all known control
-// nodes in parallel, the nearest first, until one returns a configuration: a node that
-// doesn't answer delays nothing. Polls that are in flight when it returns are ended, since their
-// answers would only keep the link busy.
+// fetchFirstConfig gets the first configuration after a start. It polls all known control nodes in
+// parallel, starting with the nearest, until one returns a configuration, so that a node that
+// doesn't answer causes no delay. It cancels the polls that are in flight when it returns, because
+// their answers would only use bandwidth.
 func (s *updateStream) fetchFirstConfig(ctx context.Context, done <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -188,7 +189,8 @@
 	}
 }
 
-// firstPoll is the polling of one control node until the first configuration is received.
+// firstPoll describes the repeated polls of one control node until the first configuration is
+// received.
 type firstPoll struct {
 	host    string
 	delay   time.Duration // before the first poll
@@ -196,8 +198,8 @@
 	fetched <-chan struct{} // closed when the configuration is received
 }
 
-// pollRepeatedly polls one control node and sends its answers to updates until fetched is
-// closed. A failed poll sends an empty update.
+// pollRepeatedly polls one control node and sends its answers to p.updates until p.fetched is
+// closed. For a failed poll, it sends an empty update.
 func (s *updateStream) pollRepeatedly(ctx context.Context, p firstPoll) {
 	delay := p.delay
 	for {
@@ -207,10 +209,10 @@
 			return
 		}
 		update, err := s.poll(ctx, p.host, settings.ControlPlane, firstPollTimeout)
-		delay = jitter(firstPollPause) // it has no configuration yet
+		delay = jitter(firstPollPause) // the node has no configuration yet
 		if err != nil {
 			update = &distribution.Update{Stale: true}
-			delay = jitter(retryPause) // it may be about to start
+			delay = jitter(retryPause) // the node may be starting
 		}
 		select {
 		case p.updates <- update:
@@ -220,9 +222,9 @@
 	}
 }
 
-// poll requests an update from the program on a host, with the queued health reports and the
-// suspects. The answer must begin within timeout. It returns errPollInterrupted if this node
-// cancelled the poll, which it may until the answer begins.
+// poll requests an update from a program on a host. The request carries the queued health reports
+// and the suspects. The answer must begin within timeout. If this node cancels the poll, which is
+// possible only until the answer begins, poll returns errPollInterrupted.
 func (s *updateStream) poll(
 	ctx context.Context, host string, program settings.Program, timeout time.Duration,
 ) (*distribution.Update, error) {
@@ -252,7 +254,7 @@
 		Begin:   timeout,
 		Silence: pollTimeout,
 		Total:   maxPollDuration,
-		OnBegin: s.keepPoll,
+		OnBegin: s.disablePollInterrupt,
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,20 +268,20 @@
 	return nil, err
 }
 
-// keepPoll lets the open poll go on to its end: its answer has begun, and the next poll would be
-// answered with the same again.
-func (s *updateStream) keepPoll() {
+// disablePollInterrupt prevents the open poll from being cancelled. It is called when the answer
+// begins: after a cancellation, the next poll would only transfer the same answer again.
+func (s *updateStream) disablePollInterrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelPoll = nil
 }
 
-// pollPeers applies the update of one of a few random data plane nodes. It is used when no
-// control node answers.
+// pollPeers polls up to maxPeersPolled random hosts of peerHosts and applies the first update that
+// it receives. It is used when no control node answers.
 func (s *updateStream) pollPeers(ctx context.Context) {
 	hosts := s.peerHosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-	for _, host := range hosts[:min(len(hosts), maxPeersAsked)] {
+	for _, host := range hosts[:min(len(hosts), maxPeersPolled)] {
 		if update, err := s.poll(ctx, host, settings.DataPlane, peerPollTimeout); err == nil {
 			s.state.apply(update)
 			return
@@ -287,19 +289,20 @@
 	}
 }
 
-// queueReport queues a health report, which is sent after reportDelay.
+// queueReport queues a health report for the next poll. It cancels the open poll reportDelay after
+// the first report in the queue.
 func (s *updateStream) queueReport(r distribution.HealthReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.reports) < maxReports {
 		s.reports = append(s.reports, r)
 	}
-	if len(s.reports) == 1 { // the first; later ones are sent with it
+	if len(s.reports) == 1 { // reports queued later are sent with the first one
 		time.AfterFunc(reportDelay, s.flushReports)
 	}
 }
 
-// flushReports ends the open poll, so that the next one carries the reports.
+// flushReports cancels the open poll, so that the next poll carries the queued reports.
 func (s *updateStream) flushReports() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -308,12 +311,12 @@
 	}
 }
 
-// jitter returns a random duration between half and one and a half times d.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(d))
 }
 
-// pause waits for about d, or until done is closed.
+// pause waits for jitter(d), or until done is closed.
 func pause(d time.Duration, done <-chan struct{}) {
 	select {
 	case <-time.After(jitter(d)):
--- a/internal/controlclient/update_stream_test.go
+++ b/internal/controlclient/update_stream_test.go
@@ -17,12 +17,12 @@
 	"comethold/internal/settings"
 )
 
-// testControlPlane serves one configuration at some addresses, and then holds long polls
-// open.
+// testControlPlane serves one configuration at several addresses and leaves long polls of nodes
+// that hold it unanswered.
 type testControlPlane struct {
 	port  int
 	hosts []string
-	polls chan string // the hosts at which long polls began
+	polls chan string // receives the host of each long poll that starts
 }
 
 func startTestControlPlane(t *testing.T, hosts ...string) *testControlPlane {
@@ -32,12 +32,12 @@
 		var config net.ListenConfig
 		listener, err := config.Listen(t.Context(), "tcp4", net.JoinHostPort(host, strconv.Itoa(p.port)))
 		if err != nil {
-			t.Skip("needs two addresses of this machine:", err)
+			t.Skip("this machine can't listen on the loopback addresses of the test:", err)
 		}
 		t.Cleanup(func() { _ = listener.Close() })
 		address, ok := listener.Addr().(*net.TCPAddr)
 		if !ok {
-			t.Fatalf("the listener has the address %v", listener.Addr())
+			t.Fatalf("listener address is %v, want a TCP address", listener.Addr())
 		}
 		p.port = address.Port
 		go func() { _ = http.Serve(listener, p.handler(t, host)) }()
@@ -71,15 +71,14 @@
 	case host := <-p.polls:
 		return host
 	case <-time.After(5 * time.Second):
-		t.Fatal("no control node is polled")
+		t.Fatal("no long poll started within 5 s, want one")
 		return ""
 	}
 }
 
-// TestSwitchSource: a node keeps to one control node while that one sends updates. When
-// others hold newer state, it ends the poll that waits there and polls another, but not
-// again at once.
-func TestSwitchSource(t *testing.T) {
+// TestSwitchSourceIsRateLimited checks that SwitchSource cancels the open poll and polls another
+// control node. It guards against repeated switches within minSwitchInterval.
+func TestSwitchSourceIsRateLimited(t *testing.T) {
 	p := startTestControlPlane(t, "127.0.0.1", "127.0.0.2")
 	set := &settings.Settings{
 		NodeName:          "n1",
@@ -95,22 +94,22 @@
 	first := p.nextPoll(t)
 	c.SwitchSource()
 	if second := p.nextPoll(t); second == first {
-		t.Errorf("%s is polled again", first)
+		t.Errorf("%s is polled again after SwitchSource, want another control node", first)
 	}
 	c.SwitchSource()
 	select {
 	case host := <-p.polls:
-		t.Errorf("%s is polled at once", host)
+		t.Errorf("%s is polled immediately after a second SwitchSource, want no new poll", host)
 	case <-time.After(minSwitchInterval / 3):
 	}
 }
 
-// newClientOf makes a client that has a server as its only control node.
-func newClientOf(t *testing.T, server *httptest.Server) *Client {
+// newTestClient returns a client whose only control node is server.
+func newTestClient(t *testing.T, server *httptest.Server) *Client {
 	t.Helper()
 	address, ok := server.Listener.Addr().(*net.TCPAddr)
 	if !ok {
-		t.Fatalf("the server has the address %v", server.Listener.Addr())
+		t.Fatalf("server address is %v, want a TCP address", server.Listener.Addr())
 	}
 	set := &settings.Settings{
 		NodeName:          "n1",
@@ -123,34 +122,34 @@
 	return New(Options{Settings: set, Log: logging.Nop(), Program: settings.DataPlane, Network: rpc.TCPNetwork})
 }
 
-// TestCloseDuringFirstPolls: a node that ends while its first polls get no answer ends at once:
-// it waits for their goroutines, not for their time-outs.
-func TestCloseDuringFirstPolls(t *testing.T) {
+// TestCloseCancelsFirstPolls guards against a shutdown that waits for the time-outs of first polls
+// without an answer: Close must cancel them, and RunUpdates waits only for their goroutines.
+func TestCloseCancelsFirstPolls(t *testing.T) {
 	polled := make(chan struct{}, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then the end of the connection is noticed
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after this
 		polled <- struct{}{}
 		<-r.Context().Done()
 	}))
 	defer server.Close()
-	c := newClientOf(t, server)
-	ended := make(chan struct{})
+	c := newTestClient(t, server)
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = c.RunUpdates()
 	}()
 	<-polled
 	c.Close()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-time.After(firstPollTimeout / 2):
-		t.Error("the end waits for polls that get no answer")
+		t.Error("RunUpdates did not return within half of firstPollTimeout after Close")
 	}
 }
 
-// TestPollOfSlowAnswer guards against polls that give up an answer which arrives slowly, and ask
-// for it again and again.
-func TestPollOfSlowAnswer(t *testing.T) {
+// TestSlowAnswerIsReadToItsEnd guards against a poll that is cancelled while its answer arrives slowly,
+// so that the node requests the same answer repeatedly and never gets a configuration.
+func TestSlowAnswerIsReadToItsEnd(t *testing.T) {
 	const parts = 10
 	config, _ := routing.Decode([]byte(`{"version":1,"routes":[],"services":[],"limits":{}}`))
 	encoded, _ := rpc.Marshal(&distribution.Update{Config: distribution.FullConfig(config)})
@@ -170,12 +169,12 @@
 		}
 	}))
 	defer server.Close()
-	c := newClientOf(t, server)
+	c := newTestClient(t, server)
 	defer c.Close()
 	go func() { _ = c.RunUpdates() }()
-	for end := time.Now().Add(3 * pollTimeout); c.RouteTable() == nil; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("no configuration; %d polls were answered", answers.Load())
+	for deadline := time.Now().Add(3 * pollTimeout); c.RouteTable() == nil; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("no configuration within three times pollTimeout; the server received %d polls", answers.Load())
 		}
 	}
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -3,7 +3,7 @@
 // A tenant's token bucket is divided into slices. Each control node holds a leased share of
 // every bucket, grants tokens from its slice (Allocator) and lends tokens to other control
 // nodes. Data plane nodes request tokens, which have a short lifetime, and spend one for each
-// request (TokenCache). Data plane nodes never return tokens: a token is spent once or expires.
+// request (TokenCache). Data plane nodes never return tokens: a token is spent once or is lost.
 // TokenRequest and TokenGrant are the messages between the nodes.
 //
 // An Allocator computes low watermarks, so that a control node that restarts does not start
