--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -61,7 +61,7 @@
 
 func newRenewalFixture(watermarks map[string]float64) *renewalFixture {
 	r := &renewalFixture{shares: &fakeShares{}, allocator: quota.NewAllocator()}
-	r.tenants = NewTenantLimits(quota.Rules{Window: time.Second, Overshoot: 0.1}, r.allocator)
+	r.tenants = NewTenantLimits(quota.AdmissionBounds{Window: time.Second, Overshoot: 0.1}, r.allocator)
 	r.renewer = NewQuotaShareRenewer(QuotaShareRenewerOptions{
 		NodeName:     "n",
 		Allocator:    r.allocator,
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -10,7 +10,7 @@
 
 // TenantLimits applies the tenants' limits of a configuration to this node's allocator.
 type TenantLimits struct {
-	rules     quota.Rules
+	rules     quota.AdmissionBounds
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
@@ -19,7 +19,7 @@
 }
 
 // NewTenantLimits returns TenantLimits that has not applied a configuration yet.
-func NewTenantLimits(rules quota.Rules, allocator *quota.Allocator) *TenantLimits {
+func NewTenantLimits(rules quota.AdmissionBounds, allocator *quota.Allocator) *TenantLimits {
 	return &TenantLimits{rules: rules, allocator: allocator}
 }
 
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -50,7 +50,7 @@
 // for concurrent use.
 type tokenClient struct {
 	controlClient *controlclient.Client
-	rules         quota.Rules
+	rules         quota.AdmissionBounds
 	cache         *quota.TokenCache
 
 	mu            sync.Mutex            // guards the fields below
