--- a/internal/objectcache/diskstore/compat_test.go
+++ b/internal/objectcache/diskstore/compat_test.go
@@ -12,7 +12,8 @@
 	"comethold/internal/responsecache"
 )
 
-// TestCompatibleRecords: an object on disk decodes from the bytes of an earlier version.
+// TestCompatibleRecords guards against a change of encoding after which this version can't decode
+// the objects that an earlier version stored.
 func TestCompatibleRecords(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{Name: "object-copy", Value: objectRecord{
@@ -29,8 +30,8 @@
 	})
 }
 
-// recordedObjects are the objects in the recorded data directory, as far as they are the
-// same on every machine.
+// recordedObjects returns the objects in the recorded data directory, without ValidatedAt, which is
+// unknown on other machines.
 func recordedObjects() map[string]responsecache.Response {
 	header := http.Header{"Content-Type": {"text/plain"}}
 	return map[string]responsecache.Response{
@@ -57,8 +58,8 @@
 	}
 }
 
-// recordData writes the recorded data directory anew.
-func recordData(t *testing.T, record string) {
+// recordData replaces the recorded data directory with one that this version writes.
+func recordData(t *testing.T, recordPath string) {
 	t.Helper()
 	directory := t.TempDir()
 	s, _, _ := openTestStore(t, directory)
@@ -70,26 +71,26 @@
 	s.ApplyPurges(purgesUpTo(7, distribution.Purge{LogIndex: 7, Host: "h.example", Path: "/gone"}))
 	s.waitForPurges(t, 7)
 	s.Close()
-	compat.Pack(t, filepath.Join(directory, fileName), record)
+	compat.Pack(t, filepath.Join(directory, fileName), recordPath)
 }
 
-// TestRecordedData: a data directory of an object cache that an earlier version wrote is
-// read in full, and the store goes on from there: purges find its objects, and new ones stay.
+// TestRecordedData guards against a change of the file format that loses the objects of an earlier
+// version. All of them must be loaded, purges must match them, and new objects must be stored with them.
 func TestRecordedData(t *testing.T) {
-	record := compat.Path("object-cache", "copies.db.gz")
+	recordPath := compat.Path("object-cache", "copies.db.gz")
 	if compat.Updating() {
-		recordData(t, record)
+		recordData(t, recordPath)
 	}
 	directory := t.TempDir()
-	compat.Unpack(t, record, filepath.Join(directory, "copies.db"))
+	compat.Unpack(t, recordPath, filepath.Join(directory, "copies.db"))
 	s, purgeIndex, objects := openTestStore(t, directory)
 	want := recordedObjects()
 	if purgeIndex != 7 || len(objects) != len(want) {
-		t.Fatalf("log index %d, objects %v", purgeIndex, objects)
+		t.Fatalf("the recorded data has purge index %d and objects %v, want index 7 and /a and /b", purgeIndex, objects)
 	}
 	for target, object := range want {
 		got := *objects[target]
-		got.ValidatedAt = time.Time{} // known on the machine that wrote it, and until its next boot
+		got.ValidatedAt = time.Time{} // known only on the machine that wrote it, until its next boot
 		if !reflect.DeepEqual(got, object) {
 			t.Errorf("%s: got %+v, want %+v", target, got, object)
 		}
@@ -101,6 +102,6 @@
 	s, purgeIndex, objects = openTestStore(t, directory)
 	s.Close()
 	if purgeIndex != 8 || len(objects) != 2 || objects["/a"] == nil || objects["/new"] == nil {
-		t.Errorf("at the next start: log index %d, objects %v", purgeIndex, objects)
+		t.Errorf("the reopened store has purge index %d and objects %v, want index 8 and /a and /new", purgeIndex, objects)
 	}
 }
--- a/internal/objectcache/diskstore/store.go
+++ b/internal/objectcache/diskstore/store.go
@@ -1,9 +1,10 @@
 // Package diskstore keeps the objects of an object cache on disk, so that a restarted node
-// need not read all of them from their origins again.
+// doesn't have to read all of them from their origins again.
 //
-// Open a Store, Load its objects, Put new ones and ApplyPurges. A Store writes in the
-// background, and evicts its oldest objects when it is full. The file is a bbolt database:
-// bucket names, keys and cbor numbers must not change.
+// Open returns a Store. Load reads its objects and starts the writer. Put and ApplyPurges queue
+// changes, which the writer applies in the background. The writer evicts the oldest objects when
+// the store is full. The file is a bbolt database whose bucket names, keys and cbor numbers must
+// not change.
 package diskstore
 
 import (
@@ -35,39 +36,39 @@
 	maxQueuedBytes = 8 << 20
 	writeInterval  = 300 * time.Millisecond
 	// openTimeout and closeTimeout are how long Open and Close wait for a disk that doesn't
-	// answer.
+	// respond.
 	openTimeout       = 2 * time.Second
 	closeTimeout      = time.Second
 	openRetryInterval = time.Second
-	// diskFraction is the part of the disk for objects. The file also holds pages that are
-	// not free yet.
+	// diskFraction is the fraction of the disk that objects may use. The file also contains
+	// pages that bbolt has not freed yet.
 	diskFraction      = 0.5
 	defaultStoreBytes = 32 << 20
 )
 
-// Store keeps objects on disk and writes them in the background. No outdated object is served
-// from it: an object whose age isn't known after a restart is revalidated before it is served,
-// and all objects are dropped unless the purges since the store's log index are still known. It
-// is safe for concurrent use.
+// Store keeps objects on disk and writes them in the background. After a restart, no outdated
+// object is served from it: an object of unknown age is revalidated before it is served, and all
+// objects are dropped unless the purges since the store's log index are still known. It is safe
+// for concurrent use.
 type Store struct {
 	directory string
 	disk      storage.Disk
 	log       *logging.Logger
 	bootID    string
 
-	opened     chan *bolt.DB // the file, once the disk has opened it
+	opened     chan *bolt.DB // receives the file when it is open
 	writerDone chan struct{} // closed when the writer has ended
 
 	mu          sync.Mutex // guards the fields below
-	wakeWriter  *sync.Cond // of mu: queue or closed has changed
+	wakeWriter  *sync.Cond // on mu; signals that queue or closed has changed
 	queue       []operation
 	queuedBytes int
 	closed      bool
 
-	// Used by the writer alone once it runs.
+	// Used only by the writer once it runs.
 	db        *bolt.DB // nil until opened
-	contents  *contents
-	mustClear bool // the objects on disk may lack a purge: delete them before the next write
+	index     *objectIndex
+	mustClear bool // a purge may be missing on disk: delete all objects before the next write
 }
 
 // operation is an object to store, or purges to apply.
@@ -76,10 +77,10 @@
 	purges *distribution.PurgeUpdate
 }
 
-// Options are what Open needs.
+// Options are the options of Open.
 type Options struct {
 	Directory string
-	DiskMb    int64 // size of the disk; 0: unknown
+	DiskMb    int64 // size of the disk in MiB; 0: unknown
 	Disk      storage.Disk
 	Log       *logging.Logger
 }
@@ -93,8 +94,9 @@
 }
 
 // Open opens the store in the directory, and returns it with the log index of the purges that
-// were applied to it. A file that can't be read is deleted. If the disk fails or doesn't answer
-// within openTimeout, Open returns nevertheless, and the store opens later without objects.
+// were applied to it. A corrupt file is replaced by an empty one. If the file can't be opened
+// within openTimeout, Open returns the log index 0. The store then opens the file in the
+// background, and deletes the objects in it before the first write.
 func Open(o Options) (store *Store, purgeIndex uint64) {
 	s := &Store{
 		directory:  o.Directory,
@@ -103,10 +105,10 @@
 		bootID:     readBootID(),
 		opened:     make(chan *bolt.DB, 1),
 		writerDone: make(chan struct{}),
-		contents:   newContents(o.maxBytes()),
+		index:      newObjectIndex(o.maxBytes()),
 	}
 	s.wakeWriter = sync.NewCond(&s.mu)
-	go s.openFile() // ends with the file, or when the store is closed
+	go s.openFile() // ends when the file is open or the store is closed
 	select {
 	case s.db = <-s.opened:
 		return s, readPurgeIndex(s.db)
@@ -116,30 +118,31 @@
 	}
 }
 
-// openFile opens the store's file. It retries until that succeeds or the store is closed, and logs each new fault.
+// openFile opens the store's file. It retries until it succeeds or the store is closed. It logs an
+// error only if it differs from that of the previous attempt.
 func (s *Store) openFile() {
-	lastFault := ""
+	lastError := ""
 	for ; !s.isClosed(); time.Sleep(openRetryInterval) {
 		db, err := s.tryOpenFile()
 		if err == nil {
 			s.opened <- db
 			return
 		}
-		if fault := err.Error(); fault != lastFault {
-			lastFault = fault
-			s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the objects on disk cannot be opened; trying again")
+		if message := err.Error(); message != lastError {
+			lastError = message
+			s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the disk cache file cannot be opened; retrying")
 		}
 	}
 }
 
-// tryOpenFile opens the store's file. One that can't be read is replaced by an empty one.
+// tryOpenFile opens the store's file. A corrupt file is replaced by an empty one.
 func (s *Store) tryOpenFile() (*bolt.DB, error) {
 	path := filepath.Join(s.directory, fileName)
 	db, err := s.disk.Open(path)
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return db, err
 	}
-	s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the objects on disk cannot be read and are dropped")
+	s.log.Warn(logging.DiskCacheDropped).Err(err).Msg("the disk cache file is corrupt and is replaced by an empty one")
 	if err := s.disk.Remove(path); err != nil {
 		return nil, err
 	}
@@ -148,18 +151,18 @@
 
 // readPurgeIndex returns the log index of the purges applied to a file; 0: none.
 func readPurgeIndex(db *bolt.DB) uint64 {
-	index := uint64(0)
+	purgeIndex := uint64(0)
 	_ = db.View(func(tx *bolt.Tx) error {
 		b := tx.Bucket(nodeBucket)
 		if b == nil {
 			return nil
 		}
 		if value := b.Get(purgeIndexKey); len(value) == 8 {
-			index = binary.BigEndian.Uint64(value)
+			purgeIndex = binary.BigEndian.Uint64(value)
 		}
 		return nil
 	})
-	return index
+	return purgeIndex
 }
 
 // Load calls onObject with every intact object, and then starts the writer.
@@ -186,13 +189,14 @@
 			} else {
 				onObject(object)
 			}
-			s.contents.track(string(key), len(value), object)
+			s.index.track(string(key), len(value), object)
 			return nil
 		})
 	})
 }
 
-// Put queues an object. It drops the object if too much is queued already.
+// Put queues an object. It discards the object if it has no ETag, if the store is closed, or if
+// more than maxQueuedBytes would be queued.
 func (s *Store) Put(object *responsecache.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +208,7 @@
 	s.wakeWriter.Signal()
 }
 
-// ApplyPurges queues purges, which are never dropped.
+// ApplyPurges queues purges. Unlike objects, purges are never discarded.
 func (s *Store) ApplyPurges(u *distribution.PurgeUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +216,8 @@
 	s.wakeWriter.Signal()
 }
 
-// Close ends the store. It doesn't wait for a disk that hangs.
+// Close closes the store. It waits at most closeTimeout for the writer to end, and leaves the file
+// open if the disk hangs.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -221,7 +226,7 @@
 	select {
 	case <-s.writerDone:
 		if s.db != nil {
-			_ = s.db.Close() // what was written is synced
+			_ = s.db.Close() // all committed writes are already synced
 		}
 	case <-time.After(closeTimeout):
 	}
--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -18,7 +18,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// observedDisk is the disk of the machine. It notes the log index of the purges committed.
+// observedDisk is the local disk. It records the log index of the committed purges.
 type observedDisk struct {
 	storage.LocalDisk
 	purgeIndex atomic.Uint64
@@ -32,7 +32,7 @@
 	return err
 }
 
-// testStore is a store on the disk of the machine.
+// testStore is a store on the local disk.
 type testStore struct {
 	*Store
 	disk *observedDisk
@@ -49,20 +49,20 @@
 	return testStore{Store: s, disk: disk}, purgeIndex, objects
 }
 
-// waitForPurges waits until the purges up to a log index, and all that was queued before them,
-// are committed. On a busy disk that may take longer than Close waits, and until then the file
-// is locked for the next store.
+// waitForPurges waits until the purges up to a log index, and all operations queued before them, are
+// committed. On a busy disk this may take longer than Close waits, and the file stays locked until
+// then, so the next store couldn't open it.
 func (s testStore) waitForPurges(t *testing.T, logIndex uint64) {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); s.disk.purgeIndex.Load() < logIndex; {
 		if time.Now().After(deadline) {
-			t.Fatalf("the purges up to %d are not committed", logIndex)
+			t.Fatalf("the purges up to log index %d were not committed within a minute", logIndex)
 		}
 		time.Sleep(writeInterval / 10)
 	}
 }
 
-// waitForWrites waits until all that is queued has been written.
+// waitForWrites waits until all queued operations have been written.
 func (s *Store) waitForWrites() {
 	for {
 		s.mu.Lock()
@@ -86,9 +86,10 @@
 	return &distribution.PurgeUpdate{LogIndex: logIndex, Purges: purges}
 }
 
-// TestDiskStoreReopen: objects and the purges that match them come back together; damage
-// costs objects, never the start.
-func TestDiskStoreReopen(t *testing.T) {
+// TestStoreKeepsObjectsAndPurgesAcrossRestarts guards against purged objects that return after a
+// restart, and against a damaged file that prevents the start. Objects are loaded with their ages, those
+// that were purged are not, and a damaged file gives an empty store.
+func TestStoreKeepsObjectsAndPurgesAcrossRestarts(t *testing.T) {
 	directory := t.TempDir()
 	s, _, _ := openTestStore(t, directory)
 	readAt := time.Now().Add(-3 * time.Second)
@@ -109,10 +110,10 @@
 
 	s, purgeIndex, objects := openTestStore(t, directory)
 	if purgeIndex != 7 || len(objects) != 1 || objects["/c"] == nil || string(objects["/c"].Body) != "x/c" {
-		t.Fatalf("log index %d, objects %v", purgeIndex, objects)
+		t.Fatalf("the reopened store has purge index %d and objects %v, want index 7 and only /c", purgeIndex, objects)
 	}
 	if age := objects["/c"].Age(time.Now()); age < 3*time.Second || age > time.Minute {
-		t.Fatalf("the age of the object is %v", age)
+		t.Fatalf("the reopened store gives /c an age of %v, want 3 s to 1 min", age)
 	}
 	s.ApplyPurges(&distribution.PurgeUpdate{LogIndex: 9, Reset: true})
 	s.waitForPurges(t, 9)
@@ -120,7 +121,7 @@
 	s, purgeIndex, objects = openTestStore(t, directory)
 	s.Close()
 	if purgeIndex != 9 || len(objects) != 0 {
-		t.Fatalf("after a reset: log index %d, objects %v", purgeIndex, objects)
+		t.Fatalf("after a reset the store has purge index %d and objects %v, want index 9 and none", purgeIndex, objects)
 	}
 
 	path := filepath.Join(directory, fileName)
@@ -130,14 +131,15 @@
 	s, purgeIndex, objects = openTestStore(t, directory)
 	s.Close()
 	if purgeIndex != 0 || len(objects) != 0 {
-		t.Fatalf("of a damaged file: log index %d, objects %v", purgeIndex, objects)
+		t.Fatalf("with a damaged file the store has purge index %d and objects %v, want 0 and none", purgeIndex, objects)
 	}
 }
 
-// TestDiskStoreFailingDisk: after a disk that failed a purge and took the next one, no object
-// that the first one matched is left; one that is full or hangs at the start delays nobody,
-// and its objects from before are not used later.
-func TestDiskStoreFailingDisk(t *testing.T) { synctest.Test(t, testFailingDisk) }
+// TestFailingDiskNeverRestoresPurgedObjects guards against purged objects that return after disk
+// faults. If a purge can't be written and the next one can, no object that the first purge matches
+// may remain. A disk that doesn't respond must not delay Open, and the objects that were on it before
+// must not be used after it responds again.
+func TestFailingDiskNeverRestoresPurgedObjects(t *testing.T) { synctest.Test(t, testFailingDisk) }
 
 func testFailingDisk(t *testing.T) {
 	t.Helper()
@@ -149,7 +151,7 @@
 		s, purgeIndex := Open(Options{Directory: directory, DiskMb: 2, Disk: disk, Log: logging.Nop()})
 		s.Load(func(*responsecache.Response) { loaded++ })
 		if took := time.Since(start); took > 2*openTimeout {
-			t.Fatalf("the start took %v", took)
+			t.Fatalf("Open and Load took %v, want at most 2*openTimeout", took)
 		}
 		return s, purgeIndex, loaded
 	}
@@ -165,7 +167,7 @@
 	s.Close()
 	s, purgeIndex, loaded := open()
 	if purgeIndex != 7 || loaded != 0 {
-		t.Fatalf("after a purge that failed: log index %d, %d objects", purgeIndex, loaded)
+		t.Fatalf("after a purge that failed the store has purge index %d and %d objects, want 7 and 0", purgeIndex, loaded)
 	}
 
 	s.Put(&responsecache.Response{Host: "h", Target: "/c", ETag: "t", PurgeIndex: 7})
@@ -177,7 +179,7 @@
 	}
 	s, purgeIndex, loaded = open()
 	if purgeIndex != 0 || loaded != 0 {
-		t.Fatalf("of a disk that doesn't answer: log index %d, %d objects", purgeIndex, loaded)
+		t.Fatalf("with a locked file the store has purge index %d and %d objects, want 0 and 0", purgeIndex, loaded)
 	}
 	s.ApplyPurges(purgesUpTo(9, purgePath(9, "/c")))
 	if err := otherProcess.Close(); err != nil {
@@ -188,7 +190,7 @@
 	disk.SetFault(simulation.Hanging)
 	s.ApplyPurges(purgesUpTo(10))
 	time.Sleep(2 * writeInterval)
-	s.Close() // doesn't wait for the disk that hangs
+	s.Close() // doesn't wait for the hanging disk
 	disk.EndProcess()
 	disk.SetFault(simulation.NoFault)
 	<-s.writerDone
@@ -196,12 +198,13 @@
 	s, purgeIndex, loaded = open()
 	s.Close()
 	if purgeIndex != 9 || loaded != 0 {
-		t.Fatalf("opened late: log index %d, %d objects", purgeIndex, loaded)
+		t.Fatalf("after a late open the store has purge index %d and %d objects, want 9 and 0", purgeIndex, loaded)
 	}
 }
 
-// TestDamagedObject: an object with a single byte changed is not decoded.
-func TestDamagedObject(t *testing.T) {
+// TestDamagedObjectIsNotDecoded guards against corrupt objects that are served: an object with any
+// single byte changed must not be decoded.
+func TestDamagedObjectIsNotDecoded(t *testing.T) {
 	now := currentTimestamp("boot")
 	object := &responsecache.Response{Host: "h", Target: "/a", ETag: "t", Body: []byte("body")}
 	encoded := encodeObject(object, now, time.Now())
@@ -209,14 +212,15 @@
 		damaged := slices.Clone(encoded)
 		damaged[i] ^= 4
 		if decodeObject(damaged, now, time.Now()) != nil {
-			t.Fatalf("the object was decoded with byte %d changed", i)
+			t.Fatalf("decodeObject decoded an object whose byte %d was changed, want nil", i)
 		}
 	}
 }
 
-// TestTimestampElapsed: an age is known only within one boot, by a monotonic clock that went
-// on and a time of day that agrees.
-func TestTimestampElapsed(t *testing.T) {
+// TestElapsedTimeIsUnknownUnlessClocksAgree guards against wrong ages of objects after a reboot or a
+// change of the wall clock: the elapsed time is known only if both timestamps are of the same boot,
+// the monotonic clock has not gone back and the wall clock agrees with it.
+func TestElapsedTimeIsUnknownUnlessClocksAgree(t *testing.T) {
 	seconds := func(bootID string, monotonic, wall int64) timestamp {
 		return timestamp{
 			BootID:      bootID,
@@ -231,16 +235,16 @@
 		want      bool
 	}{
 		{"both clocks agree", seconds("b", 110, 1010), true},
-		{"they agree but for a second", seconds("b", 110, 1011), true},
+		{"the clocks differ by one second", seconds("b", 110, 1011), true},
 		{"another boot", seconds("c", 110, 1010), false},
-		{"the monotonic clock began anew", seconds("b", 90, 1010), false},
-		{"the time of day went back", seconds("b", 110, 1005), false},
-		{"the time of day went ahead", seconds("b", 110, 1020), false},
-		{"no known moment", timestamp{}, false},
+		{"the monotonic clock restarted", seconds("b", 90, 1010), false},
+		{"the wall clock went back", seconds("b", 110, 1005), false},
+		{"the wall clock went ahead", seconds("b", 110, 1020), false},
+		{"the current time is unknown", timestamp{}, false},
 	} {
 		age, ok := c.now.elapsedSince(earlier)
 		if ok != c.want || ok && age < 10*time.Second {
-			t.Errorf("%s: got %v %v, want %v", c.situation, age, ok, c.want)
+			t.Errorf("%s: elapsedSince returned %v, %v, want known = %v, at least 10 s if known", c.situation, age, ok, c.want)
 		}
 	}
 }
--- a/internal/objectcache/diskstore/timestamp.go
+++ b/internal/objectcache/diskstore/timestamp.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxClockDisagreement is how far the two clocks of a timestamp may differ over a span. Beyond
-// it the span counts as unknown.
+// maxClockDisagreement is the maximum difference between the spans that the monotonic clock and the
+// wall clock measure. If the difference is larger, the span is unknown.
 const maxClockDisagreement = 1500 * time.Millisecond
 
-// timestamp is a time that a later process on the same machine can compare with its own if
-// the machine was not rebooted: by the monotonic clock, checked against the wall clock. The
-// zero value is an unknown time.
+// timestamp is a time that a later process on the same machine can compare with its own time,
+// unless the machine was rebooted. The monotonic clock is checked against the wall clock. The zero
+// value is an unknown time.
 type timestamp struct {
 	BootID      string `cbor:"1,keyasint,omitempty"`
 	MonotonicNs int64  `cbor:"2,keyasint,omitempty"`
-	WallNs      int64  `cbor:"3,keyasint,omitempty"` // since 1970
+	WallNs      int64  `cbor:"3,keyasint,omitempty"` // since the Unix epoch
 }
 
-// readBootID returns the kernel's ID of the machine's boot, or "" if it can't be read.
+// readBootID returns the kernel's ID of the current boot, or "" if it can't be read.
 func readBootID() string {
 	content, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return strings.TrimSpace(string(content))
 }
 
-// currentTimestamp returns the current time.
+// currentTimestamp returns the current time, or the zero value if the monotonic clock can't be read.
 func currentTimestamp(bootID string) timestamp {
 	var monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
@@ -47,7 +47,8 @@
 	return timestamp{BootID: t.BootID, MonotonicNs: t.MonotonicNs - int64(d), WallNs: t.WallNs - int64(d)}
 }
 
-// elapsedSince returns the time from earlier to t, and whether it is known.
+// elapsedSince returns the time from earlier to t, and whether it is known. It returns the larger of
+// the spans of both clocks.
 func (t timestamp) elapsedSince(earlier timestamp) (time.Duration, bool) {
 	if t.BootID == "" || earlier.BootID != t.BootID || t.MonotonicNs < earlier.MonotonicNs {
 		return 0, false
--- a/internal/objectcache/diskstore/writer.go
+++ b/internal/objectcache/diskstore/writer.go
@@ -11,8 +11,8 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// contents is the writer's index of the objects on disk, for eviction and for purges.
-type contents struct {
+// objectIndex is the writer's in-memory index of the objects on disk, for eviction and purges.
+type objectIndex struct {
 	maxBytes    int
 	storedBytes int
 	objects     map[string]storedObject
@@ -25,51 +25,51 @@
 	metadata responsecache.Response // without header and body
 }
 
-func newContents(maxBytes int) *contents {
-	return &contents{maxBytes: maxBytes, objects: map[string]storedObject{}}
+func newObjectIndex(maxBytes int) *objectIndex {
+	return &objectIndex{maxBytes: maxBytes, objects: map[string]storedObject{}}
 }
 
-// track adds an object of the given size on disk.
-func (c *contents) track(key string, size int, object *responsecache.Response) {
-	if old, ok := c.objects[key]; ok {
-		c.storedBytes -= old.size
+// track adds an object that takes size bytes on disk, or replaces the entry of its key.
+func (x *objectIndex) track(key string, size int, object *responsecache.Response) {
+	if old, ok := x.objects[key]; ok {
+		x.storedBytes -= old.size
 	} else {
-		c.order = append(c.order, key)
+		x.order = append(x.order, key)
 	}
 	metadata := *object
 	metadata.Header = nil
 	metadata.Body = nil
-	c.objects[key] = storedObject{size: size, metadata: metadata}
-	c.storedBytes += size
+	x.objects[key] = storedObject{size: size, metadata: metadata}
+	x.storedBytes += size
 }
 
 // untrack removes an object.
-func (c *contents) untrack(key string) {
-	c.storedBytes -= c.objects[key].size
-	delete(c.objects, key)
+func (x *objectIndex) untrack(key string) {
+	x.storedBytes -= x.objects[key].size
+	delete(x.objects, key)
 }
 
 // clear removes all objects.
-func (c *contents) clear() {
-	c.objects = map[string]storedObject{}
-	c.order = nil
-	c.storedBytes = 0
-}
-
-// evictOldest removes the oldest object if there are more than maxBytes, and returns its key.
-func (c *contents) evictOldest() (key string, ok bool) {
-	for c.storedBytes > c.maxBytes && len(c.order) > 0 {
-		key = c.order[0]
-		c.order = c.order[1:]
-		if _, ok := c.objects[key]; ok {
-			c.untrack(key)
+func (x *objectIndex) clear() {
+	x.objects = map[string]storedObject{}
+	x.order = nil
+	x.storedBytes = 0
+}
+
+// evictOldest removes the oldest object if the objects take more than maxBytes, and returns its key.
+func (x *objectIndex) evictOldest() (key string, ok bool) {
+	for x.storedBytes > x.maxBytes && len(x.order) > 0 {
+		key = x.order[0]
+		x.order = x.order[1:]
+		if _, ok := x.objects[key]; ok {
+			x.untrack(key)
 			return key, true
 		}
 	}
 	return "", false
 }
 
-// matches reports whether one of the purges, if newer than the object, matches it.
+// matches reports whether one of the purges is newer than the object and matches it.
 func (o *storedObject) matches(purges []distribution.Purge) bool {
 	for _, purge := range purges {
 		if purge.LogIndex > o.metadata.PurgeIndex && o.metadata.MatchesPurge(purge) {
@@ -79,7 +79,7 @@
 	return false
 }
 
-// runWriter writes what is queued until the store is closed.
+// runWriter executes the queued operations until the store is closed.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	if !s.waitForFile() {
@@ -93,18 +93,18 @@
 		if err := s.writeBatch(operations); err == nil {
 			s.mustClear = false
 		} else {
-			// The file may lack a purge now: its objects must not be loaded again.
+			// A purge may now be missing in the file, so its objects must not be loaded again.
 			s.log.Warn(logging.DiskCacheDropped).
 				Err(err).
-				Msg("the objects cannot be written; those on disk are dropped")
-			s.contents.clear()
+				Msg("writing to the disk cache failed; all objects on disk are dropped")
+			s.index.clear()
 			s.mustClear = true
 		}
 		time.Sleep(writeInterval)
 	}
 }
 
-// waitForFile waits until the file is open, and reports false if the store is closed before.
+// waitForFile waits until the file is open. It returns false if the store is closed before that.
 func (s *Store) waitForFile() bool {
 	for s.db == nil {
 		select {
@@ -118,7 +118,8 @@
 	return true
 }
 
-// takeOperations waits for operations and takes all that are queued.
+// takeOperations waits until operations are queued or the store is closed, and removes all
+// operations from the queue.
 func (s *Store) takeOperations() (operations []operation, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +132,7 @@
 	return operations, s.closed
 }
 
-// writeBatch carries out operations in one transaction.
+// writeBatch executes operations in one transaction, and evicts the oldest objects if necessary.
 func (s *Store) writeBatch(operations []operation) error {
 	now, at := currentTimestamp(s.bootID), time.Now()
 	return s.disk.Update(s.db, func(tx *bolt.Tx) error {
@@ -152,8 +153,8 @@
 	})
 }
 
-// writeOperation carries out one operation; objectBucket is there. now and at are the same
-// moment by both clocks.
+// writeOperation executes one operation. objectBucket must exist. now and at are both the current
+// time.
 func (s *Store) writeOperation(tx *bolt.Tx, op operation, now timestamp, at time.Time) error {
 	if op.purges != nil {
 		return s.writePurges(tx, op.purges)
@@ -165,11 +166,12 @@
 	if err := tx.Bucket(objectBucket).Put([]byte(op.object.Key()), value); err != nil {
 		return err
 	}
-	s.contents.track(op.object.Key(), len(value), op.object)
+	s.index.track(op.object.Key(), len(value), op.object)
 	return nil
 }
 
-// writePurges deletes the objects that purges match, and stores the new log index.
+// writePurges deletes the objects that the purges match, or all objects after a reset, and stores
+// the new log index.
 func (s *Store) writePurges(tx *bolt.Tx, u *distribution.PurgeUpdate) error {
 	var err error
 	if u.Reset {
@@ -194,17 +196,17 @@
 	if _, err := tx.CreateBucket(objectBucket); err != nil {
 		return err
 	}
-	s.contents.clear()
+	s.index.clear()
 	return nil
 }
 
 func (s *Store) dropMatching(tx *bolt.Tx, purges []distribution.Purge) error {
 	objects := tx.Bucket(objectBucket)
-	for key, object := range s.contents.objects {
+	for key, object := range s.index.objects {
 		if !object.matches(purges) {
 			continue
 		}
-		s.contents.untrack(key)
+		s.index.untrack(key)
 		if err := objects.Delete([]byte(key)); err != nil {
 			return err
 		}
@@ -212,11 +214,11 @@
 	return nil
 }
 
-// evict deletes the oldest objects until maxBytes are left at most.
+// evict deletes the oldest objects until the remaining ones take at most maxBytes.
 func (s *Store) evict(tx *bolt.Tx) error {
 	objects := tx.Bucket(objectBucket)
 	for {
-		key, ok := s.contents.evictOldest()
+		key, ok := s.index.evictOldest()
 		if !ok {
 			return nil
 		}
