--- a/internal/objectcache/client.go
+++ b/internal/objectcache/client.go
@@ -10,17 +10,17 @@
 	"comethold/internal/responsecache"
 )
 
-// Client is a data plane node's side of the object cache: a small cache in front of the
-// servers. It is safe for concurrent use.
+// Client is the object cache client of a data plane node. It has a small in-memory cache and
+// fetches other objects from the servers. It is safe for concurrent use.
 type Client struct {
-	control      *controlclient.Client
-	servers      *serverClient
-	fetcher      *Fetcher
-	permitsAsked atomic.Int64
+	control          *controlclient.Client
+	servers          *serverClient
+	fetcher          *Fetcher
+	permitsRequested atomic.Int64
 }
 
-// NewClient returns a client with a cache of cacheBytes. It sets the OnPurges function of
-// control.
+// NewClient returns a client with an in-memory cache of cacheBytes bytes. It sets the OnPurges
+// callback of control.
 func NewClient(control *controlclient.Client, cacheBytes int) *Client {
 	c := &Client{control: control, servers: newServerClient(control)}
 	c.fetcher = NewFetcher(responsecache.New(cacheBytes), control, c.fetch, FetcherOptions{
@@ -31,10 +31,10 @@
 	return c
 }
 
-// Get returns an object for a client's request.
+// Get returns the requested object, or the reason why there is none.
 func (c *Client) Get(r Request) (*responsecache.Response, *Failure) { return c.fetcher.Get(r) }
 
-// fetch gets an object from the servers, one after the other.
+// fetch requests an object from up to maxServersTried servers in ranked order, until one answers.
 func (c *Client) fetch(
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure) {
@@ -52,7 +52,8 @@
 }
 
 // Permit waits until a call may be made to a service, at most until the deadline or until ctx is
-// done. If ok is false, retryAfter is the time after which to ask again.
+// done. It returns true at once if this node knows no rate of the service. If ok is false,
+// retryAfter is the delay before the caller may ask again.
 func (c *Client) Permit(
 	ctx context.Context, service string, deadline time.Time,
 ) (ok bool, retryAfter time.Duration) {
@@ -60,9 +61,10 @@
 	if table == nil || table.Services[service] == nil || table.Services[service].RatePerSecond <= 0 {
 		return true, 0
 	}
-	// Each server has its share of the rate, so the calls go to all of them in turn.
-	turn := strconv.FormatInt(c.permitsAsked.Add(1), 36)
-	for i, server := range c.servers.rankedServers(turn, ownRegionFirst) {
+	// Each server holds a share of the rate, so the key changes with each call to spread the calls
+	// over all servers.
+	callKey := strconv.FormatInt(c.permitsRequested.Add(1), 36)
+	for i, server := range c.servers.rankedServers(callKey, ownRegionFirst) {
 		wait := time.Until(deadline) - deadlineMargin
 		if i == maxServersTried || wait <= 0 || ctx.Err() != nil {
 			break
--- a/internal/objectcache/compat_test.go
+++ b/internal/objectcache/compat_test.go
@@ -7,8 +7,8 @@
 	"comethold/internal/compat"
 )
 
-// TestCompatibleRecords: the messages of the object cache decode from the bytes of an earlier
-// version.
+// TestCompatibleRecords guards against a change of encoding after which this version can't decode
+// the object cache messages of an earlier version.
 func TestCompatibleRecords(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{Name: "object-request", Value: objectCall{
--- a/internal/objectcache/doc.go
+++ b/internal/objectcache/doc.go
@@ -1,17 +1,18 @@
-// Package objectcache is the cache of the objects of cacheable routes, in two tiers.
+// Package objectcache caches the objects of cacheable routes in two tiers.
 //
-// A Server is a cache node. It keeps objects for all data plane nodes, in memory and
-// on disk, and reads them from their origins. A Client is a data plane node's side: a small
-// cache of its own in front of the servers. Rendezvous hashing gives each object an order of
-// servers that all nodes agree on; the first healthy one is asked.
+// A Server is a cache node. It keeps objects for all data plane nodes, in memory and on disk, and
+// reads them from their origins. A Client runs in a data plane node. It has a small in-memory
+// cache and fetches other objects from the servers. Rendezvous hashing ranks the servers for each
+// object in an order that all nodes agree on, and the first healthy server is asked. A Client
+// prefers the servers of its region.
 //
-// In both, a Fetcher joins the concurrent fetches of one object and prevents purged objects
-// from being served or kept. A Server limits its reads of origins to its leased share of each
-// service's rate (package ratelimit). Reads beyond it are queued: the ones with the most
-// waiting requests begin first, and the ones that would wait too long are rejected at once.
-// For a call on a route that is not cacheable to a service with a rate, a data plane node
-// asks a Server for a permit (Client.Permit); the call counts like the server's own reads.
+// Both use a Fetcher, which joins concurrent fetches of the same object and prevents purged
+// objects from being served or kept. A Server limits its reads of origins to its leased share of
+// each service's rate (package ratelimit). Reads beyond the share are queued: the read with the
+// most waiting requests starts first, and a read that would wait too long is rejected at once.
+// Before a data plane node calls a service with a rate on a route that is not cacheable, it asks
+// a Server for a permit (Client.Permit). The call counts like the server's own reads.
 //
-// The structs with cbor tags are sent and stored: the numbers, bucket names and keys must not
-// change.
+// The structs with cbor tags are sent to other nodes and stored on disk. Their numbers, and the
+// bucket names and keys on disk, must not change.
 package objectcache
--- a/internal/objectcache/failure.go
+++ b/internal/objectcache/failure.go
@@ -15,7 +15,7 @@
 	permitRetryDelay       = 300 * time.Millisecond
 )
 
-// The reasons of failures. Clients see them in answers, so their wording stays.
+// Reasons of failures. They are sent to clients, so their texts must not change.
 const (
 	reasonBehind           = "the announcer is behind"
 	reasonRouteRemoved     = "the route is no more"
@@ -34,27 +34,28 @@
 	reasonNoServer         = "no announcer answers"
 )
 
-// Failure says why there is no object.
+// Failure is the reason why a request gets no object.
 type Failure struct {
-	// Status, Header and Body are the origin's own, if it has answered.
+	// Status, Header and Body are those of the origin's answer, if it executed the request and
+	// answered with an error.
 	Status     int
 	Header     http.Header
 	Body       []byte
 	Reason     string
-	RetryAfter time.Duration // with 503: the request was not executed
+	RetryAfter time.Duration // with status 503: the request was not executed and may be retried
 
-	disconnected bool // another server may serve
+	disconnected bool // the server has no contact with the control plane; another one may be asked
 }
 
 func newFailure(status int, reason string) *Failure { return &Failure{Status: status, Reason: reason} }
 
-// newUnavailable returns a failure for which the client should try again.
+// newUnavailable returns a failure with status 503, which the client may retry after retryAfter.
 func newUnavailable(reason string, retryAfter time.Duration) *Failure {
 	return &Failure{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter}
 }
 
-// failureOf returns the failure that a server answered.
-func failureOf(r *objectReply) *Failure {
+// failureFromReply returns the failure in a server's reply.
+func failureFromReply(r *objectReply) *Failure {
 	return &Failure{
 		Status:     r.Status,
 		Header:     r.Header,
@@ -64,7 +65,7 @@
 	}
 }
 
-// reply returns the answer to a caller that gets this failure.
+// reply returns the reply that reports this failure to the caller.
 func (f *Failure) reply() *objectReply {
 	return &objectReply{
 		Status:       f.Status,
--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -10,42 +10,43 @@
 	"comethold/internal/responsecache"
 )
 
-// maxFetchAttempts bounds the fetches that one request waits for: the object of each may be
-// purged before it is served.
+// maxFetchAttempts is the maximum number of fetches that one request waits for. A request waits
+// for another fetch if the object of the previous one was purged before it was served.
 const maxFetchAttempts = 3
 
 // PurgeLog holds the purges that a node has received.
 type PurgeLog interface {
 	// PurgeIndex returns the log index of the newest purge known.
 	PurgeIndex() uint64
-	// PurgedSince reports whether a purge after the log index matches, or whether that
-	// is no longer known.
+	// PurgedSince reports whether a purge after the log index matches. It also returns true if
+	// the purges since that index are no longer known.
 	PurgedSince(index uint64, matches func(distribution.Purge) bool) bool
 }
 
-// Request asks for an object.
+// Request is a request for an object.
 type Request struct {
 	Host     string
 	Target   string        // path and query
-	TTL      time.Duration // how old the object may be
+	TTL      time.Duration // maximum age of the object
 	Deadline time.Time
-	// OriginOnly says to read the origin and to ask no other server.
+	// If OriginOnly is set, a fetch reads the origin and doesn't ask other servers.
 	OriginOnly bool
-	// Waiters is how many requests wait for this one, itself included.
+	// Waiters is the number of requests that wait for this one, including itself; 0 counts as 1.
 	Waiters int
 
-	// allWaiters returns how many requests wait for the fetch that this request began.
+	// allWaiters returns the number of requests that wait for the fetch that this request started.
 	allWaiters func() int
 }
 
 // key returns the key of the object.
 func (r *Request) key() string { return responsecache.Key(r.Host, r.Target) }
 
-// originOnlySuffix distinguishes the flight keys of requests with OriginOnly.
+// originOnlySuffix is appended to the flight keys of requests with OriginOnly.
 const originOnlySuffix = " final"
 
-// flightKey identifies the fetches that a request may join. A request with OriginOnly joins
-// no other fetches: two servers that each rank the other one first would wait for each other.
+// flightKey returns the key of the fetches that a request may join. A request with OriginOnly
+// joins only fetches with OriginOnly. Otherwise two servers that each rank the other one first
+// would wait for each other.
 func (r *Request) flightKey() string {
 	if r.OriginOnly {
 		return r.key() + originOnlySuffix
@@ -53,24 +54,24 @@
 	return r.key()
 }
 
-// FetchFunc fetches an object. cached is the object that is held, which may be out of date,
-// or nil; purgeIndex is the log index of the purges known before.
+// FetchFunc fetches an object. cached is the object in the cache, which may be outdated, or nil.
+// purgeIndex is the log index of the purges known before the fetch.
 type FetchFunc func(
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure)
 
-// pendingFetch is one fetch of an object. Its result is set when done is closed.
+// pendingFetch is one fetch of an object. object and failure are set before done is closed.
 type pendingFetch struct {
 	key        string       // flightKey of its requests
-	purgeIndex uint64       // known when it began
-	waiters    atomic.Int64 // requests that wait for it
+	purgeIndex uint64       // of the purges known when the fetch started
+	waiters    atomic.Int64 // number of requests that wait for it
 	done       chan struct{}
 	object     *responsecache.Response
 	failure    *Failure
 }
 
-// Fetcher serves objects from a cache while they are fresh, and otherwise by one fetch for all
-// concurrent requests for the same object (singleflight). It is safe for concurrent use.
+// Fetcher serves objects from a cache while they are fresh. Concurrent requests for an object that
+// is not fresh share one fetch (singleflight). It is safe for concurrent use.
 type Fetcher struct {
 	cache       *responsecache.Cache
 	purges      PurgeLog
@@ -81,19 +82,19 @@
 	inFlight map[string]*pendingFetch // by flightKey
 }
 
-// FetcherOptions say how long a Fetcher serves an object and what it does with new ones.
+// FetcherOptions configure how long a Fetcher serves and when it refreshes objects.
 type FetcherOptions struct {
-	// StaleSlack is how old beyond the TTL an object may be while a fetch is in flight;
-	// half of it is used.
+	// StaleSlack is how long after its TTL an object may be served. While a fetch is in
+	// flight, the Fetcher serves the expired object for half of it.
 	StaleSlack time.Duration
-	// RefreshFraction is the part of the TTL after which a requested object is refreshed in
-	// the background.
+	// RefreshFraction is the fraction of the TTL after which a request for an object starts
+	// a refresh in the background.
 	RefreshFraction float64
-	// OnCached, if set, is called with each object that was cached.
+	// OnCached, if set, is called with each object after it is added to the cache.
 	OnCached func(*responsecache.Response)
 }
 
-// NewFetcher returns a fetcher over a cache.
+// NewFetcher returns a Fetcher that keeps its objects in the given cache.
 func NewFetcher(cache *responsecache.Cache, purges PurgeLog, fetchObject FetchFunc, o FetcherOptions) *Fetcher {
 	if o.OnCached == nil {
 		o.OnCached = func(*responsecache.Response) {}
@@ -107,8 +108,8 @@
 	}
 }
 
-// ApplyPurges drops the objects that purges match. Later requests don't join the fetches that
-// are in flight now.
+// ApplyPurges removes the objects that the purges match from the cache. Later requests don't join
+// the fetches that are in flight now.
 func (f *Fetcher) ApplyPurges(u *distribution.PurgeUpdate) {
 	f.cache.ApplyPurges(u)
 	f.mu.Lock()
@@ -133,17 +134,17 @@
 				return cached, nil
 			}
 		}
-		current := f.startOrJoin(r, cached, purgeIndex)
-		if !current.wait(r) {
+		pending := f.startOrJoin(r, cached, purgeIndex)
+		if !pending.wait(r) {
 			return nil, newFailure(http.StatusGatewayTimeout, reasonTimeout)
 		}
-		if current.object == nil {
-			return nil, current.failure
+		if pending.object == nil {
+			return nil, pending.failure
 		}
-		// The fetch may have begun before a purge that was known when this request
+		// The fetch may have started before a purge that was known when this request
 		// arrived. Its object is used only if no such purge matches it.
-		if current.purgeIndex >= purgeIndex || !f.purged(current.object) {
-			return current.object, nil
+		if pending.purgeIndex >= purgeIndex || !f.purged(pending.object) {
+			return pending.object, nil
 		}
 	}
 	return nil, newUnavailable(reasonBeingPurged, purgedRetryDelay)
@@ -162,13 +163,13 @@
 	}
 }
 
-// startOrJoin begins a fetch, or joins the one in flight.
+// startOrJoin returns the fetch in flight that the request may join, or starts one.
 func (f *Fetcher) startOrJoin(r Request, cached *responsecache.Response, purgeIndex uint64) *pendingFetch {
 	key := r.flightKey()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if current := f.inFlight[key]; current != nil {
-		return current
+	if pending := f.inFlight[key]; pending != nil {
+		return pending
 	}
 	started := &pendingFetch{key: key, purgeIndex: purgeIndex, done: make(chan struct{})}
 	r.allWaiters = func() int { return int(started.waiters.Load()) }
@@ -177,29 +178,30 @@
 	return started
 }
 
-// run carries out a fetch and caches its object. Closing done wakes the waiting requests.
-func (f *Fetcher) run(current *pendingFetch, r Request, cached *responsecache.Response) {
+// run executes a fetch and caches its object. It closes done to wake the waiting requests.
+func (f *Fetcher) run(pending *pendingFetch, r Request, cached *responsecache.Response) {
 	defer func() {
 		if p := recover(); p != nil {
-			current.object = nil
-			current.failure = newFailure(http.StatusBadGateway, reasonPanic)
+			pending.object = nil
+			pending.failure = newFailure(http.StatusBadGateway, reasonPanic)
 		}
 		f.mu.Lock()
-		if f.inFlight[current.key] == current {
-			delete(f.inFlight, current.key)
+		if f.inFlight[pending.key] == pending {
+			delete(f.inFlight, pending.key)
 		}
 		f.mu.Unlock()
-		close(current.done)
+		close(pending.done)
 	}()
-	current.object, current.failure = f.fetchObject(r, cached, current.purgeIndex)
-	if current.object != nil && r.TTL > 0 && current.object.Age(time.Now()) < r.TTL {
-		f.keep(current.object)
+	pending.object, pending.failure = f.fetchObject(r, cached, pending.purgeIndex)
+	if pending.object != nil && r.TTL > 0 && pending.object.Age(time.Now()) < r.TTL {
+		f.cacheUnlessPurged(pending.object)
 	}
 }
 
-// keep caches an object unless a purge since it was read matches it. It checks before, so
-// that no purged object is in the cache, and after, for a purge that was applied in between.
-func (f *Fetcher) keep(object *responsecache.Response) {
+// cacheUnlessPurged caches an object unless a purge since it was read matches it. It checks before
+// the insertion, so that requests don't get a purged object from the cache, and again afterwards, in
+// case a purge was applied in between.
+func (f *Fetcher) cacheUnlessPurged(object *responsecache.Response) {
 	if f.purged(object) {
 		return
 	}
--- a/internal/objectcache/origin.go
+++ b/internal/objectcache/origin.go
@@ -16,36 +16,37 @@
 
 const (
 	maxReadAttempts = 3
-	// minReadTimeout is the least time-out of an attempt. With less time left, no further
+	// minReadTimeout is the minimum time-out of an attempt. If less time is left, no further
 	// attempt is made.
 	minReadTimeout = 600 * time.Millisecond
-	// queueTimeDivisor is the divisor of a read's time that gives how long it may be queued.
+	// queueTimeDivisor divides the time left for a read; the quotient is how long the read may
+	// be queued.
 	queueTimeDivisor = 3
 )
 
-// Headers of objects.
+// Headers in requests to origins and in their responses.
 const (
 	headerETag        = "Etag"
 	headerIfNoneMatch = "If-None-Match"
 	headerLabels      = "X-Comethold-Object-Labels"
 )
 
-// originRead is the read of an object from its origin, with all its attempts.
+// originRead is the read of an object from its origin, including all attempts.
 type originRead struct {
 	server   *Server
 	request  Request
-	cached   *responsecache.Response // held; nil: none
+	cached   *responsecache.Response // nil if there is none
 	service  string
-	rate     float64 // of the service
+	rate     float64 // of the service, in requests per second; 0: no limit
 	deadline time.Time
 
 	tried    []*upstream.Endpoint
 	executed bool     // an endpoint has, or may have, executed an attempt
-	failure  *Failure // of the attempts so far
+	failure  *Failure // returned if no further attempt succeeds
 }
 
-// readOrigin reads an object from its origin. Its deadline is that of the route, since the
-// read serves all requests that join it, beyond the deadline of the request that began it.
+// readOrigin reads an object from its origin. The time-out of the route sets its deadline, because
+// the read serves all requests that join it, also after the deadline of the request that started it.
 func (s *Server) readOrigin(r Request, cached *responsecache.Response) (*responsecache.Response, *Failure) {
 	if s.Disconnected(disconnectedAfter) {
 		failure := newUnavailable(reasonDisconnected, disconnectedRetryDelay)
@@ -79,7 +80,7 @@
 	return nil, read.failure
 }
 
-// rateOf returns the rate of a service, in requests a second; 0: no limit.
+// rateOf returns the rate of a service, in requests per second, or 0 if there is no limit.
 func rateOf(table *routing.RouteTable, service string) float64 {
 	if s := table.Services[service]; s != nil {
 		return s.RatePerSecond
@@ -87,8 +88,8 @@
 	return 0
 }
 
-// attempt reads the origin once. It returns the object, or sets the failure; final says that
-// there must be no further attempt.
+// attempt reads the origin once. It returns the object, or sets r.failure. If final is true, no
+// further attempt may be made.
 func (r *originRead) attempt() (object *responsecache.Response, final bool) {
 	admitted := r.waitForAdmission()
 	if !admitted.granted {
@@ -99,22 +100,22 @@
 	}
 	request := r.newRequest()
 	purgeIndex := r.server.PurgeIndex()
-	begunAt := time.Now()
+	startedAt := time.Now()
 	timeout := max(minReadTimeout, r.server.latency.timeout(r.service))
-	request.Deadline = begunAt.Add(min(r.deadline.Sub(begunAt), timeout))
-	// The read serves all requests that join it, so none of their clients ends it by leaving.
+	request.Deadline = startedAt.Add(min(r.deadline.Sub(startedAt), timeout))
+	// The read serves all requests that join it, so it is not cancelled when a client disconnects.
 	response, err := r.server.Upstreams.Call(context.Background(), admitted.endpoint, request)
 	r.tried = append(r.tried, admitted.endpoint)
 	outcome := upstream.OutcomeOf(response, err)
 	if outcome == upstream.Executed {
-		if object := r.objectOf(request, response, begunAt, purgeIndex); object != nil {
+		if object := r.objectFromResponse(request, response, startedAt, purgeIndex); object != nil {
 			return object, false
 		}
 	}
 	return nil, r.recordFailure(outcome, response)
 }
 
-// waitForAdmission waits until the read may begin.
+// waitForAdmission waits until the read may start or is rejected, and records the waiting time.
 func (r *originRead) waitForAdmission() admission {
 	enqueuedAt := time.Now()
 	admitted := r.server.scheduler.admit(&queuedRead{
@@ -128,8 +129,8 @@
 	return admitted
 }
 
-// newRequest returns the request of an attempt. Each attempt has its own ID, by which a late
-// answer to an earlier one is recognized.
+// newRequest returns the request of an attempt. Each attempt has a new ID, so that a late response
+// to an earlier attempt is recognized.
 func (r *originRead) newRequest() *upstream.Request {
 	request := &upstream.Request{
 		Method: http.MethodGet,
@@ -144,15 +145,16 @@
 	return request
 }
 
-// objectOf returns the object of a response that was executed, or nil if it holds none.
-func (r *originRead) objectOf(
-	request *upstream.Request, response *upstream.Response, begunAt time.Time, purgeIndex uint64,
+// objectFromResponse returns the object in the response to an executed request, or nil if it
+// contains none.
+func (r *originRead) objectFromResponse(
+	request *upstream.Request, response *upstream.Response, startedAt time.Time, purgeIndex uint64,
 ) *responsecache.Response {
-	duration := time.Since(begunAt)
+	duration := time.Since(startedAt)
 	switch {
 	case response.Status == http.StatusNotModified && request.Header[headerIfNoneMatch] != nil:
 		r.server.statistics.recordRevalidation(duration)
-		return revalidated(r.cached, begunAt, purgeIndex)
+		return revalidated(r.cached, startedAt, purgeIndex)
 	case response.Status == http.StatusOK && response.IsSuccess():
 		r.server.latency.observe(r.service, duration)
 		r.server.statistics.recordRead(duration)
@@ -164,7 +166,7 @@
 			Labels:      strings.Fields(response.Header.Get(headerLabels)),
 			Header:      objectHeader(response.Header),
 			Body:        response.Body,
-			ValidatedAt: begunAt,
+			ValidatedAt: startedAt,
 			PurgeIndex:  purgeIndex,
 		}
 	}
@@ -172,15 +174,15 @@
 }
 
 // recordFailure sets the failure of an attempt. Failures of attempts that an endpoint has or
-// may have executed take precedence over the others. It reports whether there must be no
-// further attempt.
+// may have executed take precedence over the others. It returns true if no further attempt may
+// be made.
 func (r *originRead) recordFailure(outcome upstream.Outcome, response *upstream.Response) (final bool) {
 	switch {
 	case outcome == upstream.Rejected:
 		if response.Status == http.StatusTooManyRequests {
 			r.server.Log.Warn(logging.OriginRateExceeded).
 				Str("service", r.service).
-				Msg("the origin says that its rate is exceeded")
+				Msg("the origin rejected a read with status 429 (rate exceeded)")
 		}
 		if !r.executed {
 			r.failure = newUnavailable(reasonOriginRejects, originRetryDelay)
@@ -197,7 +199,7 @@
 			Body:   response.Body,
 			Reason: reasonOriginFailed,
 		}
-		return isClientError(response.Status) // another attempt gets the same answer
+		return isClientError(response.Status) // another attempt would get the same response
 	default:
 		r.executed = true
 		r.failure = newFailure(http.StatusBadGateway, reasonAnswerLost)
@@ -211,7 +213,7 @@
 
 func newReadID() string { return "r" + strconv.FormatUint(rand.Uint64(), 36) }
 
-// objectHeader returns the fields of a response's header that are cached.
+// objectHeader returns the header fields of a response that are cached.
 func objectHeader(h http.Header) http.Header {
 	kept := upstream.EndToEndHeaders(h)
 	delete(kept, upstream.HeaderInstanceID)
--- a/internal/objectcache/origin_statistics.go
+++ b/internal/objectcache/origin_statistics.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// latencySmoothing is the weight of a new read in a service's average.
+	// latencySmoothing is the weight of a new read in a service's moving average.
 	latencySmoothing = 0.05
-	// timeoutFactor is the time-out of a read in average durations.
+	// timeoutFactor is the time-out of a read as a multiple of the average duration.
 	timeoutFactor = 6
-	// initialTimeout is the time-out of a service's first read.
+	// initialTimeout is the time-out of a service's reads until one has been measured.
 	initialTimeout = 2 * time.Second
 )
 
@@ -50,13 +50,13 @@
 
 // readStatistics counts the reads of origins in one interval.
 type readStatistics struct {
-	reads       int // that returned an object
-	revalidated int // that found the cached object current
-	rejected    int // that could not begin in time
+	reads       int // reads that returned an object
+	revalidated int // reads that confirmed the cached object as current
+	rejected    int // reads that could not start in time
 
-	readTime       time.Duration // sums, as the ones below
-	revalidateTime time.Duration
-	waitTime       time.Duration // before they began
+	readTime       time.Duration // total duration of reads
+	revalidateTime time.Duration // total duration of revalidated
+	waitTime       time.Duration // total time before reads started or were rejected
 }
 
 // originStatistics collects readStatistics. It is safe for concurrent use.
@@ -65,7 +65,7 @@
 	counts readStatistics
 }
 
-// recordWait counts the wait of a read before it began or was rejected.
+// recordWait adds the waiting time of a read before it started or was rejected.
 func (s *originStatistics) recordWait(wait time.Duration, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	s.counts.readTime += duration
 }
 
-// recordRevalidation counts a read that found the cached object current.
+// recordRevalidation counts a read that confirmed the cached object as current.
 func (s *originStatistics) recordRevalidation(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/objectcache/permit.go
+++ b/internal/objectcache/permit.go
@@ -35,8 +35,8 @@
 	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeUncompressedBody(encoded))
 }
 
-// permit waits until a call that a data plane node makes itself may begin. Such calls count
-// against the service's rate, too, so they wait in one queue with this server's reads.
+// permit waits until a call that a data plane node makes to a service may start, or is rejected.
+// Such calls count against the service's rate, so they wait in the same queue as this server's reads.
 func (s *Server) permit(request *permitRequest) permitReply {
 	table := s.RouteTable()
 	if table == nil || table.Services[request.Service] == nil || s.Disconnected(disconnectedAfter) {
--- a/internal/objectcache/read_scheduler.go
+++ b/internal/objectcache/read_scheduler.go
@@ -11,19 +11,20 @@
 
 const (
 	queuePollInterval = 4 * time.Millisecond
-	// minQueueLength is how many reads of a service may wait, however low its rate is.
+	// minQueueLength is the number of reads of a service that may wait even if its rate is low.
 	minQueueLength = 16
-	// minRetryDelay and maxRetryDelay bound the retry delay of rejected reads.
+	// minRetryDelay and maxRetryDelay bound the delay after which rejected reads may be retried.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 1500 * time.Millisecond
-	// unknownRateRetryDelay is that delay while the node has no share of the rate.
+	// unknownRateRetryDelay is the retry delay while the node has no share of the rate, and for
+	// services without a rate.
 	unknownRateRetryDelay = 3 * minRetryDelay
 )
 
-// readScheduler queues the reads of origins. A read begins when the node's share of the rate
-// allows it and an endpoint accepts it; the read with the most waiting requests is first. A
-// read that can't begin in time is rejected at once, with a retry delay. It is safe for
-// concurrent use.
+// readScheduler queues the reads of origins. A read starts when the node's share of the rate
+// allows it and an endpoint can be reserved. The read with the most waiting requests starts first.
+// A read that can't start in time is rejected with a retry delay: at once if the queue is too long,
+// otherwise at its deadline. It is safe for concurrent use.
 type readScheduler struct {
 	limiter   *ratelimit.Limiter
 	upstreams endpointReserver
@@ -32,22 +33,23 @@
 	queues map[string][]*queuedRead // by service, oldest first
 }
 
-// endpointReserver reserves endpoints; it is the part of upstream.ClusterManager used here.
+// endpointReserver reserves endpoints. upstream.ClusterManager implements it.
 type endpointReserver interface {
-	// Reserve reserves an endpoint that was not tried for one call, or returns nil.
+	// Reserve reserves an endpoint that is not in tried for one call. It returns nil if there
+	// is none.
 	Reserve(service string, tried []*upstream.Endpoint, nonIdempotent bool) *upstream.Endpoint
-	// Release gives up a reservation.
+	// Release cancels a reservation.
 	Release(*upstream.Endpoint)
 }
 
-// queuedRead is a read that waits to begin.
+// queuedRead is a read that waits to start.
 type queuedRead struct {
 	service  string
-	rate     float64    // of the service, in requests a second; 0: no limit
-	waiters  func() int // requests that wait for the read
+	rate     float64    // of the service, in requests per second; 0: no limit
+	waiters  func() int // returns the number of requests that wait for the read
 	tried    []*upstream.Endpoint
-	deadline time.Time // until when the read may wait to begin
-	// permitOnly marks a call that a data plane node makes to an endpoint of its choice.
+	deadline time.Time // latest time to start
+	// permitOnly marks a call that a data plane node makes to an endpoint that it chooses.
 	permitOnly bool
 
 	// Set by admit.
@@ -55,18 +57,18 @@
 	result     chan admission
 }
 
-// admission says whether a read may begin.
+// admission is the decision whether a read may start.
 type admission struct {
 	granted    bool
 	endpoint   *upstream.Endpoint // if granted: reserved, unless permitOnly
-	retryAfter time.Duration      // if not granted: when to retry
+	retryAfter time.Duration      // if not granted: delay before a retry
 }
 
 func newReadScheduler(limiter *ratelimit.Limiter, upstreams endpointReserver) *readScheduler {
 	return &readScheduler{limiter: limiter, upstreams: upstreams, queues: map[string][]*queuedRead{}}
 }
 
-// admit waits until the read may begin, or is rejected.
+// admit waits until the read may start or is rejected.
 func (s *readScheduler) admit(r *queuedRead) admission {
 	r.enqueuedAt = time.Now()
 	r.result = make(chan admission, 1)
@@ -80,7 +82,7 @@
 	return <-r.result
 }
 
-// pollQueue dispatches a service's queue until it is empty.
+// pollQueue dispatches a service's queue every queuePollInterval until it is empty.
 func (s *readScheduler) pollQueue(service string) {
 	for {
 		time.Sleep(queuePollInterval)
@@ -95,18 +97,18 @@
 	}
 }
 
-// dispatchLocked begins the reads that may begin now, and rejects those that can't in time.
+// dispatchLocked starts the reads that may start now, and rejects those that can't start in time.
 func (s *readScheduler) dispatchLocked(service string, now time.Time) {
 	queue := s.startLocked(s.queues[service], now)
 	queue = s.rejectOverdueLocked(queue, now)
 	s.queues[service] = s.rejectExcessLocked(queue, now)
 }
 
-// startLocked begins reads while the rate and the endpoints allow it, and returns the reads
+// startLocked starts reads while the rate and the endpoints allow it, and returns the reads
 // that still wait.
 func (s *readScheduler) startLocked(queue []*queuedRead, now time.Time) []*queuedRead {
 	for len(queue) > 0 {
-		next := firstOf(queue)
+		next := highestPriority(queue)
 		endpoint, ok := s.reserve(queue[next])
 		if !ok {
 			break
@@ -139,30 +141,30 @@
 
 // rejectOverdueLocked rejects the reads whose deadline has passed, and returns the others.
 func (s *readScheduler) rejectOverdueLocked(queue []*queuedRead, now time.Time) []*queuedRead {
-	var left []*queuedRead
+	var remaining []*queuedRead
 	for _, r := range queue {
 		if now.After(r.deadline) {
 			s.rejectLocked(r, len(queue), now)
 		} else {
-			left = append(left, r)
+			remaining = append(remaining, r)
 		}
 	}
-	return left
+	return remaining
 }
 
-// rejectExcessLocked rejects the last reads of a queue that is longer than maxLength, at once
-// rather than at their deadline, and returns the others.
+// rejectExcessLocked rejects the reads with the lowest priority while the queue is longer than
+// maxLength, without waiting for their deadlines. It returns the others.
 func (s *readScheduler) rejectExcessLocked(queue []*queuedRead, now time.Time) []*queuedRead {
 	for len(queue) > s.maxLength(queue, now) {
-		last := lastOf(queue)
+		last := lowestPriority(queue)
 		s.rejectLocked(queue[last], len(queue), now)
 		queue = without(queue, last)
 	}
 	return queue
 }
 
-// maxLength returns how many reads of a queue may wait: as many as the rate lets begin in the
-// waiting time of the newest one, but at least minQueueLength.
+// maxLength returns how many reads of a queue may wait: the number that the rate allows to start
+// within the maximum wait of the newest read, but at least minQueueLength.
 func (s *readScheduler) maxLength(queue []*queuedRead, now time.Time) int {
 	if len(queue) == 0 {
 		return minQueueLength
@@ -175,12 +177,13 @@
 	return max(minQueueLength, int(s.limiter.RatePerSecond(newest.rate, now)*wait))
 }
 
-// rejectLocked rejects a read out of a queue of the given length.
+// rejectLocked rejects a read from a queue of the given length.
 func (s *readScheduler) rejectLocked(r *queuedRead, queueLength int, now time.Time) {
 	r.result <- admission{retryAfter: s.retryDelay(r.rate, queueLength, now)}
 }
 
-// retryDelay returns the time in which a queue empties at the allowed rate, within bounds.
+// retryDelay returns the time in which a queue of the given length drains at the allowed rate,
+// limited to minRetryDelay and maxRetryDelay.
 func (s *readScheduler) retryDelay(rate float64, queueLength int, now time.Time) time.Duration {
 	allowed := s.limiter.RatePerSecond(rate, now)
 	if rate <= 0 || allowed <= 0 {
@@ -190,31 +193,31 @@
 	return min(maxRetryDelay, max(minRetryDelay, delay))
 }
 
-// goesBefore reports whether a read begins before another: first the one with more waiting
-// requests, then the newer one, whose requests have the most time left.
-func (r *queuedRead) goesBefore(other *queuedRead) bool {
+// hasPriorityOver reports whether a read starts before another. The read with more waiting requests
+// starts first. If the numbers are equal, the newer read does, as its requests have more time left.
+func (r *queuedRead) hasPriorityOver(other *queuedRead) bool {
 	if a, b := r.waiters(), other.waiters(); a != b {
 		return a > b
 	}
 	return r.enqueuedAt.After(other.enqueuedAt)
 }
 
-// firstOf returns the position of the read that goes before all others.
-func firstOf(queue []*queuedRead) int {
+// highestPriority returns the position of the read that has priority over all others.
+func highestPriority(queue []*queuedRead) int {
 	first := 0
 	for i := range queue {
-		if queue[i].goesBefore(queue[first]) {
+		if queue[i].hasPriorityOver(queue[first]) {
 			first = i
 		}
 	}
 	return first
 }
 
-// lastOf returns the position of the read that all others go before.
-func lastOf(queue []*queuedRead) int {
+// lowestPriority returns the position of the read that all others have priority over.
+func lowestPriority(queue []*queuedRead) int {
 	last := 0
 	for i := range queue {
-		if queue[last].goesBefore(queue[i]) {
+		if queue[last].hasPriorityOver(queue[i]) {
 			last = i
 		}
 	}
--- a/internal/objectcache/read_scheduler_test.go
+++ b/internal/objectcache/read_scheduler_test.go
@@ -10,40 +10,40 @@
 	"comethold/internal/upstream"
 )
 
-// testReserver reserves places while there are some.
+// testReserver reserves endpoints while it has free slots.
 type testReserver struct {
-	mu     sync.Mutex // guards the field below
-	places int
+	mu    sync.Mutex // guards the field below
+	slots int
 }
 
 func (r *testReserver) Reserve(string, []*upstream.Endpoint, bool) *upstream.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.places == 0 {
+	if r.slots == 0 {
 		return nil
 	}
-	r.places--
+	r.slots--
 	return &upstream.Endpoint{}
 }
 
 func (r *testReserver) Release(*upstream.Endpoint) { r.add(1) }
 
-// add makes places free.
-func (r *testReserver) add(places int) {
+// add frees slots.
+func (r *testReserver) add(slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.places += places
+	r.slots += slots
 }
 
-// testRead is a read that waits in a scheduler.
+// testRead is a read that a test queues in a scheduler.
 type testRead struct {
 	name    string
 	waiters int
 	wait    time.Duration
 }
 
-// startReads starts reads one after the other, and sends each name when it ends: to granted or
-// to rejected.
+// startReads queues reads 1 ms apart. When a read is granted or rejected, its name is sent to the
+// channel of that result.
 func startReads(s *readScheduler, reads []testRead, granted, rejected chan<- string) {
 	for _, r := range reads {
 		go func() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// received returns what is in a channel.
+// received returns the names that are in a channel.
 func received(names chan string) []string {
 	synctest.Wait()
 	var all []string
@@ -73,9 +73,10 @@
 	return all
 }
 
-// TestReadSchedulerOrder: the read that most requests wait for begins first, then the newer
-// one, and a read that can't begin in time is rejected at its deadline.
-func TestReadSchedulerOrder(t *testing.T) {
+// TestReadWithMostWaitersStartsFirst guards against reads that start in the order of their arrival:
+// the read with the most waiting requests starts first, then the newer one. A read that can't start
+// in time is rejected at its deadline.
+func TestReadWithMostWaitersStartsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reserver := &testReserver{}
 		s := newReadScheduler(ratelimit.New(), reserver)
@@ -83,26 +84,26 @@
 		startReads(s, []testRead{
 			{"older", 1, time.Second},
 			{"newer", 1, time.Second},
-			{"wanted by many", 30, time.Second},
-			{"impatient", 1, 50 * time.Millisecond},
+			{"many waiters", 30, time.Second},
+			{"short wait", 1, 50 * time.Millisecond},
 		}, granted, rejected)
 		time.Sleep(100 * time.Millisecond)
-		if got := received(rejected); len(got) != 1 || got[0] != "impatient" {
-			t.Errorf("rejected at the deadline: %v", got)
+		if got := received(rejected); len(got) != 1 || got[0] != "short wait" {
+			t.Errorf("after 100 ms the reads %v were rejected, want only \"short wait\"", got)
 		}
-		for _, want := range []string{"wanted by many", "newer", "older"} {
+		for _, want := range []string{"many waiters", "newer", "older"} {
 			reserver.add(1)
 			time.Sleep(2 * queuePollInterval)
 			if got := received(granted); len(got) != 1 || got[0] != want {
-				t.Errorf("began with one more place: %v, want %s", got, want)
+				t.Errorf("after one more slot was freed the reads %v started, want only %s", got, want)
 			}
 		}
 	})
 }
 
-// TestReadSchedulerQueueLength: reads beyond the queue's length are rejected at once, with
-// when to come back.
-func TestReadSchedulerQueueLength(t *testing.T) {
+// TestReadsBeyondQueueLengthAreRejected guards against a queue that grows beyond the number of reads
+// that can start in time: the excess reads are rejected before their deadlines.
+func TestReadsBeyondQueueLengthAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reserver := &testReserver{}
 		s := newReadScheduler(ratelimit.New(), reserver)
@@ -113,19 +114,19 @@
 		}
 		startReads(s, reads, granted, rejected)
 		if got := len(received(rejected)); got != 5 {
-			t.Errorf("%d reads were rejected at once, want 5", got)
+			t.Errorf("%d reads were rejected before a slot was free, want 5", got)
 		}
 		reserver.add(len(reads))
 		time.Sleep(2 * queuePollInterval)
 		if got := len(received(granted)); got != minQueueLength {
-			t.Errorf("%d reads began, want %d", got, minQueueLength)
+			t.Errorf("%d reads started after all slots were freed, want %d", got, minQueueLength)
 		}
 	})
 }
 
-// TestReadSchedulerPermit: a call of a data plane node needs no place at an endpoint, but a
-// share of the rate.
-func TestReadSchedulerPermit(t *testing.T) {
+// TestPermitNeedsShareButNoEndpoint guards against permits that exceed the rate or reserve an
+// endpoint: a call of a data plane node needs a share of the rate, but no slot here.
+func TestPermitNeedsShareButNoEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := ratelimit.New()
 		s := newReadScheduler(limiter, &testReserver{})
@@ -139,11 +140,11 @@
 			})
 		}
 		if got := permit(); got.granted || got.retryAfter != unknownRateRetryDelay {
-			t.Errorf("without a share: %+v", got)
+			t.Errorf("a permit without a share of the rate gave %+v, want a rejection with unknownRateRetryDelay", got)
 		}
 		limiter.Renew(ratelimit.FullShare, time.Now().Add(time.Hour))
 		if got := permit(); !got.granted || got.endpoint != nil {
-			t.Errorf("with the full share: %+v", got)
+			t.Errorf("a permit with the full share gave %+v, want a grant without an endpoint", got)
 		}
 	})
 }
--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -14,7 +14,7 @@
 	"comethold/internal/simulation"
 )
 
-// defaultWaitMs is how long calls wait for an object.
+// defaultWaitMs is how long calls wait for their answer by default.
 const defaultWaitMs = 3000
 
 // commands are the commands of the scenarios, listed in docs/testing.md.
@@ -38,7 +38,7 @@
 	"want-within":      (*cacheWorld).wantWithin,
 }
 
-// Do carries out a command.
+// Do runs a command.
 func (w *cacheWorld) Do(c simulation.Command) error {
 	command := commands[c.Verb]
 	if command == nil {
@@ -50,14 +50,17 @@
 // count returns the first word as a whole number.
 func count(c simulation.Command) int { return int(c.Milliseconds(0) / time.Millisecond) }
 
-// waitOf returns how long the calls of a command wait.
+// waitOf returns how long the calls of a command wait for their answers: its option wait, in
+// milliseconds.
 func waitOf(c simulation.Command) time.Duration {
 	return time.Duration(c.Number("wait", defaultWaitMs)) * time.Millisecond
 }
 
-// configureOrigin: origin [ttl= rate= work=].
+// configureOrigin is `origin [ttl= rate= work=]`: sets the TTL of objects in seconds, the rate of the
+// service in requests per second and the duration of a read in milliseconds. It also grants the
+// server the full share of the rate.
 func (w *cacheWorld) configureOrigin(c simulation.Command) error {
-	w.work = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
+	w.readDuration = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
 	raw, err := json.Marshal(map[string]any{
 		"version": 1,
 		"routes": []any{map[string]any{
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// setMode: mode MODE.
+// setMode is `mode MODE`: sets how the origin answers.
 func (w *cacheWorld) setMode(c simulation.Command) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,33 +108,34 @@
 	return nil
 }
 
-// contact: an update comes from a node in contact with the control plane's majority.
+// contact is `contact`: the server receives an update from a control node that is in contact with
+// the majority.
 func (w *cacheWorld) contact(simulation.Command) error {
 	w.server.Apply(&distribution.Update{})
 	return nil
 }
 
-// setShare: share PERMILLE MS.
+// setShare is `share PERMILLE MS`: grants the server a share of the rates for a time.
 func (w *cacheWorld) setShare(c simulation.Command) error {
 	w.server.limiter.Renew(count(c), time.Now().Add(c.Milliseconds(1)))
 	return nil
 }
 
-// setObject: object PATH TAG [label=].
+// setObject is `object PATH TAG [label=]`: sets the origin's object at a path. TAG is its ETag and body.
 func (w *cacheWorld) setObject(c simulation.Command) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.objects[c.Word(0)] = originObject{tag: c.Word(1), label: c.Options["label"]}
+	w.objects[c.Word(0)] = originObject{etag: c.Word(1), label: c.Options["label"]}
 	return nil
 }
 
-// purgePath: purge PATH.
+// purgePath is `purge PATH`: purges the objects of a path.
 func (w *cacheWorld) purgePath(c simulation.Command) error {
 	w.purge(distribution.Purge{Host: "h.example", Path: c.Word(0)})
 	return nil
 }
 
-// purgeLabel: purge-label LABEL.
+// purgeLabel is `purge-label LABEL`: purges the objects with a label.
 func (w *cacheWorld) purgeLabel(c simulation.Command) error {
 	w.purge(distribution.Purge{Label: c.Word(0)})
 	return nil
@@ -146,7 +150,7 @@
 	})
 }
 
-// resetPurges: purges-reset; the purges before are no longer known.
+// resetPurges is `purges-reset`: the earlier purges are no longer known.
 func (w *cacheWorld) resetPurges(simulation.Command) error {
 	w.purgeIndex++
 	w.server.Apply(&distribution.Update{
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// getInTurn: get PATH [n= wait=].
+// getInTurn is `get PATH [n= wait=]`: requests an object n times, one request after the other.
 func (w *cacheWorld) getInTurn(c simulation.Command) error {
 	for range int(c.Number("n", 1)) {
 		w.get(c.Word(0), waitOf(c))
@@ -163,8 +167,8 @@
 	return nil
 }
 
-// getConcurrently: get-concurrently PATH,... [n= wait= background=]; with background the next
-// command doesn't wait for the answers.
+// getConcurrently is `get-concurrently PATH,... [n= wait= background=]`: requests each object n times,
+// all at once. With background, the next command doesn't wait for the answers.
 func (w *cacheWorld) getConcurrently(c simulation.Command) error {
 	for range int(c.Number("n", 1)) {
 		for _, path := range strings.Split(c.Word(0), ",") {
@@ -179,12 +183,12 @@
 	return nil
 }
 
-// getDistinct: get-distinct N; so many different objects, all at once.
+// getDistinct is `get-distinct N`: requests N different objects, all at once.
 func (w *cacheWorld) getDistinct(c simulation.Command) error {
 	for i := range count(c) {
 		path := fmt.Sprintf("/many/%d", i)
 		w.mu.Lock()
-		w.objects[path] = originObject{tag: "many"}
+		w.objects[path] = originObject{etag: "many"}
 		w.mu.Unlock()
 		w.calls.Go(func() { w.get(path, defaultWaitMs*time.Millisecond) })
 	}
@@ -192,8 +196,8 @@
 	return nil
 }
 
-// requestPermits: permits N [wait=]; calls of data plane nodes, all at once in the
-// background.
+// requestPermits is `permits N [wait=]`: requests N permits as data plane nodes do, all at once in
+// the background.
 func (w *cacheWorld) requestPermits(c simulation.Command) error {
 	for range count(c) {
 		w.calls.Go(func() { w.requestPermit(waitOf(c)) })
@@ -201,7 +205,8 @@
 	return nil
 }
 
-// runFor: run MS [disconnected=]; an update comes each second unless disconnected.
+// runFor is `run MS [disconnected=]`: lets time pass. The server receives an update each second unless
+// disconnected is set.
 func (w *cacheWorld) runFor(c simulation.Command) error {
 	for left := c.Milliseconds(0); left > 0; left -= time.Second {
 		time.Sleep(min(left, time.Second))
@@ -212,56 +217,57 @@
 	return nil
 }
 
-// wantAnswers: want BODY-OR-STATUS=N ...; the answers since the last such line.
+// wantAnswers is `want BODY-OR-STATUS=N ...`: checks the answers since the last such line, after the
+// background calls have ended.
 func (w *cacheWorld) wantAnswers(c simulation.Command) error {
 	w.calls.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for answer, want := range c.Options {
 		if fmt.Sprint(w.answers[answer]) != want {
-			return fmt.Errorf("got %v", w.answers)
+			return fmt.Errorf("the answers were %v", w.answers)
 		}
 	}
 	w.answers = map[string]int{}
 	return nil
 }
 
-// wantReads: want-reads N [unchanged=]; the reads of the origin since the last such line, and
-// how many of them named the object that it still has.
+// wantReads is `want-reads N [unchanged=]`: checks the reads and granted permits since the last such line,
+// and how many of them were revalidations of an unchanged object.
 func (w *cacheWorld) wantReads(c simulation.Command) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	unchanged, checked := c.Options["unchanged"]
 	if fmt.Sprint(len(w.reads)) != c.Word(0) || checked && fmt.Sprint(w.revalidations) != unchanged {
-		return fmt.Errorf("%d reads, %d of them of an unchanged object", len(w.reads), w.revalidations)
+		return fmt.Errorf("there were %d reads, %d of them for an unchanged object", len(w.reads), w.revalidations)
 	}
 	w.reads = nil
 	w.revalidations = 0
 	return nil
 }
 
-// wantRate: want-rate N MS; no more than N reads began within any such span.
+// wantRate is `want-rate N MS`: checks that at most N reads started within any span of MS.
 func (w *cacheWorld) wantRate(c simulation.Command) error {
 	for i := range w.reads {
-		began := 0
+		started := 0
 		for _, at := range w.reads[i:] {
 			if at.Sub(w.reads[i]) <= c.Milliseconds(1) {
-				began++
+				started++
 			}
 		}
-		if began > count(c) {
-			return fmt.Errorf("%d reads", began)
+		if started > count(c) {
+			return fmt.Errorf("%d reads started within one such span", started)
 		}
 	}
 	return nil
 }
 
-// wantWithin: want-within MS; no answer since the last such line took longer.
+// wantWithin is `want-within MS`: checks that no answer since the last such line took longer.
 func (w *cacheWorld) wantWithin(c simulation.Command) error {
-	if w.slowest > c.Milliseconds(0) {
-		return fmt.Errorf("one took %v", w.slowest)
+	if w.slowestAnswer > c.Milliseconds(0) {
+		return fmt.Errorf("the slowest answer took %v", w.slowestAnswer)
 	}
-	w.slowest = 0
+	w.slowestAnswer = 0
 	return nil
 }
 
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// maxCatchUpWait bounds how long a call waits until this node has the caller's
-	// configuration and purges; half of the call's own time is a bound, too.
+	// maxCatchUpWait is the maximum time that a call waits until this node has the caller's
+	// configuration and purges. A call also waits at most half of the time that the caller waits.
 	maxCatchUpWait      = 400 * time.Millisecond
 	catchUpPollInterval = 5 * time.Millisecond
-	// switchSourceAfter is the part of that wait after which another control node is asked.
+	// switchSourceAfter is the time within that wait after which the node polls another control
+	// node.
 	switchSourceAfter = 100 * time.Millisecond
-	// disconnectedAfter is how long a node serves without contact with the control plane. It
-	// is longer than ratelimit.LeaseDuration: the node's share of the rates has expired.
+	// disconnectedAfter is the time without contact with the control plane after which a node
+	// reads no origins and grants no permits. It is longer than ratelimit.LeaseDuration, so the
+	// node's share of the rates has expired by then.
 	disconnectedAfter = 3500 * time.Millisecond
 )
 
@@ -64,9 +66,9 @@
 	return replyWith(object, call.ETag)
 }
 
-// replyWith returns the answer with an object, without its content if the caller holds the
-// object with the ETag. The caller checks the object against the purges after the reply's
-// PurgeIndex.
+// replyWith returns a reply with an object. It omits the object's content if heldETag, the ETag of
+// the caller's object, is the same. The caller checks the object against the purges after the
+// reply's PurgeIndex.
 func replyWith(object *responsecache.Response, heldETag string) *objectReply {
 	reply := &objectReply{
 		Service:    object.Service,
@@ -116,7 +118,8 @@
 	return route
 }
 
-// fetchObject gets an object from the first of its servers, or from the origin.
+// fetchObject requests an object from the servers that rank before this one, and reads it from the
+// origin if none answers. With OriginOnly it only reads the origin.
 func (s *Server) fetchObject(
 	r Request, cached *responsecache.Response, purgeIndex uint64,
 ) (*responsecache.Response, *Failure) {
--- a/internal/objectcache/server.go
+++ b/internal/objectcache/server.go
@@ -18,20 +18,20 @@
 
 const (
 	statisticsInterval = 5 * time.Second
-	// refreshFraction is the part of its TTL after which a requested object is refreshed in
-	// the background.
+	// refreshFraction is the fraction of the TTL after which a request for an object starts a
+	// refresh in the background.
 	refreshFraction = 0.8
-	// cacheMemoryFraction is the part of the process's memory for objects.
+	// cacheMemoryFraction is the fraction of the process's memory that objects may use.
 	cacheMemoryFraction = 0.45
 	defaultCacheBytes   = 64 << 20
-	// slotOvercommit is how many reads may be in flight for each slot of an endpoint, over
-	// all servers.
+	// slotOvercommit is the number of reads that may be in flight for each slot of an endpoint,
+	// over all servers.
 	slotOvercommit = 1.6
 )
 
-// Server is a cache node. A program makes one with New, runs the embedded client's
-// RunUpdates and RunHeartbeats, RunShareRenewal and RunStatistics, serves InternalHandler,
-// and ends all of them with Shutdown.
+// Server is a cache node. A program creates it with New, runs RunUpdates and RunHeartbeats of the
+// embedded client, runs RunShareRenewal and RunStatistics, and serves InternalHandler. Shutdown
+// ends the Run methods.
 type Server struct {
 	*controlclient.Client
 
@@ -45,7 +45,7 @@
 	rpcClient  *rpc.Client
 }
 
-// New returns a server. If the settings name a data directory, it loads the objects there.
+// New returns a server. If the settings name a data directory, it loads the objects stored there.
 func New(set *settings.Settings, log *logging.Logger, network rpc.Network) *Server {
 	control := controlclient.New(controlclient.Options{
 		Settings: set,
@@ -75,7 +75,8 @@
 	return s
 }
 
-// cacheBytes returns the size of the cache in memory, by the process's memory; 0: unknown.
+// cacheBytes returns the size of the in-memory cache of a process with memoryMb MiB of memory.
+// If memoryMb is 0, the memory is unknown and the size is defaultCacheBytes.
 func cacheBytes(memoryMb int64) int {
 	if memoryMb <= 0 {
 		return defaultCacheBytes
@@ -83,7 +84,7 @@
 	return int(cacheMemoryFraction * float64(memoryMb<<20))
 }
 
-// openStore opens the objects on disk and loads them into the cache.
+// openStore opens the store on disk and loads its objects into the cache.
 func (s *Server) openStore(cache *responsecache.Cache) *diskstore.Store {
 	store, purgeIndex := diskstore.Open(diskstore.Options{
 		Directory: s.Settings.DataDirectory,
@@ -115,8 +116,8 @@
 	return e
 }
 
-// RunStatistics logs statistics of the reads of origins every statisticsInterval until the
-// node ends.
+// RunStatistics logs statistics of origin reads every statisticsInterval until the server is
+// closed. It logs nothing for intervals without reads.
 func (s *Server) RunStatistics() error {
 	ticker := time.NewTicker(statisticsInterval)
 	defer ticker.Stop()
@@ -137,11 +138,11 @@
 			Dur("readMs", meanOf(counts.readTime, counts.reads)).
 			Dur("revalidateMs", meanOf(counts.revalidateTime, counts.revalidated)).
 			Dur("waitMs", meanOf(counts.waitTime, counts.reads+counts.revalidated)).
-			Msg("statistics of the reads of origins")
+			Msg("statistics of origin reads")
 	}
 }
 
-// Shutdown ends the server and closes its disk store.
+// Shutdown closes the server and its store on disk.
 func (s *Server) Shutdown() {
 	s.Close()
 	if s.store != nil {
--- a/internal/objectcache/server_client.go
+++ b/internal/objectcache/server_client.go
@@ -26,19 +26,19 @@
 	maxIdleConnections = 16
 	// failureBackoff is how long a server that failed is ranked last.
 	failureBackoff = 1500 * time.Millisecond
-	// maxWait bounds the wait of one call for an object.
+	// maxWait is the maximum wait of one call for an object.
 	maxWait = 4 * time.Second
-	// deadlineMargin is the part of a request's time that is reserved for its answer.
+	// deadlineMargin is the time before a request's deadline that is reserved for its answer.
 	deadlineMargin = 20 * time.Millisecond
-	// maxServersTried bounds the servers that are asked for one object or permit.
+	// maxServersTried is the maximum number of servers that are asked for one object or permit.
 	maxServersTried = 3
 )
 
-// errDisconnected says that a server has lost contact with the control plane; another one may
-// serve.
+// errDisconnected is returned if a server has lost contact with the control plane. The caller may
+// ask another server.
 var errDisconnected = errors.New("objectcache: the server has lost contact with the control plane")
 
-// serverClient calls the servers.
+// serverClient sends requests to the servers and tracks which of them failed recently.
 type serverClient struct {
 	control   *controlclient.Client
 	rpcClient *rpc.Client
@@ -55,7 +55,7 @@
 	}
 }
 
-// serverRank orders the servers of a key; the least comes first.
+// serverRank is the rank of a server for a key. Servers with a lower rank come first.
 type serverRank int
 
 const (
@@ -64,16 +64,17 @@
 	rankFailed
 )
 
-// serverPreference says which of the healthy servers come first.
+// serverPreference selects which of the healthy servers come first.
 type serverPreference bool
 
 const (
-	sameOrderEverywhere serverPreference = false // all nodes rank the servers of a key alike
-	ownRegionFirst      serverPreference = true  // by this node's region
+	sameOrderEverywhere serverPreference = false // all nodes use the same order for a key
+	ownRegionFirst      serverPreference = true  // servers of this node's region come first
 )
 
 // rankedServers returns the servers for a key, in the order of rendezvous hashing. With
-// ownRegionFirst, servers of other regions follow. Servers that failed lately are last.
+// ownRegionFirst, servers of other regions come after those of this node's region. Servers that
+// failed within the last failureBackoff come last.
 func (c *serverClient) rankedServers(key string, preference serverPreference) []distribution.Node {
 	servers := slices.Clone(c.control.ObjectCaches())
 	ranks := c.ranks(servers, preference)
@@ -112,7 +113,7 @@
 	c.failedUntil[n.Name] = time.Now().Add(failureBackoff)
 }
 
-// call calls the object cache program of a node, on the port of the settings.
+// call sends a request to the object cache program of a node, on the port from the settings.
 func (c *serverClient) call(ctx context.Context, n distribution.Node, path string, in, out any) error {
 	port := strconv.Itoa(c.control.Settings.PortOf(settings.ObjectCache))
 	return c.rpcClient.Call(ctx, net.JoinHostPort(n.Addr, port), path, in, out)
@@ -121,13 +122,13 @@
 // serverFetch is a fetch of an object from a server.
 type serverFetch struct {
 	request    Request
-	cached     *responsecache.Response // held by the caller; nil: none
+	cached     *responsecache.Response // held by the caller, or nil
 	purgeIndex uint64                  // the server must have applied purges up to it
 	originOnly bool                    // the server reads the origin and asks no other server
 }
 
-// fetch fetches an object from one server. A failure is the server's answer; after an error
-// another server may be asked.
+// fetch fetches an object from one server. A Failure is the result of the request. After an error
+// the caller may ask another server.
 func (c *serverClient) fetch(n distribution.Node, f serverFetch) (*responsecache.Response, *Failure, error) {
 	start := time.Now()
 	wait := min(f.request.Deadline.Sub(start)-deadlineMargin, maxWait)
@@ -144,9 +145,9 @@
 		return nil, nil, errDisconnected
 	}
 	if reply.Status != 0 {
-		return nil, failureOf(&reply), nil
+		return nil, failureFromReply(&reply), nil
 	}
-	return objectOf(&reply, f, start)
+	return objectFromReply(&reply, f, start)
 }
 
 // objectCall returns the call for an object. wait is how long this node waits for the answer.
@@ -170,9 +171,9 @@
 	return call
 }
 
-// objectOf returns the object of a reply to a call that began at start. The whole duration of
-// the call counts as age, since the reply may have been under way for that long.
-func objectOf(reply *objectReply, f serverFetch, start time.Time) (*responsecache.Response, *Failure, error) {
+// objectFromReply returns the object of a reply to a call that was sent at start. The whole duration
+// of the call is added to the object's age, because the reply may have been in transit for that long.
+func objectFromReply(reply *objectReply, f serverFetch, start time.Time) (*responsecache.Response, *Failure, error) {
 	now := time.Now()
 	validatedAt := start.Add(-time.Duration(reply.AgeUs) * time.Microsecond)
 	if validatedAt.After(now) {
@@ -197,7 +198,7 @@
 	return revalidated(f.cached, validatedAt, reply.PurgeIndex), nil, nil
 }
 
-// revalidated returns a copy of the object that was found to be current at a time, when the
+// revalidated returns a copy of an object that was confirmed as current at the given time, when the
 // purges up to purgeIndex were known.
 func revalidated(object *responsecache.Response, at time.Time, purgeIndex uint64) *responsecache.Response {
 	current := *object
--- a/internal/objectcache/share.go
+++ b/internal/objectcache/share.go
@@ -12,7 +12,7 @@
 
 const (
 	shareRenewInterval = 800 * time.Millisecond
-	// shareRetryInterval is the interval after a failure and while there is no share.
+	// shareRetryInterval is the interval after a failure and while the node has no share.
 	shareRetryInterval = shareRenewInterval / 16
 	shareCallTimeout   = ratelimit.LeaseDuration / 3
 	// Both intervals are multiplied by a random factor from shareJitterMin to
@@ -21,15 +21,15 @@
 	shareJitter    = 0.4
 )
 
-// RunShareRenewal renews the node's share of the services' rates until the node ends.
+// RunShareRenewal renews the node's share of the services' rates until the server is closed.
 func (s *Server) RunShareRenewal() error {
-	fair := 0     // the share to ask for
-	failures := 0 // in a row
+	fairPermille := 0 // the share to request
+	failures := 0     // in a row
 	number := distribution.NewRequestNumber()
 	for {
-		nextFair, ok := s.renewShare(fair, failures, number.Next())
+		nextFairPermille, ok := s.renewShare(fairPermille, failures, number.Next())
 		if ok {
-			fair = nextFair
+			fairPermille = nextFairPermille
 			failures = 0
 		} else {
 			failures++
@@ -47,14 +47,15 @@
 	}
 }
 
-// renewShare requests fair, the fair share of the last renewal in thousandths, and returns the
-// one of now. skip is how many of the preferred control nodes to pass over.
-func (s *Server) renewShare(fair, skip int, number distribution.RequestNumber) (nextFair int, ok bool) {
-	// A part that is given up must be unused before the request is sent: it may be granted
-	// to another node at once.
-	s.limiter.Shrink(fair)
-	askedAt := time.Now()
-	holdsNone := s.limiter.Share(askedAt) == 0
+// renewShare requests fairPermille, the fair share that the last grant stated, in thousandths. It
+// returns the fair share that the new grant states, or fairPermille and false after a failure. skip
+// is the number of preferred control nodes to skip.
+func (s *Server) renewShare(fairPermille, skip int, number distribution.RequestNumber) (nextFairPermille int, ok bool) {
+	// The node stops using the part of its share that it gives up before it sends the request,
+	// because that part may be granted to another node at once.
+	s.limiter.Shrink(fairPermille)
+	requestedAt := time.Now()
+	holdsNone := s.limiter.Share(requestedAt) == 0
 	if holdsNone {
 		s.limiter.Shrink(0)
 	}
@@ -62,7 +63,7 @@
 	defer cancel()
 	request := distribution.ShareRequest{
 		Node:      s.Settings.NodeName,
-		Permille:  fair,
+		Permille:  fairPermille,
 		HoldsNone: holdsNone,
 		Number:    number,
 	}
@@ -70,14 +71,14 @@
 	hosts := s.ControlPlaneHosts()
 	err := s.rpcClient.Call(ctx, hosts[skip%len(hosts)], sharePath, &request, &grant)
 	if err != nil || !grant.Granted {
-		return fair, false
+		return fairPermille, false
 	}
-	if grant.Permille != s.limiter.Share(askedAt) {
+	if grant.Permille != s.limiter.Share(requestedAt) {
 		s.Log.Info(logging.RateShareChanged).
 			Int("permille", grant.Permille).
 			Int("fair", grant.FairPermille).
-			Msg("the share of the origins' rates changed")
+			Msg("the share of the services' rates changed")
 	}
-	s.limiter.Renew(grant.Permille, askedAt.Add(ratelimit.LeaseDuration))
+	s.limiter.Renew(grant.Permille, requestedAt.Add(ratelimit.LeaseDuration))
 	return grant.FairPermille, true
 }
--- a/internal/objectcache/world_test.go
+++ b/internal/objectcache/world_test.go
@@ -15,47 +15,47 @@
 	"comethold/internal/settings"
 )
 
-// originMode is how the stand-in for an origin answers.
+// originMode selects how the simulated origin answers.
 type originMode string
 
 const (
 	modeOK       originMode = "ok"
-	modeReject   originMode = "reject"   // without executing the request
-	modeError    originMode = "error"    // a failure of its own
-	modeTruncate originMode = "truncate" // the answer ends too early
-	modeRepeat   originMode = "repeat"   // each answer twice, the second one late
+	modeReject   originMode = "reject"   // status 503, without executing the request
+	modeError    originMode = "error"    // status 500
+	modeTruncate originMode = "truncate" // the response body is cut short
+	modeRepeat   originMode = "repeat"   // each response is sent twice, the second time late
 )
 
-// originObject is an object as its origin holds it.
+// originObject is an object at the simulated origin.
 type originObject struct {
-	tag   string
+	etag  string // also the body
 	label string
 }
 
-// cacheWorld is one server in front of a stand-in for an origin, on simulated time.
+// cacheWorld is one server and a simulated origin, on simulated time.
 type cacheWorld struct {
 	server     *Server
 	purgeIndex uint64
-	calls      sync.WaitGroup // those in the background
+	calls      sync.WaitGroup // calls in the background
 
 	mu            sync.Mutex // guards the fields below
 	objects       map[string]originObject
 	mode          originMode
-	work          time.Duration // that a read takes
-	reads         []time.Time   // since the last check: when each began
-	revalidations int           // of the reads, those that named the current object
-	answers       map[string]int
-	slowest       time.Duration // since the last check
+	readDuration  time.Duration
+	reads         []time.Time    // start times of the reads since the last check
+	revalidations int            // number of the reads whose If-None-Match is the current ETag
+	answers       map[string]int // number by body or status, since the last check
+	slowestAnswer time.Duration  // since the last check
 	connections   []net.Conn
 }
 
 func newCacheWorld(t *testing.T) *cacheWorld {
 	t.Helper()
 	w := &cacheWorld{
-		objects: map[string]originObject{},
-		mode:    modeOK,
-		work:    50 * time.Millisecond,
-		answers: map[string]int{},
+		objects:      map[string]originObject{},
+		mode:         modeOK,
+		readDuration: 50 * time.Millisecond,
+		answers:      map[string]int{},
 	}
 	set := &settings.Settings{
 		NodeName:          "a1",
@@ -71,7 +71,7 @@
 	return w
 }
 
-// close removes the endpoints, lets the server end its work and closes what is open.
+// close removes the endpoints, gives the server time to end its work and closes the connections.
 func (w *cacheWorld) close() {
 	w.server.Apply(&distribution.Update{
 		Endpoints: &distribution.EndpointList{Revision: distribution.Revision{Term: 9, Sequence: 9}},
@@ -82,15 +82,15 @@
 	}
 }
 
-// network connects the server with the origin, whatever the address.
+// network connects the server with the origin for every address.
 func (w *cacheWorld) network(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
+		serverSide, originSide := net.Pipe()
 		w.mu.Lock()
-		w.connections = append(w.connections, ours)
+		w.connections = append(w.connections, serverSide)
 		w.mu.Unlock()
-		go w.serveOrigin(theirs)
-		return ours, nil
+		go w.serveOrigin(originSide)
+		return serverSide, nil
 	}
 }
 
@@ -106,13 +106,13 @@
 	}
 }
 
-// answerRead answers a read. The object is that of the moment at which the work began. It
-// reports whether the connection goes on.
+// answerRead answers a read with the object that the origin has when the read starts. It reports
+// whether the connection stays open.
 func (w *cacheWorld) answerRead(out net.Conn, request *http.Request) bool {
 	w.mu.Lock()
 	w.reads = append(w.reads, time.Now())
-	object, mode, work := w.objects[request.URL.Path], w.mode, w.work
-	notModified := object.tag != "" && request.Header.Get(headerIfNoneMatch) == object.tag
+	object, mode, readDuration := w.objects[request.URL.Path], w.mode, w.readDuration
+	notModified := object.etag != "" && request.Header.Get(headerIfNoneMatch) == object.etag
 	if notModified {
 		w.revalidations++
 	}
@@ -121,9 +121,9 @@
 		fmt.Fprint(out, "HTTP/1.1 503 Service Unavailable\r\nX-Comethold-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	time.Sleep(work)
+	time.Sleep(readDuration)
 	header := fmt.Sprintf("X-Comethold-Server-Stamp: s\r\nETag: %s\r\nX-Comethold-Object-Labels: %s\r\n",
-		object.tag, object.label)
+		object.etag, object.label)
 	if id := request.Header.Get("X-Comethold-Request-Id"); id != "" {
 		header += "X-Comethold-Request-Id: " + id + "\r\n"
 	}
@@ -131,23 +131,23 @@
 	case mode == modeError:
 		fmt.Fprint(out, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case mode == modeTruncate:
-		fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n%sContent-Length: 99\r\n\r\n%s", header, object.tag)
+		fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n%sContent-Length: 99\r\n\r\n%s", header, object.etag)
 		return false
-	case object.tag == "":
+	case object.etag == "":
 		fmt.Fprint(out, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 	case notModified:
 		fmt.Fprintf(out, "HTTP/1.1 304 Not Modified\r\n%s\r\n", header)
 	default:
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(object.tag), object.tag)
+		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(object.etag), object.etag)
 		fmt.Fprint(out, answer)
-		if mode == modeRepeat { // the second one arrives when the next read is sent
+		if mode == modeRepeat { // the second copy is delivered when the next read is sent
 			go fmt.Fprint(out, answer)
 		}
 	}
 	return true
 }
 
-// get calls the server for an object and counts the answer by its body, or its status.
+// get requests an object from the server and counts the answer by its body or status.
 func (w *cacheWorld) get(path string, wait time.Duration) {
 	start := time.Now()
 	reply := w.server.serveObject(&objectCall{
@@ -158,7 +158,7 @@
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slowest = max(w.slowest, time.Since(start))
+	w.slowestAnswer = max(w.slowestAnswer, time.Since(start))
 	switch {
 	case reply.Disconnected:
 		w.answers["disconnected"]++
@@ -169,8 +169,8 @@
 	}
 }
 
-// requestPermit asks the server for a permit as a data plane node does. A call that is
-// granted counts as a read.
+// requestPermit requests a permit from the server as a data plane node does. A granted permit counts
+// as a read.
 func (w *cacheWorld) requestPermit(wait time.Duration) {
 	reply := w.server.permit(&permitRequest{Service: "s", WaitMs: wait.Milliseconds()})
 	w.mu.Lock()
