--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -17,8 +17,8 @@
 	LinesLost        EventNumber = 111
 	LibraryMessage   EventNumber = 112
 	MemoryNearLimit  EventNumber = 113
-	SocketFault      EventNumber = 114
-	SocketRecovered  EventNumber = 115
+	AcceptFailed     EventNumber = 114
+	AcceptRecovered  EventNumber = 115
 	StopTimedOut     EventNumber = 116
 )
 
@@ -57,7 +57,7 @@
 	QuotaShareChanged    EventNumber = 405
 	UsageReportAccepted  EventNumber = 406
 	UsageReportFailed    EventNumber = 407
-	UnknownDuty          EventNumber = 408
+	UnknownSingletonRole EventNumber = 408
 	EstimateExportFailed EventNumber = 409
 )
 
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -93,7 +93,7 @@
 		conn, err := l.Listener.Accept()
 		if err == nil {
 			if failures > 0 {
-				l.log.Info(logging.SocketRecovered).
+				l.log.Info(logging.AcceptRecovered).
 					Stringer("address", l.Addr()).
 					Int("failures", failures).
 					Msg("connections are accepted again")
@@ -104,7 +104,7 @@
 			return nil, err
 		}
 		if failures == 0 {
-			l.log.Warn(logging.SocketFault).
+			l.log.Warn(logging.AcceptFailed).
 				Err(err).
 				Stringer("address", l.Addr()).
 				Msg("connections can't be accepted; trying again")
