--- a/cmd/comethold/check.go
+++ b/cmd/comethold/check.go
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// Endings of the files that can be checked.
+// Extensions of the files that can be checked.
 const (
-	settingsEnding      = ".toml"
-	configurationEnding = ".json"
+	settingsExtension      = ".toml"
+	configurationExtension = ".json"
 )
 
 func newCheckCommand() *cobra.Command {
@@ -54,13 +54,13 @@
 	return nil
 }
 
-// readFiles reads all files. A file that cannot be read or has an unknown ending is a usage
-// error.
+// readFiles reads all files. It returns a usageError if a file cannot be read or has an unknown
+// extension.
 func readFiles(names []string) ([][]byte, error) {
 	var contents [][]byte
 	for _, name := range names {
-		ending := filepath.Ext(name)
-		if ending != settingsEnding && ending != configurationEnding {
+		extension := filepath.Ext(name)
+		if extension != settingsExtension && extension != configurationExtension {
 			return nil, &usageError{fmt.Errorf("%s: settings end in .toml, configurations in .json", name)}
 		}
 		raw, err := os.ReadFile(name)
@@ -72,9 +72,9 @@
 	return contents, nil
 }
 
-// checkFile parses and validates one file; its error names every fault.
+// checkFile parses and validates one file. Its error lists every fault, separated by "; ".
 func checkFile(name string, raw []byte) error {
-	if filepath.Ext(name) == settingsEnding {
+	if filepath.Ext(name) == settingsExtension {
 		_, err := settings.Parse(raw)
 		return err
 	}
--- a/cmd/comethold/command_test.go
+++ b/cmd/comethold/command_test.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// TestExitCodes checks what a wrong call is answered: one line and 2 for an unknown
-// command, flag or file, 1 for a failure.
+// TestExitCodes checks the exit codes: 2 for an unknown command, flag or file, 1 for a failure.
+// Both print exactly one line to standard error.
 func TestExitCodes(t *testing.T) {
 	t.Setenv("COMETHOLD_SETTINGS", "")
 	faulty := filepath.Join(t.TempDir(), "faulty.json")
@@ -31,10 +31,10 @@
 		"help outbox redrive": 0,
 		"check ../../examples/settings.toml ../../examples/configuration.json": 0,
 		"check " + faulty:         exitFailure,
-		"data-plane":              exitFailure, // no settings are named
+		"data-plane":              exitFailure, // COMETHOLD_SETTINGS is empty
 		"control-plane":           exitFailure,
 		"object-cache":            exitFailure,
-		"leases":                  exitFailure, // no control node is named
+		"leases":                  exitFailure, // neither --at nor the settings name a control node
 		"bogus":                   exitUsage,
 		"--bogus":                 exitUsage,
 		"help bogus":              exitUsage,
@@ -57,13 +57,13 @@
 		}
 		lines := strings.Count(stderr, "\n")
 		if want != 0 && (lines != 1 || !strings.HasPrefix(stderr, "comethold: ")) {
-			t.Errorf("comethold %s: not one clear line: %q", call, stderr)
+			t.Errorf("comethold %s: standard error is %q, want one line that begins with \"comethold: \"", call, stderr)
 		}
 	}
 }
 
-// TestCheckOutput checks that each fault of a file is printed on a line of its own, and that
-// files without faults are named too.
+// TestCheckOutput checks that each fault of a file is printed on a separate line, and that files
+// without faults are listed too.
 func TestCheckOutput(t *testing.T) {
 	faulty := filepath.Join(t.TempDir(), "faulty.json")
 	config := `{"version":1,"routes":[{"name":"r"}],"services":[{"name":""}]}`
@@ -76,26 +76,26 @@
 	root.SetOut(&out)
 	root.SetArgs([]string{"check", faulty, fine})
 	if err := root.Execute(); err == nil || err.Error() != "1 of 2 files have faults" {
-		t.Errorf("the error is %v", err)
+		t.Errorf("check returned the error %v, want 1 of 2 files have faults", err)
 	}
 	lines := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
 	last := len(lines) - 1
 	if last < 2 || lines[last] != fine+": fine" {
-		t.Fatalf("printed %q", out.String())
+		t.Fatalf("check printed %q, want at least two faults and then %s: fine", out.String(), fine)
 	}
 	for _, line := range lines[:last] {
 		if !strings.HasPrefix(line, faulty+": ") || strings.Contains(line, ";") {
-			t.Errorf("not one fault of the file: %q", line)
+			t.Errorf("line %q, want one fault that begins with %s: ", line, faulty)
 		}
 	}
 	for _, field := range []string{"routes[0].hostname", "services[0].name"} {
 		if !strings.Contains(out.String(), field) {
-			t.Errorf("no fault names %s: %q", field, out.String())
+			t.Errorf("no printed fault contains the field %s: %q", field, out.String())
 		}
 	}
 }
 
-// executeCaptured runs a call and returns its exit code and what it wrote to standard error.
+// executeCaptured runs a command line and returns its exit code and its standard error.
 func executeCaptured(t *testing.T, args []string) (code int, stderr string) {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "stderr"))
@@ -119,23 +119,23 @@
 	return code, string(raw)
 }
 
-// TestEachCommandHasAnExample checks that --help shows how each command is called.
+// TestEachCommandHasAnExample checks that each command has a short description and an example that calls it.
 func TestEachCommandHasAnExample(t *testing.T) {
 	root := newRootCommand()
 	for _, c := range allCommands(root) {
 		if c.Short == "" || !strings.Contains(c.Example, c.CommandPath()) && c != root {
-			t.Errorf("%s: no example that calls it", c.CommandPath())
+			t.Errorf("%s: no short description, or no example that contains the command", c.CommandPath())
 		}
 	}
 }
 
-// TestDocumentedCommandsExist checks the calls of comethold that the pages, the deploy
-// file and the examples name.
+// TestDocumentedCommandsExist checks that the comethold commands in docs/*.md, README.md and
+// deploy/system.toml exist.
 func TestDocumentedCommandsExist(t *testing.T) {
 	calls := regexp.MustCompile("(?:^|[`/ ])comethold ((?:[a-z-]+)(?: [a-z-]+)?)")
 	pages, err := filepath.Glob("../../docs/*.md")
 	if err != nil || len(pages) == 0 {
-		t.Fatalf("no pages: %v", err)
+		t.Fatalf("found %d pages in docs (error %v), want at least one", len(pages), err)
 	}
 	pages = append(pages, "../../README.md", "../../deploy/system.toml")
 	found := 0
@@ -152,17 +152,17 @@
 				}
 				found++
 				if c, _, err := newRootCommand().Find(strings.Fields(match[1])); err != nil || !c.HasParent() {
-					t.Errorf("%s: comethold %s is no command", filepath.Base(page), match[1])
+					t.Errorf("%s: comethold %s is not a command", filepath.Base(page), match[1])
 				}
 			}
 		}
 	}
 	if found < 10 {
-		t.Errorf("only %d calls found", found)
+		t.Errorf("found %d comethold commands in the pages, want at least 10", found)
 	}
 }
 
-// allCommands is a command and all below it that are ours.
+// allCommands returns a command and all its subcommands.
 func allCommands(c *cobra.Command) []*cobra.Command {
 	all := []*cobra.Command{c}
 	for _, child := range c.Commands() {
@@ -171,16 +171,17 @@
 	return all
 }
 
-// TestOperatorCalls checks what each operators' command asks a control node.
+// TestOperatorCalls checks the request that each operator command sends to a control node, and that it prints the
+// response with indentation.
 func TestOperatorCalls(t *testing.T) {
-	var asked, body string
+	var requested, body string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
-		asked, body = r.Method+" "+r.URL.String(), string(raw)
+		requested, body = r.Method+" "+r.URL.String(), string(raw)
 		_, _ = io.WriteString(w, `{"a":1}`)
 	}))
 	defer server.Close()
-	cases := []struct{ call, asked, body string }{
+	cases := []struct{ call, requested, body string }{
 		{"outbox list", "GET /Notices.Read", ""},
 		{"leases", "GET /Duties.Read", ""},
 		{"estimates --saved", "GET /Estimates.Saved", ""},
@@ -199,13 +200,14 @@
 		root.SetOut(&out)
 		root.SetArgs(append(strings.Fields(test.call), "--at", strings.TrimPrefix(server.URL, "http://")))
 		if err := root.Execute(); err != nil {
-			t.Errorf("%s: %v", test.call, err)
+			t.Errorf("comethold %s: Execute returned %v, want no error", test.call, err)
 		}
-		if asked != test.asked || body != test.body {
-			t.Errorf("%s: asked %s with %q", test.call, asked, body)
+		if requested != test.requested || body != test.body {
+			t.Errorf("comethold %s: sent %s with body %q, want %s with body %q",
+				test.call, requested, body, test.requested, test.body)
 		}
 		if out.String() != "{\n  \"a\": 1\n}\n" {
-			t.Errorf("%s: printed %q", test.call, out.String())
+			t.Errorf("comethold %s: printed %q, want the indented response", test.call, out.String())
 		}
 	}
 }
--- a/cmd/comethold/controlplane.go
+++ b/cmd/comethold/controlplane.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// setUpControlPlane opens the sockets of a control node and adds its members.
+// setUpControlPlane opens the sockets of a control node, adds its members and creates its data directory.
 func setUpControlPlane(p *process.Process) error {
 	listen := p.Settings.Listen
 	if listen.ControlPlane == "" || p.Settings.DataDirectory == "" {
--- a/cmd/comethold/estimates.go
+++ b/cmd/comethold/estimates.go
@@ -7,15 +7,15 @@
 	"github.com/spf13/cobra"
 )
 
-// estimateFilter says which estimates to show; zero values select all.
+// estimateFilter selects the estimates to show; zero values select all.
 type estimateFilter struct {
 	service string
 	class   string
-	seconds int  // how far back slow lookups go
-	saved   bool // the estimates on the control node's disk; ignores the other fields
+	seconds int  // age limit of the slow lookups
+	saved   bool // show the estimates on the control node's disk; the other fields are ignored
 }
 
-// path returns the path and query of the call.
+// path returns the path and query of the request.
 func (f *estimateFilter) path() string {
 	if f.saved {
 		return "/Estimates.Saved"
--- a/cmd/comethold/main.go
+++ b/cmd/comethold/main.go
@@ -1,6 +1,6 @@
-// Command comethold is a search front over sharded indexes. One binary holds the three
-// programs of a system (data plane, control plane, object cache) and the operators'
-// commands; see docs/architecture.md.
+// Command comethold is a search front over sharded indexes. The binary contains the three
+// programs of a system (data plane, control plane, object cache) and the commands for
+// operators; see docs/architecture.md.
 package main
 
 import (
@@ -17,7 +17,7 @@
 // Exit codes.
 const (
 	exitFailure = 1 // the program or command failed
-	exitUsage   = 2 // the call names an unknown command, flag or file
+	exitUsage   = 2 // the command line names an unknown command, flag or file, or lacks an argument
 )
 
 func main() {
@@ -33,12 +33,12 @@
 	return len(args) > 0 && slices.Contains(programs, args[0])
 }
 
-// runProgram runs a program until it is stopped or fails.
+// runProgram runs a program until a signal stops it or it fails.
 func runProgram(name string, setUp func(*process.Process) error) error {
 	return process.Run(process.Program{Name: name, Version: version, SetUp: setUp})
 }
 
-// execute runs the command that the arguments name and returns the exit code.
+// execute runs the command that the arguments name and returns its exit code.
 func execute(args []string) int {
 	root := newRootCommand()
 	root.SetArgs(args)
--- a/cmd/comethold/objectcache.go
+++ b/cmd/comethold/objectcache.go
@@ -26,11 +26,11 @@
 	}
 }
 
-// setUpObjectCache opens the sockets of a cache node and adds its members. Without its data directory it keeps its
-// objects in memory.
+// setUpObjectCache opens the sockets of a cache node and adds its members. If the data directory cannot be created, the
+// objects are kept in memory only.
 func setUpObjectCache(p *process.Process) error {
 	if err := p.MakeDataDirectory(); err != nil {
-		p.Log.Warn(logging.DiskCacheDropped).Err(err).Msg("objects are kept in memory only")
+		p.Log.Warn(logging.DiskCacheDropped).Err(err).Msg("data directory cannot be created; objects are kept in memory only")
 	}
 	server := objectcache.New(p.Settings, p.Log, rpc.TCPNetwork)
 	datagrams, err := p.ListenPacket(server.InternalAddress())
--- a/cmd/comethold/operator.go
+++ b/cmd/comethold/operator.go
@@ -14,23 +14,23 @@
 	"github.com/spf13/cobra"
 )
 
-// operatorTimeout bounds a call to a control node.
+// operatorTimeout limits the duration of a request to a control node.
 const operatorTimeout = 5 * time.Second
 
-// operatorClient calls the operator API of one control node and prints what it answers.
+// operatorClient sends requests to the operator API of one control node and prints the responses.
 type operatorClient struct {
-	address string // "" means the control node of this machine's settings
+	address string // empty: the control node in this machine's settings
 }
 
-// addFlags adds the flag that names the control node.
+// addFlags adds the flag --at, which sets the address of the control node.
 func (o *operatorClient) addFlags(commands ...*cobra.Command) {
 	for _, c := range commands {
 		c.Flags().StringVar(&o.address, "at", "", "the control address of a control node (this machine's, if absent)")
 	}
 }
 
-// resolveAddress returns the address of the control node: that of the flag or, without
-// one, that of this machine's settings.
+// resolveAddress returns the address of the control node: the value of the flag --at or, if it
+// is absent, the address in this machine's settings.
 func (o *operatorClient) resolveAddress() (string, error) {
 	if o.address != "" {
 		return o.address, nil
@@ -49,12 +49,12 @@
 	return loaded.Listen.ControlPlane, nil
 }
 
-// get reads a path of the operator API.
+// get sends a GET request and prints the response.
 func (o *operatorClient) get(c *cobra.Command, path string) error {
 	return o.call(c, http.MethodGet, path, nil)
 }
 
-// post sends a value as JSON.
+// post sends a value as JSON in a POST request and prints the response.
 func (o *operatorClient) post(c *cobra.Command, path string, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return o.call(c, http.MethodPost, path, bytes.NewReader(raw))
 }
 
-// call makes one call and prints the answer. A status other than 200 is an error.
+// call sends one request and prints the response body. A status other than 200 is an error.
 func (o *operatorClient) call(c *cobra.Command, method, path string, body io.Reader) error {
 	address, err := o.resolveAddress()
 	if err != nil {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // the body is read before
+	defer func() { _ = response.Body.Close() }() // the body has been read completely
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// indented returns JSON with indentation, and any other text unchanged.
+// indented returns JSON with indentation. It returns text that is not JSON unchanged.
 func indented(raw []byte) string {
 	var out bytes.Buffer
 	if json.Indent(&out, raw, "", "  ") != nil {
--- a/cmd/comethold/root.go
+++ b/cmd/comethold/root.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// usageError says that the command line has an unknown command, flag or file, or lacks an
-// argument.
+// usageError means that the command line has an unknown command, flag or file, or lacks an
+// argument. The exit code is exitUsage.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
@@ -25,7 +25,7 @@
 	}
 }
 
-// showHelp runs a group of commands that was called without one of them.
+// showHelp prints the help of a command group that was called without a subcommand.
 func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
 
 func newRootCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 }
 
 // configureHelp gives the help command an example, and makes help for an unknown command a
-// usage error: by itself cobra shows the help of the root command instead.
+// usage error. By default cobra shows the help of the root command instead.
 func configureHelp(root *cobra.Command) {
 	root.InitDefaultHelpCmd()
 	for _, c := range root.Commands() {
--- a/cmd/comethold/version.go
+++ b/cmd/comethold/version.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the version of the sources; a release build sets it.
+// version is the version of the source tree. A release build overrides it.
 var version = "0.1.0-dev"
 
 func newVersionCommand() *cobra.Command {
--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	maxQueuedLines = 1024 // lines that wait for the reader of the log
-	maxLineBytes   = 16 << 10
+	maxQueuedLines = 1024     // lines that wait to be written
+	maxLineBytes   = 16 << 10 // longer lines are truncated
 )
 
-// asyncWriter passes lines on to a file in a goroutine of its own, so that no caller waits for the
-// reader of the log. Lines that find the queue full, or that the file refuses, are counted as lost.
+// asyncWriter queues lines and writes them to the output in a separate goroutine, so that no caller blocks when the
+// output does. Lines are counted as lost if the queue is full or the write fails.
 type asyncWriter struct {
 	out     io.Writer
 	entries chan logEntry
-	lost    atomic.Int64 // lines since the last notice
+	lost    atomic.Int64 // lines lost since the last notice
 	closed  atomic.Bool
-	// notice makes the line that tells how many lines were lost. It is called with lost above 0.
+	// notice formats the line that reports the number of lost lines. It is called only with lost > 0.
 	notice func(lost int64) []byte
 }
 
-// logEntry is a line, or a request to report that all lines before it were handled.
+// logEntry is a line, or a request to close handled when all earlier entries have been written or lost.
 type logEntry struct {
 	line    []byte
 	handled chan struct{} // nil for a line
@@ -31,11 +31,11 @@
 
 func newAsyncWriter(out io.Writer, notice func(lost int64) []byte) *asyncWriter {
 	w := &asyncWriter{out: out, entries: make(chan logEntry, maxQueuedLines), notice: notice}
-	go w.run() // for the life of the process
+	go w.run() // runs until the process ends
 	return w
 }
 
-// Write queues a copy of a line. It never fails and never waits.
+// Write queues a copy of a line. It never fails and never blocks. After closed is set it discards the line.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	if !w.closed.Load() {
 		w.enqueue(line)
@@ -66,7 +66,7 @@
 	}
 }
 
-// writeNotice tells how many lines were lost, if any, and reports whether the file takes lines.
+// writeNotice writes the number of lost lines, if any. It returns false if that write fails.
 func (w *asyncWriter) writeNotice() bool {
 	lost := w.lost.Load()
 	if lost == 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// flush waits up to timeout until the lines that are queued were written or lost.
+// flush waits up to timeout until the lines that are already queued have been written or lost.
 func (w *asyncWriter) flush(timeout time.Duration) {
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
--- a/internal/logging/async_writer_test.go
+++ b/internal/logging/async_writer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// gatedOutput is an output that takes lines only while it is open, or refuses them.
+// gatedOutput is an output that blocks writes while mu is held, and fails them while failing is set.
 type gatedOutput struct {
-	mu      sync.Mutex // held while the output is not read; guards the fields below
+	mu      sync.Mutex // held by a test to block writes; guards the fields below
 	failing bool
 	text    strings.Builder
 }
@@ -30,13 +30,14 @@
 	return o.text.String()
 }
 
-// TestUnreadLogHoldsUpNobody guards against callers that wait for the reader of the log.
-func TestUnreadLogHoldsUpNobody(t *testing.T) {
+// TestUnreadLogDoesNotBlockCallers guards against callers that block when the log output isn't read and the queue is
+// full. Lines that don't fit into the queue must be counted as lost.
+func TestUnreadLogDoesNotBlockCallers(t *testing.T) {
 	output := &gatedOutput{}
 	logger := newLogger(output, "n1", "test")
 	output.mu.Lock()
 	const surplus = 50
-	for range maxQueuedLines + 1 + surplus { // one is being written
+	for range maxQueuedLines + 1 + surplus { // one line is being written
 		logger.Info(Started).Msg("line")
 	}
 	logger.Close(10*time.Millisecond, nil)
@@ -45,15 +46,17 @@
 	lines := strings.Count(output.contents(), `"message":"line"`)
 	lost := int(logger.writer.lost.Load())
 	if lines+lost != maxQueuedLines+1+surplus && !strings.Contains(output.contents(), `"event":111`) {
-		t.Errorf("%d lines written, %d lost", lines, lost)
+		t.Errorf("%d lines written and %d counted as lost, want a sum of %d or a notice (event 111)",
+			lines, lost, maxQueuedLines+1+surplus)
 	}
 	if lines < maxQueuedLines {
-		t.Errorf("only %d lines were written", lines)
+		t.Errorf("%d lines written, want at least %d", lines, maxQueuedLines)
 	}
 }
 
-// TestLostLinesAreTold guards against lines that are lost without a word.
-func TestLostLinesAreTold(t *testing.T) {
+// TestLostLinesAreReported guards against lines that are lost without a notice in the log, and against lines written
+// after Close.
+func TestLostLinesAreReported(t *testing.T) {
 	output := &gatedOutput{failing: true}
 	logger := newLogger(output, "n1", "test")
 	for range 7 {
@@ -70,6 +73,6 @@
 	lines := strings.Split(strings.TrimSpace(output.contents()), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[0], `"lines":7`) || !strings.Contains(lines[1], "kept") ||
 		!strings.Contains(lines[2], "the last line") {
-		t.Errorf("the log is %q", lines)
+		t.Errorf("the log is %q, want a notice of 7 lost lines, the kept line and the last line", lines)
 	}
 }
--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -1,6 +1,6 @@
 package logging
 
-// EventNumber identifies a kind of event. Numbers never change and are never reused: operators match on them.
+// EventNumber identifies a kind of event. Numbers never change and are never reused, since operators match on them.
 type EventNumber int
 
 // 1xx: start and end of a process, settings.
@@ -49,7 +49,7 @@
 	NotificationDropped     EventNumber = 312
 )
 
-// 4xx: nodes, leases and the work of lease holders.
+// 4xx: nodes, leases and the tasks of lease holders.
 const (
 	NodeDown             EventNumber = 402
 	LeaseAcquired        EventNumber = 403
--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestEventsAreDocumented: the constants and the list for operators name the same numbers, each once.
+// TestEventsAreDocumented checks that events.go and docs/events.md contain the same event numbers, each once.
 func TestEventsAreDocumented(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "events.go", nil, 0)
 	if err != nil {
@@ -36,6 +36,6 @@
 	slices.Sort(declared)
 	slices.Sort(documented)
 	if len(declared) == 0 || fmt.Sprint(declared) != fmt.Sprint(documented) {
-		t.Errorf("declared are %v, documented are %v", declared, documented)
+		t.Errorf("events.go declares %v, docs/events.md lists %v, want the same numbers, each once", declared, documented)
 	}
 }
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,8 +1,9 @@
 // Package logging writes log events as lines of JSON on standard error. Each line has the number of its kind of event;
 // docs/events.md lists the numbers for operators.
 //
-// Lines are written by a goroutine of their own: a log that nobody reads, or whose reader has gone, holds up no caller.
-// Lines that are lost so are counted, and the count is written as soon as the log takes lines again.
+// A separate goroutine writes the lines, so that callers don't block when standard error is a full or closed pipe.
+// Lines that are lost for this reason are counted, and the count is logged as soon as standard error accepts lines
+// again.
 package logging
 
 import (
@@ -21,39 +22,39 @@
 // Logger writes the events of one process. It is safe for concurrent use.
 type Logger struct {
 	logger zerolog.Logger
-	writer *asyncWriter // nil if nothing is written
+	writer *asyncWriter // nil in a logger that writes nothing, and in the logger for the last line
 }
 
-// New makes a logger on standard error. Every line contains the node and the program.
+// New returns a logger that writes to standard error. Every line contains the names of the node and the program.
 func New(node, program string) *Logger { return newLogger(os.Stderr, node, program) }
 
 func newLogger(out io.Writer, node, program string) *Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	zerolog.DurationFieldInteger = true
 	writer := newAsyncWriter(out, func(lost int64) []byte { return lostLinesNotice(node, program, lost) })
-	return &Logger{logger: zerologOn(writer, node, program), writer: writer}
+	return &Logger{logger: newZerolog(writer, node, program), writer: writer}
 }
 
-func zerologOn(out io.Writer, node, program string) zerolog.Logger {
+func newZerolog(out io.Writer, node, program string) zerolog.Logger {
 	return zerolog.New(out).With().Timestamp().Str("node", node).Str("program", program).Logger()
 }
 
-// lostLinesNotice is the line that tells how many lines could not be written.
+// lostLinesNotice returns the line that reports the number of lost lines.
 func lostLinesNotice(node, program string, lost int64) []byte {
 	var line bytes.Buffer
-	logger := zerologOn(&line, node, program)
+	logger := newZerolog(&line, node, program)
 	logger.WithLevel(zerolog.WarnLevel).
 		Int(eventField, int(LinesLost)).
 		Int64("lines", lost).
-		Msg("log lines were lost: the log was not read")
+		Msg("log lines were lost: the log output was blocked or failed")
 	return line.Bytes()
 }
 
 // Nop returns a logger that writes nothing.
 func Nop() *Logger { return &Logger{logger: zerolog.Nop()} }
 
-// Close calls writeLast, if it isn't nil, with a logger for the last line, and waits up to timeout until all lines are
-// written. Other lines are dropped from now on.
+// Close calls writeLast, if it isn't nil, with a logger for the last line, and waits up to timeout until all queued
+// lines are written or lost. Lines that are logged through l after the call are discarded.
 func (l *Logger) Close(timeout time.Duration, writeLast func(last *Logger)) {
 	if l.writer == nil {
 		return
@@ -65,7 +66,7 @@
 	l.writer.flush(timeout)
 }
 
-// lastLineWriter writes to a log that is closed.
+// lastLineWriter queues lines even after the log is closed.
 type lastLineWriter struct{ writer *asyncWriter }
 
 func (w lastLineWriter) Write(line []byte) (int, error) {
@@ -73,7 +74,7 @@
 	return len(line), nil
 }
 
-// CaptureStandardLog makes the lines of the standard library's logger, which net/http uses, events of this one.
+// CaptureStandardLog logs the lines of the standard library's logger, which net/http uses, as events of l.
 func (l *Logger) CaptureStandardLog() {
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(standardLogWriter{l})
@@ -87,8 +88,8 @@
 	return len(text), nil
 }
 
-// SetLevel sets the lowest level that is written, for the whole process: trace, debug, info, warn or error. An empty
-// or unknown name means info.
+// SetLevel sets the lowest level that is written: trace, debug, info, warn or error. It applies to all loggers of the
+// process. An empty or unknown name means info.
 func (l *Logger) SetLevel(name string) {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
@@ -97,10 +98,10 @@
 	zerolog.SetGlobalLevel(level)
 }
 
-// Debug starts an event that only a developer may want to see.
+// Debug starts an event that is of interest only to developers.
 func (l *Logger) Debug(n EventNumber) *zerolog.Event { return l.logger.Debug().Int(eventField, int(n)) }
 
-// Info starts an event that an operator may want to see.
+// Info starts an event that may interest an operator.
 func (l *Logger) Info(n EventNumber) *zerolog.Event { return l.logger.Info().Int(eventField, int(n)) }
 
 // Warn starts an event that an operator should look at.
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -19,10 +19,11 @@
 	shutdownTimeout   = 300 * time.Millisecond
 )
 
-// acceptRetryInterval is the pause after a connection could not be accepted.
+// acceptRetryInterval is the pause after an accept error.
 const acceptRetryInterval = 20 * time.Millisecond
 
-// Listen opens a TCP socket. It waits while the port is taken.
+// Listen opens a TCP socket. It retries while the port is in use or another transient error lasts, up to
+// startTimeout.
 func (p *Process) Listen(address string) (net.Listener, error) {
 	var listener net.Listener
 	err := p.await("tcp "+address, func() (err error) {
@@ -33,10 +34,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("cannot listen: %w", err)
 	}
-	return &patientListener{Listener: listener, log: p.Log}, nil
+	return &retryingListener{Listener: listener, log: p.Log}, nil
 }
 
-// ListenPacket opens a UDP socket. It waits while the port is taken.
+// ListenPacket opens a UDP socket. It retries while the port is in use or another transient error lasts, up to
+// startTimeout.
 func (p *Process) ListenPacket(address string) (net.PacketConn, error) {
 	var conn net.PacketConn
 	err := p.await("udp "+address, func() (err error) {
@@ -50,7 +52,7 @@
 	return conn, nil
 }
 
-// AddServer opens a TCP socket and adds an HTTP server for operators, the platform or other nodes on it.
+// AddServer opens a TCP socket and adds a member that serves HTTP on it to operators, the platform or other nodes.
 func (p *Process) AddServer(name, address string, handler http.Handler) error {
 	listener, err := p.Listen(address)
 	if err != nil {
@@ -80,15 +82,15 @@
 	return nil
 }
 
-// patientListener accepts connections until it is closed: any other error passes, such as too many open files or no
-// memory for buffers.
-type patientListener struct {
+// retryingListener accepts connections until it is closed. It retries after any other error, such as too many open
+// files or no memory for buffers, since these errors are transient.
+type retryingListener struct {
 	net.Listener
 	log *logging.Logger
 }
 
-// Accept waits for the next connection. Its only error is net.ErrClosed.
-func (l *patientListener) Accept() (net.Conn, error) {
+// Accept waits for the next connection. It returns an error only if the listener is closed (net.ErrClosed).
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for failures := 0; ; failures++ {
 		conn, err := l.Listener.Accept()
 		if err == nil {
@@ -96,7 +98,7 @@
 				l.log.Info(logging.AcceptRecovered).
 					Stringer("address", l.Addr()).
 					Int("failures", failures).
-					Msg("connections are accepted again")
+					Msg("accepting connections again")
 			}
 			return conn, nil
 		}
@@ -107,7 +109,7 @@
 			l.log.Warn(logging.AcceptFailed).
 				Err(err).
 				Stringer("address", l.Addr()).
-				Msg("connections can't be accepted; trying again")
+				Msg("cannot accept connections; retrying")
 		}
 		time.Sleep(acceptRetryInterval)
 	}
--- a/internal/process/log_test.go
+++ b/internal/process/log_test.go
@@ -12,7 +12,8 @@
 	"comethold/internal/testbed"
 )
 
-// TestLogReaderGone guards against a process that the end of its log's reader ends.
+// TestLogReaderGone guards against a process that ends when it logs after the reader of its standard error has closed
+// the pipe (SIGPIPE or a write error).
 func TestLogReaderGone(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -29,7 +30,7 @@
 	}
 }
 
-// TestLogNotRead guards against a process that waits for the reader of its log, and tells the lines that were lost.
+// TestLogNotRead guards against a process that blocks when its standard error is a pipe that is full and not read.
 func TestLogNotRead(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -63,7 +64,7 @@
 	return reader, writer
 }
 
-// fillPipe writes to a pipe until it takes nothing more, and leaves it in blocking mode.
+// fillPipe writes to a pipe until it is full, and leaves it in blocking mode.
 func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	descriptor := int(writer.Fd())
@@ -82,7 +83,8 @@
 	}
 }
 
-// startLoggingTo starts the program with a file as its standard error, which it gets as it is.
+// startLoggingTo writes the settings of the node and starts the program. The process inherits the given file as its
+// standard error, without a pipe in between.
 func (n *node) startLoggingTo(t *testing.T, log io.Writer) *instance {
 	t.Helper()
 	if err := testbed.WriteSettings(n.file, n.settings); err != nil {
@@ -102,7 +104,8 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// TestTraceWhileLogIsNotRead guards against an end by the runtime that waits for the reader of the log.
+// TestTraceWhileLogIsNotRead guards against a process that hangs on SIGQUIT: the Go runtime writes the stack trace to
+// standard error itself and blocks if that is a full pipe.
 func TestTraceWhileLogIsNotRead(t *testing.T) {
 	n := newNode(t, "object-cache")
 	_, writer := logPipe(t)
@@ -112,7 +115,7 @@
 	i.signal(syscall.SIGQUIT)
 	select {
 	case <-i.Exited():
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		t.Error("it runs on after SIGQUIT")
 	}
 }
--- a/internal/process/members.go
+++ b/internal/process/members.go
@@ -14,24 +14,24 @@
 	"github.com/oklog/run"
 )
 
-// exitFailure is the exit code of a process whose stop took too long.
+// exitFailure is the exit code of a process that did not stop in time.
 const exitFailure = 1
 
-// errEndedEarly says that a member returned though nobody had stopped it.
-var errEndedEarly = errors.New("ended by itself")
+// errReturnedEarly means that a member returned although the process was not being stopped.
+var errReturnedEarly = errors.New("returned before the process was stopped")
 
-// memberError is the failure of a member.
+// memberError is the failure of a member, of the setup or of a reload.
 type memberError struct {
 	member string
 	err    error
-	stack  []byte // of a panic
+	stack  []byte // of a panic, or nil
 }
 
 func (e *memberError) Error() string { return fmt.Sprintf("%s: %v", e.member, e.err) }
 
 func (e *memberError) Unwrap() error { return e.err }
 
-// members are the goroutines of a process. When one of them ends, all are stopped.
+// members is the set of long-running functions of a process. When one of them returns, all are stopped.
 type members struct {
 	group       run.Group
 	log         *logging.Logger
@@ -46,44 +46,47 @@
 
 func (m *members) add(name string, runMember func() error, stop func()) {
 	execute := func() error {
-		err := guard(name, runMember)
+		err := callWithRecovery(name, runMember)
 		if err == nil && !m.stopping.Load() {
-			err = &memberError{member: name, err: errEndedEarly}
+			err = &memberError{member: name, err: errReturnedEarly}
 		}
 		m.beginStop()
 		return err
 	}
 	interrupt := func(error) {
-		if err := guard(name, func() error { stop(); return nil }); err != nil {
-			m.log.Error(logging.Failed).Err(err).Str("member", name).Msg("a member could not be stopped")
+		if err := callWithRecovery(name, func() error { stop(); return nil }); err != nil {
+			m.log.Error(logging.Failed).Err(err).Str("member", name).Msg("stop function of a member panicked")
 		}
 	}
 	m.group.Add(execute, interrupt)
 }
 
-// run runs the members until one ends, and then stops all. It returns why the first one ended: nil if it was stopped.
+// run runs the members until one returns, then stops all of them. It returns the error of the first member that
+// returned, which is nil if the process was being stopped.
 func (m *members) run() error { return m.group.Run() }
 
-// beginStop marks the end of members as wanted, and ends the process if they haven't ended in time.
+// beginStop records that the process is being stopped, so that members may return without an error, and starts the
+// timer that forces the exit after stopTimeout.
 func (m *members) beginStop() {
 	m.stopOnce.Do(func() {
 		m.stopping.Store(true)
-		time.AfterFunc(m.stopTimeout, m.endProcess)
+		time.AfterFunc(m.stopTimeout, m.forceExit)
 	})
 }
 
-func (m *members) endProcess() {
+func (m *members) forceExit() {
 	m.log.Close(logCloseTimeout, func(last *logging.Logger) {
-		last.Error(logging.StopTimedOut).Dur("timeoutMs", m.stopTimeout).Msg("the stop took too long: the process ends")
+		last.Error(logging.StopTimedOut).Dur("timeoutMs", m.stopTimeout).Msg("members did not stop in time; exiting")
 	})
 	os.Exit(exitFailure)
 }
 
-// guard calls a function of a member. A panic becomes an error that holds its stack.
-func guard(member string, call func() error) (err error) {
+// callWithRecovery calls a function of a member and wraps its error in a memberError. It converts a panic into a
+// memberError with the stack.
+func callWithRecovery(member string, call func() error) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = &memberError{member: member, err: fmt.Errorf("panic: %v", fault), stack: debug.Stack()}
+		if recovered := recover(); recovered != nil {
+			err = &memberError{member: member, err: fmt.Errorf("panic: %v", recovered), stack: debug.Stack()}
 		}
 	}()
 	if err := call(); err != nil {
--- a/internal/process/memorywatch.go
+++ b/internal/process/memorywatch.go
@@ -6,30 +6,31 @@
 	"comethold/internal/logging"
 )
 
-// memoryWarningFraction is the part of the memory limit from which a process logs a warning.
+// memoryWarningFraction is the fraction of the memory limit above which a process logs a warning.
 const memoryWarningFraction = 0.85
 
 const bytesPerMb = 1 << 20
 
-// Metrics of the runtime whose difference is the memory that it holds.
+// Runtime metrics; the memory in use is metricMapped minus metricReleased.
 const (
 	metricMapped   = "/memory/classes/total:bytes"
 	metricReleased = "/memory/classes/heap/released:bytes"
 )
 
-// memoryWatch warns, once until it has fallen again, when the memory of the process comes near its limit. A process
-// that goes over it is killed from outside and can't tell.
+// memoryWatch logs a warning when the memory use of the process rises above memoryWarningFraction of its limit. It
+// warns again only after the memory use has fallen below that level. A process that exceeds the limit is killed by the
+// system and can't log the reason.
 type memoryWatch struct {
 	log     *logging.Logger
-	limitMb int64 // 0: none
-	isNear  bool
+	limitMb int64 // 0: no limit
+	isNear  bool  // at the last check
 }
 
 func (w *memoryWatch) check() {
 	if w.limitMb <= 0 {
 		return
 	}
-	used := heldMemory()
+	used := runtimeMemory()
 	wasNear := w.isNear
 	w.isNear = float64(used) > memoryWarningFraction*float64(w.limitMb*bytesPerMb)
 	if w.isNear && !wasNear {
@@ -40,8 +41,8 @@
 	}
 }
 
-// heldMemory is the memory that the runtime has mapped and not returned to the system, in bytes.
-func heldMemory() uint64 {
+// runtimeMemory returns the memory that the Go runtime has mapped and not returned to the system, in bytes.
+func runtimeMemory() uint64 {
 	samples := []metrics.Sample{{Name: metricMapped}, {Name: metricReleased}}
 	metrics.Read(samples)
 	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
--- a/internal/process/node_test.go
+++ b/internal/process/node_test.go
@@ -19,10 +19,11 @@
 	"comethold/internal/testbed"
 )
 
-// binaryVariable names a binary of comethold that is tested in place of the one built from this tree.
+// binaryVariable is the environment variable with the path of a comethold binary to test instead of one built from this
+// source tree.
 const binaryVariable = "COMETHOLD_TEST_BINARY"
 
-// Ports of a node of these tests, on an address of its own.
+// Ports of a node in these tests. They are the same for all nodes, since each node has a separate IP address.
 const (
 	frontendPort  = 8726
 	readinessPort = 8723
@@ -30,13 +31,13 @@
 	internalPort  = 7120
 )
 
-// patience is how long these tests wait for what a busy machine may delay.
-const patience = 30 * time.Second
+// maxWait is how long these tests wait for an event, with a margin for a busy machine.
+const maxWait = 30 * time.Second
 
 var (
-	comethold    string // path of the program's binary
-	leastProgram string // path of the least program's binary
-	programNames = []string{"data-plane", "control-plane", "object-cache"}
+	comethold      string // path of the comethold binary
+	minimalProgram string // path of the leastprogram binary
+	programNames   = []string{"data-plane", "control-plane", "object-cache"}
 )
 
 // runWithBinaries builds the binaries and runs the tests.
@@ -47,7 +48,7 @@
 		return exitFailure
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	leastProgram = filepath.Join(dir, "leastprogram")
+	minimalProgram = filepath.Join(dir, "leastprogram")
 	comethold = os.Getenv(binaryVariable)
 	if comethold == "" {
 		comethold = filepath.Join(dir, "comethold")
@@ -56,7 +57,7 @@
 			return exitFailure
 		}
 	}
-	if err := build(leastProgram, "./testdata/leastprogram"); err != nil {
+	if err := build(minimalProgram, "./testdata/leastprogram"); err != nil {
 		fmt.Println(err)
 		return exitFailure
 	}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// node is one machine with one program.
+// node is a machine that runs one program.
 type node struct {
 	program  string
 	settings *settings.Settings
@@ -111,7 +112,7 @@
 	return n
 }
 
-// internalAddress is the address of the program's internal API.
+// internalAddress returns the address of the program's internal API.
 func (n *node) internalAddress() string {
 	offset := map[string]settings.Program{
 		"control-plane": settings.ControlPlane, "data-plane": settings.DataPlane, "object-cache": settings.ObjectCache,
@@ -119,14 +120,14 @@
 	return net.JoinHostPort(n.settings.IPAddress, fmt.Sprint(n.settings.PortOf(offset)))
 }
 
-// instance is a process of a node, with the log that it has written.
+// instance is a process of a node with its log.
 type instance struct {
 	*testbed.Process
 	t   *testing.T
-	log *safeBuffer
+	log *lockedBuffer
 }
 
-// start starts the node's program with its settings.
+// start writes the settings of the node to its file and starts the program.
 func (n *node) start(t *testing.T) *instance {
 	t.Helper()
 	if err := testbed.WriteSettings(n.file, n.settings); err != nil {
@@ -135,10 +136,11 @@
 	return n.startWith(t, nil)
 }
 
-// startWith starts the node's program with the settings file as it is. A nil log keeps what the process writes.
+// startWith starts the node's program without writing the settings file. Standard error goes to log, or to the log of
+// the instance if log is nil.
 func (n *node) startWith(t *testing.T, log io.Writer) *instance {
 	t.Helper()
-	kept := &safeBuffer{}
+	kept := &lockedBuffer{}
 	if log == nil {
 		log = kept
 	}
@@ -155,36 +157,37 @@
 	return &instance{Process: started, t: t, log: kept}
 }
 
-// awaitLine waits until the log has a line with the text.
+// awaitLine waits until the log contains the text. It fails the test if the process ends before.
 func (i *instance) awaitLine(text string) {
 	i.t.Helper()
-	for deadline := time.Now().Add(patience); !strings.Contains(i.log.String(), text); time.Sleep(5 * time.Millisecond) {
-		if i.hasEnded() {
-			i.t.Fatalf("ended by %d %v before %s: %s", i.ExitCode(), i.EndSignal(), text, i.log)
+	for deadline := time.Now().Add(maxWait); !strings.Contains(i.log.String(), text); time.Sleep(5 * time.Millisecond) {
+		if i.hasExited() {
+			i.t.Fatalf("the process ended with exit code %d, signal %v before it logged %s: %s",
+				i.ExitCode(), i.EndSignal(), text, i.log)
 		}
 		if time.Now().After(deadline) {
-			i.t.Fatalf("no line with %s: %s", text, i.log)
+			i.t.Fatalf("no line with %s within %v: %s", text, maxWait, i.log)
 		}
 	}
 }
 
-// awaitAccepting waits until the address takes connections.
+// awaitAccepting waits until the address accepts connections. It fails the test if the process ends before.
 func (i *instance) awaitAccepting(address string) {
 	i.t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(maxWait); ; time.Sleep(5 * time.Millisecond) {
 		conn, err := (&net.Dialer{}).DialContext(i.t.Context(), "tcp4", address)
 		if err == nil {
 			_ = conn.Close()
 			return
 		}
-		if i.hasEnded() || time.Now().After(deadline) {
-			i.t.Fatalf("%s takes no connections: %v; exit code %d, signal %v: %s",
+		if i.hasExited() || time.Now().After(deadline) {
+			i.t.Fatalf("%s accepts no connections: %v; exit code %d, signal %v: %s",
 				address, err, i.ExitCode(), i.EndSignal(), i.log)
 		}
 	}
 }
 
-func (i *instance) hasEnded() bool {
+func (i *instance) hasExited() bool {
 	select {
 	case <-i.Exited():
 		return true
@@ -196,49 +199,50 @@
 func (i *instance) signal(signal os.Signal) {
 	i.t.Helper()
 	if err := i.Signal(signal); err != nil {
-		i.t.Fatalf("%v: %v; exit code %d, ended by %v: %s", signal, err, i.ExitCode(), i.EndSignal(), i.log)
+		i.t.Fatalf("sending the signal %v failed: %v; exit code %d, ended by %v: %s",
+			signal, err, i.ExitCode(), i.EndSignal(), i.log)
 	}
 }
 
-// wantEnd waits for the end of the process and checks its exit code.
-func (i *instance) wantEnd(code int) {
+// wantExit waits for the end of the process and checks that it exited with the code.
+func (i *instance) wantExit(code int) {
 	i.t.Helper()
 	select {
 	case <-i.Exited():
-	case <-time.After(patience):
-		i.t.Fatalf("it runs on: %s", i.log)
+	case <-time.After(maxWait):
+		i.t.Fatalf("the process has not ended within %v: %s", maxWait, i.log)
 	}
 	if i.ExitCode() != code || i.EndSignal() != 0 {
 		i.t.Fatalf("exit code %d, ended by %v, want exit code %d: %s", i.ExitCode(), i.EndSignal(), code, i.log)
 	}
 }
 
-// wantStop sends SIGTERM and waits until the process has ended with 0.
+// wantStop sends SIGTERM and checks that the process exits with 0.
 func (i *instance) wantStop() {
 	i.t.Helper()
 	i.signal(syscall.SIGTERM)
-	i.wantEnd(0)
+	i.wantExit(0)
 }
 
-// lastLine is the last line of the log.
+// lastLine returns the last line of the log.
 func (i *instance) lastLine() string {
 	lines := strings.Split(strings.TrimSpace(i.log.String()), "\n")
 	return lines[len(lines)-1]
 }
 
-// safeBuffer is a buffer that a process writes while a test reads.
-type safeBuffer struct {
+// lockedBuffer is a buffer that a process writes while a test reads.
+type lockedBuffer struct {
 	mu   sync.Mutex // guards the field below
 	text strings.Builder
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *safeBuffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -10,17 +10,18 @@
 	"comethold/internal/settings"
 )
 
-// startMargin is how much longer than the grace period a start waits for what is missing: a predecessor that is being
-// stopped has released its ports and files by then.
+// startMargin is added to the grace period to get the timeout for one resource that the start needs. A previous process
+// that is being stopped has released its ports and files by then.
 const startMargin = 10 * time.Second
 
-// stopMargin is how much longer than the grace period a stop may take before the process ends itself.
+// stopMargin is added to the grace period to get the time after which a process that has not stopped exits with an
+// error.
 const stopMargin = time.Second
 
-// defaultGracePeriod is used where the settings name none.
+// defaultGracePeriod applies if the settings contain no grace period.
 const defaultGracePeriod = 6 * time.Second
 
-// Process is one running program: its settings, its log, and its members.
+// Process is a running program with its settings, log and members.
 type Process struct {
 	Settings *settings.Settings
 	Log      *logging.Logger
@@ -30,7 +31,7 @@
 	reload    func(*settings.Settings)
 	shutdown  func()
 	startedAt time.Time
-	waited    time.Duration // that the start has waited for what was missing
+	waited    time.Duration // total time that the start has waited for unavailable resources
 	quit      chan struct{} // closed when a signal ends the start
 }
 
@@ -47,16 +48,17 @@
 	}
 }
 
-// OnReload sets what is called with new settings, after SIGHUP or when the settings file has changed. Calls don't
-// overlap, and the newest settings come last.
+// OnReload sets the function that is called with the new settings after SIGHUP or a change of the settings file. Calls
+// don't overlap, and the last call gets the newest settings.
 func (p *Process) OnReload(reload func(*settings.Settings)) { p.reload = reload }
 
-// OnShutdown sets what is called when a signal ends the process, before its members are stopped. When it returns, or at
-// the end of the grace period, the process ends.
+// OnShutdown sets the function that is called when a signal ends the process, before the members are stopped. The
+// members are stopped when it returns. If the process has not ended within the grace period plus stopMargin, it exits
+// with an error.
 func (p *Process) OnShutdown(shutdown func()) { p.shutdown = shutdown }
 
-// Add adds a member: run is called when the process is set up and returns after stop was called. If it returns before,
-// or panics, the process fails. Members are stopped one after another in the order in which they were added.
+// Add adds a member. run is called after the setup of the process and must return after stop is called. If run returns
+// earlier, or panics, the process fails. Members are stopped one after another in the order in which they were added.
 func (p *Process) Add(name string, run func() error, stop func()) { p.members.add(name, run, stop) }
 
 func gracePeriod(set *settings.Settings) time.Duration {
@@ -66,20 +68,20 @@
 	return defaultGracePeriod
 }
 
-// startPatience is how long the start waits for one thing that is missing.
-func (p *Process) startPatience() time.Duration { return gracePeriod(p.Settings) + startMargin }
+// startTimeout is how long the start waits for one resource.
+func (p *Process) startTimeout() time.Duration { return gracePeriod(p.Settings) + startMargin }
 
-// run sets the program up and runs its members until a signal comes or one of them fails.
-func (p *Process) run(setUp func(*Process) error) end {
+// run sets the program up and runs its members until a signal arrives or a member fails.
+func (p *Process) run(setUp func(*Process) error) exitReason {
 	ready := make(chan error, 1)
-	go func() { ready <- guard("start", func() error { return setUp(p) }) }()
+	go func() { ready <- callWithRecovery("start", func() error { return setUp(p) }) }()
 	select {
 	case received := <-earlysignal.Terminations():
 		close(p.quit)
-		return end{signal: received.String(), phase: phaseStart}
+		return exitReason{signal: received.String(), phase: phaseStart}
 	case err := <-ready:
 		if err != nil {
-			return end{phase: phaseStart, err: err}
+			return exitReason{phase: phaseStart, err: err}
 		}
 	}
 	p.Log.Info(logging.InService).
@@ -89,9 +91,9 @@
 	return p.serve()
 }
 
-// serve runs the members.
-func (p *Process) serve() end {
-	stopped := end{phase: phaseService}
+// serve runs the members until a signal arrives or a member fails.
+func (p *Process) serve() exitReason {
+	stopped := exitReason{phase: phaseService}
 	quit := make(chan struct{})
 	awaitSignal := func() error {
 		select {
@@ -110,7 +112,7 @@
 	return stopped
 }
 
-// logStart logs what the process finds at its start.
+// logStart logs the first line of a process: its version, zone, process ID and the state of its data directory.
 func (p *Process) logStart(version string) {
 	p.Log.Info(logging.Started).
 		Str("zone", p.Settings.AvailabilityZone).
@@ -121,7 +123,8 @@
 		Msg("program started")
 }
 
-// describeDirectory tells what a data directory holds.
+// describeDirectory describes the state of a data directory: "none" without a path, "missing", "unreadable", "empty",
+// or the number of files.
 func describeDirectory(path string) string {
 	if path == "" {
 		return "none"
--- a/internal/process/program.go
+++ b/internal/process/program.go
@@ -12,38 +12,39 @@
 	"comethold/internal/settings"
 )
 
-// Garbage collection uses more memory to save processor time.
+// Garbage collection is set to use more memory and less processor time.
 const (
 	gcPercent          = 200
-	softMemoryFraction = 0.6 // of the memory limit, from which the collector runs more often
+	softMemoryFraction = 0.6 // of the memory limit; above it the collector runs more often
 )
 
-// logCloseTimeout is how long the end of a process waits for the reader of its log.
+// logCloseTimeout is how long the process waits at its end until the queued log lines are written.
 const logCloseTimeout = 200 * time.Millisecond
 
-// Program is what a process runs.
+// Program describes a program that Run can run.
 type Program struct {
 	Name    string // as on the command line
 	Version string // as logged
-	// SetUp opens the sockets of the program and adds its members. It runs in a goroutine of its own, which is
-	// abandoned if a signal ends the process meanwhile.
+	// SetUp opens the sockets of the program and adds its members. It runs in a separate goroutine. If a signal ends
+	// the process before SetUp returns, the process doesn't wait for that goroutine.
 	SetUp func(*Process) error
 }
 
-// reportedError is an error that the log has told.
+// reportedError wraps an error that has been logged.
 type reportedError struct{ err error }
 
 func (e *reportedError) Error() string { return e.err.Error() }
 
 func (e *reportedError) Unwrap() error { return e.err }
 
-// IsReported reports whether the process's log has told an error of Run.
+// IsReported reports whether an error that Run returned is already in the log of the process.
 func IsReported(err error) bool {
 	var reported *reportedError
 	return errors.As(err, &reported)
 }
 
-// Run runs a program until it is stopped by a signal or fails. The settings file is the one that settings.Env names.
+// Run runs a program until a signal stops it or it fails. It reads the settings file that the environment variable
+// settings.Env names.
 func Run(program Program) error {
 	path, err := settings.Path()
 	if err != nil {
@@ -55,7 +56,7 @@
 	file := newSettingsFile(path)
 	loaded, err := file.awaitValid(starting, earlysignal.Terminations())
 	if err != nil {
-		return conclude(starting, end{phase: phaseStart, err: err})
+		return reportExit(starting, exitReason{phase: phaseStart, err: err})
 	}
 	starting.Close(logCloseTimeout, nil)
 	applyMemoryLimit(loaded)
@@ -64,7 +65,7 @@
 	log.SetLevel(loaded.Log.Level)
 	p := newProcess(loaded, log, file)
 	p.logStart(program.Version)
-	return conclude(log, p.run(program.SetUp))
+	return reportExit(log, p.run(program.SetUp))
 }
 
 func applyMemoryLimit(set *settings.Settings) {
@@ -74,14 +75,14 @@
 	}
 }
 
-// end is how a process ended.
-type end struct {
-	signal string // that ended it; empty: none
+// exitReason states why and in which phase a process ended.
+type exitReason struct {
+	signal string // the signal that ended the process, or empty
 	phase  phase
-	err    error // why it failed, or nil
+	err    error // the failure, or nil
 }
 
-// phase is how far a process had come.
+// phase is the phase of the lifecycle in which a process ended.
 type phase string
 
 const (
@@ -89,20 +90,20 @@
 	phaseService phase = "service"
 )
 
-// conclude writes the last line of the log and returns the error of the process.
-func conclude(log *logging.Logger, e end) error {
+// reportExit writes the last line of the log, closes the log, and returns the error of the process.
+func reportExit(log *logging.Logger, e exitReason) error {
 	var terminated *terminatedError
 	if errors.As(e.err, &terminated) {
-		e = end{signal: terminated.signal, phase: phaseStart}
+		e = exitReason{signal: terminated.signal, phase: phaseStart}
 	}
-	log.Close(logCloseTimeout, func(last *logging.Logger) { logEnd(last, e) })
+	log.Close(logCloseTimeout, func(last *logging.Logger) { logExit(last, e) })
 	if e.err == nil {
 		return nil
 	}
 	return &reportedError{e.err}
 }
 
-func logEnd(log *logging.Logger, e end) {
+func logExit(log *logging.Logger, e exitReason) {
 	if e.err == nil {
 		log.Info(logging.Stopped).Str("signal", e.signal).Str("phase", string(e.phase)).Msg("program stopped")
 		return
@@ -119,7 +120,7 @@
 		Msg("program failed")
 }
 
-// terminatedError says that a signal ended a wait of the start.
+// terminatedError means that a signal arrived while the start waited for valid settings.
 type terminatedError struct{ signal string }
 
 func (e *terminatedError) Error() string { return "terminated by " + e.signal }
--- a/internal/process/program_test.go
+++ b/internal/process/program_test.go
@@ -14,8 +14,8 @@
 	"comethold/internal/logging"
 )
 
-// fakeProgram is the variable that makes the test binary run one of the fakePrograms.
-const fakeProgram = "COMETHOLD_FAKE_PROGRAM"
+// fakeProgramVariable is the environment variable that makes the test binary run one of the fakePrograms.
+const fakeProgramVariable = "COMETHOLD_FAKE_PROGRAM"
 
 var fakePrograms = map[string]func(*Process) error{
 	"panics": func(p *Process) error {
@@ -45,7 +45,7 @@
 }
 
 func TestMain(m *testing.M) {
-	setUp, ok := fakePrograms[os.Getenv(fakeProgram)]
+	setUp, ok := fakePrograms[os.Getenv(fakeProgramVariable)]
 	if !ok {
 		os.Exit(runWithBinaries(m))
 	}
@@ -54,12 +54,13 @@
 	}
 }
 
-// TestEndIsTold: the last line of the log says which member failed and how, a panic with its stack.
-func TestEndIsTold(t *testing.T) {
+// TestLastLineNamesFailedMember guards against a failure that the log doesn't explain: the last line must contain the
+// failed member and its error, with the stack of a panic.
+func TestLastLineNamesFailedMember(t *testing.T) {
 	cases := map[string][]string{
 		"panics":              {`"event":107`, `"member":"worker"`, "panic: broken worker", "program_test.go"},
 		"fails":               {`"event":107`, `"member":"worker"`, "no more work"},
-		"returns":             {`"event":107`, `"member":"worker"`, "ended by itself"},
+		"returns":             {`"event":107`, `"member":"worker"`, "returned before the process was stopped"},
 		"panics at the start": {`"event":107`, `"member":"start"`, "panic: broken start", "program_test.go"},
 		"never stops":         {`"event":116`},
 		"stop panics":         {`"event":107`, `"member":"failing"`, "stop all"},
@@ -71,18 +72,18 @@
 			lines := strings.Split(strings.TrimSpace(log), "\n")
 			last := lines[len(lines)-1]
 			if code != exitFailure {
-				t.Errorf("exit code %d", code)
+				t.Errorf("exit code %d, want %d", code, exitFailure)
 			}
 			for _, part := range want {
 				if !strings.Contains(last, part) {
-					t.Errorf("the last line lacks %s: %s", part, last)
+					t.Errorf("the last line does not contain %s: %s", part, last)
 				}
 			}
 		})
 	}
 }
 
-// fakeSettings are settings of a fake program.
+// fakeSettings is the settings file of a fake program.
 const fakeSettings = `nodeName = "n1"
 ipAddress = "127.0.0.1"
 availabilityZone = "z1"
@@ -92,7 +93,7 @@
 gracePeriodS = 0.5
 `
 
-// runFake runs a fake program as a process, and returns its exit code and its log.
+// runFake runs a fake program in a separate process and returns its exit code and its log.
 func runFake(t *testing.T, name string) (code int, log string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.toml")
@@ -100,7 +101,7 @@
 		t.Fatal(err)
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0])
-	command.Env = append(os.Environ(), fakeProgram+"="+name, "COMETHOLD_SETTINGS="+path)
+	command.Env = append(os.Environ(), fakeProgramVariable+"="+name, "COMETHOLD_SETTINGS="+path)
 	var stderr strings.Builder
 	command.Stderr = &stderr
 	err := command.Run()
@@ -111,7 +112,8 @@
 	return command.ProcessState.ExitCode(), stderr.String()
 }
 
-// TestMakeDirectory: a directory is made with those above it; a file in its place is an error that does not pass.
+// TestMakeDirectory checks that a directory is created with its missing parents, and that a file in the place of a
+// parent is a permanent error.
 func TestMakeDirectory(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a", "b", "c")
@@ -121,63 +123,64 @@
 		}
 	}
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
-		t.Fatalf("not made: %v", err)
+		t.Fatalf("Stat of the new directory returned the error %v, want a directory", err)
 	}
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := makeDirectory(filepath.Join(file, "below")); err == nil || isPassing(err) {
-		t.Errorf("below a file: %v", err)
+	if err := makeDirectory(filepath.Join(file, "below")); err == nil || isTransient(err) {
+		t.Errorf("makeDirectory below a file returned %v, want a permanent error", err)
 	}
 }
 
-// TestMemoryWatch: memory near its limit is logged once, not at each check.
+// TestMemoryWatch checks that the memory use counts as near the limit above it, and no longer when far below it.
 func TestMemoryWatch(t *testing.T) {
-	held := int64(heldMemory() / bytesPerMb)
+	held := int64(runtimeMemory() / bytesPerMb)
 	watch := memoryWatch{log: logging.Nop(), limitMb: max(1, held/2)}
 	watch.check()
 	if !watch.isNear {
-		t.Error("memory over its limit is not near it")
+		t.Error("isNear is false for memory use above the limit, want true")
 	}
 	watch.limitMb = 100 * (held + 1)
 	watch.check()
 	if watch.isNear {
-		t.Error("memory far below its limit is near it")
+		t.Error("isNear is true for memory use far below the limit, want false")
 	}
 }
 
-// TestSettledFile: a file that is invalid and stays so is rejected, one that becomes valid in time is read.
-func TestSettledFile(t *testing.T) {
+// TestMissingSettingsFile checks that awaitValid fails on a file that stays missing, but not before settingsSettleTime.
+func TestMissingSettingsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	file := newSettingsFile(path)
 	started := time.Now()
 	if _, err := file.awaitValid(logging.Nop(), nil); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("awaitValid of a missing file returned the error %v, want os.ErrNotExist", err)
 	}
 	if waited := time.Since(started); waited < settingsSettleTime {
-		t.Errorf("rejected after %v", waited)
+		t.Errorf("awaitValid failed after %v, want at least %v", waited, settingsSettleTime)
 	}
-	if len(file.last) != 0 {
-		t.Errorf("the content is %q", file.last)
+	if len(file.lastRead) != 0 {
+		t.Errorf("lastRead is %q after a failed read, want it to be empty", file.lastRead)
 	}
 }
 
-// TestPassingErrors holds which errors the start waits out.
-func TestPassingErrors(t *testing.T) {
-	for _, passing := range []error{syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOSPC} {
-		if !isPassing(&os.PathError{Err: passing}) {
-			t.Errorf("%v does not pass", passing)
+// TestTransientErrors checks which errors the start retries.
+func TestTransientErrors(t *testing.T) {
+	for _, err := range []error{syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOSPC} {
+		if !isTransient(&os.PathError{Err: err}) {
+			t.Errorf("isTransient is false for %v, want true", err)
 		}
 	}
-	for _, lasting := range []error{syscall.EADDRNOTAVAIL, syscall.EACCES, syscall.ENOTDIR, syscall.EINVAL} {
-		if isPassing(&os.PathError{Err: lasting}) {
-			t.Errorf("%v passes", lasting)
+	for _, err := range []error{syscall.EADDRNOTAVAIL, syscall.EACCES, syscall.ENOTDIR, syscall.EINVAL} {
+		if isTransient(&os.PathError{Err: err}) {
+			t.Errorf("isTransient is true for %v, want false", err)
 		}
 	}
 }
 
-// TestStartDoesNotWaitForOldSettings guards against starts that are later than they need be.
+// TestStartDoesNotWaitForOldSettings guards against a start that rereads a settings file which was not modified
+// recently, and so takes longer than necessary.
 func TestStartDoesNotWaitForOldSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(fakeSettings), 0o600); err != nil {
@@ -193,7 +196,7 @@
 				t.Fatal(err)
 			}
 			if waited := time.Since(started); waited != want {
-				t.Errorf("settings written %v ago were awaited for %v, want %v", age, waited, want)
+				t.Errorf("awaitValid of settings written %v ago took %v, want %v", age, waited, want)
 			}
 		})
 	}
--- a/internal/process/settingsfile.go
+++ b/internal/process/settingsfile.go
@@ -9,15 +9,15 @@
 	"comethold/internal/settings"
 )
 
-// Timing of reading the settings file, which may be rewritten in place.
+// Timing of reads of the settings file, which may be rewritten in place.
 const (
-	settingsReadInterval = 20 * time.Millisecond // between two reads that must be the same
-	settingsSettleTime   = time.Second           // for which an invalid file must stay as it is to be rejected
-	settingsTimeout      = 10 * time.Second      // for a file that keeps changing
+	settingsReadInterval = 20 * time.Millisecond // between two reads that are compared
+	settingsSettleTime   = time.Second           // an invalid file is rejected if it stays unchanged for this time
+	settingsTimeout      = 10 * time.Second      // for an invalid file that keeps changing
 	settingsPollInterval = 2 * time.Second       // between two checks for changes
 )
 
-// maxUnstableReads is how often a reload reads a file that keeps changing.
+// maxUnstableReads is how many times a reload rereads a file that keeps changing.
 const maxUnstableReads = 50
 
 // Causes of a reload, as logged.
@@ -26,19 +26,20 @@
 	causeChange = "change"
 )
 
-// settingsFile reads the settings file of a process. A file counts as complete when it was not modified lately, or when
-// two reads in a row find the same.
+// settingsFile reads the settings file of a process. A file counts as complete if it was not modified within
+// settingsSettleTime, or if two consecutive reads return the same content.
 type settingsFile struct {
-	path string
-	last []byte // the content that was read last
+	path     string
+	lastRead []byte // content of the last read that was parsed
 }
 
 func newSettingsFile(path string) *settingsFile { return &settingsFile{path: path} }
 
-// awaitValid reads the file at the start. An invalid or missing file may be in the middle of a replacement, so it is
-// read again until it has not changed for settingsSettleTime.
+// awaitValid reads the file at the start of the process. An invalid or missing file may be in the middle of a
+// replacement, so awaitValid rereads it, and returns the error when the file has not changed for settingsSettleTime or
+// is still invalid after settingsTimeout. It returns a terminatedError if a signal arrives.
 func (f *settingsFile) awaitValid(log *logging.Logger, terminations <-chan os.Signal) (*settings.Settings, error) {
-	wait := startWait{log: log, resource: f.path, patience: settingsTimeout, startedAt: time.Now()}
+	wait := startWait{log: log, resource: f.path, timeout: settingsTimeout, startedAt: time.Now()}
 	previous, unchangedSince := []byte(nil), time.Now()
 	for first := true; ; first = false {
 		raw, err := os.ReadFile(f.path)
@@ -48,11 +49,11 @@
 		}
 		loaded, err := parseRead(raw, err)
 		if err == nil && (!changed || f.isSettled()) {
-			f.last = raw
-			wait.end()
+			f.lastRead = raw
+			wait.finish()
 			return loaded, nil
 		}
-		if err != nil && (time.Since(unchangedSince) >= settingsSettleTime || wait.exhausted()) {
+		if err != nil && (time.Since(unchangedSince) >= settingsSettleTime || wait.expired()) {
 			return nil, err
 		}
 		if err != nil {
@@ -66,14 +67,14 @@
 	}
 }
 
-// isSettled reports whether the file was modified longer than settingsSettleTime ago. A time of modification far in the
-// future says as much: the clock was set.
+// isSettled reports whether the last modification of the file is at least settingsSettleTime away from now. A
+// modification time that lies that far in the future also counts, since it means that the clock was changed.
 func (f *settingsFile) isSettled() bool {
 	info, err := os.Stat(f.path)
 	return err == nil && time.Since(info.ModTime()).Abs() >= settingsSettleTime
 }
 
-// parseRead parses what was read of a settings file.
+// parseRead parses the result of reading a settings file; err is the error of the read.
 func parseRead(raw []byte, err error) (*settings.Settings, error) {
 	if err != nil {
 		return nil, &settingsReadError{err}
@@ -81,14 +82,14 @@
 	return settings.Parse(raw)
 }
 
-// settingsReadError says that the settings file can't be read.
+// settingsReadError means that the settings file can't be read.
 type settingsReadError struct{ err error }
 
 func (e *settingsReadError) Error() string { return "settings: " + e.err.Error() }
 
 func (e *settingsReadError) Unwrap() error { return e.err }
 
-// read reads the file until two reads in a row find the same.
+// read reads the file until two consecutive reads return the same content, with at most maxUnstableReads repetitions.
 func (f *settingsFile) read() (raw []byte, err error) {
 	raw, err = os.ReadFile(f.path)
 	for range maxUnstableReads {
@@ -102,13 +103,14 @@
 	return raw, err
 }
 
-// unchanged reports whether the file has the content that was read last.
+// unchanged reports whether the file still has the content lastRead.
 func (f *settingsFile) unchanged() bool {
 	raw, err := os.ReadFile(f.path)
-	return err == nil && bytes.Equal(raw, f.last)
+	return err == nil && bytes.Equal(raw, f.lastRead)
 }
 
-// watchSettings applies new settings after each SIGHUP, and when the file has changed, until quit is closed.
+// watchSettings applies new settings after each SIGHUP and after each change of the file, until quit is closed. It also
+// checks the memory use at each poll.
 func (p *Process) watchSettings(hangups <-chan os.Signal, quit <-chan struct{}) error {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -134,17 +136,17 @@
 	}
 }
 
-// startReload reloads the settings in a goroutine that the stop doesn't wait for, since reading a file may hang. The
-// channel gets its outcome.
+// startReload reloads the settings in a separate goroutine and sends its error, or nil, to the returned channel. The
+// shutdown doesn't wait for this goroutine, since reading a file may hang.
 func (p *Process) startReload(cause string) <-chan error {
 	outcome := make(chan error, 1)
 	go func() {
-		outcome <- guard("settings", func() error { p.reloadSettings(cause); return nil })
+		outcome <- callWithRecovery("settings", func() error { p.reloadSettings(cause); return nil })
 	}()
 	return outcome
 }
 
-// reloadSettings applies a changed file. An invalid one is logged, and the old settings stay.
+// reloadSettings applies a changed file. It logs an invalid file and keeps the previous settings.
 func (p *Process) reloadSettings(cause string) {
 	if p.file.unchanged() {
 		return
@@ -153,14 +155,14 @@
 	if err != nil && cause == causeChange {
 		return // the file may be in the middle of a replacement; the next poll reads it
 	}
-	if err == nil && bytes.Equal(raw, p.file.last) {
+	if err == nil && bytes.Equal(raw, p.file.lastRead) {
 		return
 	}
-	p.file.last = raw
+	p.file.lastRead = raw
 	loaded, err := parseRead(raw, err)
 	if err != nil {
 		p.Log.Error(logging.SettingsRejected).Err(err).Str("cause", cause).
-			Msg("settings rejected; the old ones stay")
+			Msg("settings rejected; the previous settings stay in force")
 		return
 	}
 	p.reload(loaded)
--- a/internal/process/signals_test.go
+++ b/internal/process/signals_test.go
@@ -11,7 +11,7 @@
 	"comethold/internal/testbed"
 )
 
-// TestHangupBeforeSettingsAreRead guards against a SIGHUP that ends a process during its start.
+// TestHangupBeforeSettingsAreRead guards against a SIGHUP that ends a process before it has read its settings.
 func TestHangupBeforeSettingsAreRead(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestTerminationBeforeSettingsAreRead guards against a SIGTERM that is lost, or that kills, during the start.
+// TestTerminationBeforeSettingsAreRead guards against a SIGTERM that is lost during the start, or that ends the process
+// with an exit code other than 0.
 func TestTerminationBeforeSettingsAreRead(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -35,13 +36,14 @@
 			release := n.serveSettingsFromPipe(t)
 			i := n.startWith(t, nil)
 			release(func() { i.signal(syscall.SIGTERM) })
-			i.wantEnd(0)
+			i.wantExit(0)
 		})
 	}
 }
 
-// serveSettingsFromPipe makes the settings file a named pipe. The function that it returns waits until the program
-// opens the file, calls during, and then serves the settings to this and later reads.
+// serveSettingsFromPipe replaces the settings file with a named pipe. The returned function waits until the program
+// opens the pipe, calls during, writes the settings to the pipe, and replaces the pipe with a regular file for later
+// reads.
 func (n *node) serveSettingsFromPipe(t *testing.T) (release func(during func())) {
 	t.Helper()
 	if err := testbed.WriteSettings(n.file, n.settings); err != nil {
@@ -58,12 +60,12 @@
 		t.Fatal(err)
 	}
 	return func(during func()) {
-		pipe, err := os.OpenFile(n.file, os.O_WRONLY, 0) // waits for the reader
+		pipe, err := os.OpenFile(n.file, os.O_WRONLY, 0) // blocks until the program opens the pipe
 		if err != nil {
 			t.Fatal(err)
 		}
 		during()
-		_, _ = pipe.Write(text) // fails if the program has ended
+		_, _ = pipe.Write(text) // fails if the program has exited
 		_ = pipe.Close()
 		next := n.file + ".next"
 		if err := os.WriteFile(next, text, 0o600); err != nil {
@@ -75,23 +77,25 @@
 	}
 }
 
-// TestEarlyHangups guards against handlers that stand much later than in a least program of the language.
-func TestEarlyHangups(t *testing.T) {
+// TestHangupRightAfterStart guards against a signal handler that is installed late, so that a SIGHUP shortly after the
+// start ends the process. No Go program can handle every such signal, so the number of processes that end is compared
+// with that of a minimal program.
+func TestHangupRightAfterStart(t *testing.T) {
 	const (
-		tries       = 48
-		maxDelay    = 9600 // microseconds
-		leastFactor = 2
-		chance      = 6 // ends that the scheduling of a few tries may add
+		tries         = 48
+		maxDelay      = 9600 // microseconds
+		allowedFactor = 2
+		tolerance     = 6 // additional ends that scheduling may cause
 	)
 	n := newNode(t, "data-plane")
 	if err := testbed.WriteSettings(n.file, n.settings); err != nil {
 		t.Fatal(err)
 	}
-	ended, endedLeast := 0, 0
+	ended, endedMinimal := 0, 0
 	for try := range tries {
 		delay := time.Duration(try*maxDelay/tries) * time.Microsecond
-		if hangupEnds(t, exec.CommandContext(t.Context(), leastProgram), delay) {
-			endedLeast++
+		if hangupEnds(t, exec.CommandContext(t.Context(), minimalProgram), delay) {
+			endedMinimal++
 		}
 		command := exec.CommandContext(t.Context(), comethold, n.program)
 		command.Env = append(os.Environ(), "COMETHOLD_SETTINGS="+n.file)
@@ -99,13 +103,14 @@
 			ended++
 		}
 	}
-	t.Logf("SIGHUP ended %d of %d, of the least program %d", ended, tries, endedLeast)
-	if ended > leastFactor*endedLeast+chance {
-		t.Errorf("SIGHUP ended %d of %d processes, of the least program %d", ended, tries, endedLeast)
+	t.Logf("SIGHUP ended %d of %d comethold processes and %d minimal programs", ended, tries, endedMinimal)
+	if ended > allowedFactor*endedMinimal+tolerance {
+		t.Errorf("SIGHUP ended %d of %d comethold processes and %d minimal programs, want at most %d comethold processes",
+			ended, tries, endedMinimal, allowedFactor*endedMinimal+tolerance)
 	}
 }
 
-// hangupEnds starts a process, sends SIGHUP after a delay, and reports whether that ended it.
+// hangupEnds starts a process, sends SIGHUP after a delay, and reports whether SIGHUP ended it.
 func hangupEnds(t *testing.T, command *exec.Cmd, delay time.Duration) bool {
 	t.Helper()
 	if err := command.Start(); err != nil {
@@ -113,14 +118,15 @@
 	}
 	time.Sleep(delay)
 	_ = command.Process.Signal(syscall.SIGHUP)
-	time.Sleep(30 * time.Millisecond) // it is ended by the time that SIGKILL comes, or not by SIGHUP
+	time.Sleep(30 * time.Millisecond) // if SIGHUP ends the process, it has done so before SIGKILL
 	_ = command.Process.Kill()
 	_ = command.Wait()
 	status, ok := command.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == syscall.SIGHUP
 }
 
-// TestTerminationAfterManyHangups guards against a SIGTERM that finds the queue of signals full.
+// TestTerminationAfterManyHangups guards against a SIGTERM that is lost because earlier SIGHUPs fill the buffer of the
+// signal channel while a reload blocks.
 func TestTerminationAfterManyHangups(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -131,19 +137,20 @@
 			if err := os.Remove(n.file); err != nil {
 				t.Fatal(err)
 			}
-			if err := syscall.Mkfifo(n.file, 0o600); err != nil { // a reload waits for it
+			if err := syscall.Mkfifo(n.file, 0o600); err != nil { // a reload blocks on the pipe
 				t.Fatal(err)
 			}
 			for range 20 {
 				i.signal(syscall.SIGHUP)
-				time.Sleep(20 * time.Millisecond) // signals of one kind that are pending are one
+				time.Sleep(20 * time.Millisecond) // pending signals of the same kind are merged
 			}
 			i.wantStop()
 		})
 	}
 }
 
-// TestNewestSettingsAfterManyHangups guards against merged signals that leave older settings in force.
+// TestNewestSettingsAfterManyHangups guards against older settings that stay in force because the last SIGHUPs were
+// merged.
 func TestNewestSettingsAfterManyHangups(t *testing.T) {
 	n := newNode(t, "data-plane")
 	i := n.start(t)
@@ -151,7 +158,7 @@
 	for round := range 20 {
 		n.settings.Log.Level = "debug"
 		if round == 19 {
-			n.settings.Log.Level = "loud" // invalid: its rejection shows that it was read
+			n.settings.Log.Level = "loud" // invalid, so the log shows that it was read
 		}
 		n.settings.Bounds.DrainMs = int64(3000 + round)
 		if err := testbed.WriteSettings(n.file, n.settings); err != nil {
@@ -163,10 +170,10 @@
 	i.wantStop()
 }
 
-// realTimeSignal is one of the signals that have no meaning of their own.
+// realTimeSignal is a real-time signal, which has no predefined meaning.
 const realTimeSignal = syscall.Signal(40)
 
-// TestSignalsWhileStopping guards against signals that end, or hold up, a stop that is under way.
+// TestSignalsWhileStopping guards against signals that abort or delay a shutdown in progress.
 func TestSignalsWhileStopping(t *testing.T) {
 	n := newNode(t, "data-plane")
 	i := n.start(t)
@@ -179,10 +186,10 @@
 		i.signal(syscall.SIGINT)
 		time.Sleep(20 * time.Millisecond)
 	}
-	i.wantEnd(0)
+	i.wantExit(0)
 }
 
-// TestSignalsInService holds what each signal does to a process in service.
+// TestSignalsInService checks the effect of each signal on a process in service.
 func TestSignalsInService(t *testing.T) {
 	cases := []struct {
 		signal   syscall.Signal
@@ -233,21 +240,23 @@
 			}
 			select {
 			case <-i.Exited():
-			case <-time.After(patience):
-				t.Fatal("it runs on")
+			case <-time.After(maxWait):
+				t.Fatalf("the process has not ended %v after the signal", maxWait)
 			}
 			if i.ExitCode() != test.code || i.EndSignal() != test.endedBy {
-				t.Errorf("exit code %d, ended by %v: %s", i.ExitCode(), i.EndSignal(), i.log)
+				t.Errorf("exit code %d, ended by %v, want exit code %d, ended by %v: %s",
+					i.ExitCode(), i.EndSignal(), test.code, test.endedBy, i.log)
 			}
 			if !strings.Contains(i.lastLine(), test.lastLine) {
-				t.Errorf("the last line is %s", i.lastLine())
+				t.Errorf("the last line is %s, want it to contain %s", i.lastLine(), test.lastLine)
 			}
 		})
 	}
 }
 
-// TestSuspended guards against a process that ends, or can't be stopped, after it was suspended.
-func TestSuspended(t *testing.T) {
+// TestSuspendedAndResumed guards against a process that ends after SIGSTOP and SIGCONT, or that ignores a SIGTERM
+// sent while it is suspended.
+func TestSuspendedAndResumed(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
 			t.Parallel()
@@ -263,12 +272,12 @@
 			i.signal(syscall.SIGSTOP)
 			i.signal(syscall.SIGTERM)
 			i.signal(syscall.SIGCONT)
-			i.wantEnd(0)
+			i.wantExit(0)
 		})
 	}
 }
 
-// TestLastLineNamesTheSignal guards against an end that the log doesn't explain.
+// TestLastLineNamesTheSignal guards against a log whose last line doesn't name the signal that stopped the process.
 func TestLastLineNamesTheSignal(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -278,12 +287,12 @@
 			i.awaitLine(`"event":110`)
 			i.wantStop()
 			if last := i.lastLine(); !strings.Contains(last, `"event":103`) || !strings.Contains(last, "terminated") {
-				t.Errorf("the last line is %s", last)
+				t.Errorf("the last line is %s, want event 103 and the signal terminated", last)
 			}
 			first, _, _ := strings.Cut(i.log.String(), "\n")
 			for _, field := range []string{`"event":101`, `"firstStart":true`, `"storage":`} {
 				if !strings.Contains(first, field) {
-					t.Errorf("the first line lacks %s: %s", field, first)
+					t.Errorf("the first line does not contain %s: %s", field, first)
 				}
 			}
 		})
--- a/internal/process/start_test.go
+++ b/internal/process/start_test.go
@@ -14,8 +14,8 @@
 	"comethold/internal/testbed"
 )
 
-// TestPortTakenForAWhile guards against a start that fails because a predecessor still holds a port.
-func TestPortTakenForAWhile(t *testing.T) {
+// TestPortTemporarilyTaken guards against a start that fails because another process or connection still uses the port.
+func TestPortTemporarilyTaken(t *testing.T) {
 	holders := map[string]func(t *testing.T, address string) (release func()){
 		"listener":   holdListener,
 		"datagrams":  holdDatagrams,
@@ -35,7 +35,7 @@
 					i.awaitLine(`"event":109`)
 					i.awaitLine(`"event":110`)
 					if count := strings.Count(i.log.String(), `"event":108`); count != 1 {
-						t.Errorf("%d lines tell of the wait: %s", count, i.log)
+						t.Errorf("%d lines of event 108, want 1: %s", count, i.log)
 					}
 					i.wantStop()
 				})
@@ -62,7 +62,7 @@
 	return func() { _ = conn.Close() }
 }
 
-// holdConnection makes the address the local one of a connection.
+// holdConnection opens a connection whose local address is the given one.
 func holdConnection(t *testing.T, address string) (release func()) {
 	t.Helper()
 	host, _, err := net.SplitHostPort(address)
@@ -83,14 +83,14 @@
 	}
 	return func() {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the port is free at once
+			_ = tcp.SetLinger(0) // frees the port at once, without TIME_WAIT
 		}
 		_ = conn.Close()
 		_ = listener.Close()
 	}
 }
 
-// TestTerminationWhileAPortIsTaken guards against a SIGTERM that waits for the start.
+// TestTerminationWhileAPortIsTaken guards against a SIGTERM that takes effect only after the start has got its port.
 func TestTerminationWhileAPortIsTaken(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -102,14 +102,15 @@
 			i.signal(syscall.SIGHUP)
 			i.wantStop()
 			if last := i.lastLine(); !strings.Contains(last, `"event":103`) || !strings.Contains(last, `"phase":"start"`) {
-				t.Errorf("the last line is %s", last)
+				t.Errorf("the last line is %s, want event 103 in the phase start", last)
 			}
 		})
 	}
 }
 
-// TestForeignAddress guards against a wait for an address that will never be this machine's.
-func TestForeignAddress(t *testing.T) {
+// TestAddressOfOtherMachine guards against a start that waits without end for an address that this machine doesn't
+// have.
+func TestAddressOfOtherMachine(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
 			t.Parallel()
@@ -117,18 +118,18 @@
 			n.settings.IPAddress = "192.0.2.1" // reserved for documentation
 			started := time.Now()
 			i := n.start(t)
-			i.wantEnd(exitFailure)
+			i.wantExit(exitFailure)
 			if waited := time.Since(started); waited > gracePeriod(n.settings)+startMargin {
-				t.Errorf("ended after %v", waited)
+				t.Errorf("ended after %v, want at most %v", waited, gracePeriod(n.settings)+startMargin)
 			}
 			if last := i.lastLine(); !strings.Contains(last, `"event":107`) || !strings.Contains(last, "192.0.2.1") {
-				t.Errorf("the last line is %s", last)
+				t.Errorf("the last line is %s, want event 107 and the address 192.0.2.1", last)
 			}
 		})
 	}
 }
 
-// TestSettingsWrittenDuringTheStart guards against a start that fails because its settings file is half written.
+// TestSettingsWrittenDuringTheStart guards against a start that fails because its settings file is only partly written.
 func TestSettingsWrittenDuringTheStart(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -146,7 +147,7 @@
 					t.Fatal(err)
 				}
 				if settingsAreValid(text[:written]) {
-					t.Fatalf("the first %d bytes are valid", written)
+					t.Fatalf("the first %d bytes of the settings are valid, want them to be invalid", written)
 				}
 				i := n.startWith(t, nil)
 				time.Sleep(200 * time.Millisecond)
@@ -165,7 +166,7 @@
 	return err == nil
 }
 
-// TestInvalidSettings guards against an endless wait for settings that nobody corrects.
+// TestInvalidSettings guards against a start that waits without end for an invalid settings file to change.
 func TestInvalidSettings(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
@@ -175,15 +176,16 @@
 				t.Fatal(err)
 			}
 			i := n.startWith(t, nil)
-			i.wantEnd(exitFailure)
+			i.wantExit(exitFailure)
 			if last := i.lastLine(); !strings.Contains(last, `"event":107`) || !strings.Contains(last, "settings") {
-				t.Errorf("the last line is %s", last)
+				t.Errorf("the last line is %s, want event 107 and an error of the settings", last)
 			}
 		})
 	}
 }
 
-// TestDataDirectoryMissing guards against programs that wait for, or do without, a directory that they can make.
+// TestDataDirectoryMissing guards against a program that waits for a missing data directory, or runs without it,
+// instead of creating it.
 func TestDataDirectoryMissing(t *testing.T) {
 	for _, program := range []string{"control-plane", "object-cache"} {
 		t.Run(program, func(t *testing.T) {
@@ -193,17 +195,18 @@
 			opened := map[string]string{"control-plane": `"event":206`, "object-cache": `"event":701`}[program]
 			i.awaitLine(opened)
 			if entries, err := os.ReadDir(n.settings.DataDirectory); err != nil || len(entries) == 0 {
-				t.Errorf("the directory holds %d files: %v", len(entries), err)
+				t.Errorf("the data directory has %d files (error %v), want at least 1", len(entries), err)
 			}
 			if strings.Contains(i.log.String(), `"event":202`) || strings.Contains(i.log.String(), `"event":702`) {
-				t.Errorf("a disk fault is logged: %s", i.log)
+				t.Errorf("the log contains a disk fault (event 202 or 702), want none: %s", i.log)
 			}
 			i.wantStop()
 		})
 	}
 }
 
-// TestDataDirectoryCannotBeMade guards against a control plane that is never ready and doesn't say why.
+// TestDataDirectoryCannotBeMade guards against a control plane that runs on without a data directory, and so never
+// becomes ready, and doesn't log the reason.
 func TestDataDirectoryCannotBeMade(t *testing.T) {
 	n := newNode(t, "control-plane")
 	if err := os.WriteFile(n.settings.DataDirectory, nil, 0o600); err != nil {
@@ -211,13 +214,14 @@
 	}
 	n.settings.DataDirectory += "/below"
 	i := n.start(t)
-	i.wantEnd(exitFailure)
+	i.wantExit(exitFailure)
 	if last := i.lastLine(); !strings.Contains(last, `"event":107`) || !strings.Contains(last, "data directory") {
-		t.Errorf("the last line is %s", last)
+		t.Errorf("the last line is %s, want event 107 and an error of the data directory", last)
 	}
 }
 
-// TestStorageLockedByPredecessor guards against a start that fails while a predecessor still has the storage open.
+// TestStorageLockedByPredecessor guards against a start that fails because the previous process still has the storage
+// open.
 func TestStorageLockedByPredecessor(t *testing.T) {
 	for program, opened := range map[string]string{"control-plane": `"event":206`, "object-cache": `"event":701`} {
 		t.Run(program, func(t *testing.T) {
@@ -236,8 +240,9 @@
 	}
 }
 
-// TestFewDescriptors guards against an end, or a listener that is given up, when there are no more descriptors.
-func TestFewDescriptors(t *testing.T) {
+// TestDescriptorsExhausted guards against a process that ends, or stops accepting connections for good, when it has no
+// file descriptors left.
+func TestDescriptorsExhausted(t *testing.T) {
 	n := newNode(t, "object-cache")
 	if err := testbed.WriteSettings(n.file, n.settings); err != nil {
 		t.Fatal(err)
@@ -248,7 +253,7 @@
 	if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	kept := &safeBuffer{}
+	kept := &lockedBuffer{}
 	started, err := testbed.Start(t.Context(), testbed.Command{
 		Binary: wrapper, Program: n.program, SettingsFile: n.file, Log: kept,
 	})
--- a/internal/process/startwait.go
+++ b/internal/process/startwait.go
@@ -11,24 +11,25 @@
 	"comethold/internal/logging"
 )
 
-// startRetryInterval is the time between two attempts to get what the start needs.
+// startRetryInterval is the time between two attempts to get a resource that the start needs.
 const startRetryInterval = 50 * time.Millisecond
 
 const dataDirectoryMode = 0o755
 
-// errStartStopped ends the waits of a start that a signal has ended.
-var errStartStopped = errors.New("process: stopped during its start")
+// errStartInterrupted is returned by waits of the start after a signal has ended the start.
+var errStartInterrupted = errors.New("process: a signal interrupted the start")
 
-// startWait is a wait of the start for one resource. It logs the first failure and the end of the wait.
+// startWait is a wait of the start for one resource. It logs the first failure, and the time waited once the resource
+// is available.
 type startWait struct {
 	log       *logging.Logger
 	resource  string
-	patience  time.Duration
+	timeout   time.Duration
 	startedAt time.Time
 	reported  bool
 }
 
-func (w *startWait) exhausted() bool { return time.Since(w.startedAt) >= w.patience }
+func (w *startWait) expired() bool { return time.Since(w.startedAt) >= w.timeout }
 
 func (w *startWait) report(err error) {
 	if w.reported {
@@ -38,12 +39,12 @@
 	w.log.Warn(logging.StartDelayed).
 		Err(err).
 		Str("resource", w.resource).
-		Dur("patienceMs", w.patience).
-		Msg("the start waits for something that is missing")
+		Dur("patienceMs", w.timeout).
+		Msg("start is delayed: resource is not available yet; retrying")
 }
 
-// end logs that the resource is there, if that wasn't so at first, and returns how long it took.
-func (w *startWait) end() time.Duration {
+// finish returns the time waited and logs it. It returns 0 and logs nothing if report was not called.
+func (w *startWait) finish() time.Duration {
 	if !w.reported {
 		return 0
 	}
@@ -51,53 +52,53 @@
 	w.log.Info(logging.StartResumed).
 		Str("resource", w.resource).
 		Dur("waitedMs", waited).
-		Msg("the start goes on")
+		Msg("resource is available; start continues")
 	return waited
 }
 
-// await calls attempt until it succeeds, fails for good, or the patience of the start is exhausted. It returns the last
-// error.
+// await calls attempt until it succeeds, fails with a permanent error, or startTimeout has passed. It returns the last
+// error, or errStartInterrupted if a signal ends the start.
 func (p *Process) await(resource string, attempt func() error) error {
-	wait := startWait{log: p.Log, resource: resource, patience: p.startPatience(), startedAt: time.Now()}
+	wait := startWait{log: p.Log, resource: resource, timeout: p.startTimeout(), startedAt: time.Now()}
 	for {
 		err := attempt()
 		if err == nil {
-			p.waited += wait.end()
+			p.waited += wait.finish()
 			return nil
 		}
-		if !isPassing(err) {
+		if !isTransient(err) {
 			return err
 		}
-		if wait.exhausted() {
-			return fmt.Errorf("after %v: %w", wait.patience, err)
+		if wait.expired() {
+			return fmt.Errorf("still failing after %v: %w", wait.timeout, err)
 		}
 		wait.report(err)
 		select {
 		case <-p.quit:
-			return errStartStopped
+			return errStartInterrupted
 		case <-time.After(startRetryInterval):
 		}
 	}
 }
 
-// passingErrors are errors of the system that may be gone a moment later.
-var passingErrors = []error{
-	syscall.EADDRINUSE, // a predecessor, or another connection's local port
+// transientErrors are system errors that may disappear when the call is repeated.
+var transientErrors = []error{
+	syscall.EADDRINUSE, // port in use by a previous process, or as the local port of a connection
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENOSPC, syscall.EROFS, syscall.EIO, syscall.ENOENT, syscall.ESTALE, syscall.EDQUOT,
 }
 
-func isPassing(err error) bool {
-	for _, passing := range passingErrors {
-		if errors.Is(err, passing) {
+func isTransient(err error) bool {
+	for _, transient := range transientErrors {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// MakeDataDirectory makes the data directory where it is missing, and waits while that fails. The names of the
-// directories that it makes survive a loss of power.
+// MakeDataDirectory creates the data directory if it is missing. It retries transient errors up to startTimeout. The
+// entries of the directories that it creates are synced, so that they survive a loss of power.
 func (p *Process) MakeDataDirectory() error {
 	path := p.Settings.DataDirectory
 	if path == "" {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// makeDirectory makes a directory and those above it, and syncs the directory that holds each new name.
+// makeDirectory creates a directory and its missing parents, and syncs the parent of each directory that it creates.
 func makeDirectory(path string) error {
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
 		return err
--- a/internal/process/testdata/leastprogram/main.go
+++ b/internal/process/testdata/leastprogram/main.go
@@ -1,4 +1,5 @@
-// Command leastprogram only asks for SIGHUP. It is what a program of the language can do at its start at best.
+// Command leastprogram only subscribes to SIGHUP. The tests compare comethold with it, since no Go program can handle
+// SIGHUP sooner after its start.
 package main
 
 import (
