--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -1,6 +1,6 @@
 package logging
 
-// EventNumber identifies a kind of event. Numbers never change and are never reused: operators match on them.
+// EventNumber identifies a kind of event. Numbers never change and are never reused, since operators match on them.
 type EventNumber int
 
 // 1xx: start and end of a process, settings.
@@ -17,8 +17,8 @@
 	LinesLost        EventNumber = 111
 	LibraryMessage   EventNumber = 112
 	MemoryNearLimit  EventNumber = 113
-	SocketFault      EventNumber = 114
-	SocketRecovered  EventNumber = 115
+	AcceptFailed     EventNumber = 114
+	AcceptRecovered  EventNumber = 115
 	StopTimedOut     EventNumber = 116
 )
 
@@ -49,7 +49,7 @@
 	NotificationDropped     EventNumber = 312
 )
 
-// 4xx: nodes, leases and the work of lease holders.
+// 4xx: nodes, leases and the tasks of lease holders.
 const (
 	NodeDown             EventNumber = 402
 	LeaseAcquired        EventNumber = 403
@@ -57,7 +57,7 @@
 	QuotaShareChanged    EventNumber = 405
 	UsageReportAccepted  EventNumber = 406
 	UsageReportFailed    EventNumber = 407
-	UnknownDuty          EventNumber = 408
+	UnknownSingletonRole EventNumber = 408
 	EstimateExportFailed EventNumber = 409
 )
 
