--- a/internal/boundedio/budget.go
+++ b/internal/boundedio/budget.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// ErrBudget says that what is read at the same time holds as much memory as it may.
-var ErrBudget = errors.New("boundedio: too much is read at the same time")
+// ErrBudgetExceeded says that what is read at the same time holds as much memory as it may.
+var ErrBudgetExceeded = errors.New("boundedio: too much is read at the same time")
 
 const (
 	// firstBufferBytes is the size of the first buffer if it is not known how much will come.
@@ -46,8 +46,8 @@
 	}
 }
 
-// ReadAll reads a source to its end. It fails with ErrBound if that has more than limit bytes, and
-// with ErrBudget if the budget doesn't allow the memory. expected is the size of the first
+// ReadAll reads a source to its end. It fails with ErrLimitExceeded if that has more than limit bytes, and
+// with ErrBudgetExceeded if the budget doesn't allow the memory. expected is the size of the first
 // buffer, one byte more than are expected; 0 if that is not known. A large buffer grows only as
 // bytes arrive.
 func (b *Budget) ReadAll(source io.Reader, expected, limit int) ([]byte, error) {
@@ -58,7 +58,7 @@
 	defer func() { b.release(cap(buffer)) }()
 	for {
 		if len(buffer) > limit {
-			return nil, ErrBound
+			return nil, ErrLimitExceeded
 		}
 		if len(buffer) == cap(buffer) {
 			grown, err := b.grow(buffer, limit)
@@ -82,7 +82,7 @@
 func (b *Budget) grow(buffer []byte, limit int) ([]byte, error) {
 	size := min(2*cap(buffer), limit+1)
 	if !b.reserve(size) {
-		return nil, ErrBudget
+		return nil, ErrBudgetExceeded
 	}
 	grown := make([]byte, len(buffer), size)
 	copy(grown, buffer)
--- a/internal/boundedio/budget_test.go
+++ b/internal/boundedio/budget_test.go
@@ -24,8 +24,10 @@
 			}
 		}
 	}
-	if _, err := budget.ReadAll(strings.NewReader(strings.Repeat("x", limit+1)), 0, limit); !errors.Is(err, ErrBound) {
-		t.Errorf("above the limit: %v", err)
+	if _, err := budget.ReadAll(
+		strings.NewReader(strings.Repeat("x", limit+1)), 0, limit,
+	); !errors.Is(err, ErrLimitExceeded) {
+		t.Errorf("ReadAll of limit+1 bytes returned %v, want ErrLimitExceeded", err)
 	}
 	failing := iotest.TimeoutReader(strings.NewReader(strings.Repeat("x", limit)))
 	if _, err := budget.ReadAll(failing, 0, limit); !errors.Is(err, iotest.ErrTimeout) {
@@ -48,7 +50,7 @@
 	}()
 	_, _ = writer.Write(make([]byte, size+1)) // the reader holds a buffer of two
 	_, err := budget.ReadAll(strings.NewReader(strings.Repeat("x", size+1)), 0, 4*size)
-	if !errors.Is(err, ErrBudget) {
+	if !errors.Is(err, ErrBudgetExceeded) {
 		t.Errorf("too much together: %v", err)
 	}
 	_ = writer.Close()
--- a/internal/boundedio/reader.go
+++ b/internal/boundedio/reader.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// ErrBound says that the peer sent more bytes than the bound allows.
-var ErrBound = errors.New("boundedio: more bytes than allowed")
+// ErrLimitExceeded says that the peer sent more bytes than the bound allows.
+var ErrLimitExceeded = errors.New("boundedio: more bytes than allowed")
 
 // Reader is a reader on which the number of bytes still to be read can be bounded, so that a
 // parser that buffers what it reads takes no more memory than that. Its zero value has no
@@ -28,13 +28,13 @@
 // Unbound ends the bound.
 func (r *Reader) Unbound() { r.isBounded = false }
 
-// Read implements io.Reader. It returns ErrBound once the bound is reached.
+// Read implements io.Reader. It returns ErrLimitExceeded once the bound is reached.
 func (r *Reader) Read(p []byte) (int, error) {
 	if !r.isBounded {
 		return r.Source.Read(p)
 	}
 	if r.remaining <= 0 {
-		return 0, ErrBound
+		return 0, ErrLimitExceeded
 	}
 	n, err := r.Source.Read(p[:min(len(p), r.remaining)])
 	r.remaining -= n
--- a/internal/boundedio/reader_test.go
+++ b/internal/boundedio/reader_test.go
@@ -11,11 +11,11 @@
 func TestReader(t *testing.T) {
 	r := &Reader{Source: strings.NewReader("abcdefgh")}
 	r.Bound(3)
-	if got, err := io.ReadAll(r); string(got) != "abc" || !errors.Is(err, ErrBound) {
+	if got, err := io.ReadAll(r); string(got) != "abc" || !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
 	r.Bound(1)
-	if got, err := io.ReadAll(r); string(got) != "d" || !errors.Is(err, ErrBound) {
+	if got, err := io.ReadAll(r); string(got) != "d" || !errors.Is(err, ErrLimitExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
 	r.Unbound()
--- a/internal/compat/distribution_test.go
+++ b/internal/compat/distribution_test.go
@@ -112,15 +112,15 @@
 			DataPlaneCount: 9,
 			Base:           13,
 		},
-		RemovedIndexes: []string{"x0"},
-		Purges:         &purges,
+		RemovedSearchIndexes: []string{"x0"},
+		Purges:               &purges,
 		Notifications: &distribution.NotificationUpdate{
 			LogIndex:      33,
 			Notifications: []distribution.OutboxNotification{{LogIndex: 32, Notification: change()}},
 			Reset:         true,
 			BaseVersions:  map[string]uint64{"purges": 29},
 		},
-		NeedMarkIndexes: true,
+		NeedMarkLogIndexes: true,
 	}
 }
 
@@ -132,7 +132,7 @@
 			Held: distribution.HeldVersions{
 				ConfigVersion:     7,
 				EndpointRevision:  distribution.Revision{Term: 5, Sequence: 76},
-				MarkIndexes:       map[string]uint64{"x1": 20},
+				MarkLogIndexes:    map[string]uint64{"x1": 20},
 				NodesIndex:        12,
 				DataPlaneCount:    8,
 				PurgeIndex:        29,
--- a/internal/controlclient/applied_state.go
+++ b/internal/controlclient/applied_state.go
@@ -15,7 +15,7 @@
 	"comethold/internal/upstream"
 )
 
-// sendMarkIndexesFor is how long HeldVersions.MarkIndexes is sent after a control node
+// sendMarkIndexesFor is how long HeldVersions.MarkLogIndexes is sent after a control node
 // asked for it. A control node asks at most once in that time.
 const sendMarkIndexesFor = 10 * time.Second
 
@@ -116,7 +116,7 @@
 		held.EndpointRevision = s.endpointRevision
 	}
 	if time.Now().Before(s.sendMarkIndexesUntil) {
-		held.MarkIndexes = s.markIndexesLocked()
+		held.MarkLogIndexes = s.markIndexesLocked()
 	}
 	return held
 }
@@ -134,11 +134,11 @@
 	if u.Endpoints != nil {
 		s.applyEndpointsLocked(u.Endpoints)
 	}
-	if u.NeedMarkIndexes {
+	if u.NeedMarkLogIndexes {
 		s.sendMarkIndexesUntil = time.Now().Add(sendMarkIndexesFor)
 	}
-	if len(u.EjectionMarks) > 0 || len(u.RemovedIndexes) > 0 {
-		s.applyEjectionMarksLocked(u.EjectionMarks, u.RemovedIndexes)
+	if len(u.EjectionMarks) > 0 || len(u.RemovedSearchIndexes) > 0 {
+		s.applyEjectionMarksLocked(u.EjectionMarks, u.RemovedSearchIndexes)
 	}
 	if u.Nodes != nil {
 		s.applyNodesLocked(u.Nodes)
--- a/internal/controlclient/applied_state_test.go
+++ b/internal/controlclient/applied_state_test.go
@@ -65,7 +65,7 @@
 		if receiver.confirmed.Load() {
 			t.Errorf("%s is confirmed by a node that is no control node", c.situation)
 		}
-		held.MarkIndexes = map[string]uint64{"ix": 12}
+		held.MarkLogIndexes = map[string]uint64{"ix": 12}
 		if again := sender.updateFor(held, false); !again.Empty() {
 			t.Errorf("%s gets what it holds: %+v", c.situation, again)
 		}
--- a/internal/controlclient/update_for.go
+++ b/internal/controlclient/update_for.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for name, marks := range s.ejectionMarks {
-		if held.MarkIndexes[name] < marks.LogIndex {
+		if held.MarkLogIndexes[name] < marks.LogIndex {
 			update.EjectionMarks = append(update.EjectionMarks, marks)
 		}
 	}
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -248,11 +248,11 @@
 	s.mu.Unlock()
 	var update distribution.Update
 	address := net.JoinHostPort(host, strconv.Itoa(s.settings.PortOf(program)))
-	err := s.client.CallPatiently(ctx, address, updatePath, &request, &update, rpc.Patience{
-		Begin:   timeout,
-		Silence: pollTimeout,
-		Total:   maxPollDuration,
-		OnBegin: s.keepPoll,
+	err := s.client.CallWithTimeouts(ctx, address, updatePath, &request, &update, rpc.ResponseTimeouts{
+		Header:   timeout,
+		Idle:     pollTimeout,
+		Total:    maxPollDuration,
+		OnHeader: s.keepPoll,
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distributor/distributor_test.go
+++ b/internal/controlplane/distributor/distributor_test.go
@@ -77,7 +77,7 @@
 
 func heldIndexes(logIndexes map[string]uint64) distribution.HeldVersions {
 	held := heldDigest(logIndexes)
-	held.MarkIndexes = logIndexes
+	held.MarkLogIndexes = logIndexes
 	return held
 }
 
@@ -97,13 +97,13 @@
 	}
 	setMarks(d, "b", 5, "x", "y")
 	u := markChanges(d, heldDigest(both))
-	if len(u.EjectionMarks) != 1 || u.EjectionMarks[0].LogIndex != 5 || u.NeedMarkIndexes {
+	if len(u.EjectionMarks) != 1 || u.EjectionMarks[0].LogIndex != 5 || u.NeedMarkLogIndexes {
 		t.Errorf("update for a node that holds the previous marks: %v, want only those at log index 5", u)
 	}
 	// The marks are from another control node: newer in one index and older in the other.
 	mixed := map[string]uint64{"a": 9, "b": 2}
-	if u := markChanges(d, heldDigest(mixed)); !u.NeedMarkIndexes || u.Empty() || len(u.EjectionMarks) > 0 {
-		t.Errorf("update for an unknown digest: %v, want NeedMarkIndexes and no marks", u)
+	if u := markChanges(d, heldDigest(mixed)); !u.NeedMarkLogIndexes || u.Empty() || len(u.EjectionMarks) > 0 {
+		t.Errorf("update for an unknown digest: %v, want NeedMarkLogIndexes and no marks", u)
 	}
 	if u := markChanges(d, heldIndexes(mixed)); len(u.EjectionMarks) != 1 || u.EjectionMarks[0].IndexName != "b" {
 		t.Errorf("update for a node that sends its log indexes: %v, want only the marks of b", u)
@@ -116,7 +116,7 @@
 		t.Errorf("update for the digest of a node with newer marks: %v, want it empty", u)
 	}
 	d.DropMarks("b")
-	if u := markChanges(d, heldDigest(newer)); len(u.RemovedIndexes) != 1 || len(u.EjectionMarks) != 0 {
+	if u := markChanges(d, heldDigest(newer)); len(u.RemovedSearchIndexes) != 1 || len(u.EjectionMarks) != 0 {
 		t.Errorf("update after the marks of b were dropped: %v, want one removed index and no marks", u)
 	}
 	for i := range uint64(3 * maxMarkDigests) {
--- a/internal/controlplane/distributor/marks.go
+++ b/internal/controlplane/distributor/marks.go
@@ -56,9 +56,9 @@
 }
 
 // addTo adds to an update the marks that a node lacks. If the node's digest is unknown, it sets
-// NeedMarkIndexes instead, so that the node sends the log indexes of its marks.
+// NeedMarkLogIndexes instead, so that the node sends the log indexes of its marks.
 func (t *markTable) addTo(update *distribution.Update, held distribution.HeldVersions) {
-	heldIndexes := held.MarkIndexes
+	heldIndexes := held.MarkLogIndexes
 	if heldIndexes != nil {
 		t.digests.add(held.MarksDigest, heldIndexes)
 	} else if held.MarksDigest == t.digests.current {
@@ -66,7 +66,7 @@
 	} else if held.MarksDigest != 0 {
 		var isKnown bool
 		if heldIndexes, isKnown = t.digests.logIndexes[held.MarksDigest]; !isKnown {
-			update.NeedMarkIndexes = true
+			update.NeedMarkLogIndexes = true
 			return
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	for indexName := range heldIndexes {
 		if _, exists := t.byIndex[indexName]; !exists && len(t.byIndex) > 0 {
-			update.RemovedIndexes = append(update.RemovedIndexes, indexName)
+			update.RemovedSearchIndexes = append(update.RemovedSearchIndexes, indexName)
 		}
 	}
 }
--- a/internal/controlplane/distributor/updates.go
+++ b/internal/controlplane/distributor/updates.go
@@ -64,9 +64,9 @@
 	fmt.Fprintf(&key, "%t %q ", isStale, request.Node.Zone)
 	fmt.Fprint(&key, held.ConfigVersion, held.EndpointRevision,
 		held.NodesIndex, held.DataPlaneCount, held.PurgeIndex, held.NotificationIndex,
-		held.MarksDigest, held.MarkIndexes != nil)
-	for _, indexName := range slices.Sorted(maps.Keys(held.MarkIndexes)) {
-		fmt.Fprint(&key, " ", indexName, "=", held.MarkIndexes[indexName])
+		held.MarksDigest, held.MarkLogIndexes != nil)
+	for _, indexName := range slices.Sorted(maps.Keys(held.MarkLogIndexes)) {
+		fmt.Fprint(&key, " ", indexName, "=", held.MarkLogIndexes[indexName])
 	}
 	return key.String()
 }
--- a/internal/controlplane/metering/platform.go
+++ b/internal/controlplane/metering/platform.go
@@ -182,7 +182,7 @@
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 
-			MaxResponseHeaderBytes: rpc.MaxAnswerHeadBytes,
+			MaxResponseHeaderBytes: rpc.MaxResponseHeaderBytes,
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
 				if err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -87,7 +87,7 @@
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 1,
 
-		MaxResponseHeaderBytes: rpc.MaxAnswerHeadBytes,
+		MaxResponseHeaderBytes: rpc.MaxResponseHeaderBytes,
 	}
 	return &Client{
 		address:    address,
--- a/internal/distribution/update.go
+++ b/internal/distribution/update.go
@@ -17,10 +17,10 @@
 type HeldVersions struct {
 	ConfigVersion    uint64   `cbor:"1,keyasint,omitempty"`
 	EndpointRevision Revision `cbor:"2,keyasint,omitempty"`
-	// MarkIndexes holds the log index of the marks of each search index. It is sent for a
-	// while after a receiver asked for it (Update.NeedMarkIndexes); MarksDigest stands
+	// MarkLogIndexes holds the log index of the marks of each search index. It is sent for a
+	// while after a receiver asked for it (Update.NeedMarkLogIndexes); MarksDigest stands
 	// for it otherwise, since there may be many search indexes.
-	MarkIndexes       map[string]uint64 `cbor:"3,keyasint,omitempty"`
+	MarkLogIndexes    map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	NodesIndex        uint64            `cbor:"4,keyasint,omitempty"`
 	DataPlaneCount    int               `cbor:"5,keyasint,omitempty"`
 	PurgeIndex        uint64            `cbor:"6,keyasint,omitempty"`
@@ -44,13 +44,13 @@
 	Endpoints     *EndpointList   `cbor:"3,keyasint,omitempty"`
 	EjectionMarks []EjectionMarks `cbor:"4,keyasint,omitempty"`
 	Nodes         *NodeList       `cbor:"5,keyasint,omitempty"`
-	// RemovedIndexes names search indexes that no longer exist.
-	RemovedIndexes []string            `cbor:"6,keyasint,omitempty"`
-	Purges         *PurgeUpdate        `cbor:"7,keyasint,omitempty"`
-	Notifications  *NotificationUpdate `cbor:"8,keyasint,omitempty"`
-	// NeedMarkIndexes says that the answering node can't tell from the digest which marks
+	// RemovedSearchIndexes names search indexes that no longer exist.
+	RemovedSearchIndexes []string            `cbor:"6,keyasint,omitempty"`
+	Purges               *PurgeUpdate        `cbor:"7,keyasint,omitempty"`
+	Notifications        *NotificationUpdate `cbor:"8,keyasint,omitempty"`
+	// NeedMarkLogIndexes says that the answering node can't tell from the digest which marks
 	// the receiver lacks.
-	NeedMarkIndexes bool `cbor:"9,keyasint,omitempty"`
+	NeedMarkLogIndexes bool `cbor:"9,keyasint,omitempty"`
 }
 
 // Empty reports whether the update holds nothing.
@@ -58,7 +58,7 @@
 	switch {
 	case u.Config != nil, u.Endpoints != nil, len(u.EjectionMarks) > 0, u.Nodes != nil:
 		return false
-	case len(u.RemovedIndexes) > 0, u.Purges != nil, u.Notifications != nil, u.NeedMarkIndexes:
+	case len(u.RemovedSearchIndexes) > 0, u.Purges != nil, u.Notifications != nil, u.NeedMarkLogIndexes:
 		return false
 	}
 	return true
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// MaxAnswerHeadBytes bounds the status line and headers of an answer to a client of this module.
-const MaxAnswerHeadBytes = 64 << 10
+// MaxResponseHeaderBytes bounds the status line and headers of an answer to a client of this module.
+const MaxResponseHeaderBytes = 64 << 10
 
 // Defaults of a client.
 const (
@@ -43,7 +43,7 @@
 		ReadBufferSize:      bufferBytes,
 		WriteBufferSize:     bufferBytes,
 
-		MaxResponseHeaderBytes: MaxAnswerHeadBytes,
+		MaxResponseHeaderBytes: MaxResponseHeaderBytes,
 	}
 	return &Client{httpClient: &http.Client{CheckRedirect: NoRedirect, Transport: transport}}
 }
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -188,7 +188,7 @@
 			return
 		}
 		defer func() { _ = conn.Close() }()
-		line := bytes.Repeat([]byte("x"), MaxAnswerHeadBytes)
+		line := bytes.Repeat([]byte("x"), MaxResponseHeaderBytes)
 		_, err = conn.Write([]byte("HTTP/1.1 200 OK\r\nX-Pad: "))
 		for err == nil {
 			var n int
@@ -215,7 +215,7 @@
 		parts = 20
 		limit = 2 * time.Second // shorter than all parts together
 	)
-	patience := Patience{Begin: limit, Silence: limit, Total: time.Minute}
+	patience := ResponseTimeouts{Header: limit, Idle: limit, Total: time.Minute}
 	text := strings.Repeat("x", parts)
 	for name, c := range map[string]struct {
 		pause   func(part int) time.Duration // before each part
@@ -249,7 +249,7 @@
 			var answer string
 			p := patience
 			p.Total = c.total
-			err := NewClient(TCPNetwork).CallPatiently(t.Context(), server.Listener.Addr().String(), "/", 1, &answer, p)
+			err := NewClient(TCPNetwork).CallWithTimeouts(t.Context(), server.Listener.Addr().String(), "/", 1, &answer, p)
 			if c.succeed && (err != nil || answer != text) {
 				t.Errorf("%q, %v", answer, err)
 			}
--- a/internal/rpc/patience.go
+++ b/internal/rpc/patience.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Patience bounds a call by the progress of its answer, so that a large answer may take its time
+// ResponseTimeouts bounds a call by the progress of its answer, so that a large answer may take its time
 // on a slow link, while a peer that stops is noticed as soon as with a small one.
-type Patience struct {
-	Begin   time.Duration // until the answer begins
-	Silence time.Duration // between two parts of the answer
-	Total   time.Duration // for the whole call
-	OnBegin func()        // called when the answer begins; may be nil
+type ResponseTimeouts struct {
+	Header   time.Duration // until the answer begins
+	Idle     time.Duration // between two parts of the answer
+	Total    time.Duration // for the whole call
+	OnHeader func()        // called when the answer begins; may be nil
 }
 
-// CallPatiently is Call, bounded by patience in place of a deadline of ctx.
-func (c *Client) CallPatiently(
-	ctx context.Context, address, path string, request, answer any, patience Patience,
+// CallWithTimeouts is Call, bounded by patience in place of a deadline of ctx.
+func (c *Client) CallWithTimeouts(
+	ctx context.Context, address, path string, request, answer any, patience ResponseTimeouts,
 ) error {
 	body, err := EncodeRequest(request)
 	if err != nil {
@@ -25,18 +25,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience.Total)
 	defer cancel()
-	silence := time.AfterFunc(patience.Begin, cancel)
+	silence := time.AfterFunc(patience.Header, cancel)
 	defer silence.Stop()
 	resp, err := c.post(ctx, address, path, body)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }() // if it was not read to its end, this closes the connection
-	if patience.OnBegin != nil {
-		patience.OnBegin()
+	if patience.OnHeader != nil {
+		patience.OnHeader()
 	}
-	silence.Reset(patience.Silence)
-	progress := progressReader{source: resp.Body, onProgress: func() { silence.Reset(patience.Silence) }}
+	silence.Reset(patience.Idle)
+	progress := progressReader{source: resp.Body, onProgress: func() { silence.Reset(patience.Idle) }}
 	return decodeAnswer(resp.StatusCode, &progress, answer)
 }
 
