--- a/internal/boundedio/budget.go
+++ b/internal/boundedio/budget.go
@@ -6,30 +6,30 @@
 	"sync/atomic"
 )
 
-// ErrBudgetExceeded says that what is read at the same time holds as much memory as it may.
-var ErrBudgetExceeded = errors.New("boundedio: too much is read at the same time")
+// ErrBudgetExceeded means that a read needs more memory than the budget of concurrent reads has left.
+var ErrBudgetExceeded = errors.New("boundedio: the memory budget of concurrent reads is exceeded")
 
 const (
-	// firstBufferBytes is the size of the first buffer if it is not known how much will come.
-	firstBufferBytes = 512
-	// smallBytes is the size up to which a buffer doesn't count against a budget. The number
-	// of requests bounds such buffers.
-	smallBytes = 64 << 10
+	// initialBufferBytes is the size of the first buffer if the size of the content is unknown.
+	initialBufferBytes = 512
+	// maxUncountedBytes is the size up to which a buffer doesn't count against a budget. The
+	// memory of such buffers is bounded by the limit on the number of requests.
+	maxUncountedBytes = 64 << 10
 )
 
-// Budget bounds the memory that several readers hold together while they read. It is safe for
-// concurrent use; a nil Budget has no bound.
+// Budget bounds the total memory that concurrent readers hold while they read. It is safe for
+// concurrent use. A nil Budget has no bound.
 type Budget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// NewBudget makes a budget of a number of bytes.
+// NewBudget makes a budget of limit bytes.
 func NewBudget(limit int64) *Budget { return &Budget{limit: limit} }
 
-// reserve counts a buffer, and reports false if the budget doesn't allow it.
+// reserve counts a buffer against the budget. It reports false if that would exceed the budget.
 func (b *Budget) reserve(bytes int) bool {
-	if b == nil || bytes <= smallBytes {
+	if b == nil || bytes <= maxUncountedBytes {
 		return true
 	}
 	if b.used.Add(int64(bytes)) <= b.limit {
@@ -39,22 +39,22 @@
 	return false
 }
 
-// release ends the count of a buffer that was reserved.
+// release returns the memory of a reserved buffer to the budget.
 func (b *Budget) release(bytes int) {
-	if b != nil && bytes > smallBytes {
+	if b != nil && bytes > maxUncountedBytes {
 		b.used.Add(-int64(bytes))
 	}
 }
 
-// ReadAll reads a source to its end. It fails with ErrLimitExceeded if that has more than limit bytes, and
-// with ErrBudgetExceeded if the budget doesn't allow the memory. expected is the size of the first
-// buffer, one byte more than are expected; 0 if that is not known. A large buffer grows only as
-// bytes arrive.
-func (b *Budget) ReadAll(source io.Reader, expected, limit int) ([]byte, error) {
-	if expected <= 0 {
-		expected = firstBufferBytes
+// ReadAll reads a source to its end. It returns ErrLimitExceeded if the source has more than limit
+// bytes, and ErrBudgetExceeded if the budget doesn't allow the memory. initialSize is the size of
+// the first buffer in bytes: one more than the expected content, or 0 if that is unknown. The first
+// buffer has at most maxUncountedBytes, and grows only as bytes arrive.
+func (b *Budget) ReadAll(source io.Reader, initialSize, limit int) ([]byte, error) {
+	if initialSize <= 0 {
+		initialSize = initialBufferBytes
 	}
-	buffer := make([]byte, 0, min(expected, smallBytes))
+	buffer := make([]byte, 0, min(initialSize, maxUncountedBytes))
 	defer func() { b.release(cap(buffer)) }()
 	for {
 		if len(buffer) > limit {
@@ -78,7 +78,7 @@
 	}
 }
 
-// grow returns a copy of a buffer of twice its size, and one byte more than limit at most.
+// grow copies a buffer into one of twice its capacity, but at most limit+1 bytes.
 func (b *Budget) grow(buffer []byte, limit int) ([]byte, error) {
 	size := min(2*cap(buffer), limit+1)
 	if !b.reserve(size) {
--- a/internal/boundedio/budget_test.go
+++ b/internal/boundedio/budget_test.go
@@ -9,18 +9,21 @@
 	"testing/iotest"
 )
 
-// TestReadAll: sizes around those at which a buffer grows, or its limit.
+// TestReadAll: contents whose sizes are around the limit and the sizes at which a buffer grows are
+// read whole, errors are returned, and no memory stays reserved.
 func TestReadAll(t *testing.T) {
 	const limit = 300 << 10
 	budget := NewBudget(2 * limit)
 	for _, size := range []int{
-		0, 1, firstBufferBytes - 1, firstBufferBytes, firstBufferBytes + 1, smallBytes, smallBytes + 1, limit - 1, limit,
+		0, 1, initialBufferBytes - 1, initialBufferBytes, initialBufferBytes + 1,
+		maxUncountedBytes, maxUncountedBytes + 1, limit - 1, limit,
 	} {
-		for _, expected := range []int{-1, 0, size, limit} {
+		for _, initialSize := range []int{-1, 0, size, limit} {
 			text := bytes.Repeat([]byte("x"), size)
-			got, err := budget.ReadAll(iotest.HalfReader(bytes.NewReader(text)), expected, limit)
+			got, err := budget.ReadAll(iotest.HalfReader(bytes.NewReader(text)), initialSize, limit)
 			if err != nil || !bytes.Equal(got, text) {
-				t.Errorf("%d bytes, %d expected: %d bytes, %v", size, expected, len(got), err)
+				t.Errorf("ReadAll of %d bytes with initialSize %d returned %d bytes, %v; want the whole content",
+					size, initialSize, len(got), err)
 			}
 		}
 	}
@@ -31,15 +34,16 @@
 	}
 	failing := iotest.TimeoutReader(strings.NewReader(strings.Repeat("x", limit)))
 	if _, err := budget.ReadAll(failing, 0, limit); !errors.Is(err, iotest.ErrTimeout) {
-		t.Errorf("a source that fails: %v", err)
+		t.Errorf("ReadAll of a source that times out returned %v, want ErrTimeout", err)
 	}
 	if n := budget.used.Load(); n != 0 {
-		t.Errorf("%d bytes are still counted", n)
+		t.Errorf("%d bytes are still reserved after all reads, want 0", n)
 	}
 }
 
-// TestBudget: readers that hold too much together fail, and free their part for others.
-func TestBudget(t *testing.T) {
+// TestBudgetSharedByReaders: a reader fails if concurrent readers together exceed the budget, and
+// succeeds after the others have released their memory.
+func TestBudgetSharedByReaders(t *testing.T) {
 	const size = 1 << 20
 	budget := NewBudget(3 * size)
 	source, writer := io.Pipe()
@@ -48,20 +52,20 @@
 		_, err := budget.ReadAll(source, 0, 4*size)
 		ended <- err
 	}()
-	_, _ = writer.Write(make([]byte, size+1)) // the reader holds a buffer of two
+	_, _ = writer.Write(make([]byte, size+1)) // the reader holds a buffer of 2*size bytes
 	_, err := budget.ReadAll(strings.NewReader(strings.Repeat("x", size+1)), 0, 4*size)
 	if !errors.Is(err, ErrBudgetExceeded) {
-		t.Errorf("too much together: %v", err)
+		t.Errorf("ReadAll while another reader holds most of the budget returned %v, want ErrBudgetExceeded", err)
 	}
 	_ = writer.Close()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Error("the first ReadAll, want no error, got:", err)
 	}
 	if _, err = budget.ReadAll(strings.NewReader(strings.Repeat("x", size+1)), 0, 4*size); err != nil {
-		t.Errorf("alone: %v", err)
+		t.Errorf("ReadAll after the other reader ended returned %v, want no error", err)
 	}
 	var unbounded *Budget
 	if _, err = unbounded.ReadAll(strings.NewReader(strings.Repeat("x", size)), 0, size); err != nil {
-		t.Errorf("without a budget: %v", err)
+		t.Errorf("ReadAll with a nil Budget returned %v, want no error", err)
 	}
 }
--- a/internal/boundedio/reader.go
+++ b/internal/boundedio/reader.go
@@ -1,4 +1,4 @@
-// Package boundedio bounds what is read from a peer.
+// Package boundedio limits the number of bytes and the memory of reads from a peer.
 package boundedio
 
 import (
@@ -6,12 +6,11 @@
 	"io"
 )
 
-// ErrLimitExceeded says that the peer sent more bytes than the bound allows.
+// ErrLimitExceeded means that the peer sent more bytes than the bound allows.
 var ErrLimitExceeded = errors.New("boundedio: more bytes than allowed")
 
-// Reader is a reader on which the number of bytes still to be read can be bounded, so that a
-// parser that buffers what it reads takes no more memory than that. Its zero value has no
-// source.
+// Reader reads from Source and can bound the number of further bytes. This limits the memory of a
+// parser that buffers what it reads. Source must be set before the first read.
 type Reader struct {
 	Source io.Reader
 
@@ -19,16 +18,16 @@
 	remaining int // bytes that may still be read while isBounded
 }
 
-// Bound lets at most n further bytes be read until Unbound is called.
+// Bound allows at most n further bytes to be read until Bound or Unbound is called.
 func (r *Reader) Bound(n int) {
 	r.isBounded = true
 	r.remaining = n
 }
 
-// Unbound ends the bound.
+// Unbound removes the bound.
 func (r *Reader) Unbound() { r.isBounded = false }
 
-// Read implements io.Reader. It returns ErrLimitExceeded once the bound is reached.
+// Read implements io.Reader. It returns ErrLimitExceeded after the bound is reached.
 func (r *Reader) Read(p []byte) (int, error) {
 	if !r.isBounded {
 		return r.Source.Read(p)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-// Package discovery reads the platform's list of instances: the endpoints that requests can be sent to.
+// Package discovery reads the platform's list of instances, which are the endpoints of services.
 package discovery
 
 import (
@@ -21,25 +21,25 @@
 
 // Errors of this package.
 var (
-	// ErrUnavailable says that the platform gave no usable answer in time.
-	ErrUnavailable = errors.New("discovery: the platform does not answer")
-	// ErrRateLimited says that the platform rejected too many calls in a row with status 429.
-	ErrRateLimited = errors.New("discovery: the platform refuses more calls")
-	// ErrMalformed says that the platform's answer cannot be read.
-	ErrMalformed = errors.New("discovery: the list cannot be read")
+	// ErrUnavailable means that the platform did not respond in time, or responded with a status other than 200 and 429.
+	ErrUnavailable = errors.New("discovery: the platform is unavailable")
+	// ErrRateLimited means that the platform rejected too many calls in a row with status 429.
+	ErrRateLimited = errors.New("discovery: the platform rejects calls with status 429")
+	// ErrMalformed means that the platform's response can't be decoded or is invalid.
+	ErrMalformed = errors.New("discovery: the list of instances is malformed")
 )
 
 const (
-	callTimeout    = 900 * time.Millisecond
-	dialTimeout    = 600 * time.Millisecond
-	silenceTimeout = 1500 * time.Millisecond
-	maxPages       = 400
-	maxPageBytes   = 8 << 20
+	callTimeout  = 900 * time.Millisecond
+	dialTimeout  = 600 * time.Millisecond
+	ackTimeout   = 1500 * time.Millisecond
+	maxPages     = 400
+	maxPageBytes = 8 << 20
 
-	maxRateLimitRetries = 20                     // of one page
-	rateLimitDelay      = 250 * time.Millisecond // after a refusal, on average
+	maxRateLimitRetries = 20                     // calls for one page
+	rateLimitDelay      = 250 * time.Millisecond // average delay after status 429
 
-	stateReady = "ready" // of an instance that takes requests; in any other it is draining
+	stateReady = "ready" // accepts requests; an instance in any other state is draining
 )
 
 // instance is one server in the platform's list.
@@ -72,18 +72,18 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Client reads the platform's list. It is not safe for use by several goroutines.
+// Client reads the platform's list of instances. It is not safe for concurrent use.
 type Client struct {
 	address    string
 	httpClient *http.Client
 	limiter    *rateLimiter
 }
 
-// NewClient makes a client of the list at address. ratePerS is the platform's rate limit in calls a second for all
-// nodes together; 0 if it is unknown.
+// NewClient makes a client for the list at address. ratePerS is the platform's rate limit for all nodes together, in
+// calls per second; 0 if it is unknown.
 func NewClient(network rpc.Network, address string, ratePerS float64) *Client {
 	transport := &http.Transport{
-		DialContext:         network(dialTimeout, silenceTimeout),
+		DialContext:         network(dialTimeout, ackTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 1,
 
@@ -96,7 +96,8 @@
 	}
 }
 
-// List reads the whole list, page by page, sorted by ID. It returns all of it or an error.
+// List reads all pages of the list and returns the endpoints sorted by ID. It returns no partial list: if a page can't
+// be read, it returns an error that wraps ErrUnavailable, ErrRateLimited or ErrMalformed.
 func (c *Client) List(ctx context.Context) ([]distribution.Endpoint, error) {
 	var endpoints []distribution.Endpoint
 	token := ""
@@ -114,11 +115,11 @@
 		}
 		token = *page.NextPageToken
 	}
-	return nil, fmt.Errorf("%w: no last page", ErrMalformed)
+	return nil, fmt.Errorf("%w: more than the maximum number of pages", ErrMalformed)
 }
 
-// fetchPageAtRate reads a page when the rate allows it. If the platform rejects the call nevertheless, it retries the
-// page, since a new list would need more calls.
+// fetchPageAtRate reads a page within the rate limit. If the platform still rejects the call with status 429, it
+// retries the page, since starting the list again would need more calls.
 func (c *Client) fetchPageAtRate(ctx context.Context, token string) (page *instancePage, err error) {
 	for range maxRateLimitRetries {
 		if err := c.limiter.wait(ctx); err != nil {
@@ -149,7 +150,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // nothing to do about an error
+	defer func() { _ = resp.Body.Close() }() // the result does not depend on it
 	if resp.StatusCode == http.StatusTooManyRequests {
 		return nil, ErrRateLimited
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -15,7 +15,7 @@
 	"comethold/internal/rpc"
 )
 
-// pipeListener is a listener whose connections are made by dial.
+// pipeListener is a listener that accepts the connections that are sent to its channel.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -28,15 +28,15 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// fakePlatform serves a list of so many pages, one instance on each, and refuses calls over its rate.
+// fakePlatform serves a list with one instance per page, and rejects calls above its rate with status 429.
 type fakePlatform struct {
 	ratePerS, pages int
 	connections     pipeListener
 
-	mu      sync.Mutex  // guards the fields below
-	calls   []time.Time // of the last second
-	refused int
-	dialled []net.Conn
+	mu       sync.Mutex  // guards the fields below
+	calls    []time.Time // of the last second
+	rejected int
+	dialled  []net.Conn
 }
 
 func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 	}
 	p.calls = append(p.calls, now)
 	if len(p.calls) > p.ratePerS {
-		p.refused++
+		p.rejected++
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -67,17 +67,18 @@
 
 func (p *fakePlatform) network(_, _ time.Duration) rpc.DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		p.mu.Lock()
-		p.dialled = append(p.dialled, ours)
+		p.dialled = append(p.dialled, clientConn)
 		p.mu.Unlock()
-		p.connections <- theirs
-		return ours, nil
+		p.connections <- serverConn
+		return clientConn, nil
 	}
 }
 
-// TestListRespectsRateLimit: a list of more pages than the platform takes calls in a second is read whole without a
-// refusal; while another node reads it as well, it is read whole all the same.
+// TestListRespectsRateLimit: a list with more pages than the platform accepts calls per second is read whole without a
+// rejected call. If two nodes read it concurrently, some calls may be rejected, but both still read it whole. Guards
+// against a list that is never complete because of the rate limit.
 func TestListRespectsRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := &fakePlatform{ratePerS: 20, pages: 50, connections: make(pipeListener)}
@@ -89,12 +90,12 @@
 			client := NewClient(platform.network, "10.200.0.1:80", float64(platform.ratePerS))
 			endpoints, err := client.List(ctx)
 			if err != nil || len(endpoints) != platform.pages {
-				t.Errorf("%d endpoints, %v", len(endpoints), err)
+				t.Errorf("List returned %d endpoints, %v; want %d and no error", len(endpoints), err, platform.pages)
 			}
 		}
 		list()
-		if platform.refused > 0 {
-			t.Errorf("%d calls were refused", platform.refused)
+		if platform.rejected > 0 {
+			t.Errorf("%d calls were rejected, want 0", platform.rejected)
 		}
 		time.Sleep(time.Second)
 		var wg sync.WaitGroup
--- a/internal/discovery/limiter.go
+++ b/internal/discovery/limiter.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// rateFraction is the fraction of the platform's rate limit that one client uses. The rest is for another node that
-// takes over within the same second.
+// rateFraction is the fraction of the platform's rate limit that one client uses. The rest is reserved for another node
+// that takes over within the same second.
 const rateFraction = 0.6
 
-// rateLimiter bounds the calls of any second. It is not safe for use by several goroutines.
+// rateLimiter limits the number of calls in any period of one second. It is not safe for concurrent use.
 type rateLimiter struct {
-	calls  []time.Time // ring buffer of the calls allowed in a second; empty if there is no limit
-	oldest int         // index of the oldest in calls
+	calls  []time.Time // ring buffer of the times of the last calls, one slot per allowed call; empty without a limit
+	oldest int         // index of the oldest call in calls
 }
 
 func newRateLimiter(ratePerS float64) *rateLimiter {
@@ -23,7 +23,8 @@
 	return &rateLimiter{calls: make([]time.Time, max(1, int(ratePerS*rateFraction)))}
 }
 
-// wait blocks until a call is allowed, and counts it.
+// wait blocks until a call is allowed, and records it. If the context ends first, it returns an error that wraps
+// ErrUnavailable.
 func (l *rateLimiter) wait(ctx context.Context) error {
 	if len(l.calls) == 0 {
 		return nil
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// sleep waits for d. If the context ends before, it returns an error that wraps ErrUnavailable.
+// sleep waits for d. If the context ends first, it returns an error that wraps ErrUnavailable.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
--- a/internal/distribution/config_update.go
+++ b/internal/distribution/config_update.go
@@ -8,11 +8,11 @@
 )
 
 // ConfigUpdate is a configuration as it is sent to nodes: in full, or as the changes since
-// BaseVersion. It was decoded and validated by the control plane already, so that nodes
-// don't spend time of their requests on that.
+// BaseVersion. The control plane has already decoded and validated it, so that nodes don't
+// spend CPU time on that while they serve requests.
 type ConfigUpdate struct {
 	Version uint64 `cbor:"1,keyasint"`
-	// BaseVersion is the version that the changes apply to; 0 for a configuration in full.
+	// BaseVersion is the version that the changes apply to; 0 for a full configuration.
 	BaseVersion     uint64            `cbor:"2,keyasint,omitempty"`
 	Routes          []routing.Route   `cbor:"3,keyasint,omitempty"`
 	Services        []routing.Service `cbor:"4,keyasint,omitempty"`
@@ -41,7 +41,7 @@
 	}
 }
 
-// ConfigDelta returns the update that makes next out of old.
+// ConfigDelta returns the update that changes old into next.
 func ConfigDelta(old, next *routing.Configuration) *ConfigUpdate {
 	u := &ConfigUpdate{Version: next.Version, BaseVersion: old.Version, Limits: next.Limits}
 	u.Routes, u.RemovedRoutes = changesBetween(old.Routes, next.Routes, routeKey)
@@ -72,9 +72,9 @@
 	return changed, removed
 }
 
-// ApplyTo returns the configuration that u makes of old, the one that the receiver holds,
-// or nil if it holds none. It reports false if u changes another version than old, or is
-// not newer.
+// ApplyTo returns the configuration that results from applying u to old. old is the
+// configuration that the receiver holds, or nil if it holds none. ApplyTo reports false if
+// the base version of u is not the version of old, or if u is not newer than old.
 func (u *ConfigUpdate) ApplyTo(old *routing.Configuration) (*routing.Configuration, bool) {
 	if old != nil && old.Version >= u.Version {
 		return nil, false
@@ -109,7 +109,7 @@
 	}
 	result := make([]V, 0, len(old)+len(changed))
 	for i := range old {
-		// Without changes the keys need not be worked out.
+		// Skips computing the key if there are no changes.
 		if len(replaced) == 0 || !replaced[key(&old[i])] {
 			result = append(result, old[i])
 		}
--- a/internal/distribution/config_update_test.go
+++ b/internal/distribution/config_update_test.go
@@ -11,8 +11,8 @@
 	"comethold/internal/rpc"
 )
 
-// randomConfiguration draws routes, services and tenants out of a few, so that two
-// configurations have some items alike, some changed and some of their own.
+// randomConfiguration draws routes, services and tenants from small sets, so that two
+// configurations share some items, differ in others, and each lacks some of the other's.
 func randomConfiguration(rng *rand.Rand, version uint64) *routing.Configuration {
 	c := &routing.Configuration{Version: version, Limits: routing.Limits{MaxBodyBytes: int64(rng.Intn(3))}}
 	for i := range 8 {
@@ -49,8 +49,8 @@
 	return r
 }
 
-// sortConfiguration brings the items into an order in which they can be compared: changes
-// don't keep the order of the full configuration.
+// sortConfiguration sorts the items so that configurations can be compared: applying changes
+// doesn't keep the order of the full configuration.
 func sortConfiguration(c *routing.Configuration) {
 	sort.Slice(c.Routes, func(i, j int) bool { return c.Routes[i].PathPrefix < c.Routes[j].PathPrefix })
 	sort.Slice(c.Tenants, func(i, j int) bool { return c.Tenants[i].Name < c.Tenants[j].Name })
@@ -81,9 +81,10 @@
 	}
 }
 
-// TestConfigDeltas: an update, in full or as changes, makes the new configuration out of
-// the one it was made for, and is rejected by a receiver that holds another one.
-func TestConfigDeltas(t *testing.T) {
+// TestConfigUpdateApplyTo: a full update or a delta changes the base configuration into the new
+// one. A delta is rejected by a receiver that holds another version, and a full update by a
+// receiver that holds a newer one.
+func TestConfigUpdateApplyTo(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 300 {
 		old, next := randomConfiguration(rng, 3), randomConfiguration(rng, 7)
@@ -98,7 +99,7 @@
 			}
 			got, ok := received.ApplyTo(old)
 			if !ok {
-				t.Fatalf("the update %+v was rejected by a receiver of %+v", received, old)
+				t.Fatalf("ApplyTo rejected the update %+v to the base configuration %+v", received, old)
 			}
 			requireEqualConfigurations(t, got, next)
 		}
@@ -111,10 +112,10 @@
 	}
 	for _, configuration := range held {
 		if _, ok := delta.ApplyTo(configuration); ok {
-			t.Errorf("changes of version 3 were applied to %v", configuration)
+			t.Errorf("ApplyTo applied changes since version 3 to %v, want a rejection", configuration)
 		}
 	}
 	if _, ok := FullConfig(randomConfiguration(rng, 7)).ApplyTo(randomConfiguration(rng, 8)); ok {
-		t.Error("a configuration was replaced by an older one")
+		t.Error("ApplyTo replaced version 8 by version 7, want a rejection")
 	}
 }
--- a/internal/distribution/datagram.go
+++ b/internal/distribution/datagram.go
@@ -5,8 +5,8 @@
 	"comethold/internal/usage"
 )
 
-// Datagram is what nodes send one another over UDP: any may be lost, late or duplicated.
-// One field is set.
+// Datagram is a message between nodes over UDP. Datagrams may be lost, delayed or duplicated.
+// Exactly one field is set.
 type Datagram struct {
 	Heartbeat    string              `cbor:"1,keyasint,omitempty"` // name of the sender
 	TokenRequest *quota.TokenRequest `cbor:"2,keyasint,omitempty"`
--- a/internal/distribution/delta_table.go
+++ b/internal/distribution/delta_table.go
@@ -6,17 +6,18 @@
 	"sort"
 )
 
-// maxKnownRevisions is how many former revisions a DeltaTable can send changes since.
+// maxKnownRevisions is the number of revisions, including the current one, since which a
+// DeltaTable can return changes.
 const maxKnownRevisions = 128
 
-// DeltaTable keeps a keyed table and works out what a receiver of a former revision lacks.
-// Each entry bears the revision at which this DeltaTable saw it change; a removed entry
-// leaves a tombstone.
+// DeltaTable keeps a keyed table and computes the changes that a receiver of an earlier
+// revision lacks. Each entry records the revision at which this DeltaTable saw it change, and
+// a removed entry leaves a tombstone.
 //
-// A change is known only as the difference between two revisions that this DeltaTable has
-// held. So changes are sent only to a receiver of one of these: a receiver of a revision in
-// between, which it got from another sender, may hold entries that were added and removed
-// again unseen here, and gets the full table.
+// A DeltaTable knows changes only as differences between revisions that it has held, so it
+// returns changes only since one of these. A receiver may hold another revision, which it got
+// from another sender. That revision may contain entries that were added and removed between
+// two revisions of this DeltaTable, so the receiver gets the full table.
 //
 // The zero value is an empty table. It is not safe for concurrent use.
 type DeltaTable[V comparable] struct {
@@ -32,9 +33,9 @@
 	changedAt Revision
 }
 
-// Set replaces the table by all, which stands at revision, and reports whether any entry
-// changed. A table without changes keeps its revision, unless the new one is of another
-// term: then another sender vouches for it.
+// Set replaces the table with all, the entries at revision, and reports whether any entry
+// changed. If none changed, the table keeps its old revision, unless the new revision has
+// another term: the entries then come from a new holder of the lease.
 func (t *DeltaTable[V]) Set(revision Revision, all map[string]V) bool {
 	first := t.entries == nil
 	if first {
@@ -65,8 +66,8 @@
 	return changed
 }
 
-// addRevision makes a revision the current one. Beyond maxKnownRevisions it forgets the
-// oldest, with the tombstones that only its receivers need.
+// addRevision makes a revision the current one. If there are more than maxKnownRevisions, it
+// drops the oldest revision and the tombstones that only receivers of that revision need.
 func (t *DeltaTable[V]) addRevision(revision Revision) {
 	t.revision = revision
 	t.knownRevisions[revision] = true
@@ -90,9 +91,9 @@
 // Len returns the number of entries.
 func (t *DeltaTable[V]) Len() int { return len(t.entries) }
 
-// ChangesSince returns what a receiver of the revision held lacks, of the values that keep
-// accepts, in the order of their keys. With delta false it is the full table, since held is
-// not a known revision.
+// ChangesSince returns the values that were changed since the revision held and that keep
+// accepts, and the removed keys, both sorted by key. If held is not a known revision, delta is
+// false and changed holds every value that keep accepts.
 func (t *DeltaTable[V]) ChangesSince(held Revision, keep func(V) bool) (changed []V, removed []string, delta bool) {
 	delta = t.knownRevisions[held]
 	keys := make([]string, 0, 8)
@@ -117,8 +118,8 @@
 	return changed, removed, true
 }
 
-// ApplyChanges returns the receiver's table with the result of ChangesSince applied; key
-// returns the key of a value. The table that is passed in stays as it is.
+// ApplyChanges returns a copy of the receiver's table with the result of ChangesSince applied.
+// key returns the key of a value. The given table is not modified.
 func ApplyChanges[V any](
 	table map[string]V, changed []V, removed []string, delta bool, key func(V) string,
 ) map[string]V {
--- a/internal/distribution/delta_table_test.go
+++ b/internal/distribution/delta_table_test.go
@@ -11,10 +11,10 @@
 
 func endpointID(e Endpoint) string { return e.ID }
 
-// testSender is a control node that sends endpoint lists out of its DeltaTable.
+// testSender is a control node that sends endpoint lists from its DeltaTable.
 type testSender struct {
 	table  DeltaTable[Endpoint]
-	stored Revision // the revision that it starts again with
+	stored Revision // the revision that it loads when it restarts
 }
 
 // testReceiver is a node that holds the endpoints of one revision.
@@ -35,7 +35,8 @@
 	}
 }
 
-// nextRevision follows last; now and then another node makes the lists, in a new term.
+// nextRevision returns a revision after last. One time in 20 it begins a new term, as if another
+// node had taken over making the lists.
 func nextRevision(rng *rand.Rand, last Revision) Revision {
 	if rng.Intn(20) == 0 {
 		return Revision{Term: last.Term + 1, Sequence: 1}
@@ -43,10 +44,10 @@
 	return Revision{Term: last.Term, Sequence: last.Sequence + 1}
 }
 
-// advance has the sender restart, take the newest list, or miss it.
+// advance makes the sender restart, receive the newest list, or miss it.
 func (s *testSender) advance(rng *rand.Rand, newest Revision, lists map[Revision]map[string]Endpoint) {
 	switch {
-	case rng.Intn(25) == 0: // it restarts
+	case rng.Intn(25) == 0: // the sender restarts
 		stored := s.stored
 		*s = testSender{stored: stored}
 		if stored != (Revision{}) {
@@ -60,14 +61,14 @@
 	}
 }
 
-// listFor is the sender's answer to a receiver of the revision held.
+// listFor returns the sender's response to a receiver that holds the revision held.
 func (s *testSender) listFor(held Revision) *EndpointList {
 	list := &EndpointList{Revision: s.table.Revision(), Base: held}
 	list.Endpoints, list.Removed, list.Delta = s.table.ChangesSince(held, keepAll)
 	return list
 }
 
-// apply takes the list if it applies, and reports whether it did.
+// apply applies the list if AppliesTo allows it, and reports whether it did.
 func (r *testReceiver) apply(list *EndpointList) bool {
 	if !list.AppliesTo(r.revision, r.endpoints != nil) {
 		return false
@@ -77,9 +78,9 @@
 	return true
 }
 
-// TestDeltaTableConverges: senders get some of the lists, restart with one that they
-// stored, and receivers move between them at any time. A receiver of a revision holds
-// exactly the list of that revision.
+// TestDeltaTableConverges: a receiver of a revision holds exactly the list of that revision.
+// Guards against deltas that are wrong because a sender missed lists or restarted with a stored
+// one, or because a receiver switched senders or got a response late.
 func TestDeltaTableConverges(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -88,7 +89,7 @@
 		newest := Revision{Term: 1}
 		senders := []*testSender{{}, {}, {}}
 		receivers := []*testReceiver{{}, {}, {}, {}}
-		late := []*EndpointList{} // answers to the first receiver that arrive after a later one
+		late := []*EndpointList{} // delayed responses to the first receiver
 		for step := range 400 {
 			newest = nextRevision(rng, newest)
 			changeEndpoints(rng, current)
@@ -110,7 +111,7 @@
 					late, list = late[1:], late[0]
 				}
 				if r.apply(list) && !maps.Equal(r.endpoints, lists[r.revision]) {
-					t.Fatalf("seed %d step %d: receiver %d holds %v at %v, the list was %v",
+					t.Fatalf("seed %d step %d: receiver %d holds %v at revision %v, want %v",
 						seed, step, i, r.endpoints, r.revision, lists[r.revision])
 				}
 			}
@@ -118,17 +119,18 @@
 	}
 }
 
-// TestDeltaTableForgetsOldRevisions: changes are sent to receivers of recent revisions only.
+// TestDeltaTableForgetsOldRevisions: ChangesSince returns a delta only since the last
+// maxKnownRevisions revisions.
 func TestDeltaTableForgetsOldRevisions(t *testing.T) {
 	var table DeltaTable[Endpoint]
 	for i := range uint64(maxKnownRevisions + 5) {
 		table.Set(Revision{Sequence: i + 1}, map[string]Endpoint{"a": {ID: fmt.Sprint(i)}})
 	}
 	if _, _, delta := table.ChangesSince(Revision{Sequence: 2}, keepAll); delta {
-		t.Error("changes were sent since a revision that is forgotten")
+		t.Error("ChangesSince returned a delta since a dropped revision, want the full table")
 	}
 	changed, _, delta := table.ChangesSince(Revision{Sequence: maxKnownRevisions}, keepAll)
 	if !delta || len(changed) != 1 {
-		t.Errorf("got %v, delta %v; want one change", changed, delta)
+		t.Errorf("ChangesSince returned %v, delta %v; want a delta of one change", changed, delta)
 	}
 }
--- a/internal/distribution/endpoint.go
+++ b/internal/distribution/endpoint.go
@@ -2,7 +2,7 @@
 
 // Revision orders endpoint lists and other tables that are distributed as changes.
 type Revision struct {
-	// Term is the lease term of the singleton role that made the list.
+	// Term is the lease term of the node that made the list, as holder of a singleton role.
 	Term uint64 `cbor:"1,keyasint,omitempty"`
 	// Sequence counts the lists made in that term.
 	Sequence uint64 `cbor:"2,keyasint,omitempty"`
@@ -16,13 +16,13 @@
 	return r.Sequence < other.Sequence
 }
 
-// Endpoint is one incarnation of one server of a service.
+// Endpoint is one incarnation of a server of a service.
 type Endpoint struct {
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Addr    string `cbor:"3,keyasint"` // address to dial
 	Zone    string `cbor:"4,keyasint"`
-	// Slots is how many requests the server works on at a time; 0 counts as 1.
+	// Slots is the number of requests that the server processes concurrently; 0 counts as 1.
 	Slots     int  `cbor:"5,keyasint,omitempty"`
 	Draining  bool `cbor:"6,keyasint,omitempty"`
 	WarmingUp bool `cbor:"7,keyasint,omitempty"`
@@ -34,14 +34,14 @@
 	Revision Revision `cbor:"1,keyasint"`
 	// Endpoints holds all endpoints, or those that were added or changed since Base.
 	Endpoints []Endpoint `cbor:"2,keyasint"`
-	// Delta says that the list holds changes, which apply to the list at Base alone.
+	// Delta is set if the list holds changes, which apply only to the list at Base.
 	Delta   bool     `cbor:"3,keyasint,omitempty"`
 	Removed []string `cbor:"4,keyasint,omitempty"` // endpoint IDs
 	Base    Revision `cbor:"5,keyasint,omitempty"`
 }
 
-// AppliesTo reports whether a receiver that holds the list at the revision held may take
-// l; hasList is false for a receiver that holds no list yet. A list never goes back to an
+// AppliesTo reports whether a receiver that holds the list at the revision held may apply l.
+// hasList is false for a receiver that holds no list yet. A receiver never goes back to an
 // older revision.
 func (l *EndpointList) AppliesTo(held Revision, hasList bool) bool {
 	if l.Delta {
--- a/internal/distribution/purge.go
+++ b/internal/distribution/purge.go
@@ -1,6 +1,6 @@
 package distribution
 
-// Purge asks for the removal of cached objects: those of a host and path, or those with a
+// Purge requests the removal of the cached objects of a host and path, or of those with a
 // label.
 type Purge struct {
 	// LogIndex is the purge's position in the meta cell's log.
@@ -12,10 +12,10 @@
 
 // PurgeUpdate holds the purges after the log index that the receiver holds.
 type PurgeUpdate struct {
-	// LogIndex is the position in the meta cell's log up to which the purges go.
+	// LogIndex is the position in the meta cell's log up to which purges are included.
 	LogIndex uint64  `cbor:"1,keyasint"`
 	Purges   []Purge `cbor:"2,keyasint,omitempty"`
-	// Reset says that some purges since then are no longer known: no object that was
-	// cached before may be used.
+	// Reset is set if some purges since the receiver's log index are no longer known. The
+	// receiver must then not use any object that it cached before.
 	Reset bool `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// ShareTable names a table of leased shares.
+// ShareTable identifies a table of leased shares.
 type ShareTable uint8
 
 const (
@@ -12,21 +12,21 @@
 	QuotaShares
 )
 
-// ShareLease is the stored lease of one node on a part of every rate that the nodes share.
+// ShareLease is the stored lease of one node on a share of all rates or quotas of a ShareTable.
 type ShareLease struct {
 	Permille int `cbor:"1,keyasint"` // thousandths of the rates
-	// Renewals rises with each renewal. A lease expires if it doesn't rise.
+	// Renewals is incremented by each renewal. A lease expires if it is not incremented in time.
 	Renewals uint64 `cbor:"2,keyasint"`
-	// Request is the number of the request that was granted last.
+	// Request is the number of the last request that was granted.
 	Request RequestNumber `cbor:"3,keyasint,omitzero"`
 }
 
-// ShareRequest asks for the renewal of a node's share. The node uses no more than Permille
-// from before it sends the request on, so that a share that it gives up is free at once.
+// ShareRequest requests the renewal of a node's share. The node limits itself to Permille
+// before it sends the request, so that a part that it gives up can be granted to others at once.
 type ShareRequest struct {
 	Node     string `cbor:"1,keyasint"`
 	Permille int    `cbor:"2,keyasint"`
-	// HoldsNone says that the node uses no share now and requests a fair one; Permille is
+	// HoldsNone is set if the node holds no share and requests a fair one. Permille is then
 	// ignored.
 	HoldsNone bool          `cbor:"3,keyasint,omitempty"`
 	Table     ShareTable    `cbor:"4,keyasint,omitempty"`
@@ -36,15 +36,15 @@
 // ShareGrant answers a ShareRequest.
 type ShareGrant struct {
 	Permille     int  `cbor:"1,keyasint"` // granted now
-	FairPermille int  `cbor:"2,keyasint"` // to ask for at the next renewal
+	FairPermille int  `cbor:"2,keyasint"` // to request at the next renewal
 	Granted      bool `cbor:"3,keyasint,omitempty"`
-	// Uninterrupted says that the node's lease was recorded until now, so that no other node
-	// has had its share meanwhile.
+	// Uninterrupted is set if the node's lease was still recorded when the request was
+	// processed, so that no other node can have held its share in the meantime.
 	Uninterrupted bool `cbor:"4,keyasint,omitempty"`
 }
 
-// RequestNumber numbers the share requests of one incarnation of a node, so that one that
-// arrives late is known by it.
+// RequestNumber numbers the share requests of one incarnation of a node, so that a delayed
+// request can be recognized as stale.
 type RequestNumber struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Sequence    uint64 `cbor:"2,keyasint"`
@@ -53,13 +53,13 @@
 // NewRequestNumber returns the number before the first request of a new incarnation.
 func NewRequestNumber() RequestNumber { return RequestNumber{Incarnation: rand.Uint64()} }
 
-// Next moves on to the next request's number and returns it.
+// Next increments the number and returns the result.
 func (n *RequestNumber) Next() RequestNumber {
 	n.Sequence++
 	return *n
 }
 
-// IsStale reports whether a newer request of the same incarnation was committed already.
+// IsStale reports whether committed is the number of a newer request of the same incarnation.
 func (n RequestNumber) IsStale(committed RequestNumber) bool {
 	return n.Incarnation == committed.Incarnation && n.Sequence < committed.Sequence
 }
--- a/internal/distribution/update.go
+++ b/internal/distribution/update.go
@@ -1,25 +1,25 @@
 package distribution
 
-// UpdateRequest is what a node sends to the control plane, or to another node when the
-// control plane doesn't answer.
+// UpdateRequest requests an Update. A node sends it to the control plane, or to another node if
+// the control plane doesn't respond.
 type UpdateRequest struct {
 	Node    Node           `cbor:"1,keyasint"` // the sender
 	Held    HeldVersions   `cbor:"2,keyasint"`
 	Reports []HealthReport `cbor:"3,keyasint,omitempty"`
-	// Suspects are the names of nodes whose heartbeats the sender misses.
+	// Suspects are the names of nodes whose heartbeats the sender no longer receives.
 	Suspects []string `cbor:"4,keyasint,omitempty"`
-	// Immediate asks for an answer without long polling, even if there is nothing newer.
+	// Immediate requests a response without long polling, even if there is nothing newer.
 	Immediate bool `cbor:"5,keyasint,omitempty"`
 }
 
-// HeldVersions names what the sender of an UpdateRequest holds. The zero value holds
-// nothing.
+// HeldVersions lists the versions that the sender of an UpdateRequest holds. The zero value
+// means that it holds nothing.
 type HeldVersions struct {
 	ConfigVersion    uint64   `cbor:"1,keyasint,omitempty"`
 	EndpointRevision Revision `cbor:"2,keyasint,omitempty"`
-	// MarkLogIndexes holds the log index of the marks of each search index. It is sent for a
-	// while after a receiver asked for it (Update.NeedMarkLogIndexes); MarksDigest stands
-	// for it otherwise, since there may be many search indexes.
+	// MarkLogIndexes maps each search index to the log index of its marks. It is sent only for
+	// some time after a responding node requested it (Update.NeedMarkLogIndexes). Otherwise
+	// MarksDigest is sent in its place, since there may be many search indexes.
 	MarkLogIndexes    map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	NodesIndex        uint64            `cbor:"4,keyasint,omitempty"`
 	DataPlaneCount    int               `cbor:"5,keyasint,omitempty"`
@@ -28,7 +28,7 @@
 	MarksDigest       uint64            `cbor:"8,keyasint,omitempty"`
 }
 
-// HealthReport is what a data plane node observed of an endpoint.
+// HealthReport is the health of an endpoint as observed by a data plane node.
 type HealthReport struct {
 	EndpointID string `cbor:"1,keyasint"`
 	Service    string `cbor:"2,keyasint"`
@@ -37,8 +37,8 @@
 
 // Update answers an UpdateRequest with the parts that are newer than what its sender holds.
 type Update struct {
-	// Stale says that the answering node has lost contact with the majority of the meta
-	// cell: what it knows may be old.
+	// Stale is set if the responding node has lost contact with the majority of the meta cell,
+	// so that its state may be out of date.
 	Stale         bool            `cbor:"1,keyasint,omitempty"`
 	Config        *ConfigUpdate   `cbor:"2,keyasint,omitempty"`
 	Endpoints     *EndpointList   `cbor:"3,keyasint,omitempty"`
@@ -48,12 +48,12 @@
 	RemovedSearchIndexes []string            `cbor:"6,keyasint,omitempty"`
 	Purges               *PurgeUpdate        `cbor:"7,keyasint,omitempty"`
 	Notifications        *NotificationUpdate `cbor:"8,keyasint,omitempty"`
-	// NeedMarkLogIndexes says that the answering node can't tell from the digest which marks
-	// the receiver lacks.
+	// NeedMarkLogIndexes is set if the responding node can't determine from the digest which
+	// marks the receiver lacks.
 	NeedMarkLogIndexes bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Empty reports whether the update holds nothing.
+// Empty reports whether the update holds no parts and requests nothing. Stale is not considered.
 func (u *Update) Empty() bool {
 	switch {
 	case u.Config != nil, u.Endpoints != nil, len(u.EjectionMarks) > 0, u.Nodes != nil:
@@ -64,8 +64,8 @@
 	return true
 }
 
-// EstimatesRequest asks a data plane node for its latency estimates: of one service and
-// class, or of all where a field is empty.
+// EstimatesRequest requests the latency estimates of a data plane node for one service and
+// class. An empty field selects all services or all classes.
 type EstimatesRequest struct {
 	Service string `cbor:"1,keyasint,omitempty"`
 	Class   string `cbor:"2,keyasint,omitempty"`
--- a/internal/outbox/inbox.go
+++ b/internal/outbox/inbox.go
@@ -5,39 +5,41 @@
 	"slices"
 )
 
-// Decision is what an Inbox decides about a notification.
+// Decision is the result of Inbox.Decide for a notification.
 type Decision uint8
 
 const (
-	// Applied notifications are new and complete: the receiver acts on them.
+	// Applied notifications are new and in order: the receiver acts on them.
 	Applied Decision = iota
-	// Duplicate notifications were decided before, or are older than what was applied.
+	// Duplicate notifications were received before, or are not newer than the applied version.
 	Duplicate
-	// Deferred notifications are early: an earlier one, or the state that they announce, is
-	// missing. The receiver decides them again later.
+	// Deferred notifications are early: the receiver lacks a preceding notification or the
+	// state that they announce. It passes them to Decide again later.
 	Deferred
 	// Quarantined notifications are invalid, or contradict an earlier one.
 	Quarantined
 )
 
-// String returns the source's name of the decision.
+// String returns the name of the decision in the reference that the package comment cites.
 func (d Decision) String() string {
 	return [...]string{"APPLIED", "DUPLICATE", "DEFERRED", "QUARANTINED"}[min(d, Quarantined)]
 }
 
-// maxDecided bounds the memory of an inbox: older notifications are known by their version.
+// maxDecided is the number of notifications that an inbox remembers, which bounds its memory.
+// Older notifications are recognized as duplicates by their version.
 const maxDecided = 256
 
-// Inbox remembers what one receiver has decided. It is not safe for concurrent use: its
-// owner decides and acts under one lock, so that no change stands without its decision.
+// Inbox records the decisions of one receiver. It is not safe for concurrent use: its owner
+// decides and acts under one lock, so that no change is made without its decision recorded.
 type Inbox struct {
-	// AppliedVersions holds the newest version applied of each aggregate.
+	// AppliedVersions holds the newest applied version of each aggregate.
 	AppliedVersions map[string]uint64 `cbor:"1,keyasint"`
-	// Decided holds the newest notifications decided, oldest first.
+	// Decided holds the identities of the last notifications, at most maxDecided, oldest first.
 	Decided []DecidedNotification `cbor:"2,keyasint"`
 }
 
-// DecidedNotification identifies a notification that was applied, or was older than what was.
+// DecidedNotification identifies a notification that was applied, or that was not newer than the
+// applied version.
 type DecidedNotification struct {
 	EventID  string `cbor:"1,keyasint"`
 	TenantID string `cbor:"2,keyasint,omitempty"`
@@ -45,18 +47,19 @@
 	Version  uint64 `cbor:"4,keyasint"`
 }
 
-// NewInbox returns an inbox that has decided nothing.
+// NewInbox returns an inbox without decisions.
 func NewInbox() *Inbox { return &Inbox{AppliedVersions: map[string]uint64{}} }
 
 // SetBaseVersion records that the receiver holds the state of an aggregate up to a version
-// without the notifications, as after a restart.
+// without having received the notifications, for example after a restart.
 func (b *Inbox) SetBaseVersion(aggregate string, version uint64) {
 	b.AppliedVersions[aggregate] = max(b.AppliedVersions[aggregate], version)
 }
 
-// Decide decides a notification before the receiver acts on it. held is the version of the
-// aggregate up to which the receiver holds the state; a deferred notification waits for it.
-// The error is set for Quarantined: ErrInvalidNotification or ErrContentMismatch.
+// Decide determines how the receiver handles a notification, and must be called before the
+// receiver acts on it. held is the version of the aggregate up to which the receiver holds the
+// state: a notification of a newer version is deferred. With Quarantined, the error wraps
+// ErrInvalidNotification or ErrContentMismatch.
 func (b *Inbox) Decide(n *Notification, held uint64) (Decision, error) {
 	if err := n.Validate(); err != nil {
 		return Quarantined, err
@@ -80,7 +83,7 @@
 	return Applied, nil
 }
 
-// decided returns the earlier notification with the same identity, or nil.
+// decided returns the recorded notification with the same identity, or nil if there is none.
 func (b *Inbox) decided(eventID, tenantID string) *DecidedNotification {
 	for i := range b.Decided {
 		if d := &b.Decided[i]; d.EventID == eventID && d.TenantID == tenantID {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// record remembers a notification as decided.
+// record adds a notification to Decided and drops the oldest beyond maxDecided.
 func (b *Inbox) record(n *Notification) {
 	b.Decided = append(b.Decided, DecidedNotification{
 		EventID:  n.EventID,
--- a/internal/outbox/inbox_test.go
+++ b/internal/outbox/inbox_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newTestNotification returns a notification of the configuration.
+// newTestNotification returns a notification of AggregateConfiguration.
 func newTestNotification(t *testing.T, id string, version, previous uint64, payload any) *Notification {
 	t.Helper()
 	n, err := Notification{
@@ -20,8 +20,10 @@
 	return &n
 }
 
-// TestInboxDecisions: each notification is decided by what was decided before it and by the
-// state that the receiver holds, whatever order they arrive in.
+// TestInboxDecisions: Decide returns the right decision when notifications arrive out of order,
+// repeated, damaged or before the state that they announce. Guards against a change that is
+// applied twice, too early or with conflicting content, and against an inbox that grows without
+// bound.
 func TestInboxDecisions(t *testing.T) {
 	changeOf := func(tenant string) ConfigurationChange {
 		return ConfigurationChange{Tenants: []string{tenant}}
@@ -44,8 +46,8 @@
 		want         Decision
 		wantErr      error
 	}{
-		{five, 5, Deferred, nil},  // 3 is missing
-		{three, 0, Deferred, nil}, // the state that it speaks of is missing
+		{five, 5, Deferred, nil},  // version 3 was not applied yet
+		{three, 0, Deferred, nil}, // the receiver lacks the state that it announces
 		{three, 3, Applied, nil},
 		{three, 3, Duplicate, nil},
 		{five, 3, Deferred, nil},
@@ -56,25 +58,25 @@
 		{five, 5, Applied, nil},
 		{otherFive, 5, Quarantined, ErrContentMismatch},
 		{five, 5, Duplicate, nil},
-		{four, 5, Duplicate, nil}, // older than what was applied
+		{four, 5, Duplicate, nil}, // older than the applied version
 		{otherFour, 5, Quarantined, ErrContentMismatch},
 	} {
 		got, err := inbox.Decide(step.notification, step.held)
 		if got != step.want || !errors.Is(err, step.wantErr) {
-			t.Errorf("step %d: got %v (%v), want %v (%v)", i, got, err, step.want, step.wantErr)
+			t.Errorf("step %d: Decide returned %v, %v; want %v, %v", i, got, err, step.want, step.wantErr)
 		}
 	}
 	inbox.SetBaseVersion(AggregateConfiguration, 40)
 	if d, _ := inbox.Decide(newTestNotification(t, "c/50", 50, 40, nil), 50); d != Applied {
-		t.Errorf("after a base version: got %v, want %v", d, Applied)
+		t.Errorf("Decide after SetBaseVersion returned %v, want %v", d, Applied)
 	}
 	for version := uint64(51); version < 2000; version++ {
 		d, _ := inbox.Decide(newTestNotification(t, "c", version, version-1, nil), version)
 		if version == 51 && d != Applied {
-			t.Fatal(d)
+			t.Fatalf("Decide for version 51 returned %v, want %v", d, Applied)
 		}
 	}
 	if len(inbox.Decided) > maxDecided {
-		t.Errorf("the inbox remembers %d notifications, more than %d", len(inbox.Decided), maxDecided)
+		t.Errorf("the inbox remembers %d notifications, want at most %d", len(inbox.Decided), maxDecided)
 	}
 }
--- a/internal/outbox/notification.go
+++ b/internal/outbox/notification.go
@@ -8,25 +8,26 @@
 	"comethold/internal/rpc"
 )
 
-// The aggregates whose versions notifications carry. Versions only grow, also when an index
-// is divided into other shards: they are the operator's configuration versions, indexes of
-// the meta cell's log, and the numbers of time windows. The values are stored.
+// Names of the aggregates whose versions notifications carry. The versions only increase, also
+// when an index is divided into other shards: they are the operator's configuration versions,
+// indexes of the meta cell's log, and the numbers of time windows. The names are stored.
 const (
 	AggregateConfiguration = "configuration"
 	AggregatePurges        = "purges"
-	// AggregateUsage counts time windows; its notifications go to the platform alone.
+	// AggregateUsage has the number of a time window as its version. Its notifications are sent
+	// only to the platform.
 	AggregateUsage = "usage"
 )
 
-// digestBytes is the length that SHA-256 digests are cut to.
+// digestBytes is the length in bytes to which SHA-256 digests are truncated.
 const digestBytes = 16
 
-// Notification says that a change was committed. It is immutable.
+// Notification announces a committed change. It is immutable.
 type Notification struct {
 	EventID   string `cbor:"1,keyasint"`
-	TenantID  string `cbor:"2,keyasint,omitempty"` // empty: it concerns all tenants
+	TenantID  string `cbor:"2,keyasint,omitempty"` // empty for a change that concerns all tenants
 	Aggregate string `cbor:"3,keyasint"`           // one of the Aggregate constants
-	// Version and PreviousVersion are those of the aggregate after and before the change.
+	// Version and PreviousVersion are the aggregate's versions after and before the change.
 	Version         uint64 `cbor:"4,keyasint"`
 	PreviousVersion uint64 `cbor:"5,keyasint"`
 	Payload         []byte `cbor:"6,keyasint,omitempty"`
@@ -35,7 +36,7 @@
 
 // ConfigurationChange is the payload of a notification of AggregateConfiguration.
 type ConfigurationChange struct {
-	// Tenants are those whose keys or limits changed.
+	// Tenants are the names of the tenants whose keys or limits changed.
 	Tenants []string `cbor:"1,keyasint,omitempty"`
 }
 
@@ -51,14 +52,14 @@
 	return n, nil
 }
 
-// Digest returns what payloads and requests are compared by.
+// Digest returns the truncated SHA-256 digest by which payloads and requests are compared.
 func Digest(content []byte) []byte {
 	sum := sha256.Sum256(content)
 	return sum[:digestBytes]
 }
 
-// Validate returns ErrInvalidNotification, wrapped with the reason, if a notification that
-// was received can't be used.
+// Validate checks a received notification. It returns an error that wraps ErrInvalidNotification
+// and states the reason if the notification can't be used.
 func (n *Notification) Validate() error {
 	switch {
 	case n.EventID == "":
--- a/internal/outbox/receipt_test.go
+++ b/internal/outbox/receipt_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestReceiptKeyUse: a receipt distinguishes the same request from another one under its key.
+// TestReceiptKeyUse: a receipt distinguishes a repeated request from a different request with the
+// same idempotency key.
 func TestReceiptKeyUse(t *testing.T) {
 	same, other := Digest([]byte("a")), Digest([]byte("b"))
 	receipt := &Receipt{Fingerprint: same, Status: 200}
@@ -16,7 +17,7 @@
 		{receipt, other, KeyConflicting},
 	} {
 		if got := c.receipt.Compare(c.fingerprint); got != c.want {
-			t.Errorf("receipt %v, fingerprint %x: got %d, want %d", c.receipt, c.fingerprint, got, c.want)
+			t.Errorf("receipt %v, fingerprint %x: Compare returned %d, want %d", c.receipt, c.fingerprint, got, c.want)
 		}
 	}
 }
--- a/internal/outbox/row.go
+++ b/internal/outbox/row.go
@@ -5,9 +5,9 @@
 // State is the state of a row of the outbox.
 type State uint8
 
-// The states of a row. The values are stored.
+// The states of a row. Their values are stored.
 const (
-	// Pending rows were committed and not sent yet.
+	// Pending rows are committed but not sent yet.
 	Pending State = iota
 	// Claimed rows are being sent by a publisher.
 	Claimed
@@ -17,27 +17,29 @@
 	RetryWait
 )
 
-// String returns the name of the state as operators see it.
+// String returns the name of the state as shown to operators.
 func (s State) String() string {
 	return [...]string{"PENDING", "CLAIMED", "PUBLISHED", "RETRY_WAIT"}[min(s, RetryWait)]
 }
 
 const (
-	// ClaimLease is how long a claim holds, by the clock of a node that sees the row
-	// unchanged. The source's lease of 30 s would leave a row of a publisher that failed
-	// unsent for longer than a change may take to be in force.
+	// ClaimLease is the duration of a claim, measured by another node as the time for which it
+	// has seen the row unchanged. The lease of 30 s in the reference that the package comment
+	// cites is too long: if a publisher fails, its rows would stay unsent for longer than a
+	// change may take to become effective.
 	ClaimLease = 5 * time.Second
-	// InitialRetryDelay is the delay after the first failed attempt; it doubles with each.
+	// InitialRetryDelay is the delay after the first failed attempt. It doubles with each
+	// further one.
 	InitialRetryDelay = time.Second
-	// MaxRetryDelay bounds the delay between attempts.
+	// MaxRetryDelay is the upper bound of the delay between attempts.
 	MaxRetryDelay = time.Minute
 
-	// maxDelayDoublings keeps the doubled delay within its type.
+	// maxDelayDoublings prevents an overflow of the doubled delay.
 	maxDelayDoublings = 10
 )
 
-// Row is a notification in the outbox with the state of its delivery. Its methods return
-// the row after a transition; the caller commits it.
+// Row is a notification in the outbox with the state of its delivery. Methods that change the
+// state return the changed row, which the caller commits.
 type Row struct {
 	Notification Notification `cbor:"1,keyasint"`
 	State        State        `cbor:"2,keyasint,omitempty"`
@@ -45,7 +47,8 @@
 	Attempts     int          `cbor:"4,keyasint,omitempty"`
 }
 
-// ClaimDelay returns how long the row must have been unchanged before it may be claimed.
+// ClaimDelay returns the time for which the row must have been unchanged before it can be
+// claimed.
 func (r Row) ClaimDelay() time.Duration {
 	switch r.State {
 	case Claimed:
@@ -58,8 +61,9 @@
 	return 0
 }
 
-// Claim returns the row claimed by owner. unchanged is how long the caller has seen the row
-// unchanged; if that is too short, or the row was published, it returns ErrInvalidState.
+// Claim returns the row claimed by owner. unchanged is the time for which the caller has seen
+// the row unchanged. Claim returns ErrInvalidState if that is shorter than ClaimDelay, or if the
+// row was published.
 func (r Row) Claim(owner string, unchanged time.Duration) (Row, error) {
 	if r.State == Published || unchanged < r.ClaimDelay() {
 		return r, ErrInvalidState
@@ -70,19 +74,20 @@
 	return r, nil
 }
 
-// MarkPublished returns the row after it was sent. Unless owner has claimed it, it returns
-// ErrInvalidState or ErrNotOwner.
+// MarkPublished returns the row in state Published, for use after it was sent. It returns
+// ErrInvalidState if the row is not claimed, and ErrNotOwner if another publisher claimed it.
 func (r Row) MarkPublished(owner string) (Row, error) {
 	return r.release(owner, Published)
 }
 
-// ScheduleRetry returns the row after it could not be sent. Unless owner has claimed it, it
-// returns ErrInvalidState or ErrNotOwner.
+// ScheduleRetry returns the row in state RetryWait, for use after it could not be sent. It
+// returns ErrInvalidState if the row is not claimed, and ErrNotOwner if another publisher claimed
+// it.
 func (r Row) ScheduleRetry(owner string) (Row, error) {
 	return r.release(owner, RetryWait)
 }
 
-// Redrive returns the row pending once more, with the same notification.
+// Redrive returns the row in state Pending, so that the same notification is sent again.
 func (r Row) Redrive() Row {
 	return Row{Notification: r.Notification, State: Pending, Attempts: r.Attempts}
 }
--- a/internal/rpc/body.go
+++ b/internal/rpc/body.go
@@ -8,25 +8,25 @@
 	"sync"
 )
 
-// ContentType is that of the bodies of requests and answers.
+// ContentType is the content type of request and response bodies.
 const ContentType = "application/cbor"
 
-// A body is one byte that says how the rest is encoded, and the rest.
+// A body begins with one byte that identifies the encoding of the remaining bytes.
 const (
 	plainBody   = 0
 	deflateBody = 1
 )
 
 const (
-	minCompressedBytes = 600 // compressing a smaller body saves too little
+	minCompressedBytes = 600 // smaller bodies are not compressed: it saves too little
 	compressionLevel   = 5
-	maxBodyBytes       = 32 << 20 // decoded
+	maxBodyBytes       = 32 << 20 // of an encoded or decoded body
 )
 
-// compressors holds *flate.Writer values for reuse: each takes hundreds of kilobytes.
+// compressors holds *flate.Writer values for reuse: each occupies hundreds of kilobytes.
 var compressors sync.Pool
 
-// EncodeBody makes the body of a request or an answer from encoded cbor, and compresses it unless it is small.
+// EncodeBody makes the body of a request or response from encoded cbor, and compresses it unless it is small.
 func EncodeBody(raw []byte) []byte {
 	if len(raw) < minCompressedBytes {
 		return EncodeUncompressedBody(raw)
@@ -52,10 +52,11 @@
 	return compressor
 }
 
-// EncodeUncompressedBody makes a body from encoded cbor that would not gain from compression.
+// EncodeUncompressedBody makes a body from encoded cbor without compression, for data that doesn't compress well.
 func EncodeUncompressedBody(raw []byte) []byte { return append([]byte{plainBody}, raw...) }
 
-// DecodeBody undoes EncodeBody and EncodeUncompressedBody. Its errors wrap ErrMalformed.
+// DecodeBody returns the encoded cbor of a body made by EncodeBody or EncodeUncompressedBody. Its errors wrap
+// ErrMalformed.
 func DecodeBody(body []byte) ([]byte, error) {
 	if len(body) == 0 {
 		return nil, ErrMalformed
@@ -70,7 +71,7 @@
 	return raw, nil
 }
 
-// EncodeRequest makes the body of a request from a value.
+// EncodeRequest makes the body of a request from a value. Its errors wrap ErrMalformed.
 func EncodeRequest(request any) ([]byte, error) {
 	raw, err := Marshal(request)
 	if err != nil {
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -26,14 +26,14 @@
 	callTimeout    = 20 * time.Millisecond
 )
 
-// faultyPeer receives calls and ends them in the ways in which processes and networks fail. Its answer to a call is
-// the number of the call.
+// faultyPeer receives calls and injects the faults of processes and networks. It responds to a call with the number of
+// the call.
 type faultyPeer struct {
 	listener net.Listener
 
 	mu       sync.Mutex  // guards the fields below
 	rng      *rand.Rand  // chooses the fault
-	received map[int]int // by the number of the call: how often it arrived
+	received map[int]int // how often each call arrived, by its number
 }
 
 func (p *faultyPeer) draw(n int) int {
@@ -68,14 +68,15 @@
 		p.received[call]++
 		p.mu.Unlock()
 		raw, _ := Marshal(call)
-		if !p.answer(conn, EncodeBody(raw)) {
+		if !p.writeResponse(conn, EncodeBody(raw)) {
 			return
 		}
 	}
 }
 
-// answer ends a call in one of many ways; false if the connection ends with it.
-func (p *faultyPeer) answer(conn net.Conn, body []byte) bool {
+// writeResponse responds to a call, correctly or with a random fault. It returns false if the connection must be
+// closed.
+func (p *faultyPeer) writeResponse(conn net.Conn, body []byte) bool {
 	respond := func(status, header string, body []byte) {
 		fmt.Fprintf(conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	}
@@ -87,10 +88,10 @@
 			_ = tcp.SetLinger(0)
 		}
 		return false
-	case 2: // shorter than announced
+	case 2: // shorter than its Content-Length
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+1, body)
 		return false
-	case 3: // without a length, and truncated
+	case 3: // truncated, without a Content-Length
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s", body[:p.draw(len(body))])
 		return false
 	case 4: // after the caller's time-out
@@ -116,8 +117,9 @@
 	return true
 }
 
-// TestCalls: however a call ends, the peer received it at most once, and a successful call returns its own answer.
-func TestCalls(t *testing.T) {
+// TestCallDeliversAtMostOnce: the peer receives a call at most once, and a successful call returns its own response.
+// Guards against a transport that repeats a call, or that reads the response of another call, after a fault.
+func TestCallDeliversAtMostOnce(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
 		listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -127,41 +129,41 @@
 		go peer.acceptAll()
 		client := NewClient(TCPNetwork)
 		successes := callConcurrently(t, seed, client, peer)
-		time.Sleep(50 * time.Millisecond) // for requests that were sent and not read yet
+		time.Sleep(50 * time.Millisecond) // for requests that were sent but not read yet
 		_ = listener.Close()
 		client.httpClient.CloseIdleConnections()
 		peer.mu.Lock()
 		for call, n := range peer.received {
 			if n > 1 {
-				t.Errorf("seed %d: call %d came %d times", seed, call, n)
+				t.Errorf("seed %d: the peer received call %d %d times, want at most once", seed, call, n)
 			}
 		}
 		peer.mu.Unlock()
 		if successes == 0 {
-			t.Errorf("seed %d: no call succeeded", seed)
+			t.Errorf("seed %d: no call succeeded, want at least one", seed)
 		}
 	}
 }
 
-// callConcurrently makes numbered calls and checks their answers; it returns how many succeeded.
+// callConcurrently makes numbered calls, checks their responses, and returns the number of calls that succeeded.
 func callConcurrently(t *testing.T, seed int, client *Client, peer *faultyPeer) (successes int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for caller := range callers {
 		wg.Go(func() {
 			for i := range callsPerCaller {
-				call, answer := 1000*(caller+1)+i, 0
+				call, response := 1000*(caller+1)+i, 0
 				ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
-				err := client.Call(ctx, peer.listener.Addr().String(), "/", call, &answer)
+				err := client.Call(ctx, peer.listener.Addr().String(), "/", call, &response)
 				cancel()
 				peer.mu.Lock()
 				switch {
-				case err == nil && answer != call:
-					t.Errorf("seed %d: call %d was answered %d", seed, call, answer)
+				case err == nil && response != call:
+					t.Errorf("seed %d: call %d returned the response %d, want its own number", seed, call, response)
 				case err == nil:
 					successes++
 				case !errors.Is(err, ErrNoResponse) && !errors.Is(err, ErrRejected) && !errors.Is(err, ErrMalformed):
-					t.Errorf("seed %d: an undocumented error: %v", seed, err)
+					t.Errorf("seed %d: Call returned %v, want ErrNoResponse, ErrRejected or ErrMalformed", seed, err)
 				}
 				peer.mu.Unlock()
 			}
@@ -171,9 +173,10 @@
 	return successes
 }
 
-// TestEndlessAnswerHead guards against a peer whose answer has a header line without an end.
-func TestEndlessAnswerHead(t *testing.T) {
-	const socketBuffers = 8 << 20
+// TestCallLimitsResponseHeader: a call fails once the response header exceeds MaxResponseHeaderBytes. Guards against
+// unbounded memory use by a peer that sends an endless header line.
+func TestCallLimitsResponseHeader(t *testing.T) {
+	const maxBufferedBytes = 8 << 20 // in the socket buffers of both sides
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -200,37 +203,37 @@
 	defer cancel()
 	err = NewClient(TCPNetwork).Call(ctx, listener.Addr().String(), "/", 1, nil)
 	if !errors.Is(err, ErrNoResponse) || ctx.Err() != nil {
-		t.Errorf("the call ends with %v", err)
+		t.Errorf("Call returned %v, want ErrNoResponse before its deadline", err)
 	}
-	if n := <-sent; n > socketBuffers {
-		t.Errorf("%d bytes of the head were taken in", n)
+	if n := <-sent; n > maxBufferedBytes {
+		t.Errorf("the peer could send %d bytes of the header, want only what the socket buffers hold", n)
 	}
 }
 
-// TestCallPatiently: an answer may take longer than each of its waits, as over a slow link; one
-// that doesn't begin, or stops, fails.
-func TestCallPatiently(t *testing.T) {
+// TestCallWithTimeouts: a response that makes progress may take longer in total than Header and Idle, as on a
+// slow link. A call fails if its response doesn't begin, stops, or exceeds Total.
+func TestCallWithTimeouts(t *testing.T) {
 	const (
 		step  = 150 * time.Millisecond
 		parts = 20
 		limit = 2 * time.Second // shorter than all parts together
 	)
-	patience := ResponseTimeouts{Header: limit, Idle: limit, Total: time.Minute}
+	timeouts := ResponseTimeouts{Header: limit, Idle: limit, Total: time.Minute}
 	text := strings.Repeat("x", parts)
 	for name, c := range map[string]struct {
 		pause   func(part int) time.Duration // before each part
 		total   time.Duration
 		succeed bool
 	}{
-		"slow":     {func(int) time.Duration { return step }, patience.Total, true},
-		"mute":     {func(int) time.Duration { return time.Minute }, patience.Total, false},
-		"stops":    {func(part int) time.Duration { return time.Duration(part/5) * time.Minute }, patience.Total, false},
-		"too slow": {func(int) time.Duration { return step }, 3 * step, false},
+		"slow":      {func(int) time.Duration { return step }, timeouts.Total, true},
+		"no header": {func(int) time.Duration { return time.Minute }, timeouts.Total, false},
+		"stops":     {func(part int) time.Duration { return time.Duration(part/5) * time.Minute }, timeouts.Total, false},
+		"too slow":  {func(int) time.Duration { return step }, 3 * step, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // only then the end of the connection is noticed
+				_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after this
 				raw, _ := Marshal(text)
 				body := EncodeUncompressedBody(raw)
 				w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -246,15 +249,17 @@
 				}
 			}))
 			defer server.Close()
-			var answer string
-			p := patience
-			p.Total = c.total
-			err := NewClient(TCPNetwork).CallWithTimeouts(t.Context(), server.Listener.Addr().String(), "/", 1, &answer, p)
-			if c.succeed && (err != nil || answer != text) {
-				t.Errorf("%q, %v", answer, err)
+			var response string
+			perCase := timeouts
+			perCase.Total = c.total
+			err := NewClient(TCPNetwork).CallWithTimeouts(
+				t.Context(), server.Listener.Addr().String(), "/", 1, &response, perCase,
+			)
+			if c.succeed && (err != nil || response != text) {
+				t.Errorf("Call returned response %q and error %v, want %q and no error", response, err, text)
 			}
 			if !c.succeed && !errors.Is(err, ErrNoResponse) {
-				t.Errorf("ends with %v", err)
+				t.Errorf("Call returned %v, want ErrNoResponse", err)
 			}
 		})
 	}
--- a/internal/rpc/patience.go
+++ b/internal/rpc/patience.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// ResponseTimeouts bounds a call by the progress of its answer, so that a large answer may take its time
-// on a slow link, while a peer that stops is noticed as soon as with a small one.
+// ResponseTimeouts bounds a call by the progress of its response. A large response can then take long on a
+// slow link, while a peer that stops sending is detected as early as with a small response.
 type ResponseTimeouts struct {
-	Header   time.Duration // until the answer begins
-	Idle     time.Duration // between two parts of the answer
+	Header   time.Duration // until the response header arrives
+	Idle     time.Duration // between two reads of the response body
 	Total    time.Duration // for the whole call
-	OnHeader func()        // called when the answer begins; may be nil
+	OnHeader func()        // called when the response header arrives; may be nil
 }
 
-// CallWithTimeouts is Call, bounded by patience in place of a deadline of ctx.
+// CallWithTimeouts is Call, bounded by timeouts in addition to any deadline of ctx. Errors wrap ErrNoResponse,
+// ErrRejected or ErrMalformed.
 func (c *Client) CallWithTimeouts(
-	ctx context.Context, address, path string, request, answer any, patience ResponseTimeouts,
+	ctx context.Context, address, path string, request, response any, timeouts ResponseTimeouts,
 ) error {
 	body, err := EncodeRequest(request)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience.Total)
+	ctx, cancel := context.WithTimeout(ctx, timeouts.Total)
 	defer cancel()
-	silence := time.AfterFunc(patience.Header, cancel)
-	defer silence.Stop()
+	stallTimer := time.AfterFunc(timeouts.Header, cancel)
+	defer stallTimer.Stop()
 	resp, err := c.post(ctx, address, path, body)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // if it was not read to its end, this closes the connection
-	if patience.OnHeader != nil {
-		patience.OnHeader()
+	defer func() { _ = resp.Body.Close() }() // closes the connection if the body was not read to its end
+	if timeouts.OnHeader != nil {
+		timeouts.OnHeader()
 	}
-	silence.Reset(patience.Idle)
-	progress := progressReader{source: resp.Body, onProgress: func() { silence.Reset(patience.Idle) }}
-	return decodeAnswer(resp.StatusCode, &progress, answer)
+	stallTimer.Reset(timeouts.Idle)
+	progress := progressReader{source: resp.Body, onProgress: func() { stallTimer.Reset(timeouts.Idle) }}
+	return decodeResponse(resp.StatusCode, &progress, response)
 }
 
-// progressReader calls a function whenever something was read.
+// progressReader calls onProgress after each read that returns data.
 type progressReader struct {
 	source     io.Reader
 	onProgress func()
