--- a/internal/controlclient/applied_state_test.go
+++ b/internal/controlclient/applied_state_test.go
@@ -66,7 +66,7 @@
 		if receiver.confirmed.Load() {
 			t.Errorf("%s is confirmed after an update from a data plane node, want unconfirmed", c.receiverNode)
 		}
-		held.MarkIndexes = map[string]uint64{"ix": 12}
+		held.MarkLogIndexes = map[string]uint64{"ix": 12}
 		if again := sender.updateFor(held, false); !again.Empty() {
 			t.Errorf("%s gets %+v although it holds the same state, want an empty update", c.receiverNode, again)
 		}
