--- a/internal/soak/cmd/soak/main.go
+++ b/internal/soak/cmd/soak/main.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(ctx, o.duration+runMargin)
 	defer cancel()
 	progress := func(line string) { fmt.Fprintf(os.Stderr, "seed %d: %s\n", seed, line) }
-	plan := soak.Draw(seed, o.duration, o.size)
+	plan := soak.GeneratePlan(seed, o.duration, o.size)
 	plan.RaceBuilt = o.raceBuilt
 	report, err := soak.Run(ctx, plan, o.binary, dir, progress)
 	if err != nil {
@@ -112,7 +112,7 @@
 		return false, err
 	}
 	fmt.Println(string(raw))
-	held = len(report.Breaks) == 0
+	held = len(report.Violations) == 0
 	if held && o.keep == "" {
 		return true, os.RemoveAll(dir)
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -121,25 +121,25 @@
 		u.signal(syscall.SIGKILL)
 	case KillAtStart:
 		u.signal(syscall.SIGKILL)
-		f.later(ctx, restartDelay+e.Gap, func() { u.signal(syscall.SIGKILL) })
-	case SignalsStart:
+		f.later(ctx, restartDelay+e.Interval, func() { u.signal(syscall.SIGKILL) })
+	case SignalsAtStart:
 		u.signal(syscall.SIGKILL)
-		f.later(ctx, restartDelay+e.Gap, func() { u.signal(syscall.SIGHUP) })
-		f.later(ctx, restartDelay+2*e.Gap, func() { u.signal(syscall.SIGTERM) })
+		f.later(ctx, restartDelay+e.Interval, func() { u.signal(syscall.SIGHUP) })
+		f.later(ctx, restartDelay+2*e.Interval, func() { u.signal(syscall.SIGTERM) })
 	case Suspend:
 		u.signal(syscall.SIGSTOP)
-		f.later(ctx, e.For, func() { u.signal(syscall.SIGCONT) })
-	case ReloadAndEnd:
+		f.later(ctx, e.Duration, func() { u.signal(syscall.SIGCONT) })
+	case ReloadThenTerminate:
 		u.hangups(e)
 		u.signal(syscall.SIGTERM)
-	case SuspendedEnd:
+	case TerminateSuspended:
 		u.signal(syscall.SIGSTOP)
 		u.signal(syscall.SIGTERM)
-		f.later(ctx, e.For, func() { u.signal(syscall.SIGCONT) })
+		f.later(ctx, e.Duration, func() { u.signal(syscall.SIGCONT) })
 	case HoldPort:
 		u.signal(syscall.SIGKILL)
-		f.holdPort(ctx, u, e.For)
-	case KillControl:
+		f.holdPort(ctx, u, e.Duration)
+	case KillControlNodes:
 		for _, control := range f.units[:f.plan.Size.ControlNodes] {
 			control.signal(syscall.SIGKILL)
 		}
@@ -151,7 +151,7 @@
 	for range e.Count {
 		u.changeSettings()
 		u.signal(syscall.SIGHUP)
-		time.Sleep(e.Gap)
+		time.Sleep(e.Interval)
 	}
 }
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -10,16 +10,16 @@
 
 // The actions.
 const (
-	Reload       Action = "reload"        // SIGHUP with changed settings, several in a row
-	Terminate    Action = "terminate"     // SIGTERM; the process is started again when it has ended
-	Kill         Action = "kill"          // SIGKILL; the same
-	KillAtStart  Action = "kill-at-start" // SIGKILL, and again while the process starts
-	SignalsStart Action = "signals-at-start"
-	Suspend      Action = "suspend"           // SIGSTOP, and SIGCONT after a while
-	ReloadAndEnd Action = "reload-terminate"  // a series of SIGHUP, then SIGTERM
-	SuspendedEnd Action = "suspend-terminate" // SIGTERM while the process is suspended
-	HoldPort     Action = "hold-port"         // SIGKILL, and the port is taken for a while
-	KillControl  Action = "kill-control"      // all control nodes are killed at once
+	Reload              Action = "reload"        // SIGHUP with changed settings, several in a row
+	Terminate           Action = "terminate"     // SIGTERM; the process is started again when it has ended
+	Kill                Action = "kill"          // SIGKILL; the same
+	KillAtStart         Action = "kill-at-start" // SIGKILL, and again while the process starts
+	SignalsAtStart      Action = "signals-at-start"
+	Suspend             Action = "suspend"           // SIGSTOP, and SIGCONT after a while
+	ReloadThenTerminate Action = "reload-terminate"  // a series of SIGHUP, then SIGTERM
+	TerminateSuspended  Action = "suspend-terminate" // SIGTERM while the process is suspended
+	HoldPort            Action = "hold-port"         // SIGKILL, and the port is taken for a while
+	KillControlNodes    Action = "kill-control"      // all control nodes are killed at once
 )
 
 // actionWeights says how often each action is drawn.
@@ -31,22 +31,22 @@
 	{Terminate, 5},
 	{Kill, 4},
 	{KillAtStart, 3},
-	{SignalsStart, 4},
+	{SignalsAtStart, 4},
 	{Suspend, 4},
-	{ReloadAndEnd, 3},
-	{SuspendedEnd, 2},
+	{ReloadThenTerminate, 3},
+	{TerminateSuspended, 2},
 	{HoldPort, 2},
-	{KillControl, 1},
+	{KillControlNodes, 1},
 }
 
 // Event is one disruption.
 type Event struct {
-	At     time.Duration `json:"at"` // nanoseconds after the start of the disruptions
-	Unit   int           `json:"unit"`
-	Action Action        `json:"action"`
-	Count  int           `json:"count"` // signals in a series
-	For    time.Duration `json:"for"`   // how long a suspension, or the hold of a port, lasts
-	Gap    time.Duration `json:"gap"`   // between the signals of a series
+	At       time.Duration `json:"at"` // nanoseconds after the start of the disruptions
+	Unit     int           `json:"unit"`
+	Action   Action        `json:"action"`
+	Count    int           `json:"count"` // signals in a series
+	Duration time.Duration `json:"for"`   // how long a suspension, or the hold of a port, lasts
+	Interval time.Duration `json:"gap"`   // between the signals of a series
 }
 
 // Plan is a run: the disruptions in their order.
@@ -78,8 +78,8 @@
 	maxSignalGap    = 40 * time.Millisecond
 )
 
-// Draw draws the plan of a seed.
-func Draw(seed uint64, duration time.Duration, size Size) Plan {
+// GeneratePlan draws the plan of a seed.
+func GeneratePlan(seed uint64, duration time.Duration, size Size) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	plan := Plan{Seed: seed, Duration: duration, Size: size}
 	for at := time.Duration(0); ; {
@@ -88,12 +88,12 @@
 			return plan
 		}
 		plan.Events = append(plan.Events, Event{
-			At:     at,
-			Unit:   rng.IntN(size.units()),
-			Action: drawAction(rng),
-			Count:  1 + rng.IntN(maxSeriesLength),
-			For:    time.Duration(rng.Int64N(int64(maxSuspension))),
-			Gap:    time.Duration(rng.Int64N(int64(maxSignalGap))),
+			At:       at,
+			Unit:     rng.IntN(size.units()),
+			Action:   drawAction(rng),
+			Count:    1 + rng.IntN(maxSeriesLength),
+			Duration: time.Duration(rng.Int64N(int64(maxSuspension))),
+			Interval: time.Duration(rng.Int64N(int64(maxSignalGap))),
 		})
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -21,11 +21,11 @@
 	ruleHarness Rule = "harness" // the run itself failed
 )
 
-// Break is a rule that was broken.
-type Break struct {
-	Rule Rule          `json:"rule"`
-	At   time.Duration `json:"at"` // nanoseconds after the start of the run
-	What string        `json:"what"`
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule        Rule          `json:"rule"`
+	At          time.Duration `json:"at"` // nanoseconds after the start of the run
+	Description string        `json:"what"`
 }
 
 // record collects what was seen. It is safe for concurrent use.
@@ -33,7 +33,7 @@
 	startedAt time.Time
 
 	mu       sync.Mutex // guards the fields below
-	breaks   []Break
+	breaks   []Violation
 	requests map[string]*request // by ID
 	events   int
 	peak     map[string]resources // by program
@@ -58,5 +58,5 @@
 
 func (r *record) brokenLocked(rule Rule, format string, arguments ...any) {
 	what := fmt.Sprintf(format, arguments...)
-	r.breaks = append(r.breaks, Break{Rule: rule, At: time.Since(r.startedAt), What: what})
+	r.breaks = append(r.breaks, Violation{Rule: rule, At: time.Since(r.startedAt), Description: what})
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,14 +19,14 @@
 
 // Report is what a run has shown.
 type Report struct {
-	Seed     uint64  `json:"seed"`
-	Events   int     `json:"events"`
-	Starts   int     `json:"starts"` // of processes
-	Requests int     `json:"requests"`
-	Served   int     `json:"served"`
-	Versions uint64  `json:"versions"` // configurations acknowledged
-	Breaks   []Break `json:"breaks"`
-	Summary  string  `json:"summary"`
+	Seed       uint64      `json:"seed"`
+	Events     int         `json:"events"`
+	Starts     int         `json:"starts"` // of processes
+	Requests   int         `json:"requests"`
+	Served     int         `json:"served"`
+	Versions   uint64      `json:"versions"` // configurations acknowledged
+	Violations []Violation `json:"breaks"`
+	Summary    string      `json:"summary"`
 
 	Peak map[string]resources `json:"peak"` // by program
 }
@@ -139,7 +139,7 @@
 	}
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
-	r.Events, r.Requests, r.Breaks = f.record.events, len(f.record.requests), f.record.breaks
+	r.Events, r.Requests, r.Violations = f.record.events, len(f.record.requests), f.record.breaks
 	r.Peak = f.record.peak
 	for _, q := range f.record.requests {
 		if q.status == http.StatusOK {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -25,14 +25,14 @@
 	size := Size{ControlNodes: 3, Proxies: 3, ObjectCaches: 1, Clients: 4}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Minute)
 	defer cancel()
-	plan := Draw(seed, duration, size)
+	plan := GeneratePlan(seed, duration, size)
 	plan.RaceBuilt = true
 	report, err := Run(ctx, plan, binary, t.TempDir(), func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range report.Breaks {
-		t.Errorf("%s at %v: %s", b.Rule, b.At, b.What)
+	for _, b := range report.Violations {
+		t.Errorf("%s at %v: %s", b.Rule, b.At, b.Description)
 	}
 	if report.Served == 0 || report.Versions < 2 || report.Starts <= size.units() {
 		t.Errorf("nothing was played: %s", report.Summary)
@@ -42,8 +42,8 @@
 // TestDraw: a seed gives the same plan each time, and another seed another one.
 func TestDraw(t *testing.T) {
 	size := Size{ControlNodes: 3, Proxies: 2, ObjectCaches: 1, Clients: 1}
-	plan := Draw(7, time.Minute, size)
-	again, other := Draw(7, time.Minute, size), Draw(8, time.Minute, size)
+	plan := GeneratePlan(7, time.Minute, size)
+	again, other := GeneratePlan(7, time.Minute, size), GeneratePlan(8, time.Minute, size)
 	if !reflect.DeepEqual(plan, again) || reflect.DeepEqual(plan.Events, other.Events) {
 		t.Error("the plan does not follow from the seed")
 	}
