--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,5 +1,5 @@
-// Package testbed runs the project's programs as processes on loopback addresses, with a stand-in
-// for the platform. Tests and tools that need real processes build on it.
+// Package testbed runs the project's programs as processes on loopback addresses, and simulates the
+// platform's instance list. Tests and tools that need real processes use it.
 //
 //	platform := &testbed.Platform{}
 //	platform.Add(testbed.Instance{ID: "i-1", Service: "s", Address: "127.8.0.1:9000", State: testbed.Ready})
--- a/internal/testbed/platform.go
+++ b/internal/testbed/platform.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// platformPageSize is how many instances a page of the list has at most.
+// platformPageSize is the maximum number of instances on a page of the list.
 const platformPageSize = 50
 
 // States of instances.
@@ -35,8 +35,8 @@
 	NextPageToken *string    `json:"nextPageToken"` // null on the last page
 }
 
-// Platform is a stand-in for the platform's list of instances. It serves every path with it. Its
-// zero value is an empty list. It is safe for concurrent use.
+// Platform simulates the platform's list of instances. It serves the list on every path. The zero
+// value is an empty list. It is safe for concurrent use.
 type Platform struct {
 	mu        sync.Mutex // guards the field below
 	instances []Instance
@@ -49,7 +49,7 @@
 	p.instances = append(p.instances, instances...)
 }
 
-// SetState sets the state of an instance, and reports false if it is not listed.
+// SetState sets the state of an instance and reports whether the instance is listed.
 func (p *Platform) SetState(id, state string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	return true
 }
 
-// Remove removes an instance from the list, and reports false if it is not listed.
+// Remove removes an instance from the list and reports whether it was listed.
 func (p *Platform) Remove(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,11 +77,11 @@
 	return slices.IndexFunc(p.instances, func(instance Instance) bool { return instance.ID == id })
 }
 
-// ServeHTTP serves a page of the list. The page token is the number of the page's first instance.
+// ServeHTTP serves a page of the list. The page token is the index of the page's first instance.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken")) // none: the first page
+	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken")) // a missing or invalid token selects the first page
 	from = min(max(from, 0), len(p.instances))
 	to := min(from+platformPageSize, len(p.instances))
 	page := instancePage{Instances: p.instances[from:to]}
@@ -89,5 +89,5 @@
 		token := strconv.Itoa(to)
 		page.NextPageToken = &token
 	}
-	_ = json.NewEncoder(w).Encode(page) // a caller that did not get it asks again
+	_ = json.NewEncoder(w).Encode(page) // on an error the caller retries
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -19,27 +19,27 @@
 	dataDirectoryMode = 0o755
 )
 
-// Command says how a process is started.
+// Command describes how to start a process.
 type Command struct {
 	Binary   string
-	Program  string             // the argument that names the program
-	Settings *settings.Settings // written to SettingsFile; nil: that file stays as it is
+	Program  string             // name of the program, passed as the only argument
+	Settings *settings.Settings // written to SettingsFile; if nil, that file is not changed
 	// SettingsFile is the path of the settings file.
 	SettingsFile string
-	Environment  []string  // added to this process's
-	Log          io.Writer // gets the process's standard error
-	// WithoutDataDirectory leaves it to the program to make its data directory.
+	Environment  []string  // added to the environment of the calling process
+	Log          io.Writer // receives the standard error of the process
+	// WithoutDataDirectory prevents Start from creating the data directory.
 	WithoutDataDirectory bool
 }
 
 // Process is a running program.
 type Process struct {
 	command *exec.Cmd
-	exited  chan struct{} // closed when it has ended
+	exited  chan struct{} // closed when the process has ended
 }
 
-// Start writes the settings file, makes the data directory and starts the program. It is killed when
-// ctx is done.
+// Start writes the settings file, creates the data directory and starts the program. The process is
+// killed when ctx is done.
 func Start(ctx context.Context, c Command) (*Process, error) {
 	if err := c.writeFiles(); err != nil {
 		return nil, err
@@ -54,12 +54,12 @@
 	p := &Process{command: command, exited: make(chan struct{})}
 	go func() {
 		defer close(p.exited)
-		_ = command.Wait() // the state tells how it ended
+		_ = command.Wait() // ProcessState holds the result
 	}()
 	return p, nil
 }
 
-// writeFiles writes the settings file and makes the data directory.
+// writeFiles writes the settings file and creates the data directory. It does nothing without Settings.
 func (c Command) writeFiles() error {
 	if c.Settings == nil {
 		return nil
@@ -73,18 +73,18 @@
 	return os.MkdirAll(c.Settings.DataDirectory, dataDirectoryMode)
 }
 
-// WriteSettings writes a settings file. A file that exists is replaced as a whole, so that a process
-// that reads it meanwhile gets one or the other.
+// WriteSettings writes a settings file. An existing file is replaced atomically, so that a process
+// that reads it concurrently gets either the old or the new settings.
 func WriteSettings(path string, s *settings.Settings) error {
 	raw, err := toml.Marshal(s)
 	if err != nil {
-		return fmt.Errorf("testbed: the settings of %s: %w", s.NodeName, err)
+		return fmt.Errorf("testbed: encode settings of %s: %w", s.NodeName, err)
 	}
-	next := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".next")
-	if err := os.WriteFile(next, raw, settingsFileMode); err != nil {
+	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".next")
+	if err := os.WriteFile(temporary, raw, settingsFileMode); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
 
 // PID returns the process ID.
@@ -93,10 +93,10 @@
 // Signal sends a signal. It returns os.ErrProcessDone if the process has ended.
 func (p *Process) Signal(signal os.Signal) error { return p.command.Process.Signal(signal) }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode returns how the process ended: -1 if by a signal, or if it runs.
+// ExitCode returns the exit code, or -1 if a signal ended the process or it is still running.
 func (p *Process) ExitCode() int {
 	select {
 	case <-p.exited:
@@ -106,7 +106,8 @@
 	}
 }
 
-// EndSignal returns the signal that ended the process, or 0 if it ended otherwise or runs.
+// EndSignal returns the signal that ended the process, or 0 if it exited normally or is still
+// running.
 func (p *Process) EndSignal() syscall.Signal {
 	select {
 	case <-p.exited:
@@ -120,8 +121,8 @@
 	return status.Signal()
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
-	_ = p.command.Process.Kill() // fails only if it has ended
+	_ = p.command.Process.Kill() // fails only if the process has ended
 	<-p.exited
 }
--- a/internal/testbed/procfs.go
+++ b/internal/testbed/procfs.go
@@ -13,13 +13,14 @@
 	kilobytesPerMb = 1024
 )
 
-// Fields of /proc/PID/stat after the command's name in parentheses.
+// Indexes of fields in /proc/PID/stat, counted from the field after the command name in parentheses.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
 )
 
-// ProcessorSeconds returns the processor time that a process has used; 0 if it has ended.
+// ProcessorSeconds returns the user and system processor time that a process has used, in seconds; 0 if it
+// has ended.
 func ProcessorSeconds(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -37,9 +38,9 @@
 	Peak float64
 }
 
-// MemoryOf returns the memory of a process; 0 if it has ended.
+// MemoryOf returns the resident memory of a process; zero if it has ended.
 func MemoryOf(pid int) (memory Memory) {
-	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // if the process has ended: 0
+	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // fails if the process has ended
 	for line := range strings.Lines(string(raw)) {
 		fields := strings.Fields(line)
 		if len(fields) < 2 {
@@ -56,8 +57,8 @@
 	return memory
 }
 
-// DescriptorsOf returns how many descriptors a process has open; 0 if it has ended.
+// DescriptorsOf returns the number of open descriptors of a process; 0 if it has ended.
 func DescriptorsOf(pid int) int {
-	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // if the process has ended: none
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // fails if the process has ended
 	return len(entries)
 }
--- a/internal/testbed/servers.go
+++ b/internal/testbed/servers.go
@@ -10,13 +10,13 @@
 
 const serverHeaderTimeout = time.Minute
 
-// Servers are the HTTP servers of stand-ins, in this process. The zero value has none.
+// Servers runs HTTP servers in this process, for simulated services. The zero value is ready to use.
 type Servers struct {
 	servers []*http.Server
 	running sync.WaitGroup
 }
 
-// Listen serves an address until Close. It is not safe for concurrent use.
+// Listen starts a server for handler on an address; it runs until Close. It is not safe for concurrent use.
 func (s *Servers) Listen(ctx context.Context, address string, handler http.Handler) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Close ends all servers and their connections, and waits for them.
+// Close closes all servers and their connections, and waits for the servers to end.
 func (s *Servers) Close() {
 	for _, server := range s.servers {
 		_ = server.Close()
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -14,7 +14,7 @@
 	"comethold/internal/settings"
 )
 
-// testSettings are settings that a program accepts.
+// testSettings returns settings that pass validation.
 func testSettings(dir string) *settings.Settings {
 	return &settings.Settings{
 		NodeName:          "n1",
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestWriteSettings: what is written is read back as it was.
+// TestWriteSettings guards against settings that change when they are written and read back, and against temporary
+// files that remain after a write or an overwrite.
 func TestWriteSettings(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n1.toml")
@@ -47,15 +48,16 @@
 		gotText, _ := json.Marshal(got)
 		wantText, _ := json.Marshal(want)
 		if string(gotText) != string(wantText) {
-			t.Errorf("read back: %s\nwritten: %s", gotText, wantText)
+			t.Errorf("settings.Load after WriteSettings returned %s\nwant %s", gotText, wantText)
 		}
 	}
 	if files, _ := os.ReadDir(dir); len(files) != 1 {
-		t.Errorf("left behind: %v", files)
+		t.Errorf("directory has files %v after WriteSettings, want only the settings file", files)
 	}
 }
 
-// TestProcess: a process runs until it is sent a signal; its end, and how it ended, are seen.
+// TestProcess guards against wrong exit codes and undetected exits: of a running process, and of processes that end by
+// SIGTERM, by Kill and with an error.
 func TestProcess(t *testing.T) {
 	dir := t.TempDir()
 	start := func(binary, argument string) *Process {
@@ -69,7 +71,7 @@
 	}
 	p := start("sleep", "60")
 	if code := p.ExitCode(); code != -1 {
-		t.Errorf("it runs, with exit code %d", code)
+		t.Errorf("ExitCode of a running process returned %d, want -1", code)
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
@@ -77,25 +79,27 @@
 	select {
 	case <-p.Exited():
 	case <-time.After(10 * time.Second):
-		t.Fatal("SIGTERM does not end it")
+		t.Fatal("Exited not closed within 10 s after SIGTERM")
 	}
-	p.Kill() // has no effect
+	p.Kill() // has no effect on an ended process, and returns
 	killed := start("sleep", "60")
 	killed.Kill()
 	failed := start("ls", filepath.Join(dir, "missing"))
 	<-failed.Exited()
 	if killed.ExitCode() != -1 || failed.ExitCode() <= 0 {
-		t.Errorf("exit codes %d and %d", killed.ExitCode(), failed.ExitCode())
+		t.Errorf("ExitCode returned %d after Kill and %d after a failed command, want -1 and a positive code",
+			killed.ExitCode(), failed.ExitCode())
 	}
 	if _, err := os.Stat(filepath.Join(dir, "n1")); err != nil {
-		t.Error("there is no data directory")
+		t.Error("Start did not create the data directory")
 	}
 	if err := failed.Signal(syscall.SIGTERM); err == nil {
-		t.Error("a process that has ended takes a signal")
+		t.Error("Signal to an ended process returned nil, want an error")
 	}
 }
 
-// TestPlatform: all pages together have each instance once, with its newest state.
+// TestPlatform guards against wrong page bounds, by which an instance is missing from the pages, and against pages that
+// show an outdated state or a removed instance.
 func TestPlatform(t *testing.T) {
 	const count = 2*platformPageSize + 1
 	var platform Platform
@@ -103,10 +107,10 @@
 		platform.Add(Instance{ID: strconv.Itoa(i), State: Ready})
 	}
 	if !platform.SetState("3", Draining) || !platform.Remove("7") {
-		t.Error("listed instances are not changed")
+		t.Error("SetState or Remove of a listed instance returned false, want true")
 	}
 	if platform.Remove("7") || platform.SetState("7", Ready) {
-		t.Error("an instance that is not listed is changed")
+		t.Error("SetState or Remove of a removed instance returned true, want false")
 	}
 	states := map[string]string{}
 	for token, pages := "", 0; ; pages++ {
@@ -124,15 +128,15 @@
 			break
 		}
 		if token = *page.NextPageToken; pages > count {
-			t.Fatal("there is no last page")
+			t.Fatal("pages do not end: every page has a next page token")
 		}
 	}
 	if len(states) != count || states["3"] != Draining || states["7"] != "" || states["8"] != Ready {
-		t.Errorf("%d instances, %v", len(states), states)
+		t.Errorf("pages list %d instances with states %v, want all but 7, with 3 draining", len(states), states)
 	}
 }
 
-// TestServers: an address is served until Close, and free again after it.
+// TestServers guards against a Close that leaves the listener open, so that the address cannot be used again.
 func TestServers(t *testing.T) {
 	const address = "127.94.7.1:20030"
 	for range 2 {
