--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -23,13 +23,13 @@
 	waitPollPause   = 5 * time.Millisecond
 )
 
-// Names of the programs of the binary.
+// Program names, as passed to the binary.
 const (
 	controlPlaneProgram = "control-plane"
 	dataPlaneProgram    = "data-plane"
 )
 
-// Cluster is one system. It is not safe for concurrent use.
+// Cluster is the system under test. It is not safe for concurrent use.
 type Cluster struct {
 	size        Size
 	dir         string
@@ -50,14 +50,14 @@
 	meter byteMeter
 }
 
-// New prepares a system of the binary's programs, with its data below dir. The ports are random,
-// so that two runs on one machine rarely conflict.
+// New returns a cluster that runs the programs of binary and keeps its data below dir; nothing is
+// started yet. The ports are random, so that two runs on one machine rarely conflict.
 func New(size Size, binary, dir string) *Cluster {
 	basePort := firstBasePort + rand.IntN(basePortChoices)*portsPerCluster
 	return &Cluster{size: size, binary: binary, dir: dir, basePort: basePort}
 }
 
-// Close ends everything that was started, and waits for it.
+// Close stops all nodes, servers and processes, and waits for them.
 func (c *Cluster) Close() {
 	for _, node := range c.hollowNodes {
 		node.proxy.Close()
@@ -69,7 +69,7 @@
 	c.running.Wait()
 }
 
-// startProcess runs a program of the binary as a machine, with one processor.
+// startProcess starts a program of the binary as the node of a machine, limited to one processor.
 func (c *Cluster) startProcess(ctx context.Context, program string, m machine) error {
 	process, err := testbed.Start(ctx, testbed.Command{
 		Binary:       c.binary,
@@ -93,7 +93,7 @@
 	}
 	for i := range count {
 		node := machine{
-			name: fmt.Sprint("control-", i), ip: controlNodeIP(i), zone: zoneName(i, c.size.Zones), disk: true,
+			name: fmt.Sprint("control-", i), ip: controlNodeIP(i), zone: zoneName(i, c.size.Zones), hasDataDirectory: true,
 		}
 		if err := c.startProcess(ctx, controlPlaneProgram, node); err != nil {
 			return err
@@ -141,16 +141,16 @@
 	if err := c.servers.Listen(ctx, node.proxy.InternalAddress(), node.proxy.InternalHandler()); err != nil {
 		return err
 	}
-	c.running.Go(func() { _ = node.proxy.RunUpdates() }) // both end by Close
+	c.running.Go(func() { _ = node.proxy.RunUpdates() }) // Close ends both goroutines
 	c.running.Go(func() { _ = node.proxy.RunHeartbeats(meteredPacketConn{datagrams, &node.meter}) })
 	c.hollowNodes = append(c.hollowNodes, node)
 	return nil
 }
 
-// waitForAll waits until a condition holds on every hollow node.
-func (c *Cluster) waitForAll(ctx context.Context, holds func(*hollowNode) bool) error {
+// waitForAll waits until a condition is true for every hollow node.
+func (c *Cluster) waitForAll(ctx context.Context, condition func(*hollowNode) bool) error {
 	for _, node := range c.hollowNodes {
-		for !holds(node) {
+		for !condition(node) {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// transferredBytes is the number of bytes that all hollow nodes received and sent so far.
+// transferredBytes returns the number of bytes that all hollow nodes have received and sent so far.
 func (c *Cluster) transferredBytes() float64 {
 	sum := 0.0
 	for _, node := range c.hollowNodes {
@@ -170,7 +170,7 @@
 	return sum
 }
 
-// bytesPerNode divides an amount of all hollow nodes by their number.
+// bytesPerNode returns the mean per hollow node of a total over all hollow nodes.
 func (c *Cluster) bytesPerNode(bytes float64) float64 {
 	return bytes / float64(max(1, len(c.hollowNodes)))
 }
--- a/internal/loadtest/cmd/loadtest/main.go
+++ b/internal/loadtest/cmd/loadtest/main.go
@@ -1,4 +1,4 @@
-// Command loadtest measures a system of chosen size on this machine; see docs/CAPACITY.md.
+// Command loadtest measures a system of a given size on this machine; see docs/CAPACITY.md.
 package main
 
 import (
@@ -14,10 +14,10 @@
 
 const timeLimit = 5 * time.Minute
 
-// options are the flags.
+// options are the values of the command-line flags.
 type options struct {
 	size    loadtest.Size
-	scatter float64 // queries a second; 0 measures the control plane
+	scatter float64 // queries per second for MeasureScatter; 0 selects Measure
 	binary  string
 }
 
@@ -32,18 +32,20 @@
 	var o options
 	size := &o.size
 	flag.IntVar(&size.Hollow, "hollow", 160, "hollow proxies, all in this process")
-	flag.IntVar(&size.Real, "real", 2, "proxies that are processes")
+	flag.IntVar(&size.Real, "real", 2, "proxies that run as processes")
 	flag.IntVar(&size.ControlNodes, "registrars", 6, "control nodes, each a process")
 	flag.IntVar(&size.Zones, "zones", 6, "zones")
-	flag.IntVar(&size.Leafs, "leafs", 875, "leafs that the platform lists, six to a shard")
-	flag.IntVar(&size.Routes, "routes", 200, "further routes")
+	flag.IntVar(&size.Leafs, "leafs", 875, "leafs in the platform's list, six per shard")
+	flag.IntVar(&size.Routes, "routes", 200, "additional routes")
 	flag.IntVar(&size.Tenants, "tenants", 100, "tenants")
-	flag.Float64Var(&size.PerNode, "per-node", 0, "requests of tenants a second at each hollow proxy")
-	flag.IntVar(&size.Changes, "changes", 5, "configuration changes to measure")
-	flag.DurationVar(&size.Rest, "rest", 10*time.Second, "how long each state is measured")
-	flag.BoolVar(&size.Estimates, "estimates", false, "latencies of lookups are collected")
-	flag.Float64Var(&o.scatter, "gather", 0, "instead, measure one proxy with so many scattered queries a second")
-	flag.StringVar(&o.binary, "binary", "target/comethold", "the program")
+	flag.Float64Var(&size.PerNode, "per-node", 0, "tenant requests per second at each hollow proxy")
+	flag.IntVar(&size.Changes, "changes", 5, "number of configuration changes to measure")
+	flag.DurationVar(&size.Rest, "rest", 10*time.Second,
+		"duration of the measurement without load, and of the one under load")
+	flag.BoolVar(&size.Estimates, "estimates", false, "collect lookup latencies")
+	flag.Float64Var(&o.scatter, "gather", 0,
+		"if positive, measure only one proxy, with this number of queries per second to all shards")
+	flag.StringVar(&o.binary, "binary", "target/comethold", "path of the program")
 	flag.Parse()
 	return o
 }
--- a/internal/loadtest/configuration.go
+++ b/internal/loadtest/configuration.go
@@ -17,16 +17,16 @@
 	hostname      = "h.example"
 	scatterPrefix = "/all/"
 	meteredPrefix = "/metered/"
-	// unservedService has no leafs: a request to it only shows whether a token was granted.
+	// unservedService has no leafs. The response to a request for it shows only whether a quota token was granted.
 	unservedService = "nobody"
-	// tenantHeadroom is how far a tenant's limit is above its usual load.
+	// tenantHeadroom is the ratio of a tenant's rate limit to its average load.
 	tenantHeadroom = 1.6
 )
 
 const configurationRetryPause = 100 * time.Millisecond
 
-// configuration returns the next configuration: one route over all shards, one for the tenants'
-// requests, and size.Routes others.
+// configuration returns the next configuration: one route over all shards, one for tenant
+// requests, and size.Routes other routes.
 func (c *Cluster) configuration() *routing.Configuration {
 	config := &routing.Configuration{Version: c.version}
 	var shards []string
@@ -65,10 +65,10 @@
 
 func tenantKey(i int) string { return fmt.Sprint("k", i) }
 
-// tenantWeight is the relative load of a tenant: a few of them are large.
+// tenantWeight returns the relative load of a tenant; a few tenants cause most of the load.
 func tenantWeight(i int) float64 { return 1 / float64(i+2) }
 
-// tenantRate is the usual load of a tenant on all nodes together, in requests a second.
+// tenantRate returns the average load of a tenant on all nodes together, in requests per second.
 func (c *Cluster) tenantRate(i int) float64 {
 	sum := 0.0
 	for k := range c.size.Tenants {
@@ -94,7 +94,7 @@
 		case status == http.StatusOK:
 			return time.Now(), nil
 		default:
-			return time.Time{}, fmt.Errorf("the configuration got %d: %.200s", status, answer)
+			return time.Time{}, fmt.Errorf("configuration was rejected with status %d: %.200s", status, answer)
 		}
 	}
 	return time.Time{}, ctx.Err()
@@ -112,7 +112,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, _ := io.ReadAll(response.Body) // only for the error's text
+	answer, _ := io.ReadAll(response.Body) // used only in an error text
 	_ = response.Body.Close()
 	return response.StatusCode, answer, nil
 }
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	settlePause  = 3 * time.Second // until voters, shares and the endpoint list are stable
-	betweenPause = 300 * time.Millisecond
+	settlePause    = 3 * time.Second // until voters, shares and the endpoint list are stable
+	changeInterval = 300 * time.Millisecond
 )
 
-// Measure starts the system and measures, one after the other: the start of all hollow nodes, the
+// Measure starts the system and measures, one after another: the start of all hollow nodes, the
 // idle system, configuration changes, the draining of a leaf, and the system under load.
 func (c *Cluster) Measure(ctx context.Context) (*Report, error) {
 	report := &Report{Size: c.size}
@@ -28,7 +28,7 @@
 	return report, nil
 }
 
-// startAll starts the platform, the control nodes and the real proxies, and commits a
+// startAll starts the simulated platform, the control nodes and the real proxies, and commits a
 // configuration.
 func (c *Cluster) startAll(ctx context.Context, _ *Report) error {
 	c.listUnreachableLeafs()
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// measureStart starts all hollow nodes at once.
+// measureStart starts all hollow nodes at once and measures the time until all can serve, the bytes
+// transferred until then, and the memory per hollow node.
 func (c *Cluster) measureStart(ctx context.Context, report *Report) error {
 	memoryBefore := testbed.MemoryOf(os.Getpid()).Now
 	start := time.Now()
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// measureChanges sends configurations one after the other.
+// measureChanges commits configurations one after another and measures how long each takes to reach
+// all hollow nodes, and the bytes transferred.
 func (c *Cluster) measureChanges(ctx context.Context, report *Report) error {
 	bytesBefore := c.transferredBytes()
 	for range c.size.Changes {
@@ -95,7 +97,7 @@
 			return err
 		}
 		report.InForce = append(report.InForce, time.Since(acknowledged))
-		time.Sleep(betweenPause)
+		time.Sleep(changeInterval)
 	}
 	if c.size.Changes > 0 {
 		report.ChangeBytes = c.bytesPerNode(c.transferredBytes()-bytesBefore) / float64(c.size.Changes)
@@ -103,9 +105,10 @@
 	return nil
 }
 
-// measureDrain lists a leaf as draining and measures how long it takes to reach all hollow nodes.
+// measureDrain sets a leaf to draining and measures how long the change takes to reach all hollow
+// nodes.
 func (c *Cluster) measureDrain(ctx context.Context, report *Report) error {
-	id := c.drainFirst()
+	id := c.drainFirstLeaf()
 	listed := time.Now()
 	isDrained := func(node *hollowNode) bool {
 		for _, endpoint := range node.proxy.Endpoints() {
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// measureLoad measures the control nodes under requests of tenants, if there are any.
+// measureLoad measures the control nodes under tenant requests, if the size includes any.
 func (c *Cluster) measureLoad(ctx context.Context, report *Report) error {
 	if c.size.PerNode <= 0 || c.size.Tenants == 0 {
 		return nil
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// measureUsage measures all processes for a time, and the bytes per second of a hollow node.
+// measureUsage measures for the given time, and returns the usage of each process, in the order of
+// c.processes, and the mean bytes per second of a hollow node.
 func (c *Cluster) measureUsage(span time.Duration) (used []Usage, bytesPerSecond float64) {
 	bytesBefore := c.transferredBytes()
 	start := time.Now()
@@ -149,9 +153,9 @@
 	time.Sleep(span)
 	elapsed := time.Since(start).Seconds()
 	for i, process := range c.processes {
-		one := memoryUsage(process.PID())
-		one.CPU = (testbed.ProcessorSeconds(process.PID()) - secondsBefore[i]) / elapsed
-		used = append(used, one)
+		usage := memoryUsage(process.PID())
+		usage.CPU = (testbed.ProcessorSeconds(process.PID()) - secondsBefore[i]) / elapsed
+		used = append(used, usage)
 	}
 	return used, c.bytesPerNode(c.transferredBytes()-bytesBefore) / elapsed
 }
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -9,12 +9,13 @@
 	"comethold/internal/rpc"
 )
 
-// byteMeter counts the bytes of one hollow node.
+// byteMeter counts the bytes that one hollow node receives and sends.
 type byteMeter struct{ received, sent atomic.Int64 }
 
 func (m *byteMeter) total() int64 { return m.received.Load() + m.sent.Load() }
 
-// network is the machine's network; it counts the bytes of this node's connections.
+// network returns a function that dials TCP connections, like rpc.TCPNetwork, and counts the bytes of
+// the connections in m.
 func (m *byteMeter) network(dialLimit, silenceLimit time.Duration) func(
 	ctx context.Context, network, address string,
 ) (net.Conn, error) {
@@ -28,6 +29,7 @@
 	}
 }
 
+// meteredConn counts the bytes of a connection.
 type meteredConn struct {
 	net.Conn
 	meter *byteMeter
@@ -45,12 +47,13 @@
 	return n, err
 }
 
+// meteredPacketConn counts the bytes of datagrams, with their headers.
 type meteredPacketConn struct {
 	net.PacketConn
 	meter *byteMeter
 }
 
-const datagramHeaderBytes = 28 // of IP and UDP
+const datagramHeaderBytes = 28 // IPv4 and UDP headers
 
 func (c meteredPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, from, err := c.PacketConn.ReadFrom(b)
--- a/internal/loadtest/platform.go
+++ b/internal/loadtest/platform.go
@@ -7,21 +7,21 @@
 	"comethold/internal/testbed"
 )
 
-// Addresses of the stand-ins.
+// IP addresses of the simulated platform and of the leaf server.
 const (
 	platformIP   = "127.9.0.1"
 	sharedLeafIP = "127.8.0.1"
 )
 
-const machinesPerSubnet = 250
+const hostsPerSubnet = 250
 
-// hostAddress is the i-th address of a subnet, as 127.8.
+// hostAddress returns the i-th address of a /16 subnet, given by its first two octets ("127.8").
 func hostAddress(subnet string, i int) string {
-	return fmt.Sprintf("%s.%d.%d", subnet, i/machinesPerSubnet, i%machinesPerSubnet+1)
+	return fmt.Sprintf("%s.%d.%d", subnet, i/hostsPerSubnet, i%hostsPerSubnet+1)
 }
 
-// listUnreachableLeafs fills the platform's list with leafs that are never called; their names are
-// not in the order of their numbers.
+// listUnreachableLeafs fills the platform's list with leafs that are never called. The order of
+// their IDs differs from that of their indexes.
 func (c *Cluster) listUnreachableLeafs() {
 	for i := range c.size.Leafs {
 		c.platform.Add(testbed.Instance{
@@ -36,7 +36,7 @@
 	}
 }
 
-// leafID is the ID of the i-th leaf of listUnreachableLeafs.
+// leafID returns the ID of the i-th leaf of listUnreachableLeafs.
 func leafID(i int) string { return fmt.Sprintf("i-%08x", i*2654435761%(1<<32)) }
 
 // listSharedLeaf fills the platform's list with leafs that are all served at one address.
@@ -54,17 +54,18 @@
 	}
 }
 
-// shardName is the service of the i-th leaf.
+// shardName returns the name of the service of the i-th leaf.
 func (c *Cluster) shardName(i int) string { return fmt.Sprintf("shard-%d", i%c.size.shards()) }
 
-// drainFirst lists the first leaf as draining and returns its ID.
-func (c *Cluster) drainFirst() string {
+// drainFirstLeaf sets the state of the first leaf to draining and returns its ID.
+func (c *Cluster) drainFirstLeaf() string {
 	id := leafID(0)
 	c.platform.SetState(id, testbed.Draining)
 	return id
 }
 
-// serveShard is the stand-in for all leafs: it answers at once with records of its own.
+// serveShard simulates every leaf: it answers at once with 64 bytes of records that contain
+// the instance ID.
 func serveShard(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Comethold-Request-Id")
 	name := r.Header.Get("X-Comethold-Expected-Instance")
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -13,14 +13,14 @@
 	// ControlNodes and Zones are the numbers of control nodes and zones.
 	ControlNodes int `json:"Registrars"`
 	Zones        int
-	// Leafs is the number of leafs in the platform's list, six to a shard. Routes and Tenants
-	// are their numbers in the configuration; each route has an index of its own.
+	// Leafs is the number of leafs in the platform's list, six per shard. Routes and Tenants
+	// are their numbers in the configuration; each route has its own index.
 	Leafs, Routes, Tenants int
-	// PerNode is how many requests of tenants each hollow node gets per second.
+	// PerNode is the number of tenant requests that each hollow node receives per second.
 	PerNode float64
-	// Changes is how many configuration changes are measured, one after the other.
+	// Changes is the number of configuration changes to measure, one after another.
 	Changes int
-	// Rest is how long the system is measured without load, and then again with load.
+	// Rest is the duration of the measurement without load, and of the one under load.
 	Rest time.Duration
 	// Estimates enables the collection of lookup latencies.
 	Estimates bool
@@ -31,10 +31,10 @@
 
 const leafsPerShard = 6
 
-// Usage is what one process used while it was measured.
+// Usage is the resource usage of one process during a measurement.
 type Usage struct {
-	CPU   float64 // share of a core
-	RSSMb float64 // resident memory at the end
+	CPU   float64 // used share of one core
+	RSSMb float64 // resident memory at the end, in MB
 	Peak  float64 // highest resident memory, in MB
 }
 
@@ -48,25 +48,25 @@
 type Report struct {
 	Size         Size
 	Start        time.Duration   // from the start of the hollow nodes until all can serve
-	StartBytes   float64         // received and sent by a node until then, mean
+	StartBytes   float64         // received and sent until then, mean per hollow node
 	ControlNodes []Usage         `json:"Registrars"` // without load
-	Loaded       []Usage         // control nodes with requests of tenants
-	Proxy        Usage           `json:"Switch"` // a real one without requests
-	InForce      []time.Duration // of each change, from the acknowledgement until the last hollow node
-	ChangeBytes  float64         // received and sent by a node for each change, mean
-	Drained      time.Duration   // from the platform's list to the last hollow node
-	IdleBytes    float64         // received and sent by a node per second without load, mean
-	LoadBytes    float64         // the same with load
-	Refused      float64         // share of the tenants' requests that got no token
-	HollowMb     float64         // memory of this process for each hollow node
+	Loaded       []Usage         // control nodes under tenant requests
+	Proxy        Usage           `json:"Switch"` // a real proxy without load
+	InForce      []time.Duration // of each change: from its acknowledgement until the last hollow node applied it
+	ChangeBytes  float64         // received and sent for one change, mean per hollow node
+	Drained      time.Duration   // from the change of the platform's list until the last hollow node applied it
+	IdleBytes    float64         // received and sent per second without load, mean per hollow node
+	LoadBytes    float64         // as IdleBytes, but under load
+	Refused      float64         // share of tenant requests that were not granted a quota token
+	HollowMb     float64         // growth of this process's resident memory per hollow node
 }
 
-// ScatterReport is the cost of queries over many shards for one proxy.
+// ScatterReport is the result of MeasureScatter: the cost of queries over all shards for one proxy.
 type ScatterReport struct {
 	Shards, Leafs int
-	PerS          float64       // answered queries per second
-	Missing       float64       // parts left out of an answer, mean
-	Median, P99   time.Duration // of the answers
+	PerS          float64       // successfully answered queries per second
+	Missing       float64       // number of shards missing from a response, mean
+	Median, P99   time.Duration // latency of the responses
 	Proxy         Usage         `json:"Switch"`
-	PerShardCall  time.Duration // processor time of the proxy for each call to a shard
+	PerShardCall  time.Duration // processor time of the proxy per call to a shard
 }
--- a/internal/loadtest/scatter.go
+++ b/internal/loadtest/scatter.go
@@ -20,14 +20,14 @@
 	maxIdleQueryClients = 256
 )
 
-// query is the answer to one query over all shards.
-type query struct {
+// queryResult is the outcome of one query over all shards.
+type queryResult struct {
 	duration     time.Duration
 	missingParts int
 	ok           bool
 }
 
-// queryLoad sends queries to one proxy and keeps their answers.
+// queryLoad sends queries to one proxy and collects their results.
 type queryLoad struct {
 	url       string
 	client    *http.Client
@@ -35,11 +35,11 @@
 	running   sync.WaitGroup
 
 	mu      sync.Mutex // guards the field below
-	answers []query
+	results []queryResult
 }
 
-// MeasureScatter measures one real proxy at perSecond queries per second, each to all shards. The
-// leafs are stand-ins in this process that answer at once.
+// MeasureScatter measures one real proxy at perSecond queries per second, each to all shards. This
+// process simulates the leafs, which answer at once.
 func (c *Cluster) MeasureScatter(ctx context.Context, perSecond float64) (*ScatterReport, error) {
 	if err := c.startScatter(ctx); err != nil {
 		return nil, err
@@ -53,21 +53,21 @@
 		time.Sleep(queryRetryPause)
 	}
 	load.run(ctx, c.size.Rest/2) // warm-up: opens connections
-	load.answers = nil
-	pid := c.processes[1].PID() // after the control node
+	load.results = nil
+	pid := c.processes[1].PID() // the first process is the control node
 	secondsBefore := testbed.ProcessorSeconds(pid)
 	start := time.Now()
 	load.run(ctx, c.size.Rest)
 	elapsed := time.Since(start).Seconds()
 	report := &ScatterReport{Shards: c.size.shards(), Leafs: c.size.Leafs, Proxy: memoryUsage(pid)}
 	report.Proxy.CPU = (testbed.ProcessorSeconds(pid) - secondsBefore) / elapsed
-	if !report.summarize(load.answers, elapsed) {
+	if !report.summarize(load.results, elapsed) {
 		return nil, net.ErrClosed
 	}
 	return report, nil
 }
 
-// startScatter starts the leafs, the platform, one control node and one proxy, and commits a
+// startScatter starts the simulated leafs and platform, one control node and one proxy, and commits a
 // configuration.
 func (c *Cluster) startScatter(ctx context.Context) error {
 	leaf := c.address(sharedLeafIP, leafPort)
@@ -88,25 +88,26 @@
 	return err
 }
 
-// run sends queries at random moments for a while, and waits for their answers.
+// run sends l.perSecond queries per second for the given time, with exponentially distributed
+// intervals, and waits for their responses.
 func (l *queryLoad) run(ctx context.Context, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		time.Sleep(time.Duration(rand.ExpFloat64() / l.perSecond * float64(time.Second)))
 		l.running.Go(func() {
-			answer := l.send(ctx)
+			result := l.send(ctx)
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.answers = append(l.answers, answer)
+			l.results = append(l.results, result)
 		})
 	}
 	l.running.Wait()
 }
 
-// send sends one query and reads the answer to its end.
-func (l *queryLoad) send(ctx context.Context) query {
+// send sends one query and reads the whole response.
+func (l *queryLoad) send(ctx context.Context) queryResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
-		return query{}
+		return queryResult{}
 	}
 	request.Host = hostname
 	request.Header.Set("X-Comethold-Request-Id", strconv.FormatUint(rand.Uint64(), 36))
@@ -114,24 +115,24 @@
 	start := time.Now()
 	response, err := l.client.Do(request)
 	if err != nil {
-		return query{}
+		return queryResult{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, err = io.Copy(io.Discard, response.Body)
-	answer := query{duration: time.Since(start)}
-	answer.missingParts, _ = strconv.Atoi(response.Header.Get("X-Comethold-Missing-Parts")) // none: 0
-	answer.ok = err == nil && response.StatusCode == http.StatusOK
-	return answer
+	result := queryResult{duration: time.Since(start)}
+	result.missingParts, _ = strconv.Atoi(response.Header.Get("X-Comethold-Missing-Parts")) // a missing header counts as 0
+	result.ok = err == nil && response.StatusCode == http.StatusOK
+	return result
 }
 
-// summarize computes the report from the answers; false if there are none.
-func (r *ScatterReport) summarize(answers []query, elapsedSeconds float64) bool {
+// summarize computes the report from the successful results. It returns false if there are none.
+func (r *ScatterReport) summarize(results []queryResult, elapsedSeconds float64) bool {
 	var durations []time.Duration
 	missing := 0
-	for _, answer := range answers {
-		if answer.ok {
-			durations = append(durations, answer.duration)
-			missing += answer.missingParts
+	for _, result := range results {
+		if result.ok {
+			durations = append(durations, result.duration)
+			missing += result.missingParts
 		}
 	}
 	if len(durations) == 0 {
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -19,12 +19,12 @@
 
 const regions = 2
 
-// machine is a node's name and address, and whether it has a data directory.
+// machine is one simulated machine, which runs one node.
 type machine struct {
-	name string
-	ip   string
-	zone string
-	disk bool
+	name             string
+	ip               string
+	zone             string
+	hasDataDirectory bool
 }
 
 func zoneName(i, zones int) string { return fmt.Sprintf("zone-%d", i%zones) }
@@ -63,7 +63,7 @@
 	for i := range c.size.Zones {
 		set.Zones[zoneName(i, c.size.Zones)] = fmt.Sprintf("region-%d", i%regions)
 	}
-	if m.disk {
+	if m.hasDataDirectory {
 		set.DataDirectory = filepath.Join(c.dir, m.name)
 		set.Listen.ControlPlane = c.address(m.ip, controlPort)
 	}
--- a/internal/loadtest/tenantload.go
+++ b/internal/loadtest/tenantload.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// tenantLoad sends requests of tenants to every hollow node, on a route that no leaf serves.
+// tenantLoad sends tenant requests to every hollow node, on a route whose service has no leafs.
 type tenantLoad struct {
-	asked, refused atomic.Int64
-	cancel         context.CancelFunc
-	running        sync.WaitGroup
+	requests, refused atomic.Int64
+	cancel            context.CancelFunc
+	running           sync.WaitGroup
 }
 
-// startTenantLoad starts a tenantLoad; the caller must stop it.
+// startTenantLoad starts tenant requests to every hollow node. The caller must call stop.
 func (c *Cluster) startTenantLoad(ctx context.Context) *tenantLoad {
 	ctx, cancel := context.WithCancel(ctx)
 	load := &tenantLoad{cancel: cancel}
@@ -36,18 +36,19 @@
 	l.running.Wait()
 }
 
-// reset sets the counts to zero.
+// reset sets the counters to zero.
 func (l *tenantLoad) reset() {
-	l.asked.Store(0)
+	l.requests.Store(0)
 	l.refused.Store(0)
 }
 
-// refusedShare is the share of the requests that got no token.
+// refusedShare returns the share of requests that were not granted a quota token.
 func (l *tenantLoad) refusedShare() float64 {
-	return float64(l.refused.Load()) / float64(max(1, l.asked.Load()))
+	return float64(l.refused.Load()) / float64(max(1, l.requests.Load()))
 }
 
-// run sends requests to a node at random times; tenants are drawn in proportion to their load.
+// run sends size.PerNode requests per second to a node, with exponentially distributed intervals. Each
+// request is from a random tenant, weighted by tenantWeight.
 func (l *tenantLoad) run(ctx context.Context, node *hollowNode, size Size) {
 	cumulative := make([]float64, size.Tenants)
 	sum := 0.0
@@ -67,15 +68,15 @@
 	const path = meteredPrefix + "a"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostname+path, nil)
 	if err != nil {
-		panic(err) // made of constants
+		panic(err) // cannot fail: the URL is constant
 	}
 	request.RequestURI = path
 	request.Header.Set("X-Comethold-Request-Id", strconv.FormatUint(rand.Uint64(), 36))
 	request.Header.Set("Authorization", "Token "+tenantKey(tenant))
 	answer := &bodyRecorder{header: http.Header{}}
 	node.proxy.Handler().ServeHTTP(answer, request)
-	l.asked.Add(1)
-	// With a token the request gets as far as the service, and the error names its missing leafs.
+	l.requests.Add(1)
+	// A request with a token reaches the service, and the error then mentions its missing leafs.
 	if !strings.Contains(answer.body.String(), "leaf") {
 		l.refused.Add(1)
 	}
