--- a/cmd/comethold/controlplane.go
+++ b/cmd/comethold/controlplane.go
@@ -18,9 +18,9 @@
 	return &cobra.Command{
 		Use:   controlPlaneName,
 		Short: "Run the control plane of this node",
-		Long: "Run the control plane. The settings file is the one that " + settings.Env + " names;\n" +
+		Long: "Run the control plane. The settings file is the one that " + settings.PathEnv + " names;\n" +
 			"it must name a data directory.",
-		Example: "  " + settings.Env + "=examples/settings.toml comethold control-plane",
+		Example: "  " + settings.PathEnv + "=examples/settings.toml comethold control-plane",
 		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			return runProgram(controlPlaneName, setUpControlPlane)
--- a/cmd/comethold/dataplane.go
+++ b/cmd/comethold/dataplane.go
@@ -17,8 +17,8 @@
 	return &cobra.Command{
 		Use:     dataPlaneName,
 		Short:   "Run the data plane of this node",
-		Long:    "Run the data plane. The settings file is the one that " + settings.Env + " names.",
-		Example: "  " + settings.Env + "=/etc/comethold/local.toml comethold data-plane",
+		Long:    "Run the data plane. The settings file is the one that " + settings.PathEnv + " names.",
+		Example: "  " + settings.PathEnv + "=/etc/comethold/local.toml comethold data-plane",
 		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			return runProgram(dataPlaneName, setUpDataPlane)
--- a/cmd/comethold/objectcache.go
+++ b/cmd/comethold/objectcache.go
@@ -17,8 +17,8 @@
 		Use:   objectCacheName,
 		Short: "Run the shared object cache of this node",
 		Long: "Run the shared object cache of a content deployment. The settings file is the\n" +
-			"one that " + settings.Env + " names.",
-		Example: "  " + settings.Env + "=/etc/comethold/local.toml comethold object-cache",
+			"one that " + settings.PathEnv + " names.",
+		Example: "  " + settings.PathEnv + "=/etc/comethold/local.toml comethold object-cache",
 		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			return runProgram(objectCacheName, setUpObjectCache)
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -33,7 +33,7 @@
 			Address:           s.settings.Platform.Address,
 			NodeName:          s.settings.NodeName,
 			Lease:             s.usageLease,
-			LeaseDuration:     bounds.Lease(),
+			LeaseDuration:     bounds.LeaseDuration(),
 			MaxCallsPerSecond: s.settings.Platform.DutiesPerS / 2,
 			StartedAt:         s.startedAt,
 		}),
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -108,7 +108,7 @@
 		Host:     s.host,
 		Lease:    s.placementLease,
 		Voters:   placement.VotersFor(s.settings.Tolerance.MachineLosses),
-		Timeouts: placement.TimeoutsFor(s.settings.Bounds.CatchUp()),
+		Timeouts: placement.TimeoutsFor(s.settings.Bounds.CatchUpPeriod()),
 		RegionOf: s.settings.RegionOf,
 		Log:      s.log,
 	})
--- a/internal/latencyestimate/collector.go
+++ b/internal/latencyestimate/collector.go
@@ -73,7 +73,7 @@
 // SubmitPair queues two answers to one lookup, whose samples were submitted before. Answers
 // that are too large are not compared.
 func (c *Collector) SubmitPair(p AnswerPair) {
-	if len(p.FirstPart) <= maxPartBytes && len(p.SecondPart) <= maxPartBytes {
+	if len(p.FirstBody) <= maxPartBytes && len(p.SecondBody) <= maxPartBytes {
 		c.enqueue(p)
 	}
 }
@@ -140,7 +140,7 @@
 // AddPair compares two answers to one lookup at once: the second one's duration with its
 // estimate, and the answers with each other.
 func (c *Collector) AddPair(p AnswerPair) {
-	ofFirst, ofSecond := CompareParts(p.FirstPart, p.SecondPart)
+	ofFirst, ofSecond := CompareAnswers(p.FirstBody, p.SecondBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checkEstimateLocked(p.Second)
--- a/internal/latencyestimate/collector_test.go
+++ b/internal/latencyestimate/collector_test.go
@@ -69,7 +69,7 @@
 	requireNear(t, "the other replica", last.Replicas[0].Estimate, 20*time.Millisecond)
 
 	second := Sample{Key: Key{Service: "s", Endpoint: "b", Class: ClassUrgent}, Duration: 21 * time.Millisecond}
-	c.AddPair(AnswerPair{First: slow, Second: second, FirstPart: []byte("0123456789abcdef"), SecondPart: nil})
+	c.AddPair(AnswerPair{First: slow, Second: second, FirstBody: []byte("0123456789abcdef"), SecondBody: nil})
 	all := c.Snapshot("", "")
 	if r := lastSlow(all).Replicas[0]; r.Actual != 21*time.Millisecond || r.Difference != "empty" {
 		t.Errorf("the actual duration beside the estimate: %+v", r)
--- a/internal/latencyestimate/difference.go
+++ b/internal/latencyestimate/difference.go
@@ -31,8 +31,8 @@
 	return [...]string{"same", "empty", "duplicated", "stale", "conflicting"}[min(d, Conflicting)]
 }
 
-// CompareParts returns how each of two answers compares with the other.
-func CompareParts(a, b []byte) (ofA, ofB Difference) {
+// CompareAnswers returns how each of two answers compares with the other.
+func CompareAnswers(a, b []byte) (ofA, ofB Difference) {
 	d := countDifferences(sortedRecords(a), sortedRecords(b))
 	switch {
 	case d == recordDifferences{}:
--- a/internal/latencyestimate/difference_test.go
+++ b/internal/latencyestimate/difference_test.go
@@ -15,9 +15,9 @@
 	return answer.Bytes()
 }
 
-// TestCompareParts: each way in which a replica's answer may be wrong has its own name, and
+// TestCompareAnswers: each way in which a replica's answer may be wrong has its own name, and
 // answers in another order are the same.
-func TestCompareParts(t *testing.T) {
+func TestCompareAnswers(t *testing.T) {
 	for _, c := range []struct {
 		situation string
 		a, b      []byte
@@ -33,7 +33,7 @@
 		{"nothing in both", nil, nil, Same, Same},
 		{"each has what the other lacks", records(1, 2), records(1, 3), Conflicting, Conflicting},
 	} {
-		if ofA, ofB := CompareParts(c.a, c.b); ofA != c.ofA || ofB != c.ofB {
+		if ofA, ofB := CompareAnswers(c.a, c.b); ofA != c.ofA || ofB != c.ofB {
 			t.Errorf("%s: got %v and %v, want %v and %v", c.situation, ofA, ofB, c.ofA, c.ofB)
 		}
 	}
--- a/internal/latencyestimate/doc.go
+++ b/internal/latencyestimate/doc.go
@@ -5,7 +5,7 @@
 // A Collector gets the Samples of requests without delaying them, keeps a Sketch of the
 // durations for each Key, and records slow lookups with the Estimates for the other
 // replicas. If two replicas answered one lookup, it compares the actual duration with the
-// estimate, and the answers with each other (CompareParts). MergeSnapshots joins the
+// estimate, and the answers with each other (CompareAnswers). MergeSnapshots joins the
 // Snapshots of several nodes.
 //
 // A lookup that was abandoned counts as a censored sample: it would have taken longer, but
--- a/internal/latencyestimate/sample.go
+++ b/internal/latencyestimate/sample.go
@@ -39,7 +39,7 @@
 // zero value.
 type AnswerPair struct {
 	First, Second         Sample
-	FirstPart, SecondPart []byte // the bodies of the answers
+	FirstBody, SecondBody []byte // the bodies of the answers
 }
 
 // hasSecond reports whether there are two answers.
--- a/internal/process/program.go
+++ b/internal/process/program.go
@@ -43,7 +43,7 @@
 	return errors.As(err, &reported)
 }
 
-// Run runs a program until it is stopped by a signal or fails. The settings file is the one that settings.Env names.
+// Run runs a program until it is stopped by a signal or fails. settings.PathEnv names the settings file.
 func Run(program Program) error {
 	path, err := settings.Path()
 	if err != nil {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -132,7 +132,7 @@
 func (x *exchange) identifyTenant() {
 	header := x.forwarded.Header
 	delete(header, upstream.HeaderTenant)
-	if x.identity.OwnCredentials {
+	if x.identity.StripCredentials {
 		delete(header, headerAuthorization)
 	}
 	if x.identity.Tenant != nil {
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -116,7 +116,7 @@
 			if public {
 				want = c.public
 			}
-			if got := fmt.Sprint(name, " ", identity.OwnCredentials, " ", ok); got != want {
+			if got := fmt.Sprint(name, " ", identity.StripCredentials, " ", ok); got != want {
 				t.Errorf("%s, public %v: %s, want %s", c.why, public, got, want)
 			}
 		}
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -9,9 +9,9 @@
 type Identity struct {
 	// Tenant is nil where requests need no key or the route is public.
 	Tenant *Tenant
-	// OwnCredentials says that the credentials are for this system and must not be
+	// StripCredentials says that the credentials are for this system and must not be
 	// forwarded to a leaf.
-	OwnCredentials bool
+	StripCredentials bool
 }
 
 // Authenticate finds the tenant of a request by its key. credentials are the values of
@@ -27,10 +27,10 @@
 	scheme, key, _ := strings.Cut(credentials[0], " ")
 	if len(credentials) > 1 || !strings.EqualFold(scheme, apiKeyScheme) {
 		// Other credentials may be meant for the leaf of a public route.
-		return Identity{OwnCredentials: !route.Public}, route.Public
+		return Identity{StripCredentials: !route.Public}, route.Public
 	}
 	tenant := t.tenantsByKey[strings.TrimSpace(key)]
-	return Identity{Tenant: tenant, OwnCredentials: true}, tenant != nil
+	return Identity{Tenant: tenant, StripCredentials: true}, tenant != nil
 }
 
 // RequiresKey reports whether requests need a key.
--- a/internal/scatter/attempt_test.go
+++ b/internal/scatter/attempt_test.go
@@ -72,7 +72,7 @@
 			slower, faster = faster, slower
 		}
 		if !ok || got.First.Key.Endpoint != slower || got.Second.Key.Endpoint != faster ||
-			string(got.FirstPart) != slower || string(got.SecondPart) != faster {
+			string(got.FirstBody) != slower || string(got.SecondBody) != faster {
 			t.Errorf("first replica took %v: add returned %v and %+v, want a pair with the slower replica first",
 				firstLatency, ok, got)
 		}
--- a/internal/scatter/sampling.go
+++ b/internal/scatter/sampling.go
@@ -64,10 +64,10 @@
 	// First is the slower response, so that a slow lookup can be compared with a faster replica.
 	if sample.Duration > p.first.Duration {
 		return latencyestimate.AnswerPair{
-			First: sample, Second: *p.first, FirstPart: body, SecondPart: p.firstBody,
+			First: sample, Second: *p.first, FirstBody: body, SecondBody: p.firstBody,
 		}, true
 	}
 	return latencyestimate.AnswerPair{
-		First: *p.first, Second: sample, FirstPart: p.firstBody, SecondPart: body,
+		First: *p.first, Second: sample, FirstBody: p.firstBody, SecondBody: body,
 	}, true
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -35,9 +35,9 @@
 // ConfigApplyTimeout is how long an acknowledged configuration may take to be in force everywhere.
 func (b Bounds) ConfigApplyTimeout() time.Duration { return milliseconds(b.ConfigApplyMs) }
 
-// CatchUp is how long a machine that was replaced, or that returned, still counts as lost; 0 if that is not given.
-// After it the next machine may be lost.
-func (b Bounds) CatchUp() time.Duration { return seconds(b.CatchUpS) }
+// CatchUpPeriod returns how long a machine still counts as lost after it was replaced or returned. Another machine may
+// be lost after this period. 0 means that the file gives no period.
+func (b Bounds) CatchUpPeriod() time.Duration { return seconds(b.CatchUpS) }
 
 // RetryWindow is the span over which the retry budget counts.
 func (b Bounds) RetryWindow() time.Duration { return seconds(b.RetryWindowS) }
@@ -59,9 +59,9 @@
 	return milliseconds(b.RevocationMs)
 }
 
-// Lease is the span within which a duty must not return to an earlier owner: its calls must not be made by nodes A, B
-// and A again.
-func (b Bounds) Lease() time.Duration { return milliseconds(b.LeaseMs) }
+// LeaseDuration returns the time within which a duty must not return to an earlier owner: within it, the calls of the
+// duty must not be made by node A, then by node B, then by A again.
+func (b Bounds) LeaseDuration() time.Duration { return milliseconds(b.LeaseMs) }
 
 // UsageWindow is the length of the windows by which usage is counted.
 func (b Bounds) UsageWindow() time.Duration { return seconds(b.UsageWindowS) }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,8 +13,8 @@
 	"comethold/internal/routing"
 )
 
-// Env is the environment variable that names the settings file.
-const Env = "COMETHOLD_SETTINGS"
+// PathEnv is the environment variable that names the settings file.
+const PathEnv = "COMETHOLD_SETTINGS"
 
 // ErrSettings is wrapped by every error of this package.
 var ErrSettings = errors.New("settings")
@@ -30,9 +30,9 @@
 
 // Path returns the path of the settings file that the environment names.
 func Path() (string, error) {
-	path := os.Getenv(Env)
+	path := os.Getenv(PathEnv)
 	if path == "" {
-		return "", fmt.Errorf("%w: the variable %s names no file", ErrSettings, Env)
+		return "", fmt.Errorf("%w: the variable %s names no file", ErrSettings, PathEnv)
 	}
 	return path, nil
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	command := exec.CommandContext(ctx, c.Binary, c.Program)
-	command.Env = append(os.Environ(), settings.Env+"="+c.SettingsFile)
+	command.Env = append(os.Environ(), settings.PathEnv+"="+c.SettingsFile)
 	command.Env = append(command.Env, c.Environment...)
 	command.Stderr = c.Log
 	if err := command.Start(); err != nil {
