--- a/internal/routing/amendment.go
+++ b/internal/routing/amendment.go
@@ -6,22 +6,24 @@
 	"strconv"
 )
 
-// amendableLists are the lists of a configuration whose items have names.
+// amendableLists are the lists of a configuration that an amendment can change. Their items have names.
 var amendableLists = []string{"routes", "services", "tenants"}
 
-// Amendment changes named items of a configuration.
+// Amendment is a change to a configuration. By list, Upsert holds items to add, or to put
+// in the place of an item of the same name, and Remove holds names of items to remove.
+// Version is the version of the resulting configuration.
 type Amendment struct {
 	Version uint64                       `json:"version" validate:"required,max=4611686018427387904"`
 	Upsert  map[string][]json.RawMessage `json:"upsert" validate:"dive,keys,oneof=routes services tenants,endkeys"`
 	Remove  map[string][]string          `json:"remove" validate:"dive,keys,oneof=routes services tenants,endkeys"`
 }
 
-// ParseAmendment decodes and validates an amendment by itself. Its error wraps
-// ErrMalformed or ErrInvalid.
+// ParseAmendment decodes and validates an amendment. The validation does not depend on the
+// configuration to amend. The error wraps ErrMalformed or ErrInvalid.
 func ParseAmendment(raw []byte) (*Amendment, error) {
 	amendment := &Amendment{}
 	if err := json.Unmarshal(raw, amendment); err != nil {
-		return nil, malformed(err)
+		return nil, malformedError(err)
 	}
 	if err := structValidator.Struct(amendment); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrInvalid, Violations(err))
@@ -36,7 +38,7 @@
 	return amendment, nil
 }
 
-// itemName returns the name of an item, empty if it has none.
+// itemName returns the name of an item, or an empty string if it has none or cannot be decoded.
 func itemName(item json.RawMessage) string {
 	var named struct {
 		Name string `json:"name"`
@@ -48,13 +50,14 @@
 }
 
 // Apply returns the complete configuration that results from amending current, decoded
-// and as JSON. Everything else in current stays unchanged, also fields that this version
-// does not know. Removing a name that does not exist is not an error.
+// and as JSON. All other fields of current stay unchanged, including fields that this version
+// does not know. Removing a name that does not exist is not an error. The error wraps
+// ErrMalformed or ErrInvalid.
 func (a *Amendment) Apply(current []byte) (*Configuration, []byte, error) {
 	fields := map[string]json.RawMessage{}
 	if len(current) > 0 {
 		if err := json.Unmarshal(current, &fields); err != nil {
-			return nil, nil, malformed(err)
+			return nil, nil, malformedError(err)
 		}
 	}
 	fields["version"] = json.RawMessage(strconv.FormatUint(a.Version, 10))
@@ -70,18 +73,19 @@
 	}
 	raw, err := json.Marshal(fields)
 	if err != nil {
-		return nil, nil, malformed(err)
+		return nil, nil, malformedError(err)
 	}
 	configuration, err := Parse(raw)
 	return configuration, raw, err
 }
 
-// amendItems returns the amended list of items: old ones in their order, then new ones.
+// amendItems returns the amended list: first the old items in their order, of which some are
+// replaced, then the new items.
 func amendItems(old json.RawMessage, upsert []json.RawMessage, remove []string) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &items); err != nil {
-			return nil, malformed(err)
+			return nil, malformedError(err)
 		}
 	}
 	removed := map[string]bool{}
@@ -109,7 +113,7 @@
 	}
 	raw, err := json.Marshal(amended)
 	if err != nil {
-		return nil, malformed(err)
+		return nil, malformedError(err)
 	}
 	return raw, nil
 }
--- a/internal/routing/amendment_test.go
+++ b/internal/routing/amendment_test.go
@@ -11,39 +11,41 @@
 {"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"cacheable","timeoutMs":9,"service":"s2","cacheTtlS":2.5,
 "later":true}]}`
 
-// TestAmend: an amendment changes what it names and nothing else, and is refused if it
-// breaks a rule by itself ("unread") or makes a configuration that does ("invalid").
-func TestAmend(t *testing.T) {
+// TestAmendment guards against amendments that change other items than those that they name,
+// or drop unknown fields. ParseAmendment must reject amendments that are malformed or
+// violate a rule ("rejected"), and Apply those that result in an invalid configuration
+// ("invalid").
+func TestAmendment(t *testing.T) {
 	upsertRoute := func(fields string) string {
 		return `{"version":5,"upsert":{"routes":[{` + fields + `}]}}`
 	}
-	for _, c := range []struct{ why, amend, want string }{
+	for _, c := range []struct{ name, amendment, want string }{
 		{
-			"replace by name",
+			"replace a route",
 			upsertRoute(`"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"unsafe","timeoutMs":7,"service":"s2"`),
 			"a/unsafe/7 b/cacheable/9",
 		},
 		{
-			"add",
+			"add a route",
 			upsertRoute(`"name":"c","hostname":"h","pathPrefix":"/c/","routeKind":"safe","timeoutMs":1,"service":"s1"`),
 			"a/safe/9 b/cacheable/9 c/safe/1",
 		},
-		{"remove, and what is not there", `{"version":5,"remove":{"routes":["a","zz"]}}`, "b/cacheable/9"},
-		{"a service that a route names", `{"version":5,"remove":{"services":["s1"]}}`, "invalid"},
-		{"route and service together", `{"version":5,"remove":{"services":["s1"],"routes":["a"]}}`, "b/cacheable/9"},
+		{"remove a route and an unknown name", `{"version":5,"remove":{"routes":["a","zz"]}}`, "b/cacheable/9"},
+		{"remove a service that a route uses", `{"version":5,"remove":{"services":["s1"]}}`, "invalid"},
+		{"remove a service and its only route", `{"version":5,"remove":{"services":["s1"],"routes":["a"]}}`, "b/cacheable/9"},
 		{
-			"same host and prefix",
+			"add a route with the host and prefix of another",
 			upsertRoute(`"name":"c","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":1,"service":"s1"`),
 			"invalid",
 		},
-		{"no version", `{"remove":{"routes":["a"]}}`, "unread"},
-		{"no name", `{"version":5,"upsert":{"routes":[{"hostname":"h"}]}}`, "unread"},
-		{"another list", `{"version":5,"upsert":{"limits":[]}}`, "unread"},
-		{"cut short", `{"version":5,"upsert":`, "unread"},
+		{"no version", `{"remove":{"routes":["a"]}}`, "rejected"},
+		{"route without a name", `{"version":5,"upsert":{"routes":[{"hostname":"h"}]}}`, "rejected"},
+		{"list that cannot be amended", `{"version":5,"upsert":{"limits":[]}}`, "rejected"},
+		{"truncated", `{"version":5,"upsert":`, "rejected"},
 	} {
 		got := ""
-		if a, err := ParseAmendment([]byte(c.amend)); err != nil {
-			got = "unread"
+		if a, err := ParseAmendment([]byte(c.amendment)); err != nil {
+			got = "rejected"
 		} else if cfg, raw, err := a.Apply([]byte(baseConfiguration)); errors.Is(err, ErrInvalid) {
 			got = "invalid"
 		} else if err != nil {
@@ -56,11 +58,11 @@
 			keepsUnknown := strings.Contains(string(raw), `"kept":1`) &&
 				(!strings.Contains(got, "b/") || strings.Contains(string(raw), `"later":true`))
 			if cfg.Version != 5 || !keepsUnknown {
-				t.Errorf("%s: what was not named is lost: %s", c.why, raw)
+				t.Errorf("%s: Apply returned %s, want version 5 and the unknown fields of the base configuration", c.name, raw)
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, not %q", c.why, got, c.want)
+			t.Errorf("%s: parsing and applying the amendment gave %q, want %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/routing/parse.go
+++ b/internal/routing/parse.go
@@ -10,8 +10,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Texts in responses with status 400. Operators' scripts may match them, so they keep
-// the words of earlier versions.
+// Texts in responses with status 400. They keep the wording of earlier versions, because
+// operators' scripts may match them.
 const (
 	malformedText  = "numbering: the configuration cannot be read"
 	invalidText    = "numbering: the configuration is invalid"
@@ -22,15 +22,17 @@
 var (
 	// ErrMalformed means that a configuration or amendment cannot be decoded.
 	ErrMalformed = errors.New(malformedText)
-	// ErrInvalid means that a configuration or amendment breaks rules; the error names them.
+	// ErrInvalid means that a configuration or amendment violates rules. The error that wraps
+	// it lists the violations.
 	ErrInvalid = errors.New(invalidText)
 )
 
-// maxViolations bounds the violations that are collected.
+// maxViolations bounds the length of errors: the checks of routes and those of tenants stop
+// when more violations are found.
 const maxViolations = 50
 
-// structValidator checks the rules of the struct tags. Its messages name fields as
-// the operator does.
+// structValidator checks the rules of the struct tags. Its errors contain the JSON names of
+// fields.
 var structValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -40,17 +42,17 @@
 	return v
 }()
 
-// Decode reads a configuration that was validated before. Its error wraps ErrMalformed.
+// Decode decodes a configuration that was validated before. Its error wraps ErrMalformed.
 func Decode(raw []byte) (*Configuration, error) {
 	configuration := &Configuration{}
 	if err := json.Unmarshal(raw, configuration); err != nil {
-		return nil, malformed(err)
+		return nil, malformedError(err)
 	}
 	return configuration, nil
 }
 
-// Parse decodes and validates a configuration. Its error wraps ErrMalformed, or
-// ErrInvalid and names every violation found.
+// Parse decodes and validates a configuration. Its error wraps ErrMalformed, or wraps
+// ErrInvalid and lists the violations.
 func Parse(raw []byte) (*Configuration, error) {
 	configuration, err := Decode(raw)
 	if err != nil {
@@ -62,9 +64,10 @@
 	return configuration, nil
 }
 
-func malformed(err error) error { return fmt.Errorf("%w: %w", ErrMalformed, err) }
+func malformedError(err error) error { return fmt.Errorf("%w: %w", ErrMalformed, err) }
 
-// Violations describes the violated rules of struct tags, one text for each field.
+// Violations returns a description of each field that violates the rules of its struct tag,
+// given the error of a validator. For any other error it returns the text of the error.
 func Violations(err error) []string {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) {
@@ -85,7 +88,7 @@
 	return violations
 }
 
-// violations describes all violations of the configuration.
+// violations returns descriptions of the violations of the configuration.
 func (c *Configuration) violations() []string {
 	var violations []string
 	if err := structValidator.Struct(c); err != nil {
@@ -95,7 +98,7 @@
 	for _, service := range c.Services {
 		services[service.Name] = true
 	}
-	routeByPrefix := make(map[string]string, len(c.Routes)) // names by host and prefix
+	routeByPrefix := make(map[string]string, len(c.Routes)) // names of routes by host and prefix
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		path := fmt.Sprintf("routes[%d]", i)
@@ -112,8 +115,8 @@
 	return append(violations, tenantViolations(c.Tenants)...)
 }
 
-// targetViolations describes the violations in the services of a route. path is the
-// route's position in the configuration, such as routes[2].
+// targetViolations returns descriptions of the violations in the services of a route. path
+// is the route's position in the configuration, such as routes[2].
 func (r *Route) targetViolations(path string, services map[string]bool) (violations []string) {
 	for _, service := range r.ServiceNames() {
 		if !services[service] {
@@ -149,8 +152,8 @@
 	return total
 }
 
-// tenantViolations describes the violations of tenants. It never shows a key, since its
-// results are logged.
+// tenantViolations returns descriptions of the violations of tenants. They contain no API
+// keys, because they are logged.
 func tenantViolations(tenants []Tenant) (violations []string) {
 	names := map[string]bool{}
 	nameByKey := map[string]string{}
--- a/internal/routing/parse_test.go
+++ b/internal/routing/parse_test.go
@@ -6,63 +6,63 @@
 	"testing"
 )
 
-// routeWith is a configuration with a service s and a route with some fields.
+// routeWith returns a configuration with a service s and a route with additional fields.
 func routeWith(fields string) string {
 	return `{"version":3,"services":[{"name":"s"}],"routes":[` +
 		`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,` + fields + `}]}`
 }
 
-// tenantsOnly is a configuration with tenants and nothing else.
+// tenantsOnly returns a configuration that consists of tenants.
 func tenantsOnly(list string) string { return `{"version":3,"tenants":[` + list + `]}` }
 
-// TestParse: what can't be read whole or breaks a rule is refused, whatever its
-// shape, and says what is wrong.
+// TestParse guards against accepting configurations that are malformed or violate a rule.
+// Errors must name the violation, have a bounded length and contain no API keys.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
-		why, raw string
-		want     error
-		says     string
+		name, raw string
+		wantErr   error
+		wantText  string // part of the error
 	}{
-		{"well", routeWith(`"service":"s"`), nil, ""},
-		{"a brace too many", routeWith(`"service":"s"`) + "}", ErrMalformed, ""},
-		{"two in a row", routeWith(`"service":"s"`) + routeWith(`"service":"s"`), ErrMalformed, ""},
-		{"cut short", routeWith(`"service":"s"`)[:80], ErrMalformed, ""},
-		{"nothing", "", ErrMalformed, "numbering: the configuration cannot be read: "},
-		{"a list", "[]", ErrMalformed, ""},
-		{"nested without end", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
+		{"valid", routeWith(`"service":"s"`), nil, ""},
+		{"extra brace", routeWith(`"service":"s"`) + "}", ErrMalformed, ""},
+		{"two configurations", routeWith(`"service":"s"`) + routeWith(`"service":"s"`), ErrMalformed, ""},
+		{"truncated", routeWith(`"service":"s"`)[:80], ErrMalformed, ""},
+		{"empty", "", ErrMalformed, "numbering: the configuration cannot be read: "},
+		{"list", "[]", ErrMalformed, ""},
+		{"nested without closing brackets", `{"version":3,"x":` + strings.Repeat("[", 1<<20), ErrMalformed, ""},
 		{
 			"nested deeply",
 			`{"version":3,"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + "}",
 			ErrMalformed, "",
 		},
-		{"bytes that are no text", "{\"version\":\xff\xfe}", ErrMalformed, ""},
-		{"a version that is a text", `{"version":"3"}`, ErrMalformed, ""},
-		{"a version below 0", `{"version":-3}`, ErrMalformed, ""},
+		{"invalid UTF-8", "{\"version\":\xff\xfe}", ErrMalformed, ""},
+		{"version as a string", `{"version":"3"}`, ErrMalformed, ""},
+		{"negative version", `{"version":-3}`, ErrMalformed, ""},
 		{"no version", `{"routes":[]}`, ErrInvalid, "numbering: the configuration is invalid: version"},
-		{"a version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
-		{"an unknown service", routeWith(`"service":"z"`), ErrInvalid, `unknown service "z"`},
-		{"weights of 0", routeWith(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
-		{"no time", routeWith(`"service":"s","timeoutMs":0`), ErrInvalid, "timeoutMs"},
+		{"version out of range", `{"version":18446744073709551615}`, ErrInvalid, "version"},
+		{"unknown service", routeWith(`"service":"z"`), ErrInvalid, `unknown service "z"`},
+		{"weights that add up to 0", routeWith(`"weightedServices":[{"service":"s","weight":0}]`), ErrInvalid, "weights"},
+		{"timeout of 0", routeWith(`"service":"s","timeoutMs":0`), ErrInvalid, "timeoutMs"},
 		{"two targets", routeWith(`"service":"s","fanoutServices":["s"]`), ErrInvalid, "exactly one"},
-		{"not safe", routeWith(`"fanoutServices":["s"],"routeKind":"unsafe"`), ErrInvalid, "a gathered route must be safe"},
-		{"a shard twice", routeWith(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
+		{"unsafe", routeWith(`"fanoutServices":["s"],"routeKind":"unsafe"`), ErrInvalid, "a gathered route must be safe"},
+		{"duplicate shard", routeWith(`"fanoutServices":["s","s"]`), ErrInvalid, "unique"},
 		{
-			"tenants",
+			"valid tenants",
 			tenantsOnly(`{"name":"a","apiKeys":["k1","k2"],"ratePerS":2.5,"burstSize":3,"priority":0,"new":1},{"name":"b"}`),
 			nil, "",
 		},
 		{
-			"a shared key",
+			"key of two tenants",
 			tenantsOnly(`{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2","k1"]}`),
 			ErrInvalid, `tenants[1].apiKeys[1]: "b" shares it with "a"`,
 		},
-		{"one key twice", tenantsOnly(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
-		{"a tenant twice", tenantsOnly(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
-		{"a tenant without a name", tenantsOnly(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
-		{"a rate below 0", tenantsOnly(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
-		{"a burst below 0", tenantsOnly(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
+		{"duplicate key of one tenant", tenantsOnly(`{"name":"a","apiKeys":["k1","k1"]}`), nil, ""},
+		{"duplicate tenant", tenantsOnly(`{"name":"a"},{"name":"a"}`), ErrInvalid, "tenants[1].name"},
+		{"tenant without a name", tenantsOnly(`{"apiKeys":["k1"]}`), ErrInvalid, "tenants[0].name"},
+		{"negative rate", tenantsOnly(`{"name":"a","ratePerS":-1}`), ErrInvalid, "tenants[0].ratePerS"},
+		{"negative burst", tenantsOnly(`{"name":"a","burstSize":-1}`), ErrInvalid, "tenants[0].burstSize"},
 		{
-			"the same route many times",
+			"5000 identical routes",
 			`{"version":3,"services":[{"name":"s"}],"routes":[` + strings.Repeat(
 				`{"name":"a","hostname":"h","pathPrefix":"/a/","routeKind":"safe","timeoutMs":9,"service":"s"},`, 5000) +
 				`{"name":"b","hostname":"h","pathPrefix":"/b/","routeKind":"safe","timeoutMs":9,"service":"s"}]}`,
@@ -70,11 +70,12 @@
 		},
 	} {
 		_, err := Parse([]byte(c.raw))
-		if !errors.Is(err, c.want) || err != nil && (!strings.Contains(err.Error(), c.says) || len(err.Error()) > 16<<10) {
-			t.Errorf("%s: %.300v", c.why, err)
+		if !errors.Is(err, c.wantErr) ||
+			err != nil && (!strings.Contains(err.Error(), c.wantText) || len(err.Error()) > 16<<10) {
+			t.Errorf("%s: Parse returned %.300v, want %v with %q, at most 16 KiB", c.name, err, c.wantErr, c.wantText)
 		}
 		if err != nil && strings.Contains(err.Error(), "k1") {
-			t.Errorf("%s: a key is shown: %v", c.why, err)
+			t.Errorf("%s: the error of Parse contains an API key: %v", c.name, err)
 		}
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// shareTolerance absorbs rounding errors when shares of shards are compared.
+// shareTolerance allows for rounding errors in comparisons of shares of shards.
 const shareTolerance = 1e-9
 
-// RouteTable is a compiled configuration. It never changes; a request keeps the
-// table that it started with.
+// RouteTable is a compiled configuration. It is immutable. A request uses one table
+// throughout, even if a newer configuration takes effect meanwhile.
 type RouteTable struct {
 	Version  uint64
 	Config   *Configuration
@@ -28,22 +28,22 @@
 	Route
 	Timeout       time.Duration
 	TargetLatency time.Duration // 0 if there is no target
-	// AttemptLimit is how many attempts of one request may reach the endpoints of
-	// each service, at least 1.
+	// AttemptLimit is the maximum number of attempts of one request that may reach the
+	// endpoints of each service. It is at least 1.
 	AttemptLimit int
-	// RequiredShards is how many shards a fan-out needs for a success.
+	// RequiredShards is the number of shards that must succeed for a fan-out to succeed.
 	RequiredShards int
 
 	weightSum int64 // of the weighted services
 }
 
-// virtualHost is the routes of one host.
+// virtualHost holds the routes of one host.
 type virtualHost struct {
 	routesByPrefix map[string]*CompiledRoute
-	prefixLengths  []int // longest first
+	prefixLengths  []int // distinct, longest first
 }
 
-// Compile makes a table of a valid configuration.
+// Compile returns the table of a configuration, which must be valid.
 func Compile(configuration *Configuration) *RouteTable {
 	table := &RouteTable{
 		Version:      configuration.Version,
@@ -79,7 +79,7 @@
 			t.tenantsByKey[key] = tenant
 		}
 	}
-	delete(t.tenantsByKey, "")
+	delete(t.tenantsByKey, "") // an empty key identifies no tenant
 }
 
 func (t *RouteTable) addRoute(route *Route) {
@@ -106,7 +106,8 @@
 	return compiled
 }
 
-// requiredShards returns the least number of shards, from 1, that is at least share of all.
+// requiredShards returns the smallest number of shards, at least 1, whose share of all
+// shards is not below share.
 func requiredShards(shards int, share float64) int {
 	required := 1
 	for required < shards && float64(required)/float64(shards) < share-shareTolerance {
@@ -126,8 +127,8 @@
 	sort.Sort(sort.Reverse(sort.IntSlice(h.prefixLengths)))
 }
 
-// Match returns the route with the longest prefix of the path on the host of a Host
-// header, or nil.
+// Match returns the route whose path prefix is the longest that matches path on the host of
+// a Host header, or nil. It ignores the case of the host and a port.
 func (t *RouteTable) Match(hostHeader, path string) *CompiledRoute {
 	host := t.findHost(hostHeader)
 	if host == nil {
@@ -151,7 +152,7 @@
 			name = host
 		}
 	}
-	if host := t.virtualHosts[name]; host != nil { // most names are in lower case
+	if host := t.virtualHosts[name]; host != nil { // most names are already in lower case
 		return host
 	}
 	return t.virtualHosts[strings.ToLower(name)]
@@ -163,10 +164,10 @@
 	if len(r.WeightedServices) == 0 {
 		return r.Service
 	}
-	left := int64(point * float64(r.weightSum))
+	remaining := int64(point * float64(r.weightSum))
 	for _, weighted := range r.WeightedServices {
-		left -= weighted.Weight
-		if left < 0 {
+		remaining -= weighted.Weight
+		if remaining < 0 {
 			return weighted.Service
 		}
 	}
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -5,11 +5,12 @@
 // apiKeyScheme is the scheme of the credentials that hold a tenant's key.
 const apiKeyScheme = "Token"
 
-// Identity is the sender of a request by its credentials.
+// Identity is the result of the authentication of a request.
 type Identity struct {
-	// Tenant is nil where requests need no key or the route is public.
+	// Tenant is the sender of the request. It is nil if no key is required, if a request on a
+	// public route has no key, or if the request must be rejected.
 	Tenant *Tenant
-	// StripCredentials says that the credentials are for this system and must not be
+	// StripCredentials says that the credentials are meant for this system and must not be
 	// forwarded to a leaf.
 	StripCredentials bool
 }
