--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -6,7 +6,8 @@
 	"comethold/internal/quota"
 )
 
-// Bounds are the limits that the system must keep. The methods return the times as durations.
+// Bounds are the limits on times, retries and quotas that the system must observe. The methods return the times as
+// durations.
 type Bounds struct {
 	DrainMs          int64   `toml:"drainMs" validate:"min=0"`
 	GracePeriodS     float64 `toml:"gracePeriodS" validate:"min=0"`
@@ -26,32 +27,32 @@
 	UsageDelayS      float64 `toml:"usageDelayS" validate:"min=0"`
 }
 
-// DrainTimeout is the time after which an endpoint that the platform drains must get no more requests.
+// DrainTimeout returns the time after which an endpoint that the platform drains must receive no more requests.
 func (b Bounds) DrainTimeout() time.Duration { return milliseconds(b.DrainMs) }
 
-// GracePeriod is the time between SIGTERM and SIGKILL.
+// GracePeriod returns the time between SIGTERM and SIGKILL.
 func (b Bounds) GracePeriod() time.Duration { return seconds(b.GracePeriodS) }
 
-// ConfigApplyTimeout is how long an acknowledged configuration may take to be in force everywhere.
+// ConfigApplyTimeout returns how long an acknowledged configuration may take to come into effect on all nodes.
 func (b Bounds) ConfigApplyTimeout() time.Duration { return milliseconds(b.ConfigApplyMs) }
 
 // CatchUpPeriod returns how long a machine still counts as lost after it was replaced or returned. Another machine may
 // be lost after this period. 0 means that the file gives no period.
 func (b Bounds) CatchUpPeriod() time.Duration { return seconds(b.CatchUpS) }
 
-// RetryWindow is the span over which the retry budget counts.
+// RetryWindow returns the length of the time window over which the retry budget counts requests.
 func (b Bounds) RetryWindow() time.Duration { return seconds(b.RetryWindowS) }
 
-// StaleSlack is how long after its time to live a cached object may still be served.
+// StaleSlack returns how long after its time to live a cached object may still be served.
 func (b Bounds) StaleSlack() time.Duration { return seconds(b.StaleSlackS) }
 
-// QuotaRules are the bounds of the tenants' quotas.
+// QuotaRules returns the rules of the tenants' quotas.
 func (b Bounds) QuotaRules() quota.Rules {
 	return quota.Rules{Window: seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
 }
 
-// RevocationTimeout is the time within which every node must reject a revoked key, even without contact to the control
-// plane; 0: only nodes in contact must.
+// RevocationTimeout returns the time within which every node must reject a revoked key, even without contact to the
+// control plane. 0 means that only nodes in contact with the control plane must reject it.
 func (b Bounds) RevocationTimeout() time.Duration {
 	if !b.RevocationGlobal {
 		return 0
@@ -63,10 +64,10 @@
 // duty must not be made by node A, then by node B, then by A again.
 func (b Bounds) LeaseDuration() time.Duration { return milliseconds(b.LeaseMs) }
 
-// UsageWindow is the length of the windows by which usage is counted.
+// UsageWindow returns the length of the time windows for which usage is counted.
 func (b Bounds) UsageWindow() time.Duration { return seconds(b.UsageWindowS) }
 
-// UsageReportDelay is how long after the end of its window a usage report is due.
+// UsageReportDelay returns how long after the end of its window a usage report is due.
 func (b Bounds) UsageReportDelay() time.Duration { return seconds(b.UsageDelayS) }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -37,7 +37,7 @@
 	return path, nil
 }
 
-// Load reads and checks a settings file. Its error names every violation.
+// Load reads and validates a settings file. Its error lists the violations.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return Parse(raw)
 }
 
-// Parse reads and checks the text of a settings file. Its error names every violation.
+// Parse decodes and validates the text of a settings file. Its error lists the violations.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(raw, s); err != nil {
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// minimal is a settings file with all required fields and an unknown one.
 const minimal = `
 nodeName = "n1"
 ipAddress = "10.0.0.1"
@@ -17,26 +18,28 @@
 unknown = "is ignored"
 `
 
-// TestParse: the smallest file is accepted, with its defaults.
-func TestParse(t *testing.T) {
+// TestParseMinimalFile guards against rejecting a file with only the required fields or an unknown one, and against
+// wrong defaults.
+func TestParseMinimalFile(t *testing.T) {
 	s, err := Parse([]byte(minimal))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := fmt.Sprint(s.SeedHosts()); got != "[10.0.0.1 10.0.0.2]" {
-		t.Errorf("the seeds are %s", got)
+		t.Errorf("SeedHosts returned %s, want [10.0.0.1 10.0.0.2]", got)
 	}
 	if s.HeartbeatInterval() != time.Second || s.RegionOf("z1") != "z1" || s.Bounds.RevocationTimeout() != 0 {
-		t.Errorf("defaults: %v, %s, %v", s.HeartbeatInterval(), s.RegionOf("z1"), s.Bounds.RevocationTimeout())
+		t.Errorf("defaults: HeartbeatInterval %v, RegionOf(z1) %s, RevocationTimeout %v, want 1s, z1, 0s",
+			s.HeartbeatInterval(), s.RegionOf("z1"), s.Bounds.RevocationTimeout())
 	}
 	if control, data, cache := s.PortOf(ControlPlane), s.PortOf(DataPlane), s.PortOf(ObjectCache); control != 7120 ||
 		data != 7121 || cache != 7122 {
-		t.Errorf("the ports are %d, %d and %d", control, data, cache)
+		t.Errorf("PortOf returned %d, %d and %d, want 7120, 7121 and 7122", control, data, cache)
 	}
 }
 
-// TestViolations: the error names every field at fault, as the file does.
-func TestViolations(t *testing.T) {
+// TestParseListsViolations guards against an error that omits an invalid field or does not use its name in the file.
+func TestParseListsViolations(t *testing.T) {
 	_, err := Parse([]byte(`
 ipAddress = "here"
 internalPortRange = [7120, 7121]
@@ -46,20 +49,21 @@
 level = "loud"
 `))
 	if !errors.Is(err, ErrSettings) {
-		t.Fatalf("the error is %v", err)
+		t.Fatalf("Parse returned %v, want ErrSettings", err)
 	}
 	for _, name := range []string{
 		"nodeName", "ipAddress", "availabilityZone", "internalPortRange", "seedNodes",
 		"heartbeatIntervalMs", "log.level",
 	} {
 		if !strings.Contains(err.Error(), name) {
-			t.Errorf("%s is not named: %v", name, err)
+			t.Errorf("the error of Parse does not contain %s: %v", name, err)
 		}
 	}
 }
 
-// TestUnits: methods convert from the units of the file.
-func TestUnits(t *testing.T) {
+// TestDurationsAndDuties guards against methods that confuse the units of the file, and against usage reports without
+// a window.
+func TestDurationsAndDuties(t *testing.T) {
 	s, err := Parse([]byte(minimal + `
 [timingBounds]
 drainMs = 1500
@@ -77,12 +81,12 @@
 	b := s.Bounds
 	got := fmt.Sprint(b.DrainTimeout(), b.GracePeriod(), b.QuotaRules().Window, b.RevocationTimeout())
 	if got != "1.5s 2.5s 5s 700ms" {
-		t.Errorf("the durations are %s", got)
+		t.Errorf("drain, grace, quota and revocation times are %s, want 1.5s 2.5s 5s 700ms", got)
 	}
 	if s.ReportsUsage() {
-		t.Error("usage is reported without a window")
+		t.Error("ReportsUsage returned true without a usage window, want false")
 	}
 	if got := fmt.Sprint(s.UnknownDuties()); got != "[dance]" {
-		t.Errorf("unknown duties are %s", got)
+		t.Errorf("UnknownDuties returned %s, want [dance]", got)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads and validates the settings file of a process.
 //
-// The names of fields in the file (the toml tags) are an interface to operators and never change. Errors name fields
-// by them. Durations are read through methods, which convert from the units that the file uses.
+// The names of fields in the file (the toml tags) are an interface to operators and never change. Errors use
+// the same names. Methods return durations, converted from the units of the file.
 package settings
 
 import (
@@ -36,14 +36,14 @@
 
 const defaultHeartbeatInterval = time.Second
 
-// UsageReportingDuty is the duty of reporting the tenants' usage to the platform. Duties are the singleton roles of
-// the settings file.
+// UsageReportingDuty is the duty of reporting the tenants' usage to the platform. One node at a time carries out a
+// duty.
 const UsageReportingDuty = "usage_reporting"
 
 // ContentMode is the DeploymentMode of a deployment that delivers cacheable objects.
 const ContentMode = "content"
 
-// Listen holds the addresses that clients and operators call.
+// Listen holds the addresses on which the process accepts connections from clients and operators.
 type Listen struct {
 	Frontend     string `toml:"frontend" validate:"omitempty,hostname_port"`
 	Readiness    string `toml:"readiness" validate:"omitempty,hostname_port"`
@@ -57,37 +57,37 @@
 	DiskMb          int64 `toml:"diskMb" validate:"min=0"`
 }
 
-// Tolerance says which faults the system must survive.
+// Tolerance is the set of faults that the system must survive.
 type Tolerance struct {
-	// MachineLosses is how many control machines may be lost at one time.
+	// MachineLosses is the number of control machines that may be lost at the same time.
 	MachineLosses int `toml:"machineLosses" validate:"min=0,max=16"`
 }
 
-// Platform is the platform's API: the list of endpoints, and calls that report to it.
+// Platform configures calls to the platform's API, which lists the endpoints and receives reports.
 type Platform struct {
 	Address  string  `toml:"address" validate:"omitempty,hostname_port"`
-	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // calls of the list by all nodes together; 0: not known
-	// Duties are the singleton roles: their calls are made by one node at a time, the owner of a lease.
+	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // list calls of all nodes together; 0 if not known
+	// Duties are tasks whose calls to the platform are made by one node at a time, the owner of a lease.
 	Duties     []string `toml:"duties"`
 	DutiesPerS float64  `toml:"dutiesPerS" validate:"min=0"`
 	MaxLagMs   int64    `toml:"maxLagMs" validate:"min=0"`
 }
 
-// Estimates says whether latencies of lookups on routes with a class are recorded.
+// Estimates configures the latency estimates for lookups on routes with a lookup class.
 type Estimates struct {
 	Enabled bool `toml:"enabled"`
-	// ShadowShare is the part of the lookups that are also sent to another replica, to compare the answers. They
-	// count against the retry budget.
+	// ShadowShare is the share of lookups that are also sent to a second replica to compare the answers. The additional
+	// requests count against the retry budget.
 	ShadowShare float64 `toml:"shadowShare" validate:"min=0,max=0.05"`
 }
 
-// Log sets what is logged.
+// Log configures logging.
 type Log struct {
-	// Level is the lowest level that is written; empty means info.
+	// Level is the lowest level of log lines that are written; empty means info.
 	Level string `toml:"level" validate:"omitempty,oneof=trace debug info warn error"`
 }
 
-// HeartbeatInterval is the time between two heartbeats of a node.
+// HeartbeatInterval returns the time between two heartbeats of a node.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	if s.HeartbeatMs <= 0 {
 		return defaultHeartbeatInterval
@@ -100,12 +100,12 @@
 	return slices.Contains(s.Platform.Duties, UsageReportingDuty) && s.Bounds.UsageWindowS > 0 && s.Platform.Address != ""
 }
 
-// UnknownDuties lists the duties that this version does not know.
+// UnknownDuties returns the duties in the file that this version does not support.
 func (s *Settings) UnknownDuties() []string {
 	return slices.DeleteFunc(slices.Clone(s.Platform.Duties), func(duty string) bool { return duty == UsageReportingDuty })
 }
 
-// RegionOf returns the region of a zone: the zone itself if the file names none.
+// RegionOf returns the region of a zone, or the zone itself if the file names no region for it.
 func (s *Settings) RegionOf(zone string) string {
 	if region, ok := s.Zones[zone]; ok {
 		return region
