--- a/internal/latencyestimate/collector.go
+++ b/internal/latencyestimate/collector.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// Bounds of a Collector. No caller waits: samples beyond the bounds are dropped and counted.
+// Limits of a Collector. Callers never wait: samples beyond the limits are dropped and counted.
 const (
 	maxQueuedSamples = 512
-	// maxSamplesPerSecond bounds the collector's use of the processor.
+	// maxSamplesPerSecond bounds the collector's use of CPU time.
 	maxSamplesPerSecond = 1000
-	workInterval        = 20 * time.Millisecond
-	samplesPerInterval  = maxSamplesPerSecond / int(time.Second/workInterval)
-	// thresholdLifetime is the number of samples for which the threshold of a key is used.
+	processingInterval  = 20 * time.Millisecond
+	samplesPerInterval  = maxSamplesPerSecond / int(time.Second/processingInterval)
+	// thresholdLifetime is the number of samples of a key after which its threshold for slow
+	// lookups is updated.
 	thresholdLifetime = 64
-	maxKeys           = 1024 // sketches of one generation
+	maxKeys           = 1024 // limits sketches of one generation, thresholds and difference counters
 	maxSlowLookups    = 256
 	// generationLength is how long samples are added to a generation of sketches. The
 	// generation is dropped when the next one ends.
 	generationLength = time.Minute
-	// slowFactor is the number of medians of a replica above which a lookup is slow.
-	slowFactor   = 3
-	maxPartBytes = 256 << 10
+	// slowFactor sets the threshold for slow lookups as a multiple of the replica's median.
+	slowFactor = 3
+	// maxBodyBytes is the maximum length of an answer that is compared with another one.
+	maxBodyBytes = 256 << 10
 )
 
-// Collector collects the samples of requests without delaying them. Run processes them. It is
-// safe for concurrent use.
+// Collector collects the samples of requests without delaying them. Run processes them. A
+// Collector is safe for concurrent use.
 type Collector struct {
 	queue          chan AnswerPair
 	dropped        atomic.Uint64
@@ -38,12 +40,12 @@
 	rotatedAt         time.Time       // when the current generation began
 	thresholds        map[Key]*slowThreshold
 	slowLookups       []SlowLookup // oldest first
-	counters          Counters     // Dropped is counted in dropped
+	counters          Counters     // except Dropped: see the field dropped
 }
 
 // slowThreshold is the duration above which a lookup of a key is slow.
 type slowThreshold struct {
-	duration    time.Duration // 0: not known
+	duration    time.Duration // 0 if not known
 	samplesLeft int           // until the next update
 }
 
@@ -61,7 +63,8 @@
 	return c
 }
 
-// Submit queues a sample for Run. It drops samples beyond the interval's budget.
+// Submit queues a sample for Run. It drops the sample if the budget of the interval is used
+// up or the queue is full.
 func (c *Collector) Submit(s Sample) {
 	if c.intervalBudget.Add(-1) < 0 {
 		c.dropped.Add(1)
@@ -70,10 +73,11 @@
 	c.enqueue(AnswerPair{First: s})
 }
 
-// SubmitPair queues two answers to one lookup, whose samples were submitted before. Answers
-// that are too large are not compared.
+// SubmitPair queues two answers to one lookup for comparison. Their samples must have been
+// submitted before. It ignores the pair if an answer is longer than maxBodyBytes, and drops
+// it if the queue is full.
 func (c *Collector) SubmitPair(p AnswerPair) {
-	if len(p.FirstBody) <= maxPartBytes && len(p.SecondBody) <= maxPartBytes {
+	if len(p.FirstBody) <= maxBodyBytes && len(p.SecondBody) <= maxBodyBytes {
 		c.enqueue(p)
 	}
 }
@@ -86,9 +90,10 @@
 	}
 }
 
-// Run processes queued samples until done is closed, maxSamplesPerSecond at most.
+// Run processes queued samples and pairs until done is closed, at most maxSamplesPerSecond
+// per second.
 func (c *Collector) Run(done <-chan struct{}) {
-	ticker := time.NewTicker(workInterval)
+	ticker := time.NewTicker(processingInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -117,7 +122,7 @@
 	}
 }
 
-// Add processes a sample at once.
+// Add processes a sample immediately, without queueing it.
 func (c *Collector) Add(s Sample, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,19 +142,19 @@
 	sketch.Add(s.Duration, s.Censored)
 }
 
-// AddPair compares two answers to one lookup at once: the second one's duration with its
-// estimate, and the answers with each other.
+// AddPair processes a pair immediately, without queueing it. It compares the duration of the
+// second answer with its estimate, and the answers with each other.
 func (c *Collector) AddPair(p AnswerPair) {
-	ofFirst, ofSecond := CompareAnswers(p.FirstBody, p.SecondBody)
+	firstDifference, secondDifference := CompareAnswers(p.FirstBody, p.SecondBody)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checkEstimateLocked(p.Second)
-	c.countDifferenceLocked(p.First.Key.Endpoint, ofFirst)
-	c.countDifferenceLocked(p.Second.Key.Endpoint, ofSecond)
-	c.completeSlowLocked(p, ofSecond)
+	c.countDifferenceLocked(p.First.Key.Endpoint, firstDifference)
+	c.countDifferenceLocked(p.Second.Key.Endpoint, secondDifference)
+	c.completeSlowLocked(p, secondDifference)
 }
 
-// rotateLocked begins a new generation when the current one is over.
+// rotateLocked starts a new generation if the current one has lasted generationLength.
 func (c *Collector) rotateLocked(now time.Time) {
 	age := now.Sub(c.rotatedAt)
 	if age < generationLength {
@@ -194,7 +199,7 @@
 	*threshold = slowThreshold{duration: slowFactor * estimate.Median, samplesLeft: thresholdLifetime}
 }
 
-// estimateLocked returns the estimate of a key out of both generations.
+// estimateLocked returns the estimate for a key from the samples of both generations.
 func (c *Collector) estimateLocked(key Key) Estimate {
 	current, previous := c.current[key], c.previous[key]
 	switch {
@@ -240,8 +245,8 @@
 	}
 }
 
-// checkEstimateLocked counts whether an actual duration lies in the interval of its
-// estimate. A censored sample has none.
+// checkEstimateLocked counts whether the duration of a sample lies in the interval of its
+// estimate. It ignores censored samples, whose actual duration is not known.
 func (c *Collector) checkEstimateLocked(s Sample) {
 	if s.Censored {
 		return
@@ -263,7 +268,7 @@
 }
 
 // completeSlowLocked adds the second answer to the record of the slow lookup, if there is one.
-func (c *Collector) completeSlowLocked(p AnswerPair, ofSecond Difference) {
+func (c *Collector) completeSlowLocked(p AnswerPair, secondDifference Difference) {
 	for i := len(c.slowLookups) - 1; i >= 0; i-- {
 		lookup := &c.slowLookups[i]
 		if lookup.Key != p.First.Key || lookup.Duration != p.First.Duration {
@@ -272,7 +277,7 @@
 		for j := range lookup.Replicas {
 			if r := &lookup.Replicas[j]; r.Endpoint == p.Second.Key.Endpoint {
 				r.Actual = p.Second.Duration
-				r.Difference = ofSecond.String()
+				r.Difference = secondDifference.String()
 			}
 		}
 		return
--- a/internal/latencyestimate/collector_test.go
+++ b/internal/latencyestimate/collector_test.go
@@ -16,7 +16,7 @@
 	now       time.Time
 }
 
-// add adds one lookup and returns its sample.
+// add adds one lookup on an idle replica and returns its sample.
 func (l *testLookups) add(endpoint, class string, duration time.Duration, censored bool) Sample {
 	s := Sample{
 		Key:      Key{Service: "s", Endpoint: endpoint, Class: class},
@@ -27,7 +27,8 @@
 	return s
 }
 
-// run adds a second of lookups; those of class urgent take about medianB on an idle b.
+// run adds the lookups of one second, 100 of each kind. Those of class urgent have the median
+// duration medianB on the replica b while it is idle.
 func (l *testLookups) run(medianB time.Duration) {
 	for range 100 {
 		l.now = l.now.Add(10 * time.Millisecond)
@@ -42,20 +43,20 @@
 	}
 }
 
-// requireNear fails unless the median is within a fifth of the truth.
-func requireNear(t *testing.T, situation string, e Estimate, truth time.Duration) {
+// requireMedianNear fails unless the estimated median is within 20 % of the true median.
+func requireMedianNear(t *testing.T, situation string, e Estimate, trueMedian time.Duration) {
 	t.Helper()
-	if !e.Known() || e.Median < truth*8/10 || e.Median > truth*12/10 {
-		t.Errorf("%s: %+v, the truth is %v", situation, e, truth)
+	if !e.Known() || e.Median < trueMedian*8/10 || e.Median > trueMedian*12/10 {
+		t.Errorf("%s: the estimate is %+v, want a median within 20 %% of %v", situation, e, trueMedian)
 	}
 }
 
-// lastSlow returns the newest slow lookup.
+// lastSlow returns the most recent slow lookup.
 func lastSlow(s Snapshot) SlowLookup { return s.SlowLookups[len(s.SlowLookups)-1] }
 
-// TestCollector: a slow lookup shows what the other replica would have taken, apart by class
-// and by load; the actual duration is put beside the estimate; and the estimate follows
-// durations that shift.
+// TestCollector guards against estimates that mix the samples of several classes or loads, or
+// that do not follow durations that change, and against second answers that are not recorded
+// with the slow lookup.
 func TestCollector(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCollector(now)
@@ -64,30 +65,31 @@
 	slow := lookups.add("a", ClassUrgent, 900*time.Millisecond, true)
 	last := lastSlow(c.Snapshot("s", ClassUrgent))
 	if last.Key != slow.Key || !last.Censored || len(last.Replicas) != 1 {
-		t.Fatalf("the slow lookup: %+v", last)
+		t.Fatalf("the last slow lookup is %+v, want the censored lookup at a with an estimate for b", last)
 	}
-	requireNear(t, "the other replica", last.Replicas[0].Estimate, 20*time.Millisecond)
+	requireMedianNear(t, "estimate for the other replica", last.Replicas[0].Estimate, 20*time.Millisecond)
 
 	second := Sample{Key: Key{Service: "s", Endpoint: "b", Class: ClassUrgent}, Duration: 21 * time.Millisecond}
 	c.AddPair(AnswerPair{First: slow, Second: second, FirstBody: []byte("0123456789abcdef"), SecondBody: nil})
 	all := c.Snapshot("", "")
 	if r := lastSlow(all).Replicas[0]; r.Actual != 21*time.Millisecond || r.Difference != "empty" {
-		t.Errorf("the actual duration beside the estimate: %+v", r)
+		t.Errorf("after AddPair the replica is %+v, want an actual duration of 21ms and an empty answer", r)
 	}
 	if n := all.Counters; n.Differences["b empty"] != 1 || n.Compared != 1 || n.Covered != 1 {
-		t.Errorf("the counters: %+v", n)
+		t.Errorf("the counters are %+v, want 1 for b empty, 1 compared and 1 covered", n)
 	}
 
 	lookups.now = lookups.now.Add(3 * generationLength)
 	lookups.run(60 * time.Millisecond)
 	lookups.add("a", ClassUrgent, time.Second, true)
 	shifted := c.Snapshot("s", ClassUrgent)
-	requireNear(t, "after its durations shifted", lastSlow(shifted).Replicas[0].Estimate, 60*time.Millisecond)
+	requireMedianNear(t, "estimate after longer durations", lastSlow(shifted).Replicas[0].Estimate, 60*time.Millisecond)
 	requireMerged(t, shifted)
 	requireInvalidSketch(t)
 }
 
-// requireMerged fails unless a snapshot that another node sends is merged sample by sample.
+// requireMerged fails unless merging a snapshot with its encoded and decoded copy counts each
+// sample of both.
 func requireMerged(t *testing.T, snapshot Snapshot) {
 	t.Helper()
 	raw, err := rpc.Marshal(snapshot)
@@ -104,14 +106,14 @@
 		}
 		e := keyed.Sketch.Estimate()
 		if e.Samples != 200 {
-			t.Errorf("merged: %+v, want 200 samples", e)
+			t.Errorf("the estimate of merged snapshots is %+v, want 200 samples", e)
 		}
-		requireNear(t, "merged", e, 60*time.Millisecond)
+		requireMedianNear(t, "estimate of merged snapshots", e, 60*time.Millisecond)
 	}
 }
 
-// TestCollectorBounds: nothing that is submitted waits, and nothing grows without end.
-func TestCollectorBounds(t *testing.T) {
+// TestCollectorLimits guards against a Submit that blocks and against unlimited memory use.
+func TestCollectorLimits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCollector(now)
 	key := func(i int) Key { return Key{Service: "s", Endpoint: fmt.Sprint(i), Class: ClassBulk} }
@@ -119,7 +121,7 @@
 		c.Submit(Sample{Key: key(i), Duration: time.Millisecond})
 	}
 	if got := c.Snapshot("", "").Counters.Dropped; got != 7 {
-		t.Errorf("%d samples were dropped, want 7", got)
+		t.Errorf("Submit beyond the budget dropped %d samples, want 7", got)
 	}
 	pair := AnswerPair{First: Sample{Key: Key{Endpoint: "a"}}, Second: Sample{Key: Key{Endpoint: "b"}}}
 	for range 2 * maxQueuedSamples {
@@ -127,12 +129,13 @@
 	}
 	want := uint64(7 + maxQueuedSamples + samplesPerInterval)
 	if got := c.Snapshot("", "").Counters.Dropped; got != want {
-		t.Errorf("%d samples and pairs were dropped, want %d", got, want)
+		t.Errorf("after SubmitPair beyond the queue %d samples and pairs are dropped, want %d", got, want)
 	}
 	for i := range 3 * maxKeys {
 		c.Add(Sample{Key: key(i), Duration: time.Millisecond, Censored: true}, now)
 	}
 	if len(c.current) > maxKeys || len(c.slowLookups) > maxSlowLookups {
-		t.Errorf("%d sketches, %d slow lookups", len(c.current), len(c.slowLookups))
+		t.Errorf("Add kept %d sketches and %d slow lookups, want at most maxKeys and maxSlowLookups",
+			len(c.current), len(c.slowLookups))
 	}
 }
--- a/internal/latencyestimate/difference.go
+++ b/internal/latencyestimate/difference.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// recordSize is the length of a record of a lookup's answer, in bytes.
+// recordSize is the length of a record in a lookup's answer, in bytes.
 const recordSize = 16
 
-// Difference is how a replica's answer compares with another replica's answer to the same
-// lookup, with the same shards of the index.
+// Difference classifies a replica's answer by comparison with another replica's answer to
+// the same lookup over the same shards of the index.
 type Difference uint8
 
 const (
-	// Same answers hold the same records, in any order.
+	// Same means that the answer neither lacks nor repeats records of the other one. The order
+	// of records does not matter.
 	Same Difference = iota
-	// Empty answers hold no record where the other one has some.
+	// Empty means that the answer has no records, but the other one has.
 	Empty
-	// Duplicated answers repeat records of the other one.
+	// Duplicated means that the answer has a record more often than the other one.
 	Duplicated
-	// Stale answers lack records of the other one.
+	// Stale means that the answer lacks records of the other one.
 	Stale
-	// Conflicting answers each have records that the other one lacks: which one is wrong
-	// isn't known.
+	// Conflicting means that each answer has records that the other one lacks. It is not
+	// known which one is wrong.
 	Conflicting
 )
 
-// String returns the name of the difference as operators see it.
+// String returns the name of the difference in the operator API.
 func (d Difference) String() string {
 	return [...]string{"same", "empty", "duplicated", "stale", "conflicting"}[min(d, Conflicting)]
 }
 
-// CompareAnswers returns how each of two answers compares with the other.
-func CompareAnswers(a, b []byte) (ofA, ofB Difference) {
+// CompareAnswers compares two answers and returns the Difference of each.
+func CompareAnswers(a, b []byte) (differenceA, differenceB Difference) {
 	d := countDifferences(sortedRecords(a), sortedRecords(b))
 	switch {
 	case d == recordDifferences{}:
@@ -47,7 +48,8 @@
 	return classify(d.repeatedInA, d.onlyInB), classify(d.repeatedInB, d.onlyInA)
 }
 
-// classify returns the difference of an answer by how many records it repeats and lacks.
+// classify returns the Difference of an answer, given the number of records that it repeats
+// and lacks.
 func classify(repeated, lacking int) Difference {
 	switch {
 	case repeated > 0:
@@ -58,13 +60,13 @@
 	return Same
 }
 
-// recordDifferences counts the records that two answers don't share.
+// recordDifferences counts the records in which two answers differ.
 type recordDifferences struct {
 	onlyInA, onlyInB         int
-	repeatedInA, repeatedInB int // more often than in the other one
+	repeatedInA, repeatedInB int // copies beyond those in the other one
 }
 
-// countDifferences merges two sorted lists of records.
+// countDifferences compares two sorted lists of records.
 func countDifferences(a, b [][]byte) recordDifferences {
 	var d recordDifferences
 	for len(a) > 0 || len(b) > 0 {
@@ -87,8 +89,8 @@
 	return d
 }
 
-// sortedRecords returns the records of an answer, sorted. A remainder that is shorter than a
-// record is left out.
+// sortedRecords returns the records of an answer, sorted. It ignores a remainder that is
+// shorter than a record.
 func sortedRecords(body []byte) [][]byte {
 	records := make([][]byte, 0, len(body)/recordSize)
 	for i := 0; i+recordSize <= len(body); i += recordSize {
@@ -98,7 +100,7 @@
 	return records
 }
 
-// leadingCount returns how often a record stands at the head of sorted records.
+// leadingCount returns the number of copies of record at the start of sorted.
 func leadingCount(sorted [][]byte, record []byte) int {
 	n := 0
 	for n < len(sorted) && bytes.Equal(sorted[n], record) {
--- a/internal/latencyestimate/difference_test.go
+++ b/internal/latencyestimate/difference_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// records returns an answer with the records of the given IDs.
+// records returns an answer that consists of records with the given IDs.
 func records(ids ...int) []byte {
 	var answer bytes.Buffer
 	for _, id := range ids {
@@ -15,26 +15,26 @@
 	return answer.Bytes()
 }
 
-// TestCompareAnswers: each way in which a replica's answer may be wrong has its own name, and
-// answers in another order are the same.
+// TestCompareAnswers guards against wrong classifications of answers that differ, and against
+// a difference that is reported for the same records in another order.
 func TestCompareAnswers(t *testing.T) {
 	for _, c := range []struct {
-		situation string
-		a, b      []byte
-		ofA, ofB  Difference
+		name         string
+		a, b         []byte
+		wantA, wantB Difference
 	}{
-		{"another order", records(1, 2, 3), records(3, 1, 2), Same, Same},
-		{"a record that both have twice", records(1, 1, 2), records(2, 1, 1), Same, Same},
-		{"a remainder is no record", append(records(1), 'x'), records(1), Same, Same},
-		{"the second lacks a record", records(1, 2, 3), records(1, 3), Same, Stale},
-		{"the first lacks a record", records(1), records(1, 9), Stale, Same},
-		{"a record twice", records(1, 2), records(1, 2, 2), Same, Duplicated},
-		{"nothing", records(1, 2), nil, Same, Empty},
-		{"nothing in both", nil, nil, Same, Same},
-		{"each has what the other lacks", records(1, 2), records(1, 3), Conflicting, Conflicting},
+		{"same records in another order", records(1, 2, 3), records(3, 1, 2), Same, Same},
+		{"record twice in both", records(1, 1, 2), records(2, 1, 1), Same, Same},
+		{"remainder shorter than a record", append(records(1), 'x'), records(1), Same, Same},
+		{"record missing in b", records(1, 2, 3), records(1, 3), Same, Stale},
+		{"record missing in a", records(1), records(1, 9), Stale, Same},
+		{"record repeated in b", records(1, 2), records(1, 2, 2), Same, Duplicated},
+		{"empty b", records(1, 2), nil, Same, Empty},
+		{"both empty", nil, nil, Same, Same},
+		{"record missing in each", records(1, 2), records(1, 3), Conflicting, Conflicting},
 	} {
-		if ofA, ofB := CompareAnswers(c.a, c.b); ofA != c.ofA || ofB != c.ofB {
-			t.Errorf("%s: got %v and %v, want %v and %v", c.situation, ofA, ofB, c.ofA, c.ofB)
+		if gotA, gotB := CompareAnswers(c.a, c.b); gotA != c.wantA || gotB != c.wantB {
+			t.Errorf("%s: CompareAnswers returned %v and %v, want %v and %v", c.name, gotA, gotB, c.wantA, c.wantB)
 		}
 	}
 }
--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// minSamples is how many samples an estimate needs.
+	// minSamples is the minimum number of samples for an estimate.
 	minSamples = 20
-	// lowQuantile and highQuantile are the ends of an estimate's interval.
+	// lowQuantile and highQuantile are the bounds of an estimate's interval.
 	lowQuantile    = 0.1
 	medianQuantile = 0.5
 	highQuantile   = 0.9
-	// quantileTolerance absorbs rounding errors if a quantile coincides with a sample.
+	// quantileTolerance allows for rounding errors if a quantile coincides with a sample.
 	quantileTolerance = 1e-12
 )
 
-// NominalCoverage is the share of lookups that an estimate's interval claims to cover.
+// NominalCoverage is the expected share of lookups with a duration in the interval of an
+// estimate.
 const NominalCoverage = highQuantile - lowQuantile
 
-// Estimate is how long a lookup would take: half of them Median or less, 80 in 100 between
-// Low and High.
+// Estimate is the estimated duration of a lookup. Half of the lookups take at most Median,
+// and 80 % take between Low and High.
 type Estimate struct {
 	Median time.Duration `json:"median"`
 	Low    time.Duration `json:"low"`
 	High   time.Duration `json:"high"`
-	// HighOpen says that High isn't known because too many samples are censored.
+	// HighOpen says that High is not known because too many samples are censored.
 	HighOpen bool   `json:"highOpen,omitempty"`
 	Samples  uint64 `json:"samples"` // completed
 	Censored uint64 `json:"givenUp"`
-	// UnknownReason says why there is no estimate; empty if there is one.
+	// UnknownReason is the reason why there is no estimate, or empty if there is one.
 	UnknownReason string `json:"unknown,omitempty"`
 }
 
 // Known reports whether there is an estimate.
 func (e Estimate) Known() bool { return e.UnknownReason == "" }
 
-// Covers reports whether a duration lies in the interval.
+// Covers reports whether a duration lies in the interval of a known estimate.
 func (e Estimate) Covers(duration time.Duration) bool {
 	return e.Known() && duration >= e.Low && (e.HighOpen || duration <= e.High)
 }
 
 // Estimate returns the estimate of a lookup's duration from the samples, by the
-// product-limit (Kaplan-Meier) method: up to its own duration, a censored sample counts as
-// one that takes longer.
+// product-limit (Kaplan-Meier) method. For durations up to its own, a censored sample counts
+// as a lookup that takes longer.
 func (s *Sketch) Estimate() Estimate {
 	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
 	if e.Samples+e.Censored < minSamples {
@@ -64,7 +65,7 @@
 	return e
 }
 
-// quantile is the duration that a given share of lookups doesn't exceed, if it is known.
+// quantile is the duration that a given share of lookups does not exceed, if it is known.
 type quantile struct {
 	duration time.Duration
 	known    bool
@@ -83,12 +84,13 @@
 				if result[i].known || next > 1-share+quantileTolerance {
 					continue
 				}
-				// Within a centroid durations are spread evenly from the one before.
-				part := 1.0
+				// Assumes that the durations of a centroid are spread evenly between its mean and
+				// the midpoint of this mean and the previous one.
+				fraction := 1.0
 				if c.count > 1 && surviving > next {
-					part = (surviving - (1 - share)) / (surviving - next)
+					fraction = (surviving - (1 - share)) / (surviving - next)
 				}
-				seconds := previous + (c.seconds-previous)*min(1, 0.5+part/2)
+				seconds := previous + (c.seconds-previous)*min(1, 0.5+fraction/2)
 				result[i] = quantile{duration: time.Duration(seconds * float64(time.Second)), known: true}
 			}
 			surviving = next
@@ -99,15 +101,16 @@
 	return result
 }
 
-// centroid is a number of samples of about the same duration.
+// centroid is a group of samples with about the same duration.
 type centroid struct {
-	seconds   float64
-	count     float64
+	seconds   float64 // mean
+	count     float64 // samples
 	completed bool
 }
 
-// centroids returns the centroids of both digests, sorted by duration. Of equal ones the
-// completed come first: a lookup censored at a duration was still running then.
+// centroids returns the centroids of both digests, sorted by duration. Of centroids with
+// the same duration the completed ones come first, because a lookup that is censored at a
+// duration was still running at that time.
 func (s *Sketch) centroids() []centroid {
 	var all []centroid
 	collect := func(digest *tdigest.TDigest, completed bool) {
--- a/internal/latencyestimate/sample.go
+++ b/internal/latencyestimate/sample.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// The classes of lookups, which are estimated apart from one another.
+// The classes of lookups. Each class has its own estimates.
 const (
 	ClassUrgent  = "urgent"
 	ClassBulk    = "bulk"
 	ClassArchive = "archive"
 )
 
-// Load is how busy a replica was when it was asked.
+// Load is the load of a replica when it received a lookup.
 type Load uint8
 
 const (
-	// Idle replicas had no other request of this node and rejected none.
+	// Idle means that the replica had no other request from this node and rejected none.
 	Idle Load = iota
-	// Busy replicas had other requests of this node, or rejected some.
+	// Busy means that the replica had other requests from this node, or rejected some.
 	Busy
 )
 
-// Key names the samples that belong together.
+// Key identifies the samples that are summarized in one sketch.
 type Key struct {
 	Service  string `cbor:"1,keyasint" json:"service"`
 	Endpoint string `cbor:"2,keyasint" json:"leaf"` // ID of the replica
@@ -27,16 +27,16 @@
 	Load     Load   `cbor:"4,keyasint,omitempty" json:"busy"`
 }
 
-// Sample is one lookup at one replica.
+// Sample is the measured duration of one lookup at one replica.
 type Sample struct {
 	Key      Key
 	Duration time.Duration
-	// Censored says that the lookup was abandoned after Duration.
+	// Censored says that the lookup was abandoned after Duration, without an answer.
 	Censored bool
 }
 
-// AnswerPair is two answers of replicas to one lookup. With only one sample, Second is the
-// zero value.
+// AnswerPair holds the answers of two replicas to one lookup. First is the slower one. In the
+// queue of a Collector, Second is the zero value if there is only one sample.
 type AnswerPair struct {
 	First, Second         Sample
 	FirstBody, SecondBody []byte // the bodies of the answers
--- a/internal/latencyestimate/sketch.go
+++ b/internal/latencyestimate/sketch.go
@@ -12,22 +12,22 @@
 	"github.com/caio/go-tdigest/v4"
 )
 
-// ErrInvalidSketch says that an encoded sketch can't be read.
+// ErrInvalidSketch means that a sketch cannot be encoded or decoded.
 var ErrInvalidSketch = errors.New("latencyestimate: the sketch cannot be read")
 
 const (
-	// digestCompression sets the size and precision of a digest.
+	// digestCompression determines the size and precision of a digest.
 	digestCompression = 20
-	// minSampleSeconds is the least duration in a digest; shorter ones are rounded up.
+	// minSampleSeconds is the minimum duration in a digest. Shorter ones are rounded up.
 	minSampleSeconds = 1e-6
-	// maxEncodedDigest bounds the bytes of an encoded digest.
+	// maxEncodedDigest is the maximum length of an encoded digest, in bytes.
 	maxEncodedDigest = 64 << 10
 )
 
-// Sketch condenses the durations of the samples of one key. Sketches can be merged. It is
-// not safe for concurrent use.
+// Sketch summarizes the distribution of the durations of the samples of one key. Sketches can
+// be merged. A Sketch is not safe for concurrent use.
 type Sketch struct {
-	// completed and censored are the digests of the samples, in seconds; nil: none.
+	// completed and censored are the digests of the samples, in seconds; nil if there are none.
 	completed, censored *tdigest.TDigest
 }
 
@@ -43,10 +43,10 @@
 	if *digest == nil {
 		*digest = newDigest()
 	}
-	_ = (*digest).Add(max(duration.Seconds(), minSampleSeconds)) // fails for no number of seconds
+	_ = (*digest).Add(max(duration.Seconds(), minSampleSeconds)) // fails only for NaN, which Seconds never returns
 }
 
-// Merge adds all samples of another sketch, which does not change.
+// Merge adds all samples of another sketch, which is not modified.
 func (s *Sketch) Merge(other *Sketch) {
 	s.completed = mergeDigests(s.completed, other.completed)
 	s.censored = mergeDigests(s.censored, other.censored)
@@ -58,7 +58,8 @@
 	Censored  []byte `cbor:"2,keyasint"`
 }
 
-// MarshalCBOR encodes the sketch.
+// MarshalCBOR encodes the sketch. Its error wraps ErrInvalidSketch if a digest cannot be
+// encoded.
 func (s *Sketch) MarshalCBOR() ([]byte, error) {
 	completed, completedErr := encodeDigest(s.completed)
 	censored, censoredErr := encodeDigest(s.censored)
@@ -68,7 +69,7 @@
 	return rpc.Marshal(encodedSketch{Completed: completed, Censored: censored})
 }
 
-// UnmarshalCBOR decodes a sketch. It returns ErrInvalidSketch if it can't.
+// UnmarshalCBOR decodes a sketch. Its error wraps ErrInvalidSketch.
 func (s *Sketch) UnmarshalCBOR(raw []byte) error {
 	var encoded encodedSketch
 	if err := rpc.Unmarshal(raw, &encoded); err != nil {
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// sharedRandom is the random source of all digests. A source per digest would take 5 KB and
-// is slow to create.
+// sharedRandom is the random source of all digests. A source for each digest would take 5 KB
+// of memory and be slow to create.
 type sharedRandom struct{}
 
 func (sharedRandom) Float32() float32 { return rand.Float32() }
@@ -97,7 +98,7 @@
 		tdigest.RandomNumberGenerator(sharedRandom{}),
 	)
 	if err != nil {
-		panic(err) // only for an invalid compression, which is a constant
+		panic(err) // New fails only for an invalid compression, and digestCompression is valid
 	}
 	return digest
 }
@@ -110,8 +111,8 @@
 	return digest.Count()
 }
 
-// mergeDigests adds the samples of other to digest and returns it. Both may be nil; other
-// does not change.
+// mergeDigests adds the samples of other to digest and returns it. Both may be nil. It does
+// not modify other.
 func mergeDigests(digest, other *tdigest.TDigest) *tdigest.TDigest {
 	switch {
 	case other == nil:
@@ -119,11 +120,11 @@
 	case digest == nil:
 		return other.Clone()
 	}
-	_ = digest.Merge(other) // fails for no digest of ours
+	_ = digest.Merge(other) // cannot fail for digests with valid centroids
 	return digest
 }
 
-// encodeDigest encodes a digest; nil has no bytes.
+// encodeDigest encodes a digest. It returns no bytes for a nil digest.
 func encodeDigest(digest *tdigest.TDigest) ([]byte, error) {
 	if digest == nil {
 		return nil, nil
@@ -131,7 +132,7 @@
 	return digest.AsBytes()
 }
 
-// decodeDigest decodes a digest; no bytes are nil.
+// decodeDigest decodes a digest. It returns a nil digest for no bytes.
 func decodeDigest(encoded []byte) (*tdigest.TDigest, error) {
 	if len(encoded) == 0 {
 		return nil, nil
--- a/internal/latencyestimate/sketch_test.go
+++ b/internal/latencyestimate/sketch_test.go
@@ -9,18 +9,19 @@
 	"comethold/internal/rpc"
 )
 
-// randomDuration draws the duration of a lookup: log-normal around its median.
+// randomDuration returns the duration of a lookup from a log-normal distribution with the
+// given median.
 func randomDuration(rng *rand.Rand, median time.Duration) time.Duration {
 	return time.Duration(float64(median) * math.Exp(0.5*rng.NormFloat64()))
 }
 
-// coverage returns how often the interval of an estimate holds the next lookup, and the mean
-// of the estimated medians as a share of the true one. Lookups are abandoned after limit;
-// spoil, if not nil, changes each estimate before.
-func coverage(t *testing.T, limit time.Duration, spoil func(*Estimate)) (share, median float64) {
+// coverage returns the share of further lookups whose duration lies in the interval of an
+// estimate, and the ratio of the mean estimated median to the true one. Lookups are abandoned
+// after limit. If modify is not nil, it changes each estimate first.
+func coverage(t *testing.T, limit time.Duration, modify func(*Estimate)) (share, median float64) {
 	t.Helper()
 	const rounds, trueMedian = 40, 20 * time.Millisecond
-	covered, all := 0, 0
+	covered, total := 0, 0
 	for seed := range int64(rounds) {
 		rng := rand.New(rand.NewSource(seed))
 		s := NewSketch()
@@ -30,34 +31,36 @@
 		}
 		e := s.Estimate()
 		if !e.Known() {
-			t.Fatalf("no estimate: %+v", e)
+			t.Fatalf("Estimate of 300 samples returned %+v, want a known estimate", e)
 		}
-		if spoil != nil {
-			spoil(&e)
+		if modify != nil {
+			modify(&e)
 		}
 		median += e.Median.Seconds() / trueMedian.Seconds() / rounds
 		for range 100 {
-			all++
+			total++
 			if e.Covers(randomDuration(rng, trueMedian)) {
 				covered++
 			}
 		}
 	}
-	return float64(covered) / float64(all), median
+	return float64(covered) / float64(total), median
 }
 
-// TestIntervalCoverage: an interval covers the truth about as often as it claims, also where
-// the slow lookups were abandoned; one that is spoilt on purpose does not.
+// TestIntervalCoverage guards against intervals that cover another share of lookups than
+// NominalCoverage, also if slow lookups are abandoned. As a check of the test itself, the
+// coverage of wrong estimates must be lower.
 func TestIntervalCoverage(t *testing.T) {
 	const tolerance = 0.06
 	for _, limit := range []time.Duration{time.Hour, 45 * time.Millisecond, 30 * time.Millisecond} {
 		share, median := coverage(t, limit, nil)
-		least, most := NominalCoverage-tolerance, NominalCoverage+tolerance
+		lowest, highest := NominalCoverage-tolerance, NominalCoverage+tolerance
 		if limit < 38*time.Millisecond {
-			most = 1 // the high end is open: it covers more
+			highest = 1 // the interval has no upper end, so it covers more
 		}
-		if share < least || share > most || median < 0.9 || median > 1.1 {
-			t.Errorf("abandoned after %v: covers %.2f, median %.2f of the truth", limit, share, median)
+		if share < lowest || share > highest || median < 0.9 || median > 1.1 {
+			t.Errorf("abandoned after %v: coverage %.2f, median %.2f of the true one, want %.2f to %.2f and 0.9 to 1.1",
+				limit, share, median, lowest, highest)
 		}
 	}
 	doubled := func(e *Estimate) {
@@ -65,12 +68,12 @@
 		e.High *= 2
 	}
 	if share, _ := coverage(t, time.Hour, doubled); share > NominalCoverage-tolerance {
-		t.Errorf("spoilt on purpose, it covers %.2f", share)
+		t.Errorf("intervals with doubled bounds cover %.2f, want at most %.2f", share, NominalCoverage-tolerance)
 	}
 }
 
-// TestCensoredSamples: lookups that are abandoned make a replica slower, not quicker, and
-// few samples make no estimate.
+// TestCensoredSamples guards against estimates that ignore abandoned lookups, which would make
+// a replica that stalls look fast, and against estimates from too few samples.
 func TestCensoredSamples(t *testing.T) {
 	s, rng := NewSketch(), rand.New(rand.NewSource(1))
 	for i := range 200 {
@@ -81,20 +84,20 @@
 		}
 	}
 	if e := s.Estimate(); e.Known() || e.Censored != 120 {
-		t.Errorf("of a replica that stalls three times in five: %+v", e)
+		t.Errorf("Estimate with 3 of 5 lookups abandoned returned %+v, want unknown with 120 censored", e)
 	}
 	few := NewSketch()
 	few.Add(time.Millisecond, false)
 	if e := few.Estimate(); e.Known() {
-		t.Errorf("of one sample: %+v", e)
+		t.Errorf("Estimate of one sample returned %+v, want unknown", e)
 	}
 }
 
-// requireInvalidSketch fails if bytes that are no sketch are decoded.
+// requireInvalidSketch fails if bytes that are not a sketch are decoded without an error.
 func requireInvalidSketch(t *testing.T) {
 	t.Helper()
 	var s Sketch
 	if err := rpc.Unmarshal([]byte{0x41, 0x00}, &s); err == nil {
-		t.Error("bytes that are no sketch are read")
+		t.Error("decoding bytes that are not a sketch succeeded, want an error")
 	}
 }
--- a/internal/latencyestimate/snapshot.go
+++ b/internal/latencyestimate/snapshot.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// ReplicaEstimate is how long another replica would have taken for a slow lookup.
+// ReplicaEstimate is the estimated duration of a slow lookup at another replica.
 type ReplicaEstimate struct {
 	Endpoint string   `json:"leaf" cbor:"1,keyasint"` // ID of the replica
 	Estimate Estimate `json:"estimate" cbor:"2,keyasint"`
-	// Actual is how long it did take, if it was asked too.
+	// Actual is the actual duration if the lookup was also sent to this replica.
 	Actual time.Duration `json:"real,omitempty" cbor:"3,keyasint,omitempty"`
-	// Difference is how its answer compares with the slow one's, if it was asked too.
+	// Difference is the name of the Difference between the answer of this replica and that of
+	// the slow one, if the lookup was also sent to this replica.
 	Difference string `json:"part,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
@@ -29,9 +30,10 @@
 type Counters struct {
 	Compared uint64 `json:"compared" cbor:"1,keyasint"`
 	Covered  uint64 `json:"covered" cbor:"2,keyasint"` // within the interval of the estimate
-	// Differences counts by endpoint ID and kind, with a space between them.
+	// Differences holds the number of answers by endpoint ID and name of the Difference,
+	// separated by a space.
 	Differences map[string]uint64 `json:"parts" cbor:"3,keyasint"`
-	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"` // samples beyond the bounds
+	Dropped     uint64            `json:"dropped" cbor:"4,keyasint"` // samples and pairs beyond the limits
 }
 
 // Snapshot holds the sketches, slow lookups and counters of one node, or of several merged.
@@ -47,7 +49,8 @@
 	Sketch *Sketch `cbor:"2,keyasint"`
 }
 
-// Snapshot returns the data of one service and class; an empty string matches all.
+// Snapshot returns the data of one service and class. An empty string matches all. The
+// counters are those of all services and classes.
 func (c *Collector) Snapshot(service, class string) Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +74,7 @@
 	snapshot.Sketches = keyedSketches(merged)
 	for _, lookup := range c.slowLookups {
 		if matches(lookup.Key) {
-			// Without replicas it is nil, which the operator API shows as null.
+			// An empty list becomes nil, which the operator API returns as null.
 			lookup.Replicas = append([]ReplicaEstimate(nil), lookup.Replicas...)
 			snapshot.SlowLookups = append(snapshot.SlowLookups, lookup)
 		}
@@ -79,22 +82,22 @@
 	return snapshot
 }
 
-// MergeSnapshots joins the snapshots of several nodes.
+// MergeSnapshots merges the snapshots of several nodes.
 func MergeSnapshots(snapshots ...Snapshot) Snapshot {
-	joined := Snapshot{Counters: Counters{Differences: map[string]uint64{}}}
+	result := Snapshot{Counters: Counters{Differences: map[string]uint64{}}}
 	merged := map[Key]*Sketch{}
 	for _, snapshot := range snapshots {
 		for _, keyed := range snapshot.Sketches {
 			mergeInto(merged, keyed.Key, keyed.Sketch)
 		}
-		joined.SlowLookups = append(joined.SlowLookups, snapshot.SlowLookups...)
-		joined.Counters.add(snapshot.Counters)
+		result.SlowLookups = append(result.SlowLookups, snapshot.SlowLookups...)
+		result.Counters.add(snapshot.Counters)
 	}
-	joined.Sketches = keyedSketches(merged)
-	return joined
+	result.Sketches = keyedSketches(merged)
+	return result
 }
 
-// add adds the counts of another node.
+// add adds the counters of another node.
 func (c *Counters) add(other Counters) {
 	c.Compared += other.Compared
 	c.Covered += other.Covered
@@ -112,7 +115,7 @@
 	merged[key].Merge(sketch)
 }
 
-// keyedSketches lists sketches with their keys, in no order.
+// keyedSketches returns the sketches with their keys, in no particular order.
 func keyedSketches(sketches map[Key]*Sketch) []KeyedSketch {
 	var keyed []KeyedSketch
 	for key, sketch := range sketches {
