--- a/internal/process/program.go
+++ b/internal/process/program.go
@@ -44,7 +44,7 @@
 }
 
 // Run runs a program until a signal stops it or it fails. It reads the settings file that the environment variable
-// settings.Env names.
+// settings.PathEnv names.
 func Run(program Program) error {
 	path, err := settings.Path()
 	if err != nil {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,8 +13,8 @@
 	"comethold/internal/routing"
 )
 
-// Env is the environment variable that names the settings file.
-const Env = "COMETHOLD_SETTINGS"
+// PathEnv is the environment variable that names the settings file.
+const PathEnv = "COMETHOLD_SETTINGS"
 
 // ErrSettings is wrapped by every error of this package.
 var ErrSettings = errors.New("settings")
@@ -30,14 +30,14 @@
 
 // Path returns the path of the settings file that the environment names.
 func Path() (string, error) {
-	path := os.Getenv(Env)
+	path := os.Getenv(PathEnv)
 	if path == "" {
-		return "", fmt.Errorf("%w: the variable %s names no file", ErrSettings, Env)
+		return "", fmt.Errorf("%w: the variable %s names no file", ErrSettings, PathEnv)
 	}
 	return path, nil
 }
 
-// Load reads and checks a settings file. Its error names every violation.
+// Load reads and validates a settings file. Its error lists the violations.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return Parse(raw)
 }
 
-// Parse reads and checks the text of a settings file. Its error names every violation.
+// Parse decodes and validates the text of a settings file. Its error lists the violations.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(raw, s); err != nil {
