--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -156,7 +156,7 @@
 	s, _, _ := open()
 	s.Put(&responsecache.Response{Host: "h", Target: "/a", ETag: "t", PurgeIndex: 5})
 	s.waitForWrites()
-	disk.SetFault(simulation.Full)
+	disk.SetFault(simulation.DiskFull)
 	s.ApplyPurges(purgesUpTo(6, purgePath(6, "/a")))
 	s.waitForWrites()
 	disk.SetFault(simulation.NoFault)
@@ -185,7 +185,7 @@
 	}
 	time.Sleep(2 * openRetryInterval)
 	s.waitForWrites()
-	disk.SetFault(simulation.Hanging)
+	disk.SetFault(simulation.DiskHanging)
 	s.ApplyPurges(purgesUpTo(10))
 	time.Sleep(2 * writeInterval)
 	s.Close() // doesn't wait for the disk that hangs
--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -52,12 +52,12 @@
 
 // waitOf returns how long the calls of a command wait.
 func waitOf(c simulation.Command) time.Duration {
-	return time.Duration(c.Number("wait", defaultWaitMs)) * time.Millisecond
+	return time.Duration(c.OptionFloat("wait", defaultWaitMs)) * time.Millisecond
 }
 
 // configureOrigin: origin [ttl= rate= work=].
 func (w *cacheWorld) configureOrigin(c simulation.Command) error {
-	w.work = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
+	w.work = time.Duration(c.OptionFloat("work", 50) * float64(time.Millisecond))
 	raw, err := json.Marshal(map[string]any{
 		"version": 1,
 		"routes": []any{map[string]any{
@@ -68,12 +68,12 @@
 			"timeoutMs":   3000,
 			"service":     "s",
 			"maxAttempts": 2,
-			"cacheTtlS":   c.Number("ttl", 10),
+			"cacheTtlS":   c.OptionFloat("ttl", 10),
 		}},
 		"services": []any{map[string]any{
 			"name":            "s",
 			"connectionLimit": 100,
-			"ratePerS":        c.Number("rate", 0),
+			"ratePerS":        c.OptionFloat("rate", 0),
 		}},
 	})
 	if err != nil {
@@ -157,7 +157,7 @@
 
 // getInTurn: get PATH [n= wait=].
 func (w *cacheWorld) getInTurn(c simulation.Command) error {
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		w.get(c.Word(0), waitOf(c))
 	}
 	return nil
@@ -166,7 +166,7 @@
 // getConcurrently: get-concurrently PATH,... [n= wait= background=]; with background the next
 // command doesn't wait for the answers.
 func (w *cacheWorld) getConcurrently(c simulation.Command) error {
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		for _, path := range strings.Split(c.Word(0), ",") {
 			w.calls.Go(func() { w.get(path, waitOf(c)) })
 		}
@@ -275,5 +275,5 @@
 		t.Helper()
 		return newCacheWorld(t)
 	}
-	simulation.Play(t, "testdata", simulatedTime, world)
+	simulation.RunScenarios(t, "testdata", simulatedTime, world)
 }
--- a/internal/paxos/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -315,5 +315,5 @@
 		t.Helper()
 		return scenarioWorld{newCellSimulation(t, t.Name())}
 	}
-	simulation.Play(t, "testdata", withoutSynctest, newWorld)
+	simulation.RunScenarios(t, "testdata", withoutSynctest, newWorld)
 }
--- a/internal/simulation/command.go
+++ b/internal/simulation/command.go
@@ -65,8 +65,8 @@
 	return time.Duration(c.Float(i) * float64(time.Millisecond))
 }
 
-// Number returns an option as a number, or the default if it is absent.
-func (c Command) Number(key string, absent float64) float64 {
+// OptionFloat returns an option as a number, or the default if it is absent.
+func (c Command) OptionFloat(key string, absent float64) float64 {
 	v, err := strconv.ParseFloat(c.Options[key], 64)
 	if err != nil {
 		return absent
@@ -74,9 +74,9 @@
 	return v
 }
 
-// Span returns an option, a number of milliseconds, as a duration, or the default if it is absent.
-func (c Command) Span(key string, absentMilliseconds float64) time.Duration {
-	return time.Duration(c.Number(key, absentMilliseconds) * float64(time.Millisecond))
+// OptionDuration returns an option, a number of milliseconds, as a duration, or the default if it is absent.
+func (c Command) OptionDuration(key string, absentMilliseconds float64) time.Duration {
+	return time.Duration(c.OptionFloat(key, absentMilliseconds) * float64(time.Millisecond))
 }
 
 // CommandTable maps verbs to the functions of a world that run them.
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -39,10 +39,10 @@
 const (
 	// NoFault is a disk that works.
 	NoFault DiskFault = iota
-	// Full makes every write fail with ErrDiskFull.
-	Full
-	// Hanging makes every operation wait until the fault or the process ends.
-	Hanging
+	// DiskFull makes every write fail with ErrDiskFull.
+	DiskFull
+	// DiskHanging makes every operation wait until the fault or the process ends.
+	DiskHanging
 )
 
 // Disk is the interface that a FaultyDisk wraps and implements; it equals storage.Disk.
@@ -92,7 +92,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	incarnation := d.incarnation
-	for d.fault == Hanging && d.incarnation == incarnation {
+	for d.fault == DiskHanging && d.incarnation == incarnation {
 		d.mu.Unlock()
 		time.Sleep(hangPollPause)
 		d.mu.Lock()
@@ -105,7 +105,7 @@
 	switch {
 	case d.powerLost || d.incarnation != incarnation:
 		return ErrPowerLost
-	case d.fault == Full:
+	case d.fault == DiskFull:
 		return ErrDiskFull
 	}
 	return nil
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -80,7 +80,7 @@
 
 // replace is `replace VERSION BASE AT [mark= within=]`.
 func (f *fleet) replace(c simulation.Command) error {
-	f.replaceAt(f.machineNamed(c.Word(2)), c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
+	f.replaceAt(f.machineNamed(c.Word(2)), c.Uint(0), c.Uint(1), c.Options["mark"], c.OptionDuration("within", 0))
 	return nil
 }
 
@@ -89,11 +89,11 @@
 func (f *fleet) replaceSeries(c simulation.Command) error {
 	for i := range c.Uint(1) {
 		version := c.Uint(0) + i
-		status := f.replaceAt(f.machineNamed(c.Word(2)), version, f.newest, "", c.Span("within", 8000))
+		status := f.replaceAt(f.machineNamed(c.Word(2)), version, f.newest, "", c.OptionDuration("within", 8000))
 		if status != http.StatusOK {
 			return fmt.Errorf("version %d: %d", version, status)
 		}
-		time.Sleep(c.Span("gap", 50))
+		time.Sleep(c.OptionDuration("gap", 50))
 	}
 	f.replaceStatuses = map[string]int{}
 	return nil
@@ -117,7 +117,7 @@
 // to each of them in turn.
 func (f *fleet) replaceAgain(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(2)) {
-		f.replaceAt(m, c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
+		f.replaceAt(m, c.Uint(0), c.Uint(1), c.Options["mark"], c.OptionDuration("within", 0))
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 		if err != nil {
 			return err
 		}
-		sending.Go(func() { f.replaceAt(f.machineNamed(name), version, c.Uint(0), mark, c.Span("within", 0)) })
+		sending.Go(func() { f.replaceAt(f.machineNamed(name), version, c.Uint(0), mark, c.OptionDuration("within", 0)) })
 	}
 	sending.Wait()
 	return nil
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -102,7 +102,7 @@
 func (f *fleet) restartInTurn(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		m.stop()
-		time.Sleep(c.Span("gap", 300))
+		time.Sleep(c.OptionDuration("gap", 300))
 		f.start(m)
 	}
 	return nil
@@ -135,7 +135,7 @@
 
 // setDiskFault is `disk NAMES ok|full|hangs`.
 func (f *fleet) setDiskFault(c simulation.Command) error {
-	faults := map[string]simulation.DiskFault{"full": simulation.Full, "hangs": simulation.Hanging}
+	faults := map[string]simulation.DiskFault{"full": simulation.DiskFull, "hangs": simulation.DiskHanging}
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		f.diskOf(m).SetFault(faults[c.Word(1)]) // "ok" has none
 	}
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -92,7 +92,7 @@
 
 // heal is `heal [after=MS]`: ends all cuts.
 func (f *fleet) heal(c simulation.Command) error {
-	if after := c.Span("after", 0); after > 0 {
+	if after := c.OptionDuration("after", 0); after > 0 {
 		time.AfterFunc(after, f.network.heal)
 		return nil
 	}
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -273,13 +273,13 @@
 func (f *fleet) runOperators(c simulation.Command) error {
 	var working sync.WaitGroup
 	for i := range c.Int(0) {
-		seed := int64(c.Number("seed", 1))*100 + int64(i)
+		seed := int64(c.OptionFloat("seed", 1))*100 + int64(i)
 		o := &operator{
 			fleet:    f,
 			machines: f.machinesNamed(c.Word(1)),
 			rng:      rand.New(rand.NewSource(seed)),
 			name:     "o" + strconv.Itoa(i),
-			maxPause: c.Span("gap", 300),
+			maxPause: c.OptionDuration("gap", 300),
 		}
 		working.Go(func() { o.work(time.Now().Add(c.Milliseconds(2))) })
 	}
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -31,7 +31,7 @@
 // lost of them run and have caught up.
 func (f *fleet) wantAllVoters(c simulation.Command) error {
 	return f.untilNil(c.Milliseconds(0), "all cells are whole", func() error {
-		return f.checkReplicas(int(c.Number("lost", 0)))
+		return f.checkReplicas(int(c.OptionFloat("lost", 0)))
 	})
 }
 
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	if stored.bytes > c.Int(0)<<10 || stored.outboxRows > int(c.Number("rows", 1e6)) {
+	if stored.bytes > c.Int(0)<<10 || stored.outboxRows > int(c.OptionFloat("rows", 1e6)) {
 		return fmt.Errorf("%d bytes: %s", stored.bytes, stored.summary)
 	}
 	return nil
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -338,7 +338,7 @@
 		}()
 		synctest.Test(t, run)
 	}
-	simulation.Play(t, dir, inSimulatedTime, func(t *testing.T) simulation.World {
+	simulation.RunScenarios(t, dir, inSimulatedTime, func(t *testing.T) simulation.World {
 		t.Helper()
 		f := newFleet(t)
 		mu.Lock()
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -162,10 +162,10 @@
 		all += count
 	}
 	share := 100 * float64(statuses[http.StatusOK]) / float64(all)
-	if share < c.Number("least", 0) || share > c.Number("most", 100) {
+	if share < c.OptionFloat("least", 0) || share > c.OptionFloat("most", 100) {
 		return fmt.Errorf("%.0f%%, %v", share, statuses)
 	}
-	if latency > c.Span("within", 1e6) {
+	if latency > c.OptionDuration("within", 1e6) {
 		return fmt.Errorf("one took %v", latency)
 	}
 	return nil
@@ -211,12 +211,12 @@
 		reported := f.reportedCount(window, tenant.Name)
 		if f.acceptedAt[window].IsZero() || f.acceptedAt[window].After(due) {
 			wrong = append(wrong, fmt.Sprintf("%d came %v late", window, f.acceptedAt[window].Sub(due)))
-		} else if percentOff(reported, ran[window]) > c.Number("off", 0) {
+		} else if percentOff(reported, ran[window]) > c.OptionFloat("off", 0) {
 			wrong = append(wrong, fmt.Sprintf("%d names %v of %v", window, reported, ran[window]))
 		}
 	}
 	f.checkedWindow = last
-	if len(wrong) > int(c.Number("missed", 0)) {
+	if len(wrong) > int(c.OptionFloat("missed", 0)) {
 		return errors.New(strings.Join(wrong, "; "))
 	}
 	return nil
@@ -242,7 +242,7 @@
 		reported += f.reportedCount(window, c.Word(0))
 	}
 	ran := float64(len(f.tenants[c.Word(0)].ranAt))
-	if ran == 0 || percentOff(reported, ran) > c.Number("off", 0) {
+	if ran == 0 || percentOff(reported, ran) > c.OptionFloat("off", 0) {
 		return fmt.Errorf("reported were %v of %v", reported, ran)
 	}
 	return nil
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -99,7 +99,7 @@
 // and the process ends, MS later.
 func (p *plane) shutDownCommand(c simulation.Command) error {
 	p.proxy.Shutdown()
-	time.Sleep(c.Span("after", 0))
+	time.Sleep(c.OptionDuration("after", 0))
 	p.clients.network.closeHost(proxyHost)
 	p.running.Wait()
 	return nil
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -19,11 +19,11 @@
 	l := &leaf{
 		Endpoint: distribution.Endpoint{
 			ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a",
-			Slots: int(c.Number("slots", 4)), WarmingUp: c.Options["cold"] != "",
+			Slots: int(c.OptionFloat("slots", 4)), WarmingUp: c.Options["cold"] != "",
 		},
-		workTime: c.Span("work", 10),
+		workTime: c.OptionDuration("work", 10),
 		mode:     c.Options["mode"],
-		modeUses: int(c.Number("uses", 0)),
+		modeUses: int(c.OptionFloat("uses", 0)),
 	}
 	if zone := c.Options["zone"]; zone != "" {
 		l.Zone = zone
@@ -39,8 +39,8 @@
 	l := p.leafs[c.Word(0)]
 	l.mode = c.Options["mode"]
 	l.calls = 0
-	l.modeUses = int(c.Number("uses", float64(l.modeUses)))
-	l.workTime = c.Span("work", float64(l.workTime.Milliseconds()))
+	l.modeUses = int(c.OptionFloat("uses", float64(l.modeUses)))
+	l.workTime = c.OptionDuration("work", float64(l.workTime.Milliseconds()))
 	l.Draining = c.Options["draining"] != ""
 	return nil
 }
@@ -52,17 +52,17 @@
 		Hostname:        c.Word(0),
 		PathPrefix:      c.Word(1),
 		RouteKind:       c.Word(2),
-		TimeoutMs:       int64(c.Number("timeout", 5000)),
-		TargetLatencyMs: int64(c.Number("target", 200)),
-		MaxAttempts:     int64(c.Number("attempts", 2)),
+		TimeoutMs:       int64(c.OptionFloat("timeout", 5000)),
+		TargetLatencyMs: int64(c.OptionFloat("target", 200)),
+		MaxAttempts:     int64(c.OptionFloat("attempts", 2)),
 		Public:          c.Options["public"] != "",
 	}
 	if c.Options["scatter"] == "" {
 		route.Service = c.Word(3)
 	} else {
 		route.FanoutServices = strings.Split(c.Word(3), ",")
-		route.ResultCount = int64(c.Number("scatter", 1))
-		route.MinimumShardShare = c.Number("least", 1)
+		route.ResultCount = int64(c.OptionFloat("scatter", 1))
+		route.MinimumShardShare = c.OptionFloat("least", 1)
 		route.LookupClass = c.Options["class"]
 	}
 	p.routes = append(p.routes, route)
@@ -109,16 +109,16 @@
 	if c.Options["post"] != "" {
 		method = http.MethodPost
 	}
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		p.request(c.Word(0), c.Word(1), method, c.Options["body"], c.Options)
-		time.Sleep(c.Span("gap", 0))
+		time.Sleep(c.OptionDuration("gap", 0))
 	}
 	return nil
 }
 
 // sendRequestsAtOnce is `request-at-once HOST PATH n=`: requests, all at once.
 func (p *plane) sendRequestsAtOnce(c simulation.Command) error {
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
 	}
 	p.running.Wait()
@@ -179,7 +179,7 @@
 	runs := l.runs
 	l.runs = 0
 	p.mu.Unlock()
-	if float64(runs) < c.Number("least", 0) || float64(runs) > c.Number("most", 1e9) {
+	if float64(runs) < c.OptionFloat("least", 0) || float64(runs) > c.OptionFloat("most", 1e9) {
 		return fmt.Errorf("it ran %d", runs)
 	}
 	return nil
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -250,7 +250,7 @@
 func (p *plane) Do(c simulation.Command) error { return planeCommands.Do(p, c) }
 
 func TestPlane(t *testing.T) {
-	simulation.Play(t, "testdata/plane", synctest.Test, func(t *testing.T) simulation.World {
+	simulation.RunScenarios(t, "testdata/plane", synctest.Test, func(t *testing.T) simulation.World {
 		t.Helper()
 		p := newPlane(t)
 		t.Cleanup(p.shutDown)
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -35,9 +35,9 @@
 	return few
 }
 
-// Play runs every scenario file of a folder in a world of its own, several in parallel. wrap
+// RunScenarios runs every scenario file of a folder in a world of its own, several in parallel. wrap
 // runs each in its simulated time; it is synctest.Test.
-func Play(
+func RunScenarios(
 	t *testing.T, dir string, wrap func(t *testing.T, run func(t *testing.T)), newWorld func(t *testing.T) World,
 ) {
 	t.Helper()
--- a/internal/storage/fault_test.go
+++ b/internal/storage/fault_test.go
@@ -18,7 +18,7 @@
 	dir := t.TempDir()
 	disk := &simulation.FaultyDisk{Base: LocalDisk{}, Random: func() float64 { return 0 }}
 	failOnFault := func(err error) { t.Error(err) }
-	disk.SetFault(simulation.Full)
+	disk.SetFault(simulation.DiskFull)
 	for range 3 {
 		if _, err := Open(dir, disk, failOnFault); !errors.Is(err, simulation.ErrDiskFull) {
 			t.Fatalf("Open on a full disk returned %v, want ErrDiskFull", err)
@@ -37,7 +37,7 @@
 		t.Fatalf("Open of a locked file returned %v, want an error other than ErrCorrupt and no renamed file", err)
 	}
 
-	disk.SetFault(simulation.Hanging)
+	disk.SetFault(simulation.DiskHanging)
 	writes := paxos.Writes{Promised: &paxos.ProposalNumber{Term: 1}}
 	store.Submit("c", writes, func() { t.Error("done was called although the disk hangs") })
 	for committing := false; !committing; time.Sleep(time.Millisecond) {
