--- a/internal/simulation/adversary_test.go
+++ b/internal/simulation/adversary_test.go
@@ -17,8 +17,8 @@
 	"comethold/internal/distribution"
 )
 
-// adversary is a set of leafs on real sockets. They end calls in all the ways that faulty leafs and
-// networks do, and record the requests that they ran.
+// adversary is a set of leafs on real sockets. They answer calls in all the ways in which faulty leafs and
+// networks do, drawn at random, and record the requests that they ran.
 type adversary struct {
 	t         *testing.T
 	seed      int
@@ -26,21 +26,21 @@
 
 	mu        sync.Mutex // guards the fields below
 	rng       *rand.Rand
-	runs      map[string]int
-	lastRun   string // a request that some leaf ran
+	runs      map[string]int // by request ID
+	lastRun   string         // ID of the request that a leaf ran last, or ""
 	lastStamp int
 }
 
-// mildEndings are the ways in which most calls end: they do not get a leaf ejected. "well" is
+// mildEndings are the ways in which most calls end: they do not get a leaf ejected. "well", a correct answer, is
 // listed twice to be drawn more often.
 var mildEndings = []string{"well", "well", "twice-late", "bye", "closing", "hints"}
 
-// callEndings are all ways in which a call may end.
+// callEndings are all ways in which a call may end; answer and answerAndClose define them.
 var callEndings = append(append([]string(nil), mildEndings...),
 	"twice", "alien", "reset-early", "reset", "end", "cut", "stall", "silent", "shed", "shed-twice", "shed-early",
 	"421", "error", "unstamped", "encoded", "unmarked", "garbage", "unrun-503", "unrun-429", "unrun-408")
 
-// shedAnswer is an answer that says that the request has not run.
+// shedAnswer is a rejection by a full leaf, which states that the request has not run.
 const shedAnswer = "HTTP/1.1 503 Full\r\nX-Comethold-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 func newAdversary(t *testing.T, seed int) *adversary {
@@ -48,7 +48,7 @@
 	return &adversary{t: t, seed: seed, rng: rand.New(rand.NewSource(int64(seed))), runs: map[string]int{}}
 }
 
-// close ends all leafs.
+// close closes the listeners of all leafs.
 func (a *adversary) close() {
 	for _, listener := range a.listeners {
 		_ = listener.Close()
@@ -62,20 +62,21 @@
 	return callEndings[a.draw(len(callEndings))]
 }
 
-// draw draws a number below n.
+// draw returns a random number in [0,n).
 func (a *adversary) draw(n int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.rng.Intn(n)
 }
 
-// pause sleeps for a random number of microseconds below most.
-func (a *adversary) pause(most int) {
-	time.Sleep(time.Duration(a.draw(most)) * time.Microsecond)
+// sleepRandomly sleeps for a random number of microseconds in [0,limitMicroseconds).
+func (a *adversary) sleepRandomly(limitMicroseconds int) {
+	time.Sleep(time.Duration(a.draw(limitMicroseconds)) * time.Microsecond)
 }
 
-// leaf starts a leaf of a service; leafs of services g... answer with parts.
-func (a *adversary) leaf(id, service string) distribution.Endpoint {
+// startLeaf starts a leaf of a service. Leafs of services whose names begin with "g" are shards, which answer
+// with a part of the result of a scattered request.
+func (a *adversary) startLeaf(id, service string) distribution.Endpoint {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -97,7 +98,7 @@
 	return distribution.Endpoint{ID: id, Service: service, Addr: listener.Addr().String(), Zone: "a", Slots: 8}
 }
 
-// bodyOf returns the body of a request, which its answer repeats.
+// bodyOf returns n records that hold a request ID: the body of a request with that ID, and of its answer.
 func bodyOf(id string, n int) string { return strings.Repeat(fmt.Sprintf("%-*s", recordBytes, id), n) }
 
 // adversaryConn is a leaf's side of one connection.
@@ -105,7 +106,7 @@
 	net.Conn
 	adversary *adversary
 	leaf      string
-	isPart    bool // its answers are parts, which name no request
+	isPart    bool // its answers are parts, which carry no request ID
 	reader    *bufio.Reader
 }
 
@@ -114,11 +115,11 @@
 	id     string
 	ending string
 	isHead bool
-	other  string // another request that ran, or ""
-	stamp  string // the header of the server's stamp
+	other  string // ID of the request that a leaf ran before, or ""
+	stamp  string // the X-Comethold-Server-Stamp header line of the answer
 }
 
-// serve ends calls until one of them ends the connection.
+// serve answers calls until one of them closes the connection.
 func (c *adversaryConn) serve() {
 	defer func() { _ = c.Close() }()
 	for {
@@ -130,11 +131,11 @@
 			c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Comethold-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", c.leaf))
 			continue
 		}
-		call, ok := c.begin(request)
+		call, ok := c.readCall(request)
 		if !ok {
 			return
 		}
-		c.adversary.pause(1500)
+		c.adversary.sleepRandomly(1500)
 		if !c.answer(call) {
 			return
 		}
@@ -142,12 +143,12 @@
 }
 
 func (c *adversaryConn) write(text string) {
-	_, _ = io.WriteString(c, text) // the caller may be gone, as by its deadline
+	_, _ = io.WriteString(c, text) // the caller may have closed the connection, for example at its deadline
 }
 
-// begin reads a request, checks that it is complete, and counts it if it runs. It returns false if
-// the connection ends at once.
-func (c *adversaryConn) begin(request *http.Request) (adversaryCall, bool) {
+// readCall draws the ending of a request, reads the body, checks that it is complete, and counts the request if
+// it runs. It returns false if the connection closes at once.
+func (c *adversaryConn) readCall(request *http.Request) (adversaryCall, bool) {
 	a := c.adversary
 	call := adversaryCall{
 		id:     request.Header.Get("X-Comethold-Request-Id"),
@@ -165,7 +166,7 @@
 		}
 		n, _ := strconv.Atoi(request.URL.Query().Get("n"))
 		if string(raw) != bodyOf(call.id, n) || request.URL.Path != "/"+call.id {
-			a.t.Errorf("seed %d: %s has another body or path", a.seed, call.id)
+			a.t.Errorf("seed %d: the leaf received request %s with the body or path of another request", a.seed, call.id)
 		}
 	}
 	a.mu.Lock()
@@ -180,8 +181,8 @@
 	return call, true
 }
 
-// message is an answer that carries a request's ID.
-func (c *adversaryConn) message(call adversaryCall, status, id, header string) string {
+// formatAnswer returns an answer with the body for a request ID and, unless it is a part, the ID as a header.
+func (c *adversaryConn) formatAnswer(call adversaryCall, status, id, header string) string {
 	body := bodyOf(id, 2)
 	size := len(body)
 	if call.isHead {
@@ -193,73 +194,73 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, size, body)
 }
 
-// answer answers a request in the way that was drawn; it returns false if the connection ends.
-func (c *adversaryConn) answer(call adversaryCall) (goOn bool) {
+// answer answers a request with the ending that was drawn. It returns false if the connection must be closed.
+func (c *adversaryConn) answer(call adversaryCall) (keepOpen bool) {
 	const ok = "200 OK"
-	well := c.message(call, ok, call.id, call.stamp)
+	correct := c.formatAnswer(call, ok, call.id, call.stamp)
 	switch call.ending {
 	case "hints":
-		c.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + well)
-	case "twice":
-		c.write(well + well)
+		c.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + correct)
+	case "twice": // a second answer that belongs to no request
+		c.write(correct + correct)
 	case "twice-late":
-		c.write(well)
-		c.adversary.pause(1200)
-		c.write(well)
-	case "alien":
+		c.write(correct)
+		c.adversary.sleepRandomly(1200)
+		c.write(correct)
+	case "alien": // the answer to another request
 		other := call.other
 		if c.isPart || other == "" {
 			other = call.id
 		}
-		c.write(c.message(call, ok, other, call.stamp))
+		c.write(c.formatAnswer(call, ok, other, call.stamp))
 	case "shed":
 		c.write(shedAnswer)
 	case "shed-twice":
 		c.write(shedAnswer)
-		c.adversary.pause(1200)
+		c.adversary.sleepRandomly(1200)
 		c.write(shedAnswer)
-	case "421":
+	case "421": // as from a leaf of another service at the address
 		c.write("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 	case "error":
-		c.write(c.message(call, "500 Failed", call.id, call.stamp))
-	case "unstamped":
-		c.write(c.message(call, ok, call.id, ""))
-	case "encoded":
-		c.write(c.message(call, ok, call.id, call.stamp+"Content-Encoding: gzip\r\n"))
+		c.write(c.formatAnswer(call, "500 Failed", call.id, call.stamp))
+	case "unstamped": // without a server stamp
+		c.write(c.formatAnswer(call, ok, call.id, ""))
+	case "encoded": // with a Content-Encoding, although the body is not compressed
+		c.write(c.formatAnswer(call, ok, call.id, call.stamp+"Content-Encoding: gzip\r\n"))
 	case "garbage":
 		c.write("ZZZZ\r\n\r\n")
-	case "unrun-503", "unrun-429", "unrun-408": // as if it had not run, but it has
-		c.write(c.message(call, strings.TrimPrefix(call.ending, "unrun-")+" No", call.id, call.stamp))
+	case "unrun-503", "unrun-429", "unrun-408": // a status that suggests that the request has not run, although it has
+		c.write(c.formatAnswer(call, strings.TrimPrefix(call.ending, "unrun-")+" No", call.id, call.stamp))
 	case "bye", "closing", "reset-early", "reset", "end", "cut", "stall", "silent", "unmarked":
-		c.end(call, well)
+		c.answerAndClose(call, correct)
 		return false
 	default:
-		c.write(well)
+		c.write(correct)
 	}
 	return true
 }
 
-// end answers a request in a way that ends the connection.
-func (c *adversaryConn) end(call adversaryCall, well string) {
+// answerAndClose answers a request in a way after which the connection is closed; serve closes it.
+func (c *adversaryConn) answerAndClose(call adversaryCall, correct string) {
 	switch call.ending {
-	case "bye": // it ends while the next request may be on its way
-		c.write(well)
-		c.adversary.pause(800)
-	case "closing":
-		c.write(c.message(call, "200 OK", call.id, call.stamp+"Connection: close\r\n"))
-	case "reset-early", "reset":
+	case "bye": // the connection closes while the next request may be in transit
+		c.write(correct)
+		c.adversary.sleepRandomly(800)
+	case "closing": // a correct answer that announces the close
+		c.write(c.formatAnswer(call, "200 OK", call.id, call.stamp+"Connection: close\r\n"))
+	case "reset-early", "reset": // closed with a TCP reset instead of an answer
 		if conn, ok := c.Conn.(*net.TCPConn); ok {
 			_ = conn.SetLinger(0)
 		}
-	case "cut":
-		c.write(well[:1+c.adversary.draw(len(well)-1)])
-	case "stall":
-		c.write(well[:1+c.adversary.draw(len(well)-1)])
+	case "cut": // a truncated answer
+		c.write(correct[:1+c.adversary.draw(len(correct)-1)])
+	case "stall": // a truncated answer; the connection stays open
+		c.write(correct[:1+c.adversary.draw(len(correct)-1)])
 		_, _ = c.reader.ReadByte()
-	case "silent":
+	case "silent": // no answer; the connection stays open
 		_, _ = c.reader.ReadByte()
-	case "unmarked":
+	case "unmarked": // a body that ends with the connection, without a Content-Length
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s\r\n%s", call.stamp, bodyOf(call.id, 1)))
-	case "end":
+	case "end": // closed without an answer
 	}
 }
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,35 +11,35 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// FaultyDisk wraps the disk of a folder and adds faults: it rejects writes, hangs, and at a loss
-// of power may revert renames and removals that were not synced.
+// FaultyDisk wraps the disk of a folder and injects faults: it rejects writes, hangs, and loses
+// power. A loss of power may revert creations, renames and removals of files that were not synced.
 type FaultyDisk struct {
-	// Base performs the operations that are not rejected.
+	// Base performs the operations that do not fail.
 	Base Disk
 	// Random returns a random number in [0,1).
 	Random func() float64
-	// SyncFailureRate is the share of syncs of the folder that fail.
+	// SyncFailureRate is the share of SyncDir calls that fail, in [0,1].
 	SyncFailureRate float64
 
-	mu               sync.Mutex // guards the fields below
-	fault            DiskFault
-	incarnation      int // of the process that uses the disk; operations of earlier ones fail
-	stepsToPowerLoss int // the step at which the power fails, counted down; 0: never
-	powerLost        bool
-	// unsynced has, for each name that was changed since the last sync of the folder, a
-	// link to the file that had this name then, or "" if there was none.
+	mu                    sync.Mutex // guards the fields below
+	fault                 DiskFault
+	incarnation           int // number of ended processes; operations that hung when theirs ended fail
+	operationsToPowerLoss int // operations up to and including the first that fails; 0: none fails
+	powerLost             bool
+	// unsynced maps the path of each file that was created, renamed or removed since the last sync of the
+	// folder to a hard link to the file that had this path then, or to "" if there was none.
 	unsynced map[string]string
-	backups  int // number of links made for unsynced
+	backups  int // number of hard links made for unsynced, for their names
 }
 
-// DiskFault is a lasting fault of a disk.
+// DiskFault is a fault of a disk that lasts until it is changed.
 type DiskFault uint8
 
-// The faults of SetFault.
+// The faults that SetFault accepts.
 const (
-	// NoFault is a disk that works.
+	// NoFault makes all operations work.
 	NoFault DiskFault = iota
-	// DiskFull makes every write fail with ErrDiskFull.
+	// DiskFull makes every operation that writes fail with ErrDiskFull.
 	DiskFull
 	// DiskHanging makes every operation wait until the fault or the process ends.
 	DiskHanging
@@ -54,16 +54,17 @@
 	SyncDir(dir string) error
 }
 
-// Errors of a faulty disk.
+// Errors of a FaultyDisk.
 var (
-	// ErrDiskFull is the answer of a full disk to every write.
+	// ErrDiskFull is the error of every write to a full disk, and of the syncs that SyncFailureRate makes fail.
 	ErrDiskFull = &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
-	// ErrPowerLost is the answer to every operation after the power has failed.
-	ErrPowerLost = errors.New("disk: no power")
+	// ErrPowerLost is the error of every operation after a loss of power, and of an operation that hung when its
+	// process ended.
+	ErrPowerLost = errors.New("disk: power lost")
 )
 
-// hangPollPause is the pause between two checks whether the disk still hangs.
-const hangPollPause = 20 * time.Millisecond
+// hangPollInterval is the interval at which a hanging operation checks whether the disk still hangs.
+const hangPollInterval = 20 * time.Millisecond
 
 // SetFault sets the lasting fault of the disk.
 func (d *FaultyDisk) SetFault(fault DiskFault) {
@@ -72,33 +73,34 @@
 	d.fault = fault
 }
 
-// LosePowerAfter makes the power fail before the n-th step from now.
+// LosePowerAfter makes the power fail before the n-th operation from now; 0 cancels a loss that has not happened.
 func (d *FaultyDisk) LosePowerAfter(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stepsToPowerLoss = n
+	d.operationsToPowerLoss = n
 }
 
-// EndProcess ends the process that uses the disk: its hanging operations fail without effect.
+// EndProcess simulates the end of the process that uses the disk: its hanging operations fail without effect,
+// and the power is on again.
 func (d *FaultyDisk) EndProcess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.incarnation++
-	d.stepsToPowerLoss, d.powerLost = 0, false
+	d.operationsToPowerLoss, d.powerLost = 0, false
 }
 
-// beforeStep waits while the disk hangs, and returns the error of the operation if it must fail.
-func (d *FaultyDisk) beforeStep() error {
+// beforeOperation waits while the disk hangs, and returns the error of the operation if it must fail.
+func (d *FaultyDisk) beforeOperation() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	incarnation := d.incarnation
 	for d.fault == DiskHanging && d.incarnation == incarnation {
 		d.mu.Unlock()
-		time.Sleep(hangPollPause)
+		time.Sleep(hangPollInterval)
 		d.mu.Lock()
 	}
-	if d.stepsToPowerLoss > 0 {
-		if d.stepsToPowerLoss--; d.stepsToPowerLoss == 0 {
+	if d.operationsToPowerLoss > 0 {
+		if d.operationsToPowerLoss--; d.operationsToPowerLoss == 0 {
 			d.powerLost = true
 		}
 	}
@@ -111,8 +113,8 @@
 	return nil
 }
 
-// rememberName keeps a link to the file that had a name at the last sync of the folder.
-func (d *FaultyDisk) rememberName(path string) {
+// backUpSyncedFile keeps a hard link to the file that had this path at the last sync of the folder.
+func (d *FaultyDisk) backUpSyncedFile(path string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.unsynced == nil {
@@ -123,15 +125,15 @@
 	}
 	d.backups++
 	backup := filepath.Join(filepath.Dir(path), ".was"+string(rune('a'+d.backups%26))+filepath.Base(path))
-	_ = os.Remove(backup) // the letters repeat
+	_ = os.Remove(backup) // an earlier link may have the same letter
 	if os.Link(path, backup) != nil {
-		backup = "" // no file had the name
+		backup = "" // there was no file with this path
 	}
 	d.unsynced[path] = backup
 }
 
-// LosePower simulates a loss of power: each name that was not synced keeps its change or is
-// reverted, at random. It returns the reverted names.
+// LosePower simulates the effect of a loss of power on the folder: each creation, rename or removal that was not
+// synced is kept or reverted, at random. It returns the base names of the reverted paths.
 func (d *FaultyDisk) LosePower() (reverted []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,11 +146,11 @@
 			reverted = append(reverted, filepath.Base(path))
 		}
 	}
-	d.forgetBackups()
+	d.removeBackups()
 	return reverted
 }
 
-func (d *FaultyDisk) forgetBackups() {
+func (d *FaultyDisk) removeBackups() {
 	for _, backup := range d.unsynced {
 		if backup != "" {
 			_ = os.Remove(backup)
@@ -157,12 +159,12 @@
 	clear(d.unsynced)
 }
 
-// Open opens a bbolt file; it writes only if it creates the file.
+// Open opens a bbolt file. It writes, and so is subject to faults, only if the file does not exist or is empty.
 func (d *FaultyDisk) Open(path string) (*bolt.DB, error) {
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 {
-		d.rememberName(path)
-		if err := d.beforeStep(); err != nil {
-			if errors.Is(err, ErrDiskFull) { // the name may be created nevertheless
+		d.backUpSyncedFile(path)
+		if err := d.beforeOperation(); err != nil {
+			if errors.Is(err, ErrDiskFull) { // a full disk may still create an empty file
 				_ = os.WriteFile(path, nil, 0o600)
 			}
 			return nil, err
@@ -171,9 +173,9 @@
 	return d.Base.Open(path)
 }
 
-// Update writes and syncs a file.
+// Update runs a transaction that writes and syncs a file.
 func (d *FaultyDisk) Update(db *bolt.DB, f func(*bolt.Tx) error) error {
-	if err := d.beforeStep(); err != nil {
+	if err := d.beforeOperation(); err != nil {
 		return err
 	}
 	return d.Base.Update(db, f)
@@ -181,26 +183,26 @@
 
 // Rename renames a file.
 func (d *FaultyDisk) Rename(from, to string) error {
-	if err := d.beforeStep(); err != nil {
+	if err := d.beforeOperation(); err != nil {
 		return err
 	}
-	d.rememberName(from)
-	d.rememberName(to)
+	d.backUpSyncedFile(from)
+	d.backUpSyncedFile(to)
 	return d.Base.Rename(from, to)
 }
 
 // Remove removes a file.
 func (d *FaultyDisk) Remove(path string) error {
-	if err := d.beforeStep(); err != nil {
+	if err := d.beforeOperation(); err != nil {
 		return err
 	}
-	d.rememberName(path)
+	d.backUpSyncedFile(path)
 	return d.Base.Remove(path)
 }
 
-// SyncDir makes the names in the folder durable.
+// SyncDir makes creations, renames and removals in the folder durable.
 func (d *FaultyDisk) SyncDir(dir string) error {
-	if err := d.beforeStep(); err != nil {
+	if err := d.beforeOperation(); err != nil {
 		return err
 	}
 	d.mu.Lock()
@@ -211,6 +213,6 @@
 	if err := d.Base.SyncDir(dir); err != nil {
 		return err
 	}
-	d.forgetBackups()
+	d.removeBackups()
 	return nil
 }
--- a/internal/simulation/disks_test.go
+++ b/internal/simulation/disks_test.go
@@ -11,10 +11,10 @@
 	"comethold/internal/simulation"
 )
 
-// TestDisks draws faults of disks, links and power, of one machine at a time or a power loss of
-// all, while changes go on. In the end every machine has all acknowledged changes.
-// COMETHOLD_SEEDS is the number of runs.
-func TestDisks(t *testing.T) {
+// TestDiskFaults checks that no acknowledged change is lost to faults of disks, links and power while changes go
+// on. It draws faults of one machine at a time and power losses of all machines; at the end every machine must
+// have all acknowledged changes. COMETHOLD_SEEDS is the number of runs.
+func TestDiskFaults(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
@@ -22,54 +22,54 @@
 				f := newFleet(t)
 				f.seed = int64(seed)
 				t.Cleanup(f.shutDown)
-				run := &diskFaults{fleet: f, rng: rand.New(rand.NewSource(int64(seed)))}
-				run.play()
+				run := &diskFaultRun{fleet: f, rng: rand.New(rand.NewSource(int64(seed)))}
+				run.execute()
 			})
 		})
 	}
 }
 
-// diskFaults draws the commands of one run and plays them.
-type diskFaults struct {
+// diskFaultRun draws the commands of one run and runs them.
+type diskFaultRun struct {
 	fleet *fleet
 	rng   *rand.Rand
 }
 
-func (d *diskFaults) do(format string, args ...any) {
+func (d *diskFaultRun) do(format string, args ...any) {
 	c, _ := simulation.Parse(fmt.Sprintf(format, args...))
 	if err := d.fleet.Do(c); err != nil {
 		d.fleet.t.Errorf("%s: %v", c.Line, err)
 	}
 }
 
-func (d *diskFaults) play() {
+func (d *diskFaultRun) execute() {
 	d.do("core a b c")
 	d.do("list l1")
 	d.do("routes 5")
 	d.do("begin")
 	version := 1
 	for range 3 {
-		version += d.playRound(version)
+		version += d.runRound(version)
 	}
 	d.do("want-read 9000")
 	d.do("want-applied %d all 9000", version-1)
 }
 
-// playRound makes one machine's disk, link or power fail while another accepts changes from a
-// version on; it returns how many changes.
-func (d *diskFaults) playRound(version int) int {
-	bad := d.rng.Intn(3)
+// runRound injects faults into one machine's disk, link or power, while another machine accepts
+// changes that start with the given version. It returns the number of changes.
+func (d *diskFaultRun) runRound(version int) int {
+	faulty := d.rng.Intn(3)
 	changes := 1 + d.rng.Intn(90)
-	well := 1 + (bad+1)%3
-	name := fmt.Sprintf("c%d", bad+1)
+	healthy := 1 + (faulty+1)%3
+	name := fmt.Sprintf("c%d", faulty+1)
 	gap := 5 + d.rng.Intn(20)
-	var changing sync.WaitGroup
-	changing.Go(func() { d.do("replace-series %d %d c%d gap=%d within=30000", version, changes, well, gap) })
+	var updates sync.WaitGroup
+	updates.Go(func() { d.do("replace-series %d %d c%d gap=%d within=30000", version, changes, healthy, gap) })
 	for range 1 + d.rng.Intn(3) {
 		d.do("run %d", d.rng.Intn(900))
-		d.playFault(name)
+		d.injectFault(name)
 	}
-	changing.Wait()
+	updates.Wait()
 	d.do("disk all ok")
 	d.do("start all")
 	d.do("run %d", d.rng.Intn(2000))
@@ -77,7 +77,7 @@
 	return changes
 }
 
-func (d *diskFaults) playFault(name string) {
+func (d *diskFaultRun) injectFault(name string) {
 	switch d.rng.Intn(7) {
 	case 0:
 		d.do("kill %s", name)
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -51,7 +51,7 @@
 // send makes one request from the operator's address, on a connection of its own.
 func (f *fleet) send(ctx context.Context, method, url string, base uint64, raw string) (int, string, error) {
 	transport := &http.Transport{
-		DialContext:       f.network.netOf(operatorAddr)(time.Second, time.Second),
+		DialContext:       f.network.networkFor(operatorAddr)(time.Second, time.Second),
 		DisableKeepAlives: true,
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+url, strings.NewReader(raw))
@@ -173,7 +173,7 @@
 		tries = 100
 		pause = 100 * time.Millisecond
 	)
-	client := rpc.NewClient(f.network.netOf(operatorAddr))
+	client := rpc.NewClient(f.network.networkFor(operatorAddr))
 	for range tries {
 		for _, m := range f.controlNodes() {
 			if f.confirmsLeadership(client, m) {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -170,7 +170,7 @@
 // start runs the programs of a machine.
 func (f *fleet) start(m *machine) {
 	set := f.settingsOf(m)
-	view := f.network.netOf(m.addr)
+	view := f.network.networkFor(m.addr)
 	var servers []*http.Server
 	if m.disk {
 		if err := os.MkdirAll(set.DataDirectory, 0o755); err != nil {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -13,38 +13,38 @@
 const (
 	// resendDelay is how long a lost packet delays its connection.
 	resendDelay = 250 * time.Millisecond
-	// blockedPollPause is the pause between a writer's checks whether a cut has ended.
-	blockedPollPause = 20 * time.Millisecond
-	// segmentBytes is how much goes over a link at a time, so that connections share it.
+	// blockedPollInterval is the interval at which a blocked write or dial checks whether the link is open.
+	blockedPollInterval = 20 * time.Millisecond
+	// segmentBytes is how many bytes a write sends at a time, so that connections share the bandwidth of a link.
 	segmentBytes = 4 << 10
 )
 
 var (
-	errRefused  = errors.New("network: refused")
+	errRefused  = errors.New("network: connection refused")
 	errNoAnswer = errors.New("network: no answer")
 )
 
 // link is one direction between two hosts.
 type link struct{ from, to string }
 
-// interfaceSide is one side of a host's own link.
-type interfaceSide struct {
+// linkDirection is one direction of a host's own link.
+type linkDirection struct {
 	host     string
 	incoming bool
 }
 
-// network is a network of addresses on simulated time. A machine that is down refuses
-// connections. Nothing passes a cut: writes wait until it ends or the writer gives up.
+// network connects addresses on simulated time. Connections to a machine that is down are refused. No data
+// passes a blocked direction: writes wait until it is open again, or time out.
 type network struct {
 	mu             sync.Mutex // guards the fields below
 	listeners      map[string]*listener
 	packetConns    map[string]*simulatedPacketConn
 	conns          []*simulatedConn
-	incarnations   map[string]int // of each machine; killed ones can no longer call
+	incarnations   map[string]int // kills of each machine; dials from before a kill are refused
 	blocked        map[link]bool
 	answersLost    map[string]bool             // hosts whose answers to operators are lost
 	bytesPerSecond map[string]float64          // of a host's own link, each direction; 0: no limit
-	busyUntil      map[interfaceSide]time.Time // when a host's link is free again
+	busyUntil      map[linkDirection]time.Time // when the data reserved on a host's link has been sent
 	lossRate       float64
 	random         func() float64
 }
@@ -57,7 +57,7 @@
 		blocked:        map[link]bool{},
 		answersLost:    map[string]bool{},
 		bytesPerSecond: map[string]float64{},
-		busyUntil:      map[interfaceSide]time.Time{},
+		busyUntil:      map[linkDirection]time.Time{},
 		random:         random,
 	}
 }
@@ -73,7 +73,7 @@
 	return n.blocked[link{from, to}]
 }
 
-// block cuts one direction until heal.
+// block blocks one direction until heal is called.
 func (n *network) block(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,7 +85,7 @@
 	n.block(b, a)
 }
 
-// heal ends all cuts.
+// heal opens all blocked directions.
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// delay delays a write if one of its packets is lost.
-func (n *network) delay() {
+// delayIfPacketLost sleeps for resendDelay if it draws, at the loss rate, that a packet is lost.
+func (n *network) delayIfPacketLost() {
 	n.mu.Lock()
 	isLost := n.random() < n.lossRate
 	n.mu.Unlock()
@@ -125,50 +125,53 @@
 	}
 }
 
-// netOf returns the network for the incarnation of a machine that begins now.
-func (n *network) netOf(host string) rpc.Network {
+// networkFor returns the network as seen from the current processes of a machine. Their dials are refused once
+// the machine is killed, even after its restart: call networkFor again for the restarted machine.
+func (n *network) networkFor(host string) rpc.Network {
 	n.mu.Lock()
 	incarnation := n.incarnations[host]
 	n.mu.Unlock()
-	return func(limit, silence time.Duration) func(context.Context, string, string) (net.Conn, error) {
+	return func(dialTimeout, writeTimeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 		return func(ctx context.Context, _, addr string) (net.Conn, error) {
-			n.delay()
-			ctx, cancel := context.WithTimeout(ctx, limit)
+			n.delayIfPacketLost()
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
-			if err := n.awaitBothWays(ctx, host, hostOf(addr)); err != nil {
+			if err := n.waitUntilReachable(ctx, host, hostOf(addr)); err != nil {
 				return nil, err
 			}
 			n.mu.Lock()
 			server := n.listeners[addr]
-			isOver := n.incarnations[host] != incarnation
+			isKilled := n.incarnations[host] != incarnation
 			n.mu.Unlock()
-			if server == nil || isOver {
+			if server == nil || isKilled {
 				return nil, errRefused
 			}
-			return n.connect(ctx, server, host, silence)
+			return n.connect(ctx, server, host, writeTimeout)
 		}
 	}
 }
 
-// awaitBothWays waits until both directions are open, as a connection needs them.
-func (n *network) awaitBothWays(ctx context.Context, a, b string) error {
+// waitUntilReachable waits until both directions between two hosts are open, as a connection needs both.
+func (n *network) waitUntilReachable(ctx context.Context, a, b string) error {
 	for n.isBlocked(a, b) || n.isBlocked(b, a) {
 		select {
 		case <-ctx.Done():
 			return errNoAnswer
-		case <-time.After(blockedPollPause):
+		case <-time.After(blockedPollInterval):
 		}
 	}
 	return nil
 }
 
-// connect makes a connection from a host to a listener.
-func (n *network) connect(ctx context.Context, server *listener, host string, silence time.Duration) (net.Conn, error) {
+// connect opens a connection from a host to a listener.
+func (n *network) connect(
+	ctx context.Context, server *listener, host string, writeTimeout time.Duration,
+) (net.Conn, error) {
 	near, far := net.Pipe()
-	ours := &simulatedConn{Conn: near, network: n, from: host, to: hostOf(server.addr), timeout: silence}
-	theirs := &simulatedConn{Conn: far, network: n, from: ours.to, to: host, timeout: silence}
+	dialerConn := &simulatedConn{Conn: near, network: n, from: host, to: hostOf(server.addr), timeout: writeTimeout}
+	listenerConn := &simulatedConn{Conn: far, network: n, from: dialerConn.to, to: host, timeout: writeTimeout}
 	select {
-	case server.incoming <- theirs:
+	case server.incoming <- listenerConn:
 	case <-server.done:
 		return nil, errRefused
 	case <-ctx.Done():
@@ -176,31 +179,32 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns = append(n.conns, ours, theirs)
-	return ours, nil
+	n.conns = append(n.conns, dialerConn, listenerConn)
+	return dialerConn, nil
 }
 
-// reserveLink sends bytes over the links of both hosts, and returns how long these are busy then.
+// reserveLink reserves time on the links of both hosts for some bytes, and returns how long the links are busy,
+// including these bytes.
 func (n *network) reserveLink(from, to string, bytes int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	var wait time.Duration
-	for _, side := range []interfaceSide{{from, false}, {to, true}} {
-		rate := n.bytesPerSecond[side.host]
+	for _, direction := range []linkDirection{{from, false}, {to, true}} {
+		rate := n.bytesPerSecond[direction.host]
 		if rate <= 0 {
 			continue
 		}
-		if n.busyUntil[side].Before(now) {
-			n.busyUntil[side] = now
+		if n.busyUntil[direction].Before(now) {
+			n.busyUntil[direction] = now
 		}
-		n.busyUntil[side] = n.busyUntil[side].Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-		wait = max(wait, n.busyUntil[side].Sub(now))
+		n.busyUntil[direction] = n.busyUntil[direction].Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
+		wait = max(wait, n.busyUntil[direction].Sub(now))
 	}
 	return wait
 }
 
-// closeHost takes a machine off the network at once, or all of them ("").
+// closeHost closes the listeners and connections of a machine, or, for "", the connections of all machines.
 func (n *network) closeHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -212,7 +216,7 @@
 	}
 	var kept []*simulatedConn
 	for _, conn := range n.conns {
-		if host == "" || conn.isOf(host) {
+		if host == "" || conn.isConnectedTo(host) {
 			_ = conn.Close()
 		} else {
 			kept = append(kept, conn)
@@ -221,8 +225,9 @@
 	n.conns = kept
 }
 
-// killMachine takes a machine off the network. Its processes run on for a while in the test, but
-// nothing that they send arrives, even once the machine is back.
+// killMachine closes the listeners and connections of a machine and refuses further dials of its current
+// processes. These run on for a while in the test, but nothing that they send over connections arrives, even
+// after the machine has restarted.
 func (n *network) killMachine(host string) {
 	n.mu.Lock()
 	n.incarnations[host]++
@@ -230,12 +235,12 @@
 	n.closeHost(host)
 }
 
-// resetConnections ends every connection of a machine, which keeps running.
+// resetConnections closes every connection of a machine, which keeps running.
 func (n *network) resetConnections(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, conn := range n.conns {
-		if conn.isOf(host) {
+		if conn.isConnectedTo(host) {
 			_ = conn.Close()
 		}
 	}
@@ -246,18 +251,18 @@
 	net.Conn
 	network  *network
 	from, to string
-	timeout  time.Duration // after which a writer behind a cut gives up
+	timeout  time.Duration // of a write in a blocked direction
 }
 
-func (c *simulatedConn) isOf(host string) bool { return c.from == host || c.to == host }
+func (c *simulatedConn) isConnectedTo(host string) bool { return c.from == host || c.to == host }
 
 func (c *simulatedConn) Write(b []byte) (int, error) {
-	c.network.delay()
+	c.network.delayIfPacketLost()
 	if c.isAnswerLost() {
 		_ = c.Close()
 		return 0, errNoAnswer
 	}
-	for end := time.Now().Add(c.timeout); c.network.isBlocked(c.from, c.to); time.Sleep(blockedPollPause) {
+	for end := time.Now().Add(c.timeout); c.network.isBlocked(c.from, c.to); time.Sleep(blockedPollInterval) {
 		if time.Now().After(end) {
 			_ = c.Close()
 			return 0, errNoAnswer
@@ -277,7 +282,7 @@
 	return written, nil
 }
 
-// isAnswerLost reports whether a write at this end is an answer to an operator and must be lost.
+// isAnswerLost reports whether a write at this end is an answer to an operator that setAnswersLost drops.
 func (c *simulatedConn) isAnswerLost() bool {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -285,10 +290,10 @@
 }
 
 // waitForLink reserves the links for some bytes and waits while they are busy; it stops waiting
-// if the limit of a link is lifted.
+// if the bandwidth limit is removed.
 func (c *simulatedConn) waitForLink(bytes int) {
 	for wait := c.network.reserveLink(c.from, c.to, bytes); wait > 0; wait = c.network.reserveLink(c.from, c.to, 0) {
-		time.Sleep(min(wait, blockedPollPause))
+		time.Sleep(min(wait, blockedPollInterval))
 	}
 }
 
@@ -330,7 +335,7 @@
 
 func (a simulatedAddr) String() string { return string(a) }
 
-// simulatedPacketConn carries datagrams.
+// simulatedPacketConn sends and receives the datagrams of one address.
 type simulatedPacketConn struct {
 	network  *network
 	addr     string
@@ -344,7 +349,7 @@
 	payload []byte
 }
 
-// maxQueuedDatagrams is how many datagrams wait for a reader; further ones are lost.
+// maxQueuedDatagrams is how many datagrams an address queues until they are read; further ones are dropped.
 const maxQueuedDatagrams = 64
 
 func (n *network) listenPacket(addr string) net.PacketConn {
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -14,26 +14,27 @@
 	"comethold/internal/simulation"
 )
 
-// Addresses of the proxy and its clients.
+// Addresses of the proxy and its clients, and constants of their connections.
 const (
-	proxyHost      = "10.0.0.1"
-	proxyAddress   = proxyHost + ":80"
-	clientHost     = "10.250.0.1"
-	noWholeAnswer  = "0" // a status for a connection that ended without one
-	gracePeriodS   = 6
-	neverDropsRate = 1 // what a network's random source draws to lose nothing
+	proxyHost        = "10.0.0.1"
+	proxyAddress     = proxyHost + ":80"
+	clientHost       = "10.250.0.1"
+	noCompleteAnswer = "0" // counted as the status if the connection ends without a complete answer
+	gracePeriodS     = 6
+	noLossDraw       = 1 // drawn by the random source of a network that loses no packets
 )
 
-// clients are connections to a proxy's real server that stay open between requests.
+// clients are connections to the real server of a proxy, on a simulated network; they stay open between
+// requests.
 type clients struct {
 	network *network
 	conns   map[string]net.Conn
-	idleMs  int64 // limit in the configurations
+	idleMs  int64 // idle time-out in the configuration, in milliseconds
 }
 
 // serveClients is `accept-connections`: the proxy accepts connections from now on.
 func (p *plane) serveClients(simulation.Command) error {
-	p.clients.network = newNetwork(func() float64 { return neverDropsRate })
+	p.clients.network = newNetwork(func() float64 { return noLossDraw })
 	p.clients.conns = map[string]net.Conn{}
 	p.settings.Bounds.GracePeriodS = gracePeriodS
 	listener := p.clients.network.listen(proxyAddress)
@@ -50,7 +51,7 @@
 
 // openConnection is `open-connection NAME`: a connection without a request.
 func (p *plane) openConnection(c simulation.Command) error {
-	dial := p.clients.network.netOf(clientHost)(time.Second, time.Second)
+	dial := p.clients.network.networkFor(clientHost)(time.Second, time.Second)
 	conn, err := dial(context.Background(), "", proxyAddress)
 	if err != nil {
 		return err
@@ -59,13 +60,13 @@
 	return nil
 }
 
-// send is `send NAME HOST PATH [method=]`: a request on that connection.
+// send is `send NAME HOST PATH [method=]`: sends a request on that connection.
 func (p *plane) send(c simulation.Command) error {
 	p.sendOnConnection(c, writeAtOnce)
 	return nil
 }
 
-// sendAsync is `send-async NAME HOST PATH [method=]`: the same, not waiting for the answer.
+// sendAsync is `send-async NAME HOST PATH [method=]`: like send, without waiting for the answer.
 func (p *plane) sendAsync(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeAtOnce) })
 	return nil
@@ -78,10 +79,12 @@
 	return nil
 }
 
-// leave is `leave NAME`: the client closes that connection, whatever it waits for.
-func (p *plane) leave(c simulation.Command) error { return p.clients.conns[c.Word(0)].Close() }
+// closeConnection is `leave NAME`: the client closes that connection, even if a request on it has no answer yet.
+func (p *plane) closeConnection(c simulation.Command) error {
+	return p.clients.conns[c.Word(0)].Close()
+}
 
-// wantWorking is `want-working N ID,...`: on how many requests these leafs work now.
+// wantWorking is `want-working N ID,...`: checks that these leafs work on N requests in total now.
 func (p *plane) wantWorking(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +93,7 @@
 		working += p.leafs[id].working
 	}
 	if working != c.Int(0) {
-		return fmt.Errorf("%s work on %d requests", c.Word(1), working)
+		return fmt.Errorf("leafs %s work on %d requests", c.Word(1), working)
 	}
 	return nil
 }
@@ -105,12 +108,12 @@
 	return nil
 }
 
-// sendOnConnection makes one request on a client's connection and counts its status.
+// sendOnConnection sends one request on a client's connection and counts its status.
 func (p *plane) sendOnConnection(c simulation.Command, write func(net.Conn, simulation.Command, string) error) {
 	conn := p.clients.conns[c.Word(0)]
-	status := noWholeAnswer
+	status := noCompleteAnswer
 	if write(conn, c, p.newRequestID()) == nil {
-		if code, err := readWholeAnswer(conn); err == nil {
+		if code, err := readCompleteAnswer(conn); err == nil {
 			status = strconv.Itoa(code)
 		}
 	}
@@ -119,7 +122,7 @@
 	p.statuses[status]++
 }
 
-// requestHead is a request line and the headers that all requests have.
+// requestHead returns the request line and the headers that all requests have.
 func requestHead(c simulation.Command, id string) string {
 	method := http.MethodGet
 	if m := c.Options["method"]; m != "" {
@@ -134,16 +137,16 @@
 	return err
 }
 
-// writeSlowly writes a request whose body, one byte, comes late.
+// writeSlowly writes a request whose body, one byte, follows after the delay of the command.
 func writeSlowly(conn net.Conn, c simulation.Command, id string) error {
-	// The proxy may end the connection meanwhile; writing the last byte shows it.
+	// The error is ignored: if the proxy closes the connection, writing the last byte fails too.
 	_, _ = io.WriteString(conn, requestHead(c, id)+"Content-Length: 1\r\n\r\n")
 	time.Sleep(c.Milliseconds(3))
 	_, err := io.WriteString(conn, "x")
 	return err
 }
 
-func readWholeAnswer(conn net.Conn) (status int, err error) {
+func readCompleteAnswer(conn net.Conn) (status int, err error) {
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -14,7 +14,8 @@
 	"comethold/internal/simulation"
 )
 
-// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`.
+// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`: adds a leaf, from the next
+// update on.
 func (p *plane) addLeaf(c simulation.Command) error {
 	l := &leaf{
 		Endpoint: distribution.Endpoint{
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// setLeaf is `set ID [mode= uses= work= draining=]`.
+// setLeaf is `set ID [mode= uses= work= draining=]`: changes a leaf. Without mode the leaf answers normally again,
+// and without draining it is no longer draining; uses and work keep their values if omitted.
 func (p *plane) setLeaf(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +47,8 @@
 	return nil
 }
 
-// addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= target= attempts= least= public= class=]`.
+// addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= target= attempts= least= public= class=]`:
+// adds a route, from the next update on.
 func (p *plane) addRoute(c simulation.Command) error {
 	route := routing.Route{
 		Name:            fmt.Sprint("r", len(p.routes)),
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// setTenant is `tenant NAME KEY,...`: its keys from now on; without keys it is removed.
+// setTenant is `tenant NAME KEY,...`: sets the API keys of a tenant; without keys it is removed.
 func (p *plane) setTenant(c simulation.Command) error {
 	p.tenants = slices.DeleteFunc(p.tenants, func(t routing.Tenant) bool { return t.Name == c.Word(0) })
 	if c.Word(1) != "" {
@@ -78,32 +81,32 @@
 	return nil
 }
 
-// eject is `eject ID`: the index cell holds an ejection mark.
+// eject is `eject ID`: the index cell has an ejection mark for the leaf from the next update on.
 func (p *plane) eject(c simulation.Command) error {
 	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	return nil
 }
 
-// reinstate is `reinstate ID`.
+// reinstate is `reinstate ID`: removes the ejection mark of the leaf, from the next update on.
 func (p *plane) reinstate(c simulation.Command) error {
 	delete(p.ejected, c.Word(0))
 	return nil
 }
 
-// update is `update`: the proxy gets an update.
+// update is `update`: sends the proxy an update with everything that the scenario has set so far.
 func (p *plane) update(simulation.Command) error {
 	p.publish()
 	return nil
 }
 
-// letTimePass is `run MS`.
-func (p *plane) letTimePass(c simulation.Command) error {
+// runFor is `run MS`: lets simulated time pass.
+func (p *plane) runFor(c simulation.Command) error {
 	time.Sleep(c.Milliseconds(0))
 	return nil
 }
 
-// sendRequests is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: requests,
-// one after the other.
+// sendRequests is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: sends
+// n requests, one after the other.
 func (p *plane) sendRequests(c simulation.Command) error {
 	method := http.MethodGet
 	if c.Options["post"] != "" {
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// sendRequestsAtOnce is `request-at-once HOST PATH n=`: requests, all at once.
+// sendRequestsAtOnce is `request-at-once HOST PATH n=`: sends n requests concurrently.
 func (p *plane) sendRequestsAtOnce(c simulation.Command) error {
 	for range int(c.OptionFloat("n", 1)) {
 		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// enableEstimates is `estimates SHADOW`: from the start, latencies of lookups are collected;
-// leafs hold the same records.
+// enableEstimates is `estimates SHADOW`: enables latency estimates and the comparison of
+// answers, with this share of shadow lookups; all leafs hold the same records.
 func (p *plane) enableEstimates(c simulation.Command) error {
 	p.sameRecords = true
 	p.settings.Estimates.Enabled = true
@@ -136,70 +139,71 @@
 	return nil
 }
 
-// wantStatuses is `want STATUS=COUNT ...` or `STATUS>=COUNT`; it clears the counts.
+// wantStatuses is `want STATUS=COUNT ...` or `STATUS>=COUNT`: checks how many requests got each of these statuses
+// since the last want; it clears the counts.
 func (p *plane) wantStatuses(c simulation.Command) error {
 	for key, value := range c.Options {
-		status, isLeast := strings.CutSuffix(key, ">")
+		status, isMinimum := strings.CutSuffix(key, ">")
 		want, err := strconv.Atoi(value)
 		if err != nil {
 			return err
 		}
-		if have := p.statuses[status]; isLeast && have < want || !isLeast && have != want {
-			return fmt.Errorf("got %v", p.statuses)
+		if got := p.statuses[status]; isMinimum && got < want || !isMinimum && got != want {
+			return fmt.Errorf("got the statuses %v", p.statuses)
 		}
 	}
 	p.statuses = map[string]int{}
 	return nil
 }
 
-// wantHeader is `want-header KEY=VALUE ...`, of the last answer.
+// wantHeader is `want-header KEY=VALUE ...`: checks headers of the last answer.
 func (p *plane) wantHeader(c simulation.Command) error {
 	for key, want := range c.Options {
-		if got := p.last.Header().Get(key); got != want {
-			return fmt.Errorf("%s is %q", key, got)
+		if got := p.lastAnswer.Header().Get(key); got != want {
+			return fmt.Errorf("header %s is %q", key, got)
 		}
 	}
 	return nil
 }
 
-// wantWithin is `want-within MS`: no request since the last such line took longer.
+// wantWithin is `want-within MS`: checks that no request since the last want-within took longer.
 func (p *plane) wantWithin(c simulation.Command) error {
 	if p.latency > c.Milliseconds(0) {
-		return fmt.Errorf("one took %v", p.latency)
+		return fmt.Errorf("the slowest request took %v", p.latency)
 	}
 	p.latency = 0
 	return nil
 }
 
-// wantRuns is `want-runs ID [least= most=]`; it clears the count.
+// wantRuns is `want-runs ID [least= most=]`: checks how many requests the leaf ran since the last want-runs.
 func (p *plane) wantRuns(c simulation.Command) error {
-	time.Sleep(time.Millisecond) // a leaf may have yet to take in what it was sent before the answer ended
+	time.Sleep(time.Millisecond) // a leaf may not yet have read a request that was sent to it before the answer ended
 	p.mu.Lock()
 	l := p.leafs[c.Word(0)]
 	runs := l.runs
 	l.runs = 0
 	p.mu.Unlock()
 	if float64(runs) < c.OptionFloat("least", 0) || float64(runs) > c.OptionFloat("most", 1e9) {
-		return fmt.Errorf("it ran %d", runs)
+		return fmt.Errorf("the leaf ran %d requests", runs)
 	}
 	return nil
 }
 
-// wantTenants is `want-tenants LEAF NAME,...`: the tenants that it was sent since the last such
-// line; - for none.
+// wantTenants is `want-tenants LEAF NAME,...`: checks the tenants in the requests that the leaf ran since the
+// last want-tenants, in order; "-" stands for a request without one.
 func (p *plane) wantTenants(c simulation.Command) error {
 	p.mu.Lock()
 	got := strings.Join(p.tenantsSeen[c.Word(0)], ",")
 	p.tenantsSeen[c.Word(0)] = nil
 	p.mu.Unlock()
 	if got != strings.ReplaceAll(c.Word(1), "-", "") {
-		return fmt.Errorf("it was sent %q", got)
+		return fmt.Errorf("the leaf received the tenants %q", got)
 	}
 	return nil
 }
 
-// wantEstimate is `want-estimate LEAF CLASS MS`: the median of an idle replica to within a
-// fifth, 0 for unknown.
+// wantEstimate is `want-estimate LEAF CLASS MS`: checks that the estimated median latency of the replica while
+// idle is within 20% of MS, or, for 0, that there is no estimate.
 func (p *plane) wantEstimate(c simulation.Command) error {
 	snapshot := p.proxy.LatencyEstimates(distribution.EstimatesRequest{Class: c.Word(1)})
 	for _, keyed := range snapshot.Sketches {
@@ -208,17 +212,17 @@
 		}
 		estimate := keyed.Sketch.Estimate()
 		want := c.Milliseconds(2)
-		isNear := estimate.Known() && estimate.Median >= want*4/5 && estimate.Median <= want*6/5
-		if want == 0 && estimate.Known() || want > 0 && !isNear {
-			return fmt.Errorf("%+v", estimate)
+		isWithinTolerance := estimate.Known() && estimate.Median >= want*4/5 && estimate.Median <= want*6/5
+		if want == 0 && estimate.Known() || want > 0 && !isWithinTolerance {
+			return fmt.Errorf("the estimate is %+v", estimate)
 		}
 		return nil
 	}
-	return errors.New("nothing is known of it")
+	return errors.New("the replica has no latency sketch of this class without load")
 }
 
-// wantSlow is `want-slow LEAF OTHER`: a slow lookup at LEAF is recorded, with an estimate for
-// OTHER that covers the time that OTHER really took.
+// wantSlow is `want-slow LEAF OTHER`: checks that a slow lookup at LEAF is recorded with an estimate for OTHER
+// whose range covers the time that OTHER took.
 func (p *plane) wantSlow(c simulation.Command) error {
 	slow := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups
 	for _, lookup := range slow {
@@ -229,21 +233,21 @@
 			}
 		}
 	}
-	return fmt.Errorf("none: %+v", slow)
+	return fmt.Errorf("no such lookup among the slow lookups %+v", slow)
 }
 
-// wantParts is `want-parts LEAF KIND ...`: exactly these kinds of differences were found.
+// wantParts is `want-parts LEAF KIND ...`: checks that exactly these kinds of differences were counted, by leaf.
 func (p *plane) wantParts(c simulation.Command) error {
 	got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
 	for pair := range slices.Chunk(c.Words, 2) {
 		key := strings.Join(pair, " ")
 		if got[key] == 0 {
-			return fmt.Errorf("no %s: %v", key, got)
+			return fmt.Errorf("difference %q is missing in %v", key, got)
 		}
 		delete(got, key)
 	}
 	if len(got) > 0 {
-		return fmt.Errorf("and %v", got)
+		return fmt.Errorf("unexpected differences %v", got)
 	}
 	return nil
 }
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -15,7 +15,7 @@
 	"comethold/internal/distribution"
 )
 
-// forgetAfter is how long a leaf of the mode "forget" knows an idle connection.
+// forgetAfter is the idle time after which a leaf of the mode "forget" closes a connection at the next request.
 const forgetAfter = 300 * time.Millisecond
 
 // endlessChunk is how many bytes of an endless answer are written at a time.
@@ -24,12 +24,12 @@
 // recordBytes is the length of a record in an answer.
 const recordBytes = 16
 
-// leaf is a stand-in for a server: it answers by its mode.
+// leaf simulates a leaf server; its mode determines how it answers.
 type leaf struct {
 	distribution.Endpoint
 	workTime time.Duration
 	mode     string
-	modeUses int // how many answers follow the mode before the leaf answers normally; 0: all
+	modeUses int // number of calls answered by the mode before the leaf answers normally; 0: all
 	runs     int
 	calls    int
 	working  int // requests that it works on now
@@ -44,14 +44,14 @@
 			continue
 		}
 		if l.mode == "down" {
-			return nil, errors.New("refused")
+			return nil, errors.New("connection refused")
 		}
-		ours, theirs := net.Pipe()
-		p.conns = append(p.conns, ours)
-		go p.serveLeaf(l, theirs)
-		return ours, nil
+		proxyConn, leafSide := net.Pipe()
+		p.conns = append(p.conns, proxyConn)
+		go p.serveLeaf(l, leafSide)
+		return proxyConn, nil
 	}
-	return nil, errors.New("no such address")
+	return nil, errors.New("no leaf has this address")
 }
 
 // leafConn is a leaf's side of one connection.
@@ -65,16 +65,16 @@
 
 // leafCall is one request at a leaf.
 type leafCall struct {
-	id       string
-	mode     string
-	isHealth bool
-	isForgot bool // the leaf no longer knows the connection, which was idle
-	workTime time.Duration
-	stamp    string // the header of the server's stamp
-	body     string
+	id            string
+	mode          string
+	isHealthCheck bool
+	isForgotten   bool // the connection was idle for longer than forgetAfter, in the mode "forget"
+	workTime      time.Duration
+	stamp         string // the X-Comethold-Server-Stamp header line of the answer
+	body          string
 }
 
-// serveLeaf answers the requests on a connection until one of them ends it.
+// serveLeaf answers the requests on a connection until one of them closes it.
 func (p *plane) serveLeaf(l *leaf, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	c := &leafConn{plane: p, leaf: l, conn: conn, reader: bufio.NewReader(conn)}
@@ -83,22 +83,22 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, request.Body) // what is missing shows at the next request
-		call := c.begin(request)
-		isAnswered, goOn := c.answerWithoutRunning(call)
+		_, _ = io.Copy(io.Discard, request.Body) // after a truncated body, reading the next request fails
+		call := c.newCall(request)
+		isAnswered, keepOpen := c.answerWithoutRunning(call)
 		if !isAnswered {
-			goOn = c.work(call) && c.answerByMode(call)
+			keepOpen = c.work(call) && c.answerByMode(call)
 			c.idleSince = time.Now()
 		}
-		if !goOn {
+		if !keepOpen {
 			return
 		}
 	}
 }
 
-// work takes the time of a request. It reports false if the connection ends before: the leaf
-// then drops the request.
-func (c *leafConn) work(call leafCall) (goOn bool) {
+// work waits for the work time of a request. It returns false if the connection closes before; the leaf then
+// abandons the request.
+func (c *leafConn) work(call leafCall) (keepOpen bool) {
 	c.countWorking(1)
 	defer c.countWorking(-1)
 	end := time.Now().Add(call.workTime)
@@ -106,7 +106,7 @@
 	_, err := c.reader.Peek(1)
 	_ = c.conn.SetReadDeadline(time.Time{})
 	if err == nil {
-		time.Sleep(time.Until(end)) // the next request is there already
+		time.Sleep(time.Until(end)) // data of the next request has already arrived
 	}
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
@@ -117,30 +117,30 @@
 	c.leaf.working += change
 }
 
-// begin counts a request and works out how it is answered.
-func (c *leafConn) begin(request *http.Request) leafCall {
+// newCall counts a request and determines how it is answered.
+func (c *leafConn) newCall(request *http.Request) leafCall {
 	p := c.plane
 	wasIdleLong := !c.idleSince.IsZero() && time.Since(c.idleSince) > forgetAfter
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call := leafCall{
-		id:       request.Header.Get("X-Comethold-Request-Id"),
-		mode:     c.leaf.mode,
-		isHealth: request.URL.Path == "/health",
-		workTime: c.leaf.workTime,
+		id:            request.Header.Get("X-Comethold-Request-Id"),
+		mode:          c.leaf.mode,
+		isHealthCheck: request.URL.Path == "/health",
+		workTime:      c.leaf.workTime,
 	}
 	c.leaf.calls++
 	if c.leaf.modeUses > 0 && c.leaf.calls > c.leaf.modeUses {
 		call.mode = "ok"
 	}
-	call.isForgot = call.mode == "forget" && wasIdleLong
+	call.isForgotten = call.mode == "forget" && wasIdleLong
 	call.stamp = "X-Comethold-Server-Stamp: " + c.leaf.ID + "." + call.id + "\r\n"
 	call.body = strings.Repeat(fmt.Sprintf("%-*s", recordBytes, c.leaf.ID)[:recordBytes], 2)
 	if p.sameRecords {
 		call.body = fmt.Sprintf("%0*d%0*d%0*d", recordBytes, 3, recordBytes, 1, recordBytes, 2)
 	}
-	isRejected := call.mode == "shed" || call.mode == "421" || call.isForgot
-	if !isRejected && !call.isHealth {
+	isRejected := call.mode == "shed" || call.mode == "421" || call.isForgotten
+	if !isRejected && !call.isHealthCheck {
 		p.recordRun(c.leaf, call.id, request.Header)
 	}
 	return call
@@ -152,7 +152,7 @@
 	p.runsByRequest[id]++
 	p.tenantsSeen[l.ID] = append(p.tenantsSeen[l.ID], strings.Join(header["X-Comethold-Tenant"], "+"))
 	if len(p.tenants) > 0 && strings.Contains(fmt.Sprint(header), "key") {
-		p.t.Errorf("%s is shown a key: %v", l.ID, header)
+		p.t.Errorf("leaf %s received an API key in the headers %v", l.ID, header)
 	}
 }
 
@@ -162,21 +162,22 @@
 		status, c.leaf.ID, header, len(body), body)
 }
 
-// answerWithoutRunning answers a request that is not run; goOn is false if the connection ends.
-func (c *leafConn) answerWithoutRunning(call leafCall) (isAnswered, goOn bool) {
+// answerWithoutRunning answers a request if the mode of the leaf does not run it, or if it is a health check. It
+// returns keepOpen false if the connection must be closed.
+func (c *leafConn) answerWithoutRunning(call leafCall) (isAnswered, keepOpen bool) {
 	switch {
-	case call.isForgot:
+	case call.isForgotten:
 		return true, false
-	case call.mode == "mute":
+	case call.mode == "mute": // no answer; the connection stays open
 		<-c.plane.quit
 		return true, false
 	case call.mode == "shed":
 		c.write("503 Service Unavailable", "X-Comethold-Not-Executed: 1\r\n", "")
 	case call.mode == "421":
 		c.write("421 Misdirected Request", "", "")
-	case call.isHealth && call.mode == "ill":
+	case call.isHealthCheck && call.mode == "ill": // only health checks fail
 		c.write("503 Service Unavailable", "", "")
-	case call.isHealth && call.mode != "lie":
+	case call.isHealthCheck && call.mode != "lie": // "lie" fails health checks like requests
 		c.write("200 OK", "", "")
 	default:
 		return false, true
@@ -184,28 +185,28 @@
 	return true, true
 }
 
-// answerByMode answers a request that has run; it returns false if the connection ends.
-func (c *leafConn) answerByMode(call leafCall) (goOn bool) {
+// answerByMode answers a request that has run; it returns false if the connection must be closed.
+func (c *leafConn) answerByMode(call leafCall) (keepOpen bool) {
 	const ok = "200 OK"
 	switch call.mode {
-	case "empty":
+	case "empty": // no records
 		c.write(ok, call.stamp, "")
-	case "double":
+	case "double": // the first record is repeated at the end
 		c.write(ok, call.stamp, call.body+call.body[:recordBytes])
-	case "stale":
+	case "stale": // the first record is missing
 		c.write(ok, call.stamp, call.body[recordBytes:])
 	case "error", "lie":
 		c.write("500 Internal Server Error", call.stamp, "")
 	case "hints":
 		fmt.Fprint(c.conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
 		c.write(ok, call.stamp, call.body)
-	case "alien":
+	case "alien": // the ID of another request
 		c.write(ok, call.stamp+"X-Comethold-Request-Id: another\r\n", call.body)
-	case "twice": // the second arrives when the next request is out
+	case "twice": // the second answer arrives after the next request was sent
 		stamp := call.stamp + "X-Comethold-Request-Id: " + call.id + "\r\n"
 		c.write(ok, stamp, call.body)
 		go c.write(ok, stamp, call.body)
-	case "extra":
+	case "extra": // a second answer that belongs to no request
 		c.write(ok, call.stamp, call.body)
 		c.write(ok, "X-Comethold-Server-Stamp: alien\r\n", "alien")
 	case "cut", "reset", "stall", "closing", "bye", "endless-head", "endless-body":
@@ -217,20 +218,20 @@
 	return true
 }
 
-// endByMode answers in a way that ends the connection.
+// endByMode answers in a way after which the connection is closed.
 func (c *leafConn) endByMode(call leafCall) {
 	const surplusBytes = 9
 	switch call.mode {
-	case "cut":
+	case "cut": // an answer shorter than its Content-Length
 		fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s",
 			call.stamp, len(call.body)+surplusBytes, call.body)
-	case "stall":
+	case "stall": // a truncated answer; the connection stays open
 		fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s",
 			call.stamp, len(call.body), call.body[:surplusBytes])
 		<-c.plane.quit
-	case "closing":
+	case "closing": // a complete answer that announces the close
 		c.write("200 OK", call.stamp+"Connection: close\r\n", call.body)
-	case "bye": // it ends when the next request is being written
+	case "bye": // the connection closes while the next request is being written
 		c.write("200 OK", call.stamp, call.body)
 		_, _ = c.reader.Peek(1)
 	case "endless-head":
@@ -238,14 +239,13 @@
 	case "endless-body":
 		c.writeEndlessly("HTTP/1.1 200 OK\r\n"+call.stamp+"Transfer-Encoding: chunked\r\n\r\n",
 			fmt.Sprintf("%x\r\n%s\r\n", endlessChunk, strings.Repeat("x", endlessChunk)))
-	case "reset":
+	case "reset": // closed without an answer
 	}
 }
 
-// writeEndlessly writes a text, and then another one again and again until the proxy closes the
-// connection.
-func (c *leafConn) writeEndlessly(begin, repeated string) {
-	_, err := io.WriteString(c.conn, begin)
+// writeEndlessly writes the text start once, and then the text repeated until the proxy closes the connection.
+func (c *leafConn) writeEndlessly(start, repeated string) {
+	_, err := io.WriteString(c.conn, start)
 	for err == nil {
 		_, err = io.WriteString(c.conn, repeated)
 	}
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -24,14 +24,14 @@
 	"comethold/internal/simulation"
 )
 
-// plane is one proxy among stand-ins for leafs, on simulated time.
+// plane is the world of the plane scenarios: one proxy with simulated leafs, on simulated time.
 type plane struct {
 	t        *testing.T
 	proxy    *proxy.Server
 	settings *settings.Settings
 	clients  clients
-	running  sync.WaitGroup // requests under way
-	quit     chan struct{}  // closed at the end, for leafs that do not answer
+	running  sync.WaitGroup // requests in progress
+	quit     chan struct{}  // closed at the end, to release leafs that do not answer
 	// sameRecords makes all leafs hold the same records.
 	sameRecords bool
 	// Content of the next update.
@@ -45,11 +45,11 @@
 	sequence      uint64
 	logIndex      uint64
 	nextID        int
-	statuses      map[string]int // since the last want
-	latency       time.Duration  // the greatest since the last want-within
-	last          *httptest.ResponseRecorder
+	statuses      map[string]int // counts of answers by status, since the last want
+	latency       time.Duration  // the greatest latency of a request since the last want-within
+	lastAnswer    *httptest.ResponseRecorder
 	runsByRequest map[string]int
-	tenantsSeen   map[string][]string // the tenants that a leaf was sent, in order
+	tenantsSeen   map[string][]string // the tenants in the requests that a leaf ran, in order, by leaf ID
 	conns         []net.Conn
 }
 
@@ -77,13 +77,13 @@
 	return p
 }
 
-// newProxy replaces the proxy by a new one with the current settings.
+// newProxy replaces the proxy with a new one with the current settings.
 func (p *plane) newProxy() {
 	dialLeafs := func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial }
 	p.proxy = proxy.New(p.settings, logging.Nop(), dialLeafs)
 }
 
-// shutDown ends the proxy, the clients and the leafs.
+// shutDown closes the proxy and the connections of clients and leafs.
 func (p *plane) shutDown() {
 	p.leafs = map[string]*leaf{}
 	p.routes = nil
@@ -122,8 +122,8 @@
 	p.proxy.Apply(update)
 }
 
-// configuration returns the configuration that the scenario has set so far, parsed like an
-// operator's; p.mu is held.
+// configuration returns the configuration that the scenario has set so far, parsed like one from
+// an operator. The caller must hold p.mu.
 func (p *plane) configuration() *routing.Configuration {
 	names := map[string]bool{}
 	for _, l := range p.leafs {
@@ -142,13 +142,13 @@
 	}
 	raw, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // made of our own values
+		panic(err) // the types of a configuration always marshal
 	}
 	decoded, _ := routing.Decode(raw)
 	return decoded
 }
 
-// newRequestID draws the next ID of a request.
+// newRequestID returns the next request ID.
 func (p *plane) newRequestID() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,22 +182,22 @@
 	defer p.mu.Unlock()
 	p.latency = max(p.latency, time.Since(start))
 	p.statuses[strconv.Itoa(w.Code)]++
-	p.last = w
+	p.lastAnswer = w
 	p.checkAnswer(id, method, w)
 }
 
-// checkAnswer checks that an answer belongs to the request, and that its status and headers are
-// true; p.mu is held.
+// checkAnswer checks that an answer belongs to the request, and that its status and headers agree with what the
+// leafs ran. The caller must hold p.mu.
 func (p *plane) checkAnswer(id, method string, w *httptest.ResponseRecorder) {
 	isRejection := w.Code == http.StatusTooManyRequests || w.Code == http.StatusServiceUnavailable
 	if isRejection && p.runsByRequest[id] > 0 && method == http.MethodPost {
-		p.t.Errorf("%s was answered %d and has run", id, w.Code)
+		p.t.Errorf("POST request %s got status %d, which says that it did not run, but it ran", id, w.Code)
 	}
 	if isRejection && w.Header().Get("Retry-After") == "" {
-		p.t.Errorf("%s was answered %d without word of when to come back", id, w.Code)
+		p.t.Errorf("request %s got status %d without Retry-After", id, w.Code)
 	}
 	if method == http.MethodPost && p.runsByRequest[id] > 1 {
-		p.t.Errorf("%s ran %d times", id, p.runsByRequest[id])
+		p.t.Errorf("POST request %s ran %d times, want at most 1", id, p.runsByRequest[id])
 	}
 	if w.Code != http.StatusOK {
 		return
@@ -205,11 +205,11 @@
 	stamps := w.Header().Get("X-Comethold-Server-Stamp") + w.Header().Get("X-Comethold-Part-Stamps")
 	for stamp := range strings.SplitSeq(stamps, ", ") {
 		if !strings.HasSuffix(stamp, "."+id) {
-			p.t.Errorf("%s got an answer with the stamp %s", id, stamp)
+			p.t.Errorf("request %s got an answer with the stamp %s of another request", id, stamp)
 		}
 	}
 	if bytes.Contains(w.Body.Bytes(), []byte("alien")) {
-		p.t.Errorf("%s got bytes that belong to no request", id)
+		p.t.Errorf("request %s got bytes that belong to no request", id)
 	}
 }
 
@@ -222,7 +222,7 @@
 	"eject":              (*plane).eject,
 	"reinstate":          (*plane).reinstate,
 	"update":             (*plane).update,
-	"run":                (*plane).letTimePass,
+	"run":                (*plane).runFor,
 	"request":            (*plane).sendRequests,
 	"request-at-once":    (*plane).sendRequestsAtOnce,
 	"accept-connections": (*plane).serveClients,
@@ -231,7 +231,7 @@
 	"send":               (*plane).send,
 	"send-async":         (*plane).sendAsync,
 	"send-slowly":        (*plane).sendSlowly,
-	"leave":              (*plane).leave,
+	"leave":              (*plane).closeConnection,
 	"want-working":       (*plane).wantWorking,
 	"shutdown":           (*plane).shutDownCommand,
 	"estimates":          (*plane).enableEstimates,
--- a/internal/simulation/strange_leafs_test.go
+++ b/internal/simulation/strange_leafs_test.go
@@ -25,33 +25,34 @@
 
 // Hosts of the routes.
 const (
-	unsafeHost  = "a.example" // what may not be repeated
+	unsafeHost  = "a.example" // its requests must not be repeated
 	safeHost    = "b.example"
 	scatterHost = "c.example"
 )
 
-// TestStrangeLeafs: many concurrent clients of one proxy, with leafs that end calls in all possible
-// ways. Each answer belongs to its request; a request that may not be repeated runs at most
-// once, and not at all if the client's answer says so.
-func TestStrangeLeafs(t *testing.T) {
+// TestFaultyLeafs guards against answers that reach the wrong client and against requests that run twice. Many
+// concurrent clients use one proxy whose leafs end calls in all the ways that adversary has. Each answer must
+// belong to its request; a request that must not be repeated runs at most once, and not at all if the status
+// that its client gets says that it has not run.
+func TestFaultyLeafs(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
 		a := newAdversary(t, seed)
-		front := proxy.New(strangeSettings(), logging.Nop(), rpc.TCPNetwork)
-		front.Apply(&distribution.Update{
-			Config:    distribution.FullConfig(strangeConfiguration(t)),
-			Endpoints: strangeEndpoints(a),
+		server := proxy.New(adversarySettings(), logging.Nop(), rpc.TCPNetwork)
+		server.Apply(&distribution.Update{
+			Config:    distribution.FullConfig(adversaryConfiguration(t)),
+			Endpoints: adversaryEndpoints(a),
 			Nodes:     &distribution.NodeList{LogIndex: 1, DataPlaneCount: 1},
 		})
-		run := &strangeRun{adversary: a, handler: front.Handler(), end: time.Now().Add(900 * time.Millisecond)}
-		run.callAll()
-		front.Close()
+		run := &adversaryRun{adversary: a, handler: server.Handler(), end: time.Now().Add(900 * time.Millisecond)}
+		run.runClients()
+		server.Close()
 		time.Sleep(20 * time.Millisecond)
 		a.close()
 		run.check(t)
 	}
 }
 
-func strangeSettings() *settings.Settings {
+func adversarySettings() *settings.Settings {
 	return &settings.Settings{
 		NodeName: "n1", IPAddress: "10.0.0.1", AvailabilityZone: "a", RegionName: "r",
 		InternalPortRange: []int{7000, 7010}, SeedNodes: []string{"10.0.0.2:80"},
@@ -59,13 +60,13 @@
 	}
 }
 
-// strangeServices are the services; the ones named g... are the shards of one index.
-var strangeServices = []string{"s1", "g1", "g2", "g3"}
+// adversaryServices are the services; those whose names begin with "g" are the shards of one index.
+var adversaryServices = []string{"s1", "g1", "g2", "g3"}
 
-func strangeConfiguration(t *testing.T) *routing.Configuration {
+func adversaryConfiguration(t *testing.T) *routing.Configuration {
 	t.Helper()
 	config := routing.Configuration{Version: 1, Limits: routing.Limits{MaxBodyBytes: 1 << 20}}
-	for _, name := range strangeServices {
+	for _, name := range adversaryServices {
 		service := routing.Service{Name: name, HealthPath: "/health", ConnectionLimit: 40}
 		config.Services = append(config.Services, service)
 	}
@@ -77,11 +78,11 @@
 		switch host {
 		case unsafeHost:
 			route.RouteKind = routing.KindUnsafe
-			route.Service = strangeServices[0]
+			route.Service = adversaryServices[0]
 		case safeHost:
-			route.Service = strangeServices[0]
+			route.Service = adversaryServices[0]
 		default:
-			route.FanoutServices = strangeServices[1:]
+			route.FanoutServices = adversaryServices[1:]
 		}
 		config.Routes = append(config.Routes, route)
 	}
@@ -96,65 +97,65 @@
 	return decoded
 }
 
-// strangeEndpoints starts six leafs of each service.
-func strangeEndpoints(a *adversary) *distribution.EndpointList {
+// adversaryEndpoints starts six leafs of each service.
+func adversaryEndpoints(a *adversary) *distribution.EndpointList {
 	const leafsPerService = 6
 	list := &distribution.EndpointList{Revision: distribution.Revision{Term: 1, Sequence: 1}}
-	for _, name := range strangeServices {
+	for _, name := range adversaryServices {
 		for i := range leafsPerService {
-			list.Endpoints = append(list.Endpoints, a.leaf(name+"-"+strconv.Itoa(i), name))
+			list.Endpoints = append(list.Endpoints, a.startLeaf(name+"-"+strconv.Itoa(i), name))
 		}
 	}
 	return list
 }
 
-// strangeRun is the state of one run: many concurrent clients of one proxy.
-type strangeRun struct {
+// adversaryRun is the state of one run: many concurrent clients of one proxy.
+type adversaryRun struct {
 	adversary *adversary
 	handler   http.Handler
 	end       time.Time
 	nextID    atomic.Int64
 	succeeded atomic.Int64
 
-	mu    sync.Mutex // guards the field below
-	asked []askedRequest
+	mu       sync.Mutex // guards the field below
+	requests []sentRequest
 }
 
-// askedRequest is a request of the test's client and its status.
-type askedRequest struct {
-	id     string
-	isOnce bool // it may not be repeated
-	code   int
+// sentRequest is a request of a client and the status that the client got.
+type sentRequest struct {
+	id       string
+	isUnsafe bool // it must not be repeated
+	code     int
 }
 
-// callAll runs twelve clients that send requests until the end.
-func (s *strangeRun) callAll() {
-	const callers = 12
-	var calling sync.WaitGroup
-	for caller := range callers {
-		rng := rand.New(rand.NewSource(int64(1000*s.adversary.seed + caller)))
-		calling.Go(func() {
+// runClients runs twelve concurrent clients that send requests until the end time.
+func (s *adversaryRun) runClients() {
+	const clients = 12
+	var running sync.WaitGroup
+	for client := range clients {
+		rng := rand.New(rand.NewSource(int64(1000*s.adversary.seed + client)))
+		running.Go(func() {
 			for time.Now().Before(s.end) {
-				s.call(caller, rng)
+				s.sendRequest(client, rng)
 			}
 		})
 	}
-	calling.Wait()
+	running.Wait()
 }
 
-// call sends one request with the client's route and method, and checks its answer.
-func (s *strangeRun) call(caller int, rng *rand.Rand) {
-	host := []string{unsafeHost, safeHost, scatterHost}[caller%3]
+// sendRequest sends one request with the route and method of a client, and checks its answer.
+func (s *adversaryRun) sendRequest(client int, rng *rand.Rand) {
+	host := []string{unsafeHost, safeHost, scatterHost}[client%3]
 	id := "q" + strconv.FormatInt(s.nextID.Add(1), 10)
 	records := 0
 	if rng.Intn(2) == 0 {
 		records = 1 << rng.Intn(15)
 	}
 	method := http.MethodPost
-	if caller%3 > 0 {
+	if client%3 > 0 {
 		method = http.MethodGet
 	}
-	if caller%6 == 1 {
+	if client%6 == 1 {
 		method = http.MethodHead
 		records = 0
 	}
@@ -165,50 +166,50 @@
 	request.Host = host
 	request.Header.Set("X-Comethold-Request-Id", id)
 	request.Header.Set("X-Comethold-Deadline-Remaining", strconv.Itoa(20+rng.Intn(60)))
-	if rng.Intn(10) == 0 { // the client goes away
+	if rng.Intn(10) == 0 { // the client closes the connection early
 		time.AfterFunc(time.Millisecond, cancel)
 	}
 	answer := httptest.NewRecorder()
 	s.handler.ServeHTTP(answer, request)
-	s.judge(host, id, method == http.MethodHead, answer)
+	s.checkAnswer(host, id, method == http.MethodHead, answer)
 	if answer.Code == http.StatusOK {
 		s.succeeded.Add(1)
 	}
 	s.mu.Lock()
-	s.asked = append(s.asked, askedRequest{id, host == unsafeHost, answer.Code})
+	s.requests = append(s.requests, sentRequest{id, host == unsafeHost, answer.Code})
 	s.mu.Unlock()
 	if answer.Code == http.StatusServiceUnavailable {
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// judge checks one answer.
-func (s *strangeRun) judge(host, id string, isHead bool, w *httptest.ResponseRecorder) {
-	fault := func(what string) {
-		s.adversary.t.Errorf("seed %d: %s on %s got %d %s: %v %.80q",
-			s.adversary.seed, id, host, w.Code, what, w.Header(), w.Body)
+// checkAnswer checks that an answer is complete and belongs to its request.
+func (s *adversaryRun) checkAnswer(host, id string, isHead bool, w *httptest.ResponseRecorder) {
+	fail := func(problem string) {
+		s.adversary.t.Errorf("seed %d: request %s to %s got status %d: %s; headers %v, body %.80q",
+			s.adversary.seed, id, host, w.Code, problem, w.Header(), w.Body)
 	}
 	if got := w.Header().Get("X-Comethold-Request-Id"); got != "" && got != id {
-		fault("of another request")
+		fail("X-Comethold-Request-Id is that of another request")
 	}
 	if w.Code/100 != 2 {
 		return
 	}
 	if host != scatterHost {
 		if !isOwnAnswer(id, isHead, w) {
-			fault("that is not its own")
+			fail("the answer is incomplete or belongs to another request")
 		}
 		return
 	}
 	seen := map[string]bool{}
 	for stamp := range strings.SplitSeq(w.Header().Get("X-Comethold-Part-Stamps"), ", ") {
 		if !strings.HasPrefix(stamp, id+".") || seen[stamp] {
-			fault("with the stamp " + stamp)
+			fail("part stamp repeated or of another request: " + stamp)
 		}
 		seen[stamp] = true
 	}
 	if w.Body.String() != bodyOf(id, min(4, 2*len(seen))) {
-		fault("with records of others")
+		fail("records are missing or belong to another request")
 	}
 }
 
@@ -219,27 +220,28 @@
 	}
 	body := bodyOf(id, 2)
 	size := w.Header().Get("Content-Length")
-	if isHead { // an unmarked answer to HEAD names no size
+	if isHead { // the "unmarked" ending has no Content-Length
 		return w.Body.Len() == 0 && (size == "" || size == strconv.Itoa(len(body)))
 	}
 	return w.Body.String() == body && size == strconv.Itoa(len(body))
 }
 
-// check compares the answers that clients got with the requests that leafs ran.
-func (s *strangeRun) check(t *testing.T) {
+// check compares the statuses that clients got with the requests that leafs ran.
+func (s *adversaryRun) check(t *testing.T) {
 	t.Helper()
 	a := s.adversary
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, asked := range s.asked {
-		isPromise := asked.code == http.StatusTooManyRequests || asked.code == http.StatusServiceUnavailable ||
-			asked.code == http.StatusRequestTimeout || asked.code == http.StatusMisdirectedRequest
-		if runs := a.runs[asked.id]; asked.isOnce && (runs > 1 || isPromise && runs > 0) {
-			t.Errorf("seed %d: %s was answered %d and ran %d times", a.seed, asked.id, asked.code, runs)
+	for _, sent := range s.requests {
+		saysNotRun := sent.code == http.StatusTooManyRequests || sent.code == http.StatusServiceUnavailable ||
+			sent.code == http.StatusRequestTimeout || sent.code == http.StatusMisdirectedRequest
+		if runs := a.runs[sent.id]; sent.isUnsafe && (runs > 1 || saysNotRun && runs > 0) {
+			t.Errorf("seed %d: unsafe request %s got status %d and ran %d times, want at most 1, or 0 if the status says so",
+				a.seed, sent.id, sent.code, runs)
 		}
 	}
-	t.Logf("seed %d: %d requests, %d well", a.seed, len(s.asked), s.succeeded.Load())
+	t.Logf("seed %d: %d requests, %d with status 200", a.seed, len(s.requests), s.succeeded.Load())
 	if s.succeeded.Load() == 0 {
-		t.Errorf("seed %d: nothing went well", a.seed)
+		t.Errorf("seed %d: no request got status 200, want at least one", a.seed)
 	}
 }
