--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -53,14 +53,14 @@
 // waitOf returns how long the calls of a command wait for their answers: its option wait, in
 // milliseconds.
 func waitOf(c simulation.Command) time.Duration {
-	return time.Duration(c.Number("wait", defaultWaitMs)) * time.Millisecond
+	return time.Duration(c.OptionFloat("wait", defaultWaitMs)) * time.Millisecond
 }
 
 // configureOrigin is `origin [ttl= rate= work=]`: sets the TTL of objects in seconds, the rate of the
 // service in requests per second and the duration of a read in milliseconds. It also grants the
 // server the full share of the rate.
 func (w *cacheWorld) configureOrigin(c simulation.Command) error {
-	w.readDuration = time.Duration(c.Number("work", 50) * float64(time.Millisecond))
+	w.readDuration = time.Duration(c.OptionFloat("work", 50) * float64(time.Millisecond))
 	raw, err := json.Marshal(map[string]any{
 		"version": 1,
 		"routes": []any{map[string]any{
@@ -71,12 +71,12 @@
 			"timeoutMs":   3000,
 			"service":     "s",
 			"maxAttempts": 2,
-			"cacheTtlS":   c.Number("ttl", 10),
+			"cacheTtlS":   c.OptionFloat("ttl", 10),
 		}},
 		"services": []any{map[string]any{
 			"name":            "s",
 			"connectionLimit": 100,
-			"ratePerS":        c.Number("rate", 0),
+			"ratePerS":        c.OptionFloat("rate", 0),
 		}},
 	})
 	if err != nil {
@@ -161,7 +161,7 @@
 
 // getInTurn is `get PATH [n= wait=]`: requests an object n times, one request after the other.
 func (w *cacheWorld) getInTurn(c simulation.Command) error {
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		w.get(c.Word(0), waitOf(c))
 	}
 	return nil
@@ -170,7 +170,7 @@
 // getConcurrently is `get-concurrently PATH,... [n= wait= background=]`: requests each object n times,
 // all at once. With background, the next command doesn't wait for the answers.
 func (w *cacheWorld) getConcurrently(c simulation.Command) error {
-	for range int(c.Number("n", 1)) {
+	for range int(c.OptionFloat("n", 1)) {
 		for _, path := range strings.Split(c.Word(0), ",") {
 			w.calls.Go(func() { w.get(path, waitOf(c)) })
 		}
@@ -281,5 +281,5 @@
 		t.Helper()
 		return newCacheWorld(t)
 	}
-	simulation.Play(t, "testdata", simulatedTime, world)
+	simulation.RunScenarios(t, "testdata", simulatedTime, world)
 }
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -51,7 +51,7 @@
 // send makes one request from the operator's address, on a connection of its own.
 func (f *fleet) send(ctx context.Context, method, url string, base uint64, raw string) (int, string, error) {
 	transport := &http.Transport{
-		DialContext:       f.network.netOf(operatorAddr)(time.Second, time.Second),
+		DialContext:       f.network.networkFor(operatorAddr)(time.Second, time.Second),
 		DisableKeepAlives: true,
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+url, strings.NewReader(raw))
@@ -173,7 +173,7 @@
 		tries = 100
 		pause = 100 * time.Millisecond
 	)
-	client := rpc.NewClient(f.network.netOf(operatorAddr))
+	client := rpc.NewClient(f.network.networkFor(operatorAddr))
 	for range tries {
 		for _, m := range f.controlNodes() {
 			if f.confirmsLeadership(client, m) {
@@ -273,13 +273,13 @@
 func (f *fleet) runOperators(c simulation.Command) error {
 	var working sync.WaitGroup
 	for i := range c.Int(0) {
-		seed := int64(c.Number("seed", 1))*100 + int64(i)
+		seed := int64(c.OptionFloat("seed", 1))*100 + int64(i)
 		o := &operator{
 			fleet:    f,
 			machines: f.machinesNamed(c.Word(1)),
 			rng:      rand.New(rand.NewSource(seed)),
 			name:     "o" + strconv.Itoa(i),
-			maxPause: c.Span("gap", 300),
+			maxPause: c.OptionDuration("gap", 300),
 		}
 		working.Go(func() { o.work(time.Now().Add(c.Milliseconds(2))) })
 	}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -170,7 +170,7 @@
 // start runs the programs of a machine.
 func (f *fleet) start(m *machine) {
 	set := f.settingsOf(m)
-	view := f.network.netOf(m.addr)
+	view := f.network.networkFor(m.addr)
 	var servers []*http.Server
 	if m.disk {
 		if err := os.MkdirAll(set.DataDirectory, 0o755); err != nil {
@@ -338,7 +338,7 @@
 		}()
 		synctest.Test(t, run)
 	}
-	simulation.Play(t, dir, inSimulatedTime, func(t *testing.T) simulation.World {
+	simulation.RunScenarios(t, dir, inSimulatedTime, func(t *testing.T) simulation.World {
 		t.Helper()
 		f := newFleet(t)
 		mu.Lock()
