--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -1,16 +1,16 @@
-// Package compat holds the records of what earlier versions stored and sent, and the
-// checks that this version still reads them.
+// Package compat holds recorded data and messages of earlier versions, and test helpers that
+// check that this version still decodes them.
 //
-// During a roll-out two versions run side by side, and a new version opens the data
-// directories of the old one. So bucket names, keys and cbor numbers never change. The
-// records under testdata are keyed by these alone: a rename of a Go identifier or a move of
-// a type to another package leaves them as they are.
+// During a rolling upgrade two versions run side by side, and the new version opens data
+// directories that the old one wrote. Bucket names, keys and CBOR field numbers must
+// therefore never change. The records under testdata are keyed only by these, so renaming a
+// Go identifier or moving a type to another package doesn't affect them.
 //
-// The records are rewritten by
+// This command rewrites the records:
 //
 //	COMPAT_UPDATE=1 go test ./...
 //
-// which is right only after something was added, or if an old format is dropped on purpose.
+// Use it only after adding a field or a message, or to drop an old format on purpose.
 package compat
 
 import (
@@ -34,52 +34,54 @@
 
 // Message is one value of a type that is sent or stored.
 type Message struct {
-	Name  string // of its record; never changes
-	Value any    // the value that the record must decode to; a struct, map or slice, not a pointer
+	Name  string // name of the record file without its extension; must never change
+	Value any    // expected result of decoding the record; a struct, map or slice, not a pointer
 }
 
-// record is the file of a message.
+// record is the content of a message's record file.
 type record struct {
 	CBOR  string `json:"cbor"`  // the recorded bytes, in hex
-	Value any    `json:"value"` // the same in readable form, by cbor numbers
+	Value any    `json:"value"` // the decoded message, keyed by CBOR field numbers; see Readable
 }
 
-// Updating reports whether the records are to be rewritten.
+// Updating reports whether the tests rewrite the records (COMPAT_UPDATE is set).
 func Updating() bool { return os.Getenv("COMPAT_UPDATE") != "" }
 
-// Path returns the path of a file in this package's testdata, whichever package the test runs in.
+// Path returns the path of a file in this package's testdata directory. It works in tests of any
+// package.
 func Path(names ...string) string {
 	_, self, _, _ := runtime.Caller(0)
 	return filepath.Join(append([]string{filepath.Dir(self), "testdata"}, names...)...)
 }
 
 // CheckMessages decodes the recorded bytes of every message and compares the result with its value.
-// It also compares this version's encoding of the value with the record. Together the messages must
-// fill every field of every type that they contain.
+// It also compares this version's encoding of the value with the record. Every exported field of
+// every struct type in the messages must be non-zero in at least one of them, so that no field is
+// left unchecked.
 func CheckMessages(t *testing.T, messages []Message) {
 	t.Helper()
-	filled := fields{}
+	coverage := fieldCoverage{}
 	for _, m := range messages {
-		filled.note(reflect.ValueOf(m.Value))
+		coverage.add(reflect.ValueOf(m.Value))
 		t.Run(m.Name, func(t *testing.T) { checkMessage(t, m) })
 	}
-	for _, name := range filled.empty() {
-		t.Errorf("no message fills %s: add a record that does", name)
+	for _, name := range coverage.unset() {
+		t.Errorf("field %s is zero in all messages: add a message that sets it", name)
 	}
 }
 
 func checkMessage(t *testing.T, m Message) {
 	t.Helper()
-	sent, err := cbor.Marshal(m.Value)
+	encoded, err := cbor.Marshal(m.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := Path("messages", m.Name+".json")
 	if Updating() {
-		write(t, path, record{hex.EncodeToString(sent), Readable(t, sent)})
+		writeJSON(t, path, record{hex.EncodeToString(encoded), Readable(t, encoded)})
 	}
 	var rec record
-	read(t, path, &rec)
+	readJSON(t, path, &rec)
 	recorded, err := hex.DecodeString(rec.CBOR)
 	if err != nil {
 		t.Fatal(err)
@@ -89,14 +91,15 @@
 		t.Fatalf("the recorded message can't be decoded: %v", err)
 	}
 	if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, m.Value) {
-		t.Errorf("the recorded message decodes to\n%+v, not\n%+v", got, m.Value)
+		t.Errorf("the recorded message decodes to\n%+v, want\n%+v", got, m.Value)
 	}
-	if place, ok := difference("", plain(t, Readable(t, sent)), rec.Value); ok {
-		t.Errorf("what this version sends differs at %s", place)
+	if position, ok := difference("", normalize(t, Readable(t, encoded)), rec.Value); ok {
+		t.Errorf("the encoding of this version differs from the record at %s", position)
 	}
 }
 
-// Readable decodes cbor without knowledge of Go types: maps by their numbers or names.
+// Readable decodes CBOR without Go types into values that can be written as JSON. Maps and structs
+// become maps from the encoded keys (numbers or names), in decimal or as text, to values.
 func Readable(t *testing.T, raw []byte) any {
 	t.Helper()
 	var v any
@@ -130,7 +133,8 @@
 	return v
 }
 
-// Text returns bytes as text if they are printable, else in hex.
+// Text returns b as text if it is valid UTF-8 without unprintable characters, otherwise in hex. A
+// prefix names the form.
 func Text(b []byte) string {
 	if utf8.Valid(b) && strings.IndexFunc(string(b), func(r rune) bool { return !unicode.IsPrint(r) }) < 0 {
 		return "text " + string(b)
@@ -138,23 +142,24 @@
 	return "hex " + hex.EncodeToString(b)
 }
 
-// CheckJSON compares a value with the recorded one in a file of testdata.
+// CheckJSON compares the JSON encoding of v with the recorded JSON file at path.
 func CheckJSON(t *testing.T, path string, v any) {
 	t.Helper()
 	if Updating() {
-		write(t, path, v)
+		writeJSON(t, path, v)
 	}
 	var want any
-	read(t, path, &want)
-	if at, ok := difference("", plain(t, v), want); ok {
-		t.Errorf("%s differs at %s", filepath.Base(path), at)
+	readJSON(t, path, &want)
+	if position, ok := difference("", normalize(t, v), want); ok {
+		t.Errorf("the value differs from the record %s at %s", filepath.Base(path), position)
 	}
 }
 
-// plain encodes a value as JSON and decodes it again.
-func plain(t *testing.T, v any) (out any) {
+// normalize encodes a value as JSON and decodes it again, so that it has the same Go types as a
+// decoded record.
+func normalize(t *testing.T, v any) (out any) {
 	t.Helper()
-	d := json.NewDecoder(strings.NewReader(asJSON(t, v)))
+	d := json.NewDecoder(strings.NewReader(marshalJSON(t, v)))
 	d.UseNumber()
 	if err := d.Decode(&out); err != nil {
 		t.Fatal(err)
@@ -162,7 +167,8 @@
 	return out
 }
 
-// difference returns a position at which two decoded values differ.
+// difference compares two decoded JSON values. If they differ, it returns true and a text with the
+// position of a difference, which begins with at.
 func difference(at string, got, want any) (string, bool) {
 	switch got := got.(type) {
 	case []any:
@@ -174,13 +180,13 @@
 			return differenceOfMaps(at, got, want)
 		}
 	}
-	return fmt.Sprintf("%s: %v, recorded is %v", at, got, want), !reflect.DeepEqual(got, want)
+	return fmt.Sprintf("%s: got %v, recorded %v", at, got, want), !reflect.DeepEqual(got, want)
 }
 
 func differenceOfLists(at string, got, want []any) (string, bool) {
 	for i := range got {
-		if place, ok := difference(fmt.Sprintf("%s[%d]", at, i), got[i], want[i]); ok {
-			return place, true
+		if position, ok := difference(fmt.Sprintf("%s[%d]", at, i), got[i], want[i]); ok {
+			return position, true
 		}
 	}
 	return "", false
@@ -188,19 +194,19 @@
 
 func differenceOfMaps(at string, got, want map[string]any) (string, bool) {
 	for _, key := range slices.Sorted(maps.Keys(want)) {
-		if place, ok := difference(at+"/"+key, got[key], want[key]); ok {
-			return place, true
+		if position, ok := difference(at+"/"+key, got[key], want[key]); ok {
+			return position, true
 		}
 	}
 	for key := range got {
 		if _, ok := want[key]; !ok {
-			return fmt.Sprintf("%s/%s: not recorded", at, key), true
+			return fmt.Sprintf("%s/%s: missing from the record", at, key), true
 		}
 	}
 	return "", false
 }
 
-func asJSON(t *testing.T, v any) string {
+func marshalJSON(t *testing.T, v any) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -209,17 +215,17 @@
 	return string(raw)
 }
 
-func write(t *testing.T, path string, v any) {
+func writeJSON(t *testing.T, path string, v any) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, []byte(asJSON(t, v)+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(marshalJSON(t, v)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func read(t *testing.T, path string, v any) {
+func readJSON(t *testing.T, path string, v any) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/compat/consensus_test.go
+++ b/internal/compat/consensus_test.go
@@ -10,7 +10,7 @@
 	"comethold/internal/paxos"
 )
 
-// transaction has every kind of operation, and values of every type.
+// transaction returns a transaction with every kind of operation and values of every type.
 func transaction() paxos.Txn {
 	yes := true
 	return paxos.Txn{
@@ -51,20 +51,29 @@
 	}
 }
 
-// number is the proposal number of the messages.
-func number() paxos.ProposalNumber { return paxos.ProposalNumber{Term: 4, Proposer: "a"} }
+// proposalNumber returns the proposal number of the test messages.
+func proposalNumber() paxos.ProposalNumber { return paxos.ProposalNumber{Term: 4, Proposer: "a"} }
 
-// TestConsensusMessages: one recorded message of each kind between replicas, and the content of their log.
+// TestConsensusMessages guards against a change of encoding after which two versions can't exchange
+// consensus messages, or this version can't decode the log and snapshots of an earlier one. It has one
+// message of each kind.
 func TestConsensusMessages(t *testing.T) {
 	messages := []compat.Message{
-		{Name: "ballot", Value: number()},
+		{Name: "ballot", Value: proposalNumber()},
 		{Name: "transaction", Value: transaction()},
 		{Name: "log-entry", Value: entry()},
 		{Name: "snapshot", Value: *snapshot()},
 		{Name: "batch", Value: replicahost.Batch{
 			Sender: replicahost.PeerInfo{ID: "10.0.0.1~f", Addr: "10.0.0.1", Zone: "z1", Name: "n1"},
 			Messages: []paxos.Message{
-				{Cell: "c", Kind: paxos.Accepted, From: "b", To: "a", ProposalNumber: number(), AcceptedIndexes: []uint64{12}},
+				{
+					Cell:            "c",
+					Kind:            paxos.Accepted,
+					From:            "b",
+					To:              "a",
+					ProposalNumber:  proposalNumber(),
+					AcceptedIndexes: []uint64{12},
+				},
 			},
 			EndpointList: distribution.Revision{Term: 5, Sequence: 77},
 			WallTime:     1700000000000000001, AgreedTime: 1700000000000000002,
@@ -77,7 +86,7 @@
 	compat.CheckMessages(t, messages)
 }
 
-// electionMessages are the messages of elections and of leadership transfers.
+// electionMessages returns the messages of elections and of leadership transfers.
 func electionMessages() []compat.Message {
 	return []compat.Message{
 		{
@@ -87,7 +96,7 @@
 				Kind:            paxos.Prepare,
 				From:            "a",
 				To:              "b",
-				ProposalNumber:  number(),
+				ProposalNumber:  proposalNumber(),
 				Index:           12,
 				EndedLeadership: paxos.ProposalNumber{Term: 2, Proposer: "z"},
 			},
@@ -99,7 +108,7 @@
 				Kind:           paxos.Promise,
 				From:           "b",
 				To:             "a",
-				ProposalNumber: number(),
+				ProposalNumber: proposalNumber(),
 				Index:          12,
 				CommitIndex:    11,
 				Entries:        []paxos.Entry{entry()},
@@ -114,7 +123,7 @@
 				Kind:              paxos.Reject,
 				From:              "b",
 				To:                "a",
-				ProposalNumber:    number(),
+				ProposalNumber:    proposalNumber(),
 				HeartbeatSequence: 5,
 			},
 		},
@@ -125,18 +134,20 @@
 				Kind:              paxos.TermPersisted,
 				From:              "a",
 				To:                "b",
-				ProposalNumber:    number(),
+				ProposalNumber:    proposalNumber(),
 				HeartbeatSequence: 7,
 			},
 		},
 		{
-			Name:  "leadership-transfer",
-			Value: paxos.Message{Cell: "c", Kind: paxos.LeadershipTransfer, From: "a", To: "b", ProposalNumber: number()},
+			Name: "leadership-transfer",
+			Value: paxos.Message{
+				Cell: "c", Kind: paxos.LeadershipTransfer, From: "a", To: "b", ProposalNumber: proposalNumber(),
+			},
 		},
 	}
 }
 
-// replicationMessages are the messages by which entries are accepted and committed.
+// replicationMessages returns the messages that replicate and commit entries.
 func replicationMessages() []compat.Message {
 	return []compat.Message{
 		{
@@ -146,7 +157,7 @@
 				Kind:           paxos.Accept,
 				From:           "a",
 				To:             "b",
-				ProposalNumber: number(),
+				ProposalNumber: proposalNumber(),
 				CommitIndex:    11,
 				Entries:        []paxos.Entry{entry()},
 			},
@@ -158,7 +169,7 @@
 				Kind:            paxos.Accepted,
 				From:            "b",
 				To:              "a",
-				ProposalNumber:  number(),
+				ProposalNumber:  proposalNumber(),
 				AcceptedIndexes: []uint64{12, 13},
 				EchoTimestamp:   98,
 			},
@@ -170,14 +181,15 @@
 				Kind:            paxos.CommitPersisted,
 				From:            "a",
 				To:              "b",
-				ProposalNumber:  number(),
+				ProposalNumber:  proposalNumber(),
 				AcceptedIndexes: []uint64{12},
 			},
 		},
 	}
 }
 
-// heartbeatMessages are the messages between a leader and its followers while nothing is proposed.
+// heartbeatMessages returns the messages that a leader and its followers exchange while there are no
+// proposals.
 func heartbeatMessages() []compat.Message {
 	return []compat.Message{
 		{
@@ -187,7 +199,7 @@
 				Kind:                     paxos.Heartbeat,
 				From:                     "a",
 				To:                       "b",
-				ProposalNumber:           number(),
+				ProposalNumber:           proposalNumber(),
 				CommitIndex:              12,
 				HeartbeatSequence:        6,
 				EchoTimestamp:            97,
@@ -202,7 +214,7 @@
 				Kind:              paxos.HeartbeatAck,
 				From:              "b",
 				To:                "a",
-				ProposalNumber:    number(),
+				ProposalNumber:    proposalNumber(),
 				CommitIndex:       11,
 				HeartbeatSequence: 6,
 				EchoTimestamp:     96,
@@ -211,7 +223,7 @@
 	}
 }
 
-// catchUpMessages are the messages by which a lagging replica gets the missing entries.
+// catchUpMessages returns the messages by which a lagging replica gets the missing entries.
 func catchUpMessages() []compat.Message {
 	return []compat.Message{
 		{
--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -20,18 +20,19 @@
 	"comethold/internal/usage"
 )
 
-// control is a system of a single control node.
-type control struct {
+// controlNode is a control plane that consists of one node.
+type controlNode struct {
 	t         *testing.T
 	settings  *settings.Settings
-	process   *controlplane.Server
+	server    *controlplane.Server
 	operator  *httptest.Server
 	internal  *httptest.Server
 	datagrams net.PacketConn
 }
 
-// start runs a control plane on a data directory. It can call the platform only.
-func start(t *testing.T, dir string, first bool, platform *httptest.Server) *control {
+// startControlNode starts a control node with the data directory dir. Its only outgoing connections
+// are to the platform; if platform is nil, it has none.
+func startControlNode(t *testing.T, dir string, firstStart bool, platform *httptest.Server) *controlNode {
 	t.Helper()
 	set := &settings.Settings{
 		NodeName:          "n1",
@@ -41,7 +42,7 @@
 		HeartbeatMs:       1200,
 		InternalPortRange: []int{7120, 7135},
 		SeedNodes:         []string{address + ":7120"},
-		FirstStart:        first,
+		FirstStart:        firstStart,
 		DataDirectory:     dir,
 		Bounds: settings.Bounds{
 			DrainMs:        3000,
@@ -63,25 +64,26 @@
 		set.Bounds.UsageDelayS = 4
 	}
 	network := platformOnly(set.Platform.Address, platform)
-	process := controlplane.New(set, logging.Nop(), network, storage.LocalDisk{})
+	server := controlplane.New(set, logging.Nop(), network, storage.LocalDisk{})
 	datagrams, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &control{
+	c := &controlNode{
 		t:         t,
 		settings:  set,
-		process:   process,
-		operator:  httptest.NewServer(process.OperatorHandler()),
-		internal:  httptest.NewServer(process.InternalHandler()),
+		server:    server,
+		operator:  httptest.NewServer(server.OperatorHandler()),
+		internal:  httptest.NewServer(server.InternalHandler()),
 		datagrams: datagrams,
 	}
-	go func() { _ = process.Run() }()
-	go func() { _ = process.ServeDatagrams(datagrams) }()
+	go func() { _ = server.Run() }()
+	go func() { _ = server.ServeDatagrams(datagrams) }()
 	return c
 }
 
-// platformOnly is a network on which only the platform answers, if there is one.
+// platformOnly returns a network on which only connections to address succeed. They go to platform;
+// if it is nil, every connection fails.
 func platformOnly(address string, platform *httptest.Server) rpc.Network {
 	return func(time.Duration, time.Duration) rpc.DialFunc {
 		return func(ctx context.Context, network, to string) (net.Conn, error) {
@@ -93,15 +95,16 @@
 	}
 }
 
-func (c *control) stop() {
-	c.process.Stop()
+func (c *controlNode) stop() {
+	c.server.Stop()
 	c.operator.Close()
 	c.internal.Close()
 	_ = c.datagrams.Close()
 }
 
-// order makes an operator's call, and repeats it on 503 until the control plane is ready.
-func (c *control) order(path, base, body string) (status int, answer []byte) {
+// callOperator calls a path of the operator handler, with GET if the body is empty and otherwise with
+// POST. It sends the call up to 600 times while the status is 503 (the control plane isn't ready).
+func (c *controlNode) callOperator(path, base, body string) (status int, answer []byte) {
 	c.t.Helper()
 	for range 600 {
 		method := http.MethodPost
@@ -130,50 +133,50 @@
 	return status, answer
 }
 
-// want makes an operator's call that must have this status.
-func (c *control) want(status int, path, base, body string) []byte {
+// wantStatus calls a path of the operator handler and fails the test if the answer has another status.
+func (c *controlNode) wantStatus(status int, path, base, body string) []byte {
 	c.t.Helper()
-	got, answer := c.order(path, base, body)
+	got, answer := c.callOperator(path, base, body)
 	if got != status {
-		c.t.Fatalf("%s %s: %d %s, not %d", path, body, got, answer, status)
+		c.t.Fatalf("%s with the body %q returned %d %s, want %d", path, body, got, answer, status)
 	}
 	return answer
 }
 
-// update returns the update that the control plane sends to a node without any state.
-func (c *control) update(call distribution.UpdateRequest) distribution.Update {
+// requestUpdate returns the update that the control plane sends on a request.
+func (c *controlNode) requestUpdate(request distribution.UpdateRequest) distribution.Update {
 	c.t.Helper()
 	var out distribution.Update
-	c.call("/feed", &call, &out)
+	c.callInternal("/feed", &request, &out)
 	return out
 }
 
-// call makes a call as another process of the system does.
-func (c *control) call(path string, request, answer any) {
+// callInternal calls a path of the internal handler, as other processes of the system do.
+func (c *controlNode) callInternal(path string, request, answer any) {
 	c.t.Helper()
 	client := rpc.NewClient(rpc.TCPNetwork)
 	err := client.Call(c.t.Context(), c.internal.Listener.Addr().String(), path, request, answer)
 	if err != nil {
-		c.t.Fatalf("%s: %v", path, err)
+		c.t.Fatalf("the internal call %s failed: %v", path, err)
 	}
 }
 
-// until waits for an update that meets a condition.
-func (c *control) until(what string, fits func(distribution.Update) bool) distribution.Update {
+// waitForUpdate requests updates until one of them meets a condition, up to 600 times.
+func (c *controlNode) waitForUpdate(want string, matches func(distribution.Update) bool) distribution.Update {
 	c.t.Helper()
-	var n distribution.Update
+	var u distribution.Update
 	for range 600 {
-		if n = c.update(distribution.UpdateRequest{Node: distribution.Node{Zone: "z1"}, Immediate: true}); fits(n) {
-			return n
+		if u = c.requestUpdate(distribution.UpdateRequest{Node: distribution.Node{Zone: "z1"}, Immediate: true}); matches(u) {
+			return u
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("no %s: %+v", what, n)
-	return n
+	c.t.Fatalf("no update with %s after 600 requests; the last is %+v", want, u)
+	return u
 }
 
-// claim renews a node's share lease.
-func (c *control) claim(table distribution.ShareTable, number uint64) {
+// claimShare requests a share from a table for the node n2, which holds none.
+func (c *controlNode) claimShare(table distribution.ShareTable, number uint64) {
 	c.t.Helper()
 	request := distribution.ShareRequest{
 		Node:      "n2",
@@ -181,11 +184,12 @@
 		Table:     table,
 		Number:    distribution.RequestNumber{Incarnation: 9, Sequence: number},
 	}
-	c.call("/claim", &request, nil)
+	c.callInternal("/claim", &request, nil)
 }
 
-// count sends counts of a tenant like a node, for long enough that they are written to disk.
-func (c *control) count() {
+// sendUsageCounts sends usage reports of a node for 6 s, long enough that the control node writes
+// their counts to disk.
+func (c *controlNode) sendUsageCounts() {
 	c.t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(c.t.Context(), "udp4", c.datagrams.LocalAddr().String())
 	if err != nil {
@@ -211,30 +215,30 @@
 	}
 }
 
-// waitForFences waits until the leases were acquired with fencing tokens higher than the recorded
-// ones.
-func (c *control) waitForFences() {
+// waitForFencingTokens waits until two duties other than usage reporting, which isn't configured after
+// the restart, have fencing tokens above 1, the recorded value.
+func (c *controlNode) waitForFencingTokens() {
 	c.t.Helper()
-	var v struct {
+	var answer struct {
 		Duties []struct {
 			Duty  string `json:"duty"`
 			Fence uint64 `json:"fence"`
 		} `json:"duties"`
 	}
 	for range 600 {
-		if err := json.Unmarshal(c.want(http.StatusOK, "/Duties.Read", "", ""), &v); err != nil {
+		if err := json.Unmarshal(c.wantStatus(http.StatusOK, "/Duties.Read", "", ""), &answer); err != nil {
 			c.t.Fatal(err)
 		}
-		on := 0
-		for _, d := range v.Duties {
+		renewed := 0
+		for _, d := range answer.Duties {
 			if d.Fence > 1 && d.Duty != settings.UsageReportingDuty {
-				on++
+				renewed++
 			}
 		}
-		if on == 2 {
+		if renewed == 2 {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Errorf("the fencing tokens don't go on: %+v", v)
+	c.t.Errorf("after 600 requests, fewer than two duties have fencing tokens above 1: %+v", answer)
 }
--- a/internal/compat/coverage_test.go
+++ b/internal/compat/coverage_test.go
@@ -10,7 +10,8 @@
 	"comethold/internal/compat"
 )
 
-// TestEveryRecordIsChecked: every record is checked by a test, even after tests have moved.
+// TestEveryRecordIsChecked guards against a recorded message that no test decodes, which happens when
+// its test is moved or deleted. It searches the source of all tests for the name of each record.
 func TestEveryRecordIsChecked(t *testing.T) {
 	var tests strings.Builder
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, _ os.DirEntry, err error) error {
@@ -26,13 +27,13 @@
 	}
 	records, err := filepath.Glob(compat.Path("messages", "*.json"))
 	if err != nil || len(records) == 0 {
-		t.Fatal("there are no records", err)
+		t.Fatal("no recorded messages found:", err)
 	}
 	for _, path := range records {
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
-		read := regexp.MustCompile(`Name: +"` + name + `"`) // gofmt aligns values
+		read := regexp.MustCompile(`Name: +"` + name + `"`) // gofmt may align values with several spaces
 		if !read.MatchString(tests.String()) {
-			t.Errorf("no test reads the record %s", name)
+			t.Errorf("no test contains a message with the name of the record %s", name)
 		}
 	}
 }
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -19,13 +19,14 @@
 	"comethold/internal/storage"
 )
 
-// Names of the recorded data directory of a control machine.
+// The file in the recorded data directory of a control node, and the node's address.
 const (
 	dataFile = "vault.db"
 	address  = "10.0.0.1"
 )
 
-// The configurations in the recorded data directory, and a new one.
+// The configuration and the amendment that are committed in the recorded data directory, and a new
+// amendment.
 const (
 	firstConfiguration = `{"version":3,` +
 		`"routes":[{"name":"r1","hostname":"h.example","pathPrefix":"/","routeKind":"safe",` +
@@ -38,8 +39,8 @@
 	nextAmendment = `{"version":6,"remove":{"routes":["r2"]}}`
 )
 
-// recordedReadings are the answers that an operator reads from the recorded data directory.
-type recordedReadings struct {
+// servedState is the state that a control node serves to operators and, in updates, to nodes.
+type servedState struct {
 	Configuration any `json:"configuration"`
 	Quarantine    any `json:"quarantine"`
 	Redrives      any `json:"redrives"`
@@ -50,11 +51,11 @@
 	Nodes         any `json:"nodes"`
 }
 
-func hasMarks(n distribution.Update) bool {
-	return slices.ContainsFunc(n.EjectionMarks, func(m distribution.EjectionMarks) bool { return len(m.Ejected) > 0 })
+func hasMarks(u distribution.Update) bool {
+	return slices.ContainsFunc(u.EjectionMarks, func(m distribution.EjectionMarks) bool { return len(m.Ejected) > 0 })
 }
 
-// writeData makes a data directory that holds every kind of stored record.
+// writeData writes a data directory that contains every kind of stored record.
 func writeData(t *testing.T, dir string) {
 	t.Helper()
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,46 +65,48 @@
 		}
 	}))
 	defer platform.Close()
-	c := start(t, dir, true, platform)
+	c := startControlNode(t, dir, true, platform)
 	defer c.stop()
-	c.want(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration)
-	c.want(http.StatusOK, "/Configuration.Amend", "3", firstAmendment)
-	c.want(
+	c.wantStatus(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration)
+	c.wantStatus(http.StatusOK, "/Configuration.Amend", "3", firstAmendment)
+	c.wantStatus(
 		http.StatusPreconditionFailed,
 		"/Configuration.Replace",
 		"0",
 		strings.Replace(firstConfiguration, "1000", "2000", 1),
 	)
-	c.want(http.StatusOK, "/purge", "", `{"hostname":"h.example","path":"/old"}`)
-	c.want(http.StatusOK, "/purge", "", `{"label":"l1"}`)
-	c.until("list", func(n distribution.Update) bool { return n.Endpoints != nil && len(n.Endpoints.Endpoints) == 1 })
+	c.wantStatus(http.StatusOK, "/purge", "", `{"hostname":"h.example","path":"/old"}`)
+	c.wantStatus(http.StatusOK, "/purge", "", `{"label":"l1"}`)
+	c.waitForUpdate("one endpoint", func(u distribution.Update) bool {
+		return u.Endpoints != nil && len(u.Endpoints.Endpoints) == 1
+	})
 	for _, name := range []string{"n1/switch", "n2/switch"} {
-		c.update(distribution.UpdateRequest{
+		c.requestUpdate(distribution.UpdateRequest{
 			Node:      distribution.Node{Name: name, Addr: address, Zone: "z1"},
 			Immediate: true,
 			Reports:   []distribution.HealthReport{{EndpointID: "i1", Service: "s1"}},
 		})
 	}
-	c.claim(distribution.RateShares, 1)
-	c.claim(distribution.QuotaShares, 1)
-	c.until("marks", hasMarks)
-	c.want(
+	c.claimShare(distribution.RateShares, 1)
+	c.claimShare(distribution.QuotaShares, 1)
+	c.waitForUpdate("ejection marks", hasMarks)
+	c.wantStatus(
 		http.StatusOK,
 		"/Notices.Redrive",
 		"",
 		`{"eventId":"configuration/5","operator":"o","correlationId":"c","action":"resend"}`,
 	)
-	c.count()
-	for i := range uint64(120) { // so that the log is cut and a snapshot is written
-		c.claim(distribution.RateShares, i+2)
+	c.sendUsageCounts()
+	for i := range uint64(120) { // enough entries for the log to be compacted to a snapshot
+		c.claimShare(distribution.RateShares, i+2)
 	}
 	time.Sleep(time.Second)
 }
 
-// readings reads the part of the recorded data that does not depend on the current lease holders.
-func (c *control) readings() recordedReadings {
+// readServedState reads the part of the state that doesn't depend on the current lease holders.
+func (c *controlNode) readServedState() servedState {
 	c.t.Helper()
-	var r recordedReadings
+	var r servedState
 	var notices struct {
 		Quarantine any `json:"quarantine"`
 		Redrives   any `json:"redrives"`
@@ -115,43 +118,43 @@
 			c.t.Fatal(err)
 		}
 	}
-	decode(c.want(http.StatusOK, "/Configuration.Read", "", ""), &r.Configuration)
-	n := c.until("state", func(n distribution.Update) bool {
-		for _, marks := range n.EjectionMarks {
+	decode(c.wantStatus(http.StatusOK, "/Configuration.Read", "", ""), &r.Configuration)
+	u := c.waitForUpdate("all parts of the recorded state", func(u distribution.Update) bool {
+		for _, marks := range u.EjectionMarks {
 			if len(marks.Services) == 0 {
 				return false // this index cell is not ready yet
 			}
 		}
-		return hasMarks(n) && len(n.EjectionMarks) == 2 &&
-			n.Config != nil && n.Purges != nil && n.Nodes != nil && n.Endpoints != nil
+		return hasMarks(u) && len(u.EjectionMarks) == 2 &&
+			u.Config != nil && u.Purges != nil && u.Nodes != nil && u.Endpoints != nil
 	})
 	slices.SortFunc(
-		n.EjectionMarks,
+		u.EjectionMarks,
 		func(a, b distribution.EjectionMarks) int { return strings.Compare(a.IndexName, b.IndexName) },
 	)
-	slices.SortFunc(n.Nodes.Nodes, func(a, b distribution.Node) int { return strings.Compare(a.Name, b.Name) })
-	decode(c.want(http.StatusOK, "/Notices.Read", "", ""), &notices)
+	slices.SortFunc(u.Nodes.Nodes, func(a, b distribution.Node) int { return strings.Compare(a.Name, b.Name) })
+	decode(c.wantStatus(http.StatusOK, "/Notices.Read", "", ""), &notices)
 	r.Quarantine, r.Redrives, r.Decided = notices.Quarantine, notices.Redrives, notices.Decided
-	// Log indexes rise with every start.
-	n.Nodes.LogIndex = 0
-	for i := range n.EjectionMarks {
-		n.EjectionMarks[i].LogIndex = 0
+	// Every start adds log entries, so these log indexes can't be compared.
+	u.Nodes.LogIndex = 0
+	for i := range u.EjectionMarks {
+		u.EjectionMarks[i].LogIndex = 0
 	}
-	part := func(v any) any {
+	readable := func(v any) any {
 		raw, err := rpc.Marshal(v)
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		return compat.Readable(c.t, raw)
 	}
-	r.Purges = part(n.Purges.Purges)
-	r.Marks = part(n.EjectionMarks)
-	r.Endpoints = part(n.Endpoints.Endpoints)
-	r.Nodes = part(n.Nodes.Nodes)
+	r.Purges = readable(u.Purges.Purges)
+	r.Marks = readable(u.EjectionMarks)
+	r.Endpoints = readable(u.Endpoints.Endpoints)
+	r.Nodes = readable(u.Nodes.Nodes)
 	return r
 }
 
-// storedCell is the stored state of a cell, by cbor numbers.
+// storedCell is the stored state of a cell. Its messages are keyed by CBOR field numbers.
 type storedCell struct {
 	Promised    any    `json:"promised"`
 	Term        uint64 `json:"round"`
@@ -160,16 +163,16 @@
 	Snapshot    any    `json:"snapshot"`
 }
 
-// stored reads a data directory without a control plane: values of the node by their keys, and
-// cells by their names.
-func stored(t *testing.T, dir string, keys, cells []string) any {
+// readStoredState reads a data directory without starting a control plane. It returns the values of
+// the node by key and the cells by name.
+func readStoredState(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
-	v, err := storage.Open(dir, storage.LocalDisk{}, func(err error) { t.Error(err) })
+	store, err := storage.Open(dir, storage.LocalDisk{}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = v.Close() }()
-	part := func(v any) any {
+	defer func() { _ = store.Close() }()
+	readable := func(v any) any {
 		raw, err := rpc.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -178,35 +181,36 @@
 	}
 	node, byName := map[string]any{}, map[string]storedCell{}
 	for _, k := range keys {
-		if raw := v.NodeValue(k); k == "identity" {
+		if raw := store.NodeValue(k); k == "identity" {
 			node[k] = compat.Text(raw)
 		} else if raw == nil {
-			t.Errorf("the node has no %s", k)
+			t.Errorf("the data directory has no node value with the key %s", k)
 		} else {
 			node[k] = compat.Readable(t, raw)
 		}
 	}
 	for _, name := range cells {
-		s, found, err := v.LoadReplica(name)
+		s, found, err := store.LoadReplica(name)
 		if err != nil || !found {
-			t.Fatalf("cell %s: %v %v", name, found, err)
+			t.Fatalf("loading the cell %s returned found %v and error %v, want a stored cell", name, found, err)
 		}
 		c := storedCell{
-			Promised:    part(s.Promised),
+			Promised:    readable(s.Promised),
 			Term:        s.Term,
 			CommitIndex: s.CommitIndex,
-			Snapshot:    part(s.Snapshot),
+			Snapshot:    readable(s.Snapshot),
 		}
 		for i := range s.Entries {
-			c.Entries = append(c.Entries, part(s.Entries[i]))
+			c.Entries = append(c.Entries, readable(s.Entries[i]))
 		}
 		byName[name] = c
 	}
 	return map[string]any{"node": node, "cells": byName}
 }
 
-// contents lists the keys of the node and the names of the cells in a data file, exactly as stored.
-func contents(t *testing.T, path string) (keys, cells []string) {
+// listContents returns the keys of the node's values and the names of the cells in a data file. It
+// reads the database directly, so the names are exactly as stored.
+func listContents(t *testing.T, path string) (keys, cells []string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -230,7 +234,8 @@
 	return keys, cells
 }
 
-// recordedData returns a copy of the recorded data directory.
+// recordedData returns a copy of the recorded data directory. If Updating returns true, it
+// writes a new record first.
 func recordedData(t *testing.T) string {
 	t.Helper()
 	record := compat.Path("control-plane", dataFile+".gz")
@@ -244,47 +249,53 @@
 	return dir
 }
 
-// TestRecordedData: this version reads all of a control machine's data directory that an earlier
-// version wrote, and continues from it: it recognizes the changes that were committed, commits new
-// ones and finds all of them again at its next start.
+// TestRecordedData guards against a change of a stored format that loses data in an upgrade. A control
+// node starts with the data directory that an earlier version wrote. It must read all of it, recognize
+// repeated changes that are already committed, reject conflicting ones, commit new ones, and still have
+// them after a restart.
 func TestRecordedData(t *testing.T) {
 	dir := recordedData(t)
-	keys, cells := contents(t, filepath.Join(dir, dataFile))
+	keys, cells := listContents(t, filepath.Join(dir, dataFile))
 	for _, key := range []string{"identity", "list", "inbox"} {
 		if !slices.Contains(keys, key) {
-			t.Errorf("the record has no %s: %v", key, keys)
+			t.Errorf("the recorded data file has no value with the key %s, only %v", key, keys)
 		}
 	}
 	if len(cells) < 2 {
-		t.Errorf("the record has the cells %v", cells)
+		t.Errorf("the recorded data file has the cells %v, want at least two", cells)
 	}
-	compat.CheckJSON(t, compat.Path("control-plane", "stored.json"), stored(t, dir, keys, cells))
+	compat.CheckJSON(t, compat.Path("control-plane", "stored.json"), readStoredState(t, dir, keys, cells))
 
-	c := start(t, dir, false, nil)
-	compat.CheckJSON(t, compat.Path("control-plane", "readings.json"), c.readings())
-	c.waitForFences()
-	c.want(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration) // committed before
-	c.want(http.StatusOK, "/Configuration.Amend", "3", firstAmendment)
-	c.want(http.StatusPreconditionFailed, "/Configuration.Amend", "3", strings.Replace(firstAmendment, "500", "600", 1))
-	c.want(http.StatusPreconditionFailed, "/Configuration.Amend", "3", nextAmendment)
-	c.want(http.StatusOK, "/Configuration.Amend", "5", nextAmendment)
-	c.want(http.StatusOK, "/purge", "", `{"label":"new"}`)
+	c := startControlNode(t, dir, false, nil)
+	compat.CheckJSON(t, compat.Path("control-plane", "readings.json"), c.readServedState())
+	c.waitForFencingTokens()
+	c.wantStatus(http.StatusOK, "/Configuration.Replace", "0", firstConfiguration) // already committed
+	c.wantStatus(http.StatusOK, "/Configuration.Amend", "3", firstAmendment)
+	c.wantStatus(
+		http.StatusPreconditionFailed,
+		"/Configuration.Amend",
+		"3",
+		strings.Replace(firstAmendment, "500", "600", 1),
+	)
+	c.wantStatus(http.StatusPreconditionFailed, "/Configuration.Amend", "3", nextAmendment)
+	c.wantStatus(http.StatusOK, "/Configuration.Amend", "5", nextAmendment)
+	c.wantStatus(http.StatusOK, "/purge", "", `{"label":"new"}`)
 	c.stop()
 
-	c = start(t, dir, false, nil)
+	c = startControlNode(t, dir, false, nil)
 	defer c.stop()
-	var now struct {
+	var config struct {
 		Version uint64                  `json:"version"`
 		Routes  []struct{ Name string } `json:"routes"`
 	}
-	if err := json.Unmarshal(c.want(http.StatusOK, "/Configuration.Read", "", ""), &now); err != nil {
+	if err := json.Unmarshal(c.wantStatus(http.StatusOK, "/Configuration.Read", "", ""), &config); err != nil {
 		t.Fatal(err)
 	}
-	if now.Version != 6 || len(now.Routes) != 1 || now.Routes[0].Name != "r1" {
-		t.Errorf("after the next start the configuration is %+v", now)
+	if config.Version != 6 || len(config.Routes) != 1 || config.Routes[0].Name != "r1" {
+		t.Errorf("after the restart the configuration is %+v, want version 6 with only the route r1", config)
 	}
-	n := c.until("marks", hasMarks)
-	if last := n.Purges.Purges[len(n.Purges.Purges)-1]; last.Label != "new" {
-		t.Errorf("after the next start the newest purge is %+v", last)
+	u := c.waitForUpdate("ejection marks", hasMarks)
+	if last := u.Purges.Purges[len(u.Purges.Purges)-1]; last.Label != "new" {
+		t.Errorf("after the restart the newest purge is %+v, want the label new", last)
 	}
 }
--- a/internal/compat/distribution_test.go
+++ b/internal/compat/distribution_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func change() outbox.Notification {
+func notification() outbox.Notification {
 	return outbox.Notification{
 		EventID:         "configuration/8",
 		TenantID:        "t",
@@ -91,8 +91,8 @@
 	return distribution.EjectionMark{Reason: distribution.ReasonUnresponsive, Reporter: "n2"}
 }
 
-// update is an update with all of its parts.
-func update() distribution.Update {
+// fullUpdate returns an update with all parts set.
+func fullUpdate() distribution.Update {
 	list, purges := endpointList(), purges()
 	return distribution.Update{
 		Stale:     true,
@@ -116,7 +116,7 @@
 		Purges:         &purges,
 		Notifications: &distribution.NotificationUpdate{
 			LogIndex:      33,
-			Notifications: []distribution.OutboxNotification{{LogIndex: 32, Notification: change()}},
+			Notifications: []distribution.OutboxNotification{{LogIndex: 32, Notification: notification()}},
 			Reset:         true,
 			BaseVersions:  map[string]uint64{"purges": 29},
 		},
@@ -124,7 +124,8 @@
 	}
 }
 
-// TestUpdateMessages: the nodes' requests for updates, and the updates.
+// TestUpdateMessages guards against a change of encoding after which two versions can't exchange
+// requests for updates and the updates.
 func TestUpdateMessages(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{Name: "update-call", Value: distribution.UpdateRequest{
@@ -143,7 +144,7 @@
 			Suspects:  []string{"n3"},
 			Immediate: true,
 		}},
-		{Name: "update-answer", Value: update()},
+		{Name: "update-answer", Value: fullUpdate()},
 		{Name: "configuration", Value: *configuration()},
 		{Name: "endpoint-list", Value: endpointList()},
 		{Name: "list-version", Value: endpointList().Revision},
@@ -154,13 +155,14 @@
 	})
 }
 
-// TestShareMessages: how leased shares of rates and quotas are stored, requested and granted.
+// TestShareMessages guards against a change of encoding after which this version can't decode the
+// stored leases of rate and quota shares, or the requests and grants of another version.
 func TestShareMessages(t *testing.T) {
-	number := distribution.RequestNumber{Incarnation: 1 << 63, Sequence: 4}
+	requestNumber := distribution.RequestNumber{Incarnation: 1 << 63, Sequence: 4}
 	compat.CheckMessages(t, []compat.Message{
 		{
 			Name:  "share-table",
-			Value: map[string]distribution.ShareLease{"n1": {Permille: 250, Renewals: 6, Request: number}},
+			Value: map[string]distribution.ShareLease{"n1": {Permille: 250, Renewals: 6, Request: requestNumber}},
 		},
 		{
 			Name: "share-claim",
@@ -169,7 +171,7 @@
 				Permille:  250,
 				HoldsNone: true,
 				Table:     distribution.QuotaShares,
-				Number:    number,
+				Number:    requestNumber,
 			},
 		},
 		{
--- a/internal/compat/gzip.go
+++ b/internal/compat/gzip.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Pack compresses a file that this version wrote into a record.
+// Pack compresses the file at from with gzip and writes the result to record.
 func Pack(t *testing.T, from, record string) {
 	t.Helper()
 	raw, err := os.ReadFile(from)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Unpack decompresses a recorded file to a path.
+// Unpack decompresses the gzip file record and writes the result to the path to.
 func Unpack(t *testing.T, record, to string) {
 	t.Helper()
 	raw, err := os.ReadFile(record)
@@ -46,11 +46,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, err := io.ReadAll(r)
+	content, err := io.ReadAll(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(to, plain, 0o600); err != nil {
+	if err := os.WriteFile(to, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/compat/paths_test.go
+++ b/internal/compat/paths_test.go
@@ -17,8 +17,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// TestPaths: during a roll-out each version calls the other under these paths.
-func TestPaths(t *testing.T) {
+// TestServedPaths guards against a renamed or removed path of a handler. During a rolling upgrade
+// processes of the other version, and operators' tools, call these paths.
+func TestServedPaths(t *testing.T) {
 	set := &settings.Settings{
 		NodeName: "n1", IPAddress: address, AvailabilityZone: "z1", DataDirectory: t.TempDir(),
 		InternalPortRange: []int{7120, 7135}, SeedNodes: []string{address + ":7120"},
@@ -29,30 +30,30 @@
 	cache := objectcache.New(set, logging.Nop(), rpc.TCPNetwork)
 	defer cache.Close()
 	for _, c := range []struct {
-		who    string
-		serves *echo.Echo
-		paths  string
+		server  string
+		handler *echo.Echo
+		paths   string
 	}{
 		{
-			"control plane, to operators",
+			"operator handler of the control plane",
 			control.OperatorHandler(),
 			"/Configuration.Amend /Configuration.Read /Configuration.Replace /Duties.Read " +
 				"/Estimates.Read /Estimates.Saved /Notices.Read /Notices.Redrive /purge",
 		},
 		{
-			"control plane, inside",
+			"internal handler of the control plane",
 			control.InternalHandler(),
 			"/cells /claim /confirm /feed /list /list/read /move /notices /propose /ration /usage",
 		},
-		{"data plane, inside", proxy.InternalHandler(), "/estimates /feed /here"},
-		{"object cache, inside", cache.InternalHandler(), "/errand /feed /here /object"},
+		{"internal handler of the data plane", proxy.InternalHandler(), "/estimates /feed /here"},
+		{"internal handler of the object cache", cache.InternalHandler(), "/errand /feed /here /object"},
 	} {
 		got := map[string]bool{}
-		for _, r := range c.serves.Routes() {
+		for _, r := range c.handler.Routes() {
 			got[r.Path] = true
 		}
 		if served := strings.Join(slices.Sorted(maps.Keys(got)), " "); served != c.paths {
-			t.Errorf("%s: %s, not %s", c.who, served, c.paths)
+			t.Errorf("%s serves the paths %s, want %s", c.server, served, c.paths)
 		}
 	}
 }
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -12,7 +12,8 @@
 	"comethold/internal/usage"
 )
 
-// TestDatagrams: heartbeats, quota tokens and usage counts between nodes.
+// TestDatagrams guards against a change of encoding after which two versions can't decode each
+// other's datagrams: heartbeats, quota tokens and usage counts.
 func TestDatagrams(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{Name: "datagram-heartbeat", Value: distribution.Datagram{Heartbeat: "n1"}},
@@ -49,22 +50,27 @@
 	})
 }
 
-// TestOutboxRecords: notifications, outbox rows in each state, receipts and the inbox.
+// TestOutboxRecords guards against a change of encoding after which this version can't decode the
+// notifications, outbox rows, receipts and inboxes of an earlier one. It has an outbox row in each
+// state.
 func TestOutboxRecords(t *testing.T) {
 	compat.CheckMessages(t, []compat.Message{
 		{
 			Name: "notices",
 			Value: []outbox.Notification{
-				change(),
+				notification(),
 				{EventID: "p", Aggregate: outbox.AggregatePurges, Version: 2, Digest: []byte{5}},
 			},
 		},
 		{Name: "notices-answer", Value: []bool{true, false}},
 		{Name: "notice-payload", Value: outbox.ConfigurationChange{Tenants: []string{"t", "u"}}},
-		{Name: "outbox-pending", Value: outbox.Row{Notification: change(), State: outbox.Pending}},
-		{Name: "outbox-claimed", Value: outbox.Row{Notification: change(), State: outbox.Claimed, Owner: "p/1", Attempts: 2}},
-		{Name: "outbox-published", Value: outbox.Row{Notification: change(), State: outbox.Published, Attempts: 3}},
-		{Name: "outbox-retry", Value: outbox.Row{Notification: change(), State: outbox.RetryWait, Attempts: 4}},
+		{Name: "outbox-pending", Value: outbox.Row{Notification: notification(), State: outbox.Pending}},
+		{
+			Name:  "outbox-claimed",
+			Value: outbox.Row{Notification: notification(), State: outbox.Claimed, Owner: "p/1", Attempts: 2},
+		},
+		{Name: "outbox-published", Value: outbox.Row{Notification: notification(), State: outbox.Published, Attempts: 3}},
+		{Name: "outbox-retry", Value: outbox.Row{Notification: notification(), State: outbox.RetryWait, Attempts: 4}},
 		{Name: "usage-report", Value: outbox.Row{Notification: outbox.Notification{
 			EventID:         "usage/9",
 			Aggregate:       outbox.AggregateUsage,
@@ -84,7 +90,8 @@
 	})
 }
 
-// TestEstimateMessages: the latencies of lookups as a node reports them.
+// TestEstimateMessages guards against a change of encoding after which two versions can't exchange
+// the lookup latencies that a node reports.
 func TestEstimateMessages(t *testing.T) {
 	key := latencyestimate.Key{Service: "s", Endpoint: "i1", Class: "urgent", Load: latencyestimate.Busy}
 	replica := latencyestimate.ReplicaEstimate{
