--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// chaosSpan is how long faults are drawn.
-	chaosSpan = 22 * time.Second
-	// lossesApart is the least time between losses of disks: by then other replicas are voters.
-	lossesApart = 12 * time.Second
-	// applyLimit is how long a proxy in contact may take to apply the newest configuration.
-	applyLimit = 3 * time.Second
+	// chaosDuration is how long random faults are played.
+	chaosDuration = 22 * time.Second
+	// minDiskLossInterval is the least time between losses of disks. Within it, other replicas become
+	// voters in place of the lost ones.
+	minDiskLossInterval = 12 * time.Second
+	// applyTimeout is how long a proxy with contact may take to apply the newest configuration.
+	applyTimeout = 3 * time.Second
 )
 
-// chaosNodes are the machines with a disk.
+// chaosNodes lists the machines with a disk.
 var chaosNodes = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 
 // TestFleetChaos plays random faults and changes, from COMETHOLD_SEEDS seeds beginning at
 // COMETHOLD_FIRST_SEED.
 func TestFleetChaos(t *testing.T) {
-	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED")) // unset: 0
+	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED")) // 0 if unset
 	for seed := first; seed < first+simulation.SeedCount(1); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +43,7 @@
 				if err := f.history.check(); err != nil {
 					t.Error(err)
 				}
-				t.Logf("%d calls, %d acknowledged versions", len(f.history.ops), len(f.acknowledged))
+				t.Logf("%d operator calls, %d acknowledged versions", len(f.history.ops), len(f.acknowledged))
 			}()
 			synctest.Test(t, func(t *testing.T) {
 				f = newFleet(t)
@@ -57,36 +58,36 @@
 type chaos struct {
 	fleet    *fleet
 	rng      *rand.Rand
-	lines    []string // what was played
+	lines    []string // the commands played so far
 	versions map[*proxy.Server]uint64
-	// Disks are lost only where no others were within lossesApart.
-	lastLoss time.Time
+	// When disks were last lost. The next loss follows after minDiskLossInterval at the earliest.
+	lastDiskLoss time.Time
 }
 
 func newChaos(f *fleet, seed int) *chaos {
 	return &chaos{fleet: f, rng: rand.New(rand.NewSource(int64(seed))), versions: map[*proxy.Server]uint64{}}
 }
 
-// do plays a command; if it fails the test ends and prints all lines that were played.
+// do plays a command; if it fails, the test ends and prints all commands played so far.
 func (c *chaos) do(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	c.lines = append(c.lines, line)
 	command, _ := simulation.Parse(line)
 	if err := c.fleet.Do(command); err != nil {
-		c.fleet.t.Fatalf("%v, at the end of:\n%s", err, strings.Join(c.lines, "\n"))
+		c.fleet.t.Fatalf("%v, at the last of these commands:\n%s", err, strings.Join(c.lines, "\n"))
 	}
 }
 
-// oneOf draws one of the words.
-func (c *chaos) oneOf(words ...string) string { return words[c.rng.Intn(len(words))] }
+// pick returns a random one of the words.
+func (c *chaos) pick(words ...string) string { return words[c.rng.Intn(len(words))] }
 
-// run lets time pass.
+// run advances the simulated time and checks the versions of the proxies meanwhile.
 func (c *chaos) run(milliseconds int) {
 	c.lines = append(c.lines, fmt.Sprintf("run %d", milliseconds))
 	c.advance(time.Duration(milliseconds)*time.Millisecond, func() bool { return false })
 }
 
-// runToAcknowledgement lets time pass until just after the next acknowledgement.
+// runToAcknowledgement advances the simulated time to at most 30 ms after the next acknowledgement.
 func (c *chaos) runToAcknowledgement(limitMilliseconds int) {
 	start := time.Now()
 	before := c.acknowledgements()
@@ -101,17 +102,17 @@
 	return len(c.fleet.acknowledged)
 }
 
-// advance lets time pass until the end or until a condition holds, and checks that no proxy
-// returns to an older configuration within one incarnation.
-func (c *chaos) advance(span time.Duration, holds func() bool) {
-	for end := time.Now().Add(span); time.Now().Before(end) && !holds(); time.Sleep(50 * time.Millisecond) {
+// advance waits until the time is over or a condition holds. Meanwhile it checks that no proxy returns to
+// an older configuration between its start and its stop.
+func (c *chaos) advance(span time.Duration, condition func() bool) {
+	for end := time.Now().Add(span); time.Now().Before(end) && !condition(); time.Sleep(50 * time.Millisecond) {
 		for _, m := range c.fleet.machines {
 			version := c.fleet.versionAt(m)
 			if m.proxy == nil {
 				continue
 			}
 			if version < c.versions[m.proxy] {
-				c.fleet.t.Errorf("%s goes back from %d to %d", m.name, c.versions[m.proxy], version)
+				c.fleet.t.Errorf("%s went back from version %d to the older version %d", m.name, c.versions[m.proxy], version)
 			}
 			c.versions[m.proxy] = version
 		}
@@ -127,7 +128,8 @@
 	c.do("start all")
 }
 
-// play draws the bootstrap of the cells, then faults while two operators work, then a final fault.
+// play plays a random bootstrap of the cells, then random faults while two operators send changes, then a
+// final fault. In the end every control node must accept a change and every proxy must apply the newest.
 func (c *chaos) play() {
 	defer func() {
 		if c.fleet.t.Failed() {
@@ -139,12 +141,12 @@
 	machines := c.fleet.sortedMachines()
 	c.do("proxies a 1")
 	c.do("list l1")
-	kind, early := c.drawBootstrap()
+	kind, faultyNodes := c.drawBootstrap()
 	c.do("begin")
-	end := time.Now().Add(chaosSpan)
+	end := time.Now().Add(chaosDuration)
 	operators := c.startOperators(machines, end)
-	c.lastLoss = time.Now()
-	c.playBootstrap(kind, early)
+	c.lastDiskLoss = time.Now()
+	c.playBootstrap(kind, faultyNodes)
 	for time.Now().Before(end) {
 		c.run(300 + c.rng.Intn(2500))
 		if c.rng.Intn(3) == 0 {
@@ -153,7 +155,7 @@
 		c.playFault()
 	}
 	operators.Wait()
-	c.playClosingFault()
+	c.playFinalFault()
 	c.heal()
 	c.do("lose-answers none")
 	c.run(3000)
@@ -163,7 +165,7 @@
 	c.run(0)
 }
 
-// startOperators starts two operators that send changes until the end.
+// startOperators starts two operators that send changes until the end time.
 func (c *chaos) startOperators(machines []*machine, end time.Time) *sync.WaitGroup {
 	var working sync.WaitGroup
 	for i := range 2 {
@@ -174,46 +176,47 @@
 			name:     "o" + strconv.Itoa(i),
 			maxPause: 600 * time.Millisecond,
 		}
-		working.Go(func() { o.work(end) })
+		working.Go(func() { o.runUntil(end) })
 	}
 	return &working
 }
 
-// Kinds of bootstrap.
+// Kinds of bootstrap: with some control nodes cut off, with a rolling restart, and without a fault.
 const (
-	bootstrapCut = iota
-	bootstrapRolled
+	bootstrapPartitioned = iota
+	bootstrapRollingRestart
 	bootstrapKinds = 3
 )
 
-// drawBootstrap draws the faults of the bootstrap, and cuts off some of the initial voters before it.
-func (c *chaos) drawBootstrap() (kind int, early string) {
-	kind, early = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
-	if kind == bootstrapCut {
-		early = c.oneOf("c1,c2", "c2,c3", "c1,c4", "c2,c5")
-		for name := range strings.SplitSeq(early, ",") {
-			c.do("%s %s", c.oneOf("cut", "cut", "cut-outgoing", "cut-incoming"), name)
+// drawBootstrap draws the kind of bootstrap and the control nodes with a fault during it. It cuts them off
+// if the kind demands it.
+func (c *chaos) drawBootstrap() (kind int, faultyNodes string) {
+	kind, faultyNodes = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
+	if kind == bootstrapPartitioned {
+		faultyNodes = c.pick("c1,c2", "c2,c3", "c1,c4", "c2,c5")
+		for name := range strings.SplitSeq(faultyNodes, ",") {
+			c.do("%s %s", c.pick("cut", "cut", "cut-outgoing", "cut-incoming"), name)
 		}
 	}
-	return kind, early
+	return kind, faultyNodes
 }
 
-func (c *chaos) playBootstrap(kind int, early string) {
+func (c *chaos) playBootstrap(kind int, faultyNodes string) {
 	switch kind {
-	case bootstrapCut:
+	case bootstrapPartitioned:
 		c.run(c.rng.Intn(8000))
 		c.do("heal")
 		c.runToAcknowledgement(9000)
 		if c.rng.Intn(2) == 0 {
-			c.do("%s", c.oneOf("kill all", "lose-power all"))
-			c.do("lose-disk %s", early)
+			c.do("%s", c.pick("kill all", "lose-power all"))
+			c.do("lose-disk %s", faultyNodes)
 			c.do("start all")
 			c.run(12000)
-			c.lastLoss = time.Now()
+			c.lastDiskLoss = time.Now()
 		}
-	case bootstrapRolled:
+	case bootstrapRollingRestart:
 		c.run(c.rng.Intn(2000))
-		c.do("restart-in-turn %s gap=%d", early, c.rng.Intn(300))
+		c.do("restart-in-turn %s gap=%d", faultyNodes, c.rng.Intn(300))
 	default:
 		c.run(3000)
 	}
@@ -223,49 +226,49 @@
 func (c *chaos) playFault() {
 	names := append([]string(nil), chaosNodes...)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	some := strings.Join(names[:1+c.rng.Intn(2)], ",")
+	targets := strings.Join(names[:1+c.rng.Intn(2)], ",")
 	switch k := c.rng.Intn(16); {
 	case k < 2:
-		c.do("%s %s", c.oneOf("cut", "cut-outgoing", "cut-incoming", "isolate"), some)
+		c.do("%s %s", c.pick("cut", "cut-outgoing", "cut-incoming", "isolate"), targets)
 	case k < 4:
-		c.do("%s %s", c.oneOf("cut", "cut-outgoing", "cut-incoming"), strings.Join(names[:3], ","))
+		c.do("%s %s", c.pick("cut", "cut-outgoing", "cut-incoming"), strings.Join(names[:3], ","))
 	case k < 6:
 		c.do("heal")
 	case k < 7:
-		c.do("%s %s", c.oneOf("kill", "lose-power"), some)
+		c.do("%s %s", c.pick("kill", "lose-power"), targets)
 		c.run(c.rng.Intn(3000))
-		c.do("start %s", some)
+		c.do("start %s", targets)
 	case k < 8:
-		c.do("%s all", c.oneOf("kill", "lose-power"))
+		c.do("%s all", c.pick("kill", "lose-power"))
 		c.run(c.rng.Intn(500))
 		c.do("start all")
 	case k < 9:
-		c.do("lose-answers %s", c.oneOf(some, "core", "none"))
+		c.do("lose-answers %s", c.pick(targets, "core", "none"))
 	case k < 10:
-		c.do("disk %s %s", some, c.oneOf("full", "hangs", "ok"))
+		c.do("disk %s %s", targets, c.pick("full", "hangs", "ok"))
 	case k < 11:
-		c.do("slow %s %d", some, 100+c.rng.Intn(2000))
+		c.do("slow %s %d", targets, 100+c.rng.Intn(2000))
 	case k < 12:
 		c.do("packet-loss 0.%02d", c.rng.Intn(15))
 	case k < 13:
-		c.do("reset %s", c.oneOf(some, "core"))
-	case k < 14: // eight changes at once
+		c.do("reset %s", c.pick(targets, "core"))
+	case k < 14: // with the two of startOperators: eight changes at once
 		c.do("operators 6 c1,c2,c3,c4,c5,c6 400 gap=100 seed=%d", c.rng.Intn(1000))
 	case k < 15:
-		c.checkInContact(names[0])
-	case time.Since(c.lastLoss) > lossesApart:
+		c.checkConvergence(names[0])
+	case time.Since(c.lastDiskLoss) > minDiskLossInterval:
 		c.heal()
-		c.do("kill %s", c.oneOf(some, "all"))
-		c.do("lose-disk %s", some)
+		c.do("kill %s", c.pick(targets, "all"))
+		c.do("lose-disk %s", targets)
 		c.do("start all")
-		c.run(12000) // and other replicas become voters
-		c.lastLoss = time.Now()
+		c.run(12000) // other replicas become voters meanwhile
+		c.lastDiskLoss = time.Now()
 	}
 }
 
-// checkInContact ends all faults and checks that, once all machines are in contact, one accepts a
-// change and every proxy applies the newest configuration in time.
-func (c *chaos) checkInContact(name string) {
+// checkConvergence ends all faults and waits until all machines are in contact. Then it checks that a machine
+// accepts a change and that every proxy applies the newest configuration within applyTimeout.
+func (c *chaos) checkConvergence(name string) {
 	c.heal()
 	c.do("lose-answers none")
 	c.run(5000)
@@ -274,19 +277,19 @@
 	newest := c.fleet.newest
 	c.fleet.mu.Unlock()
 	for start := time.Now(); ; c.run(20) {
-		late := c.lateMachine(newest)
-		if late == nil {
+		lagging := c.laggingMachine(newest)
+		if lagging == nil {
 			return
 		}
-		if time.Since(start) > applyLimit {
-			c.fleet.t.Errorf("%s stays with %d, not %d", late.name, c.fleet.versionAt(late), newest)
+		if time.Since(start) > applyTimeout {
+			c.fleet.t.Errorf("%s has version %d at the apply timeout, want %d", lagging.name, c.fleet.versionAt(lagging), newest)
 			return
 		}
 	}
 }
 
-// lateMachine returns a machine that has not applied a version yet, or nil.
-func (c *chaos) lateMachine(version uint64) *machine {
+// laggingMachine returns a machine that has not applied a version yet, or nil.
+func (c *chaos) laggingMachine(version uint64) *machine {
 	for _, m := range c.fleet.machines {
 		if c.fleet.versionAt(m) < version {
 			return m
@@ -295,16 +298,17 @@
 	return nil
 }
 
-// playClosingFault stops all machines right after an acknowledgement, and loses some disks.
-func (c *chaos) playClosingFault() {
-	if time.Since(c.lastLoss) <= lossesApart {
+// playFinalFault stops all machines right after an acknowledgement, deletes some of their disks, and starts
+// all machines again.
+func (c *chaos) playFinalFault() {
+	if time.Since(c.lastDiskLoss) <= minDiskLossInterval {
 		return
 	}
 	c.heal()
 	c.run(4000)
 	c.do("lose-answers none")
 	c.do("want-order c%d 8000", 1+c.rng.Intn(6))
-	c.do("%s", c.oneOf("kill all", "lose-power all"))
-	c.do("lose-disk %s", c.oneOf("c1,c2", "c3", "c4,c5", "c2,c6", "c1,c5"))
+	c.do("%s", c.pick("kill all", "lose-power all"))
+	c.do("lose-disk %s", c.pick("c1,c2", "c3", "c4,c5", "c2,c6", "c1,c5"))
 	c.do("start all")
 }
--- a/internal/simulation/fleet_commands_test.go
+++ b/internal/simulation/fleet_commands_test.go
@@ -12,7 +12,7 @@
 	"proxies":     (*fleet).addProxies,
 	"add":         (*fleet).addControlNode,
 	"begin":       (*fleet).begin,
-	"run":         (*fleet).letTimePass,
+	"run":         (*fleet).advanceTime,
 	"seeds":       (*fleet).changeSeeds,
 	"name":        (*fleet).nameMachine,
 	"make-leader": (*fleet).makeLeader,
@@ -22,7 +22,7 @@
 	"start":              (*fleet).startCommand,
 	"restart-in-turn":    (*fleet).restartInTurn,
 	"lose-disk":          (*fleet).loseDiskCommand,
-	"lose-disks-of-dead": (*fleet).loseDisksOfDead,
+	"lose-disks-of-dead": (*fleet).loseDisksOfStopped,
 	"disk":               (*fleet).setDiskFault,
 	"lose-power":         (*fleet).losePower,
 	"damage-file":        (*fleet).damageFile,
@@ -43,7 +43,7 @@
 	"reset":             (*fleet).resetConnections,
 	"lose-answers":      (*fleet).loseAnswers,
 
-	// The platform's list and the marks.
+	// The platform's list and the ejection marks.
 	"list":             (*fleet).listLeafs,
 	"drain":            (*fleet).drainLeafs,
 	"unlist":           (*fleet).unlistLeafs,
@@ -62,12 +62,12 @@
 	"replace-again":   (*fleet).replaceAgain,
 	"race":            (*fleet).race,
 	"operators":       (*fleet).runOperators,
-	"send-garbage":    (*fleet).sendGarbage,
+	"send-garbage":    (*fleet).sendMalformedMessages,
 	"want":            (*fleet).wantStatuses,
 	"want-config":     (*fleet).wantConfig,
 	"want-read":       (*fleet).wantRead,
-	"want-order":      (*fleet).wantOrder,
-	"want-unclear":    (*fleet).wantUnclear,
+	"want-order":      (*fleet).wantReplaceAccepted,
+	"want-unclear":    (*fleet).wantNoClearAnswer,
 
 	// The replicated state and the outbox.
 	"want-all-voters": (*fleet).wantAllVoters,
@@ -77,7 +77,7 @@
 	"want-quarantine": (*fleet).wantQuarantine,
 	"redrive":         (*fleet).redrive,
 
-	// Tenants, quotas, usage reports.
+	// Tenants, quotas and usage reports.
 	"tenant":                (*fleet).setTenant,
 	"load":                  (*fleet).load,
 	"start-load":            (*fleet).startLoad,
@@ -90,7 +90,7 @@
 	"want-reports":          (*fleet).wantReports,
 	"want-usage":            (*fleet).wantUsage,
 
-	// Estimates.
+	// Latency estimates.
 	"estimates":      (*fleet).enableEstimates,
 	"want-estimates": (*fleet).wantEstimates,
 	"want-saved":     (*fleet).wantSaved,
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -15,11 +15,11 @@
 	"comethold/internal/simulation"
 )
 
-// seriesLimit is how long a change of a series may take to be acknowledged.
-const seriesLimit = 8 * time.Second
+// seriesTimeout is the time within which each change of a series must be acknowledged.
+const seriesTimeout = 8 * time.Second
 
-// configurationBody returns a configuration whose first route contains a mark, so that two
-// configurations of one version can differ.
+// configurationBody returns a configuration as JSON. The name of its default route contains mark, so that
+// two configurations with the same version can differ.
 func (f *fleet) configurationBody(version uint64, mark string) string {
 	tenants := f.tenantsField()
 	var routes, services strings.Builder
@@ -35,7 +35,7 @@
 		version, routes.String(), mark, services.String(), tenants)
 }
 
-// tenantsField is the field of the tenants, or "" without any.
+// tenantsField returns the JSON field with the tenants and a comma, or "" if there are none.
 func (f *fleet) tenantsField() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,13 +44,13 @@
 	}
 	raw, err := json.Marshal(slices.Collect(maps.Values(f.tenants)))
 	if err != nil {
-		panic(err) // made of our own values
+		panic(err) // a tenant always marshals
 	}
 	return `"tenants":` + string(raw) + `,`
 }
 
-// writeExtraRoutes adds long routes with random paths, so that they don't compress well; one of
-// them changes with each version.
+// writeExtraRoutes adds routes with long random paths, which hardly compress. One of them differs from
+// version to version.
 func (f *fleet) writeExtraRoutes(routes *strings.Builder, version uint64) {
 	const pathBytes = 400
 	for i := range f.extraRoutes {
@@ -71,14 +71,15 @@
 	return nil
 }
 
-// setExtraIndexes is `indexes N`: adds N routes, each with an index of its own, to the
-// configurations from now on.
+// setExtraIndexes is `indexes N`: adds N routes, each with a separate index, to the configurations from
+// now on.
 func (f *fleet) setExtraIndexes(c simulation.Command) error {
 	f.extraIndexes = c.Int(0)
 	return nil
 }
 
-// replace is `replace VERSION BASE AT [mark= within=]`.
+// replace is `replace VERSION BASE AT [mark= within=]`: sends a change based on the version BASE, and
+// repeats it within that many milliseconds until the outcome is known.
 func (f *fleet) replace(c simulation.Command) error {
 	f.replaceAt(f.machineNamed(c.Word(2)), c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
 	return nil
@@ -91,7 +92,7 @@
 		version := c.Uint(0) + i
 		status := f.replaceAt(f.machineNamed(c.Word(2)), version, f.newest, "", c.Span("within", 8000))
 		if status != http.StatusOK {
-			return fmt.Errorf("version %d: %d", version, status)
+			return fmt.Errorf("change to version %d got status %d, want 200", version, status)
 		}
 		time.Sleep(c.Span("gap", 50))
 	}
@@ -106,15 +107,15 @@
 	for i := range c.Uint(0) {
 		base := c.Uint(1) + i
 		m := machines[int(i)%len(machines)]
-		if f.replaceAt(m, base+1, base, "", seriesLimit) != http.StatusOK {
-			return fmt.Errorf("%d is not taken", base+1)
+		if f.replaceAt(m, base+1, base, "", seriesTimeout) != http.StatusOK {
+			return fmt.Errorf("%s did not acknowledge the change to version %d", m.name, base+1)
 		}
 	}
 	return nil
 }
 
-// replaceAgain is `replace-again VERSION BASE NAMES [mark= within=]`: sends the same change again,
-// to each of them in turn.
+// replaceAgain is `replace-again VERSION BASE NAMES [mark= within=]`: sends the same change to
+// each of these machines in turn.
 func (f *fleet) replaceAgain(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(2)) {
 		f.replaceAt(m, c.Uint(0), c.Uint(1), c.Options["mark"], c.Span("within", 0))
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: sends several changes on one base at once.
+// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: sends changes on the same base
+// concurrently.
 func (f *fleet) race(c simulation.Command) error {
 	var sending sync.WaitGroup
 	for _, word := range c.Words[1:] {
@@ -138,20 +140,21 @@
 	return nil
 }
 
-// wantStatuses is `want STATUS=N ...`: the statuses of the changes since the last such line.
+// wantStatuses is `want STATUS=N ...`: N changes since the last such line ended with that HTTP status; 0
+// stands for no answer.
 func (f *fleet) wantStatuses(c simulation.Command) error {
 	for status, want := range c.Options {
 		if strconv.Itoa(f.replaceStatuses[status]) != want {
-			return fmt.Errorf("got %v", f.replaceStatuses)
+			return fmt.Errorf("numbers of changes by HTTP status: %v", f.replaceStatuses)
 		}
 	}
 	f.replaceStatuses = map[string]int{}
 	return nil
 }
 
-// wantConfig is `want-config VERSION WITHIN`: in force on every proxy that runs.
+// wantConfig is `want-config VERSION WITHIN`: VERSION is in force on every running proxy.
 func (f *fleet) wantConfig(c simulation.Command) error {
-	return f.until(c.Milliseconds(1), "the version on every proxy", func() bool {
+	return f.waitUntil(c.Milliseconds(1), "the version is in force on every proxy", func() bool {
 		for _, m := range f.machines {
 			if m.proxy != nil && f.versionAt(m) != c.Uint(0) {
 				return false
@@ -161,10 +164,10 @@
 	})
 }
 
-// wantRead is `want-read WITHIN`: the newest acknowledged configuration is read back.
+// wantRead is `want-read WITHIN`: a read returns the newest acknowledged configuration.
 func (f *fleet) wantRead(c simulation.Command) error {
 	got := ""
-	return f.until(c.Milliseconds(0), "the newest acknowledged configuration is read back", func() bool {
+	return f.waitUntil(c.Milliseconds(0), "a read returns the newest acknowledged configuration", func() bool {
 		for _, m := range f.machines {
 			if m.controlPlane == nil {
 				continue
@@ -179,38 +182,39 @@
 	})
 }
 
-// wantOrder is `want-order NAMES WITHIN`: each of them accepts a change based on the configuration
-// that is read there.
-func (f *fleet) wantOrder(c simulation.Command) error {
+// wantReplaceAccepted is `want-order NAMES WITHIN`: each of these machines accepts a change based on the
+// configuration that it returns to a read.
+func (f *fleet) wantReplaceAccepted(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
-		var seen []string
-		err := f.until(c.Milliseconds(1), "a read and an order at "+m.name, func() bool {
+		var attempts []string
+		err := f.waitUntil(c.Milliseconds(1), "read and change succeed at "+m.name, func() bool {
 			version, ok := f.readVersionAt(m)
 			status := 0
 			if ok {
 				status = f.replaceUntilAnswered(m, version, version+1, f.configurationBody(version+1, m.name), 0)
 			}
-			seen = append(seen, fmt.Sprintf("read %d (%v), order %d", version, ok, status))
+			attempts = append(attempts, fmt.Sprintf("read version %d (answered: %v), change got status %d", version, ok, status))
 			return status == http.StatusOK
 		})
 		if err != nil {
-			return fmt.Errorf("%w: %s", err, strings.Join(seen, "; "))
+			return fmt.Errorf("%w: %s", err, strings.Join(attempts, "; "))
 		}
 	}
 	return nil
 }
 
-// wantUnclear is `want-unclear NAMES`: neither a read nor a change gets a clear answer there.
-func (f *fleet) wantUnclear(c simulation.Command) error {
-	const farAhead = 1000 // so that no version is used twice
+// wantNoClearAnswer is `want-unclear NAMES`: these machines answer neither reads nor changes definitely:
+// they do not answer, or with status 503.
+func (f *fleet) wantNoClearAnswer(c simulation.Command) error {
+	const versionOffset = 1000 // distance from the versions of other changes, so that none is used twice
 	for i, m := range f.machinesNamed(c.Word(0)) {
-		if status, _ := f.call(m, http.MethodGet, pathRead, 0, ""); !isUnanswered(status) {
-			return fmt.Errorf("%s answers a read with %d", m.name, status)
+		if status, _ := f.call(m, http.MethodGet, pathRead, 0, ""); !isIndeterminate(status) {
+			return fmt.Errorf("%s answered a read with status %d, want no answer or 503", m.name, status)
 		}
 		for _, base := range []uint64{0, f.newest, f.newest + 1} {
-			body := f.configurationBody(f.newest+farAhead+base+uint64(i), "lesser")
-			if status := f.post(m, pathReplace, base, body); !isUnanswered(status) {
-				return fmt.Errorf("%s answers an order on %d with %d", m.name, base, status)
+			body := f.configurationBody(f.newest+versionOffset+base+uint64(i), "lesser")
+			if status := f.post(m, pathReplace, base, body); !isIndeterminate(status) {
+				return fmt.Errorf("%s answered a change on base %d with status %d, want no answer or 503", m.name, base, status)
 			}
 		}
 	}
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -14,13 +14,13 @@
 	"comethold/internal/simulation"
 )
 
-// setMachineLosses is `losses N`: how many machines the cells must be able to lose.
+// setMachineLosses is `losses N`: sets the number of machine losses that the cells must survive.
 func (f *fleet) setMachineLosses(c simulation.Command) error {
 	f.machineLosses = c.Int(0)
 	return nil
 }
 
-// addControlNodes is `core ZONE...`: a machine with a disk in each.
+// addControlNodes is `core ZONE...`: adds a machine with a disk in each zone, named c1, c2, and so on.
 func (f *fleet) addControlNodes(c simulation.Command) error {
 	for i, zone := range c.Words {
 		m := f.addMachine(&machine{
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// addProxies is `proxies ZONE N`: N machines without a disk, also later in a run.
+// addProxies is `proxies ZONE N`: adds N machines without a disk; after `begin` they start at once.
 func (f *fleet) addProxies(c simulation.Command) error {
 	for range c.Int(1) {
 		n := len(f.machines) + 1
@@ -45,27 +45,27 @@
 	return nil
 }
 
-// addControlNode is `add NAME ZONE`: a new machine with a disk, which starts at once.
+// addControlNode is `add NAME ZONE`: adds a machine with a disk and starts it.
 func (f *fleet) addControlNode(c simulation.Command) error {
 	addr := fmt.Sprintf("10.1.0.%d", 100+len(f.machines))
 	f.start(f.addMachine(&machine{name: c.Word(0), zone: c.Word(1), addr: addr, disk: true}))
 	return nil
 }
 
-// begin is `begin`: starts all machines that were not started before.
+// begin is `begin`: starts all machines that do not run yet.
 func (f *fleet) begin(simulation.Command) error {
 	f.startAll(f.sortedMachines())
 	f.started = true
 	return nil
 }
 
-// letTimePass is `run MS`.
-func (f *fleet) letTimePass(c simulation.Command) error {
+// advanceTime is `run MS`: continues for MS milliseconds of simulated time.
+func (f *fleet) advanceTime(c simulation.Command) error {
 	time.Sleep(c.Milliseconds(0))
 	return nil
 }
 
-// startCommand is `start NAMES`.
+// startCommand is `start NAMES`: starts those of them that are down.
 func (f *fleet) startCommand(c simulation.Command) error {
 	f.startAll(f.machinesNamed(c.Word(0)))
 	return nil
@@ -80,25 +80,25 @@
 	}
 }
 
-// killCommand is `kill NAMES`.
+// killCommand is `kill NAMES`: kills those of them that run.
 func (f *fleet) killCommand(c simulation.Command) error {
 	f.kill(f.machinesNamed(c.Word(0)))
 	return nil
 }
 
-// kill ends the processes of machines at once: they send nothing more.
+// kill stops the processes of machines abruptly: they send nothing after it.
 func (f *fleet) kill(machines []*machine) {
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, m := range machines {
 		if m.stop != nil {
 			f.network.killMachine(m.addr)
-			ending.Go(m.stop)
+			stopping.Go(m.stop)
 		}
 	}
-	ending.Wait()
+	stopping.Wait()
 }
 
-// restartInTurn is `restart-in-turn NAMES [gap=]`: each is ended and started again in turn.
+// restartInTurn is `restart-in-turn NAMES [gap=]`: stops and starts each of them in turn.
 func (f *fleet) restartInTurn(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		m.stop()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// loseDiskCommand is `lose-disk NAMES`: machines that are down lose their disks.
+// loseDiskCommand is `lose-disk NAMES`: deletes the disks of these machines, which are down.
 func (f *fleet) loseDiskCommand(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		if err := f.loseDisk(m); err != nil {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// loseDisksOfDead is `lose-disks-of-dead`: all machines that are down lose their disks.
-func (f *fleet) loseDisksOfDead(simulation.Command) error {
+// loseDisksOfStopped is `lose-disks-of-dead`: deletes the disks of all machines that are down.
+func (f *fleet) loseDisksOfStopped(simulation.Command) error {
 	for _, m := range f.sortedMachines() {
 		if !m.disk || m.stop != nil {
 			continue
@@ -133,21 +133,22 @@
 
 func (f *fleet) loseDisk(m *machine) error { return os.RemoveAll(filepath.Join(f.dir, m.name)) }
 
-// setDiskFault is `disk NAMES ok|full|hangs`.
+// setDiskFault is `disk NAMES ok|full|hangs`: sets or clears the fault of these disks.
 func (f *fleet) setDiskFault(c simulation.Command) error {
 	faults := map[string]simulation.DiskFault{"full": simulation.Full, "hangs": simulation.Hanging}
 	for _, m := range f.machinesNamed(c.Word(0)) {
-		f.diskOf(m).SetFault(faults[c.Word(1)]) // "ok" has none
+		f.diskOf(m).SetFault(faults[c.Word(1)]) // NoFault for "ok"
 	}
 	return nil
 }
 
-// losePower is `lose-power NAMES`: they lose power; file names that were not synced may be lost.
+// losePower is `lose-power NAMES`: stops these machines at once; directory entries that were not synced
+// may be lost.
 func (f *fleet) losePower(c simulation.Command) error {
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		f.network.killMachine(m.addr)
-		ending.Go(func() {
+		stopping.Go(func() {
 			if m.stop != nil {
 				m.stop()
 			}
@@ -156,28 +157,29 @@
 			}
 		})
 	}
-	ending.Wait()
+	stopping.Wait()
 	return nil
 }
 
-// damageFile is `damage-file NAMES garbage|half|short|nothing|gone`: damages the file of the cells
-// on machines that are down; the last word is what is left of it.
+// damageFile is `damage-file NAMES garbage|half|short|nothing|gone`: damages the database file of
+// the cells on machines that are down: overwrites it with zeros, truncates it to half, to 5000 bytes or
+// to none, or deletes it.
 func (f *fleet) damageFile(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
-		if err := tearFile(filepath.Join(f.dir, m.name, "vault.db"), c.Word(1)); err != nil {
+		if err := applyFileDamage(filepath.Join(f.dir, m.name, "vault.db"), c.Word(1)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func tearFile(path, how string) error {
+func applyFileDamage(path, damage string) error {
 	const shortBytes = 5000
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	switch how {
+	switch damage {
 	case "garbage":
 		clear(raw)
 	case "half":
@@ -192,8 +194,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// changeSeeds is `seeds NAMES RELOADING`: sets the seeds in the settings; the machines RELOADING
-// reload their settings at once.
+// changeSeeds is `seeds NAMES RELOADING`: sets the seeds in the settings; the machines RELOADING reload
+// them at once, the others use them from their next start on.
 func (f *fleet) changeSeeds(c simulation.Command) error {
 	f.seedNodes = nil
 	for _, m := range f.machinesNamed(c.Word(0)) {
@@ -208,31 +210,31 @@
 	return nil
 }
 
-// nameMachine is `name NAME leader|follower`: from now on the leader's machine, or a
-// control node that is neither the leader nor has another name yet, has this name.
+// nameMachine is `name NAME leader|follower`: gives the alias NAME to the leader's machine, or to a control
+// node that is neither the leader nor has an alias yet.
 func (f *fleet) nameMachine(c simulation.Command) error {
 	leader := f.leaderMachine()
 	if leader == nil {
-		return errors.New("there is no leader")
+		return errors.New("no control node confirmed its leadership")
 	}
 	for _, m := range f.sortedMachines() {
-		isNamed := false
-		for _, other := range f.aliases {
-			isNamed = isNamed || other == m
+		hasAlias := false
+		for _, aliased := range f.aliases {
+			hasAlias = hasAlias || aliased == m
 		}
-		isFollower := m != leader && m.controlPlane != nil && !isNamed
+		isFollower := m != leader && m.controlPlane != nil && !hasAlias
 		if c.Word(1) == "leader" && m == leader || c.Word(1) == "follower" && isFollower {
 			f.aliases[c.Word(0)] = m
 			return nil
 		}
 	}
-	return errors.New("there is no such machine")
+	return errors.New("no running control node without an alias has this role")
 }
 
-// makeLeader is `make-leader NAMES WITHIN`: makes one of them the leader; other machines that
-// become leader before are cut off for a while.
+// makeLeader is `make-leader NAMES WITHIN`: makes one of them the leader. While another control
+// node is the leader, it cuts that one off for 2.5 s at a time.
 func (f *fleet) makeLeader(c simulation.Command) error {
-	return f.until(c.Milliseconds(1), "one of them leads", func() bool {
+	return f.waitUntil(c.Milliseconds(1), "one of these machines is the leader", func() bool {
 		leader := f.leaderMachine()
 		if leader == nil || slices.Contains(f.machinesNamed(c.Word(0)), leader) {
 			return leader != nil
@@ -245,7 +247,7 @@
 	})
 }
 
-// killLeaseHolders is `kill-lease-holder NAME...`: the machines that hold these leases.
+// killLeaseHolders is `kill-lease-holder NAME...`: kills the machines that hold these leases.
 func (f *fleet) killLeaseHolders(c simulation.Command) error {
 	holders, err := f.leaseHolders(c.Words)
 	if err != nil {
@@ -255,7 +257,7 @@
 	return nil
 }
 
-// killReporter is `kill-reporter`: the machine that sent the newest usage report.
+// killReporter is `kill-reporter`: kills the machine that sent the newest usage report.
 func (f *fleet) killReporter(simulation.Command) error {
 	m, err := f.reporter()
 	if err != nil {
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -7,29 +7,30 @@
 	"comethold/internal/simulation"
 )
 
-// cutBothWays is `cut NAMES`: cuts them from the other machines with a disk, in both directions.
+// cutBothWays is `cut NAMES`: blocks traffic between these machines and the others with a disk, in both
+// directions.
 func (f *fleet) cutBothWays(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), true, true)
 	return nil
 }
 
-// cutOutgoing is `cut-outgoing NAMES`: nothing that they send reaches the other machines with a disk.
+// cutOutgoing is `cut-outgoing NAMES`: blocks traffic from these machines to the others with a disk.
 func (f *fleet) cutOutgoing(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), true, false)
 	return nil
 }
 
-// cutIncoming is `cut-incoming NAMES`: nothing that the other machines with a disk send reaches them.
+// cutIncoming is `cut-incoming NAMES`: blocks traffic from the other machines with a disk to these.
 func (f *fleet) cutIncoming(c simulation.Command) error {
 	f.cutOff(f.machinesNamed(c.Word(0)), false, true)
 	return nil
 }
 
-// cutOff cuts machines from the others with a disk, in one direction or both.
-func (f *fleet) cutOff(apart []*machine, outgoing, incoming bool) {
-	for _, a := range apart {
+// cutOff blocks traffic between machines and the others with a disk, in one direction or both.
+func (f *fleet) cutOff(targets []*machine, outgoing, incoming bool) {
+	for _, a := range targets {
 		for _, b := range f.machines {
-			if slices.Contains(apart, b) || !b.disk {
+			if slices.Contains(targets, b) || !b.disk {
 				continue
 			}
 			if outgoing {
@@ -42,7 +43,8 @@
 	}
 }
 
-// isolate is `isolate NAMES`: cuts them from all other machines, in both directions, until heal.
+// isolate is `isolate NAMES`: blocks traffic between each of these machines and all other machines, in
+// both directions, until heal.
 func (f *fleet) isolate(c simulation.Command) error {
 	for _, a := range f.machinesNamed(c.Word(0)) {
 		for _, b := range f.machines {
@@ -54,8 +56,8 @@
 	return nil
 }
 
-// cutFromPlatform is `cut-from-platform NAME`: cuts the owner of this lease from the platform
-// only, until heal.
+// cutFromPlatform is `cut-from-platform NAME`: blocks traffic between the holder of this lease and
+// the platform, until heal.
 func (f *fleet) cutFromPlatform(c simulation.Command) error {
 	m, err := f.leaseHolder(c.Word(0))
 	if err != nil {
@@ -65,7 +67,8 @@
 	return nil
 }
 
-// cutLeaseHolders is `cut-lease-holder NAME...`: the machines that hold these leases.
+// cutLeaseHolders is `cut-lease-holder NAME...`: cuts the holders of these leases from the other machines
+// with a disk.
 func (f *fleet) cutLeaseHolders(c simulation.Command) error {
 	holders, err := f.leaseHolders(c.Words)
 	if err != nil {
@@ -75,8 +78,8 @@
 	return nil
 }
 
-// cutReporter is `cut-reporter [platform]`: the machine that sent the newest usage report is
-// cut from the other machines with a disk, or from the platform alone.
+// cutReporter is `cut-reporter [platform]`: cuts the machine that sent the newest usage report from the
+// other machines with a disk, or from the platform only.
 func (f *fleet) cutReporter(c simulation.Command) error {
 	m, err := f.reporter()
 	if err != nil {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// heal is `heal [after=MS]`: ends all cuts.
+// heal is `heal [after=MS]`: ends all cuts, now or after MS milliseconds.
 func (f *fleet) heal(c simulation.Command) error {
 	if after := c.Span("after", 0); after > 0 {
 		time.AfterFunc(after, f.network.heal)
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// resetConnections is `reset NAMES`: all their connections end at once.
+// resetConnections is `reset NAMES`: resets all connections of these machines.
 func (f *fleet) resetConnections(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		f.network.resetConnections(m.addr)
@@ -124,7 +127,8 @@
 	return nil
 }
 
-// loseAnswers is `lose-answers NAMES`: their answers to operators are lost; `lose-answers none` ends it.
+// loseAnswers is `lose-answers NAMES`: drops the answers of these machines to operators;
+// `lose-answers none` ends it.
 func (f *fleet) loseAnswers(c simulation.Command) error {
 	var hosts []string
 	if c.Word(0) != "none" {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -27,9 +27,9 @@
 	pathOutbox  = "/Notices.Read"
 )
 
-const orderRetryPause = 150 * time.Millisecond
+const replaceRetryPause = 150 * time.Millisecond
 
-// call makes one request as the operator, from an address of its own; status 0 means no answer.
+// call sends one request from the operator's address; status 0 means no answer within 2 s.
 // Changes and reads of the configuration are recorded in the history.
 func (f *fleet) call(m *machine, method, path string, base uint64, raw string) (status int, answer string) {
 	if path == pathReplace || path == pathRead {
@@ -48,7 +48,7 @@
 	return status, answer
 }
 
-// send makes one request from the operator's address, on a connection of its own.
+// send sends one request from the operator's address, on a new connection.
 func (f *fleet) send(ctx context.Context, method, url string, base uint64, raw string) (int, string, error) {
 	transport := &http.Transport{
 		DialContext:       f.network.netOf(operatorAddr)(time.Second, time.Second),
@@ -73,17 +73,17 @@
 	return status
 }
 
-// get reads a path of the operator API as JSON into a value; it returns the text too.
+// get reads a path of the operator API and decodes the JSON answer into a value; it also returns the text.
 func (f *fleet) get(m *machine, path string, into any) (string, error) {
 	_, raw := f.call(m, http.MethodGet, path, 0, "")
 	return raw, json.Unmarshal([]byte(raw), into)
 }
 
-// isUnanswered reports whether a status leaves the outcome of a change open.
-func isUnanswered(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
+// isIndeterminate reports whether the outcome of a change is unknown after this status.
+func isIndeterminate(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
 
-// replaceAt sends a configuration to a machine, and repeats it until there is a clear answer or
-// the time is over.
+// replaceAt sends a configuration to a machine and repeats it until its outcome is known or the limit
+// is reached. It returns the last status.
 func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, limit time.Duration) int {
 	return f.replaceUntilAnswered(m, base, version, f.configurationBody(version, mark), limit)
 }
@@ -91,8 +91,8 @@
 func (f *fleet) replaceUntilAnswered(m *machine, base, version uint64, raw string, limit time.Duration) int {
 	end := time.Now().Add(limit)
 	status := f.post(m, pathReplace, base, raw)
-	for isUnanswered(status) && !time.Now().After(end) {
-		time.Sleep(orderRetryPause)
+	for isIndeterminate(status) && !time.Now().After(end) {
+		time.Sleep(replaceRetryPause)
 		status = f.post(m, pathReplace, base, raw)
 	}
 	f.mu.Lock()
@@ -100,7 +100,7 @@
 	f.replaceStatuses[strconv.Itoa(status)]++
 	if status == http.StatusOK {
 		if old, ok := f.successors[base]; ok && old != version {
-			f.t.Errorf("%d and %d were both acknowledged on top of %d", old, version, base)
+			f.t.Errorf("versions %d and %d were both acknowledged on base %d, want one of them", old, version, base)
 		}
 		f.successors[base] = version
 		f.acknowledged[version] = raw
@@ -109,7 +109,7 @@
 	return status
 }
 
-// readVersionAt reads the version of the configuration; ok is false if there was no clear answer.
+// readVersionAt reads the version of the configuration, 0 if there is none; ok is false if the read failed.
 func (f *fleet) readVersionAt(m *machine) (version uint64, ok bool) {
 	status, raw := f.call(m, http.MethodGet, pathRead, 0, "")
 	var read struct {
@@ -137,10 +137,10 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("nobody holds %s", role)
+	return nil, fmt.Errorf("no running control node holds the lease %s", role)
 }
 
-// controlNodeOf is the machine of a replica ID whose control plane runs, or nil.
+// controlNodeOf returns the machine of a replica ID, or nil if its control plane does not run.
 func (f *fleet) controlNodeOf(replicaID string) *machine {
 	addr, _, _ := strings.Cut(replicaID, "~")
 	for _, m := range f.machines {
@@ -166,8 +166,8 @@
 	return holders, nil
 }
 
-// leaderMachine returns the control node whose leadership of the meta cell a majority confirms; nil
-// if there is none for a long time.
+// leaderMachine returns the control node whose leadership of the meta cell a majority confirms, or nil if
+// there is none after 100 tries, 100 ms apart.
 func (f *fleet) leaderMachine() *machine {
 	const (
 		tries = 100
@@ -188,22 +188,22 @@
 func (f *fleet) confirmsLeadership(client *rpc.Client, m *machine) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	question := struct {
+	request := struct {
 		Cell string `cbor:"1,keyasint"`
 	}{"exchange"}
 	var answer struct {
 		Confirmed bool `cbor:"1,keyasint"`
 	}
-	err := client.Call(ctx, f.internalAddress(m, settings.ControlPlane), "/confirm", question, &answer)
+	err := client.Call(ctx, f.internalAddress(m, settings.ControlPlane), "/confirm", request, &answer)
 	return err == nil && answer.Confirmed
 }
 
-// sendGarbage is `send-garbage NAMES`: sends malformed messages to every listening address of a
-// machine; each must be rejected.
-func (f *fleet) sendGarbage(c simulation.Command) error {
+// sendMalformedMessages is `send-garbage NAMES`: sends malformed messages to every URL of these
+// machines; each must be rejected with a 4xx status.
+func (f *fleet) sendMalformedMessages(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		for _, url := range f.urlsOf(m) {
-			for _, raw := range garbage() {
+			for _, raw := range malformedMessages() {
 				if err := f.wantRejected(url, raw); err != nil {
 					return err
 				}
@@ -229,8 +229,8 @@
 	return append(urls, f.internalAddress(m, settings.DataPlane)+"/feed")
 }
 
-// garbage returns malformed messages in the encodings that are accepted.
-func garbage() []string {
+// malformedMessages returns truncated, deeply nested and oversized messages in the accepted encodings.
+func malformedMessages() []string {
 	const depth = 5000
 	return []string{
 		"", "\x00", "\x01", "\x01\xff\xff\xff", "\x00\xa1\x01",
@@ -243,16 +243,16 @@
 func (f *fleet) wantRejected(url, raw string) error {
 	status, _, err := f.send(context.Background(), http.MethodPost, url, 0, raw)
 	if status == 0 {
-		return fmt.Errorf("%s: %.20q: %w", url, raw, err)
+		return fmt.Errorf("%s did not answer the malformed message %.20q: %w", url, raw, err)
 	}
 	if status/100 != 4 {
-		return fmt.Errorf("%s: %.20q: %d", url, raw, status)
+		return fmt.Errorf("%s answered the malformed message %.20q with status %d, want 4xx", url, raw, status)
 	}
 	return nil
 }
 
-// operator sends random changes: based on a version that it has read or guessed, with a version
-// that another operator may pick too, and sometimes an earlier change again.
+// operator sends random changes. Each is based on the version that it read or had acknowledged last, has a
+// version that another operator may choose too, or is one of its earlier changes again.
 type operator struct {
 	fleet       *fleet
 	machines    []*machine
@@ -281,44 +281,44 @@
 			name:     "o" + strconv.Itoa(i),
 			maxPause: c.Span("gap", 300),
 		}
-		working.Go(func() { o.work(time.Now().Add(c.Milliseconds(2))) })
+		working.Go(func() { o.runUntil(time.Now().Add(c.Milliseconds(2))) })
 	}
 	working.Wait()
 	return nil
 }
 
-func (o *operator) work(end time.Time) {
+func (o *operator) runUntil(end time.Time) {
 	for time.Now().Before(end) {
 		if version, ok := o.fleet.readVersionAt(o.drawMachine()); ok {
 			o.baseVersion = version
 		}
-		o.sendUntilClear(o.drawOrder())
+		o.sendWithRetries(o.drawReplace())
 		time.Sleep(time.Duration(o.rng.Float64() * float64(o.maxPause)))
 	}
 }
 
 func (o *operator) drawMachine() *machine { return o.machines[o.rng.Intn(len(o.machines))] }
 
-// drawOrder returns a new change, or one that was sent before.
-func (o *operator) drawOrder() sentReplace {
-	order := sentReplace{version: o.baseVersion + 1 + uint64(o.rng.Intn(2)), base: o.baseVersion}
-	order.raw = o.fleet.configurationBody(order.version, o.name)
+// drawReplace returns a new change, or with a probability of 1/4 one that was sent before.
+func (o *operator) drawReplace() sentReplace {
+	change := sentReplace{version: o.baseVersion + 1 + uint64(o.rng.Intn(2)), base: o.baseVersion}
+	change.raw = o.fleet.configurationBody(change.version, o.name)
 	if n := len(o.sent); n > 0 && o.rng.Intn(4) == 0 {
 		return o.sent[o.rng.Intn(n)]
 	}
-	o.sent = append(o.sent, order)
-	return order
+	o.sent = append(o.sent, change)
+	return change
 }
 
-// sendUntilClear sends a change up to three times, each time to another machine, until it gets a
-// clear answer.
-func (o *operator) sendUntilClear(order sentReplace) {
+// sendWithRetries sends a change one to three times, each time to a random machine, until its
+// outcome is known.
+func (o *operator) sendWithRetries(change sentReplace) {
 	for range 1 + o.rng.Intn(3) {
-		status := o.fleet.replaceUntilAnswered(o.drawMachine(), order.base, order.version, order.raw, 0)
+		status := o.fleet.replaceUntilAnswered(o.drawMachine(), change.base, change.version, change.raw, 0)
 		if status == http.StatusOK {
-			o.baseVersion = max(o.baseVersion, order.version)
+			o.baseVersion = max(o.baseVersion, change.version)
 		}
-		if !isUnanswered(status) {
+		if !isIndeterminate(status) {
 			return
 		}
 	}
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -22,7 +22,7 @@
 	leafDraining = "draining"
 )
 
-// platformInstance is a leaf in the platform's list.
+// platformInstance is a leaf as the platform lists it.
 type platformInstance struct {
 	ID       string `json:"instanceId"`
 	Service  string `json:"service"`
@@ -38,7 +38,7 @@
 	NextPageToken *string            `json:"nextPageToken"`
 }
 
-// servePlatform is the stand-in for the platform: its list of leafs and its side of the reports.
+// servePlatform is a fake of the platform: it serves the list of leafs and receives usage reports.
 func (f *fleet) servePlatform(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/usage" {
 		f.serveUsage(w, r)
@@ -52,14 +52,14 @@
 			ID: id, Service: "s", Address: leafAddress, Zone: "a", Capacity: 2, State: f.leafStates[id],
 		})
 	}
-	_ = json.NewEncoder(w).Encode(page) // a caller that is gone asks again
+	_ = json.NewEncoder(w).Encode(page) // fails only if the caller disconnected; it polls again
 }
 
-// serveLeaf is the stand-in for every leaf: it notes whose requests run.
+// serveLeaf is a fake of every leaf: it records the time of each tenant's requests.
 func (f *fleet) serveLeaf(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	if tenant := f.tenants[r.Header.Get("X-Comethold-Tenant")]; tenant != nil {
-		tenant.ranAt = append(tenant.ranAt, time.Now())
+		tenant.servedAt = append(tenant.servedAt, time.Now())
 	}
 	f.mu.Unlock()
 	w.Header().Set("X-Comethold-Server-Stamp", "s")
@@ -72,15 +72,15 @@
 	InstanceCounts map[string]uint64 `json:"instanceCounts"`
 }
 
-// fencedCall is a call of the reporter that reached the platform.
+// fencedCall is a usage report that reached the platform, with its sender and fencing token.
 type fencedCall struct {
 	holder string
 	token  uint64
 	at     time.Time
 }
 
-// serveUsage is the platform's side of the usage reports; it checks their rules. Calls that arrive
-// while the platform has a fault are not recorded.
+// serveUsage receives usage reports. It checks their fencing tokens, and that no window gets two different
+// reports. It does not record reports while the platform is busy or resets connections.
 func (f *fleet) serveUsage(w http.ResponseWriter, r *http.Request) {
 	raw, readErr := io.ReadAll(r.Body)
 	f.mu.Lock()
@@ -95,45 +95,46 @@
 	token, tokenErr := strconv.ParseUint(r.Header.Get("X-Comethold-Fence-Number"), 10, 64)
 	var report usageReport
 	if err := errors.Join(readErr, tokenErr, json.Unmarshal(raw, &report)); err != nil {
-		f.t.Errorf("a report that can't be read: %s: %v", raw, err)
+		f.t.Errorf("platform received a malformed usage report: %s: %v", raw, err)
 	}
 	call := fencedCall{r.Header.Get("X-Comethold-Duty-Holder"), token, time.Now()}
 	f.checkFencing(call)
 	f.fencedCalls = append(f.fencedCalls, call)
 	if old, ok := f.reports[report.WindowNumber]; ok && old != string(raw) {
-		f.t.Errorf("two reports of window %d: %s and %s", report.WindowNumber, old, raw)
+		f.t.Errorf("platform received two different reports of window %d: %s and %s", report.WindowNumber, old, raw)
 	}
 	f.reports[report.WindowNumber] = string(raw)
 	if f.acceptedAt[report.WindowNumber].IsZero() {
 		f.acceptedAt[report.WindowNumber] = call.at
 	}
-	if f.platformFault == "lost" { // accepted, and the answer is lost
+	if f.platformFault == "lost" { // the report is accepted, but its answer is lost
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// checkFencing checks a call against earlier ones: tokens never decrease, each token has one
-// owner, and no owner calls again within a lease time after another owner did.
+// checkFencing checks a call against earlier ones: tokens never decrease, each token has one holder, and no
+// holder calls again within a lease duration if another holder called in between.
 func (f *fleet) checkFencing(call fencedCall) {
 	lease := time.Duration(f.bounds().LeaseMs) * time.Millisecond
-	otherActed := false
+	otherReported := false
 	for _, earlier := range slices.Backward(f.fencedCalls) {
 		if earlier.token > call.token || earlier.token == call.token && earlier.holder != call.holder {
-			f.t.Errorf("%s calls with %d after %s with %d", call.holder, call.token, earlier.holder, earlier.token)
+			f.t.Errorf("%s reported with fencing token %d after %s had reported with token %d",
+				call.holder, call.token, earlier.holder, earlier.token)
 			return
 		}
 		if call.at.Sub(earlier.at) > lease {
 			return
 		}
-		otherActed = otherActed || earlier.holder != call.holder
-		if otherActed && earlier.holder == call.holder {
-			f.t.Errorf("%s, another and again %s act within %v", call.holder, call.holder, lease)
+		otherReported = otherReported || earlier.holder != call.holder
+		if otherReported && earlier.holder == call.holder {
+			f.t.Errorf("%s, another holder and again %s reported within the lease duration %v", call.holder, call.holder, lease)
 			return
 		}
 	}
 }
 
-// reporter returns the machine that called the platform last.
+// reporter returns the machine that sent the last usage report, if it runs.
 func (f *fleet) reporter() (*machine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,10 +143,11 @@
 			return m, nil
 		}
 	}
-	return nil, errors.New("nobody has called yet")
+	return nil, errors.New("no running machine sent the last usage report")
 }
 
-// setPlatformFault is `platform ok|busy|reset|lost`: how it answers reports from now on.
+// setPlatformFault is `platform ok|busy|reset|lost`: sets how the platform answers usage reports from now
+// on: it accepts them, answers 429, resets the connection, or accepts them and then resets it.
 func (f *fleet) setPlatformFault(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,19 +155,19 @@
 	return nil
 }
 
-// listLeafs is `list ID...`.
+// listLeafs is `list ID...`: the platform lists these leafs as ready.
 func (f *fleet) listLeafs(c simulation.Command) error {
 	f.setLeafStates(c.Words, leafReady)
 	return nil
 }
 
-// drainLeafs is `drain ID...`.
+// drainLeafs is `drain ID...`: the platform lists these leafs as draining.
 func (f *fleet) drainLeafs(c simulation.Command) error {
 	f.setLeafStates(c.Words, leafDraining)
 	return nil
 }
 
-// unlistLeafs is `unlist ID...`.
+// unlistLeafs is `unlist ID...`: the platform no longer lists these leafs.
 func (f *fleet) unlistLeafs(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// listManyLeafs is `list-many PREFIX N`: lists N leafs.
+// listManyLeafs is `list-many PREFIX N`: the platform lists N leafs, PREFIX0 and so on, as ready.
 func (f *fleet) listManyLeafs(c simulation.Command) error {
 	f.setLeafStates(numberedLeafs(c.Word(0), c.Int(1)), leafReady)
 	return nil
@@ -189,7 +191,7 @@
 	}
 }
 
-// numberedLeafs returns the names of a number of leafs.
+// numberedLeafs returns count leaf IDs: the prefix and a number from 0 on.
 func numberedLeafs(prefix string, count int) []string {
 	var ids []string
 	for i := range count {
@@ -221,7 +223,7 @@
 
 // wantMarks is `want-marks N WITHIN`: N leafs have an ejection mark on every proxy.
 func (f *fleet) wantMarks(c simulation.Command) error {
-	return f.until(c.Milliseconds(1), c.Word(0)+" marks on every proxy", func() bool {
+	return f.waitUntil(c.Milliseconds(1), c.Word(0)+" leafs have an ejection mark on every proxy", func() bool {
 		for _, m := range f.machines {
 			if m.proxy != nil && len(m.proxy.Ejected()) != c.Int(0) {
 				return false
@@ -231,13 +233,14 @@
 	})
 }
 
-// wantList is `want-list WITHIN [at=]`: every proxy, or these, has the platform's list.
+// wantList is `want-list WITHIN [at=]`: every running proxy, or each of those named, has
+// the platform's list.
 func (f *fleet) wantList(c simulation.Command) error {
 	machines := f.sortedMachines()
 	if names := c.Options["at"]; names != "" {
 		machines = f.machinesNamed(names)
 	}
-	return f.untilNil(c.Milliseconds(0), "the list on every proxy", func() error {
+	return f.waitUntilNil(c.Milliseconds(0), "every proxy has the platform's list", func() error {
 		f.mu.Lock()
 		want := maps.Clone(f.leafStates)
 		f.mu.Unlock()
@@ -245,15 +248,15 @@
 			if m.proxy == nil {
 				continue
 			}
-			if have := listedStates(m); !maps.Equal(have, want) {
-				return fmt.Errorf("%s has %v, listed are %v", m.name, have, want)
+			if got := listedStates(m); !maps.Equal(got, want) {
+				return fmt.Errorf("%s has the leafs %v, the platform lists %v", m.name, got, want)
 			}
 		}
 		return nil
 	})
 }
 
-// listedStates is the endpoint list as a proxy has it.
+// listedStates returns the endpoint list of a proxy: leaf -> state.
 func listedStates(m *machine) map[string]string {
 	states := map[string]string{}
 	for _, endpoint := range m.proxy.Endpoints() {
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -18,19 +18,19 @@
 	"comethold/internal/storage"
 )
 
-// maxLogEntries is how many entries a log on disk may hold: the cell's own bound and a pipeline.
+// maxLogEntries is the highest allowed number of log entries on disk: the cell's limit plus a full pipeline.
 const maxLogEntries = 2*64 + 3
 
-// maxLag is how many entries a replica may lack and still count as caught up: the pipeline's length.
+// maxLag is the number of entries by which a caught-up replica may lag: the pipeline's length.
 const maxLag = 3
 
-// cellViews are the replicas of the machines that run, by address and cell.
+// cellViews holds the state of the replicas on running machines, by address and cell.
 type cellViews map[string]map[string]controlplane.CellView
 
 // wantAllVoters is `want-all-voters WITHIN [lost=]`: every cell has all its voters, and all but
 // lost of them run and have caught up.
 func (f *fleet) wantAllVoters(c simulation.Command) error {
-	return f.untilNil(c.Milliseconds(0), "all cells are whole", func() error {
+	return f.waitUntilNil(c.Milliseconds(0), "every cell has all its voters, caught up", func() error {
 		return f.checkReplicas(int(c.Number("lost", 0)))
 	})
 }
@@ -47,13 +47,13 @@
 		}
 	}
 	if n := len(lastApplied); n < 2+f.extraIndexes {
-		return fmt.Errorf("%d cells", n)
+		return fmt.Errorf("control nodes have %d cells, want at least %d", n, 2+f.extraIndexes)
 	}
 	for addr, cells := range live {
 		for name, last := range lastApplied {
 			cell := cells[name]
 			if len(cell.Voters) != 2*f.machineLosses+1 || !cell.MembershipComplete || cell.Applied+maxLag < last {
-				return fmt.Errorf("at %s: %s has %d voters, settled %v, applied %d of %d%s",
+				return fmt.Errorf("at %s: cell %s has %d voters, membership complete %v, applied %d of %d entries%s",
 					addr, name, len(cell.Voters), cell.MembershipComplete, cell.Applied, last, live.describe(name))
 			}
 			if err := live.checkVoters(addr, name, lost); err != nil {
@@ -64,17 +64,18 @@
 	return nil
 }
 
-// checkVoters checks that all voters of a cell, as one machine knows them, can vote, except for a
-// number whose machines are down.
+// checkVoters returns an error unless all voters of a cell, as one machine knows them, can vote. Up to
+// lost of them may be on machines that are down.
 func (v cellViews) checkVoters(addr, name string, lost int) error {
-	away := 0
+	down := 0
 	for _, voter := range v[addr][name].Voters {
-		if v[voter.Addr] == nil && away < lost {
-			away++
+		if v[voter.Addr] == nil && down < lost {
+			down++
 			continue
 		}
 		if !v[voter.Addr][name].IsVoter {
-			return fmt.Errorf("at %s: %s has a voter %s that doesn't vote%s", addr, name, voter.ID, v.describe(name))
+			return fmt.Errorf("at %s: cell %s has a voter %s that is no voter on its own machine%s",
+				addr, name, voter.ID, v.describe(name))
 		}
 	}
 	return nil
@@ -85,26 +86,26 @@
 	var text strings.Builder
 	for _, addr := range slices.Sorted(maps.Keys(v)) {
 		cell := v[addr][name]
-		fmt.Fprintf(&text, "\n  %s: %v, leader %q, voter %v, applied %d, settled %v, voters %v",
+		fmt.Fprintf(&text, "\n  %s: %v, leader %q, voter %v, applied %d, membership complete %v, voters %v",
 			addr, cell.Role, cell.Leader, cell.IsVoter, cell.Applied, cell.MembershipComplete, cell.Voters)
 	}
 	return text.String()
 }
 
-// wantState is `want-state KILOBYTES NAME [rows=]`: on the disk of a machine that is down, the
-// state of the meta cell, its outbox and its log are within their limits.
+// wantState is `want-state KILOBYTES NAME [rows=]`: on the disk of a stopped machine, the meta cell's
+// state has at most KILOBYTES, its outbox at most that many rows, and its log at most maxLogEntries.
 func (f *fleet) wantState(c simulation.Command) error {
 	stored, err := readStoredState(filepath.Join(f.dir, c.Word(1)))
 	if err != nil {
 		return err
 	}
 	if stored.bytes > c.Int(0)<<10 || stored.outboxRows > int(c.Number("rows", 1e6)) {
-		return fmt.Errorf("%d bytes: %s", stored.bytes, stored.summary)
+		return fmt.Errorf("meta cell's stored state exceeds a limit: %d bytes, %s", stored.bytes, stored.summary)
 	}
 	return nil
 }
 
-// storedState is the size of the meta cell's state on a disk, and what it consists of.
+// storedState is the size of the meta cell's state on a disk, with a summary of its keys.
 type storedState struct {
 	bytes      int
 	outboxRows int
@@ -122,10 +123,10 @@
 		return stored, err
 	}
 	if state.Snapshot == nil {
-		return stored, errors.New("no snapshot")
+		return stored, errors.New("the meta cell has no stored snapshot")
 	}
 	if n := len(state.Entries); n > maxLogEntries {
-		return stored, fmt.Errorf("%d entries of the log", n)
+		return stored, fmt.Errorf("meta cell's log has %d entries, want at most %d", n, maxLogEntries)
 	}
 	raw, err := rpc.Marshal(state.Snapshot)
 	if err != nil {
@@ -140,29 +141,30 @@
 	}
 	stored.bytes = len(raw)
 	stored.outboxRows = keysOf["outbox"]
-	stored.summary = fmt.Sprintf("%d packed, %d entries, keys %v, bytes %v",
+	stored.summary = fmt.Sprintf("%d bytes encoded, %d log entries, keys %v, bytes %v",
 		len(rpc.EncodeBody(raw)), len(state.Entries), keysOf, bytesOf)
 	return stored, nil
 }
 
-// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have decided the version.
+// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have decided the configuration
+// VERSION or a later one.
 func (f *fleet) wantApplied(c simulation.Command) error {
-	return f.untilNil(c.Milliseconds(2), "the version at "+c.Word(1), func() error {
+	return f.waitUntilNil(c.Milliseconds(2), "the configuration version is applied at "+c.Word(1), func() error {
 		for _, m := range f.machinesNamed(c.Word(1)) {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || view.AppliedVersions["configuration"] < c.Uint(0) {
-				return fmt.Errorf("%.200s", raw)
+				return fmt.Errorf("%s reports %.200s", m.name, raw)
 			}
 		}
 		return nil
 	})
 }
 
-// wantBacklog is `want-backlog N WITHIN`: N rows are not published, and every control node has
-// decided the newest version.
+// wantBacklog is `want-backlog N WITHIN`: the outbox has N unpublished rows, and every control node has
+// decided the highest acknowledged version.
 func (f *fleet) wantBacklog(c simulation.Command) error {
-	return f.untilNil(c.Milliseconds(1), "the outbox", func() error {
+	return f.waitUntilNil(c.Milliseconds(1), "outbox backlog and applied version", func() error {
 		for _, m := range f.controlNodes() {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
@@ -174,10 +176,10 @@
 	})
 }
 
-// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N cases and
-// REDRIVES redrives.
+// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N
+// quarantined cases and REDRIVES redrives.
 func (f *fleet) wantQuarantine(c simulation.Command) error {
-	return f.untilNil(c.Milliseconds(2), "the quarantine", func() error {
+	return f.waitUntilNil(c.Milliseconds(2), "number of quarantined cases and redrives", func() error {
 		for _, m := range f.controlNodes() {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
@@ -189,8 +191,8 @@
 	})
 }
 
-// redrive is `redrive EVENT ACTION AT`: redrives the last case whose event ID begins with EVENT, or
-// the event of that ID.
+// redrive is `redrive EVENT ACTION AT`: redrives the last quarantined case whose event ID begins with
+// EVENT, or the event with the ID EVENT if there is none.
 func (f *fleet) redrive(c simulation.Command) error {
 	m := f.machineNamed(c.Word(2))
 	var view operatorapi.OutboxView
@@ -211,13 +213,13 @@
 	return nil
 }
 
-// enableEstimates is `estimates`: latencies of lookups are collected.
+// enableEstimates is `estimates`: enables the collection of lookup latencies in the settings.
 func (f *fleet) enableEstimates(simulation.Command) error {
 	f.estimate = true
 	return nil
 }
 
-// wantEstimates is `want-estimates NODES SAMPLES AT`: NODES proxies answer, and have at least
+// wantEstimates is `want-estimates NODES SAMPLES AT`: the estimates come from NODES proxies and at least
 // SAMPLES samples.
 func (f *fleet) wantEstimates(c simulation.Command) error {
 	var view latency.View
@@ -230,19 +232,19 @@
 		samples += replica.Estimate.Samples
 	}
 	if view.Nodes != c.Int(0) || samples < c.Uint(1) {
-		return fmt.Errorf("%d nodes, %d samples: %.300s", view.Nodes, samples, raw)
+		return fmt.Errorf("estimates come from %d nodes and %d samples: %.300s", view.Nodes, samples, raw)
 	}
 	return nil
 }
 
-// wantSaved is `want-saved LINES AT`: at least LINES exports are on that disk.
+// wantSaved is `want-saved LINES AT`: at least LINES exported estimates are on the disk of that machine.
 func (f *fleet) wantSaved(c simulation.Command) error {
 	var lines []latency.View
 	if _, err := f.get(f.machineNamed(c.Word(1)), "/Estimates.Saved", &lines); err != nil {
 		return err
 	}
 	if len(lines) < c.Int(0) {
-		return fmt.Errorf("%d lines", len(lines))
+		return fmt.Errorf("%d exported estimates are on disk", len(lines))
 	}
 	return nil
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -24,7 +24,7 @@
 	"comethold/internal/storage"
 )
 
-// Addresses of a fleet.
+// Addresses in the simulated network of a fleet.
 const (
 	controlPort     = "8729"
 	operatorAddr    = "10.250.0.1"
@@ -34,11 +34,11 @@
 	leafAddress     = leafHost + ":80"
 )
 
-// maxSeeds is how many of the first machines are the seeds of all.
+// maxSeeds is the number of control nodes, from the first on, that every machine has as seeds.
 const maxSeeds = 3
 
-// fleet is a complete system of control nodes and proxies on simulated time. It runs the real
-// programs on a simulated network, with a stand-in for the platform.
+// fleet is a complete system of control nodes and proxies on simulated time. It runs the production
+// servers on a simulated network, with fakes of the platform and of the leafs.
 type fleet struct {
 	t             *testing.T
 	dir           string
@@ -48,9 +48,9 @@
 	seedNodes     []string
 	started       bool
 	machineLosses int
-	seed          int64 // of the disks' faults
+	seed          int64 // part of the seed of each disk's random source
 
-	// Content of the settings and configurations from now on.
+	// Applied to settings and configurations that are generated after a change of these fields.
 	extraRoutes  int
 	extraIndexes int
 	reportUsage  bool
@@ -62,19 +62,19 @@
 
 	mu              sync.Mutex        // guards the fields below, and proxy and stop of each machine
 	leafStates      map[string]string // the platform's list: leaf -> state
-	replaceStatuses map[string]int    // status -> count, of the changes since the last `want`
-	acknowledged    map[uint64]string // version -> body that was acknowledged
+	replaceStatuses map[string]int    // HTTP status -> number of changes, since the last `want`
+	acknowledged    map[uint64]string // version -> body of the acknowledged change
 	successors      map[uint64]uint64 // base -> version acknowledged on top of it
-	newest          uint64            // the newest version that was acknowledged
+	newest          uint64            // the highest acknowledged version
 	tenants         map[string]*fleetTenant
-	platformFault   string            // how the platform answers reports: "" (accepts), busy, lost, reset
-	reports         map[uint64]string // window -> report that was accepted
-	acceptedAt      map[uint64]time.Time
-	checkedWindow   uint64       // the last window that want-reported-in-time has checked
-	fencedCalls     []fencedCall // in the order in which they arrived
+	platformFault   string               // how the platform answers reports: "" (accepts), busy, lost, reset
+	reports         map[uint64]string    // window -> accepted report
+	acceptedAt      map[uint64]time.Time // window -> time of the first acceptance
+	checkedWindow   uint64               // the last window that want-reported-in-time has checked
+	fencedCalls     []fencedCall         // in order of arrival
 }
 
-// machine is a node with its programs, while they run.
+// machine is a node; its servers are set while they run.
 type machine struct {
 	name, zone, addr string
 	disk             bool
@@ -108,7 +108,7 @@
 	return f
 }
 
-// serve runs a server on an address of the fleet's network.
+// serve starts an HTTP server on an address of the simulated network.
 func (f *fleet) serve(address string, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler}
 	listener := f.network.listen(address)
@@ -116,9 +116,9 @@
 	return server
 }
 
-// settingsOf returns the settings of a machine's processes.
+// settingsOf returns the settings with which the servers of a machine start.
 func (f *fleet) settingsOf(m *machine) *settings.Settings {
-	set := &settings.Settings{
+	result := &settings.Settings{
 		NodeName:          m.name,
 		IPAddress:         m.addr,
 		AvailabilityZone:  m.zone,
@@ -136,29 +136,29 @@
 			QuotaWindowS: 5, QuotaOvershoot: 0.1, QuotaSlack: 20,
 		},
 	}
-	set.Estimates.Enabled = f.estimate
+	result.Estimates.Enabled = f.estimate
 	if f.reportUsage {
-		set.Platform.Duties = []string{settings.UsageReportingDuty, "dance"}
-		set.Platform.DutiesPerS = 50
-		set.Bounds.LeaseMs = 3000
-		set.Bounds.UsageWindowS = 5
-		set.Bounds.UsageDelayS = 10
+		result.Platform.Duties = []string{settings.UsageReportingDuty, "dance"}
+		result.Platform.DutiesPerS = 50
+		result.Bounds.LeaseMs = 3000
+		result.Bounds.UsageWindowS = 5
+		result.Bounds.UsageDelayS = 10
 	}
 	if m.disk {
-		set.DataDirectory = filepath.Join(f.dir, m.name)
+		result.DataDirectory = filepath.Join(f.dir, m.name)
 	}
-	return set
+	return result
 }
 
-// bounds are the timing bounds in the settings of every machine.
+// bounds returns the timing bounds, which are the same on every machine.
 func (f *fleet) bounds() settings.Bounds { return f.settingsOf(f.sortedMachines()[0]).Bounds }
 
-// internalAddress is where a program of a machine listens for other nodes.
+// internalAddress returns the address on which a program of a machine serves other nodes.
 func (f *fleet) internalAddress(m *machine, program settings.Program) string {
 	return net.JoinHostPort(m.addr, strconv.Itoa(f.settingsOf(m).PortOf(program)))
 }
 
-// diskOf returns a machine's disk; each has its own random numbers.
+// diskOf returns a machine's disk; each disk has its own random source.
 func (f *fleet) diskOf(m *machine) *simulation.FaultyDisk {
 	if m.diskState == nil {
 		random := rand.New(rand.NewSource(f.seed*100 + int64(m.name[1])))
@@ -167,7 +167,7 @@
 	return m.diskState
 }
 
-// start runs the programs of a machine.
+// start starts the servers of a machine.
 func (f *fleet) start(m *machine) {
 	set := f.settingsOf(m)
 	view := f.network.netOf(m.addr)
@@ -186,24 +186,24 @@
 			f.serve(net.JoinHostPort(m.addr, controlPort), control.OperatorHandler()),
 			f.serve(internal, control.InternalHandler()))
 	}
-	front := proxy.New(set, logging.Nop(), view)
+	dataPlane := proxy.New(set, logging.Nop(), view)
 	internal := f.internalAddress(m, settings.DataPlane)
 	f.mu.Lock()
-	m.proxy = front
+	m.proxy = dataPlane
 	m.startedBefore = true
 	f.mu.Unlock()
-	go func() { _ = front.RunUpdates() }()
-	go func() { _ = front.ReportUsage() }()
-	go func() { _ = front.CollectLatencies() }()
-	go func() { _ = front.RunHeartbeats(f.network.listenPacket(internal)) }()
-	servers = append(servers, f.serve(internal, front.InternalHandler()))
-	m.stop = func() { f.stop(m, front, servers) }
+	go func() { _ = dataPlane.RunUpdates() }()
+	go func() { _ = dataPlane.ReportUsage() }()
+	go func() { _ = dataPlane.CollectLatencies() }()
+	go func() { _ = dataPlane.RunHeartbeats(f.network.listenPacket(internal)) }()
+	servers = append(servers, f.serve(internal, dataPlane.InternalHandler()))
+	m.stop = func() { f.stop(m, dataPlane, servers) }
 }
 
-// stop ends the programs of a machine.
-func (f *fleet) stop(m *machine, front *proxy.Server, servers []*http.Server) {
+// stop stops the servers of a machine.
+func (f *fleet) stop(m *machine, dataPlane *proxy.Server, servers []*http.Server) {
 	f.network.closeHost(m.addr)
-	front.Close()
+	dataPlane.Close()
 	if m.controlPlane != nil {
 		m.diskState.EndProcess()
 		m.controlPlane.Stop()
@@ -218,25 +218,25 @@
 	m.stop = nil
 }
 
-// shutDown stops all machines.
+// shutDown clears all disk faults and stops all machines.
 func (f *fleet) shutDown() {
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, m := range f.machines {
 		if m.diskState != nil {
 			m.diskState.SetFault(simulation.NoFault)
 		}
 		if m.stop != nil {
-			ending.Go(m.stop)
+			stopping.Go(m.stop)
 		}
 	}
-	ending.Wait()
+	stopping.Wait()
 	f.network.closeHost("")
 	f.network.closeHost(platformHost)
 	f.network.closeHost(leafHost)
 	time.Sleep(time.Minute)
 }
 
-// addMachine adds a machine that is not started yet.
+// addMachine registers a machine without starting it.
 func (f *fleet) addMachine(m *machine) *machine {
 	f.machines[m.name] = m
 	return m
@@ -250,13 +250,13 @@
 	return all
 }
 
-// controlNodes are the machines whose control plane runs.
+// controlNodes returns the machines whose control plane runs.
 func (f *fleet) controlNodes() []*machine {
 	return slices.DeleteFunc(f.sortedMachines(), func(m *machine) bool { return m.controlPlane == nil })
 }
 
-// machinesNamed returns machines by one name, several names separated by commas, `all`, or `core`
-// for the running control nodes.
+// machinesNamed returns the machines for a comma-separated list of names or aliases, for `all`, or
+// for `core`: the running control nodes.
 func (f *fleet) machinesNamed(names string) []*machine {
 	switch names {
 	case "all":
@@ -264,37 +264,38 @@
 	case "core":
 		return f.controlNodes()
 	}
-	var named []*machine
+	var found []*machine
 	for name := range strings.SplitSeq(names, ",") {
 		m := f.machines[name]
 		if m == nil {
 			m = f.aliases[name]
 		}
 		if m == nil {
-			f.t.Fatalf("no machine %q", name)
+			f.t.Fatalf("no machine has the name or alias %q", name)
 		}
-		named = append(named, m)
+		found = append(found, m)
 	}
-	return named
+	return found
 }
 
 // machineNamed returns the first of machinesNamed.
 func (f *fleet) machineNamed(names string) *machine { return f.machinesNamed(names)[0] }
 
-// until waits until a condition holds or the time is over.
-func (f *fleet) until(limit time.Duration, what string, holds func() bool) error {
-	for end := time.Now().Add(limit); !holds(); time.Sleep(50 * time.Millisecond) {
+// waitUntil polls a condition every 50 ms and returns an error if it does not hold within the limit.
+func (f *fleet) waitUntil(limit time.Duration, description string, condition func() bool) error {
+	for end := time.Now().Add(limit); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", limit, what)
+			return fmt.Errorf("condition not met within %v: %s", limit, description)
 		}
 	}
 	return nil
 }
 
-// untilNil waits until a check returns nil or the time is over; it returns the last error.
-func (f *fleet) untilNil(limit time.Duration, what string, check func() error) error {
+// waitUntilNil polls a check until it returns nil; at the limit it returns an error with the check's
+// last one.
+func (f *fleet) waitUntilNil(limit time.Duration, description string, check func() error) error {
 	var last error
-	err := f.until(limit, what, func() bool {
+	err := f.waitUntil(limit, description, func() bool {
 		last = check()
 		return last == nil
 	})
@@ -304,7 +305,7 @@
 	return nil
 }
 
-// versionAt is the version that is in force on a machine, 0 for none.
+// versionAt returns the configuration version in force on a machine's proxy, 0 if there is none.
 func (f *fleet) versionAt(m *machine) uint64 {
 	if m.proxy == nil || m.proxy.RouteTable() == nil {
 		return 0
@@ -312,13 +313,15 @@
 	return m.proxy.RouteTable().Version
 }
 
+// TestFleet plays the scenarios in testdata/fleet; the head of each file states the expected result.
 func TestFleet(t *testing.T) { playFleet(t, "testdata/fleet") }
 
-// TestCatchUpOverSlowLink guards against polls of a proxy that starve the replica beside it on a slow
-// link; see docs/incidents/38-polls-that-fill-a-slow-link.md.
+// TestCatchUpOverSlowLink guards against a proxy whose polls use up the bandwidth of a slow link, so that
+// the replica on the same machine cannot catch up; see docs/incidents/38-polls-that-fill-a-slow-link.md.
 func TestCatchUpOverSlowLink(t *testing.T) { playFleet(t, "testdata/fleet-slow-link") }
 
-// playFleet plays a folder; after each run its history of orders and reads is checked.
+// playFleet plays the scenarios of a folder. After each, it checks that the recorded history of
+// configuration changes and reads is linearizable.
 func playFleet(t *testing.T, dir string) {
 	t.Helper()
 	var mu sync.Mutex
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -18,16 +18,16 @@
 	"comethold/internal/usage"
 )
 
-// fleetTenant is a tenant and what the test has recorded of its requests.
+// fleetTenant is a tenant with a record of its requests.
 type fleetTenant struct {
 	Name  string   `json:"name"`
 	Keys  []string `json:"apiKeys"`
 	Rate  float64  `json:"ratePerS"`
 	Burst float64  `json:"burstSize"`
 
-	ranAt    []time.Time   // when its requests ran at a leaf
-	statuses map[int]int   // since the last look
-	latency  time.Duration // the greatest since the last look
+	servedAt []time.Time   // when a leaf received its requests
+	statuses map[int]int   // HTTP status -> requests, since the last want-served
+	latency  time.Duration // the highest of a served request since the last want-served
 }
 
 // setTenant is `tenant NAME RATE BURST [key=]`: adds or changes a tenant in the configurations from
@@ -54,28 +54,28 @@
 	return f.tenants[name]
 }
 
-// load is `load NAMES TENANT PERSECOND MS`: requests to these machines in turn; then every
-// window is checked against the limit.
+// load is `load NAMES TENANT PERSECOND MS`: sends PERSECOND requests of a tenant per second to these
+// machines in turn, for MS milliseconds. Then it checks every window against the tenant's limit.
 func (f *fleet) load(c simulation.Command) error {
 	start := time.Now()
 	f.generateLoad(c)
 	return f.checkQuota(f.tenantNamed(c.Word(1)), start.Add(-time.Second))
 }
 
-// startLoad is `start-load NAMES TENANT PERSECOND MS`: like load, but the following lines are
-// played meanwhile, until end-loads.
+// startLoad is `start-load NAMES TENANT PERSECOND MS`: like load, but in the background, without a check of
+// the limit; end-loads waits for it.
 func (f *fleet) startLoad(c simulation.Command) error {
 	f.loads.Go(func() { f.generateLoad(c) })
 	return nil
 }
 
-// endLoads is `end-loads`.
+// endLoads is `end-loads`: waits for all loads in the background.
 func (f *fleet) endLoads(simulation.Command) error {
 	f.loads.Wait()
 	return nil
 }
 
-// generateLoad sends requests of a tenant, at a rate per second, to machines in turn.
+// generateLoad sends requests of a tenant to machines in turn, as the command load states.
 func (f *fleet) generateLoad(c simulation.Command) {
 	machines := f.machinesNamed(c.Word(0))
 	tenant := f.tenantNamed(c.Word(1))
@@ -86,12 +86,12 @@
 		m := machines[next%len(machines)]
 		next++
 		f.mu.Lock()
-		front := m.proxy
+		dataPlane := m.proxy
 		f.mu.Unlock()
-		if front == nil {
+		if dataPlane == nil {
 			continue
 		}
-		handler := front.Handler()
+		handler := dataPlane.Handler()
 		request := f.newTenantRequest(tenant)
 		running.Go(func() { f.sendAs(tenant, handler, request) })
 	}
@@ -109,7 +109,7 @@
 	return request
 }
 
-// sendAs sends a request of a tenant and records its answer.
+// sendAs sends a request of a tenant and records the status and latency.
 func (f *fleet) sendAs(tenant *fleetTenant, handler http.Handler, request *http.Request) {
 	answer := httptest.NewRecorder()
 	start := time.Now()
@@ -122,34 +122,35 @@
 	}
 	isRejection := answer.Code == http.StatusTooManyRequests || answer.Code == http.StatusServiceUnavailable
 	if isRejection && answer.Header().Get("Retry-After") == "" {
-		f.t.Errorf("%d without word of when to come back", answer.Code)
+		f.t.Errorf("a rejection with status %d has no Retry-After header", answer.Code)
 	}
 }
 
-// checkQuota checks the quota rule with the limit in force, for the windows that begin after a
-// given time.
+// checkQuota returns an error if, in a window that begins after a given time, more requests ran than the
+// tenant's current limit and the allowed overshoot permit.
 func (f *fleet) checkQuota(tenant *fleetTenant, since time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	bounds := f.bounds()
-	most := (tenant.Rate*bounds.QuotaWindowS+tenant.Burst)*(1+bounds.QuotaOvershoot) + bounds.QuotaSlack
+	limit := (tenant.Rate*bounds.QuotaWindowS+tenant.Burst)*(1+bounds.QuotaOvershoot) + bounds.QuotaSlack
 	window := time.Duration(bounds.QuotaWindowS * float64(time.Second))
-	for i, from := range tenant.ranAt {
+	for i, start := range tenant.servedAt {
 		ran := 0
-		for _, at := range tenant.ranAt[i:] {
-			if at.Sub(from) <= window {
+		for _, at := range tenant.servedAt[i:] {
+			if at.Sub(start) <= window {
 				ran++
 			}
 		}
-		if float64(ran) > most && from.After(since) {
-			return fmt.Errorf("%d of %s ran in a window, %v are allowed", ran, tenant.Name, most)
+		if float64(ran) > limit && start.After(since) {
+			return fmt.Errorf("%d requests of %s ran in a quota window, want at most %v", ran, tenant.Name, limit)
 		}
 	}
 	return nil
 }
 
-// wantServed is `want-served TENANT [least= most= within=]`: the percentage of its requests since
-// the last such line that were served, and the longest time that one may have taken.
+// wantServed is `want-served TENANT [least= most= within=]`: since the last such line, the
+// percentage of its requests that were served is between least and most, and none of them took longer
+// than within milliseconds.
 func (f *fleet) wantServed(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,10 +164,10 @@
 	}
 	share := 100 * float64(statuses[http.StatusOK]) / float64(all)
 	if share < c.Number("least", 0) || share > c.Number("most", 100) {
-		return fmt.Errorf("%.0f%%, %v", share, statuses)
+		return fmt.Errorf("%.0f%% of the requests were served; by HTTP status: %v", share, statuses)
 	}
 	if latency > c.Span("within", 1e6) {
-		return fmt.Errorf("one took %v", latency)
+		return fmt.Errorf("the slowest served request took %v", latency)
 	}
 	return nil
 }
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// awaitWindow is `await-window MS`: lets time pass until MS after the beginning of a usage window.
+// awaitWindow is `await-window MS`: waits until MS milliseconds after the start of a usage window.
 func (f *fleet) awaitWindow(c simulation.Command) error {
 	length := f.bounds().UsageWindow()
 	at := time.Now().Truncate(length).Add(c.Milliseconds(0))
@@ -188,19 +189,19 @@
 	return nil
 }
 
-// wantReportedInTime is `want-reported-in-time TENANT off= [missed=]`: since the last such line,
-// each window that is due and in which its requests ran was reported before it was due, with a
-// count that is right to within off percent; up to missed windows may fail this.
+// wantReportedInTime is `want-reported-in-time TENANT off= [missed=]`: checks the windows that became
+// due since the last such line and in which the tenant's requests ran. Each was reported before it was
+// due, with a count that deviates by at most off percent; up to missed windows may fail this.
 func (f *fleet) wantReportedInTime(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tenant := f.tenants[c.Word(0)]
 	bounds := f.bounds()
 	ran := map[uint64]float64{}
-	for _, at := range tenant.ranAt {
+	for _, at := range tenant.servedAt {
 		ran[usage.WindowAt(at, bounds.UsageWindow())]++
 	}
-	var wrong []string
+	var failures []string
 	last := f.checkedWindow
 	for _, window := range slices.Sorted(maps.Keys(ran)) {
 		due := usage.WindowEnd(window, bounds.UsageWindow()).Add(bounds.UsageReportDelay())
@@ -210,30 +211,33 @@
 		last = window
 		reported := f.reportedCount(window, tenant.Name)
 		if f.acceptedAt[window].IsZero() || f.acceptedAt[window].After(due) {
-			wrong = append(wrong, fmt.Sprintf("%d came %v late", window, f.acceptedAt[window].Sub(due)))
-		} else if percentOff(reported, ran[window]) > c.Number("off", 0) {
-			wrong = append(wrong, fmt.Sprintf("%d names %v of %v", window, reported, ran[window]))
+			failures = append(failures, fmt.Sprintf("window %d was reported %v after it was due",
+				window, f.acceptedAt[window].Sub(due)))
+		} else if deviationPercent(reported, ran[window]) > c.Number("off", 0) {
+			failures = append(failures, fmt.Sprintf("the report of window %d counts %v of %v requests",
+				window, reported, ran[window]))
 		}
 	}
 	f.checkedWindow = last
-	if len(wrong) > int(c.Number("missed", 0)) {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(failures) > int(c.Number("missed", 0)) {
+		return errors.New(strings.Join(failures, "; "))
 	}
 	return nil
 }
 
-// percentOff is the difference of a reported count from the true one, in percent of the true one.
-func percentOff(reported, ran float64) float64 { return math.Abs(reported-ran) / ran * 100 }
+// deviationPercent returns the difference between a reported count and the true one, in percent of the true
+// one.
+func deviationPercent(reported, ran float64) float64 { return math.Abs(reported-ran) / ran * 100 }
 
-// reportedCount returns a tenant's count in the accepted report of a window; f.mu is held.
+// reportedCount returns a tenant's count in the accepted report of a window. The caller holds f.mu.
 func (f *fleet) reportedCount(window uint64, tenant string) float64 {
 	var report usageReport
-	_ = json.Unmarshal([]byte(f.reports[window]), &report) // checked when it arrived; none: 0
+	_ = json.Unmarshal([]byte(f.reports[window]), &report) // checked by serveUsage; 0 without a report
 	return float64(report.InstanceCounts[tenant])
 }
 
-// wantUsage is `want-usage TENANT off=`: all reports together have the count of the requests that
-// ran, to within off percent.
+// wantUsage is `want-usage TENANT off=`: the sum of all reports deviates by at most off percent from
+// the number of requests that ran.
 func (f *fleet) wantUsage(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,21 +245,20 @@
 	for window := range f.reports {
 		reported += f.reportedCount(window, c.Word(0))
 	}
-	ran := float64(len(f.tenants[c.Word(0)].ranAt))
-	if ran == 0 || percentOff(reported, ran) > c.Number("off", 0) {
-		return fmt.Errorf("reported were %v of %v", reported, ran)
+	ran := float64(len(f.tenants[c.Word(0)].servedAt))
+	if ran == 0 || deviationPercent(reported, ran) > c.Number("off", 0) {
+		return fmt.Errorf("the reports count %v of %v requests", reported, ran)
 	}
 	return nil
 }
 
-// wantReports is `want-reports N WITHIN`: N consecutive windows were reported, including the last
-// one that is due.
+// wantReports is `want-reports N WITHIN`: the last N windows that are due were reported.
 func (f *fleet) wantReports(c simulation.Command) error {
 	const (
 		window   = 5 * time.Second
-		dueAfter = 15 * time.Second // the window and the delay
+		dueAfter = 15 * time.Second // length of the window plus the report delay
 	)
-	return f.until(c.Milliseconds(1), c.Word(0)+" windows in a row", func() bool {
+	return f.waitUntil(c.Milliseconds(1), c.Word(0)+" consecutive windows are reported", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		due := usage.WindowAt(time.Now().Add(-dueAfter), window)
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -23,12 +23,12 @@
 }
 
 type operatorAnswer struct {
-	status int // 0: none
+	status int // 0: no answer
 	body   string
 }
 
-// history records the operators' calls and answers. Calls and returns are numbered as they happen,
-// so that those at the same simulated time are still in order.
+// history records the operators' calls and answers. A logical clock numbers calls and returns, since several
+// of them can happen at the same simulated time.
 type history struct {
 	mu    sync.Mutex // guards the fields below
 	clock int64
@@ -42,7 +42,7 @@
 	return h.clock
 }
 
-// record records a call that began at a tick and has returned.
+// record records a completed call that began at a tick. It ignores reads without an answer.
 func (h *history) record(from int64, c operatorCall, a operatorAnswer) {
 	if !c.read {
 		var v struct {
@@ -53,7 +53,7 @@
 		}
 		c.version = v.Version
 	} else if a.status != http.StatusOK && a.status/100 != 4 {
-		return // a read that was not answered says nothing
+		return // a failed read does not constrain the history
 	}
 	to := h.tick()
 	h.mu.Lock()
@@ -61,8 +61,8 @@
 	h.ops = append(h.ops, porcupine.Operation{Input: c, Call: from, Output: a, Return: to})
 }
 
-// configurationChain is a state of the configuration: the last accepted change and those before it.
-// Equal states are one pointer.
+// configurationChain is a state of the configuration: the last accepted change and all before it. Equal
+// states share one pointer, so that the checker can compare states by pointer.
 type configurationChain struct {
 	operatorCall
 	previous *configurationChain
@@ -77,8 +77,8 @@
 	return false
 }
 
-// isUnclear reports whether an answer leaves the outcome of a change open.
-func (a operatorAnswer) isUnclear() bool {
+// isIndeterminate reports whether the outcome of a change is unknown after this answer.
+func (a operatorAnswer) isIndeterminate() bool {
 	switch a.status {
 	case 0, http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return true
@@ -86,13 +86,14 @@
 	return a.status/100 == 5
 }
 
-// configurationModel is the specification: a register that changes on condition of its version.
+// configurationModel returns the sequential specification: a compare-and-swap register, where a change
+// succeeds only if its base is the current version.
 func configurationModel() porcupine.Model {
 	known := map[configurationChain]*configurationChain{}
 	return porcupine.Model{
 		Init: func() any { return (*configurationChain)(nil) },
 		Step: func(state, input, output any) (bool, any) {
-			s, _ := state.(*configurationChain) // nil at the beginning
+			s, _ := state.(*configurationChain) // nil before the first change
 			c, a := inputOf(input), outputOf(output)
 			current, body := uint64(0), ""
 			if s != nil {
@@ -104,8 +105,8 @@
 			case c.read:
 				return a.status == http.StatusNotFound && s == nil, s
 			case s.contains(c):
-				return a.status == http.StatusOK || a.isUnclear(), s
-			case a.status == http.StatusOK || a.isUnclear() && current == c.base && c.version > current:
+				return a.status == http.StatusOK || a.isIndeterminate(), s
+			case a.status == http.StatusOK || a.isIndeterminate() && current == c.base && c.version > current:
 				if current != c.base || c.version <= current {
 					return false, s
 				}
@@ -114,12 +115,12 @@
 					known[next] = &next
 				}
 				return true, known[next]
-			case a.isUnclear(): // it had no effect
+			case a.isIndeterminate(): // the change had no effect
 				return true, s
 			case a.status == http.StatusPreconditionFailed:
 				return current != c.base, s
 			}
-			return c.version <= c.base, s // refused as wrong
+			return c.version <= c.base, s // rejected as invalid
 		},
 	}
 }
@@ -135,8 +136,8 @@
 	return a
 }
 
-// operations merges all unclear calls of the same change into one: it may take effect at any time
-// after the first call, or never.
+// operations returns the recorded calls in order. It merges all calls of the same change with an unknown
+// outcome into one that never returns: the change may take effect at any time after the first call, or never.
 func (h *history) operations() []porcupine.Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +145,7 @@
 	seen := map[operatorCall]bool{}
 	byCall := func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) }
 	for _, op := range slices.SortedFunc(slices.Values(h.ops), byCall) {
-		if outputOf(op.Output).isUnclear() {
+		if outputOf(op.Output).isIndeterminate() {
 			c := inputOf(op.Input)
 			if seen[c] {
 				continue
@@ -157,7 +158,7 @@
 	return out
 }
 
-// check reports whether the history is linearizable. It must not run on simulated time, where its
+// check returns an error unless the history is linearizable. It must not run on simulated time, where its
 // time limit would never expire.
 func (h *history) check() error {
 	ops := h.operations()
@@ -169,47 +170,47 @@
 	for _, op := range ops {
 		c, a := inputOf(op.Input), outputOf(op.Output)
 		_, mark, _ := strings.Cut(c.body, `"name":`)
-		what := fmt.Sprintf("replace %d on %d (%.6s)", c.version, c.base, mark)
+		description := fmt.Sprintf("replace %d on %d (%.6s)", c.version, c.base, mark)
 		if c.read {
 			var v struct{ Version uint64 }
 			_ = json.Unmarshal([]byte(a.body), &v)
-			what = fmt.Sprintf("read %d", v.Version)
+			description = fmt.Sprintf("read %d", v.Version)
 		}
-		fmt.Fprintf(&b, "\n%d..%d %s: %d", op.Call, op.Return, what, a.status)
+		fmt.Fprintf(&b, "\n%d..%d %s: %d", op.Call, op.Return, description, a.status)
 	}
 	return fmt.Errorf("the history is not linearizable (%s):%s", result, b.String())
 }
 
-// TestHistory: the checker rejects histories that are not linearizable, and no others. A change is
-// FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS.
+// TestHistory guards against a checker that accepts histories that are not linearizable, or rejects others.
+// A change is FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS; 0 stands for no answer.
 func TestHistory(t *testing.T) {
 	cases := []struct {
-		why, calls string
-		ok         bool
+		name, calls string
+		ok          bool
 	}{
-		{"nothing", "", true},
-		{"one after the other", "1-2:3/0/a=200 3-4:3/a=200 5-6:5/3/a=200 7-8:5/a=200", true},
-		{"nothing to read", "1-2:0/=404 3-4:3/0/a=200", true},
-		{"nothing to read any more", "1-2:3/0/a=200 3-4:0/=404", false},
-		{"two on one base", "1-6:3/0/a=200 2-5:5/0/a=200", false},
-		{"two contents of one number", "1-6:3/0/a=200 2-5:3/0/b=200", false},
-		{"one of two at once", "1-6:3/0/a=200 2-5:5/0/a=412", true},
-		{"refused before another came", "1-2:3/0/a=412 3-4:5/0/a=200", false},
-		{"refused though its base is current", "1-2:3/0/a=200 3-4:5/3/a=412", false},
-		{"refused though it was taken", "1-2:3/0/a=200 3-4:3/0/a=412", false},
-		{"refused though it was taken, and others after it", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/0/a=412", false},
-		{"acknowledged again", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/0/a=200 7-8:5/a=200", true},
-		{"unclear, and taken", "1-2:3/0/a=503 3-4:3/a=200 5-6:3/0/a=200", true},
-		{"unclear, and taken late", "1-2:3/0/a=0 3-4:0/=404 5-6:3/a=200", true},
-		{"unclear, and overtaken", "1-2:3/0/a=0 3-4:5/0/a=200 5-6:3/0/a=412", true},
-		{"overtaken, then taken", "1-2:3/0/a=0 3-4:5/0/a=200 5-6:3/a=200", false},
-		{"refused, then taken", "1-2:3/0/a=503 3-4:3/0/a=412 5-6:3/a=200", false},
-		{"wrong, then taken", "1-2:3/0/a=400 3-4:3/0/a=200", false},
-		{"a read of what was", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/a=200", false},
-		{"reads that go back", "1-9:3/0/a=503 2-3:3/a=200 4-5:0/=404", false},
-		{"a read at the same time", "1-2:3/0/a=200 3-6:5/3/a=200 4-5:3/a=200", true},
-		{"another content", "1-2:3/0/a=200 3-4:3/b=200", false},
-		{"no later number", "1-2:5/0/a=200 3-4:4/5/a=400 5-6:4/5/b=200", false},
+		{"empty history", "", true},
+		{"sequential changes and reads", "1-2:3/0/a=200 3-4:3/a=200 5-6:5/3/a=200 7-8:5/a=200", true},
+		{"read before the first change", "1-2:0/=404 3-4:3/0/a=200", true},
+		{"read finds no configuration after an acknowledged change", "1-2:3/0/a=200 3-4:0/=404", false},
+		{"two versions acknowledged on one base", "1-6:3/0/a=200 2-5:5/0/a=200", false},
+		{"two contents acknowledged for one version", "1-6:3/0/a=200 2-5:3/0/b=200", false},
+		{"one of two concurrent changes rejected", "1-6:3/0/a=200 2-5:5/0/a=412", true},
+		{"rejected for its base before any other change", "1-2:3/0/a=412 3-4:5/0/a=200", false},
+		{"rejected for its base, which is current", "1-2:3/0/a=200 3-4:5/3/a=412", false},
+		{"rejected when repeated after its acknowledgement", "1-2:3/0/a=200 3-4:3/0/a=412", false},
+		{"rejected when repeated after a later change", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/0/a=412", false},
+		{"acknowledged again when repeated", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/0/a=200 7-8:5/a=200", true},
+		{"unknown outcome, took effect", "1-2:3/0/a=503 3-4:3/a=200 5-6:3/0/a=200", true},
+		{"unknown outcome, took effect after a read", "1-2:3/0/a=0 3-4:0/=404 5-6:3/a=200", true},
+		{"unknown outcome, no effect, rejected when repeated", "1-2:3/0/a=0 3-4:5/0/a=200 5-6:3/0/a=412", true},
+		{"unknown outcome, took effect after another change on its base", "1-2:3/0/a=0 3-4:5/0/a=200 5-6:3/a=200", false},
+		{"rejected, but took effect", "1-2:3/0/a=503 3-4:3/0/a=412 5-6:3/a=200", false},
+		{"rejected as invalid, then acknowledged", "1-2:3/0/a=400 3-4:3/0/a=200", false},
+		{"stale read after a later change", "1-2:3/0/a=200 3-4:5/3/a=200 5-6:3/a=200", false},
+		{"second read older than the first", "1-9:3/0/a=503 2-3:3/a=200 4-5:0/=404", false},
+		{"read concurrent with a change", "1-2:3/0/a=200 3-6:5/3/a=200 4-5:3/a=200", true},
+		{"read returns other content", "1-2:3/0/a=200 3-4:3/b=200", false},
+		{"version not above its base", "1-2:5/0/a=200 3-4:4/5/a=400 5-6:4/5/b=200", false},
 	}
 	for _, c := range cases {
 		h := &history{clock: 99}
@@ -217,7 +218,7 @@
 			h.ops = append(h.ops, parseOperation(t, word))
 		}
 		if err := h.check(); (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.why, err)
+			t.Errorf("%s: check returned %v, want linearizable: %v", c.name, err, c.ok)
 		}
 	}
 }
@@ -226,21 +227,21 @@
 func parseOperation(t *testing.T, word string) porcupine.Operation {
 	t.Helper()
 	times, rest, _ := strings.Cut(word, ":")
-	what, status, _ := strings.Cut(rest, "=")
+	input, status, _ := strings.Cut(rest, "=")
 	var op porcupine.Operation
 	var answer operatorAnswer
 	_, timesErr := fmt.Sscanf(times, "%d-%d", &op.Call, &op.Return)
 	_, statusErr := fmt.Sscan(status, &answer.status)
 	call := operatorCall{read: true}
 	var callErr error
-	if fields := strings.Split(what, "/"); len(fields) == 2 {
-		answer.body = what
+	if fields := strings.Split(input, "/"); len(fields) == 2 {
+		answer.body = input
 	} else {
 		call = operatorCall{body: fields[0] + "/" + fields[2]}
 		_, callErr = fmt.Sscan(fields[0]+" "+fields[1], &call.version, &call.base)
 	}
 	if err := errors.Join(timesErr, statusErr, callErr); err != nil {
-		t.Fatalf("%s: %v", word, err)
+		t.Fatalf("operation %q can't be parsed: %v", word, err)
 	}
 	op.Input = call
 	op.Output = answer
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -11,9 +11,9 @@
 	"comethold/internal/simulation"
 )
 
-// repairScenario draws a series of losses: at most two at a time, the next as soon as all cells are
-// complete. Disks are lost, machines are killed or cut off, new replicas are killed while they
-// catch up, and configurations with other indexes are sent meanwhile.
+// repairScenario returns the commands of a random series of losses: at most two at a time, the next as soon
+// as all cells have all their voters. Disks are lost, machines are killed or cut off, new replicas are killed
+// while they catch up, and configurations with other indexes are sent meanwhile.
 func repairScenario(rng *rand.Rand) (lines []string) {
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	add("losses 2")
@@ -27,20 +27,20 @@
 	add("replace 1 0 c1 within=9000")
 	add("want-all-voters 9000")
 	version := 1
-	p := rng.Perm(n)
-	order := func() { // to a machine without a fault
+	nodes := rng.Perm(n)
+	replace := func() { // sends a change to a machine without a fault
 		version += 2
-		add("replace %d %d c%d within=9000", version, version-2, p[2]+1)
+		add("replace %d %d c%d within=9000", version, version-2, nodes[2]+1)
 	}
 	for range 5 {
-		p = rng.Perm(n)
-		a, b := fmt.Sprint("c", p[0]+1), fmt.Sprint("c", p[1]+1)
+		nodes = rng.Perm(n)
+		a, b := fmt.Sprint("c", nodes[0]+1), fmt.Sprint("c", nodes[1]+1)
 		switch rng.Intn(6) {
-		case 0, 1: // both disks at once, right after an acknowledgement
-			order()
+		case 0, 1: // both disks are lost at once, right after an acknowledgement
+			replace()
 			add("kill %s,%s", a, b)
 			add("lose-disk %s,%s", a, b)
-		case 2: // one after the other, the second while the first comes back
+		case 2: // the second machine is lost while the first returns
 			add("kill %s", a)
 			add("lose-disk %s", a)
 			add("run %d", rng.Intn(7000))
@@ -48,23 +48,23 @@
 			add("run %d", rng.Intn(1500))
 			add("kill %s,%s", a, b)
 			add("lose-disk %s", []string{a, b, a + "," + b}[rng.Intn(3)])
-		case 3: // cut off for long, while an index cell is created
+		case 3: // both are cut off for up to 9 s, then index cells are created
 			add("cut %s,%s", a, b)
 			add("run %d", rng.Intn(9000))
 			add("indexes %d", rng.Intn(5))
 			add("heal")
-			order()
-		case 4: // the mover, and one without its disk
+			replace()
+		case 4: // the mover is lost after another machine lost its disk
 			add("kill %s", a)
 			add("lose-disk %s", a)
 			add("start %s", a)
 			add("run %d", rng.Intn(800))
 			add("kill-lease-holder mover")
-		case 5: // back with the disk while the seat is given away
+		case 5: // a machine returns with its disk while it is replaced as a voter
 			add("kill %s", a)
 			add("run %d", 4000+rng.Intn(2500))
 			add("indexes %d", rng.Intn(5))
-			order()
+			replace()
 			add("start %s", a)
 			add("run %d", rng.Intn(600))
 			add("kill %s", b)
@@ -74,9 +74,9 @@
 		add("run %d", rng.Intn(800))
 		add("start all")
 		if rng.Intn(2) == 0 {
-			order()
+			replace()
 		}
-		add("want-all-voters 4000") // the shortest time after which a loss stops counting
+		add("want-all-voters 4000") // catchUpS, the shortest time after which a loss stops counting
 	}
 	add("kill all")
 	add("start all")
@@ -84,7 +84,8 @@
 	return lines
 }
 
-// TestRepairs plays such scenarios; COMETHOLD_SEEDS is their number.
+// TestRepairs guards against the loss of acknowledged changes when machines or disks are lost shortly after
+// others were replaced as voters. It plays COMETHOLD_SEEDS random scenarios.
 func TestRepairs(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -95,11 +96,11 @@
 				for i, line := range lines {
 					c, _ := simulation.Parse(line)
 					if err := f.Do(c); err != nil {
-						t.Fatalf("%v, after\n%s", err, strings.Join(lines[:i+1], "\n"))
+						t.Fatalf("%v, at the last of these commands:\n%s", err, strings.Join(lines[:i+1], "\n"))
 					}
 				}
 				if f.newest == 0 {
-					t.Error("nothing was acknowledged")
+					t.Error("no change was acknowledged")
 				}
 			})
 		})
