--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -39,8 +39,8 @@
 
 const (
 	// yieldDurations is the number of lease durations for which a node that yielded the lease
-	// lets other nodes acquire it first: the node acquires the lease again only after it has
-	// been free for half a duration.
+	// lets other nodes acquire it first: until then it acquires the lease only after the lease
+	// has been free for half a duration.
 	yieldDurations = 10
 	// renewalsPerDuration is the number of renewals by the owner per lease duration.
 	renewalsPerDuration = 3
@@ -56,9 +56,9 @@
 	IsVoter() bool
 	Get(cell, key string) (paxos.Value, bool)
 	Propose(ctx context.Context, cell string, txn paxos.Txn) (committed bool, err error)
-	// IncarnationEnded reports whether a replica will never return because its node has a
-	// new replica ID.
-	IncarnationEnded(id paxos.ReplicaID) bool
+	// IsReplicaLost reports whether a replica will never return because its node has a new
+	// replica ID.
+	IsReplicaLost(id paxos.ReplicaID) bool
 }
 
 // Options configures a Lease.
@@ -235,8 +235,8 @@
 	if seen.unrenewed >= time.Duration(l.skewFactor)*l.duration+seen.yieldDelay {
 		return true
 	}
-	// The owner's machine has returned with a new disk: the recorded incarnation has ended.
-	return seen.unrenewed >= l.duration && l.cell.IncarnationEnded(record.Owner)
+	// If the owner's node has returned with a new disk, the replica in the record is lost.
+	return seen.unrenewed >= l.duration && l.cell.IsReplicaLost(record.Owner)
 }
 
 // propose replaces the record whose encoding is old, or creates it if old is nil. If the
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -20,7 +20,7 @@
 	mu        sync.Mutex // guards the fields below
 	state     *schematest.Cell
 	cutOff    map[paxos.ReplicaID]bool // nodes whose proposals fail
-	lost      map[paxos.ReplicaID]bool // replicas whose incarnation has ended
+	lost      map[paxos.ReplicaID]bool // replicas that IsReplicaLost reports as lost
 	nonVoters map[paxos.ReplicaID]bool // replicas that have lost their vote
 }
 
@@ -61,7 +61,7 @@
 	return v.state.Commit(txn), nil
 }
 
-func (v nodeView) IncarnationEnded(id paxos.ReplicaID) bool {
+func (v nodeView) IsReplicaLost(id paxos.ReplicaID) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.lost[id]
@@ -128,10 +128,10 @@
 				t.Fatalf("a.Held reports %v under term %d, want true under term 1", held, term)
 			}
 			if _, held := b.Held(); held {
-				t.Fatal("b.Held reports true while a holds the lease")
+				t.Fatal("b.Held reports true while a holds the lease, want false")
 			}
 			if condition, held := a.FenceCondition(1); !held || condition.Absent {
-				t.Fatal("a.FenceCondition(1) returned no condition on the record of the owner")
+				t.Fatal("a.FenceCondition(1) reports not held or requires an absent record, want held and the stored record")
 			}
 		}
 	})
@@ -139,7 +139,7 @@
 
 // TestLeaseOfLostOwner guards against two owners at a time. Another node acquires a lease that
 // is not renewed only after it has expired even on a slow clock of its owner, and under a
-// higher term. It acquires the lease sooner if the owner's incarnation has ended.
+// higher term. It acquires the lease sooner if the owner's replica is lost.
 func TestLeaseOfLostOwner(t *testing.T) {
 	for _, isLost := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -154,16 +154,16 @@
 			}
 			waited := waitHeld(t, b)
 			if _, held := a.Held(); held {
-				t.Errorf("incarnation ended %v: a and b both hold the lease", isLost)
+				t.Errorf("replica lost %v: a and b both hold the lease, want only b", isLost)
 			}
 			if a.Remaining(1) > 0 || b.Remaining(1) > 0 {
-				t.Errorf("incarnation ended %v: Remaining of the former term is above 0", isLost)
+				t.Errorf("replica lost %v: Remaining(1) returned more than 0 after b acquired the lease, want at most 0", isLost)
 			}
 			if term, _ := b.Held(); term != 2 {
-				t.Errorf("incarnation ended %v: term of b is %d, want 2", isLost, term)
+				t.Errorf("replica lost %v: term of b is %d, want 2", isLost, term)
 			}
 			if isLost != (waited < (ClockSkewFactor-1)*testDuration) {
-				t.Errorf("incarnation ended %v: b acquired the lease after %v, want under 2 s only if ended", isLost, waited)
+				t.Errorf("replica lost %v: b acquired the lease after %v, want under 2 s only if lost", isLost, waited)
 			}
 		})
 	}
@@ -201,7 +201,7 @@
 		waitHeld(t, a)
 		a.Forfeit()
 		if _, held := a.Held(); held {
-			t.Error("lease is still held after Forfeit")
+			t.Error("lease is still held after Forfeit, want not held")
 		}
 		waitHeld(t, a)
 		if term, _ := a.Held(); term != 2 {
@@ -223,7 +223,7 @@
 			t.Errorf("b acquired the lease after %v, want at most half a lease duration", took)
 		}
 		if _, held := a.Held(); held {
-			t.Error("a and b both hold the lease")
+			t.Error("a and b both hold the lease, want only b")
 		}
 	})
 }
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -136,22 +136,22 @@
 	return h.now() - max(h.resumedAt, h.peers.lastContact(address))
 }
 
-// IncarnationEnded reports whether a replica is permanently lost: its node sends messages under
+// IsReplicaLost reports whether a replica is permanently lost: its node sends messages under
 // another ID, so the replica's disk was lost. If this node never received a message under the
 // former ID, because it started later, it takes the address of that ID from the voters of the
 // meta cell.
-func (h *Host) IncarnationEnded(id paxos.ReplicaID) bool {
+func (h *Host) IsReplicaLost(id paxos.ReplicaID) bool {
 	live := h.LivePeers(LearnerTimeout)
-	ended := h.peers.isReplaced(id)
+	isLost := h.peers.isReplaced(id)
 	h.View(schema.MetaCell, func(replica *paxos.Replica) {
 		voters, _ := replica.Voters()
 		for _, voter := range voters {
 			if current, isLive := live[voter.Addr]; isLive && voter.ID == id && current.ID != id {
-				ended = true
+				isLost = true
 			}
 		}
 	})
-	return ended
+	return isLost
 }
 
 // PeerAddresses returns the possible addresses of other control nodes: the voters of the meta
