--- a/internal/paxos/aliases.go
+++ b/internal/paxos/aliases.go
@@ -31,7 +31,7 @@
 	Op = statemachine.Op
 	// Txn is a transaction: if all its conditions hold, all its operations are applied.
 	Txn = statemachine.Txn
-	// ChangedKeys lists the keys that were changed, or states that any key may have been.
+	// ChangedKeys is a set of changed keys. If All is set, any key may have been changed.
 	ChangedKeys = statemachine.ChangedKeys
 )
 
--- a/internal/paxos/chaos_test.go
+++ b/internal/paxos/chaos_test.go
@@ -20,7 +20,7 @@
 // changes may replace the same value, and the history of changes and reads must be linearizable.
 type chaosRun struct {
 	*cellSimulation
-	incarnations  int // number of replaced disks; makes the IDs of new replicas unique
+	replacedDisks int // makes the IDs of new replicas unique
 	lastOperation int
 
 	// The changes of registerKey, by transaction ID:
@@ -358,10 +358,10 @@
 // replaceDisk stops a machine, replaces its disk with an empty one, and schedules reports of the
 // loss to the other machines. The machine gets a new replica ID and stays down.
 func (c *chaosRun) replaceDisk(name string) {
-	c.incarnations++
+	c.replacedDisks++
 	node := c.nodes[name]
 	former := node.id
-	c.loseDisk(node, ReplicaID(name+"~"+strconv.Itoa(c.incarnations)))
+	c.loseDisk(node, ReplicaID(name+"~"+strconv.Itoa(c.replacedDisks)))
 	c.scheduleLossReports(node, former)
 }
 
--- a/internal/paxos/doc.go
+++ b/internal/paxos/doc.go
@@ -19,7 +19,8 @@
 //
 // Ready returns what the owner must do: sync Ready.Writes to disk, send Ready.Messages at
 // once, and send Ready.MessagesAfterSync after these writes and all earlier ones are synced.
-// The owner passes a message to the replica itself to Step. The example of Replica shows the loop.
+// The owner calls Step with each message that is addressed to the replica itself. The example of
+// Replica shows the loop.
 // All times are readings of one monotonic clock that the owner chooses.
 //
 // # The steps of Paxos
--- a/internal/paxos/leader_learning_test.go
+++ b/internal/paxos/leader_learning_test.go
@@ -178,6 +178,6 @@
 		CommitIndex: newer.Index, Entries: []Entry{newer},
 	})
 	if a.Role() == Leader {
-		t.Error("replica a is still the leader after it learned an entry with a newer proposal number")
+		t.Error("replica a is still the leader after it learned an entry with a newer proposal number, want another role")
 	}
 }
--- a/internal/paxos/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -283,7 +283,7 @@
 		}
 		s.run(50 * time.Millisecond)
 	}
-	s.t.Fatalf("%s at %v: put %s=%s was not committed in 200 attempts", s.name, s.now, key, value)
+	s.t.Fatalf("%s at %v: put %s=%s was not committed in 200 attempts, want it committed", s.name, s.now, key, value)
 }
 
 // putOnce proposes a put, waits for its outcome for up to 1.2 s, and reports whether it was committed.
--- a/internal/paxos/severe_faults_test.go
+++ b/internal/paxos/severe_faults_test.go
@@ -154,7 +154,7 @@
 		c.run(time.Millisecond)
 		c.repairMembership()
 	}
-	c.t.Fatalf("%s at %v: the membership repair is not complete on the leader after 20 s", c.name, c.now)
+	c.t.Fatalf("%s at %v: the membership repair is not complete on the leader after 20 s, want it complete", c.name, c.now)
 }
 
 // isRepairedOnLeader reports whether the newest membership change is complete on the leader, with
--- a/internal/paxos/simulation_test.go
+++ b/internal/paxos/simulation_test.go
@@ -89,7 +89,7 @@
 	paused       bool
 	heldMessages []Message // messages that arrived while the node was paused
 
-	checkedIndex uint64 // index up to which checkAgreement has checked this incarnation
+	checkedIndex uint64 // index up to which checkAgreement has checked the current replica
 }
 
 // stop ends a node's process. Writes that are not synced yet are lost.
--- a/internal/paxos/statemachine/state_test.go
+++ b/internal/paxos/statemachine/state_test.go
@@ -96,7 +96,7 @@
 		"two replaced": {voters("a", "d", "e"), false},
 		"two added":    {voters("a", "b", "c", "d", "e"), false},
 		"unchanged":    {voters("c", "b", "a"), false},
-		"twice":        {voters("a", "b", "b"), false},
+		"duplicate":    {voters("a", "b", "b"), false},
 		"empty":        {nil, false},
 	} {
 		state := newInitialState()
--- a/internal/storage/commit.go
+++ b/internal/storage/commit.go
@@ -46,9 +46,9 @@
 	return c
 }
 
-// addReplicaWrites calls onEnqueue and queues the writes, both with c.mu held, and returns false. It returns true,
-// without queueing, if the writes are empty and no earlier write is queued or being committed. After close it discards
-// the writes and returns false.
+// addReplicaWrites queues the writes and returns false. It calls onEnqueue before it queues them; c.mu is held during
+// both. If the writes are empty and no earlier write is queued or being committed, it queues nothing and returns true.
+// After close it discards the writes and returns false.
 func (c *groupCommitter) addReplicaWrites(cell string, writes paxos.Writes, done, onEnqueue func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/storage/fault_test.go
+++ b/internal/storage/fault_test.go
@@ -17,7 +17,7 @@
 func testDiskFaults(t *testing.T) {
 	dir := t.TempDir()
 	disk := &simulation.FaultyDisk{Base: LocalDisk{}, Random: func() float64 { return 0 }}
-	failOnFault := func(err error) { t.Error(err) }
+	failOnFault := func(err error) { t.Error("Open reported a fault, want none:", err) }
 	disk.SetFault(simulation.Full)
 	for range 3 {
 		if _, err := Open(dir, disk, failOnFault); !errors.Is(err, simulation.ErrDiskFull) {
@@ -27,7 +27,7 @@
 	disk.SetFault(simulation.NoFault)
 	store, err := Open(dir, disk, func(err error) {
 		if !errors.Is(err, simulation.ErrPowerLost) {
-			t.Error(err)
+			t.Error("the store reported a fault, want only ErrPowerLost:", err)
 		}
 	})
 	if err != nil {
@@ -39,7 +39,7 @@
 
 	disk.SetFault(simulation.Hanging)
 	writes := paxos.Writes{Promised: &paxos.ProposalNumber{Term: 1}}
-	store.Submit("c", writes, func() { t.Error("done was called although the disk hangs") })
+	store.Submit("c", writes, func() { t.Error("done was called while the disk hangs, want no call") })
 	for committing := false; !committing; time.Sleep(time.Millisecond) {
 		store.commits.mu.Lock()
 		committing = store.commits.committing
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -25,7 +25,7 @@
 	dir  string
 	disk *simulation.FaultyDisk
 
-	identity string // the newest identity that was durable and so may have been sent
+	identity string // the newest durable identity, which other nodes may have received
 	promised uint64 // the highest term that was promised under it
 }
 
@@ -35,22 +35,22 @@
 // received them. The power fails at any disk operation of a start, Open included; each change of a file name that was
 // not synced is then kept or reverted at random. The directory is empty at first or holds files of an earlier process.
 func TestPowerLossAtOpen(t *testing.T) {
-	const lastStep = 11 // no start has more of the operations that LosePowerAfter counts
+	const lastStep = 11 // no start performs more operations of those that LosePowerAfter counts
 	complete := completeFile(t)
 	garbage := bytes.Repeat([]byte{7}, 20000)
 	for _, start := range []struct {
 		name       string
-		seedOffset int // added to the seed, so that each case has its own random sequence
+		seedOffset int // added to the seed, so that not all cases have the same random sequence
 		files      map[string][]byte
 	}{
 		{"empty", 5, map[string][]byte{}},
 		{"never synced", 12, map[string][]byte{fileName: nil}},
 		{"half created", 9, map[string][]byte{temporaryFileName: complete[:9000]}},
-		{"torn", 4, map[string][]byte{fileName: garbage}},
-		{"short", 5, map[string][]byte{fileName: complete[:4096]}},
-		{"renamed before", 16, map[string][]byte{fileName: garbage, corruptFileName: complete}},
+		{"corrupt", 4, map[string][]byte{fileName: garbage}},
+		{"truncated", 5, map[string][]byte{fileName: complete[:4096]}},
+		{"corrupt, renamed file exists", 16, map[string][]byte{fileName: garbage, corruptFileName: complete}},
 		{
-			"complete with leftovers", 15,
+			"complete, other files exist", 15,
 			map[string][]byte{fileName: complete, temporaryFileName: complete, corruptFileName: nil},
 		},
 	} {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -9,7 +9,7 @@
 	"comethold/internal/paxos"
 )
 
-// openStore opens a store on the local disk and reports whether it is empty, that is, holds no identity of the node.
+// openStore opens a store on the local disk. empty is true if the store holds no identity of the node.
 func openStore(t *testing.T, dir string) (store *Store, empty bool) {
 	t.Helper()
 	store, err := Open(dir, LocalDisk{}, func(err error) { t.Log(err) })
@@ -72,7 +72,7 @@
 		t.Fatalf("LoadReplica returned %+v, want term 2, commit index 2, only entry 3, and k = 7 in the snapshot", state)
 	}
 	if _, found, _ := store.LoadReplica("unknown"); found {
-		t.Fatal("LoadReplica found a cell that was never stored")
+		t.Fatal("LoadReplica of a cell that was never stored returned found true, want false")
 	}
 	closeStore(t, store)
 
--- a/internal/storage/tornpages_test.go
+++ b/internal/storage/tornpages_test.go
@@ -35,7 +35,7 @@
 func contentsAfterSyncs(t *testing.T, rng *rand.Rand) (contents [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
-	store, err := Open(dir, LocalDisk{}, func(err error) { t.Error(err) })
+	store, err := Open(dir, LocalDisk{}, func(err error) { t.Error("the store reported a fault, want none:", err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,8 @@
 	return torn
 }
 
-// checkTornFile opens a torn file and checks that it holds the identity, and the entry and term of acknowledged.
+// checkTornFile opens a torn file and checks that it holds all acknowledged data: the identity, and the last synced
+// entry and promise. acknowledged is both the index of that entry and the term of that promise.
 func checkTornFile(t *testing.T, torn []byte, acknowledged uint64, metaTorn bool) {
 	t.Helper()
 	name := fmt.Sprintf("after sync %d, meta pages torn %v", acknowledged, metaTorn)
@@ -99,7 +100,7 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName), torn, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store, err := Open(dir, LocalDisk{}, func(err error) { t.Errorf("%s: %v", name, err) })
+	store, err := Open(dir, LocalDisk{}, func(err error) { t.Errorf("%s: Open reported %v, want no fault", name, err) })
 	if err != nil || string(store.NodeValue("identity")) != "a" {
 		t.Fatalf("%s: Open returned %v, want nil and identity a", name, err)
 	}
