--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -8,7 +8,8 @@
 	"comethold/internal/paxos"
 )
 
-// TestIsForming checks a cell that is intended to have five voters.
+// TestIsForming guards against configuration changes that a cell commits before it has its five
+// voters, and against a cell that counts as forming although no further voter can join.
 func TestIsForming(t *testing.T) {
 	const (
 		long = time.Hour
@@ -18,7 +19,7 @@
 	for _, c := range []struct {
 		name            string
 		voters          int
-		inEffect        bool
+		changeComplete  bool
 		age             time.Duration
 		stableFor       time.Duration
 		sinceVoterAdded time.Duration
@@ -31,15 +32,15 @@
 		{"live node without a vote, after formationTimeout", few, true, formationTimeout, long, long, 1, false},
 		{"stable for less than stablePeriod", few, true, long, stablePeriod - 1, long, 0, true},
 		{"stable for stablePeriod", few, true, long, stablePeriod, long, 1, false},
-		{"last voter just added", all, false, long, 0, formationTimeout - 1, 0, true},
-		{"last voter added formationTimeout ago", all, false, long, 0, formationTimeout, 0, false},
-		{"last voter not in effect, this node started recently", all, false, formationTimeout - 1, long, long, 0, true},
-		{"all voters in effect", all, true, 0, 0, 0, 1, false},
+		{"change not complete, last voter just added", all, false, long, 0, formationTimeout - 1, 0, true},
+		{"change not complete, last voter added formationTimeout ago", all, false, long, 0, formationTimeout, 0, false},
+		{"change not complete, this node started recently", all, false, formationTimeout - 1, long, long, 0, true},
+		{"change to all voters complete", all, true, 0, 0, 0, 1, false},
 		{"more voters than intended", all + 1, false, 0, 0, 0, 1, false},
 	} {
 		cell := replicahost.Stability{
 			Voters:                   make([]paxos.Voter, c.voters),
-			MembershipChangeComplete: c.inEffect,
+			MembershipChangeComplete: c.changeComplete,
 			Age:                      c.age,
 			StableFor:                c.stableFor,
 			SinceVoterAdded:          c.sinceVoterAdded,
--- a/internal/controlplane/placement/mover.go
+++ b/internal/controlplane/placement/mover.go
@@ -118,8 +118,8 @@
 	isDown := func(address string) bool { return host.ContactAge(address) > m.options.Timeouts.Voter }
 	var live map[string]replicahost.PeerInfo
 	host.ViewAll(func(open replicahost.OpenReplica) {
-		voters, inEffect := open.Replica.Voters()
-		if !inEffect || open.Age < minReplicaAge {
+		voters, complete := open.Replica.Voters()
+		if !complete || open.Age < minReplicaAge {
 			return
 		}
 		if live == nil {
@@ -160,7 +160,7 @@
 
 // MoveLocal executes a move at this node. The result is NoLeader if this node does not lead
 // the cell. It is Busy if the move is not allowed now, for example because the new replica
-// has not caught up or the previous move is not in effect yet.
+// has not caught up or the previous move is not complete yet.
 func (m *Mover) MoveLocal(ctx context.Context, request *MoveRequest) replicahost.ProposeResult {
 	result := replicahost.ProposeResult{NoLeader: true}
 	var txn paxos.Txn
@@ -188,8 +188,8 @@
 
 // moveTxn returns the transaction of a move. isAllowed is false if the move is not allowed now.
 func moveTxn(replica *paxos.Replica, request *MoveRequest, maxVoters int) (txn paxos.Txn, isAllowed bool) {
-	voters, inEffect := replica.Voters()
-	if !inEffect || !hasCaughtUp(replica, request.Add.ID) {
+	voters, complete := replica.Voters()
+	if !complete || !hasCaughtUp(replica, request.Add.ID) {
 		return txn, false
 	}
 	var next []paxos.Voter
--- a/internal/controlplane/placement/timeouts.go
+++ b/internal/controlplane/placement/timeouts.go
@@ -19,9 +19,9 @@
 // minVoterTimeout is two hello intervals of a voter, so that a voter is not replaced after one late hello.
 const minVoterTimeout = 2 * time.Second
 
-// TimeoutsFor returns the timeouts with which a lost voter is replaced within catchUp, the time
-// after which the next machine may be lost, provided that the new replica has caught up. One half
-// of catchUp is for detecting the loss. The other half is for electing a new leader, acquiring the
+// TimeoutsFor returns the timeouts with which a lost voter is replaced within catchUp, provided that
+// the new replica has caught up. catchUp is the time after which the next machine may be lost. One
+// half of it is for detecting the loss. The other half is for electing a new leader, acquiring the
 // placement lease and executing the moves, one after the other, since the lost machine may have
 // been the leader and the owner of the lease. If catchUp is 0, there is no time limit.
 func TimeoutsFor(catchUp time.Duration) Timeouts {
--- a/internal/controlplane/replicahost/host.go
+++ b/internal/controlplane/replicahost/host.go
@@ -38,7 +38,8 @@
 	// ErrNoQuorum is returned when no leader of the cell answered in time. As far as this node
 	// can tell, a majority of the cell's voters is unreachable. Nothing was changed.
 	ErrNoQuorum = errors.New("replicahost: no leader of the cell answered in time")
-	// ErrBusy is returned when the leader's pipeline is full. Nothing was changed.
+	// ErrBusy is returned when the leader could not handle the request in time; see
+	// ProposeResult.Busy. Nothing was changed.
 	ErrBusy = errors.New("replicahost: the cell is busy")
 	// ErrOutcomeUnknown is returned when the change may or may not have been committed.
 	ErrOutcomeUnknown = errors.New("replicahost: the outcome of the change is unknown")
@@ -238,7 +239,7 @@
 		h.log.Error(logging.ReplicaCorrupt).
 			Str("cell", cell).
 			Err(err).
-			Msg("the stored state of the replica cannot be read; replica not opened")
+			Msg("stored state of the replica cannot be read; not opening the replica")
 		return
 	}
 	if !found && (paxos.Membership{Voters: initialVoters}).Contains(h.Self.ID) {
--- a/internal/controlplane/replicahost/host_test.go
+++ b/internal/controlplane/replicahost/host_test.go
@@ -42,7 +42,7 @@
 		t.Error("Do returned after Stop before its function had completed")
 	}
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Error("Run returned an error after Stop, want nil:", err)
 	}
 	h.Do(func() { t.Error("Do ran a function after Run had returned, want it never to run") })
 }
--- a/internal/controlplane/replicahost/peers.go
+++ b/internal/controlplane/replicahost/peers.go
@@ -21,9 +21,9 @@
 	// LearnerTimeout is the time after which a peer without a vote is no longer a learner and
 	// receives no more updates.
 	LearnerTimeout = 10 * time.Second
-	// leaderTimeout is the time after which the followers of a leader on a silent node campaign.
-	// Index cells have long heartbeat intervals and election timeouts; without this limit some
-	// of their elections would start later.
+	// leaderTimeout is the time without a message from the leader's node after which the
+	// followers of the leader campaign. Without this limit, elections of some index cells would
+	// start later, because these cells have long heartbeat intervals and election timeouts.
 	leaderTimeout = 2 * time.Second
 	// ReturnTimeout is the time after which the next message of a peer counts as its return.
 	ReturnTimeout = 3 * time.Second
--- a/internal/controlplane/replicahost/propose.go
+++ b/internal/controlplane/replicahost/propose.go
@@ -38,7 +38,8 @@
 	// Committed is true if the transaction was committed or the read index confirmed. If the
 	// result of a proposal has no field set, the conditions of the transaction did not hold.
 	Committed bool `cbor:"1,keyasint,omitempty"`
-	// Busy is true if the leader's pipeline is full.
+	// Busy is true if the leader can't handle the request now: its pipeline is full, it is still
+	// catching up, or the local handler of the request rejects it for now.
 	Busy bool `cbor:"2,keyasint,omitempty"`
 	// Unknown is true if the change may or may not have been committed.
 	Unknown bool `cbor:"3,keyasint,omitempty"`
--- a/internal/controlplane/replicahost/propose_test.go
+++ b/internal/controlplane/replicahost/propose_test.go
@@ -39,7 +39,7 @@
 		host.Stop()
 		host.Wait()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Error("Run returned an error after Stop, want nil:", err)
 		}
 	})
 	return host
@@ -67,7 +67,7 @@
 			t.Errorf("Propose with a condition that does not hold returned %v, %v, want false, nil", committed, err)
 		}
 		if err := host.WaitLinearizable(ctx, schema.MetaCell); err != nil {
-			t.Error(err)
+			t.Error("WaitLinearizable returned an error, want nil:", err)
 		}
 		if value, found := host.Get(schema.MetaCell, "k"); !found || string(value.Bytes) != "1" {
 			t.Errorf("Get returned found %v and value %q, want true and \"1\"", found, value.Bytes)
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		host := runHost(t)
 		if committed, err := host.Propose(t.Context(), schema.MetaCell, putTxn("1")); !committed {
-			t.Fatal(err)
+			t.Fatal("Propose before Stop did not commit the transaction, want it committed; error:", err)
 		}
 		host.Stop()
 		synctest.Wait()
--- a/internal/controlplane/replicahost/read.go
+++ b/internal/controlplane/replicahost/read.go
@@ -50,7 +50,7 @@
 
 // ReadIndexLocal confirms with a majority that this node still leads a cell, and returns its
 // applied index at the time of the confirmation as the read index. The result is Busy if the
-// replica rejects the read with ErrPipelineFull, and NoLeader if this node does not lead or the
+// leader is still catching up, and NoLeader if this node does not lead or the
 // context or the host ends before the confirmation.
 func (h *Host) ReadIndexLocal(ctx context.Context, cell string) ProposeResult {
 	waiter := make(chan uint64, 1)
--- a/internal/controlplane/replicahost/transport_test.go
+++ b/internal/controlplane/replicahost/transport_test.go
@@ -84,7 +84,7 @@
 	count := len(queue.messages)
 	last := queue.messages[count-1].HeartbeatSequence
 	if queue.bytes > maxQueueBytes || count < maxQueueBytes/message.Size() || last != message.HeartbeatSequence {
-		t.Errorf("full queue: %d messages, %d bytes, last number %d, want at most maxQueueBytes, last number %d",
+		t.Errorf("full queue: %d messages, %d bytes, last message %d, want nearly maxQueueBytes, last message %d",
 			count, queue.bytes, last, message.HeartbeatSequence)
 	}
 }
--- a/internal/controlplane/replicahost/unreachable_leader_test.go
+++ b/internal/controlplane/replicahost/unreachable_leader_test.go
@@ -22,8 +22,8 @@
 }
 
 // TestUnreachableLeader guards against index cells that wait for up to two election timeouts after
-// the machine of their leader was lost. With such a delay the cells cannot replace the vote of the
-// lost machine in time.
+// the machine of their leader was lost. With such a delay the cells cannot replace the voter on
+// the lost machine in time.
 func TestUnreachableLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const cells = 10
