--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -21,11 +21,11 @@
 
 // quotaAllocation groups the components that allocate the tenants' quotas.
 type quotaAllocation struct {
-	tenants    *allocation.TenantLimits
-	renewer    *allocation.QuotaShareRenewer
-	watermarks *allocation.WatermarkStore
-	borrower   *allocation.Borrower
-	tokens     *allocation.TokenServer
+	tenantLimits *allocation.TenantLimits
+	renewer      *allocation.QuotaShareRenewer
+	watermarks   *allocation.WatermarkStore
+	borrower     *allocation.Borrower
+	tokens       *allocation.TokenServer
 }
 
 // openAllocation creates the components that allocate shares and quotas. It needs s.host.
@@ -33,7 +33,7 @@
 	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
 	watermarks := allocation.NewWatermarkStore(allocator, store)
-	tenants := allocation.NewTenantLimits(s.settings.Bounds.QuotaRules(), allocator)
+	tenantLimits := allocation.NewTenantLimits(s.settings.Bounds.QuotaRules(), allocator)
 	borrower := allocation.NewBorrower(allocation.BorrowerOptions{
 		Allocator: allocator,
 		Peers:     s.host,
@@ -43,13 +43,13 @@
 		RegionOf:  s.settings.RegionOf,
 	})
 	s.quotas = quotaAllocation{
-		tenants:    tenants,
-		watermarks: watermarks,
-		borrower:   borrower,
+		tenantLimits: tenantLimits,
+		watermarks:   watermarks,
+		borrower:     borrower,
 		renewer: allocation.NewQuotaShareRenewer(allocation.QuotaShareRenewerOptions{
 			NodeName:     s.settings.NodeName,
 			Allocator:    allocator,
-			TenantLimits: tenants,
+			TenantLimits: tenantLimits,
 			Shares:       s.shares,
 			Watermarks:   watermarks.Load(),
 			Log:          s.log,
--- a/internal/controlplane/datagrams.go
+++ b/internal/controlplane/datagrams.go
@@ -31,8 +31,8 @@
 	stopping <-chan struct{}
 }
 
-// ServeDatagrams receives and sends datagrams on conn from when the storage is open until
-// Stop, then closes conn.
+// ServeDatagrams answers datagrams on conn once the storage is open. After Stop it closes conn and
+// returns.
 func (s *Server) ServeDatagrams(conn net.PacketConn) error {
 	select {
 	case <-s.ready:
--- a/internal/controlplane/distribution.go
+++ b/internal/controlplane/distribution.go
@@ -12,8 +12,8 @@
 const endpointsStorageKey = "list"
 
 // openDistributor creates the distributor of updates to nodes. Until it receives a newer
-// endpoint list, it uses the one that this node stored before its restart. Calls name the ID
-// of their endpoint, so an outdated entry does no harm.
+// endpoint list, it uses the one that this node stored before its restart. Each call
+// names the ID of the intended endpoint, so an outdated entry does no harm.
 func (s *Server) openDistributor(store *storage.Store) {
 	var saved *distribution.EndpointList
 	if raw := store.NodeValue(endpointsStorageKey); raw != nil {
--- a/internal/controlplane/internalapi.go
+++ b/internal/controlplane/internalapi.go
@@ -20,7 +20,7 @@
 // requestTimeout bounds a request between control nodes.
 const requestTimeout = 1500 * time.Millisecond
 
-// Paths of the requests of other processes of the system for updates and shares of rate limits.
+// RPC paths on which other processes of the system request updates and shares of the rate limits.
 const (
 	updatesPath   = "/feed"
 	rateSharePath = "/ration"
--- a/internal/controlplane/latency.go
+++ b/internal/controlplane/latency.go
@@ -17,20 +17,20 @@
 
 // latencyEstimates groups the components that collect and export latency estimates.
 type latencyEstimates struct {
-	collector *latency.Collector
-	file      *latency.ExportFile
-	exporter  *latency.Exporter
+	collector  *latency.Collector
+	exportFile *latency.ExportFile
+	exporter   *latency.Exporter
 }
 
 // openLatencyEstimates creates the components that collect and export latency estimates. It
 // needs s.distributor.
 func (s *Server) openLatencyEstimates() {
 	collector := latency.NewCollector(s.distributor.Nodes, s.settings.PortOf(settings.DataPlane), s.client)
-	file := latency.NewExportFile(s.settings.DataDirectory, s.disk)
+	exportFile := latency.NewExportFile(s.settings.DataDirectory, s.disk)
 	s.estimates = latencyEstimates{
-		collector: collector,
-		file:      file,
-		exporter:  latency.NewExporter(collector, file, s.settings.AvailabilityZone, s.log),
+		collector:  collector,
+		exportFile: exportFile,
+		exporter:   latency.NewExporter(collector, exportFile, s.settings.AvailabilityZone, s.log),
 	}
 }
 
@@ -50,5 +50,5 @@
 // handleReadSavedEstimates answers with the estimates that this control node has exported,
 // oldest first.
 func (s *Server) handleReadSavedEstimates(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.estimates.file.Lines())
+	return c.JSON(http.StatusOK, s.estimates.exportFile.Lines())
 }
--- a/internal/controlplane/outbox.go
+++ b/internal/controlplane/outbox.go
@@ -16,7 +16,7 @@
 		Distributor:     s.distributor,
 		Storage:         store,
 		Quarantine:      s.quarantine,
-		OnConfiguration: s.quotas.tenants.Apply,
+		OnConfiguration: s.quotas.tenantLimits.Apply,
 		Log:             s.log,
 	})
 	s.publisher = outboxpublisher.NewPublisher(outboxpublisher.PublisherOptions{
--- a/internal/controlplane/replay_test.go
+++ b/internal/controlplane/replay_test.go
@@ -22,9 +22,9 @@
 // TestReplayedTransactionsChangeNothing guards against a transaction that changes the state
 // again if it is proposed twice, or if it arrives after a later transaction of its kind.
 //
-// Two kinds are excepted. Appended values: a purge acts twice, which does no harm. Draining
-// marks that arrive after their removal: their endpoint isn't listed, so the next comparison
-// with the list removes them again.
+// Two kinds of transactions are exempt. One appends a value, such as a purge: a second purge does
+// no harm. The other sets a draining mark and arrives after the removal of that mark: its endpoint
+// isn't listed, so the next comparison with the list removes the mark again.
 func TestReplayedTransactionsChangeNothing(t *testing.T) {
 	notification, err := outbox.Notification{
 		EventID:   "configuration/3",
@@ -45,16 +45,16 @@
 		}
 		txn := c.replayed()
 		if !r.Commit(txn) {
-			t.Errorf("%s: first proposal was not committed", c.name)
+			t.Errorf("%s: first proposal was not committed, want it committed", c.name)
 		}
 		if r.Commit(txn) {
-			t.Errorf("%s: second proposal was committed, want no change", c.name)
+			t.Errorf("%s: second proposal was committed, want it rejected", c.name)
 		}
 		if !r.Commit(c.inBetween()) {
-			t.Errorf("%s: transaction in between was not committed", c.name)
+			t.Errorf("%s: transaction in between was not committed, want it committed", c.name)
 		}
 		if r.Commit(txn) {
-			t.Errorf("%s: proposal after the transaction in between was committed, want no change", c.name)
+			t.Errorf("%s: proposal after the transaction in between was committed, want it rejected", c.name)
 		}
 	}
 	r.checkState()
@@ -89,8 +89,8 @@
 		},
 		{
 			name:      "removal of old purges",
-			replayed:  func() paxos.Txn { return r.forgetPurges(10) },
-			inBetween: func() paxos.Txn { return r.forgetPurges(20) },
+			replayed:  func() paxos.Txn { return r.compactPurges(10) },
+			inBetween: func() paxos.Txn { return r.compactPurges(20) },
 		},
 		{
 			name:      "sweep of the outbox",
@@ -114,7 +114,7 @@
 // checkState checks the state after all replays.
 func (r *replayTest) checkState() {
 	if value, _ := r.Replica().Get(schema.PurgeCompactedKey); !value.Equal(schema.UintValue(20)) {
-		r.t.Errorf("low watermark of purges is %v, want 20", value.Int)
+		r.t.Errorf("low watermark of purges after all replays is %v, want 20", value.Int)
 	}
 	_, known, done := schema.RedriveTransaction(r.Replica(), &schema.RedriveRequest{
 		EventID:       r.notification.EventID,
@@ -123,14 +123,14 @@
 		Action:        schema.RedriveResend,
 	})
 	if !known || !done {
-		r.t.Error("repeated redrive case-1 is not reported as known and done")
+		r.t.Error("RedriveTransaction did not report the repeated case-1 as known and done")
 	}
-	held, found := r.Replica().Get(schema.ShardSetKey)
+	stored, found := r.Replica().Get(schema.ShardSetKey)
 	if !found {
 		return
 	}
-	if _, due := reconcile.ShardSetTxn(held, found, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); due {
-		r.t.Error("ShardSetTxn of version 4 is due, although version 5 is stored")
+	if _, ok := reconcile.ShardSetTxn(stored, found, schema.ShardSetRecord{Version: 4, Services: []string{"c"}}); ok {
+		r.t.Error("ShardSetTxn returned isNeeded true for version 4 after version 5 was stored, want false")
 	}
 }
 
@@ -147,18 +147,18 @@
 }
 
 func (r *replayTest) shardSet(version uint64, service string) paxos.Txn {
-	held, found := r.Replica().Get(schema.ShardSetKey)
+	stored, found := r.Replica().Get(schema.ShardSetKey)
 	record := schema.ShardSetRecord{Version: version, Services: []string{service}}
-	txn, due := reconcile.ShardSetTxn(held, found, record)
-	if !due {
-		r.t.Errorf("ShardSetTxn of version %d is not due, want due", version)
+	txn, ok := reconcile.ShardSetTxn(stored, found, record)
+	if !ok {
+		r.t.Errorf("ShardSetTxn returned isNeeded false for version %d, want true", version)
 	}
 	return txn
 }
 
-func (r *replayTest) forgetPurges(upTo uint64) paxos.Txn {
-	held, found := r.Replica().Get(schema.PurgeCompactedKey)
-	return reconcile.CompactPurgesTxn(held, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
+func (r *replayTest) compactPurges(upTo uint64) paxos.Txn {
+	lowWatermark, found := r.Replica().Get(schema.PurgeCompactedKey)
+	return reconcile.CompactPurgesTxn(lowWatermark, found, []string{paxos.AppendedKey(schema.PurgeKeyPrefix, upTo, "x")})
 }
 
 func (r *replayTest) putPendingRow() paxos.Txn {
--- a/internal/controlplane/run_stop_test.go
+++ b/internal/controlplane/run_stop_test.go
@@ -16,7 +16,7 @@
 		running.Go(func() { _ = s.Run() })
 		<-s.ready
 		s.Stop()
-		s.loops.Go(func() { t.Error("loop started after Stop") })
+		s.loops.Go(func() { t.Error("loop started after Stop, want none") })
 		running.Wait()
 	}
 }
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -97,7 +97,7 @@
 	s.openOutbox(self, store)
 	s.openMover()
 	s.openOperatorAPI()
-	s.warnOfUnknownDuties()
+	s.warnOfUnknownRoles()
 	s.host.Open(schema.MetaCell, initialVoters)
 	return s.becomeReady()
 }
@@ -131,11 +131,11 @@
 	})
 }
 
-func (s *Server) warnOfUnknownDuties() {
+func (s *Server) warnOfUnknownRoles() {
 	for _, role := range s.settings.UnknownDuties() {
 		s.log.Warn(logging.UnknownSingletonRole).
 			Str("duty", role).
-			Msg("settings list a duty that this version does not support; ignoring it")
+			Msg("settings list a singleton role that this version does not support; ignoring it")
 	}
 }
 
