--- a/internal/controlplane/distributor/distributor.go
+++ b/internal/controlplane/distributor/distributor.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// PurgePosition returns the log index up to which this node has read the purges.
-func (d *Distributor) PurgePosition() uint64 {
+// PurgeLogIndex returns the log index up to which this node has read the purges.
+func (d *Distributor) PurgeLogIndex() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.purges.readIndex
--- a/internal/controlplane/outboxpublisher/consumer.go
+++ b/internal/controlplane/outboxpublisher/consumer.go
@@ -24,8 +24,8 @@
 type Distributor interface {
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration() *routing.Configuration
-	// PurgePosition returns the log index up to which this node holds purges.
-	PurgePosition() uint64
+	// PurgeLogIndex returns the log index up to which this node holds purges.
+	PurgeLogIndex() uint64
 	// AddNotifications queues notifications for the data plane nodes, except known ones.
 	AddNotifications(notifications []distribution.OutboxNotification)
 }
@@ -139,7 +139,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	configuration := c.options.Distributor.LatestConfiguration()
-	heldVersions := map[string]uint64{outbox.AggregatePurges: c.options.Distributor.PurgePosition()}
+	heldVersions := map[string]uint64{outbox.AggregatePurges: c.options.Distributor.PurgeLogIndex()}
 	if configuration != nil {
 		heldVersions[outbox.AggregateConfiguration] = configuration.Version
 	}
--- a/internal/controlplane/outboxpublisher/fixture_test.go
+++ b/internal/controlplane/outboxpublisher/fixture_test.go
@@ -25,13 +25,13 @@
 // fakeDistributor records the notifications that it receives, each event once.
 type fakeDistributor struct {
 	configuration *routing.Configuration
-	purgePosition uint64
+	purgeLogIndex uint64
 	added         []distribution.OutboxNotification
 }
 
 func (d *fakeDistributor) LatestConfiguration() *routing.Configuration { return d.configuration }
 
-func (d *fakeDistributor) PurgePosition() uint64 { return d.purgePosition }
+func (d *fakeDistributor) PurgeLogIndex() uint64 { return d.purgeLogIndex }
 
 func (d *fakeDistributor) AddNotifications(notifications []distribution.OutboxNotification) {
 	for _, added := range notifications {
--- a/internal/controlplane/outboxpublisher/publisher_test.go
+++ b/internal/controlplane/outboxpublisher/publisher_test.go
@@ -84,8 +84,8 @@
 		rows = append(rows, storedRow(2*i, outbox.Published), storedRow(2*i+1, outbox.RetryWait))
 	}
 	swept := SweepRows(rows)
-	if len(swept.Remaining) != schema.MaxPublishedRows+schema.MaxUnsentRows {
-		t.Errorf("%d rows remain, want MaxPublishedRows + MaxUnsentRows", len(swept.Remaining))
+	if len(swept.Remaining) != schema.MaxPublishedRows+schema.MaxUnpublishedRows {
+		t.Errorf("%d rows remain, want MaxPublishedRows + MaxUnpublishedRows", len(swept.Remaining))
 	}
 	if len(swept.Txn.Ops) != 2*surplus || len(swept.Txn.Conditions) != surplus {
 		t.Errorf("the sweep has %d operations and %d conditions, want 6 and 3", len(swept.Txn.Ops), len(swept.Txn.Conditions))
--- a/internal/controlplane/outboxpublisher/sweep.go
+++ b/internal/controlplane/outboxpublisher/sweep.go
@@ -14,10 +14,10 @@
 }
 
 // SweepRows builds the transaction that removes the oldest rows above schema.MaxPublishedRows
-// and schema.MaxUnsentRows; rows are sorted oldest first. The transaction has no conditions on
+// and schema.MaxUnpublishedRows; rows are sorted oldest first. The transaction has no conditions on
 // rows that remain, so that concurrent claims of these can't make it fail.
 func SweepRows(rows []schema.StoredRow) (sweep Sweep) {
-	published, unsent := 0, 0
+	published, unpublished := 0, 0
 	for i := len(rows) - 1; i >= 0; i-- {
 		stored := rows[i]
 		isPublished := stored.Row.State == outbox.Published
@@ -26,8 +26,8 @@
 			published++
 			tooMany = published > schema.MaxPublishedRows
 		} else {
-			unsent++
-			tooMany = unsent > schema.MaxUnsentRows
+			unpublished++
+			tooMany = unpublished > schema.MaxUnpublishedRows
 		}
 		if !tooMany {
 			sweep.Remaining = append(sweep.Remaining, stored)
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -13,12 +13,12 @@
 const (
 	// MaxPublishedRows is the limit for published rows, which every control node has received.
 	MaxPublishedRows = 128
-	// MaxUnsentRows is the limit for all other rows. The oldest are dropped beyond it, because
+	// MaxUnpublishedRows is the limit for all other rows. The oldest are dropped beyond it, because
 	// the state already contains the changes that they announce.
-	MaxUnsentRows = 128
+	MaxUnpublishedRows = 128
 	// MaxOutboxRows is the limit for all rows. It leaves room for rows that are added between two
 	// clean-ups by the publisher.
-	MaxOutboxRows = MaxPublishedRows + MaxUnsentRows + 64
+	MaxOutboxRows = MaxPublishedRows + MaxUnpublishedRows + 64
 )
 
 // StoredRow is an outbox row with its key and its stored encoding.
