--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -31,7 +31,7 @@
 	version          uint64 // of the current configuration
 	raw              []byte
 	receipt          outbox.KeyUse // whether the change, or a conflicting one, was committed
-	isReceiptExpired bool          // the change is older than all receipts, so receipt is unknown
+	isReceiptDeleted bool          // the receipts of this version were deleted, so receipt is unknown
 	isReadable       bool          // the replica could be read; otherwise all fields are zero
 }
 
@@ -71,8 +71,8 @@
 	case state.receipt == outbox.KeyConflicting:
 		s.quarantineChange(request, fingerprint)
 		return false, &VersionReusedError{Version: request.version}
-	case state.isReceiptExpired:
-		return false, errReceiptExpired
+	case state.isReceiptDeleted:
+		return false, errReceiptDeleted
 	case state.version == request.base && request.version > state.version:
 		return s.propose(ctx, request, fingerprint, state)
 	case !isCurrent:
@@ -86,7 +86,7 @@
 func (s *changes) readState(request *change, fingerprint []byte) (state committedState) {
 	found := s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		state.version, state.raw = schema.ReadConfig(replica)
-		state.receipt, state.isReceiptExpired = schema.CheckReplay(replica, request.version, request.base, fingerprint)
+		state.receipt, state.isReceiptDeleted = schema.CheckReplay(replica, request.version, request.base, fingerprint)
 	})
 	if !found {
 		return committedState{}
--- a/internal/controlplane/operatorapi/errors.go
+++ b/internal/controlplane/operatorapi/errors.go
@@ -20,7 +20,7 @@
 // must not change.
 var (
 	errForming             = errors.New("the control plane is still being founded")
-	errReceiptExpired      = errors.New("the order is so old that nobody knows whether it was taken")
+	errReceiptDeleted      = errors.New("the order is so old that nobody knows whether it was taken")
 	errContended           = errors.New("the cell is busy")
 	errLargeBodyInProgress = errors.New("another large order is being read")
 	errClientDisconnected  = errors.New("the caller is gone")
--- a/internal/controlplane/operatorapi/errors_test.go
+++ b/internal/controlplane/operatorapi/errors_test.go
@@ -38,7 +38,7 @@
 		w := httptest.NewRecorder()
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", http.NoBody)
 		if err := WriteError(echo.New().NewContext(request, w), c.err); err != nil {
-			t.Fatal(err)
+			t.Fatalf("WriteError(%v) returned %v, want nil", c.err, err)
 		}
 		want := fmt.Sprintf("{\"errorMessage\":%q}\n", c.text)
 		if w.Code != c.status || w.Body.String() != want {
--- a/internal/controlplane/operatorapi/handler.go
+++ b/internal/controlplane/operatorapi/handler.go
@@ -46,8 +46,8 @@
 	IsForming func() bool
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration func() *routing.Configuration
-	// Quarantine stores a notification and the reason for the operator to inspect. It must
-	// return before the record is committed, because the request is blocked until it returns.
+	// Quarantine stores a notification and the reason for the operator to inspect. It must not
+	// wait until the record is committed, because the request is blocked until it returns.
 	Quarantine func(notification *outbox.Notification, reason string)
 	// AppliedVersions returns, by aggregate, the version up to which this node has applied
 	// notifications.
--- a/internal/controlplane/operatorapi/purges_test.go
+++ b/internal/controlplane/operatorapi/purges_test.go
@@ -29,7 +29,7 @@
 		go queue.run(ctx)
 		for range cap(outcomes) {
 			if err := <-outcomes; err != nil {
-				t.Error(err)
+				t.Errorf("submit returned %v, want nil", err)
 			}
 		}
 		cancel()
@@ -58,7 +58,7 @@
 		queue.run(ctx)
 		err := queue.submit(t.Context(), distribution.Purge{Label: "a"})
 		if !errors.Is(err, replicahost.ErrOutcomeUnknown) {
-			t.Error(err)
+			t.Errorf("submit to a stopped queue returned %v, want ErrOutcomeUnknown", err)
 		}
 	})
 }
--- a/internal/controlplane/operatorapi/request_test.go
+++ b/internal/controlplane/operatorapi/request_test.go
@@ -25,7 +25,7 @@
 	request.Header.Set(baseVersionHeader, "0")
 	context := echo.New().NewContext(request, httptest.NewRecorder())
 	if _, err := h.readChange(context, func(*change) error { return nil }); err != nil {
-		t.Error(err)
+		t.Errorf("readChange returned %v after the slot for large bodies was released, want nil", err)
 	}
 	if len(h.largeBodySlot) != 0 {
 		t.Error("the slot for large bodies is still taken after readChange returned, want it released")
--- a/internal/controlplane/schema/outboxrows.go
+++ b/internal/controlplane/schema/outboxrows.go
@@ -11,10 +11,11 @@
 
 // Limits on the number of rows in the outbox.
 const (
-	// MaxPublishedRows is the limit for published rows, which every control node has received.
+	// MaxPublishedRows is the limit for published rows, whose notifications every live control node
+	// has acknowledged.
 	MaxPublishedRows = 128
-	// MaxUnpublishedRows is the limit for all other rows. The oldest are dropped beyond it, because
-	// the state already contains the changes that they announce.
+	// MaxUnpublishedRows is the limit for all other rows. The oldest rows beyond it are deleted. No
+	// change is lost, because the state already contains the changes that they announce.
 	MaxUnpublishedRows = 128
 	// MaxOutboxRows is the limit for all rows. It leaves room for rows that are added between two
 	// clean-ups by the publisher.
--- a/internal/controlplane/schema/receipts.go
+++ b/internal/controlplane/schema/receipts.go
@@ -47,11 +47,11 @@
 }
 
 // CheckReplay reports whether a configuration change was committed before, or a different change
-// with the same version and base. tooOld reports that the receipts of this version have been
-// deleted, so that use can't be determined and is KeyUnused.
+// with the same version and base. isReceiptDeleted reports that the receipts of this version have
+// been deleted. In that case use can't be determined, and is KeyUnused.
 func CheckReplay(
 	replica *paxos.Replica, version, base uint64, fingerprint []byte,
-) (use outbox.KeyUse, tooOld bool) {
+) (use outbox.KeyUse, isReceiptDeleted bool) {
 	if receipt := readReceipt(replica, ReceiptKey(version, base)); receipt != nil {
 		return receipt.Compare(fingerprint), false
 	}
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -17,8 +17,8 @@
 }
 
 // TestCheckReplayOfOldChanges checks that a change is recognized thousands of changes later, and
-// that a change whose receipt was deleted is reported as too old. Otherwise, a committed change
-// would be taken for one that was rejected.
+// that CheckReplay reports deleted receipts. Otherwise, a change that was committed would be
+// reported as rejected.
 func TestCheckReplayOfOldChanges(t *testing.T) {
 	const changes = 5000
 	cell := schematest.NewCell(t)
@@ -39,15 +39,15 @@
 	recognized := 0
 	for version := uint64(3); version <= 3*changes; version += 3 {
 		base := baseOf(version)
-		use, tooOld := schema.CheckReplay(replica, version, base, fingerprintOf(version))
-		otherContent, otherTooOld := schema.CheckReplay(replica, version, base, fingerprintOf(version+1))
+		use, isReceiptDeleted := schema.CheckReplay(replica, version, base, fingerprintOf(version))
+		otherContent, isOtherReceiptDeleted := schema.CheckReplay(replica, version, base, fingerprintOf(version+1))
 		otherBase, _ := schema.CheckReplay(replica, version, base+1, fingerprintOf(version))
 		otherVersion, _ := schema.CheckReplay(replica, version+1, base, fingerprintOf(version+1))
-		if tooOld != otherTooOld || tooOld && recognized > 0 {
-			t.Fatalf("CheckReplay(%d): tooOld is %v, want the same for any content, and false after a recognized version",
-				version, tooOld)
+		if isReceiptDeleted != isOtherReceiptDeleted || isReceiptDeleted && recognized > 0 {
+			t.Fatalf("CheckReplay(%d): isReceiptDeleted is %v, want one value for all contents, and false once it was false",
+				version, isReceiptDeleted)
 		}
-		if tooOld {
+		if isReceiptDeleted {
 			continue
 		}
 		recognized++
--- a/internal/controlplane/schema/records.go
+++ b/internal/controlplane/schema/records.go
@@ -96,8 +96,8 @@
 	return indexes
 }
 
-// ReadEjections returns the services of an index cell and the marks of those of their endpoints
-// that are ejected or draining.
+// ReadEjections returns the services of an index cell, and the marks of their ejected and draining
+// endpoints.
 func ReadEjections(cell string, replica *paxos.Replica) distribution.EjectionMarks {
 	marks := distribution.EjectionMarks{
 		IndexName: cell,
--- a/internal/controlplane/schema/shardsets.go
+++ b/internal/controlplane/schema/shardsets.go
@@ -30,11 +30,11 @@
 // ServicesOfGroup returns the service names in the key of a group.
 func ServicesOfGroup(key string) []string { return strings.Split(key, groupSeparator) }
 
-// AssignIndexes assigns the existing index cells to groups of routes. Pairs of a cell and a group
-// are matched in the order of the number of routes that they share; matching services decide
-// between equal numbers, and can match a pair without shared routes. kept maps the name of each
-// cell that remains to its group. added lists the groups that need a new cell, and removed the
-// cells that no group needs.
+// AssignIndexes assigns the existing index cells to groups of routes. It matches pairs of a cell
+// and a group, starting with those that share the most routes. Among pairs that share equally many,
+// those with the same services come first. A pair without shared routes is matched only if its
+// services are the same. kept maps the name of each cell that remains to its group. added lists the
+// groups that need a new cell, and removed the cells that no group needs.
 func AssignIndexes(
 	old map[string]IndexRecord, groups map[string][]string,
 ) (kept map[string]string, added, removed []string) {
