--- a/internal/controlplane/outboxpublisher/consumer.go
+++ b/internal/controlplane/outboxpublisher/consumer.go
@@ -202,7 +202,7 @@
 	}
 	c.loggedQuarantines[notification.EventID] = true
 	c.options.Log.Error(logging.NotificationQuarantined).Str("eventId", notification.EventID).Err(reason).
-		Msg("a notification is quarantined")
+		Msg("notification quarantined")
 	c.quarantining.Go(func() { c.options.Quarantine.Add(notification, reason.Error()) })
 }
 
--- a/internal/controlplane/outboxpublisher/consumer_test.go
+++ b/internal/controlplane/outboxpublisher/consumer_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestQuarantineIsBounded checks that the oldest records are deleted for new ones, and that a
-// repeated event ID does not overwrite the first record.
+// TestQuarantineIsBounded checks that the quarantine holds at most maxQuarantined records, and that
+// a repeated event ID does not overwrite the first record.
 func TestQuarantineIsBounded(t *testing.T) {
 	f := newFixture(t)
 	quarantine := NewQuarantine(f.cell, "n1")
--- a/internal/controlplane/outboxpublisher/publisher.go
+++ b/internal/controlplane/outboxpublisher/publisher.go
@@ -51,12 +51,13 @@
 type Publisher struct {
 	options PublisherOptions
 
-	// observed records, by key, since when each row has been unchanged by this node's clock.
-	// Claim leases and retry delays start at that time. Only Run's goroutine uses it.
+	// observed holds, by key, the content of each row and since when it has been unchanged, by
+	// this node's clock. Claim leases and retry delays start at that time. Only Run's goroutine
+	// uses it.
 	observed map[string]observedRow
 }
 
-// observedRow is the content of a row and the time when this node first read it.
+// observedRow is the content of a row and the time when this node first read that content.
 type observedRow struct {
 	raw   string
 	since time.Time
