--- a/internal/controlplane/reconcile/fixture_test.go
+++ b/internal/controlplane/reconcile/fixture_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// addIndex adds to the meta cell an index cell that holds the shards of services.
+// addIndex adds to the meta cell the record of an index cell for services.
 func (s *testState) addIndex(name string, services ...string) {
 	s.cell(schema.MetaCell).Commit(paxos.Txn{Ops: []paxos.Op{
 		schema.PutOp(schema.IndexKeyPrefix+name, schema.IndexRecord{Services: services}),
--- a/internal/controlplane/reconcile/nodes.go
+++ b/internal/controlplane/reconcile/nodes.go
@@ -93,14 +93,14 @@
 	return unlisted
 }
 
-// reconcile adds nodes that are in contact to the list and updates their entries. It marks a
-// node as down if it is suspected and does not answer this node's probe.
+// reconcile adds live nodes to the list and updates their entries. It marks a node as down if it
+// is suspected and does not answer this node's probe.
 func (n *nodeReconciler) reconcile(ctx context.Context) {
 	listed := n.lists.Nodes()
 	now := time.Now()
-	contacts := n.reports.LiveNodes(now)
+	live := n.reports.LiveNodes(now)
 	var txn paxos.Txn
-	for name, node := range contacts {
+	for name, node := range live {
 		old, isListed := listed[name]
 		if !isListed {
 			addNode(&txn, node)
@@ -108,23 +108,24 @@
 			replaceNode(&txn, old, node)
 		}
 	}
-	for _, node := range n.unreachable(ctx, n.suspects(listed, contacts, now)) {
+	for _, node := range n.unreachable(ctx, n.suspects(listed, live, now)) {
 		replaceNode(&txn, node, downNode(node))
 		n.log.Warn(logging.NodeDown).Str("peer", node.Name).Msg("node missed heartbeats and a probe; marking it as down")
 	}
 	n.commit(ctx, txn)
 }
 
-// suspects returns the listed nodes that are not in contact with this node and whose heartbeats
-// at least nodereports.WitnessesRequired neighbours miss, or all other nodes if there are fewer.
+// suspects returns the listed nodes that are not live and whose heartbeats at least
+// nodereports.MinReporters nodes miss. If the list has fewer other nodes, all of them must miss
+// the heartbeats.
 func (n *nodeReconciler) suspects(
-	listed, contacts map[string]distribution.Node, now time.Time,
+	listed, live map[string]distribution.Node, now time.Time,
 ) (suspects []distribution.Node) {
 	required := min(nodereports.MinReporters, len(listed)-1)
-	for name, witnesses := range n.reports.SuspicionCounts(now) {
-		_, inContact := contacts[name]
+	for name, reporterCount := range n.reports.SuspicionCounts(now) {
+		_, isLive := live[name]
 		node, isListed := listed[name]
-		if isListed && !node.Down && !inContact && witnesses >= required {
+		if isListed && !node.Down && !isLive && reporterCount >= required {
 			suspects = append(suspects, node)
 		}
 	}
--- a/internal/controlplane/reconcile/shardsets.go
+++ b/internal/controlplane/reconcile/shardsets.go
@@ -21,8 +21,8 @@
 	version     uint64                        // of the committed configuration
 	raw         []byte                        // the encoded configuration
 	indexes     map[string]schema.IndexRecord // by name
-	nextID      paxos.Value
-	nextIDFound bool
+	lastID      paxos.Value                   // stored under schema.LastIndexIDKey
+	lastIDFound bool
 	voters      []paxos.Voter // of the meta cell
 }
 
@@ -30,14 +30,14 @@
 	s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		state.version, state.raw = schema.ReadConfig(replica)
 		state.indexes = schema.ReadIndexes(replica)
-		state.nextID, _ = replica.Get(schema.LastIndexIDKey)
-		state.nextIDFound = state.nextID.Int != nil
+		state.lastID, _ = replica.Get(schema.LastIndexIDKey)
+		state.lastIDFound = state.lastID.Int != nil
 		state.voters, _ = replica.Voters()
 	})
 	return state
 }
 
-// reconcile does nothing if the committed configuration is already applied to the index cells.
+// reconcile applies the committed configuration to the index cells, unless it is already applied.
 func (s *shardSetReconciler) reconcile(ctx context.Context) {
 	state := s.readState()
 	if state.version == 0 || state.version == s.appliedVersion {
@@ -75,7 +75,7 @@
 	indexes := map[string]schema.IndexRecord{}
 	txn := paxos.Txn{Conditions: []paxos.Condition{
 		{Key: schema.ConfigVersionKey, Equals: schema.UintValue(state.version)},
-		schema.UnchangedCondition(schema.LastIndexIDKey, state.nextID, state.nextIDFound),
+		schema.UnchangedCondition(schema.LastIndexIDKey, state.lastID, state.lastIDFound),
 	}}
 	for name, group := range kept {
 		old := state.indexes[name]
@@ -89,8 +89,8 @@
 		}
 	}
 	lastID := int64(0)
-	if state.nextIDFound {
-		lastID = state.nextID.Int.Int64()
+	if state.lastIDFound {
+		lastID = state.lastID.Int.Int64()
 	}
 	for _, group := range added {
 		lastID++
