--- a/internal/controlplane/latency/file_test.go
+++ b/internal/controlplane/latency/file_test.go
@@ -23,7 +23,7 @@
 	for i, before := range []string{"", torn, strings.Repeat(" ", maxFileSize) + "\n", ""} {
 		appendRaw(t, path, before)
 		if err := file.Append(View{Nodes: i + 1}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Append of view %d returned %v, want nil", i+1, err)
 		}
 		disk.LosePower()
 	}
