--- a/internal/controlplane/allocation/shareservice_test.go
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -198,7 +198,7 @@
 		{"unknown table", distribution.ShareRequest{Node: "n", Table: 99}, false},
 	} {
 		if got := service.IsValid(&c.request); got != c.want {
-			t.Errorf("%s: IsValid returned %v, want the opposite", c.name, got)
+			t.Errorf("%s: IsValid returned %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/controlplane/allocation/tenants.go
+++ b/internal/controlplane/allocation/tenants.go
@@ -10,7 +10,7 @@
 
 // TenantLimits applies the tenants' limits of a configuration to this node's allocator.
 type TenantLimits struct {
-	rules     quota.AdmissionBounds
+	bounds    quota.AdmissionBounds
 	allocator *quota.Allocator
 
 	mu        sync.Mutex // guards the fields below
@@ -19,8 +19,8 @@
 }
 
 // NewTenantLimits returns TenantLimits that has not applied a configuration yet.
-func NewTenantLimits(rules quota.AdmissionBounds, allocator *quota.Allocator) *TenantLimits {
-	return &TenantLimits{rules: rules, allocator: allocator}
+func NewTenantLimits(bounds quota.AdmissionBounds, allocator *quota.Allocator) *TenantLimits {
+	return &TenantLimits{bounds: bounds, allocator: allocator}
 }
 
 // Apply applies the tenants' limits of a configuration. It ignores a configuration that is not newer
@@ -28,7 +28,7 @@
 func (t *TenantLimits) Apply(configuration *routing.Configuration) {
 	limits := map[string]quota.BucketLimits{}
 	for _, tenant := range configuration.Tenants {
-		tenantLimits := t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
+		tenantLimits := t.bounds.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
 		if tenantLimits.Limited() {
 			limits[tenant.Name] = tenantLimits
 		}
