--- a/internal/controlplane/metering/platform.go
+++ b/internal/controlplane/metering/platform.go
@@ -45,13 +45,13 @@
 	Remaining(term uint64) time.Duration
 }
 
-// PlatformClientOptions are what a PlatformClient needs.
+// PlatformClientOptions are the dependencies and settings of a PlatformClient.
 type PlatformClientOptions struct {
 	Network  rpc.Network
 	Address  string // of the platform, host:port
 	NodeName string
 	Lease    LeaseTimer
-	// LeaseDuration is how long the platform remembers the last caller.
+	// LeaseDuration is how long the platform keeps its record of the last caller.
 	LeaseDuration time.Duration
 	// MaxCallsPerSecond limits successful calls; values below 1 count as 1. The backoff limits
 	// failed calls.
@@ -76,18 +76,18 @@
 }
 
 // MayCall reports whether the platform may be called now under a term. A node that lost the
-// lease and acquired it again, or was restarted, first waits until the platform has forgotten
-// the calls of the former term, because another node may have called in between. A call may
-// arrive at the platform up to leaseSafetyMargin after it has ended here.
+// lease and acquired it again, or was restarted, first waits until the platform's record of the
+// calls of the former term has expired, because another node may have called in between. A call
+// may arrive at the platform up to leaseSafetyMargin after it has ended here.
 func (p *PlatformClient) MayCall(term uint64, now time.Time) bool {
-	forgottenAfter := p.options.LeaseDuration + leaseSafetyMargin
+	callRecordLifetime := p.options.LeaseDuration + leaseSafetyMargin
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Before(p.nextCallAt) || now.Sub(p.options.StartedAt) < forgottenAfter {
+	if now.Before(p.nextCallAt) || now.Sub(p.options.StartedAt) < callRecordLifetime {
 		return false
 	}
 	calledUnderOther := p.lastCallToken != 0 && p.lastCallToken != term
-	return !calledUnderOther || now.Sub(p.lastCallAt) >= forgottenAfter
+	return !calledUnderOther || now.Sub(p.lastCallAt) >= callRecordLifetime
 }
 
 // Post makes one call and sets the earliest time of the next one. Failed calls are followed by
--- a/internal/controlplane/metering/platform_test.go
+++ b/internal/controlplane/metering/platform_test.go
@@ -249,7 +249,8 @@
 		t.Error("MayCall 1s after a call was received: want false under the next term and true under the same term")
 	}
 	if err == nil && (received != 1 || !accepted) {
-		t.Error("a call returned no error, but the platform did not receive and accept it exactly once")
+		t.Errorf("a call that returned no error was received %d times (accepted: %v), want once (accepted: true)",
+			received, accepted)
 	}
 	if err := client.call(t.Context(), []byte("{}"), term-1); !errors.Is(err, ErrLeaseExpired) {
 		t.Errorf("a call under a former term returned %v, want ErrLeaseExpired", err)
--- a/internal/controlplane/metering/reporter.go
+++ b/internal/controlplane/metering/reporter.go
@@ -52,7 +52,7 @@
 	CallPeer(ctx context.Context, address, path string, request, response any) error
 }
 
-// ReporterOptions are what a Reporter needs.
+// ReporterOptions are the dependencies and settings of a Reporter.
 type ReporterOptions struct {
 	Collector *Collector
 	Platform  *PlatformClient
--- a/internal/controlplane/metering/send.go
+++ b/internal/controlplane/metering/send.go
@@ -52,8 +52,8 @@
 	return row, false
 }
 
-// claim claims a report that a former lease holder had claimed. It reports false unless the claim
-// is known to be committed.
+// claim claims a report under a term, if another term claimed it before. It reports false unless
+// the claim is known to be committed.
 func (r *Reporter) claim(row schema.StoredRow, term uint64) (claimed schema.StoredRow, ok bool) {
 	owner := ownerToken(term)
 	if row.Row.Owner == owner {
