--- a/internal/usage/clock_test.go
+++ b/internal/usage/clock_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestClockToleratesWrongWallClocks guards against an agreed time that follows wrong wall clocks:
-// those of a minority at the first agreement, and any number that jump by seconds later. A node that restarts
-// must take over the agreed time of the others.
+// TestClockToleratesWrongWallClocks guards against an agreed time that follows wrong wall clocks: a
+// minority is wrong at the first agreement, and later any number of them jump by seconds. A node that
+// restarts must take over the agreed time of the others.
 func TestClockToleratesWrongWallClocks(t *testing.T) {
 	c := newTestClocks(5)
 	c.skews[4] = 3 * time.Second
--- a/internal/usage/store.go
+++ b/internal/usage/store.go
@@ -33,7 +33,7 @@
 }
 
 // TakeChanged returns the windows numbered first or higher that have changed since the last call,
-// in no particular order. It also forgets the changes of lower-numbered windows.
+// in no particular order. It also discards the changes of lower-numbered windows.
 func (s *Store) TakeChanged(first uint64) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
