--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -43,7 +43,8 @@
 	now = now.Add(100 * time.Millisecond)
 	a.SetTenants(twoTenants, now)
 	if got, retryAfter := a.Take("u", 99, now); got != 0 || retryAfter <= 0 {
-		t.Fatalf("Take for a tenant that was removed for 100 ms returned %d tokens, want 0 and a retry delay", got)
+		t.Fatalf("Take for a tenant that was removed for 100 ms returned %d tokens, retry after %v; want 0 and a delay",
+			got, retryAfter)
 	}
 
 	lowerLimits := map[string]BucketLimits{"t": {Rate: 1, Depth: 2, TokenLifetime: time.Second}}
--- a/internal/quota/watermark_test.go
+++ b/internal/quota/watermark_test.go
@@ -54,7 +54,7 @@
 		}
 		watermarks, due := r.LowWatermarks(now)
 		if !due {
-			t.Fatalf("seed %d: no tokens are available, but LowWatermarks has nothing to store", seed)
+			t.Fatalf("seed %d: LowWatermarks returned due false while no tokens are available, want true", seed)
 		}
 		r.disk = watermarks
 		r.LowWatermarksStored(watermarks)
