--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -47,16 +47,16 @@
 	if len(unreachable) != 1 || unreachable[0].Name != "b" {
 		t.Errorf("unreachable returned %v, want only b, which does not answer", unreachable)
 	}
-	suspects := reconciler.reports.SuspicionCounts(time.Now())
-	if suspects["a"] != 0 || suspects["b"] != 1 || len(suspects) != 1 {
-		t.Errorf("suspicions after the probes: %v, want only one of b", suspects)
+	counts := reconciler.reports.SuspicionCounts(time.Now())
+	if counts["a"] != 0 || counts["b"] != 1 || len(counts) != 1 {
+		t.Errorf("suspicions after the probes: %v, want only one of b", counts)
 	}
 }
 
-// TestNodeListFollowsContactsAndSuspicions: nodes that send requests are listed. A node whose
+// TestNodeListFollowsRequestsAndSuspicions: nodes that send requests are listed. A node whose
 // heartbeats two neighbours miss, and that does not answer the probe, is marked as down until it
 // sends a request again.
-func TestNodeListFollowsContactsAndSuspicions(t *testing.T) {
+func TestNodeListFollowsRequestsAndSuspicions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestState(t)
 		nodes := newNodeReconciler(s.options(), s.committer())
@@ -80,7 +80,7 @@
 		for _, name := range []string{"a", "b", "c", "d"} {
 			request(name)
 		}
-		check("all nodes in contact", map[string]bool{"a": false, "b": false, "c": false, "d": false})
+		check("all nodes live", map[string]bool{"a": false, "b": false, "c": false, "d": false})
 		time.Sleep(nodereports.ContactLifetime + time.Second)
 		s.answersProbe["d"] = true
 		request("a", "c", "d")
@@ -88,7 +88,7 @@
 		request("b", "c", "d")
 		check("c and d missed by two, d answers probes", map[string]bool{"a": false, "b": false, "c": true, "d": false})
 		request("c")
-		check("c in contact again", map[string]bool{"a": false, "b": false, "c": false, "d": false})
+		check("c live again", map[string]bool{"a": false, "b": false, "c": false, "d": false})
 	})
 }
 
