--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -54,10 +54,10 @@
 	}
 	if platform != nil {
 		set.Platform = settings.Platform{
-			Address:    "10.200.0.1:80",
-			RatePerS:   50,
-			Duties:     []string{settings.UsageReportingDuty},
-			DutiesPerS: 50,
+			Address:                "10.200.0.1:80",
+			RatePerS:               50,
+			SingletonRoles:         []string{settings.UsageReportingRole},
+			SingletonRoleCallsPerS: 50,
 		}
 		set.Bounds.LeaseMs = 3000
 		set.Bounds.UsageWindowS = 1
@@ -231,7 +231,7 @@
 		}
 		renewed := 0
 		for _, d := range answer.Duties {
-			if d.Fence > 1 && d.Duty != settings.UsageReportingDuty {
+			if d.Fence > 1 && d.Duty != settings.UsageReportingRole {
 				renewed++
 			}
 		}
--- a/internal/controlplane/allocation.go
+++ b/internal/controlplane/allocation.go
@@ -33,7 +33,7 @@
 	s.shares = allocation.NewShareService(s.host, lease.ClockSkewFactor)
 	allocator := quota.NewAllocator()
 	watermarks := allocation.NewWatermarkStore(allocator, store)
-	tenants := allocation.NewTenantLimits(s.settings.Bounds.QuotaRules(), allocator)
+	tenants := allocation.NewTenantLimits(s.settings.Bounds.AdmissionBounds(), allocator)
 	borrower := allocation.NewBorrower(allocation.BorrowerOptions{
 		Allocator: allocator,
 		Peers:     s.host,
--- a/internal/controlplane/metering.go
+++ b/internal/controlplane/metering.go
@@ -34,7 +34,7 @@
 			NodeName:          s.settings.NodeName,
 			Lease:             s.usageLease,
 			LeaseDuration:     bounds.LeaseDuration(),
-			MaxCallsPerSecond: s.settings.Platform.DutiesPerS / 2,
+			MaxCallsPerSecond: s.settings.Platform.SingletonRoleCallsPerS / 2,
 			StartedAt:         s.startedAt,
 		}),
 		Lease:   s.usageLease,
--- a/internal/controlplane/startup.go
+++ b/internal/controlplane/startup.go
@@ -132,7 +132,7 @@
 }
 
 func (s *Server) warnOfUnknownDuties() {
-	for _, role := range s.settings.UnknownDuties() {
+	for _, role := range s.settings.UnknownSingletonRoles() {
 		s.log.Warn(logging.UnknownSingletonRole).
 			Str("duty", role).
 			Msg("settings list a duty that this version does not support; ignoring it")
--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -49,7 +49,7 @@
 	NotificationDropped     EventNumber = 312
 )
 
-// 4xx: nodes, leases and the tasks of lease holders.
+// 4xx: nodes, leases and singleton roles.
 const (
 	NodeDown             EventNumber = 402
 	LeaseAcquired        EventNumber = 403
@@ -63,11 +63,11 @@
 
 // 5xx: endpoints.
 const (
-	EndpointEjected     EventNumber = 501
-	EndpointRestored    EventNumber = 502
-	EndpointListChanged EventNumber = 503
-	EndpointListFailed  EventNumber = 504
-	EndpointSurplusData EventNumber = 505
+	EndpointEjected         EventNumber = 501
+	EndpointReinstated      EventNumber = 502
+	EndpointListChanged     EventNumber = 503
+	EndpointListFailed      EventNumber = 504
+	EndpointUnexpectedBytes EventNumber = 505
 )
 
 // 6xx: requests.
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -50,7 +50,7 @@
 // for concurrent use.
 type tokenClient struct {
 	controlClient *controlclient.Client
-	rules         quota.AdmissionBounds
+	bounds        quota.AdmissionBounds
 	cache         *quota.TokenCache
 
 	mu            sync.Mutex            // guards the fields below
@@ -74,7 +74,7 @@
 func newTokenClient(controlClient *controlclient.Client) *tokenClient {
 	t := &tokenClient{
 		controlClient: controlClient,
-		rules:         controlClient.Settings.Bounds.QuotaRules(),
+		bounds:        controlClient.Settings.Bounds.AdmissionBounds(),
 		cache:         quota.NewTokenCache(),
 		queues:        map[string]*waitQueue{},
 		inFlight:      map[uint64]*tokenRequest{},
@@ -92,7 +92,7 @@
 func (t *tokenClient) admit(
 	clientCtx context.Context, tenant *routing.Tenant, targetLatency, remaining time.Duration, now time.Time,
 ) admission {
-	if !t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize).Limited() {
+	if !t.bounds.LimitsFor(tenant.RatePerSecond, tenant.BurstSize).Limited() {
 		return admission{verdict: granted}
 	}
 	ok, exhaustedFor := t.cache.Spend(tenant.Name, now)
@@ -211,7 +211,7 @@
 			queue.rejectAll(unavailableQuota)
 			continue
 		}
-		limits := t.rules.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
+		limits := t.bounds.LimitsFor(tenant.RatePerSecond, tenant.BurstSize)
 		queue.requested += required
 		request.demands = append(request.demands, quota.TenantDemand{
 			Tenant:   name,
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -46,8 +46,8 @@
 // StaleSlack returns how long after its time to live a cached object may still be served.
 func (b Bounds) StaleSlack() time.Duration { return seconds(b.StaleSlackS) }
 
-// QuotaRules returns the rules of the tenants' quotas.
-func (b Bounds) QuotaRules() quota.AdmissionBounds {
+// AdmissionBounds returns the bounds on the requests that tenants' quotas admit.
+func (b Bounds) AdmissionBounds() quota.AdmissionBounds {
 	return quota.AdmissionBounds{Window: seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
 }
 
@@ -60,8 +60,8 @@
 	return milliseconds(b.RevocationMs)
 }
 
-// LeaseDuration returns the time within which a duty must not return to an earlier owner: within it, the calls of the
-// duty must not be made by node A, then by node B, then by A again.
+// LeaseDuration returns the time within which a singleton role must not return to an earlier owner: within it, the
+// calls of the role must not be made by node A, then by node B, then by A again.
 func (b Bounds) LeaseDuration() time.Duration { return milliseconds(b.LeaseMs) }
 
 // UsageWindow returns the length of the time windows for which usage is counted.
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -18,8 +18,8 @@
 unknown = "is ignored"
 `
 
-// TestParseMinimalFile guards against rejecting a file with only the required fields or an unknown one, and against
-// wrong defaults.
+// TestParseMinimalFile guards against an error for a file that has only the required fields and an unknown field, and
+// against wrong defaults.
 func TestParseMinimalFile(t *testing.T) {
 	s, err := Parse([]byte(minimal))
 	if err != nil {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestDurationsAndDuties guards against methods that confuse the units of the file, and against usage reports without
-// a window.
-func TestDurationsAndDuties(t *testing.T) {
+// TestDurationsAndSingletonRoles guards against methods that confuse the units of the file, against usage reports
+// without a window, and against an unknown singleton role that is not listed as such.
+func TestDurationsAndSingletonRoles(t *testing.T) {
 	s, err := Parse([]byte(minimal + `
 [timingBounds]
 drainMs = 1500
@@ -79,14 +79,14 @@
 		t.Fatal(err)
 	}
 	b := s.Bounds
-	got := fmt.Sprint(b.DrainTimeout(), b.GracePeriod(), b.QuotaRules().Window, b.RevocationTimeout())
+	got := fmt.Sprint(b.DrainTimeout(), b.GracePeriod(), b.AdmissionBounds().Window, b.RevocationTimeout())
 	if got != "1.5s 2.5s 5s 700ms" {
 		t.Errorf("drain, grace, quota and revocation times are %s, want 1.5s 2.5s 5s 700ms", got)
 	}
 	if s.ReportsUsage() {
 		t.Error("ReportsUsage returned true without a usage window, want false")
 	}
-	if got := fmt.Sprint(s.UnknownDuties()); got != "[dance]" {
-		t.Errorf("UnknownDuties returned %s, want [dance]", got)
+	if got := fmt.Sprint(s.UnknownSingletonRoles()); got != "[dance]" {
+		t.Errorf("UnknownSingletonRoles returned %s, want [dance]", got)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,9 +36,8 @@
 
 const defaultHeartbeatInterval = time.Second
 
-// UsageReportingDuty is the duty of reporting the tenants' usage to the platform. One node at a time carries out a
-// duty.
-const UsageReportingDuty = "usage_reporting"
+// UsageReportingRole is the singleton role of the node that reports the tenants' usage to the platform.
+const UsageReportingRole = "usage_reporting"
 
 // ContentMode is the DeploymentMode of a deployment that delivers cacheable objects.
 const ContentMode = "content"
@@ -67,10 +66,11 @@
 type Platform struct {
 	Address  string  `toml:"address" validate:"omitempty,hostname_port"`
 	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // list calls of all nodes together; 0 if not known
-	// Duties are tasks whose calls to the platform are made by one node at a time, the owner of a lease.
-	Duties     []string `toml:"duties"`
-	DutiesPerS float64  `toml:"dutiesPerS" validate:"min=0"`
-	MaxLagMs   int64    `toml:"maxLagMs" validate:"min=0"`
+	// SingletonRoles are roles that one node at a time holds, the owner of a lease. Only this node makes the role's calls
+	// to the platform.
+	SingletonRoles         []string `toml:"duties"`
+	SingletonRoleCallsPerS float64  `toml:"dutiesPerS" validate:"min=0"`
+	MaxLagMs               int64    `toml:"maxLagMs" validate:"min=0"`
 }
 
 // Estimates configures the latency estimates for lookups on routes with a lookup class.
@@ -97,12 +97,16 @@
 
 // ReportsUsage reports whether usage is counted and reported to the platform.
 func (s *Settings) ReportsUsage() bool {
-	return slices.Contains(s.Platform.Duties, UsageReportingDuty) && s.Bounds.UsageWindowS > 0 && s.Platform.Address != ""
+	return slices.Contains(s.Platform.SingletonRoles, UsageReportingRole) &&
+		s.Bounds.UsageWindowS > 0 &&
+		s.Platform.Address != ""
 }
 
-// UnknownDuties returns the duties in the file that this version does not support.
-func (s *Settings) UnknownDuties() []string {
-	return slices.DeleteFunc(slices.Clone(s.Platform.Duties), func(duty string) bool { return duty == UsageReportingDuty })
+// UnknownSingletonRoles returns the singleton roles in the file that this version does not support.
+func (s *Settings) UnknownSingletonRoles() []string {
+	return slices.DeleteFunc(slices.Clone(s.Platform.SingletonRoles), func(role string) bool {
+		return role == UsageReportingRole
+	})
 }
 
 // RegionOf returns the region of a zone, or the zone itself if the file names no region for it.
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -138,8 +138,8 @@
 	}
 	set.Estimates.Enabled = f.estimate
 	if f.reportUsage {
-		set.Platform.Duties = []string{settings.UsageReportingDuty, "dance"}
-		set.Platform.DutiesPerS = 50
+		set.Platform.SingletonRoles = []string{settings.UsageReportingRole, "dance"}
+		set.Platform.SingletonRoleCallsPerS = 50
 		set.Bounds.LeaseMs = 3000
 		set.Bounds.UsageWindowS = 5
 		set.Bounds.UsageDelayS = 10
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -104,7 +104,7 @@
 			return conn, nil
 		}
 		if conn.unexpectedBytes {
-			m.log.Warn(logging.EndpointSurplusData).Str("upstream", endpoint.info.Load().ID).
+			m.log.Warn(logging.EndpointUnexpectedBytes).Str("upstream", endpoint.info.Load().ID).
 				Msg("idle connection closed: unexpected bytes after a complete response")
 		}
 		conn.close()
--- a/internal/upstream/outlier.go
+++ b/internal/upstream/outlier.go
@@ -208,7 +208,7 @@
 	endpoint.cluster.invalidateSubset()
 	endpoint.resetStatistics()
 	info := endpoint.info.Load()
-	d.log.Info(logging.EndpointRestored).Str("upstream", info.ID).Str("service", info.Service).
+	d.log.Info(logging.EndpointReinstated).Str("upstream", info.ID).Str("service", info.Service).
 		Msg("endpoint reinstated by this node")
 	d.report(distribution.HealthReport{EndpointID: info.ID, Service: info.Service, Healthy: true})
 }
