--- a/internal/upstream/balancer_test.go
+++ b/internal/upstream/balancer_test.go
@@ -198,7 +198,8 @@
 		balancer.observe(endpoint, endedCall{result: result, duration: time.Second}, now)
 		rejected := endpoint.load.lastRejectedAt.Equal(now) && cluster.load.rejectionRate > 0
 		if endpoint.load.samples != want.samples || rejected != (want.rejections == 1) {
-			t.Errorf("result %d: loads %+v, %+v, want only a success or rejection recorded", result, endpoint.load, cluster.load)
+			t.Errorf("result %d: endpoint load %+v, cluster load %+v, want only a success or rejection recorded",
+				result, endpoint.load, cluster.load)
 		}
 	}
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -130,7 +130,7 @@
 	m.outliers.observeOverdue(endpoint, sentAt, time.Now(), usualLatency)
 }
 
-// Overloaded reports whether the endpoints of a service reject too many calls as full.
+// Overloaded reports whether the endpoints of a service reject too many calls because they are full.
 func (m *ClusterManager) Overloaded(service string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -2,12 +2,12 @@
 // clusters (all endpoints of one service), the connections to each endpoint,
 // the health of each endpoint, and the choice of the endpoint for a call.
 //
-// A [ClusterManager] is the entry point. Its owner feeds it the fleet's state
+// A [ClusterManager] is the entry point. Its owner passes it the fleet's state
 // ([ClusterManager.SetServices], [ClusterManager.SetEndpoints],
 // [ClusterManager.SetFleetEjections], [ClusterManager.SetNodeCount]). A caller
 // then reserves an endpoint with [ClusterManager.Reserve] and either performs
 // the call with [ClusterManager.Call], which also ends the reservation, or
-// gives the reservation up with [ClusterManager.Release]:
+// ends the reservation with [ClusterManager.Release]:
 //
 //	endpoint := clusters.Reserve("shard-0", nil, false)
 //	if endpoint == nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// TestPoolReusesNewestFirst guards against the reuse of an older connection while a more recently
+// used one is idle.
 func TestPoolReusesNewestFirst(t *testing.T) {
 	pool := newConnectionPool(2)
 	if pool.take() != nil || pool.hasIdle() {
@@ -43,6 +45,8 @@
 	}
 }
 
+// TestPoolClosesUnusableConnections guards against idle connections that stay open although they
+// may not be reused, and against the loss of reusable ones.
 func TestPoolClosesUnusableConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(pool *connectionPool, conn *connection)
--- a/internal/upstream/subset_test.go
+++ b/internal/upstream/subset_test.go
@@ -64,14 +64,17 @@
 	}
 }
 
+// TestSubsetOfSmallClusterHasAllEndpoints guards against a subset that leaves out endpoints
+// although the cluster is smaller than maxSubsetSize.
 func TestSubsetOfSmallClusterHasAllEndpoints(t *testing.T) {
 	if m := newTestManagers(1, 400, 12)[0]; len(m.testSubset()) != 12 {
-		t.Error("subset of a cluster of 12 endpoints does not contain all of them")
+		t.Error("subset of a cluster of 12 endpoints does not have 12 endpoints")
 	}
 }
 
-// TestSubsetKeepsConnectionLimit guards against more connections to an endpoint than it accepts
-// if there are more nodes than that: each node may open one, and few enough nodes use it.
+// TestSubsetKeepsConnectionLimit guards against more connections to an endpoint than its limit
+// when there are more nodes than that limit. Each node may then open one connection, and the
+// endpoint may be in the subsets of at most as many nodes as the limit allows.
 func TestSubsetKeepsConnectionLimit(t *testing.T) {
 	users := map[string]int{}
 	for _, m := range newTestManagers(90, 30, 30) {
