--- a/internal/scatter/attempt.go
+++ b/internal/scatter/attempt.go
@@ -23,7 +23,7 @@
 	attemptCancelled                     // not sent: rate limit, client disconnect or panic before the call
 )
 
-// attempt is one call of a shard's request to one endpoint.
+// attempt is one call to an endpoint with the request of a shard.
 type attempt struct {
 	shard     *shard
 	endpoint  *upstream.Endpoint
--- a/internal/scatter/dispatch_test.go
+++ b/internal/scatter/dispatch_test.go
@@ -162,7 +162,8 @@
 	},
 }
 
-// TestSingleReplies: the reply, the attempts and the count of executions of a request on a route with one service.
+// TestSingleReplies guards against a wrong reply, too many or too few attempts, and a wrong count of executions for a
+// request on a route with one service.
 func TestSingleReplies(t *testing.T) {
 	for name, c := range replyCases {
 		t.Run(name, func(t *testing.T) {
@@ -289,7 +290,7 @@
 		set := newLeafSet(t, failing(c.failures), fanOutIDs(4)...)
 		reply := set.dispatch(fanOutRoute(4, c.share))
 		if reply.Status != c.status || reply.Header.Get(HeaderMissingParts) != c.missing {
-			t.Errorf("case %+v: Dispatch returned status %d, %q missing parts",
+			t.Errorf("case %+v: Dispatch returned status %d, %q missing parts, want those of the case",
 				c, reply.Status, reply.Header.Get(HeaderMissingParts))
 		}
 		if reply.Status != http.StatusOK {
@@ -375,7 +376,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if reply := set.dispatch(route); reply.Status != http.StatusOK {
-					b.Fatal(reply.Status, reply.Reason)
+					b.Fatal("Dispatch returned a status other than 200:", reply.Status, reply.Reason)
 				}
 			}
 		})
