--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -72,7 +72,7 @@
 	if !ok {
 		return
 	}
-	x.identifyTenant()
+	x.setTenantHeader()
 	remaining, rejected := x.setDeadline()
 	if rejected != nil {
 		x.reject(rejected)
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// identifyTenant sets the tenant header of the forwarded request. It removes a tenant header
+// setTenantHeader sets the tenant header of the forwarded request. It removes a tenant header
 // that the client sent, and credentials that are not meant for the endpoint.
-func (x *exchange) identifyTenant() {
+func (x *exchange) setTenantHeader() {
 	header := x.forwarded.Header
 	delete(header, upstream.HeaderTenant)
 	if x.identity.StripCredentials {
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -77,8 +77,8 @@
 }
 
 // TestShorterIdleTimeout guards against connections that are closed while their clients still
-// rely on a longer timeout: those that were idle before a shorter one came into force, and
-// others until the configuration has been applied everywhere.
+// rely on a longer timeout. Connections that became idle before a shorter timeout came into force
+// keep the longer one. Others keep it until the configuration has been applied everywhere.
 func TestShorterIdleTimeout(t *testing.T) {
 	test := newIdleTest()
 	start := time.Now()
--- a/internal/proxy/pending_test.go
+++ b/internal/proxy/pending_test.go
@@ -7,8 +7,9 @@
 )
 
 // TestAbortPending guards against open requests that get no answer, two answers or the wrong
-// status at a shutdown: 502 if an endpoint may have received the request, otherwise 503, at once
-// for later requests. A client that gets 503 for an executed request may execute it twice.
+// status at a shutdown. A request gets 502 if an endpoint may have received it, otherwise 503. Later
+// requests get 503 at once. A client that gets 503 for an executed request may repeat it, so that
+// it is executed twice.
 func TestAbortPending(t *testing.T) {
 	requests := newPendingRequests()
 	register := func() (*pendingRequest, *httptest.ResponseRecorder, bool) {
--- a/internal/proxy/token_test.go
+++ b/internal/proxy/token_test.go
@@ -46,12 +46,12 @@
 	queue.reject(1, admission{verdict: tenantLimited})
 	want := []int{int(granted), int(tenantLimited), -1, -1, -1}
 	if got := verdicts(all); !slices.Equal(got, want) {
-		t.Errorf("verdicts %v, want %v", got, want)
+		t.Errorf("verdicts after a grant, a removal and a rejection are %v, want %v (-1: none)", got, want)
 	}
 	queue.rejectAll(unavailableQuota)
 	want = []int{-1, -1, int(quotaUnavailable), -1, int(quotaUnavailable)}
 	if got := verdicts(all); !slices.Equal(got, want) {
-		t.Errorf("verdicts %v, want %v", got, want)
+		t.Errorf("verdicts sent by rejectAll are %v, want %v (-1: none)", got, want)
 	}
 	if !queue.isUnused() {
 		t.Error("isUnused of an empty queue returned false, want true")
@@ -69,10 +69,10 @@
 		}
 	}
 	if !queue.failAttempt(1) || queue.waiters[0] != all[1] {
-		t.Error("the second waiter is not first in the queue after the first was rejected")
+		t.Error("failAttempt returned false, or did not remove the first waiter after its last attempt")
 	}
 	if got := verdicts(all); !slices.Equal(got, []int{int(quotaUnavailable), -1}) {
-		t.Errorf("verdicts %v, want quotaUnavailable for the first waiter and -1 for the second", got)
+		t.Errorf("verdicts after the last attempt of the first waiter are %v, want quotaUnavailable and -1 (none)", got)
 	}
 }
 
