--- a/internal/heartbeat/assign_test.go
+++ b/internal/heartbeat/assign_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestAssignWatchers: a node is a watcher of another exactly if it computes itself that it watches the other, on rings
-// of any size. Otherwise heartbeats would be sent to nodes that ignore them, or a node would be suspected wrongly.
+// TestAssignWatchers: node A computes that it watches node B exactly if B computes that A is one of its watchers, on
+// rings of any size. Otherwise heartbeats would be sent to nodes that ignore them, or a node would be suspected
+// wrongly.
 func TestAssignWatchers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 5, 50} {
 		var nodes []string
--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -23,7 +23,8 @@
 	notice func(lost int64) []byte
 }
 
-// logEntry is a line, or a request to close handled when all earlier entries have been written or lost.
+// logEntry is a line or, if handled is not nil, a marker: run closes handled when all earlier lines have been written
+// or lost.
 type logEntry struct {
 	line    []byte
 	handled chan struct{} // nil for a line
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -27,8 +27,8 @@
 	// usableRateFraction is the part of the rate that is used. The rest is a margin, because
 	// requests that are sent evenly may reach the endpoints in bursts.
 	usableRateFraction = 0.97
-	// burstAllowance is the longest idle time that Take makes up for: after it, the requests
-	// that the rate allows in that time may begin in a burst.
+	// burstAllowance bounds the burst after an idle time: the requests that the rate allows
+	// within burstAllowance may then begin at once.
 	burstAllowance = 60 * time.Millisecond
 	// noShareRetryDelay is the wait that Take returns while the node holds no share.
 	noShareRetryDelay = 20 * time.Millisecond
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLimiterKeepsShareOfRate guards against a node that exceeds its share of the rate, be it
-// after pauses or after its lease expired, or that can't use most of the share.
+// TestLimiterKeepsShareOfRate guards against a node that exceeds its share of the rate, also
+// after pauses or after its lease has expired, and against a node that can't use most of its share.
 func TestLimiterKeepsShareOfRate(t *testing.T) {
 	const rate, permille, seconds = 200, 250, 10
 	start := time.Unix(1000, 0)
--- a/internal/routing/amendment.go
+++ b/internal/routing/amendment.go
@@ -9,8 +9,9 @@
 // amendableLists are the lists of a configuration that an amendment can change. Their items have names.
 var amendableLists = []string{"routes", "services", "tenants"}
 
-// Amendment is a change to a configuration. By list, Upsert holds items to add, or to put
-// in the place of an item of the same name, and Remove holds names of items to remove.
+// Amendment is a change to a configuration. The keys of Upsert and Remove are the names of
+// lists. Upsert holds items to add; an item replaces an existing one of the same name. Remove
+// holds the names of items to remove.
 // Version is the version of the resulting configuration.
 type Amendment struct {
 	Version uint64                       `json:"version" validate:"required,max=4611686018427387904"`
@@ -79,8 +80,8 @@
 	return configuration, raw, err
 }
 
-// amendItems returns the amended list: first the old items in their order, of which some are
-// replaced, then the new items.
+// amendItems returns the amended list: the old items in their order, with replacements in
+// place, followed by the new items.
 func amendItems(old json.RawMessage, upsert []json.RawMessage, remove []string) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if len(old) > 0 {
