--- a/internal/process/program_test.go
+++ b/internal/process/program_test.go
@@ -119,7 +119,7 @@
 	path := filepath.Join(dir, "a", "b", "c")
 	for range 2 {
 		if err := makeDirectory(path); err != nil {
-			t.Fatal(err)
+			t.Fatal("makeDirectory returned an error for a missing or existing directory, want none:", err)
 		}
 	}
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
@@ -134,7 +134,8 @@
 	}
 }
 
-// TestMemoryWatch checks that the memory use counts as near the limit above it, and no longer when far below it.
+// TestMemoryWatch guards against a watch that does not notice memory use above the limit, or that still reports it as
+// near the limit when it is far below.
 func TestMemoryWatch(t *testing.T) {
 	held := int64(runtimeMemory() / bytesPerMb)
 	watch := memoryWatch{log: logging.Nop(), limitMb: max(1, held/2)}
@@ -193,7 +194,7 @@
 				t.Fatal(err)
 			}
 			if _, err := newSettingsFile(path).awaitValid(logging.Nop(), nil); err != nil {
-				t.Fatal(err)
+				t.Fatal("awaitValid of valid settings returned an error, want none:", err)
 			}
 			if waited := time.Since(started); waited != want {
 				t.Errorf("awaitValid of settings written %v ago took %v, want %v", age, waited, want)
--- a/internal/process/startwait.go
+++ b/internal/process/startwait.go
@@ -16,11 +16,11 @@
 
 const dataDirectoryMode = 0o755
 
-// errStartInterrupted is returned by waits of the start after a signal has ended the start.
+// errStartInterrupted is returned by await after a signal has ended the start.
 var errStartInterrupted = errors.New("process: a signal interrupted the start")
 
-// startWait is a wait of the start for one resource. It logs the first failure, and the time waited once the resource
-// is available.
+// startWait tracks the wait for one resource that the start needs. It logs the first failure, and the time waited once
+// the resource is available.
 type startWait struct {
 	log       *logging.Logger
 	resource  string
