--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -138,8 +138,8 @@
 	}
 	result.Estimates.Enabled = f.estimate
 	if f.reportUsage {
-		result.Platform.Duties = []string{settings.UsageReportingDuty, "dance"}
-		result.Platform.DutiesPerS = 50
+		result.Platform.SingletonRoles = []string{settings.UsageReportingRole, "dance"}
+		result.Platform.SingletonRoleCallsPerS = 50
 		result.Bounds.LeaseMs = 3000
 		result.Bounds.UsageWindowS = 5
 		result.Bounds.UsageDelayS = 10
