--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -48,7 +48,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f = newFleet(t)
 				t.Cleanup(f.shutDown)
-				newChaos(f, seed).play()
+				newChaos(f, seed).execute()
 			})
 		})
 	}
@@ -130,7 +130,7 @@
 
 // play plays a random bootstrap of the cells, then random faults while two operators send changes, then a
 // final fault. In the end every control node must accept a change and every proxy must apply the newest.
-func (c *chaos) play() {
+func (c *chaos) execute() {
 	defer func() {
 		if c.fleet.t.Failed() {
 			c.fleet.t.Log(strings.Join(c.lines, "\n"))
@@ -146,16 +146,16 @@
 	end := time.Now().Add(chaosDuration)
 	operators := c.startOperators(machines, end)
 	c.lastDiskLoss = time.Now()
-	c.playBootstrap(kind, faultyNodes)
+	c.runBootstrap(kind, faultyNodes)
 	for time.Now().Before(end) {
 		c.run(300 + c.rng.Intn(2500))
 		if c.rng.Intn(3) == 0 {
 			c.runToAcknowledgement(1500)
 		}
-		c.playFault()
+		c.injectFault()
 	}
 	operators.Wait()
-	c.playFinalFault()
+	c.injectFinalFault()
 	c.heal()
 	c.do("lose-answers none")
 	c.run(3000)
@@ -201,7 +201,7 @@
 	return kind, faultyNodes
 }
 
-func (c *chaos) playBootstrap(kind int, faultyNodes string) {
+func (c *chaos) runBootstrap(kind int, faultyNodes string) {
 	switch kind {
 	case bootstrapPartitioned:
 		c.run(c.rng.Intn(8000))
@@ -222,8 +222,8 @@
 	}
 }
 
-// playFault draws and plays one fault, or ends all faults.
-func (c *chaos) playFault() {
+// injectFault draws and plays one fault, or ends all faults.
+func (c *chaos) injectFault() {
 	names := append([]string(nil), chaosNodes...)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	targets := strings.Join(names[:1+c.rng.Intn(2)], ",")
@@ -298,9 +298,9 @@
 	return nil
 }
 
-// playFinalFault stops all machines right after an acknowledgement, deletes some of their disks, and starts
+// injectFinalFault stops all machines right after an acknowledgement, deletes some of their disks, and starts
 // all machines again.
-func (c *chaos) playFinalFault() {
+func (c *chaos) injectFinalFault() {
 	if time.Since(c.lastDiskLoss) <= minDiskLossInterval {
 		return
 	}
--- a/internal/simulation/fleet_commands_test.go
+++ b/internal/simulation/fleet_commands_test.go
@@ -67,7 +67,7 @@
 	"want-config":     (*fleet).wantConfig,
 	"want-read":       (*fleet).wantRead,
 	"want-order":      (*fleet).wantReplaceAccepted,
-	"want-unclear":    (*fleet).wantNoClearAnswer,
+	"want-unclear":    (*fleet).wantIndeterminate,
 
 	// The replicated state and the outbox.
 	"want-all-voters": (*fleet).wantAllVoters,
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -191,7 +191,7 @@
 			version, ok := f.readVersionAt(m)
 			status := 0
 			if ok {
-				status = f.replaceUntilAnswered(m, version, version+1, f.configurationBody(version+1, m.name), 0)
+				status = f.replaceUntilOutcomeKnown(m, version, version+1, f.configurationBody(version+1, m.name), 0)
 			}
 			attempts = append(attempts, fmt.Sprintf("read version %d (answered: %v), change got status %d", version, ok, status))
 			return status == http.StatusOK
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// wantNoClearAnswer is `want-unclear NAMES`: these machines answer neither reads nor changes definitely:
+// wantIndeterminate is `want-unclear NAMES`: these machines answer neither reads nor changes definitely:
 // they do not answer, or with status 503.
-func (f *fleet) wantNoClearAnswer(c simulation.Command) error {
+func (f *fleet) wantIndeterminate(c simulation.Command) error {
 	const versionOffset = 1000 // distance from the versions of other changes, so that none is used twice
 	for i, m := range f.machinesNamed(c.Word(0)) {
 		if status, _ := f.call(m, http.MethodGet, pathRead, 0, ""); !isIndeterminate(status) {
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -24,7 +24,7 @@
 func (f *fleet) addControlNodes(c simulation.Command) error {
 	for i, zone := range c.Words {
 		m := f.addMachine(&machine{
-			name: "c" + strconv.Itoa(i+1), zone: zone, addr: fmt.Sprintf("10.1.0.%d", i+1), disk: true,
+			name: "c" + strconv.Itoa(i+1), zone: zone, addr: fmt.Sprintf("10.1.0.%d", i+1), hasDisk: true,
 		})
 		if i < maxSeeds {
 			f.seedNodes = append(f.seedNodes, net.JoinHostPort(m.addr, controlPort))
@@ -48,7 +48,7 @@
 // addControlNode is `add NAME ZONE`: adds a machine with a disk and starts it.
 func (f *fleet) addControlNode(c simulation.Command) error {
 	addr := fmt.Sprintf("10.1.0.%d", 100+len(f.machines))
-	f.start(f.addMachine(&machine{name: c.Word(0), zone: c.Word(1), addr: addr, disk: true}))
+	f.start(f.addMachine(&machine{name: c.Word(0), zone: c.Word(1), addr: addr, hasDisk: true}))
 	return nil
 }
 
@@ -121,7 +121,7 @@
 // loseDisksOfStopped is `lose-disks-of-dead`: deletes the disks of all machines that are down.
 func (f *fleet) loseDisksOfStopped(simulation.Command) error {
 	for _, m := range f.sortedMachines() {
-		if !m.disk || m.stop != nil {
+		if !m.hasDisk || m.stop != nil {
 			continue
 		}
 		if err := f.loseDisk(m); err != nil {
@@ -152,8 +152,8 @@
 			if m.stop != nil {
 				m.stop()
 			}
-			if m.diskState != nil {
-				m.diskState.LosePower()
+			if m.faultyDisk != nil {
+				m.faultyDisk.LosePower()
 			}
 		})
 	}
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -30,7 +30,7 @@
 func (f *fleet) cutOff(targets []*machine, outgoing, incoming bool) {
 	for _, a := range targets {
 		for _, b := range f.machines {
-			if slices.Contains(targets, b) || !b.disk {
+			if slices.Contains(targets, b) || !b.hasDisk {
 				continue
 			}
 			if outgoing {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -85,10 +85,10 @@
 // replaceAt sends a configuration to a machine and repeats it until its outcome is known or the limit
 // is reached. It returns the last status.
 func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, limit time.Duration) int {
-	return f.replaceUntilAnswered(m, base, version, f.configurationBody(version, mark), limit)
+	return f.replaceUntilOutcomeKnown(m, base, version, f.configurationBody(version, mark), limit)
 }
 
-func (f *fleet) replaceUntilAnswered(m *machine, base, version uint64, raw string, limit time.Duration) int {
+func (f *fleet) replaceUntilOutcomeKnown(m *machine, base, version uint64, raw string, limit time.Duration) int {
 	end := time.Now().Add(limit)
 	status := f.post(m, pathReplace, base, raw)
 	for isIndeterminate(status) && !time.Now().After(end) {
@@ -314,7 +314,7 @@
 // outcome is known.
 func (o *operator) sendWithRetries(change sentReplace) {
 	for range 1 + o.rng.Intn(3) {
-		status := o.fleet.replaceUntilAnswered(o.drawMachine(), change.base, change.version, change.raw, 0)
+		status := o.fleet.replaceUntilOutcomeKnown(o.drawMachine(), change.base, change.version, change.raw, 0)
 		if status == http.StatusOK {
 			o.baseVersion = max(o.baseVersion, change.version)
 		}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -77,8 +77,8 @@
 // machine is a node; its servers are set while they run.
 type machine struct {
 	name, zone, addr string
-	disk             bool
-	diskState        *simulation.FaultyDisk
+	hasDisk          bool
+	faultyDisk       *simulation.FaultyDisk
 	startedBefore    bool
 	controlPlane     *controlplane.Server
 	proxy            *proxy.Server
@@ -144,7 +144,7 @@
 		result.Bounds.UsageWindowS = 5
 		result.Bounds.UsageDelayS = 10
 	}
-	if m.disk {
+	if m.hasDisk {
 		result.DataDirectory = filepath.Join(f.dir, m.name)
 	}
 	return result
@@ -160,24 +160,24 @@
 
 // diskOf returns a machine's disk; each disk has its own random source.
 func (f *fleet) diskOf(m *machine) *simulation.FaultyDisk {
-	if m.diskState == nil {
+	if m.faultyDisk == nil {
 		random := rand.New(rand.NewSource(f.seed*100 + int64(m.name[1])))
-		m.diskState = &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: random.Float64}
+		m.faultyDisk = &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: random.Float64}
 	}
-	return m.diskState
+	return m.faultyDisk
 }
 
 // start starts the servers of a machine.
 func (f *fleet) start(m *machine) {
-	set := f.settingsOf(m)
-	view := f.network.networkFor(m.addr)
+	nodeSettings := f.settingsOf(m)
+	hostNetwork := f.network.networkFor(m.addr)
 	var servers []*http.Server
-	if m.disk {
-		if err := os.MkdirAll(set.DataDirectory, 0o755); err != nil {
+	if m.hasDisk {
+		if err := os.MkdirAll(nodeSettings.DataDirectory, 0o755); err != nil {
 			f.t.Fatal(err)
 		}
 		f.diskOf(m)
-		control := controlplane.New(set, logging.Nop(), view, m.diskState)
+		control := controlplane.New(nodeSettings, logging.Nop(), hostNetwork, m.faultyDisk)
 		m.controlPlane = control
 		internal := f.internalAddress(m, settings.ControlPlane)
 		go func() { _ = control.Run() }()
@@ -186,26 +186,26 @@
 			f.serve(net.JoinHostPort(m.addr, controlPort), control.OperatorHandler()),
 			f.serve(internal, control.InternalHandler()))
 	}
-	dataPlane := proxy.New(set, logging.Nop(), view)
+	proxyServer := proxy.New(nodeSettings, logging.Nop(), hostNetwork)
 	internal := f.internalAddress(m, settings.DataPlane)
 	f.mu.Lock()
-	m.proxy = dataPlane
+	m.proxy = proxyServer
 	m.startedBefore = true
 	f.mu.Unlock()
-	go func() { _ = dataPlane.RunUpdates() }()
-	go func() { _ = dataPlane.ReportUsage() }()
-	go func() { _ = dataPlane.CollectLatencies() }()
-	go func() { _ = dataPlane.RunHeartbeats(f.network.listenPacket(internal)) }()
-	servers = append(servers, f.serve(internal, dataPlane.InternalHandler()))
-	m.stop = func() { f.stop(m, dataPlane, servers) }
+	go func() { _ = proxyServer.RunUpdates() }()
+	go func() { _ = proxyServer.ReportUsage() }()
+	go func() { _ = proxyServer.CollectLatencies() }()
+	go func() { _ = proxyServer.RunHeartbeats(f.network.listenPacket(internal)) }()
+	servers = append(servers, f.serve(internal, proxyServer.InternalHandler()))
+	m.stop = func() { f.stop(m, proxyServer, servers) }
 }
 
 // stop stops the servers of a machine.
-func (f *fleet) stop(m *machine, dataPlane *proxy.Server, servers []*http.Server) {
+func (f *fleet) stop(m *machine, proxyServer *proxy.Server, servers []*http.Server) {
 	f.network.closeHost(m.addr)
-	dataPlane.Close()
+	proxyServer.Close()
 	if m.controlPlane != nil {
-		m.diskState.EndProcess()
+		m.faultyDisk.EndProcess()
 		m.controlPlane.Stop()
 	}
 	for _, server := range servers {
@@ -222,8 +222,8 @@
 func (f *fleet) shutDown() {
 	var stopping sync.WaitGroup
 	for _, m := range f.machines {
-		if m.diskState != nil {
-			m.diskState.SetFault(simulation.NoFault)
+		if m.faultyDisk != nil {
+			m.faultyDisk.SetFault(simulation.NoFault)
 		}
 		if m.stop != nil {
 			stopping.Go(m.stop)
@@ -314,15 +314,15 @@
 }
 
 // TestFleet plays the scenarios in testdata/fleet; the head of each file states the expected result.
-func TestFleet(t *testing.T) { playFleet(t, "testdata/fleet") }
+func TestFleet(t *testing.T) { runFleetScenarios(t, "testdata/fleet") }
 
 // TestCatchUpOverSlowLink guards against a proxy whose polls use up the bandwidth of a slow link, so that
 // the replica on the same machine cannot catch up; see docs/incidents/38-polls-that-fill-a-slow-link.md.
-func TestCatchUpOverSlowLink(t *testing.T) { playFleet(t, "testdata/fleet-slow-link") }
+func TestCatchUpOverSlowLink(t *testing.T) { runFleetScenarios(t, "testdata/fleet-slow-link") }
 
-// playFleet plays the scenarios of a folder. After each, it checks that the recorded history of
+// runFleetScenarios plays the scenarios of a folder. After each, it checks that the recorded history of
 // configuration changes and reads is linearizable.
-func playFleet(t *testing.T, dir string) {
+func runFleetScenarios(t *testing.T, dir string) {
 	t.Helper()
 	var mu sync.Mutex
 	fleets := map[string]*fleet{}
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -86,12 +86,12 @@
 		m := machines[next%len(machines)]
 		next++
 		f.mu.Lock()
-		dataPlane := m.proxy
+		proxyServer := m.proxy
 		f.mu.Unlock()
-		if dataPlane == nil {
+		if proxyServer == nil {
 			continue
 		}
-		handler := dataPlane.Handler()
+		handler := proxyServer.Handler()
 		request := f.newTenantRequest(tenant)
 		running.Go(func() { f.sendAs(tenant, handler, request) })
 	}
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -24,8 +24,8 @@
 	errNoAnswer = errors.New("network: no answer")
 )
 
-// link is one direction between two hosts.
-type link struct{ from, to string }
+// hostPair is the direction from one host to another.
+type hostPair struct{ from, to string }
 
 // linkDirection is one direction of a host's own link.
 type linkDirection struct {
@@ -41,7 +41,7 @@
 	packetConns    map[string]*simulatedPacketConn
 	conns          []*simulatedConn
 	incarnations   map[string]int // kills of each machine; dials from before a kill are refused
-	blocked        map[link]bool
+	blocked        map[hostPair]bool
 	answersLost    map[string]bool             // hosts whose answers to operators are lost
 	bytesPerSecond map[string]float64          // of a host's own link, each direction; 0: no limit
 	busyUntil      map[linkDirection]time.Time // when the data reserved on a host's link has been sent
@@ -54,7 +54,7 @@
 		listeners:      map[string]*listener{},
 		packetConns:    map[string]*simulatedPacketConn{},
 		incarnations:   map[string]int{},
-		blocked:        map[link]bool{},
+		blocked:        map[hostPair]bool{},
 		answersLost:    map[string]bool{},
 		bytesPerSecond: map[string]float64{},
 		busyUntil:      map[linkDirection]time.Time{},
@@ -70,14 +70,14 @@
 func (n *network) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.blocked[link{from, to}]
+	return n.blocked[hostPair{from, to}]
 }
 
 // block blocks one direction until heal is called.
 func (n *network) block(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked[link{from, to}] = true
+	n.blocked[hostPair{from, to}] = true
 }
 
 func (n *network) blockBothWays(a, b string) {
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -27,13 +27,13 @@
 // clients are connections to the real server of a proxy, on a simulated network; they stay open between
 // requests.
 type clients struct {
-	network *network
-	conns   map[string]net.Conn
-	idleMs  int64 // idle time-out in the configuration, in milliseconds
+	network       *network
+	conns         map[string]net.Conn
+	idleTimeoutMs int64 // idle time-out in the configuration, in milliseconds
 }
 
 // serveClients is `accept-connections`: the proxy accepts connections from now on.
-func (p *plane) serveClients(simulation.Command) error {
+func (p *dataPlane) serveClients(simulation.Command) error {
 	p.clients.network = newNetwork(func() float64 { return noLossDraw })
 	p.clients.conns = map[string]net.Conn{}
 	p.settings.Bounds.GracePeriodS = gracePeriodS
@@ -43,14 +43,14 @@
 	return nil
 }
 
-// setIdleLimit is `idle-timeout MS`: the idle time-out of connections, from the next update on.
-func (p *plane) setIdleLimit(c simulation.Command) error {
-	p.clients.idleMs = int64(c.Int(0))
+// setIdleTimeout is `idle-timeout MS`: the idle time-out of connections, from the next update on.
+func (p *dataPlane) setIdleTimeout(c simulation.Command) error {
+	p.clients.idleTimeoutMs = int64(c.Int(0))
 	return nil
 }
 
 // openConnection is `open-connection NAME`: a connection without a request.
-func (p *plane) openConnection(c simulation.Command) error {
+func (p *dataPlane) openConnection(c simulation.Command) error {
 	dial := p.clients.network.networkFor(clientHost)(time.Second, time.Second)
 	conn, err := dial(context.Background(), "", proxyAddress)
 	if err != nil {
@@ -61,31 +61,31 @@
 }
 
 // send is `send NAME HOST PATH [method=]`: sends a request on that connection.
-func (p *plane) send(c simulation.Command) error {
+func (p *dataPlane) send(c simulation.Command) error {
 	p.sendOnConnection(c, writeAtOnce)
 	return nil
 }
 
 // sendAsync is `send-async NAME HOST PATH [method=]`: like send, without waiting for the answer.
-func (p *plane) sendAsync(c simulation.Command) error {
+func (p *dataPlane) sendAsync(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeAtOnce) })
 	return nil
 }
 
 // sendSlowly is `send-slowly NAME HOST PATH MS`: like send-async, but the last byte of the request
 // is sent MS later.
-func (p *plane) sendSlowly(c simulation.Command) error {
+func (p *dataPlane) sendSlowly(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeSlowly) })
 	return nil
 }
 
 // closeConnection is `leave NAME`: the client closes that connection, even if a request on it has no answer yet.
-func (p *plane) closeConnection(c simulation.Command) error {
+func (p *dataPlane) closeConnection(c simulation.Command) error {
 	return p.clients.conns[c.Word(0)].Close()
 }
 
 // wantWorking is `want-working N ID,...`: checks that these leafs work on N requests in total now.
-func (p *plane) wantWorking(c simulation.Command) error {
+func (p *dataPlane) wantWorking(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	working := 0
@@ -100,7 +100,7 @@
 
 // shutDownCommand is `shutdown [after=MS]`: sends SIGTERM and waits until all requests are answered
 // and the process ends, MS later.
-func (p *plane) shutDownCommand(c simulation.Command) error {
+func (p *dataPlane) shutDownCommand(c simulation.Command) error {
 	p.proxy.Shutdown()
 	time.Sleep(c.OptionDuration("after", 0))
 	p.clients.network.closeHost(proxyHost)
@@ -109,7 +109,7 @@
 }
 
 // sendOnConnection sends one request on a client's connection and counts its status.
-func (p *plane) sendOnConnection(c simulation.Command, write func(net.Conn, simulation.Command, string) error) {
+func (p *dataPlane) sendOnConnection(c simulation.Command, write func(net.Conn, simulation.Command, string) error) {
 	conn := p.clients.conns[c.Word(0)]
 	status := noCompleteAnswer
 	if write(conn, c, p.newRequestID()) == nil {
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -16,7 +16,7 @@
 
 // addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`: adds a leaf, from the next
 // update on.
-func (p *plane) addLeaf(c simulation.Command) error {
+func (p *dataPlane) addLeaf(c simulation.Command) error {
 	l := &leaf{
 		Endpoint: distribution.Endpoint{
 			ID: c.Word(0), Service: c.Word(1), Addr: c.Word(0) + ":80", Zone: "a",
@@ -35,7 +35,7 @@
 
 // setLeaf is `set ID [mode= uses= work= draining=]`: changes a leaf. Without mode the leaf answers normally again,
 // and without draining it is no longer draining; uses and work keep their values if omitted.
-func (p *plane) setLeaf(c simulation.Command) error {
+func (p *dataPlane) setLeaf(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.leafs[c.Word(0)]
@@ -49,7 +49,7 @@
 
 // addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= target= attempts= least= public= class=]`:
 // adds a route, from the next update on.
-func (p *plane) addRoute(c simulation.Command) error {
+func (p *dataPlane) addRoute(c simulation.Command) error {
 	route := routing.Route{
 		Name:            fmt.Sprint("r", len(p.routes)),
 		Hostname:        c.Word(0),
@@ -73,7 +73,7 @@
 }
 
 // setTenant is `tenant NAME KEY,...`: sets the API keys of a tenant; without keys it is removed.
-func (p *plane) setTenant(c simulation.Command) error {
+func (p *dataPlane) setTenant(c simulation.Command) error {
 	p.tenants = slices.DeleteFunc(p.tenants, func(t routing.Tenant) bool { return t.Name == c.Word(0) })
 	if c.Word(1) != "" {
 		p.tenants = append(p.tenants, routing.Tenant{Name: c.Word(0), APIKeys: strings.Split(c.Word(1), ",")})
@@ -82,32 +82,32 @@
 }
 
 // eject is `eject ID`: the index cell has an ejection mark for the leaf from the next update on.
-func (p *plane) eject(c simulation.Command) error {
+func (p *dataPlane) eject(c simulation.Command) error {
 	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	return nil
 }
 
 // reinstate is `reinstate ID`: removes the ejection mark of the leaf, from the next update on.
-func (p *plane) reinstate(c simulation.Command) error {
+func (p *dataPlane) reinstate(c simulation.Command) error {
 	delete(p.ejected, c.Word(0))
 	return nil
 }
 
 // update is `update`: sends the proxy an update with everything that the scenario has set so far.
-func (p *plane) update(simulation.Command) error {
+func (p *dataPlane) update(simulation.Command) error {
 	p.publish()
 	return nil
 }
 
 // runFor is `run MS`: lets simulated time pass.
-func (p *plane) runFor(c simulation.Command) error {
+func (p *dataPlane) runFor(c simulation.Command) error {
 	time.Sleep(c.Milliseconds(0))
 	return nil
 }
 
 // sendRequests is `request HOST PATH [n= post= body= gap= deadline= noid= key=Token_K claims=]`: sends
 // n requests, one after the other.
-func (p *plane) sendRequests(c simulation.Command) error {
+func (p *dataPlane) sendRequests(c simulation.Command) error {
 	method := http.MethodGet
 	if c.Options["post"] != "" {
 		method = http.MethodPost
@@ -120,7 +120,7 @@
 }
 
 // sendRequestsAtOnce is `request-at-once HOST PATH n=`: sends n requests concurrently.
-func (p *plane) sendRequestsAtOnce(c simulation.Command) error {
+func (p *dataPlane) sendRequestsAtOnce(c simulation.Command) error {
 	for range int(c.OptionFloat("n", 1)) {
 		p.running.Go(func() { p.request(c.Word(0), c.Word(1), http.MethodGet, "", c.Options) })
 	}
@@ -130,7 +130,7 @@
 
 // enableEstimates is `estimates SHADOW`: enables latency estimates and the comparison of
 // answers, with this share of shadow lookups; all leafs hold the same records.
-func (p *plane) enableEstimates(c simulation.Command) error {
+func (p *dataPlane) enableEstimates(c simulation.Command) error {
 	p.sameRecords = true
 	p.settings.Estimates.Enabled = true
 	p.settings.Estimates.ShadowShare = c.Float(0)
@@ -141,7 +141,7 @@
 
 // wantStatuses is `want STATUS=COUNT ...` or `STATUS>=COUNT`: checks how many requests got each of these statuses
 // since the last want; it clears the counts.
-func (p *plane) wantStatuses(c simulation.Command) error {
+func (p *dataPlane) wantStatuses(c simulation.Command) error {
 	for key, value := range c.Options {
 		status, isMinimum := strings.CutSuffix(key, ">")
 		want, err := strconv.Atoi(value)
@@ -157,7 +157,7 @@
 }
 
 // wantHeader is `want-header KEY=VALUE ...`: checks headers of the last answer.
-func (p *plane) wantHeader(c simulation.Command) error {
+func (p *dataPlane) wantHeader(c simulation.Command) error {
 	for key, want := range c.Options {
 		if got := p.lastAnswer.Header().Get(key); got != want {
 			return fmt.Errorf("header %s is %q", key, got)
@@ -167,7 +167,7 @@
 }
 
 // wantWithin is `want-within MS`: checks that no request since the last want-within took longer.
-func (p *plane) wantWithin(c simulation.Command) error {
+func (p *dataPlane) wantWithin(c simulation.Command) error {
 	if p.latency > c.Milliseconds(0) {
 		return fmt.Errorf("the slowest request took %v", p.latency)
 	}
@@ -176,7 +176,7 @@
 }
 
 // wantRuns is `want-runs ID [least= most=]`: checks how many requests the leaf ran since the last want-runs.
-func (p *plane) wantRuns(c simulation.Command) error {
+func (p *dataPlane) wantRuns(c simulation.Command) error {
 	time.Sleep(time.Millisecond) // a leaf may not yet have read a request that was sent to it before the answer ended
 	p.mu.Lock()
 	l := p.leafs[c.Word(0)]
@@ -191,7 +191,7 @@
 
 // wantTenants is `want-tenants LEAF NAME,...`: checks the tenants in the requests that the leaf ran since the
 // last want-tenants, in order; "-" stands for a request without one.
-func (p *plane) wantTenants(c simulation.Command) error {
+func (p *dataPlane) wantTenants(c simulation.Command) error {
 	p.mu.Lock()
 	got := strings.Join(p.tenantsSeen[c.Word(0)], ",")
 	p.tenantsSeen[c.Word(0)] = nil
@@ -204,7 +204,7 @@
 
 // wantEstimate is `want-estimate LEAF CLASS MS`: checks that the estimated median latency of the replica while
 // idle is within 20% of MS, or, for 0, that there is no estimate.
-func (p *plane) wantEstimate(c simulation.Command) error {
+func (p *dataPlane) wantEstimate(c simulation.Command) error {
 	snapshot := p.proxy.LatencyEstimates(distribution.EstimatesRequest{Class: c.Word(1)})
 	for _, keyed := range snapshot.Sketches {
 		if keyed.Key.Endpoint != c.Word(0) || keyed.Key.Load != 0 {
@@ -223,7 +223,7 @@
 
 // wantSlow is `want-slow LEAF OTHER`: checks that a slow lookup at LEAF is recorded with an estimate for OTHER
 // whose range covers the time that OTHER took.
-func (p *plane) wantSlow(c simulation.Command) error {
+func (p *dataPlane) wantSlow(c simulation.Command) error {
 	slow := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups
 	for _, lookup := range slow {
 		for _, other := range lookup.Replicas {
@@ -237,7 +237,7 @@
 }
 
 // wantParts is `want-parts LEAF KIND ...`: checks that exactly these kinds of differences were counted, by leaf.
-func (p *plane) wantParts(c simulation.Command) error {
+func (p *dataPlane) wantParts(c simulation.Command) error {
 	got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
 	for pair := range slices.Chunk(c.Words, 2) {
 		key := strings.Join(pair, " ")
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -36,7 +36,7 @@
 }
 
 // dial connects the proxy to a leaf.
-func (p *plane) dial(_ context.Context, _, addr string) (net.Conn, error) {
+func (p *dataPlane) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.leafs {
@@ -56,7 +56,7 @@
 
 // leafConn is a leaf's side of one connection.
 type leafConn struct {
-	plane     *plane
+	dataPlane *dataPlane
 	leaf      *leaf
 	conn      net.Conn
 	reader    *bufio.Reader
@@ -75,9 +75,9 @@
 }
 
 // serveLeaf answers the requests on a connection until one of them closes it.
-func (p *plane) serveLeaf(l *leaf, conn net.Conn) {
+func (p *dataPlane) serveLeaf(l *leaf, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	c := &leafConn{plane: p, leaf: l, conn: conn, reader: bufio.NewReader(conn)}
+	c := &leafConn{dataPlane: p, leaf: l, conn: conn, reader: bufio.NewReader(conn)}
 	for {
 		request, err := http.ReadRequest(c.reader)
 		if err != nil {
@@ -112,14 +112,14 @@
 }
 
 func (c *leafConn) countWorking(change int) {
-	c.plane.mu.Lock()
-	defer c.plane.mu.Unlock()
+	c.dataPlane.mu.Lock()
+	defer c.dataPlane.mu.Unlock()
 	c.leaf.working += change
 }
 
 // newCall counts a request and determines how it is answered.
 func (c *leafConn) newCall(request *http.Request) leafCall {
-	p := c.plane
+	p := c.dataPlane
 	wasIdleLong := !c.idleSince.IsZero() && time.Since(c.idleSince) > forgetAfter
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // recordRun counts a request that a leaf runs; p.mu is held.
-func (p *plane) recordRun(l *leaf, id string, header http.Header) {
+func (p *dataPlane) recordRun(l *leaf, id string, header http.Header) {
 	l.runs++
 	p.runsByRequest[id]++
 	p.tenantsSeen[l.ID] = append(p.tenantsSeen[l.ID], strings.Join(header["X-Comethold-Tenant"], "+"))
@@ -169,7 +169,7 @@
 	case call.isForgotten:
 		return true, false
 	case call.mode == "mute": // no answer; the connection stays open
-		<-c.plane.quit
+		<-c.dataPlane.quit
 		return true, false
 	case call.mode == "shed":
 		c.write("503 Service Unavailable", "X-Comethold-Not-Executed: 1\r\n", "")
@@ -228,7 +228,7 @@
 	case "stall": // a truncated answer; the connection stays open
 		fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s",
 			call.stamp, len(call.body), call.body[:surplusBytes])
-		<-c.plane.quit
+		<-c.dataPlane.quit
 	case "closing": // a complete answer that announces the close
 		c.write("200 OK", call.stamp+"Connection: close\r\n", call.body)
 	case "bye": // the connection closes while the next request is being written
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -24,8 +24,8 @@
 	"comethold/internal/simulation"
 )
 
-// plane is the world of the plane scenarios: one proxy with simulated leafs, on simulated time.
-type plane struct {
+// dataPlane is the World of the scenarios in testdata/plane: one proxy with simulated leafs, on simulated time.
+type dataPlane struct {
 	t        *testing.T
 	proxy    *proxy.Server
 	settings *settings.Settings
@@ -53,9 +53,9 @@
 	conns         []net.Conn
 }
 
-func newPlane(t *testing.T) *plane {
+func newDataPlane(t *testing.T) *dataPlane {
 	t.Helper()
-	p := &plane{
+	p := &dataPlane{
 		t:             t,
 		quit:          make(chan struct{}),
 		ejected:       map[string]distribution.EjectionMark{},
@@ -78,13 +78,13 @@
 }
 
 // newProxy replaces the proxy with a new one with the current settings.
-func (p *plane) newProxy() {
+func (p *dataPlane) newProxy() {
 	dialLeafs := func(_, _ time.Duration) func(context.Context, string, string) (net.Conn, error) { return p.dial }
 	p.proxy = proxy.New(p.settings, logging.Nop(), dialLeafs)
 }
 
 // shutDown closes the proxy and the connections of clients and leafs.
-func (p *plane) shutDown() {
+func (p *dataPlane) shutDown() {
 	p.leafs = map[string]*leaf{}
 	p.routes = nil
 	p.publish()
@@ -102,7 +102,7 @@
 }
 
 // publish sends the proxy an update with everything that the scenario has set so far.
-func (p *plane) publish() {
+func (p *dataPlane) publish() {
 	p.mu.Lock()
 	p.sequence++
 	p.logIndex++
@@ -124,7 +124,7 @@
 
 // configuration returns the configuration that the scenario has set so far, parsed like one from
 // an operator. The caller must hold p.mu.
-func (p *plane) configuration() *routing.Configuration {
+func (p *dataPlane) configuration() *routing.Configuration {
 	names := map[string]bool{}
 	for _, l := range p.leafs {
 		names[l.Service] = true
@@ -133,7 +133,7 @@
 		Version: p.version,
 		Routes:  p.routes,
 		Tenants: p.tenants,
-		Limits:  routing.Limits{MaxBodyBytes: 64, IdleTimeoutMs: p.clients.idleMs},
+		Limits:  routing.Limits{MaxBodyBytes: 64, IdleTimeoutMs: p.clients.idleTimeoutMs},
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		config.Services = append(config.Services, routing.Service{
@@ -149,7 +149,7 @@
 }
 
 // newRequestID returns the next request ID.
-func (p *plane) newRequestID() string {
+func (p *dataPlane) newRequestID() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextID++
@@ -157,7 +157,7 @@
 }
 
 // request sends one request to the proxy and checks the rules that hold for every answer.
-func (p *plane) request(host, path, method, body string, options map[string]string) {
+func (p *dataPlane) request(host, path, method, body string, options map[string]string) {
 	id := p.newRequestID()
 	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body))
 	r.Host = host
@@ -188,7 +188,7 @@
 
 // checkAnswer checks that an answer belongs to the request, and that its status and headers agree with what the
 // leafs ran. The caller must hold p.mu.
-func (p *plane) checkAnswer(id, method string, w *httptest.ResponseRecorder) {
+func (p *dataPlane) checkAnswer(id, method string, w *httptest.ResponseRecorder) {
 	isRejection := w.Code == http.StatusTooManyRequests || w.Code == http.StatusServiceUnavailable
 	if isRejection && p.runsByRequest[id] > 0 && method == http.MethodPost {
 		p.t.Errorf("POST request %s got status %d, which says that it did not run, but it ran", id, w.Code)
@@ -213,46 +213,46 @@
 	}
 }
 
-// planeCommands are the commands of plane scenarios; docs/testing.md explains them.
-var planeCommands = simulation.CommandTable[*plane]{
-	"leaf":               (*plane).addLeaf,
-	"set":                (*plane).setLeaf,
-	"route":              (*plane).addRoute,
-	"tenant":             (*plane).setTenant,
-	"eject":              (*plane).eject,
-	"reinstate":          (*plane).reinstate,
-	"update":             (*plane).update,
-	"run":                (*plane).runFor,
-	"request":            (*plane).sendRequests,
-	"request-at-once":    (*plane).sendRequestsAtOnce,
-	"accept-connections": (*plane).serveClients,
-	"idle-timeout":       (*plane).setIdleLimit,
-	"open-connection":    (*plane).openConnection,
-	"send":               (*plane).send,
-	"send-async":         (*plane).sendAsync,
-	"send-slowly":        (*plane).sendSlowly,
-	"leave":              (*plane).closeConnection,
-	"want-working":       (*plane).wantWorking,
-	"shutdown":           (*plane).shutDownCommand,
-	"estimates":          (*plane).enableEstimates,
+// dataPlaneCommands are the commands of the scenarios in testdata/plane; docs/testing.md explains them.
+var dataPlaneCommands = simulation.CommandTable[*dataPlane]{
+	"leaf":               (*dataPlane).addLeaf,
+	"set":                (*dataPlane).setLeaf,
+	"route":              (*dataPlane).addRoute,
+	"tenant":             (*dataPlane).setTenant,
+	"eject":              (*dataPlane).eject,
+	"reinstate":          (*dataPlane).reinstate,
+	"update":             (*dataPlane).update,
+	"run":                (*dataPlane).runFor,
+	"request":            (*dataPlane).sendRequests,
+	"request-at-once":    (*dataPlane).sendRequestsAtOnce,
+	"accept-connections": (*dataPlane).serveClients,
+	"idle-timeout":       (*dataPlane).setIdleTimeout,
+	"open-connection":    (*dataPlane).openConnection,
+	"send":               (*dataPlane).send,
+	"send-async":         (*dataPlane).sendAsync,
+	"send-slowly":        (*dataPlane).sendSlowly,
+	"leave":              (*dataPlane).closeConnection,
+	"want-working":       (*dataPlane).wantWorking,
+	"shutdown":           (*dataPlane).shutDownCommand,
+	"estimates":          (*dataPlane).enableEstimates,
 
-	"want":          (*plane).wantStatuses,
-	"want-header":   (*plane).wantHeader,
-	"want-within":   (*plane).wantWithin,
-	"want-runs":     (*plane).wantRuns,
-	"want-tenants":  (*plane).wantTenants,
-	"want-estimate": (*plane).wantEstimate,
-	"want-slow":     (*plane).wantSlow,
-	"want-parts":    (*plane).wantParts,
+	"want":          (*dataPlane).wantStatuses,
+	"want-header":   (*dataPlane).wantHeader,
+	"want-within":   (*dataPlane).wantWithin,
+	"want-runs":     (*dataPlane).wantRuns,
+	"want-tenants":  (*dataPlane).wantTenants,
+	"want-estimate": (*dataPlane).wantEstimate,
+	"want-slow":     (*dataPlane).wantSlow,
+	"want-parts":    (*dataPlane).wantParts,
 }
 
 // Do runs a command.
-func (p *plane) Do(c simulation.Command) error { return planeCommands.Do(p, c) }
+func (p *dataPlane) Do(c simulation.Command) error { return dataPlaneCommands.Do(p, c) }
 
 func TestPlane(t *testing.T) {
 	simulation.RunScenarios(t, "testdata/plane", synctest.Test, func(t *testing.T) simulation.World {
 		t.Helper()
-		p := newPlane(t)
+		p := newDataPlane(t)
 		t.Cleanup(p.shutDown)
 		return p
 	})
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -18,7 +18,7 @@
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	add("losses 2")
 	add("core %s", []string{"a b c a b c", "a b c a b", "a b c d e f a"}[rng.Intn(3)])
-	n := 5 + (len(lines[1])-len("core a b c a b"))/2
+	nodeCount := 5 + (len(lines[1])-len("core a b c a b"))/2
 	add("proxies a 1")
 	add("list l1")
 	add("indexes %d", rng.Intn(4))
@@ -27,13 +27,13 @@
 	add("replace 1 0 c1 within=9000")
 	add("want-all-voters 9000")
 	version := 1
-	nodes := rng.Perm(n)
+	nodes := rng.Perm(nodeCount)
 	replace := func() { // sends a change to a machine without a fault
 		version += 2
 		add("replace %d %d c%d within=9000", version, version-2, nodes[2]+1)
 	}
 	for range 5 {
-		nodes = rng.Perm(n)
+		nodes = rng.Perm(nodeCount)
 		a, b := fmt.Sprint("c", nodes[0]+1), fmt.Sprint("c", nodes[1]+1)
 		switch rng.Intn(6) {
 		case 0, 1: // both disks are lost at once, right after an acknowledgement
