--- a/internal/simulation/adversary_test.go
+++ b/internal/simulation/adversary_test.go
@@ -166,7 +166,8 @@
 		}
 		n, _ := strconv.Atoi(request.URL.Query().Get("n"))
 		if string(raw) != bodyOf(call.id, n) || request.URL.Path != "/"+call.id {
-			a.t.Errorf("seed %d: the leaf received request %s with the body or path of another request", a.seed, call.id)
+			a.t.Errorf("seed %d: leaf %s received request %s with path %s and body %.80q, want its own path and %d records",
+				a.seed, c.leaf, call.id, request.URL.Path, raw, n)
 		}
 	}
 	a.mu.Lock()
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// chaosDuration is how long random faults are played.
+	// chaosDuration is how long random faults are injected.
 	chaosDuration = 22 * time.Second
 	// minDiskLossInterval is the least time between losses of disks. Within it, other replicas become
 	// voters in place of the lost ones.
 	minDiskLossInterval = 12 * time.Second
-	// applyTimeout is how long a proxy with contact may take to apply the newest configuration.
+	// applyTimeout is how long a proxy in contact with the majority may take to apply the newest configuration.
 	applyTimeout = 3 * time.Second
 )
 
 // chaosNodes lists the machines with a disk.
 var chaosNodes = []string{"c1", "c2", "c3", "c4", "c5", "c6"}
 
-// TestFleetChaos plays random faults and changes, from COMETHOLD_SEEDS seeds beginning at
+// TestFleetChaos guards against acknowledged changes that are lost, and proxies that return to an older
+// configuration, under random faults of machines, disks and network. It runs COMETHOLD_SEEDS seeds, beginning at
 // COMETHOLD_FIRST_SEED.
 func TestFleetChaos(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("COMETHOLD_FIRST_SEED")) // 0 if unset
@@ -54,13 +55,13 @@
 	}
 }
 
-// chaos draws the commands of one run and plays them.
+// chaos draws the commands of one run and runs them.
 type chaos struct {
 	fleet    *fleet
 	rng      *rand.Rand
-	lines    []string // the commands played so far
+	lines    []string // the commands run so far
 	versions map[*proxy.Server]uint64
-	// When disks were last lost. The next loss follows after minDiskLossInterval at the earliest.
+	// lastDiskLoss is when disks were last lost. The next loss follows after minDiskLossInterval at the earliest.
 	lastDiskLoss time.Time
 }
 
@@ -68,7 +69,7 @@
 	return &chaos{fleet: f, rng: rand.New(rand.NewSource(int64(seed))), versions: map[*proxy.Server]uint64{}}
 }
 
-// do plays a command; if it fails, the test ends and prints all commands played so far.
+// do runs a command; if it fails, the test ends and prints all commands run so far.
 func (c *chaos) do(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	c.lines = append(c.lines, line)
@@ -87,7 +88,8 @@
 	c.advance(time.Duration(milliseconds)*time.Millisecond, func() bool { return false })
 }
 
-// runToAcknowledgement advances the simulated time to at most 30 ms after the next acknowledgement.
+// runToAcknowledgement advances the simulated time until the next acknowledgement, for at most
+// limitMilliseconds, and then for up to 30 ms more.
 func (c *chaos) runToAcknowledgement(limitMilliseconds int) {
 	start := time.Now()
 	before := c.acknowledgements()
@@ -128,8 +130,8 @@
 	c.do("start all")
 }
 
-// play plays a random bootstrap of the cells, then random faults while two operators send changes, then a
-// final fault. In the end every control node must accept a change and every proxy must apply the newest.
+// execute runs a random bootstrap of the cells, then injects random faults while two operators send changes, then
+// a final fault. In the end every control node must accept a change and every proxy must apply the newest one.
 func (c *chaos) execute() {
 	defer func() {
 		if c.fleet.t.Failed() {
@@ -222,7 +224,7 @@
 	}
 }
 
-// injectFault draws and plays one fault, or ends all faults.
+// injectFault draws and injects one fault. It may also end faults, or check convergence instead.
 func (c *chaos) injectFault() {
 	names := append([]string(nil), chaosNodes...)
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -23,7 +23,7 @@
 
 	mu                    sync.Mutex // guards the fields below
 	fault                 DiskFault
-	incarnation           int // number of ended processes; operations that hung when theirs ended fail
+	incarnation           int // number of ended processes; an operation that hangs when its process ends fails
 	operationsToPowerLoss int // operations up to and including the first that fails; 0: none fails
 	powerLost             bool
 	// unsynced maps the path of each file that was created, renamed or removed since the last sync of the
@@ -80,8 +80,8 @@
 	d.operationsToPowerLoss = n
 }
 
-// EndProcess simulates the end of the process that uses the disk: its hanging operations fail without effect,
-// and the power is on again.
+// EndProcess simulates the end of the process that uses the disk: its hanging operations fail without effect.
+// Power is restored, or a pending loss of power is cancelled.
 func (d *FaultyDisk) EndProcess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// replace is `replace VERSION BASE AT [mark= within=]`: sends a change based on the version BASE, and
-// repeats it within that many milliseconds until the outcome is known.
+// replace is `replace VERSION BASE AT [mark= within=]`: sends the change to VERSION, based on BASE, to the
+// machine AT. While the outcome is unknown, it repeats the change for up to within milliseconds.
 func (f *fleet) replace(c simulation.Command) error {
 	f.replaceAt(f.machineNamed(c.Word(2)), c.Uint(0), c.Uint(1), c.Options["mark"], c.OptionDuration("within", 0))
 	return nil
 }
 
-// replaceSeries is `replace-series FROM N AT [gap= within=]`: N changes, each based on the one
-// before it; each must be acknowledged.
+// replaceSeries is `replace-series FROM N AT [gap= within=]`: sends N changes, from version FROM on, each
+// based on the newest acknowledged one; each must be acknowledged.
 func (f *fleet) replaceSeries(c simulation.Command) error {
 	for i := range c.Uint(1) {
 		version := c.Uint(0) + i
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// replaceInTurn is `replace-in-turn N BASE NAMES`: N changes, each based on the one before it, sent
-// to these machines in turn.
+// replaceInTurn is `replace-in-turn N BASE NAMES`: sends N changes to these machines in turn, each based on
+// the one before it; each must be acknowledged.
 func (f *fleet) replaceInTurn(c simulation.Command) error {
 	machines := f.machinesNamed(c.Word(2))
 	for i := range c.Uint(0) {
@@ -123,8 +123,7 @@
 	return nil
 }
 
-// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: sends changes on the same base
-// concurrently.
+// race is `race BASE V1@AT V2@AT/MARK ... [within=]`: sends changes on the same base concurrently.
 func (f *fleet) race(c simulation.Command) error {
 	var sending sync.WaitGroup
 	for _, word := range c.Words[1:] {
@@ -140,12 +139,12 @@
 	return nil
 }
 
-// wantStatuses is `want STATUS=N ...`: N changes since the last such line ended with that HTTP status; 0
-// stands for no answer.
+// wantStatuses is `want STATUS=N ...`: since the last such line, N changes and redrives ended with that HTTP
+// status; 0 stands for no answer.
 func (f *fleet) wantStatuses(c simulation.Command) error {
 	for status, want := range c.Options {
 		if strconv.Itoa(f.replaceStatuses[status]) != want {
-			return fmt.Errorf("numbers of changes by HTTP status: %v", f.replaceStatuses)
+			return fmt.Errorf("numbers of changes by HTTP status: %v, want %s with status %s", f.replaceStatuses, want, status)
 		}
 	}
 	f.replaceStatuses = map[string]int{}
@@ -203,8 +202,8 @@
 	return nil
 }
 
-// wantIndeterminate is `want-unclear NAMES`: these machines answer neither reads nor changes definitely:
-// they do not answer, or with status 503.
+// wantIndeterminate is `want-unclear NAMES`: these machines do not answer reads and changes, or answer them
+// with status 503.
 func (f *fleet) wantIndeterminate(c simulation.Command) error {
 	const versionOffset = 1000 // distance from the versions of other changes, so that none is used twice
 	for i, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -82,12 +82,13 @@
 // isIndeterminate reports whether the outcome of a change is unknown after this status.
 func isIndeterminate(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
 
-// replaceAt sends a configuration to a machine and repeats it until its outcome is known or the limit
-// is reached. It returns the last status.
+// replaceAt sends a generated configuration to a machine as replaceUntilOutcomeKnown does.
 func (f *fleet) replaceAt(m *machine, version, base uint64, mark string, limit time.Duration) int {
 	return f.replaceUntilOutcomeKnown(m, base, version, f.configurationBody(version, mark), limit)
 }
 
+// replaceUntilOutcomeKnown sends a change and repeats it until its outcome is known or the limit is reached.
+// It records the last status and an acknowledgement, and returns the status.
 func (f *fleet) replaceUntilOutcomeKnown(m *machine, base, version uint64, raw string, limit time.Duration) int {
 	end := time.Now().Add(limit)
 	status := f.post(m, pathReplace, base, raw)
@@ -251,15 +252,16 @@
 	return nil
 }
 
-// operator sends random changes. Each is based on the version that it read or had acknowledged last, has a
-// version that another operator may choose too, or is one of its earlier changes again.
+// operator sends random changes: new ones, and some of its earlier ones again. A new change is based on the
+// version that the operator read last or that was acknowledged to it last. Its version may be the same as that of
+// another operator's change.
 type operator struct {
 	fleet       *fleet
 	machines    []*machine
 	rng         *rand.Rand
 	name        string
 	maxPause    time.Duration
-	baseVersion uint64
+	baseVersion uint64 // version that was read or acknowledged last
 	sent        []sentReplace
 }
 
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -128,7 +128,8 @@
 		}
 		otherReported = otherReported || earlier.holder != call.holder
 		if otherReported && earlier.holder == call.holder {
-			f.t.Errorf("%s, another holder and again %s reported within the lease duration %v", call.holder, call.holder, lease)
+			f.t.Errorf("%s reported, then another holder, then %s again, all within the lease duration %v",
+				call.holder, call.holder, lease)
 			return
 		}
 	}
@@ -147,7 +148,7 @@
 }
 
 // setPlatformFault is `platform ok|busy|reset|lost`: sets how the platform answers usage reports from now
-// on: it accepts them, answers 429, resets the connection, or accepts them and then resets it.
+// on: it accepts them, answers 429, resets the connection, or accepts them and then resets the connection.
 func (f *fleet) setPlatformFault(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -53,8 +53,9 @@
 		for name, last := range lastApplied {
 			cell := cells[name]
 			if len(cell.Voters) != 2*f.machineLosses+1 || !cell.MembershipComplete || cell.Applied+maxLag < last {
-				return fmt.Errorf("at %s: cell %s has %d voters, membership complete %v, applied %d of %d entries%s",
-					addr, name, len(cell.Voters), cell.MembershipComplete, cell.Applied, last, live.describe(name))
+				return fmt.Errorf("at %s: cell %s has %d voters, want %d; membership complete %v, applied %d of %d entries%s",
+					addr, name, len(cell.Voters), 2*f.machineLosses+1, cell.MembershipComplete, cell.Applied, last,
+					live.describe(name))
 			}
 			if err := live.checkVoters(addr, name, lost); err != nil {
 				return err
@@ -93,14 +94,15 @@
 }
 
 // wantState is `want-state KILOBYTES NAME [rows=]`: on the disk of a stopped machine, the meta cell's
-// state has at most KILOBYTES, its outbox at most that many rows, and its log at most maxLogEntries.
+// state has at most KILOBYTES KiB, its outbox at most the given rows, and its log at most maxLogEntries.
 func (f *fleet) wantState(c simulation.Command) error {
 	stored, err := readStoredState(filepath.Join(f.dir, c.Word(1)))
 	if err != nil {
 		return err
 	}
 	if stored.bytes > c.Int(0)<<10 || stored.outboxRows > int(c.OptionFloat("rows", 1e6)) {
-		return fmt.Errorf("meta cell's stored state exceeds a limit: %d bytes, %s", stored.bytes, stored.summary)
+		return fmt.Errorf("meta cell's stored state has %d bytes and %d outbox rows, want at most %s KiB and %v rows: %s",
+			stored.bytes, stored.outboxRows, c.Word(0), c.OptionFloat("rows", 1e6), stored.summary)
 	}
 	return nil
 }
@@ -146,15 +148,15 @@
 	return stored, nil
 }
 
-// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have decided the configuration
-// VERSION or a later one.
+// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have applied the notification of the
+// configuration VERSION or of a later one.
 func (f *fleet) wantApplied(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(2), "the configuration version is applied at "+c.Word(1), func() error {
 		for _, m := range f.machinesNamed(c.Word(1)) {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || view.AppliedVersions["configuration"] < c.Uint(0) {
-				return fmt.Errorf("%s reports %.200s", m.name, raw)
+				return fmt.Errorf("%s reports the outbox %.200s, want configuration version %d applied", m.name, raw, c.Uint(0))
 			}
 		}
 		return nil
@@ -162,37 +164,39 @@
 }
 
 // wantBacklog is `want-backlog N WITHIN`: the outbox has N unpublished rows, and every control node has
-// decided the highest acknowledged version.
+// applied the notification of the highest acknowledged version.
 func (f *fleet) wantBacklog(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(1), "outbox backlog and applied version", func() error {
 		for _, m := range f.controlNodes() {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || view.Backlog != c.Int(0) || view.AppliedVersions["configuration"] != f.newest {
-				return fmt.Errorf("%s: %s", m.name, raw)
+				return fmt.Errorf("%s reports the outbox %s, want backlog %d and configuration version %d applied",
+					m.name, raw, c.Int(0), f.newest)
 			}
 		}
 		return nil
 	})
 }
 
-// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N
-// quarantined cases and REDRIVES redrives.
+// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N quarantined notifications
+// and REDRIVES redrives.
 func (f *fleet) wantQuarantine(c simulation.Command) error {
-	return f.waitUntilNil(c.Milliseconds(2), "number of quarantined cases and redrives", func() error {
+	return f.waitUntilNil(c.Milliseconds(2), "number of quarantined notifications and redrives", func() error {
 		for _, m := range f.controlNodes() {
 			var view operatorapi.OutboxView
 			raw, err := f.get(m, pathOutbox, &view)
 			if err != nil || len(view.Quarantine) != c.Int(0) || len(view.Redrives) != c.Int(1) {
-				return fmt.Errorf("%s: %s", m.name, raw)
+				return fmt.Errorf("%s reports the outbox %s, want %d quarantined notifications and %d redrives",
+					m.name, raw, c.Int(0), c.Int(1))
 			}
 		}
 		return nil
 	})
 }
 
-// redrive is `redrive EVENT ACTION AT`: redrives the last quarantined case whose event ID begins with
-// EVENT, or the event with the ID EVENT if there is none.
+// redrive is `redrive EVENT ACTION AT`: redrives the last quarantined notification whose event ID begins with
+// EVENT, or the notification with the event ID EVENT if none does.
 func (f *fleet) redrive(c simulation.Command) error {
 	m := f.machineNamed(c.Word(2))
 	var view operatorapi.OutboxView
@@ -232,19 +236,20 @@
 		samples += replica.Estimate.Samples
 	}
 	if view.Nodes != c.Int(0) || samples < c.Uint(1) {
-		return fmt.Errorf("estimates come from %d nodes and %d samples: %.300s", view.Nodes, samples, raw)
+		return fmt.Errorf("estimates come from %d nodes and %d samples, want %d nodes and at least %d samples: %.300s",
+			view.Nodes, samples, c.Int(0), c.Uint(1), raw)
 	}
 	return nil
 }
 
-// wantSaved is `want-saved LINES AT`: at least LINES exported estimates are on the disk of that machine.
+// wantSaved is `want-saved LINES AT`: at least LINES lines of saved estimates are on the disk of that machine.
 func (f *fleet) wantSaved(c simulation.Command) error {
 	var lines []latency.View
 	if _, err := f.get(f.machineNamed(c.Word(1)), "/Estimates.Saved", &lines); err != nil {
 		return err
 	}
 	if len(lines) < c.Int(0) {
-		return fmt.Errorf("%d exported estimates are on disk", len(lines))
+		return fmt.Errorf("%d lines of saved estimates are on disk, want at least %d", len(lines), c.Int(0))
 	}
 	return nil
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -34,7 +34,7 @@
 	leafAddress     = leafHost + ":80"
 )
 
-// maxSeeds is the number of control nodes, from the first on, that every machine has as seeds.
+// maxSeeds is how many control nodes, counted from c1, every machine has as seeds.
 const maxSeeds = 3
 
 // fleet is a complete system of control nodes and proxies on simulated time. It runs the production
@@ -46,7 +46,7 @@
 	machines      map[string]*machine
 	aliases       map[string]*machine // names given by the command `name`
 	seedNodes     []string
-	started       bool
+	started       bool // whether the command `begin` has run
 	machineLosses int
 	seed          int64 // part of the seed of each disk's random source
 
@@ -57,7 +57,7 @@
 	estimate     bool
 
 	history      *history
-	loads        sync.WaitGroup
+	loads        sync.WaitGroup // loads in the background
 	requestCount int
 
 	mu              sync.Mutex        // guards the fields below, and proxy and stop of each machine
@@ -74,7 +74,7 @@
 	fencedCalls     []fencedCall         // in order of arrival
 }
 
-// machine is a node; its servers are set while they run.
+// machine is a simulated node. controlPlane, proxy and stop are set while it runs.
 type machine struct {
 	name, zone, addr string
 	hasDisk          bool
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// waitUntilNil polls a check until it returns nil; at the limit it returns an error with the check's
-// last one.
+// waitUntilNil polls a check until it returns nil. At the limit it returns an error that wraps the last error
+// of the check.
 func (f *fleet) waitUntilNil(limit time.Duration, description string, check func() error) error {
 	var last error
 	err := f.waitUntil(limit, description, func() bool {
@@ -313,14 +313,14 @@
 	return m.proxy.RouteTable().Version
 }
 
-// TestFleet plays the scenarios in testdata/fleet; the head of each file states the expected result.
+// TestFleet runs the scenarios in testdata/fleet; the head of each file states the expected result.
 func TestFleet(t *testing.T) { runFleetScenarios(t, "testdata/fleet") }
 
 // TestCatchUpOverSlowLink guards against a proxy whose polls use up the bandwidth of a slow link, so that
 // the replica on the same machine cannot catch up; see docs/incidents/38-polls-that-fill-a-slow-link.md.
 func TestCatchUpOverSlowLink(t *testing.T) { runFleetScenarios(t, "testdata/fleet-slow-link") }
 
-// runFleetScenarios plays the scenarios of a folder. After each, it checks that the recorded history of
+// runFleetScenarios runs the scenarios of a folder. After each, it checks that the recorded history of
 // configuration changes and reads is linearizable.
 func runFleetScenarios(t *testing.T, dir string) {
 	t.Helper()
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -27,7 +27,7 @@
 
 	servedAt []time.Time   // when a leaf received its requests
 	statuses map[int]int   // HTTP status -> requests, since the last want-served
-	latency  time.Duration // the highest of a served request since the last want-served
+	latency  time.Duration // the highest latency of a served request since the last want-served
 }
 
 // setTenant is `tenant NAME RATE BURST [key=]`: adds or changes a tenant in the configurations from
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// wantServed is `want-served TENANT [least= most= within=]`: since the last such line, the
-// percentage of its requests that were served is between least and most, and none of them took longer
-// than within milliseconds.
+// wantServed is `want-served TENANT [least= most= within=]`: since the last such line, the percentage of the
+// tenant's requests that were served is between least and most, and no served request took longer than within
+// milliseconds.
 func (f *fleet) wantServed(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,10 +164,11 @@
 	}
 	share := 100 * float64(statuses[http.StatusOK]) / float64(all)
 	if share < c.OptionFloat("least", 0) || share > c.OptionFloat("most", 100) {
-		return fmt.Errorf("%.0f%% of the requests were served; by HTTP status: %v", share, statuses)
+		return fmt.Errorf("%.0f%% of the requests were served, want %v%% to %v%%; by HTTP status: %v",
+			share, c.OptionFloat("least", 0), c.OptionFloat("most", 100), statuses)
 	}
 	if latency > c.OptionDuration("within", 1e6) {
-		return fmt.Errorf("the slowest served request took %v", latency)
+		return fmt.Errorf("the slowest served request took %v, want at most %v", latency, c.OptionDuration("within", 1e6))
 	}
 	return nil
 }
@@ -211,11 +212,11 @@
 		last = window
 		reported := f.reportedCount(window, tenant.Name)
 		if f.acceptedAt[window].IsZero() || f.acceptedAt[window].After(due) {
-			failures = append(failures, fmt.Sprintf("window %d was reported %v after it was due",
+			failures = append(failures, fmt.Sprintf("window %d was reported %v after it was due (negative: not reported)",
 				window, f.acceptedAt[window].Sub(due)))
 		} else if deviationPercent(reported, ran[window]) > c.OptionFloat("off", 0) {
-			failures = append(failures, fmt.Sprintf("the report of window %d counts %v of %v requests",
-				window, reported, ran[window]))
+			failures = append(failures, fmt.Sprintf("window %d: the report counts %v of %v requests, want at most %v%% off",
+				window, reported, ran[window], c.OptionFloat("off", 0)))
 		}
 	}
 	f.checkedWindow = last
@@ -247,7 +248,8 @@
 	}
 	ran := float64(len(f.tenants[c.Word(0)].servedAt))
 	if ran == 0 || deviationPercent(reported, ran) > c.OptionFloat("off", 0) {
-		return fmt.Errorf("the reports count %v of %v requests", reported, ran)
+		return fmt.Errorf("the reports count %v of %v requests, want a deviation of at most %v%%",
+			reported, ran, c.OptionFloat("off", 0))
 	}
 	return nil
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -42,7 +42,7 @@
 	return h.clock
 }
 
-// record records a completed call that began at a tick. It ignores reads without an answer.
+// record records a completed call that began at a tick. It ignores failed reads and malformed changes.
 func (h *history) record(from int64, c operatorCall, a operatorAnswer) {
 	if !c.read {
 		var v struct {
@@ -181,7 +181,8 @@
 	return fmt.Errorf("the history is not linearizable (%s):%s", result, b.String())
 }
 
-// TestHistory guards against a checker that accepts histories that are not linearizable, or rejects others.
+// TestHistory guards against a checker that accepts histories that are not linearizable, or rejects linearizable
+// ones.
 // A change is FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS; 0 stands for no answer.
 func TestHistory(t *testing.T) {
 	cases := []struct {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -13,7 +13,7 @@
 const (
 	// resendDelay is how long a lost packet delays its connection.
 	resendDelay = 250 * time.Millisecond
-	// blockedPollInterval is the interval at which a blocked write or dial checks whether the link is open.
+	// blockedPollInterval is the interval at which a blocked write or dial checks whether the direction is open.
 	blockedPollInterval = 20 * time.Millisecond
 	// segmentBytes is how many bytes a write sends at a time, so that connections share the bandwidth of a link.
 	segmentBytes = 4 << 10
@@ -40,7 +40,7 @@
 	listeners      map[string]*listener
 	packetConns    map[string]*simulatedPacketConn
 	conns          []*simulatedConn
-	incarnations   map[string]int // kills of each machine; dials from before a kill are refused
+	incarnations   map[string]int // number of kills of each machine; dials of processes from before a kill are refused
 	blocked        map[hostPair]bool
 	answersLost    map[string]bool             // hosts whose answers to operators are lost
 	bytesPerSecond map[string]float64          // of a host's own link, each direction; 0: no limit
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -93,7 +93,7 @@
 		working += p.leafs[id].working
 	}
 	if working != c.Int(0) {
-		return fmt.Errorf("leafs %s work on %d requests", c.Word(1), working)
+		return fmt.Errorf("leafs %s work on %d requests, want %d", c.Word(1), working, c.Int(0))
 	}
 	return nil
 }
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= target= attempts= least= public= class=]`:
+// addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= timeout= target= attempts= least= public= class=]`:
 // adds a route, from the next update on.
 func (p *dataPlane) addRoute(c simulation.Command) error {
 	route := routing.Route{
@@ -149,7 +149,7 @@
 			return err
 		}
 		if got := p.statuses[status]; isMinimum && got < want || !isMinimum && got != want {
-			return fmt.Errorf("got the statuses %v", p.statuses)
+			return fmt.Errorf("%d requests got status %s, want %s=%s; all statuses: %v", got, status, key, value, p.statuses)
 		}
 	}
 	p.statuses = map[string]int{}
@@ -160,7 +160,7 @@
 func (p *dataPlane) wantHeader(c simulation.Command) error {
 	for key, want := range c.Options {
 		if got := p.lastAnswer.Header().Get(key); got != want {
-			return fmt.Errorf("header %s is %q", key, got)
+			return fmt.Errorf("header %s is %q, want %q", key, got, want)
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 // wantWithin is `want-within MS`: checks that no request since the last want-within took longer.
 func (p *dataPlane) wantWithin(c simulation.Command) error {
 	if p.latency > c.Milliseconds(0) {
-		return fmt.Errorf("the slowest request took %v", p.latency)
+		return fmt.Errorf("the slowest request took %v, want at most %v", p.latency, c.Milliseconds(0))
 	}
 	p.latency = 0
 	return nil
@@ -184,7 +184,8 @@
 	l.runs = 0
 	p.mu.Unlock()
 	if float64(runs) < c.OptionFloat("least", 0) || float64(runs) > c.OptionFloat("most", 1e9) {
-		return fmt.Errorf("the leaf ran %d requests", runs)
+		return fmt.Errorf("leaf %s ran %d requests, want %v to %v",
+			c.Word(0), runs, c.OptionFloat("least", 0), c.OptionFloat("most", 1e9))
 	}
 	return nil
 }
@@ -197,7 +198,7 @@
 	p.tenantsSeen[c.Word(0)] = nil
 	p.mu.Unlock()
 	if got != strings.ReplaceAll(c.Word(1), "-", "") {
-		return fmt.Errorf("the leaf received the tenants %q", got)
+		return fmt.Errorf("leaf %s received the tenants %q, want %s", c.Word(0), got, c.Word(1))
 	}
 	return nil
 }
@@ -214,7 +215,7 @@
 		want := c.Milliseconds(2)
 		isWithinTolerance := estimate.Known() && estimate.Median >= want*4/5 && estimate.Median <= want*6/5
 		if want == 0 && estimate.Known() || want > 0 && !isWithinTolerance {
-			return fmt.Errorf("the estimate is %+v", estimate)
+			return fmt.Errorf("the estimate is %+v, want a median within 20%% of %v (0: no estimate)", estimate, want)
 		}
 		return nil
 	}
@@ -233,7 +234,8 @@
 			}
 		}
 	}
-	return fmt.Errorf("no such lookup among the slow lookups %+v", slow)
+	return fmt.Errorf("no slow lookup at %s has an estimate for %s that covers its actual latency: %+v",
+		c.Word(0), c.Word(1), slow)
 }
 
 // wantParts is `want-parts LEAF KIND ...`: checks that exactly these kinds of differences were counted, by leaf.
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -249,6 +249,7 @@
 // Do runs a command.
 func (p *dataPlane) Do(c simulation.Command) error { return dataPlaneCommands.Do(p, c) }
 
+// TestPlane runs the scenarios in testdata/plane; the head of each file states the expected result.
 func TestPlane(t *testing.T) {
 	simulation.RunScenarios(t, "testdata/plane", synctest.Test, func(t *testing.T) simulation.World {
 		t.Helper()
--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -76,7 +76,7 @@
 		if rng.Intn(2) == 0 {
 			replace()
 		}
-		add("want-all-voters 4000") // catchUpS, the shortest time after which a loss stops counting
+		add("want-all-voters 4000") // catchUpS: a machine counts as lost for this long after its return
 	}
 	add("kill all")
 	add("start all")
@@ -85,7 +85,7 @@
 }
 
 // TestRepairs guards against the loss of acknowledged changes when machines or disks are lost shortly after
-// others were replaced as voters. It plays COMETHOLD_SEEDS random scenarios.
+// others were replaced as voters. It runs COMETHOLD_SEEDS random scenarios.
 func TestRepairs(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -100,7 +100,7 @@
 					}
 				}
 				if f.newest == 0 {
-					t.Error("no change was acknowledged")
+					t.Error("the scenario ended without an acknowledged change, want at least one")
 				}
 			})
 		})
