--- a/internal/simulation/repairs_test.go
+++ b/internal/simulation/repairs_test.go
@@ -18,7 +18,7 @@
 	add := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	add("losses 2")
 	add("core %s", []string{"a b c a b c", "a b c a b", "a b c d e f a"}[rng.Intn(3)])
-	n := 5 + (len(lines[1])-len("core a b c a b"))/2
+	nodeCount := 5 + (len(lines[1])-len("core a b c a b"))/2
 	add("proxies a 1")
 	add("list l1")
 	add("indexes %d", rng.Intn(4))
@@ -27,13 +27,13 @@
 	add("replace 1 0 c1 within=9000")
 	add("want-all-voters 9000")
 	version := 1
-	nodes := rng.Perm(n)
+	nodes := rng.Perm(nodeCount)
 	replace := func() { // sends a change to a machine without a fault
 		version += 2
 		add("replace %d %d c%d within=9000", version, version-2, nodes[2]+1)
 	}
 	for range 5 {
-		nodes = rng.Perm(n)
+		nodes = rng.Perm(nodeCount)
 		a, b := fmt.Sprint("c", nodes[0]+1), fmt.Sprint("c", nodes[1]+1)
 		switch rng.Intn(6) {
 		case 0, 1: // both disks are lost at once, right after an acknowledgement
@@ -76,7 +76,7 @@
 		if rng.Intn(2) == 0 {
 			replace()
 		}
-		add("want-all-voters 4000") // catchUpS, the shortest time after which a loss stops counting
+		add("want-all-voters 4000") // catchUpS: a machine counts as lost for this long after its return
 	}
 	add("kill all")
 	add("start all")
@@ -85,7 +85,7 @@
 }
 
 // TestRepairs guards against the loss of acknowledged changes when machines or disks are lost shortly after
-// others were replaced as voters. It plays COMETHOLD_SEEDS random scenarios.
+// others were replaced as voters. It runs COMETHOLD_SEEDS random scenarios.
 func TestRepairs(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -100,7 +100,7 @@
 					}
 				}
 				if f.newest == 0 {
-					t.Error("no change was acknowledged")
+					t.Error("the scenario ended without an acknowledged change, want at least one")
 				}
 			})
 		})
