--- a/internal/objectcache/client.go
+++ b/internal/objectcache/client.go
@@ -51,10 +51,10 @@
 	return nil, newUnavailable(reasonNoServer, noServerRetryDelay)
 }
 
-// Permit waits until a call may be made to a service, at most until the deadline or until ctx is
-// done. It returns true at once if this node knows no rate of the service. If ok is false,
-// retryAfter is the delay before the caller may ask again.
-func (c *Client) Permit(
+// WaitForPermit blocks until the service's rate limit allows a call, at most until the deadline or until
+// ctx is done. It returns true at once if this node knows no rate of the service. If ok is false,
+// retryAfter is the delay before the caller may request a permit again.
+func (c *Client) WaitForPermit(
 	ctx context.Context, service string, deadline time.Time,
 ) (ok bool, retryAfter time.Duration) {
 	table := c.control.RouteTable()
--- a/internal/objectcache/doc.go
+++ b/internal/objectcache/doc.go
@@ -11,7 +11,7 @@
 // each service's rate (package ratelimit). Reads beyond the share are queued: the read with the
 // most waiting requests starts first, and a read that would wait too long is rejected at once.
 // Before a data plane node calls a service with a rate on a route that is not cacheable, it asks
-// a Server for a permit (Client.Permit). The call counts like the server's own reads.
+// a Server for a permit (Client.WaitForPermit). The call counts like the server's own reads.
 //
 // The structs with cbor tags are sent to other nodes and stored on disk. Their numbers, and the
 // bucket names and keys on disk, must not change.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -65,7 +65,7 @@
 	var objects *objectcache.Client
 	if set.DeploymentMode == settings.ContentMode {
 		objects = objectcache.NewClient(client, objectCacheBytes)
-		options.AwaitRateLimit = objects.Permit
+		options.AwaitRateLimit = objects.WaitForPermit
 	}
 	dispatcher := scatter.NewDispatcher(options)
 	frontend := newFrontend(client, dispatcher, objects, log)
