--- a/internal/objectcache/diskstore/compat_test.go
+++ b/internal/objectcache/diskstore/compat_test.go
@@ -92,7 +92,7 @@
 		got := *objects[target]
 		got.ValidatedAt = time.Time{} // known only on the machine that wrote it, until its next boot
 		if !reflect.DeepEqual(got, object) {
-			t.Errorf("%s: got %+v, want %+v", target, got, object)
+			t.Errorf("the recorded object %s was loaded as %+v, want %+v", target, got, object)
 		}
 	}
 	s.Put(&responsecache.Response{Host: "h.example", Target: "/new", ETag: `"tn"`, PurgeIndex: 7})
--- a/internal/objectcache/diskstore/object_record.go
+++ b/internal/objectcache/diskstore/object_record.go
@@ -26,8 +26,8 @@
 	ReadAt     timestamp   `cbor:"9,keyasint"`
 }
 
-// encodeObject encodes an object with a checksum. now and at are both the current time. It returns
-// nil if the object can't be encoded.
+// encodeObject encodes an object with a checksum. now and at are the same current time in two types.
+// It returns nil if the object can't be encoded.
 func encodeObject(object *responsecache.Response, now timestamp, at time.Time) []byte {
 	record := objectRecord{
 		Host:       object.Host,
@@ -49,8 +49,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(encoded)), encoded...)
 }
 
-// decodeObject decodes an object. It returns nil if the object is damaged. now and at are both the
-// current time. If the age of the object is unknown, ValidatedAt is zero, and the object is
+// decodeObject decodes an object. It returns nil if the object is damaged. now and at are the
+// same current time in two types. If the age of the object is unknown, ValidatedAt is zero, and the object is
 // revalidated before it is served.
 func decodeObject(value []byte, now timestamp, at time.Time) *responsecache.Response {
 	if len(value) < checksumBytes {
--- a/internal/objectcache/diskstore/store_test.go
+++ b/internal/objectcache/diskstore/store_test.go
@@ -198,7 +198,8 @@
 	s, purgeIndex, loaded = open()
 	s.Close()
 	if purgeIndex != 9 || loaded != 0 {
-		t.Fatalf("after a late open the store has purge index %d and %d objects, want 9 and 0", purgeIndex, loaded)
+		t.Fatalf("after a delayed open and a hanging disk the store has purge index %d and %d objects, want 9 and 0",
+			purgeIndex, loaded)
 	}
 }
 
--- a/internal/objectcache/diskstore/writer.go
+++ b/internal/objectcache/diskstore/writer.go
@@ -153,8 +153,8 @@
 	})
 }
 
-// writeOperation executes one operation. objectBucket must exist. now and at are both the current
-// time.
+// writeOperation executes one operation. objectBucket must exist. now and at are the same current
+// time in two types.
 func (s *Store) writeOperation(tx *bolt.Tx, op operation, now timestamp, at time.Time) error {
 	if op.purges != nil {
 		return s.writePurges(tx, op.purges)
--- a/internal/objectcache/failure.go
+++ b/internal/objectcache/failure.go
@@ -17,27 +17,27 @@
 
 // Reasons of failures. They are sent to clients, so their texts must not change.
 const (
-	reasonBehind           = "the announcer is behind"
-	reasonRouteRemoved     = "the route is no more"
-	reasonDisconnected     = "the announcer is out of touch"
-	reasonNoRoute          = "no route"
-	reasonAnswerLost       = "the origin's answer was lost"
-	reasonRateExceeded     = "the origin takes no more reads now"
-	reasonOriginRejects    = "the origin turns reads away"
-	reasonOriginFailed     = "the origin's own failure"
-	reasonOriginUnreached  = "the origin cannot be reached"
-	reasonTimeout          = "the object did not come in time"
-	reasonBeingPurged      = "the object is being purged"
-	reasonPanic            = "the fetch failed inside"
-	reasonNoTime           = "no time is left"
-	reasonNothingToConfirm = "an announcer vouches for nothing"
-	reasonNoServer         = "no announcer answers"
+	reasonBehind                = "the announcer is behind"
+	reasonRouteRemoved          = "the route is no more"
+	reasonDisconnected          = "the announcer is out of touch"
+	reasonNoRoute               = "no route"
+	reasonResponseLost          = "the origin's answer was lost"
+	reasonRateExceeded          = "the origin takes no more reads now"
+	reasonOriginRejects         = "the origin turns reads away"
+	reasonOriginFailed          = "the origin's own failure"
+	reasonOriginUnreached       = "the origin cannot be reached"
+	reasonTimeout               = "the object did not come in time"
+	reasonBeingPurged           = "the object is being purged"
+	reasonPanic                 = "the fetch failed inside"
+	reasonNoTime                = "no time is left"
+	reasonUnexpectedNotModified = "an announcer vouches for nothing"
+	reasonNoServer              = "no announcer answers"
 )
 
 // Failure is the reason why a request gets no object.
 type Failure struct {
-	// Status, Header and Body are those of the origin's answer, if it executed the request and
-	// answered with an error.
+	// Status, Header and Body are those of the origin's response, if the origin executed the request
+	// and responded with an error.
 	Status     int
 	Header     http.Header
 	Body       []byte
--- a/internal/objectcache/message.go
+++ b/internal/objectcache/message.go
@@ -14,7 +14,7 @@
 	Host   string `cbor:"1,keyasint"`
 	Target string `cbor:"2,keyasint"`
 	ETag   string `cbor:"3,keyasint,omitempty"` // of the object that the caller holds
-	// PurgeIndex and ConfigVersion are the minimum that the server must have applied to answer.
+	// PurgeIndex and ConfigVersion are the minimum that the server must have applied before it replies.
 	PurgeIndex    uint64 `cbor:"4,keyasint,omitempty"`
 	ConfigVersion uint64 `cbor:"5,keyasint,omitempty"`
 	WaitMs        int64  `cbor:"6,keyasint"` // how long the caller waits
@@ -47,7 +47,7 @@
 	WaitMs  int64  `cbor:"2,keyasint"` // how long the caller waits
 }
 
-// permitReply answers a permitRequest.
+// permitReply is the reply to a permitRequest.
 type permitReply struct {
 	Granted bool  `cbor:"1,keyasint,omitempty"`
 	RetryMs int64 `cbor:"2,keyasint,omitempty"` // if not granted: delay before the next request
--- a/internal/objectcache/origin.go
+++ b/internal/objectcache/origin.go
@@ -66,7 +66,7 @@
 		service:  service,
 		rate:     rateOf(table, service),
 		deadline: time.Now().Add(route.Timeout),
-		failure:  newFailure(http.StatusBadGateway, reasonAnswerLost),
+		failure:  newFailure(http.StatusBadGateway, reasonResponseLost),
 	}
 	for range maxReadAttempts {
 		object, final := read.attempt()
@@ -202,7 +202,7 @@
 		return isClientError(response.Status) // another attempt would get the same response
 	default:
 		r.executed = true
-		r.failure = newFailure(http.StatusBadGateway, reasonAnswerLost)
+		r.failure = newFailure(http.StatusBadGateway, reasonResponseLost)
 	}
 	return false
 }
--- a/internal/objectcache/read_scheduler_test.go
+++ b/internal/objectcache/read_scheduler_test.go
@@ -125,7 +125,8 @@
 }
 
 // TestPermitNeedsShareButNoEndpoint guards against permits that exceed the rate or reserve an
-// endpoint: a call of a data plane node needs a share of the rate, but no slot here.
+// endpoint: a call of a data plane node needs a share of the rate, but no slot of an
+// endpoint that this node reserves.
 func TestPermitNeedsShareButNoEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := ratelimit.New()
--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -14,7 +14,7 @@
 	"comethold/internal/simulation"
 )
 
-// defaultWaitMs is how long calls wait for their answer by default.
+// defaultWaitMs is how long calls wait for their reply by default.
 const defaultWaitMs = 3000
 
 // commands are the commands of the scenarios, listed in docs/testing.md.
@@ -32,7 +32,7 @@
 	"get-distinct":     (*cacheWorld).getDistinct,
 	"permits":          (*cacheWorld).requestPermits,
 	"run":              (*cacheWorld).runFor,
-	"want":             (*cacheWorld).wantAnswers,
+	"want":             (*cacheWorld).wantReplies,
 	"want-reads":       (*cacheWorld).wantReads,
 	"want-rate":        (*cacheWorld).wantRate,
 	"want-within":      (*cacheWorld).wantWithin,
@@ -50,7 +50,7 @@
 // count returns the first word as a whole number.
 func count(c simulation.Command) int { return int(c.Milliseconds(0) / time.Millisecond) }
 
-// waitOf returns how long the calls of a command wait for their answers: its option wait, in
+// waitOf returns how long the calls of a command wait for their replies: its option wait, in
 // milliseconds.
 func waitOf(c simulation.Command) time.Duration {
 	return time.Duration(c.OptionFloat("wait", defaultWaitMs)) * time.Millisecond
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// setMode is `mode MODE`: sets how the origin answers.
+// setMode is `mode MODE`: sets how the origin responds.
 func (w *cacheWorld) setMode(c simulation.Command) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // getConcurrently is `get-concurrently PATH,... [n= wait= background=]`: requests each object n times,
-// all at once. With background, the next command doesn't wait for the answers.
+// all at once. With background, the next command doesn't wait for the replies.
 func (w *cacheWorld) getConcurrently(c simulation.Command) error {
 	for range int(c.OptionFloat("n", 1)) {
 		for _, path := range strings.Split(c.Word(0), ",") {
@@ -217,18 +217,18 @@
 	return nil
 }
 
-// wantAnswers is `want BODY-OR-STATUS=N ...`: checks the answers since the last such line, after the
+// wantReplies is `want BODY-OR-STATUS=N ...`: checks the replies since the last such line, after the
 // background calls have ended.
-func (w *cacheWorld) wantAnswers(c simulation.Command) error {
+func (w *cacheWorld) wantReplies(c simulation.Command) error {
 	w.calls.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for answer, want := range c.Options {
-		if fmt.Sprint(w.answers[answer]) != want {
-			return fmt.Errorf("the answers were %v", w.answers)
+	for bodyOrStatus, want := range c.Options {
+		if fmt.Sprint(w.replies[bodyOrStatus]) != want {
+			return fmt.Errorf("the numbers of replies by body or status were %v", w.replies)
 		}
 	}
-	w.answers = map[string]int{}
+	w.replies = map[string]int{}
 	return nil
 }
 
@@ -239,7 +239,8 @@
 	defer w.mu.Unlock()
 	unchanged, checked := c.Options["unchanged"]
 	if fmt.Sprint(len(w.reads)) != c.Word(0) || checked && fmt.Sprint(w.revalidations) != unchanged {
-		return fmt.Errorf("there were %d reads, %d of them for an unchanged object", len(w.reads), w.revalidations)
+		return fmt.Errorf("there were %d reads and granted permits, %d of them revalidations of an unchanged object",
+			len(w.reads), w.revalidations)
 	}
 	w.reads = nil
 	w.revalidations = 0
@@ -256,18 +257,18 @@
 			}
 		}
 		if started > count(c) {
-			return fmt.Errorf("%d reads started within one such span", started)
+			return fmt.Errorf("%d reads started within a span of this length", started)
 		}
 	}
 	return nil
 }
 
-// wantWithin is `want-within MS`: checks that no answer since the last such line took longer.
+// wantWithin is `want-within MS`: checks that no reply since the last such line took longer.
 func (w *cacheWorld) wantWithin(c simulation.Command) error {
-	if w.slowestAnswer > c.Milliseconds(0) {
-		return fmt.Errorf("the slowest answer took %v", w.slowestAnswer)
+	if w.slowestReply > c.Milliseconds(0) {
+		return fmt.Errorf("the slowest reply took %v", w.slowestReply)
 	}
-	w.slowestAnswer = 0
+	w.slowestReply = 0
 	return nil
 }
 
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -38,7 +38,7 @@
 	return c.Blob(http.StatusOK, rpc.ContentType, rpc.EncodeUncompressedBody(encoded))
 }
 
-// serveObject answers a call for an object.
+// serveObject returns the reply to a call for an object.
 func (s *Server) serveObject(call *objectCall) *objectReply {
 	start := time.Now()
 	wait := time.Duration(call.WaitMs) * time.Millisecond
--- a/internal/objectcache/server_client.go
+++ b/internal/objectcache/server_client.go
@@ -22,13 +22,13 @@
 // Timing and bounds of calls to servers; see docs/design.md.
 const (
 	dialTimeout        = 400 * time.Millisecond
-	silenceTimeout     = 900 * time.Millisecond
+	ackTimeout         = 900 * time.Millisecond
 	maxIdleConnections = 16
 	// failureBackoff is how long a server that failed is ranked last.
 	failureBackoff = 1500 * time.Millisecond
 	// maxWait is the maximum wait of one call for an object.
 	maxWait = 4 * time.Second
-	// deadlineMargin is the time before a request's deadline that is reserved for its answer.
+	// deadlineMargin is the time before a request's deadline that is reserved for its response.
 	deadlineMargin = 20 * time.Millisecond
 	// maxServersTried is the maximum number of servers that are asked for one object or permit.
 	maxServersTried = 3
@@ -50,7 +50,7 @@
 func newServerClient(control *controlclient.Client) *serverClient {
 	return &serverClient{
 		control:     control,
-		rpcClient:   rpc.NewClientWithLimits(control.Network, dialTimeout, silenceTimeout, maxIdleConnections),
+		rpcClient:   rpc.NewClientWithLimits(control.Network, dialTimeout, ackTimeout, maxIdleConnections),
 		failedUntil: map[string]time.Time{},
 	}
 }
@@ -150,7 +150,7 @@
 	return objectFromReply(&reply, f, start)
 }
 
-// objectCall returns the call for an object. wait is how long this node waits for the answer.
+// objectCall returns the call for an object. wait is how long this node waits for the reply.
 func (c *serverClient) objectCall(f serverFetch, wait time.Duration) *objectCall {
 	call := &objectCall{
 		Host:       f.request.Host,
@@ -193,7 +193,7 @@
 		}, nil, nil
 	}
 	if f.cached == nil {
-		return nil, newFailure(http.StatusBadGateway, reasonNothingToConfirm), nil
+		return nil, newFailure(http.StatusBadGateway, reasonUnexpectedNotModified), nil
 	}
 	return revalidated(f.cached, validatedAt, reply.PurgeIndex), nil, nil
 }
--- a/internal/objectcache/share.go
+++ b/internal/objectcache/share.go
@@ -51,7 +51,7 @@
 // returns the fair share that the new grant states, or fairPermille and false after a failure. skip
 // is the number of preferred control nodes to skip.
 func (s *Server) renewShare(fairPermille, skip int, number distribution.RequestNumber) (nextFairPermille int, ok bool) {
-	// The node stops using the part of its share that it gives up before it sends the request,
+	// Before the node sends the request, it stops using the part of its share that it gives up,
 	// because that part may be granted to another node at once.
 	s.limiter.Shrink(fairPermille)
 	requestedAt := time.Now()
--- a/internal/objectcache/world_test.go
+++ b/internal/objectcache/world_test.go
@@ -15,7 +15,7 @@
 	"comethold/internal/settings"
 )
 
-// originMode selects how the simulated origin answers.
+// originMode selects how the simulated origin responds.
 type originMode string
 
 const (
@@ -44,8 +44,8 @@
 	readDuration  time.Duration
 	reads         []time.Time    // start times of the reads since the last check
 	revalidations int            // number of the reads whose If-None-Match is the current ETag
-	answers       map[string]int // number by body or status, since the last check
-	slowestAnswer time.Duration  // since the last check
+	replies       map[string]int // number by body or status, since the last check
+	slowestReply  time.Duration  // since the last check
 	connections   []net.Conn
 }
 
@@ -55,7 +55,7 @@
 		objects:      map[string]originObject{},
 		mode:         modeOK,
 		readDuration: 50 * time.Millisecond,
-		answers:      map[string]int{},
+		replies:      map[string]int{},
 	}
 	set := &settings.Settings{
 		NodeName:          "a1",
@@ -94,21 +94,21 @@
 	}
 }
 
-// serveOrigin answers the requests on a connection.
+// serveOrigin responds to the requests on a connection.
 func (w *cacheWorld) serveOrigin(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	in := bufio.NewReader(connection)
 	for {
 		request, err := http.ReadRequest(in)
-		if err != nil || !w.answerRead(connection, request) {
+		if err != nil || !w.writeResponse(connection, request) {
 			return
 		}
 	}
 }
 
-// answerRead answers a read with the object that the origin has when the read starts. It reports
-// whether the connection stays open.
-func (w *cacheWorld) answerRead(out net.Conn, request *http.Request) bool {
+// writeResponse responds to a read with the object that the origin has when the read starts. It
+// returns false if the connection must be closed.
+func (w *cacheWorld) writeResponse(out net.Conn, request *http.Request) bool {
 	w.mu.Lock()
 	w.reads = append(w.reads, time.Now())
 	object, mode, readDuration := w.objects[request.URL.Path], w.mode, w.readDuration
@@ -138,16 +138,16 @@
 	case notModified:
 		fmt.Fprintf(out, "HTTP/1.1 304 Not Modified\r\n%s\r\n", header)
 	default:
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(object.etag), object.etag)
-		fmt.Fprint(out, answer)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(object.etag), object.etag)
+		fmt.Fprint(out, response)
 		if mode == modeRepeat { // the second copy is delivered when the next read is sent
-			go fmt.Fprint(out, answer)
+			go fmt.Fprint(out, response)
 		}
 	}
 	return true
 }
 
-// get requests an object from the server and counts the answer by its body or status.
+// get requests an object from the server and counts the reply by its body or status.
 func (w *cacheWorld) get(path string, wait time.Duration) {
 	start := time.Now()
 	reply := w.server.serveObject(&objectCall{
@@ -158,14 +158,14 @@
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slowestAnswer = max(w.slowestAnswer, time.Since(start))
+	w.slowestReply = max(w.slowestReply, time.Since(start))
 	switch {
 	case reply.Disconnected:
-		w.answers["disconnected"]++
+		w.replies["disconnected"]++
 	case reply.Status != 0:
-		w.answers[fmt.Sprint(reply.Status)]++
+		w.replies[fmt.Sprint(reply.Status)]++
 	default:
-		w.answers[string(reply.Body)]++
+		w.replies[string(reply.Body)]++
 	}
 }
 
@@ -178,6 +178,6 @@
 	if reply.Granted {
 		w.reads = append(w.reads, time.Now())
 	} else {
-		w.answers["rejected"]++
+		w.replies["rejected"]++
 	}
 }
