--- a/internal/controlclient/applied_state.go
+++ b/internal/controlclient/applied_state.go
@@ -15,9 +15,10 @@
 	"comethold/internal/upstream"
 )
 
-// markIndexesDuration is how long update requests contain HeldVersions.MarkLogIndexes after a
-// control node asked for it. A control node asks at most once in that time.
-const markIndexesDuration = 10 * time.Second
+// markLogIndexesDuration is how long update requests contain HeldVersions.MarkLogIndexes after a
+// control node requested it (Update.NeedMarkLogIndexes). A control node requests it at most once in
+// that time.
+const markLogIndexesDuration = 10 * time.Second
 
 // appliedState is the state that this node received in updates. A part of the state is replaced
 // only by a newer version. The callbacks are set before the first update and are called with mu
@@ -49,9 +50,10 @@
 	hasEndpoints     bool
 	endpoints        map[string]distribution.Endpoint // by ID
 
-	ejectionMarks        map[string]distribution.EjectionMarks // by search index
-	marksDigest          uint64                                // of ejectionMarks
-	sendMarkIndexesUntil time.Time
+	ejectionMarks map[string]distribution.EjectionMarks // by search index
+	marksDigest   uint64                                // of ejectionMarks
+	// sendMarkLogIndexesUntil is the time until which update requests contain HeldVersions.MarkLogIndexes.
+	sendMarkLogIndexesUntil time.Time
 
 	nodesIndex     uint64                       // log index of the directory of nodes
 	nodes          map[string]distribution.Node // by name
@@ -117,8 +119,8 @@
 	if s.hasEndpoints {
 		held.EndpointRevision = s.endpointRevision
 	}
-	if time.Now().Before(s.sendMarkIndexesUntil) {
-		held.MarkLogIndexes = s.markIndexesLocked()
+	if time.Now().Before(s.sendMarkLogIndexesUntil) {
+		held.MarkLogIndexes = s.markLogIndexesLocked()
 	}
 	return held
 }
@@ -137,7 +139,7 @@
 		s.applyEndpointsLocked(u.Endpoints)
 	}
 	if u.NeedMarkLogIndexes {
-		s.sendMarkIndexesUntil = time.Now().Add(markIndexesDuration)
+		s.sendMarkLogIndexesUntil = time.Now().Add(markLogIndexesDuration)
 	}
 	if len(u.EjectionMarks) > 0 || len(u.RemovedSearchIndexes) > 0 {
 		s.applyEjectionMarksLocked(u.EjectionMarks, u.RemovedSearchIndexes)
@@ -199,7 +201,7 @@
 	for _, name := range removedIndexes {
 		delete(s.ejectionMarks, name)
 	}
-	s.marksDigest = distribution.MarksDigest(s.markIndexesLocked())
+	s.marksDigest = distribution.MarksDigest(s.markLogIndexesLocked())
 	s.upstreams.SetFleetEjections(s.ejectedLocked())
 }
 
@@ -217,8 +219,8 @@
 	return ejected
 }
 
-// markIndexesLocked returns the log index of the marks of each search index.
-func (s *appliedState) markIndexesLocked() map[string]uint64 {
+// markLogIndexesLocked returns the log index of the marks of each search index, by index name.
+func (s *appliedState) markLogIndexesLocked() map[string]uint64 {
 	indexes := make(map[string]uint64, len(s.ejectionMarks))
 	for name, marks := range s.ejectionMarks {
 		indexes[name] = marks.LogIndex
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -22,11 +22,11 @@
 )
 
 // Time-outs of connections to endpoints. upstreamDialTimeout is only an upper bound: package
-// upstream cancels a dial earlier, after its own dialTimeout. An open connection fails when the
-// endpoint acknowledges no data for upstreamSilenceTimeout.
+// upstream cancels a dial earlier, after its own dialTimeout. An open connection fails if sent
+// data remains unacknowledged for upstreamAckTimeout.
 const (
-	upstreamDialTimeout    = time.Second
-	upstreamSilenceTimeout = 5 * time.Second
+	upstreamDialTimeout = time.Second
+	upstreamAckTimeout  = 5 * time.Second
 )
 
 // bodyMemoryDivisor sets the memory for response bodies that are being read from endpoints: it is
@@ -64,7 +64,7 @@
 func New(o Options) *Client {
 	set := o.Settings
 	locality := upstream.Locality{Node: set.NodeName, Zone: set.AvailabilityZone, RegionOf: set.RegionOf}
-	dial := upstream.DialFunc(o.Network(upstreamDialTimeout, upstreamSilenceTimeout))
+	dial := upstream.DialFunc(o.Network(upstreamDialTimeout, upstreamAckTimeout))
 	upstreams := upstream.NewClusterManager(locality, dial, o.Log)
 	if memoryMb := set.Limits.MemoryMb; memoryMb > 0 {
 		upstreams.BodyMemory = boundedio.NewBudget((memoryMb << 20) / bodyMemoryDivisor)
@@ -111,7 +111,7 @@
 // OnTokenGrant sets the callback for token grants. See OnRouteTable.
 func (c *Client) OnTokenGrant(f func(*quota.TokenGrant)) { c.datagrams.onTokenGrant = f }
 
-// OnUsageAck sets the callback for answers to usage reports. See OnRouteTable.
+// OnUsageAck sets the callback for acknowledgements of usage reports. See OnRouteTable.
 func (c *Client) OnUsageAck(f func(*usage.CountAck)) { c.datagrams.onUsageAck = f }
 
 // SetInitialPurgeIndex sets the log index up to which purges have been applied to the objects
--- a/internal/controlclient/internal_api.go
+++ b/internal/controlclient/internal_api.go
@@ -18,7 +18,7 @@
 )
 
 // InternalHandler returns the handler of the internal API. It serves updates to nodes that can't
-// reach a control node, and answers the control plane's probes.
+// reach a control node, and responds to the control plane's probes.
 func (c *Client) InternalHandler() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -28,7 +28,7 @@
 	return e
 }
 
-// InternalAddress returns the address at which this program listens for other nodes.
+// InternalAddress returns the address (host and port) at which this node serves the internal API.
 func (c *Client) InternalAddress() string {
 	return net.JoinHostPort(c.Settings.IPAddress, strconv.Itoa(c.Settings.PortOf(c.program)))
 }
--- a/internal/controlclient/update_source.go
+++ b/internal/controlclient/update_source.go
@@ -10,7 +10,7 @@
 
 const (
 	// avoidDuration is how long a control node is ranked last after a failed poll or a stale
-	// answer.
+	// update.
 	avoidDuration = 3 * time.Second
 	// minSwitchInterval is the minimum time between two calls of switchSource that take effect.
 	// Behind a network partition, it is possible that no reachable control node has newer
--- a/internal/controlclient/update_stream.go
+++ b/internal/controlclient/update_stream.go
@@ -17,16 +17,16 @@
 
 // Timing of the update stream; see docs/design.md.
 const (
-	// pollTimeout bounds the wait until an answer begins, and then each pause within the answer.
-	// The control plane answers a long poll within one second.
+	// pollTimeout bounds the wait until a response begins, and then each pause within the response.
+	// The control plane responds to a long poll within one second.
 	pollTimeout = 1800 * time.Millisecond
-	// maxPollDuration bounds a whole poll, in case its answer never ends.
+	// maxPollDuration bounds a whole poll, in case its response never ends.
 	maxPollDuration = 30 * time.Second
 	// retryPause is the mean pause after a poll that failed or returned stale state.
 	retryPause = 60 * time.Millisecond
 
 	// Until the first configuration is received, all control nodes are polled in parallel:
-	// each answer must begin within firstPollTimeout, the first polls of the nodes are
+	// each response must begin within firstPollTimeout, the first polls of the nodes are
 	// firstStagger apart, and a node that had no configuration is polled again after
 	// firstPollPause.
 	firstPollTimeout = 800 * time.Millisecond
@@ -118,7 +118,7 @@
 	}
 }
 
-// handleUpdate applies the answer of a control node.
+// handleUpdate applies an update received from a control node.
 func (s *updateStream) handleUpdate(host string, update *distribution.Update, done <-chan struct{}) {
 	s.state.apply(update)
 	if update.Stale {
@@ -156,8 +156,8 @@
 
 // fetchFirstConfig gets the first configuration after a start. It polls all known control nodes in
 // parallel, starting with the nearest, until one returns a configuration, so that a node that
-// doesn't answer causes no delay. It cancels the polls that are in flight when it returns, because
-// their answers would only use bandwidth.
+// doesn't respond causes no delay. It cancels the polls that are in flight when it returns, because
+// their responses would only use bandwidth.
 func (s *updateStream) fetchFirstConfig(ctx context.Context, done <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -198,7 +198,7 @@
 	fetched <-chan struct{} // closed when the configuration is received
 }
 
-// pollRepeatedly polls one control node and sends its answers to p.updates until p.fetched is
+// pollRepeatedly polls one control node and sends its updates to p.updates until p.fetched is
 // closed. For a failed poll, it sends an empty update.
 func (s *updateStream) pollRepeatedly(ctx context.Context, p firstPoll) {
 	delay := p.delay
@@ -223,8 +223,8 @@
 }
 
 // poll requests an update from a program on a host. The request carries the queued health reports
-// and the suspects. The answer must begin within timeout. If this node cancels the poll, which is
-// possible only until the answer begins, poll returns errPollInterrupted.
+// and the suspects. The response must begin within timeout. If this node cancels the poll, which is
+// possible only until the response begins, poll returns errPollInterrupted.
 func (s *updateStream) poll(
 	ctx context.Context, host string, program settings.Program, timeout time.Duration,
 ) (*distribution.Update, error) {
@@ -268,8 +268,8 @@
 	return nil, err
 }
 
-// disablePollInterrupt prevents the open poll from being cancelled. It is called when the answer
-// begins: after a cancellation, the next poll would only transfer the same answer again.
+// disablePollInterrupt prevents the open poll from being cancelled. It is called when the response
+// begins: after a cancellation, the next poll would only transfer the same response again.
 func (s *updateStream) disablePollInterrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,7 +277,7 @@
 }
 
 // pollPeers polls up to maxPeersPolled random hosts of peerHosts and applies the first update that
-// it receives. It is used when no control node answers.
+// it receives. It is used when no control node responds.
 func (s *updateStream) pollPeers(ctx context.Context) {
 	hosts := s.peerHosts()
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
--- a/internal/controlclient/update_stream_test.go
+++ b/internal/controlclient/update_stream_test.go
@@ -17,8 +17,8 @@
 	"comethold/internal/settings"
 )
 
-// testControlPlane serves one configuration at several addresses and leaves long polls of nodes
-// that hold it unanswered.
+// testControlPlane serves one configuration at several addresses. It sends no response to long polls
+// of nodes that hold the configuration.
 type testControlPlane struct {
 	port  int
 	hosts []string
@@ -51,7 +51,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request distribution.UpdateRequest
 		if err := rpc.DecodeRequest(r.Body, &request); err != nil {
-			t.Error(err)
+			t.Error("decoding an update request, want no error, got:", err)
 		}
 		if request.Held.ConfigVersion == 1 && !request.Immediate {
 			p.polls <- host
@@ -123,7 +123,7 @@
 }
 
 // TestCloseCancelsFirstPolls guards against a shutdown that waits for the time-outs of first polls
-// without an answer: Close must cancel them, and RunUpdates waits only for their goroutines.
+// without a response: Close must cancel them, and RunUpdates waits only for their goroutines.
 func TestCloseCancelsFirstPolls(t *testing.T) {
 	polled := make(chan struct{}, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -147,17 +147,17 @@
 	}
 }
 
-// TestSlowAnswerIsReadToItsEnd guards against a poll that is cancelled while its answer arrives slowly,
-// so that the node requests the same answer repeatedly and never gets a configuration.
-func TestSlowAnswerIsReadToItsEnd(t *testing.T) {
+// TestSlowResponseIsReadToItsEnd guards against a poll that is cancelled while its response arrives slowly,
+// so that the node requests the same response repeatedly and never gets a configuration.
+func TestSlowResponseIsReadToItsEnd(t *testing.T) {
 	const parts = 10
 	config, _ := routing.Decode([]byte(`{"version":1,"routes":[],"services":[],"limits":{}}`))
 	encoded, _ := rpc.Marshal(&distribution.Update{Config: distribution.FullConfig(config)})
 	body := rpc.EncodeUncompressedBody(encoded)
-	var answers atomic.Int32
+	var polls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if answers.Add(1) > 1 {
+		if polls.Add(1) > 1 {
 			<-r.Context().Done()
 			return
 		}
@@ -174,7 +174,7 @@
 	go func() { _ = c.RunUpdates() }()
 	for deadline := time.Now().Add(3 * pollTimeout); c.RouteTable() == nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("no configuration within three times pollTimeout; the server received %d polls", answers.Load())
+			t.Fatalf("no configuration within three times pollTimeout; the server received %d polls", polls.Load())
 		}
 	}
 }
