--- a/internal/distribution/applies_to_test.go
+++ b/internal/distribution/applies_to_test.go
@@ -68,7 +68,7 @@
 	}
 	for _, other := range []map[string]uint64{{"a": 1}, {"a": 2, "b": 1}, {"a": 1, "b": 3}, {"a": 1, "c": 2}} {
 		if MarksDigest(other) == digest {
-			t.Errorf("MarksDigest(%v) returned the digest of different marks", other)
+			t.Errorf("MarksDigest(%v) returned the digest of different marks, want another digest", other)
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	first := number.Next()
 	second := number.Next()
 	if !first.IsStale(second) {
-		t.Error("IsStale returned false for the first request after the second was committed")
+		t.Error("IsStale returned false for the first request after the second was committed, want true")
 	}
 	if second.IsStale(first) || second.IsStale(second) {
-		t.Error("IsStale returned true for the second request although no newer one was committed")
+		t.Error("IsStale returned true for the second request although no newer one was committed, want false")
 	}
 	other := RequestNumber{Incarnation: first.Incarnation + 1, Sequence: 99}
 	if first.IsStale(other) {
-		t.Error("IsStale returned true after a request of another incarnation was committed")
+		t.Error("IsStale returned true after a request of another incarnation was committed, want false")
 	}
 }
--- a/internal/distribution/config_update_test.go
+++ b/internal/distribution/config_update_test.go
@@ -57,27 +57,27 @@
 	sort.Slice(c.Services, func(i, j int) bool { return c.Services[i].Name < c.Services[j].Name })
 }
 
-// requireEqualConfigurations fails unless got and want have the same items.
+// requireEqualConfigurations fails unless got, the result of ApplyTo, and want have the same items.
 func requireEqualConfigurations(t *testing.T, got, want *routing.Configuration) {
 	t.Helper()
 	if len(got.Routes) != len(want.Routes) ||
 		len(got.Services) != len(want.Services) ||
 		len(got.Tenants) != len(want.Tenants) {
-		t.Fatalf("got %+v, want %+v", got, want)
+		t.Fatalf("ApplyTo returned %+v, want %+v", got, want)
 	}
 	sortConfiguration(got)
 	sortConfiguration(want)
 	for i := range want.Routes {
 		if !reflect.DeepEqual(got.Routes[i], want.Routes[i]) {
-			t.Fatalf("got route %+v, want %+v", got.Routes[i], want.Routes[i])
+			t.Fatalf("ApplyTo returned the route %+v, want %+v", got.Routes[i], want.Routes[i])
 		}
 	}
 	if !reflect.DeepEqual(got.Tenants, want.Tenants) && len(want.Tenants) > 0 {
-		t.Fatalf("got tenants %+v, want %+v", got.Tenants, want.Tenants)
+		t.Fatalf("ApplyTo returned the tenants %+v, want %+v", got.Tenants, want.Tenants)
 	}
 	if !reflect.DeepEqual(got.Services, want.Services) && len(want.Services) > 0 ||
 		got.Limits != want.Limits || got.Version != want.Version {
-		t.Fatalf("got %+v, want %+v", got, want)
+		t.Fatalf("ApplyTo returned %+v, want %+v", got, want)
 	}
 }
 
@@ -99,7 +99,7 @@
 			}
 			got, ok := received.ApplyTo(old)
 			if !ok {
-				t.Fatalf("ApplyTo rejected the update %+v to the base configuration %+v", received, old)
+				t.Fatalf("ApplyTo rejected the update %+v although %+v is held, want it applied", received, old)
 			}
 			requireEqualConfigurations(t, got, next)
 		}
--- a/internal/distribution/delta_table_test.go
+++ b/internal/distribution/delta_table_test.go
@@ -36,7 +36,7 @@
 }
 
 // nextRevision returns a revision after last. One time in 20 it begins a new term, as if another
-// node had taken over making the lists.
+// node had become the holder of the singleton role that makes the lists.
 func nextRevision(rng *rand.Rand, last Revision) Revision {
 	if rng.Intn(20) == 0 {
 		return Revision{Term: last.Term + 1, Sequence: 1}
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestDeltaTableForgetsOldRevisions: ChangesSince returns a delta only since the last
+// TestDeltaTableDropsOldRevisions: ChangesSince returns a delta only since the last
 // maxKnownRevisions revisions.
-func TestDeltaTableForgetsOldRevisions(t *testing.T) {
+func TestDeltaTableDropsOldRevisions(t *testing.T) {
 	var table DeltaTable[Endpoint]
 	for i := range uint64(maxKnownRevisions + 5) {
 		table.Set(Revision{Sequence: i + 1}, map[string]Endpoint{"a": {ID: fmt.Sprint(i)}})
--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -33,7 +33,7 @@
 	Number    RequestNumber `cbor:"5,keyasint,omitzero"`
 }
 
-// ShareGrant answers a ShareRequest.
+// ShareGrant is the response to a ShareRequest.
 type ShareGrant struct {
 	Permille     int  `cbor:"1,keyasint"` // granted now
 	FairPermille int  `cbor:"2,keyasint"` // to request at the next renewal
--- a/internal/distribution/update.go
+++ b/internal/distribution/update.go
@@ -35,7 +35,8 @@
 	Healthy    bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// Update answers an UpdateRequest with the parts that are newer than what its sender holds.
+// Update is the response to an UpdateRequest. It holds the parts of the state that are newer than
+// those that the requesting node holds.
 type Update struct {
 	// Stale is set if the responding node has lost contact with the majority of the meta cell,
 	// so that its state may be out of date.
@@ -49,7 +50,7 @@
 	Purges               *PurgeUpdate        `cbor:"7,keyasint,omitempty"`
 	Notifications        *NotificationUpdate `cbor:"8,keyasint,omitempty"`
 	// NeedMarkLogIndexes is set if the responding node can't determine from the digest which
-	// marks the receiver lacks.
+	// marks the requesting node lacks.
 	NeedMarkLogIndexes bool `cbor:"9,keyasint,omitempty"`
 }
 
