--- a/internal/outbox/inbox.go
+++ b/internal/outbox/inbox.go
@@ -14,7 +14,7 @@
 	// Duplicate notifications were received before, or are not newer than the applied version.
 	Duplicate
 	// Deferred notifications are early: the receiver lacks a preceding notification or the
-	// state that they announce. It passes them to Decide again later.
+	// state that they announce. The receiver passes them to Decide again later.
 	Deferred
 	// Quarantined notifications are invalid, or contradict an earlier one.
 	Quarantined
@@ -25,12 +25,13 @@
 	return [...]string{"APPLIED", "DUPLICATE", "DEFERRED", "QUARANTINED"}[min(d, Quarantined)]
 }
 
-// maxDecided is the number of notifications that an inbox remembers, which bounds its memory.
-// Older notifications are recognized as duplicates by their version.
+// maxDecided is the maximum length of Inbox.Decided, which bounds the memory of an inbox. Older
+// notifications are recognized as duplicates by their version.
 const maxDecided = 256
 
-// Inbox records the decisions of one receiver. It is not safe for concurrent use: its owner
-// decides and acts under one lock, so that no change is made without its decision recorded.
+// Inbox records the notifications of which one receiver decided that they are applied or
+// duplicates. It is not safe for concurrent use: its owner calls Decide and acts on the result
+// under one lock, so that every applied notification is recorded.
 type Inbox struct {
 	// AppliedVersions holds the newest applied version of each aggregate.
 	AppliedVersions map[string]uint64 `cbor:"1,keyasint"`
--- a/internal/outbox/inbox_test.go
+++ b/internal/outbox/inbox_test.go
@@ -77,6 +77,6 @@
 		}
 	}
 	if len(inbox.Decided) > maxDecided {
-		t.Errorf("the inbox remembers %d notifications, want at most %d", len(inbox.Decided), maxDecided)
+		t.Errorf("after version 1999 Inbox.Decided holds %d notifications, want at most %d", len(inbox.Decided), maxDecided)
 	}
 }
--- a/internal/outbox/row_test.go
+++ b/internal/outbox/row_test.go
@@ -20,7 +20,7 @@
 	}
 	takenOver, err := claimed.Claim("p/2", ClaimLease)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("Claim after the lease expired, want no error, got:", err)
 	}
 	if _, err := takenOver.MarkPublished("p/1"); !errors.Is(err, ErrNotOwner) {
 		t.Error("MarkPublished after the claim was taken over, want ErrNotOwner, got:", err)
@@ -52,7 +52,7 @@
 	for row.Attempts < attempts {
 		waiting, err := row.ScheduleRetry(row.Owner)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatal("ScheduleRetry by the owner, want no error, got:", err)
 		}
 		delay := waiting.ClaimDelay()
 		if delay <= lastDelay && lastDelay < MaxRetryDelay {
@@ -62,7 +62,7 @@
 			t.Error("Claim before the retry delay was over succeeded, want an error")
 		}
 		if row, err = waiting.Claim("p/3", delay); err != nil {
-			t.Fatal(err)
+			t.Fatal("Claim after the retry delay, want no error, got:", err)
 		}
 		lastDelay = delay
 	}
