--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -206,12 +206,13 @@
 		t.Errorf("Call returned %v, want ErrNoResponse before its deadline", err)
 	}
 	if n := <-sent; n > maxBufferedBytes {
-		t.Errorf("the peer could send %d bytes of the header, want only what the socket buffers hold", n)
+		t.Errorf("the peer sent %d bytes of the header, want at most maxBufferedBytes", n)
 	}
 }
 
 // TestCallWithTimeouts: a response that makes progress may take longer in total than Header and Idle, as on a
-// slow link. A call fails if its response doesn't begin, stops, or exceeds Total.
+// slow link. A call fails if its response doesn't begin within Header, pauses for longer than Idle, or isn't
+// complete within Total.
 func TestCallWithTimeouts(t *testing.T) {
 	const (
 		step  = 150 * time.Millisecond
@@ -256,10 +257,10 @@
 				t.Context(), server.Listener.Addr().String(), "/", 1, &response, perCase,
 			)
 			if c.succeed && (err != nil || response != text) {
-				t.Errorf("Call returned response %q and error %v, want %q and no error", response, err, text)
+				t.Errorf("CallWithTimeouts returned response %q and error %v, want %q and no error", response, err, text)
 			}
 			if !c.succeed && !errors.Is(err, ErrNoResponse) {
-				t.Errorf("Call returned %v, want ErrNoResponse", err)
+				t.Errorf("CallWithTimeouts returned %v, want ErrNoResponse", err)
 			}
 		})
 	}
