--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,7 +23,8 @@
 var (
 	// ErrUnavailable means that the platform did not respond in time, or responded with a status other than 200 and 429.
 	ErrUnavailable = errors.New("discovery: the platform is unavailable")
-	// ErrRateLimited means that the platform rejected too many calls in a row with status 429.
+	// ErrRateLimited means that the platform rejected a call with status 429. List returns it only after
+	// maxCallsPerPage such calls for one page.
 	ErrRateLimited = errors.New("discovery: the platform rejects calls with status 429")
 	// ErrMalformed means that the platform's response can't be decoded or is invalid.
 	ErrMalformed = errors.New("discovery: the list of instances is malformed")
@@ -36,8 +37,8 @@
 	maxPages     = 400
 	maxPageBytes = 8 << 20
 
-	maxRateLimitRetries = 20                     // calls for one page
-	rateLimitDelay      = 250 * time.Millisecond // average delay after status 429
+	maxCallsPerPage = 20                     // including retries after status 429
+	rateLimitDelay  = 250 * time.Millisecond // average delay after status 429
 
 	stateReady = "ready" // accepts requests; an instance in any other state is draining
 )
@@ -121,7 +122,7 @@
 // fetchPageAtRate reads a page within the rate limit. If the platform still rejects the call with status 429, it
 // retries the page, since starting the list again would need more calls.
 func (c *Client) fetchPageAtRate(ctx context.Context, token string) (page *instancePage, err error) {
-	for range maxRateLimitRetries {
+	for range maxCallsPerPage {
 		if err := c.limiter.wait(ctx); err != nil {
 			return nil, err
 		}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -95,7 +95,7 @@
 		}
 		list()
 		if platform.rejected > 0 {
-			t.Errorf("%d calls were rejected, want 0", platform.rejected)
+			t.Errorf("List of a single node had %d rejected calls, want 0", platform.rejected)
 		}
 		time.Sleep(time.Second)
 		var wg sync.WaitGroup
