--- a/internal/latencyestimate/sketch.go
+++ b/internal/latencyestimate/sketch.go
@@ -13,7 +13,7 @@
 )
 
 // ErrInvalidSketch means that a sketch cannot be encoded or decoded.
-var ErrInvalidSketch = errors.New("latencyestimate: the sketch cannot be read")
+var ErrInvalidSketch = errors.New("latencyestimate: the sketch cannot be encoded or decoded")
 
 const (
 	// digestCompression determines the size and precision of a digest.
