--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -104,7 +104,7 @@
 
 // callOperator calls a path of the operator handler, with GET if the body is empty and otherwise with
 // POST. It sends the call up to 600 times while the status is 503 (the control plane isn't ready).
-func (c *controlNode) callOperator(path, base, body string) (status int, answer []byte) {
+func (c *controlNode) callOperator(path, base, body string) (status int, response []byte) {
 	c.t.Helper()
 	for range 600 {
 		method := http.MethodPost
@@ -120,7 +120,7 @@
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		answer, err = io.ReadAll(resp.Body)
+		response, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil {
 			c.t.Fatal(err)
@@ -130,17 +130,17 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return status, answer
+	return status, response
 }
 
-// wantStatus calls a path of the operator handler and fails the test if the answer has another status.
+// wantStatus calls a path of the operator handler and fails the test if the response has another status.
 func (c *controlNode) wantStatus(status int, path, base, body string) []byte {
 	c.t.Helper()
-	got, answer := c.callOperator(path, base, body)
+	got, response := c.callOperator(path, base, body)
 	if got != status {
-		c.t.Fatalf("%s with the body %q returned %d %s, want %d", path, body, got, answer, status)
+		c.t.Fatalf("%s with the body %q returned %d %s, want %d", path, body, got, response, status)
 	}
-	return answer
+	return response
 }
 
 // requestUpdate returns the update that the control plane sends on a request.
@@ -152,10 +152,10 @@
 }
 
 // callInternal calls a path of the internal handler, as other processes of the system do.
-func (c *controlNode) callInternal(path string, request, answer any) {
+func (c *controlNode) callInternal(path string, request, response any) {
 	c.t.Helper()
 	client := rpc.NewClient(rpc.TCPNetwork)
-	err := client.Call(c.t.Context(), c.internal.Listener.Addr().String(), path, request, answer)
+	err := client.Call(c.t.Context(), c.internal.Listener.Addr().String(), path, request, response)
 	if err != nil {
 		c.t.Fatalf("the internal call %s failed: %v", path, err)
 	}
@@ -219,18 +219,18 @@
 // the restart, have fencing tokens above 1, the recorded value.
 func (c *controlNode) waitForFencingTokens() {
 	c.t.Helper()
-	var answer struct {
+	var response struct {
 		Duties []struct {
 			Duty  string `json:"duty"`
 			Fence uint64 `json:"fence"`
 		} `json:"duties"`
 	}
 	for range 600 {
-		if err := json.Unmarshal(c.wantStatus(http.StatusOK, "/Duties.Read", "", ""), &answer); err != nil {
+		if err := json.Unmarshal(c.wantStatus(http.StatusOK, "/Duties.Read", "", ""), &response); err != nil {
 			c.t.Fatal(err)
 		}
 		renewed := 0
-		for _, d := range answer.Duties {
+		for _, d := range response.Duties {
 			if d.Fence > 1 && d.Duty != settings.UsageReportingDuty {
 				renewed++
 			}
@@ -240,5 +240,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Errorf("after 600 requests, fewer than two duties have fencing tokens above 1: %+v", answer)
+	c.t.Errorf("after 600 requests, fewer than two duties have fencing tokens above 1: %+v", response)
 }
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -167,7 +167,9 @@
 // the node by key and the cells by name.
 func readStoredState(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
-	store, err := storage.Open(dir, storage.LocalDisk{}, func(err error) { t.Error(err) })
+	store, err := storage.Open(dir, storage.LocalDisk{}, func(err error) {
+		t.Error("the store reported a fault, want none, got:", err)
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,14 +240,14 @@
 // writes a new record first.
 func recordedData(t *testing.T) string {
 	t.Helper()
-	record := compat.Path("control-plane", dataFile+".gz")
+	recordPath := compat.Path("control-plane", dataFile+".gz")
 	if compat.Updating() {
 		dir := t.TempDir()
 		writeData(t, dir)
-		compat.Pack(t, filepath.Join(dir, dataFile), record)
+		compat.Pack(t, filepath.Join(dir, dataFile), recordPath)
 	}
 	dir := t.TempDir()
-	compat.Unpack(t, record, filepath.Join(dir, dataFile))
+	compat.Unpack(t, recordPath, filepath.Join(dir, dataFile))
 	return dir
 }
 
--- a/internal/compat/gzip.go
+++ b/internal/compat/gzip.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// Pack compresses the file at from with gzip and writes the result to record.
-func Pack(t *testing.T, from, record string) {
+// Pack compresses the file at sourcePath with gzip and writes the result to recordPath.
+func Pack(t *testing.T, sourcePath, recordPath string) {
 	t.Helper()
-	raw, err := os.ReadFile(from)
+	raw, err := os.ReadFile(sourcePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,18 +27,18 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.MkdirAll(filepath.Dir(record), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(recordPath), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(record, out.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(recordPath, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Unpack decompresses the gzip file record and writes the result to the path to.
-func Unpack(t *testing.T, record, to string) {
+// Unpack decompresses the gzip file at recordPath and writes the result to targetPath.
+func Unpack(t *testing.T, recordPath, targetPath string) {
 	t.Helper()
-	raw, err := os.ReadFile(record)
+	raw, err := os.ReadFile(recordPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(to, content, 0o600); err != nil {
+	if err := os.WriteFile(targetPath, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
