--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -43,7 +43,7 @@
 		}
 		got, err := settings.Load(path)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatal("settings.Load after WriteSettings, want no error, got:", err)
 		}
 		gotText, _ := json.Marshal(got)
 		wantText, _ := json.Marshal(want)
@@ -74,12 +74,12 @@
 		t.Errorf("ExitCode of a running process returned %d, want -1", code)
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		t.Error(err)
+		t.Error("Signal to a running process, want no error, got:", err)
 	}
 	select {
 	case <-p.Exited():
 	case <-time.After(10 * time.Second):
-		t.Fatal("Exited not closed within 10 s after SIGTERM")
+		t.Fatal("Exited was not closed within 10 s after SIGTERM, want it closed")
 	}
 	p.Kill() // has no effect on an ended process, and returns
 	killed := start("sleep", "60")
@@ -91,7 +91,7 @@
 			killed.ExitCode(), failed.ExitCode())
 	}
 	if _, err := os.Stat(filepath.Join(dir, "n1")); err != nil {
-		t.Error("Start did not create the data directory")
+		t.Error("Start did not create the data directory, want it created")
 	}
 	if err := failed.Signal(syscall.SIGTERM); err == nil {
 		t.Error("Signal to an ended process returned nil, want an error")
@@ -142,7 +142,7 @@
 	for range 2 {
 		var servers Servers
 		if err := servers.Listen(t.Context(), address, &Platform{}); err != nil {
-			t.Fatal(err)
+			t.Fatal("Listen on an unused or closed address, want no error, got:", err)
 		}
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/", nil)
 		if err != nil {
