--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,10 +30,10 @@
 	plan.RaceBuilt = true
 	report, err := Run(ctx, plan, binary, t.TempDir(), func(line string) { t.Log(line) })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("Run, want no error, got:", err)
 	}
 	for _, b := range report.Violations {
-		t.Errorf("%s at %v: %s", b.Rule, b.At, b.Description)
+		t.Errorf("rule %s was violated %v after the start of the run: %s", b.Rule, b.At, b.Description)
 	}
 	if report.Served == 0 || report.Versions < 2 || report.Starts <= size.units() {
 		t.Errorf("run had no effect: %s; want served requests, at least 2 versions and restarts", report.Summary)
--- a/internal/soak/unit.go
+++ b/internal/soak/unit.go
@@ -123,7 +123,7 @@
 	_ = u.process.Signal(number) // fails if the process has exited
 }
 
-// awaitExit checks rule Fault: a process exits in time after SIGTERM. Otherwise it kills the process.
+// awaitExit checks rule Fault: a process exits in time after SIGTERM. It kills a process that does not.
 func (f *Fleet) awaitExit(process *testbed.Process, file string) {
 	select {
 	case <-process.Exited():
