--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -170,7 +170,7 @@
 	return sum
 }
 
-// bytesPerNode returns the mean per hollow node of a total over all hollow nodes.
-func (c *Cluster) bytesPerNode(bytes float64) float64 {
-	return bytes / float64(max(1, len(c.hollowNodes)))
+// perHollowNode returns the mean per hollow node of a total over all hollow nodes.
+func (c *Cluster) perHollowNode(total float64) float64 {
+	return total / float64(max(1, len(c.hollowNodes)))
 }
--- a/internal/loadtest/measure.go
+++ b/internal/loadtest/measure.go
@@ -63,9 +63,9 @@
 		return err
 	}
 	report.Start = time.Since(start)
-	report.StartBytes = c.bytesPerNode(c.transferredBytes())
+	report.StartBytes = c.perHollowNode(c.transferredBytes())
 	time.Sleep(c.size.Rest / 2)
-	report.HollowMb = c.bytesPerNode(testbed.MemoryOf(os.Getpid()).Now - memoryBefore)
+	report.HollowMb = c.perHollowNode(testbed.MemoryOf(os.Getpid()).Now - memoryBefore)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 		time.Sleep(changeInterval)
 	}
 	if c.size.Changes > 0 {
-		report.ChangeBytes = c.bytesPerNode(c.transferredBytes()-bytesBefore) / float64(c.size.Changes)
+		report.ChangeBytes = c.perHollowNode(c.transferredBytes()-bytesBefore) / float64(c.size.Changes)
 	}
 	return nil
 }
@@ -157,5 +157,5 @@
 		usage.CPU = (testbed.ProcessorSeconds(process.PID()) - secondsBefore[i]) / elapsed
 		used = append(used, usage)
 	}
-	return used, c.bytesPerNode(c.transferredBytes()-bytesBefore) / elapsed
+	return used, c.perHollowNode(c.transferredBytes()-bytesBefore) / elapsed
 }
--- a/internal/loadtest/meter.go
+++ b/internal/loadtest/meter.go
@@ -16,10 +16,10 @@
 
 // network returns a function that dials TCP connections, like rpc.TCPNetwork, and counts the bytes of
 // the connections in m.
-func (m *byteMeter) network(dialLimit, silenceLimit time.Duration) func(
+func (m *byteMeter) network(dialTimeout, ackTimeout time.Duration) func(
 	ctx context.Context, network, address string,
 ) (net.Conn, error) {
-	dial := rpc.TCPNetwork(dialLimit, silenceLimit)
+	dial := rpc.TCPNetwork(dialTimeout, ackTimeout)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/internal/loadtest/platform.go
+++ b/internal/loadtest/platform.go
@@ -39,8 +39,8 @@
 // leafID returns the ID of the i-th leaf of listUnreachableLeafs.
 func leafID(i int) string { return fmt.Sprintf("i-%08x", i*2654435761%(1<<32)) }
 
-// listSharedLeaf fills the platform's list with leafs that are all served at one address.
-func (c *Cluster) listSharedLeaf(address string) {
+// listLeafsAt fills the platform's list with leafs that are all served at one address.
+func (c *Cluster) listLeafsAt(address string) {
 	for i := range c.size.Leafs {
 		c.platform.Add(testbed.Instance{
 			ID:               fmt.Sprintf("i-%08x", i),
--- a/internal/loadtest/scatter.go
+++ b/internal/loadtest/scatter.go
@@ -74,7 +74,7 @@
 	if err := c.servers.Listen(ctx, leaf, http.HandlerFunc(serveShard)); err != nil {
 		return err
 	}
-	c.listSharedLeaf(leaf)
+	c.listLeafsAt(leaf)
 	if err := c.servers.Listen(ctx, c.address(platformIP, platformPort), &c.platform); err != nil {
 		return err
 	}
