--- a/internal/objectcache/fetcher.go
+++ b/internal/objectcache/fetcher.go
@@ -84,8 +84,8 @@
 
 // FetcherOptions configure how long a Fetcher serves and when it refreshes objects.
 type FetcherOptions struct {
-	// StaleSlack is how long after its TTL an object may be served. While a fetch is in
-	// flight, the Fetcher serves the expired object for half of it.
+	// StaleSlack is how long after its TTL an object may be served. The Fetcher serves an
+	// expired object only during the first half of this time, while it fetches a new one.
 	StaleSlack time.Duration
 	// RefreshFraction is the fraction of the TTL after which a request for an object starts
 	// a refresh in the background.
--- a/internal/objectcache/serve.go
+++ b/internal/objectcache/serve.go
@@ -17,8 +17,8 @@
 	// configuration and purges. A call also waits at most half of the time that the caller waits.
 	maxCatchUpWait      = 400 * time.Millisecond
 	catchUpPollInterval = 5 * time.Millisecond
-	// switchSourceAfter is the time within that wait after which the node polls another control
-	// node.
+	// switchSourceAfter is how long a call waits for the caller's configuration and purges before
+	// this node polls another control node.
 	switchSourceAfter = 100 * time.Millisecond
 	// disconnectedAfter is the time without contact with the control plane after which a node
 	// reads no origins and grants no permits. It is longer than ratelimit.LeaseDuration, so the
