--- a/internal/outbox/inbox.go
+++ b/internal/outbox/inbox.go
@@ -29,9 +29,9 @@
 // notifications are recognized as duplicates by their version.
 const maxDecided = 256
 
-// Inbox records the notifications of which one receiver decided that they are applied or
-// duplicates. It is not safe for concurrent use: its owner calls Decide and acts on the result
-// under one lock, so that every applied notification is recorded.
+// Inbox records which notifications one receiver has applied, and which it has found to be not
+// newer than the applied version. It is not safe for concurrent use: its owner calls Decide and
+// acts on the result under one lock, so that every applied notification is recorded.
 type Inbox struct {
 	// AppliedVersions holds the newest applied version of each aggregate.
 	AppliedVersions map[string]uint64 `cbor:"1,keyasint"`
--- a/internal/outbox/row.go
+++ b/internal/outbox/row.go
@@ -43,7 +43,7 @@
 type Row struct {
 	Notification Notification `cbor:"1,keyasint"`
 	State        State        `cbor:"2,keyasint,omitempty"`
-	Owner        string       `cbor:"3,keyasint,omitempty"` // token of the claim
+	Owner        string       `cbor:"3,keyasint,omitempty"` // token that identifies the owner of the claim
 	Attempts     int          `cbor:"4,keyasint,omitempty"`
 }
 
