--- a/internal/latencyestimate/estimate.go
+++ b/internal/latencyestimate/estimate.go
@@ -29,7 +29,7 @@
 	Median time.Duration `json:"median"`
 	Low    time.Duration `json:"low"`
 	High   time.Duration `json:"high"`
-	// HighOpen says that High is not known because too many samples are censored.
+	// HighOpen is set if High is not known because too many samples are censored.
 	HighOpen bool   `json:"highOpen,omitempty"`
 	Samples  uint64 `json:"samples"` // completed
 	Censored uint64 `json:"givenUp"`
@@ -46,8 +46,8 @@
 }
 
 // Estimate returns the estimate of a lookup's duration from the samples, by the
-// product-limit (Kaplan-Meier) method. For durations up to its own, a censored sample counts
-// as a lookup that takes longer.
+// product-limit (Kaplan-Meier) method. A censored sample counts as a running lookup up to its
+// own duration, and is not counted beyond it.
 func (s *Sketch) Estimate() Estimate {
 	e := Estimate{Samples: sampleCount(s.completed), Censored: sampleCount(s.censored)}
 	if e.Samples+e.Censored < minSamples {
--- a/internal/latencyestimate/sample.go
+++ b/internal/latencyestimate/sample.go
@@ -13,9 +13,9 @@
 type Load uint8
 
 const (
-	// Idle means that the replica had no other request from this node and rejected none.
+	// Idle means that the replica had no other request from this node and rejected no request.
 	Idle Load = iota
-	// Busy means that the replica had other requests from this node, or rejected some.
+	// Busy means that the replica had other requests from this node, or rejected requests.
 	Busy
 )
 
@@ -31,7 +31,7 @@
 type Sample struct {
 	Key      Key
 	Duration time.Duration
-	// Censored says that the lookup was abandoned after Duration, without an answer.
+	// Censored is set if the lookup was abandoned after Duration, without an answer.
 	Censored bool
 }
 
