--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -133,8 +133,8 @@
 	return v
 }
 
-// Text returns b as text if it is valid UTF-8 without unprintable characters, otherwise in hex. A
-// prefix names the form.
+// Text returns b as text if it is valid UTF-8 without unprintable characters, otherwise in hex. The
+// result begins with "text " or "hex ".
 func Text(b []byte) string {
 	if utf8.Valid(b) && strings.IndexFunc(string(b), func(r rune) bool { return !unicode.IsPrint(r) }) < 0 {
 		return "text " + string(b)
