--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -51,7 +51,7 @@
 	}
 	f.runDisruptions(ctx, o, progress)
 	f.awaitRecovery(ctx, o)
-	interrupted := ctx.Err() // a run that was interrupted before the shutdown is not judged
+	interrupted := ctx.Err() // an interruption during the shutdown is not an error
 	f.stop()
 	return f.report(o), interrupted
 }
