--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -14,7 +14,7 @@
 
 // ShareLease is the stored lease of one node on a share of all rates or quotas of a ShareTable.
 type ShareLease struct {
-	Permille int `cbor:"1,keyasint"` // thousandths of the rates
+	Permille int `cbor:"1,keyasint"` // thousandths of the rates or quotas
 	// Renewals is incremented by each renewal. A lease expires if it is not incremented in time.
 	Renewals uint64 `cbor:"2,keyasint"`
 	// Request is the number of the last request that was granted.
@@ -33,7 +33,7 @@
 	Number    RequestNumber `cbor:"5,keyasint,omitzero"`
 }
 
-// ShareGrant answers a ShareRequest.
+// ShareGrant is the response to a ShareRequest.
 type ShareGrant struct {
 	Permille     int  `cbor:"1,keyasint"` // granted now
 	FairPermille int  `cbor:"2,keyasint"` // to request at the next renewal
