--- a/cmd/comethold/check.go
+++ b/cmd/comethold/check.go
@@ -61,7 +61,7 @@
 	for _, name := range names {
 		extension := filepath.Ext(name)
 		if extension != settingsExtension && extension != configurationExtension {
-			return nil, &usageError{fmt.Errorf("%s: settings end in .toml, configurations in .json", name)}
+			return nil, &usageError{fmt.Errorf("%s: unknown extension, want .toml (settings) or .json (configuration)", name)}
 		}
 		raw, err := os.ReadFile(name)
 		if err != nil {
--- a/internal/boundedio/budget_test.go
+++ b/internal/boundedio/budget_test.go
@@ -59,7 +59,7 @@
 	}
 	_ = writer.Close()
 	if err := <-ended; err != nil {
-		t.Error("ReadAll of the first reader, want no error, got:", err)
+		t.Error("ReadAll of the first reader returned an error, want none:", err)
 	}
 	if _, err = budget.ReadAll(strings.NewReader(strings.Repeat("x", size+1)), 0, 4*size); err != nil {
 		t.Errorf("ReadAll after the other reader ended returned %v, want no error", err)
--- a/internal/boundedio/reader.go
+++ b/internal/boundedio/reader.go
@@ -18,7 +18,7 @@
 	remaining int // bytes that may still be read while isBounded
 }
 
-// Bound allows at most n further bytes to be read until Bound or Unbound is called.
+// Bound allows at most n further bytes to be read until the next call of Bound or Unbound.
 func (r *Reader) Bound(n int) {
 	r.isBounded = true
 	r.remaining = n
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -99,7 +99,7 @@
 }
 
 // Readable decodes CBOR without Go types into values that can be written as JSON. Maps and structs
-// become maps from the encoded keys (numbers or names), in decimal or as text, to values.
+// become maps whose keys are the encoded field numbers, in decimal, or the encoded names.
 func Readable(t *testing.T, raw []byte) any {
 	t.Helper()
 	var v any
@@ -167,8 +167,8 @@
 	return out
 }
 
-// difference compares two decoded JSON values. If they differ, it returns true and a text with the
-// position of a difference, which begins with at.
+// difference compares two decoded JSON values. If they differ, it returns a text with the position
+// and the values of a difference, and true. at is the position of the compared values.
 func difference(at string, got, want any) (string, bool) {
 	switch got := got.(type) {
 	case []any:
--- a/internal/compat/control_test.go
+++ b/internal/compat/control_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// waitForFencingTokens waits until two duties other than usage reporting, which isn't configured after
-// the restart, have fencing tokens above 1, the recorded value.
+// waitForFencingTokens waits until two singleton roles other than usage reporting, which isn't configured
+// after the restart, have fencing tokens above 1, the recorded value.
 func (c *controlNode) waitForFencingTokens() {
 	c.t.Helper()
 	var response struct {
@@ -240,5 +240,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Errorf("after 600 requests, fewer than two duties have fencing tokens above 1: %+v", response)
+	c.t.Errorf("after 600 requests, fewer than two singleton roles have fencing tokens above 1: %+v", response)
 }
--- a/internal/compat/data_test.go
+++ b/internal/compat/data_test.go
@@ -168,7 +168,7 @@
 func readStoredState(t *testing.T, dir string, keys, cells []string) any {
 	t.Helper()
 	store, err := storage.Open(dir, storage.LocalDisk{}, func(err error) {
-		t.Error("the store reported a fault, want none, got:", err)
+		t.Error("the store reported a fault, want none:", err)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/limiter.go
+++ b/internal/discovery/limiter.go
@@ -7,7 +7,7 @@
 )
 
 // rateFraction is the fraction of the platform's rate limit that one client uses. The rest is reserved for another node
-// that begins to read the list in its place within the same second.
+// that takes over reading the list within the same second.
 const rateFraction = 0.6
 
 // rateLimiter limits the number of calls in any period of one second. It is not safe for concurrent use.
--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -31,7 +31,7 @@
 	defer cluster.Close()
 	report, err := cluster.Measure(ctx)
 	if err != nil {
-		t.Fatal("Measure, want no error, got:", err)
+		t.Fatal("Measure returned an error, want none:", err)
 	}
 	measured := len(report.ControlNodes) == 3 && len(report.Loaded) == 3 && report.Proxy.RSSMb > 0 &&
 		len(report.InForce) == 2
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -13,8 +13,8 @@
 	// ControlNodes and Zones are the numbers of control nodes and zones.
 	ControlNodes int `json:"Registrars"`
 	Zones        int
-	// Leafs is the number of leafs in the platform's list, six per shard. Routes and Tenants
-	// are their numbers in the configuration; each route has its own index.
+	// Leafs is the number of leafs in the platform's list, six per shard. Routes is the
+	// number of routes without requests, each with a separate path prefix. Tenants is the number of tenants.
 	Leafs, Routes, Tenants int
 	// PerNode is the number of tenant requests that each hollow node receives per second.
 	PerNode float64
--- a/internal/process/memorywatch.go
+++ b/internal/process/memorywatch.go
@@ -21,9 +21,9 @@
 // warns again only after the memory use has fallen below that level. A process that exceeds the limit is killed by the
 // system and can't log the reason.
 type memoryWatch struct {
-	log     *logging.Logger
-	limitMb int64 // 0: no limit
-	isNear  bool  // at the last check
+	log         *logging.Logger
+	limitMb     int64 // 0: no limit
+	isNearLimit bool  // whether the last check found memory use above memoryWarningFraction
 }
 
 func (w *memoryWatch) check() {
@@ -31,9 +31,9 @@
 		return
 	}
 	used := runtimeMemory()
-	wasNear := w.isNear
-	w.isNear = float64(used) > memoryWarningFraction*float64(w.limitMb*bytesPerMb)
-	if w.isNear && !wasNear {
+	wasNearLimit := w.isNearLimit
+	w.isNearLimit = float64(used) > memoryWarningFraction*float64(w.limitMb*bytesPerMb)
+	if w.isNearLimit && !wasNearLimit {
 		w.log.Warn(logging.MemoryNearLimit).
 			Uint64("memoryMb", used/bytesPerMb).
 			Int64("limitMb", w.limitMb).
--- a/internal/process/program_test.go
+++ b/internal/process/program_test.go
@@ -140,13 +140,13 @@
 	held := int64(runtimeMemory() / bytesPerMb)
 	watch := memoryWatch{log: logging.Nop(), limitMb: max(1, held/2)}
 	watch.check()
-	if !watch.isNear {
-		t.Error("isNear is false for memory use above the limit, want true")
+	if !watch.isNearLimit {
+		t.Error("isNearLimit is false for memory use above the limit, want true")
 	}
 	watch.limitMb = 100 * (held + 1)
 	watch.check()
-	if watch.isNear {
-		t.Error("isNear is true for memory use far below the limit, want false")
+	if watch.isNearLimit {
+		t.Error("isNearLimit is true for memory use far below the limit, want false")
 	}
 }
 
--- a/internal/process/signals_test.go
+++ b/internal/process/signals_test.go
@@ -241,7 +241,7 @@
 			select {
 			case <-i.Exited():
 			case <-time.After(maxWait):
-				t.Fatalf("the process has not ended %v after the signal", maxWait)
+				t.Fatalf("the process did not end within %v after the signal", maxWait)
 			}
 			if i.ExitCode() != test.code || i.EndSignal() != test.endedBy {
 				t.Errorf("exit code %d, ended by %v, want exit code %d, ended by %v: %s",
--- a/internal/process/start_test.go
+++ b/internal/process/start_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestTerminationWhileAPortIsTaken guards against a SIGTERM that takes effect only after the start has got its port.
+// TestTerminationWhileAPortIsTaken guards against a SIGTERM that takes effect only after the port has become free.
 func TestTerminationWhileAPortIsTaken(t *testing.T) {
 	for _, program := range programNames {
 		t.Run(program, func(t *testing.T) {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -17,7 +17,7 @@
 	headerAuthorization = "Authorization"
 
 	// deadlineMarginPerHop is subtracted from the remaining time that a client states. It
-	// covers the time that the request takes through this node.
+	// covers the time that this node takes to forward the request and its reply.
 	deadlineMarginPerHop = 2 * time.Millisecond
 	// maxDeadlineMs is the longest remaining time that a client may state, in milliseconds.
 	maxDeadlineMs = 1e12
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -26,7 +26,7 @@
 	dispatcher    *scatter.Dispatcher
 	objects       *objectcache.Client // nil unless the deployment mode is content
 	tokens        *tokenClient
-	usage         *usageReporter // nil if the settings don't ask for usage reports
+	usage         *usageReporter // nil if usage reports are disabled in the settings
 	log           *logging.Logger
 
 	draining        atomic.Bool // the node is shutting down
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestReadRequest guards against requests that exceed a limit, lack an ID or break off and are
-// forwarded nevertheless, and against an empty body that is forwarded as none.
+// TestReadRequest guards against forwarding a request that exceeds a limit, lacks an ID or has an
+// incomplete body, and against forwarding a request with an empty body as one without a body.
 func TestReadRequest(t *testing.T) {
 	limits := routing.Limits{MaxHeaderBytes: 200, MaxBodyBytes: 10}
 	noID := http.Header{}
--- a/internal/proxy/token_client.go
+++ b/internal/proxy/token_client.go
@@ -283,11 +283,11 @@
 		}
 		demand.Required = 0 // a late answer adds tokens to the cache, but must not reject waiters
 	}
-	time.AfterFunc(lateGrantWindow, func() { t.forget(id) })
+	time.AfterFunc(lateGrantWindow, func() { t.removeInFlight(id) })
 }
 
-// forget removes a request whose late grants are no longer accepted.
-func (t *tokenClient) forget(id uint64) {
+// removeInFlight removes a request whose late grants are no longer accepted.
+func (t *tokenClient) removeInFlight(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.inFlight, id)
--- a/internal/proxy/token_test.go
+++ b/internal/proxy/token_test.go
@@ -16,7 +16,7 @@
 	return queue
 }
 
-// verdicts receives the verdicts that have been sent to the waiters; -1 stands for none.
+// verdicts receives the verdicts that have been sent to the waiters, with -1 for a waiter without one.
 func verdicts(waiters []*waiter) (out []int) {
 	for _, w := range waiters {
 		select {
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -26,7 +26,7 @@
 	// reportsBeforeFailover is the number of unanswered reports after which reports go
 	// to another control plane node.
 	reportsBeforeFailover = 3
-	// ackWindow is how long after a report its answer still counts for failover and the clock.
+	// ackWindow is how long after a report its answer is used for failover and clock synchronization.
 	ackWindow = 5 * time.Second
 )
 
@@ -46,7 +46,7 @@
 	bestRoundTripAt time.Time
 }
 
-// newUsageReporter returns nil if the settings don't ask for usage reports.
+// newUsageReporter returns nil if usage reports are disabled in the settings.
 func newUsageReporter(controlClient *controlclient.Client) *usageReporter {
 	if !controlClient.Settings.ReportsUsage() {
 		return nil
@@ -85,7 +85,8 @@
 	}
 }
 
-// report sends the counts, if there are any or clockSyncInterval has passed since the last report.
+// report sends the counts. If there are none, it sends an empty report once clockSyncInterval has
+// passed since the last report.
 func (r *usageReporter) report(now time.Time) {
 	report := r.counter.NextReport()
 	r.mu.Lock()
@@ -110,7 +111,7 @@
 }
 
 // handleAck processes the answer to a report. It rounds the number of unanswered reports down to
-// a multiple of reportsBeforeFailover, so that reports go on to the node that answers.
+// a multiple of reportsBeforeFailover, so that the next reports go to the same node.
 func (r *usageReporter) handleAck(ack *usage.CountAck) {
 	now := time.Now()
 	r.counter.Acknowledge(ack)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -18,8 +18,8 @@
 	// is longer than a leader election of the meta cell after machine losses. Otherwise shares
 	// would expire during the election and all requests of tenants would be rejected.
 	QuotaLeaseDuration = 8 * time.Second
-	// FullShare is the share that stands for the whole rate, in thousandths. The shares of all
-	// nodes add up to at most FullShare.
+	// FullShare is the share of a node that may use the whole rate, in thousandths. The shares
+	// of all nodes add up to at most FullShare.
 	FullShare = 1000
 )
 
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -11,10 +11,10 @@
 	const rate, permille, seconds = 200, 250, 10
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		situation   string
+		name        string
 		pauseEvery  time.Duration // length of each period and of the pause after it; 0 for no pauses
-		minBegun    int
-		maxBegun    int
+		minAllowed  int
+		maxAllowed  int
 		leaseExpiry time.Time
 	}{
 		{"requests without pauses", 0, 470, 500, start.Add(time.Hour)},
@@ -23,17 +23,17 @@
 	} {
 		l := New()
 		l.Renew(permille, c.leaseExpiry)
-		begun := 0
+		allowed := 0
 		for at := time.Duration(0); at < seconds*time.Second; at += time.Millisecond {
 			if c.pauseEvery > 0 && at/c.pauseEvery%2 == 1 {
 				continue
 			}
 			if ok, _ := l.Take("s", rate, start.Add(at)); ok {
-				begun++
+				allowed++
 			}
 		}
-		if begun < c.minBegun || begun > c.maxBegun {
-			t.Errorf("%s: Take allowed %d requests in 10 s, want %d to %d", c.situation, begun, c.minBegun, c.maxBegun)
+		if allowed < c.minAllowed || allowed > c.maxAllowed {
+			t.Errorf("%s: Take allowed %d requests in 10 s, want %d to %d", c.name, allowed, c.minAllowed, c.maxAllowed)
 		}
 	}
 }
--- a/internal/responsecache/response.go
+++ b/internal/responsecache/response.go
@@ -22,7 +22,8 @@
 	// ValidatedAt is the start of the last read from the origin that confirmed this version,
 	// by this process's monotonic clock. It is zero if that time is not known.
 	ValidatedAt time.Time
-	// PurgeIndex is the log index of the newest purge known at the start of that read.
+	// PurgeIndex is the log index of the newest purge known at the start of the read that
+	// ValidatedAt refers to.
 	PurgeIndex uint64
 }
 
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,5 +1,5 @@
-// Package retrybudget implements this node's share of the retry budget that all nodes
-// have in common.
+// Package retrybudget implements this node's part of the retry budget that all nodes
+// share.
 //
 // Every attempt after the first one of a request is an extra attempt. Over any window,
 // the extra attempts at a service may not exceed the number of requests times a ratio,
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -101,7 +101,7 @@
 				wantAttempts = 1
 			}
 			if window.requestCount() != wantRequests || window.extraAttemptCount() != wantAttempts {
-				t.Errorf("step %d, bucket %d: %v requests and %v attempts, want %v and %v",
+				t.Errorf("step %d, bucket %d: %v requests and %v extra attempts, want %v and %v",
 					step, bucket, window.requestCount(), window.extraAttemptCount(), wantRequests, wantAttempts)
 			}
 			if bucket > 3*ringBuckets {
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -49,7 +49,7 @@
 	// LookupClass is the class of the route's lookups. Latencies are estimated separately for
 	// each class, and not at all if it is empty.
 	LookupClass string `json:"lookupClass,omitempty" validate:"omitempty,oneof=urgent bulk archive"`
-	// Public says that requests without an API key are accepted.
+	// Public is true if requests without an API key are accepted.
 	Public bool `json:"public,omitempty"`
 }
 
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -85,7 +85,7 @@
 }
 
 // TestAuthenticate guards against accepting requests without a required key, and against
-// forwarding credentials to leafs that are meant for this system.
+// forwarding to leafs the credentials that are meant for this system.
 func TestAuthenticate(t *testing.T) {
 	table := Compile(&Configuration{Tenants: []Tenant{{Name: "t", APIKeys: []string{"k", ""}}}})
 	open := Compile(&Configuration{})
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -10,7 +10,7 @@
 	// Tenant is the sender of the request. It is nil if no key is required, if a request on a
 	// public route has no key, or if the request must be rejected.
 	Tenant *Tenant
-	// StripCredentials says that the credentials are meant for this system and must not be
+	// StripCredentials is true if the credentials are meant for this system and must not be
 	// forwarded to a leaf.
 	StripCredentials bool
 }
--- a/internal/scatter/dispatch_test.go
+++ b/internal/scatter/dispatch_test.go
@@ -177,7 +177,7 @@
 					set.requests.Load(), set.executed.Load(), c.requests, c.executed)
 			}
 			if hasRetryAfter := reply.RetryAfter > 0; hasRetryAfter != (c.status == http.StatusServiceUnavailable) {
-				t.Errorf("RetryAfter is %v, want more than 0 exactly for status 503", reply.RetryAfter)
+				t.Errorf("RetryAfter is %v, want more than 0 for status 503 and 0 for other statuses", reply.RetryAfter)
 			}
 		})
 	}
@@ -224,7 +224,7 @@
 }
 
 // TestRateLimit: a request that exceeds the rate limit of its service reaches no leaf, and
-// its reply carries the wait that the rate limit asked for.
+// the RetryAfter of its reply is the wait that the rate limit returned.
 func TestRateLimit(t *testing.T) {
 	set := newLeafSet(t, alwaysSucceed, "s-0")
 	allowed := false
@@ -290,7 +290,7 @@
 		set := newLeafSet(t, failing(c.failures), fanOutIDs(4)...)
 		reply := set.dispatch(fanOutRoute(4, c.share))
 		if reply.Status != c.status || reply.Header.Get(HeaderMissingParts) != c.missing {
-			t.Errorf("case %+v: Dispatch returned status %d, %q missing parts, want those of the case",
+			t.Errorf("case %+v: Dispatch returned status %d, %q missing parts; want the values of the case",
 				c, reply.Status, reply.Header.Get(HeaderMissingParts))
 		}
 		if reply.Status != http.StatusOK {
@@ -416,7 +416,7 @@
 			waitFor(t, "every shard's leaf processes a request", func() bool { return working.Load() == shards })
 			disconnect()
 			if reply := <-ended; reply.Status/100 == 2 || impliesNotExecuted(reply.Status) {
-				t.Errorf("Dispatch returned status %d, want a failure that does not imply not executed", reply.Status)
+				t.Errorf("Dispatch returned status %d, want a failure for which impliesNotExecuted returns false", reply.Status)
 			}
 			waitFor(t, "the calls of all leafs are aborted", func() bool { return working.Load() == 0 })
 			if n := set.requests.Load(); n != shards {
--- a/internal/scatter/fanout.go
+++ b/internal/scatter/fanout.go
@@ -43,7 +43,7 @@
 	openShards     int           // number of shards that may still get one
 	nextDue        time.Time     // when to call handleDue next; not later than the earliest hedge or retry
 
-	retryAfter      time.Duration      // longest wait that a rate limit asked for
+	retryAfter      time.Duration      // longest wait that a rate limit returned
 	onExecuted      func(at time.Time) // nil after it was called
 	maybeExecutedAt time.Time          // when an endpoint received the request and may have executed it
 }
--- a/internal/scatter/histogram_test.go
+++ b/internal/scatter/histogram_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestBucketOf: a latency does not exceed the upper bound of its bucket, and each bound is 1.2 times the previous one.
-// An error of one in the index would make every quantile a fifth too low or too high.
+// An off-by-one error in the bucket index would make every quantile a fifth too low or too high.
 func TestBucketOf(t *testing.T) {
 	last := 0
 	for latency := time.Microsecond; latency < time.Hour; latency = latency*11/10 + 1 {
--- a/internal/scatter/reply.go
+++ b/internal/scatter/reply.go
@@ -50,7 +50,7 @@
 }
 
 // retryLater returns a retryLaterReply whose RetryAfter is at least the wait that the
-// rate limits asked for when they cancelled attempts.
+// rate limits returned when they cancelled attempts.
 func (f *fanOut) retryLater(reason string) *Reply {
 	reply := retryLaterReply(reason)
 	reply.RetryAfter = max(reply.RetryAfter, f.retryAfter)
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -11,8 +11,8 @@
 	// hedgeBudgetReserve is the share of the retry budget that hedges leave to
 	// retries after a failure.
 	hedgeBudgetReserve = 0.6
-	// shadowBudgetReserve is the share that shadow attempts leave to retries and
-	// hedges. Shadow attempts serve only to compare replicas.
+	// shadowBudgetReserve is the share of the retry budget that shadow attempts leave to
+	// retries and hedges. Shadow attempts serve only to compare replicas.
 	shadowBudgetReserve = 0.8
 	// noBudgetReserve lets retries after a failure use the whole retry budget.
 	noBudgetReserve = 0.0
--- a/internal/scatter/shard.go
+++ b/internal/scatter/shard.go
@@ -13,7 +13,7 @@
 	service string
 	pair    *replicaPair // the sampled responses; nil if latencies are not sampled
 
-	// The attempts so far.
+	// The attempts that have been added.
 
 	first           attempt // storage for the first attempt, which avoids an allocation
 	newest          *attempt
@@ -25,7 +25,7 @@
 	lastFailure     *upstream.Response // response of the last attempt that was rejected or failed; may be nil
 	timedOut        bool               // whether an attempt timed out
 
-	// The next steps.
+	// The times of the next hedge and the next retry.
 
 	hedgeAt time.Time // when the newest attempt counts as overdue
 	retryAt time.Time // when a rejected attempt is retried; zero if no retry is scheduled
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -60,8 +60,8 @@
 	return milliseconds(b.RevocationMs)
 }
 
-// LeaseDuration returns the time within which a singleton role must not return to an earlier owner: within it, the
-// calls of the role must not be made by node A, then by node B, then by A again.
+// LeaseDuration returns the time during which a singleton role must not return to an earlier owner. For example, calls
+// of the role by node A, then by node B, then by A again must not occur within this time.
 func (b Bounds) LeaseDuration() time.Duration { return milliseconds(b.LeaseMs) }
 
 // UsageWindow returns the length of the time windows for which usage is counted.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,8 +66,8 @@
 type Platform struct {
 	Address  string  `toml:"address" validate:"omitempty,hostname_port"`
 	RatePerS float64 `toml:"ratePerS" validate:"min=0"` // list calls of all nodes together; 0 if not known
-	// SingletonRoles are roles that one node at a time holds, the owner of a lease. Only this node makes the role's calls
-	// to the platform.
+	// SingletonRoles are roles that only one node at a time holds: the owner of the role's lease. Only this node makes
+	// the role's calls to the platform.
 	SingletonRoles         []string `toml:"duties"`
 	SingletonRoleCallsPerS float64  `toml:"dutiesPerS" validate:"min=0"`
 	MaxLagMs               int64    `toml:"maxLagMs" validate:"min=0"`
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -23,8 +23,8 @@
 	connectionLimit  = 200
 )
 
-// operator changes the configuration continuously. As operators must, it sends a request without a definite result
-// again, unchanged and to a random control node.
+// operator changes the configuration continuously. As operators must, it repeats a request whose result is unknown:
+// unchanged, and to a random control node.
 type operator struct {
 	fleet               *Fleet
 	acknowledgedVersion atomic.Uint64 // newest acknowledged version of the configuration
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 	plan.RaceBuilt = true
 	report, err := Run(ctx, plan, binary, t.TempDir(), func(line string) { t.Log(line) })
 	if err != nil {
-		t.Fatal("Run, want no error, got:", err)
+		t.Fatal("Run returned an error, want none:", err)
 	}
 	for _, b := range report.Violations {
 		t.Errorf("rule %s was violated %v after the start of the run: %s", b.Rule, b.At, b.Description)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -43,7 +43,7 @@
 		}
 		got, err := settings.Load(path)
 		if err != nil {
-			t.Fatal("settings.Load after WriteSettings, want no error, got:", err)
+			t.Fatal("settings.Load after WriteSettings returned an error, want none:", err)
 		}
 		gotText, _ := json.Marshal(got)
 		wantText, _ := json.Marshal(want)
@@ -74,7 +74,7 @@
 		t.Errorf("ExitCode of a running process returned %d, want -1", code)
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		t.Error("Signal to a running process, want no error, got:", err)
+		t.Error("Signal to a running process returned an error, want none:", err)
 	}
 	select {
 	case <-p.Exited():
@@ -142,7 +142,7 @@
 	for range 2 {
 		var servers Servers
 		if err := servers.Listen(t.Context(), address, &Platform{}); err != nil {
-			t.Fatal("Listen on an unused or closed address, want no error, got:", err)
+			t.Fatal("Listen on an unused or closed address returned an error, want none:", err)
 		}
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/", nil)
 		if err != nil {
--- a/internal/upstream/balancer_test.go
+++ b/internal/upstream/balancer_test.go
@@ -60,7 +60,7 @@
 			}
 			for range 50 {
 				if picked := balancer.pick(cluster, tried, false, now); picked != good {
-					t.Fatalf("pick returned endpoint %v, want good", picked.Info().ID)
+					t.Fatalf("pick returned endpoint %v, want endpoint good", picked.Info().ID)
 				}
 			}
 		})
--- a/internal/upstream/outlier_test.go
+++ b/internal/upstream/outlier_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestRecovery: probes of an ejected endpoint are sent at growing intervals, an answer
-// begins its probation, and a successful call reinstates it and resets its statistics.
+// TestRecovery: probes of an ejected endpoint are sent at growing intervals, an answered
+// probe starts its probation, and a successful call reinstates it and resets its statistics.
 func TestRecovery(t *testing.T) {
 	d := newDetectorFixture(4)
 	endpoint := d.cluster.endpoints[0]
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -50,7 +50,7 @@
 			}
 			endpoint := reserveWithin(m, timeout)
 			if (endpoint != nil) != c.recovers {
-				t.Fatalf("Reserve returned %v, want recovery %v", endpoint, c.recovers)
+				t.Fatalf("Reserve returned endpoint %v, want one returned: %v", endpoint, c.recovers)
 			}
 			if !c.recovers {
 				return
@@ -91,7 +91,7 @@
 	m.SetEndpoints(endpointsAcross([]string{"a"}, 1))
 	first := m.Reserve("s", nil, false)
 	if first == nil || m.Reserve("s", []*Endpoint{first}, false) != nil || m.Reserve("other", nil, false) != nil {
-		t.Fatal("Reserve returned no endpoint, one already tried or one of an unknown service")
+		t.Fatal("Reserve returned no endpoint, an endpoint already tried, or one for an unknown service")
 	}
 	if m.Contended(first) {
 		t.Error("Contended is true with one active call")
@@ -112,6 +112,6 @@
 		t.Errorf("Availability after Release returned %d, want 1", available)
 	}
 	if m.Overloaded("s") || m.MeanLatency("s") != 0 {
-		t.Error("Overloaded or MeanLatency is not zero for a cluster without calls")
+		t.Error("Overloaded is true or MeanLatency is not 0 for a cluster without completed calls")
 	}
 }
--- a/internal/upstream/subset_test.go
+++ b/internal/upstream/subset_test.go
@@ -93,7 +93,7 @@
 }
 
 // TestSubsetExcludesEjected: the endpoints next in rank replace those that the fleet ejects,
-// also from other zones of the region if the own zone has too few. When all endpoints of
+// also from other zones of the region if the node's zone has too few. When all endpoints of
 // the subset are full, Reserve returns one outside of it.
 func TestSubsetExcludesEjected(t *testing.T) {
 	m := newTestManagers(1, 400, 120)[0]
@@ -108,7 +108,7 @@
 	for _, endpoint := range m.testSubset() {
 		info := endpoint.Info()
 		if _, ejected := marks[info.ID]; ejected {
-			t.Errorf("%s is ejected by the fleet and in the subset", info.ID)
+			t.Errorf("the subset contains %s, which the fleet has ejected", info.ID)
 		}
 		byZone[info.Zone]++
 	}
