--- a/internal/controlclient/node_count.go
+++ b/internal/controlclient/node_count.go
@@ -7,7 +7,7 @@
 // limits are measured.
 const nodeCountWindow = 15 * time.Second
 
-// nodeCount is the number of nodes that share the limits, starting at a time.
+// nodeCount is the number of nodes that share the limits from the time since until the next entry.
 type nodeCount struct {
 	count int
 	since time.Time
--- a/internal/controlplane/allocation/borrower.go
+++ b/internal/controlplane/allocation/borrower.go
@@ -14,7 +14,7 @@
 const (
 	regionalLendTimeout = 8 * time.Millisecond   // for lenders in this node's region
 	remoteLendTimeout   = 45 * time.Millisecond  // for lenders in other regions
-	emptyLenderBackoff  = 150 * time.Millisecond // before a lender that had too little is asked again
+	emptyLenderBackoff  = 150 * time.Millisecond // before a lender that had too few tokens is asked again
 	maxEmptyLenders     = 4096                   // entries in emptyUntil above which it is cleared
 )
 
@@ -51,7 +51,7 @@
 	mu            sync.Mutex // guards the fields below
 	lastRequestID uint64
 	pendingLoans  map[uint64]pendingLoan  // by request ID
-	emptyUntil    map[lenderKey]time.Time // when a lender that had too little may be asked again
+	emptyUntil    map[lenderKey]time.Time // when a lender that had too few tokens may be asked again
 }
 
 // pendingLoan is an unanswered request to a lender. reply is nil once BorrowMissing no longer waits
@@ -153,8 +153,8 @@
 	return collected
 }
 
-// registerLoans registers a request to each lender, except to those that recently had too little (see
-// emptyUntil). It returns the addresses of the lenders to ask, by request ID.
+// registerLoans registers a request to each lender, except to those that recently had too few
+// tokens (see emptyUntil). It returns the addresses of the lenders to ask, by request ID.
 func (b *Borrower) registerLoans(
 	addresses []string, tenant string, replies chan<- quota.TenantGrant,
 ) (requestedFrom map[uint64]string) {
--- a/internal/controlplane/allocation/renewer_test.go
+++ b/internal/controlplane/allocation/renewer_test.go
@@ -89,8 +89,8 @@
 	test()
 }
 
-// TestShareRenewedOnlyWithLimits: no share is requested while no tenant has limits. Otherwise
-// requests are frequent until the fair share is held, and rare afterwards.
+// TestShareRenewedOnlyWithLimits: no share is requested while no tenant has limits. If a
+// tenant has limits, requests are frequent until the fair share is held, and rare afterwards.
 func TestShareRenewedOnlyWithLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRenewalFixture(nil)
@@ -139,8 +139,8 @@
 	return distribution.ShareGrant{}, ctx.Err()
 }
 
-// TestStopDoesNotCancelRenewal: a request that is pending when the node stops ends with its own
-// time-out, not with the node's context.
+// TestStopDoesNotCancelRenewal: a request that is pending when the node stops continues until
+// its own time-out, although the node's context has ended.
 func TestStopDoesNotCancelRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRenewalFixture(nil)
--- a/internal/controlplane/allocation/shares.go
+++ b/internal/controlplane/allocation/shares.go
@@ -11,8 +11,8 @@
 // shareTable holds shares by node name. It is stored under one key of the replicated state.
 type shareTable map[string]distribution.ShareLease
 
-// shareAllocator decides requests for shares of one table. It grants at most the part of the whole
-// that other nodes do not hold. A share expires once this allocator has seen no renewal of it for
+// shareAllocator decides requests for shares of one table. It grants at most the part of the
+// full share that other nodes do not hold. A share expires once this allocator has seen no renewal of it for
 // clockSkewFactor times the lease duration.
 type shareAllocator struct {
 	tableKey        string // in the replicated state
--- a/internal/controlplane/allocation/shares_test.go
+++ b/internal/controlplane/allocation/shares_test.go
@@ -9,10 +9,10 @@
 	"comethold/internal/ratelimit"
 )
 
-// TestSharesNeverExceedWhole: the shares held never add up to more than the whole, in any order of
-// requests and when a node fails. The share of a failed node is reassigned only after it has
+// TestSharesNeverExceedFullShare: the shares held never add up to more than the full share, in any
+// order of requests and when a node fails. The share of a failed node is reassigned only after it has
 // certainly stopped using it.
-func TestSharesNeverExceedWhole(t *testing.T) {
+func TestSharesNeverExceedFullShare(t *testing.T) {
 	allocator := NewShareService(nil, lease.ClockSkewFactor).allocators[distribution.RateShares]
 	table := shareTable{}
 	fair := map[string]int{}
@@ -55,7 +55,7 @@
 	}
 	newcomer := distribution.ShareRequest{Node: "b", HoldsNone: true}
 	if _, grant := allocator.allocate(table, newcomer, now); grant.Permille > 1 {
-		t.Errorf("a new node was granted %d thousandths, want at most the 1 that other nodes do not hold", grant.Permille)
+		t.Errorf("a new node was granted %d thousandths, want at most 1, because other nodes hold 999", grant.Permille)
 	}
 	// A request that is decided after a newer request of the same node is rejected.
 	numbers := distribution.NewRequestNumber()
--- a/internal/controlplane/allocation/shareservice_test.go
+++ b/internal/controlplane/allocation/shareservice_test.go
@@ -63,9 +63,9 @@
 	return service, state
 }
 
-// TestConcurrentRequestsShareTheWhole: shares granted to many concurrent requests are committed, each
-// table on its own, and never add up to more than the whole.
-func TestConcurrentRequestsShareTheWhole(t *testing.T) {
+// TestConcurrentGrantsNeverExceedFullShare: the shares granted to many concurrent requests are
+// committed. In each table, they never add up to more than the full share.
+func TestConcurrentGrantsNeverExceedFullShare(t *testing.T) {
 	service, _ := startShareService(t)
 	var requests sync.WaitGroup
 	for i := range 20 {
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestShareRequestValidation: a request must have a node name, a known table and a share between
-// nothing and the whole.
+// TestShareRequestValidation: a request must have a node name, a known table and a share from 0
+// to the full share.
 func TestShareRequestValidation(t *testing.T) {
 	service := NewShareService(nil, lease.ClockSkewFactor)
 	for _, c := range []struct {
@@ -190,11 +190,11 @@
 		request distribution.ShareRequest
 		want    bool
 	}{
-		{"the whole", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare}, true},
+		{"full share", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare}, true},
 		{"quota table", distribution.ShareRequest{Node: "n", Table: distribution.QuotaShares}, true},
 		{"no node", distribution.ShareRequest{}, false},
 		{"negative share", distribution.ShareRequest{Node: "n", Permille: -1}, false},
-		{"more than the whole", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare + 1}, false},
+		{"more than the full share", distribution.ShareRequest{Node: "n", Permille: ratelimit.FullShare + 1}, false},
 		{"unknown table", distribution.ShareRequest{Node: "n", Table: 99}, false},
 	} {
 		if got := service.IsValid(&c.request); got != c.want {
--- a/internal/controlplane/allocation/tokenserver.go
+++ b/internal/controlplane/allocation/tokenserver.go
@@ -22,8 +22,8 @@
 type TokenServerOptions struct {
 	Allocator *quota.Allocator
 	Borrower  *Borrower
-	// OnShortfall is called when a slice holds fewer tokens than a demand requires and prefetches
-	// together. Low watermarks may then have to be lowered.
+	// OnShortfall is called when a slice holds fewer tokens than the sum of Required and Prefetch
+	// of a demand. Low watermarks may then have to be lowered.
 	OnShortfall func()
 }
 
--- a/internal/controlplane/allocation/tokenserver_test.go
+++ b/internal/controlplane/allocation/tokenserver_test.go
@@ -176,8 +176,8 @@
 	borrower.wantTokens(t, 0.75)
 }
 
-// TestEmptyLendersNotAskedAgainAtOnce: lenders that had too little are not asked again before
-// emptyLenderBackoff has passed.
+// TestEmptyLendersNotAskedAgainAtOnce: lenders that had too few tokens are not asked again
+// before emptyLenderBackoff has passed.
 func TestEmptyLendersNotAskedAgainAtOnce(t *testing.T) {
 	network := newFakeNetwork()
 	borrower := network.addNode("10.0.0.1", "x", 0)
--- a/internal/controlplane/endpointlist/endpointlist_test.go
+++ b/internal/controlplane/endpointlist/endpointlist_test.go
@@ -128,8 +128,8 @@
 }
 
 // TestPollerBroadcasts checks that a new list is sent to the peers in full, that only the revision
-// of an unchanged list is sent, and that the list follows if the peer's revision is older.
-// Otherwise, a peer that restarts or misses a broadcast would keep an old list.
+// of an unchanged list is sent, and that the list is sent as well to a peer with an older
+// revision. Otherwise, a peer that restarts or misses a broadcast would keep an old list.
 func TestPollerBroadcasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPoller()
--- a/internal/controlplane/latency/file_test.go
+++ b/internal/controlplane/latency/file_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestAppendedViewsSurvivePowerLoss: views are durable once Append returns. After a rotation this requires
-// that the directory entry of the new file is durable too. A torn line costs no other view.
+// that the directory entry of the new file is durable too. A torn line makes no other view unreadable.
 func TestAppendedViewsSurvivePowerLoss(t *testing.T) {
 	dir := t.TempDir()
 	disk := &simulation.FaultyDisk{Base: storage.LocalDisk{}, Random: func() float64 { return 0 }}
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -137,9 +137,9 @@
 	})
 }
 
-// TestLeaseOfLostOwner guards against two owners at a time. Another node acquires a lease that
-// is not renewed only after it has expired even on a slow clock of its owner, and under a
-// higher term. It acquires the lease sooner if the owner's replica is lost.
+// TestLeaseOfLostOwner guards against two owners at the same time. If a lease is not renewed,
+// another node acquires it under a higher term, but only after it has expired even on a slow
+// clock of its owner. The node acquires it sooner if the owner's replica is lost.
 func TestLeaseOfLostOwner(t *testing.T) {
 	for _, isLost := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/metering/platform.go
+++ b/internal/controlplane/metering/platform.go
@@ -39,7 +39,8 @@
 	ErrReportRejected = errors.New("the platform did not accept the report")
 )
 
-// LeaseTimer provides the remaining time of the lease, during which this node may call.
+// LeaseTimer provides the remaining time of the lease. Without the lease, this node must not call
+// the platform.
 type LeaseTimer interface {
 	// Remaining returns how long this node still holds the lease under a term.
 	Remaining(term uint64) time.Duration
@@ -70,7 +71,7 @@
 	backoff       time.Duration // after the last call; 0 if it succeeded
 }
 
-// NewPlatformClient returns a PlatformClient that has not called yet.
+// NewPlatformClient returns a PlatformClient that has made no call yet.
 func NewPlatformClient(options PlatformClientOptions) *PlatformClient {
 	return &PlatformClient{options: options}
 }
--- a/internal/controlplane/metering/platform_test.go
+++ b/internal/controlplane/metering/platform_test.go
@@ -180,9 +180,9 @@
 	checkLinger(t)
 }
 
-// TestCallOfSuspendedProcess guards against a call that a process repeats, sends with another fencing token or no
-// longer accounts for. This can happen if the process is suspended between its lease check and the write: the lease
-// has expired when the process writes.
+// TestCallOfSuspendedProcess: a process is suspended between its lease check and the write of a call, so that the lease
+// may have expired when it writes. Guards against a process that repeats the call, sends it with another fencing token,
+// or calls under the next term too early because it did not record the time of the call.
 func TestCallOfSuspendedProcess(t *testing.T) {
 	for _, suspension := range []time.Duration{200 * time.Millisecond, 2 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -199,7 +199,7 @@
 			received, fence := platform.received, platform.lastFence
 			platform.mu.Unlock()
 			if received > 1 || received == 1 && fence != strconv.Itoa(term) {
-				t.Errorf("suspended for %v: received %d calls, the last with token %s, want at most 1, with the token of its term",
+				t.Errorf("suspended for %v: received %d calls, the last with token %s, want at most 1, with the term as token",
 					suspension, received, fence)
 			}
 			if err := client.call(t.Context(), []byte("{}"), term); !errors.Is(err, ErrLeaseExpired) {
--- a/internal/controlplane/metering/reporter_test.go
+++ b/internal/controlplane/metering/reporter_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestReportWaitsForNodes guards against reports that are committed too early and miss counts, or
-// too late: control nodes that don't answer delay a report until 70% of its delay has passed.
-// Control nodes that are marked as down don't delay it.
+// TestReportWaitsForNodes guards against reports that are committed too late, or so early that
+// they miss counts. Until 70% of reportDelay has passed, a report waits for control nodes that
+// don't answer, but not for those that are marked as down.
 func TestReportWaitsForNodes(t *testing.T) {
 	missing := map[string]distribution.Node{"n3": {Addr: "10.0.0.3", ControlPlane: true}}
 	down := map[string]distribution.Node{"n3": {Addr: "10.0.0.3", ControlPlane: true, Down: true}}
@@ -143,8 +143,8 @@
 }
 
 // TestCommittedReportUnchangedAfterFailover guards against different reports of one window: counts
-// that arrive after the commit must not change the report that the next lease holder sends. It
-// sends the report under its term.
+// that arrive after the commit must not change the report that the next lease holder sends.
+// That holder sends the report under its own term.
 func TestCommittedReportUnchangedAfterFailover(t *testing.T) {
 	platform, address := startPlatform(t, http.StatusOK)
 	f := newFixture(t, address)
--- a/internal/controlplane/operator_test.go
+++ b/internal/controlplane/operator_test.go
@@ -95,7 +95,7 @@
 			t.Errorf("%s: handler answered %d %s and returned %v, want 503 and no error", c.name, w.Code, w.Body, err)
 		}
 		if isRunning := s.host.View(schema.MetaCell, func(*paxos.Replica) {}); isRunning == c.leaderStopsNode {
-			t.Errorf("%s: replica is running after the request: %v, want the opposite", c.name, isRunning)
+			t.Errorf("%s: replica runs after the request: %v, want true unless the leader stops the node", c.name, isRunning)
 		}
 		s.Stop()
 		leader.Close()
--- a/internal/controlplane/operatorapi/changes.go
+++ b/internal/controlplane/operatorapi/changes.go
@@ -16,9 +16,9 @@
 // replica lags or if another change is committed first.
 const maxCommitAttempts = 3
 
-// changes commits changes of the configuration. tryCommit returns a typed error for each
+// changeCommitter commits changes of the configuration. tryCommit returns a typed error for each
 // rejection; statusOf and messageOf map it to the response.
-type changes struct {
+type changeCommitter struct {
 	cells               Cells
 	log                 *logging.Logger
 	isForming           func() bool
@@ -38,7 +38,7 @@
 // commit commits a change. It returns nil only if a transaction with the change was
 // committed, by this call or an earlier one. It returns errContended if every attempt failed
 // for a temporary reason.
-func (s *changes) commit(ctx context.Context, request *change) error {
+func (s *changeCommitter) commit(ctx context.Context, request *change) error {
 	fingerprint := outbox.Digest(request.raw)
 	for attempt := range maxCommitAttempts {
 		isCurrent := attempt > 0 // WaitLinearizable has run since the last attempt
@@ -56,7 +56,7 @@
 // tryCommit makes one attempt. It returns false without an error if the local replica may
 // lag or another change was committed first. isCurrent reports whether the replica had
 // caught up with the leader before the attempt.
-func (s *changes) tryCommit(
+func (s *changeCommitter) tryCommit(
 	ctx context.Context, request *change, fingerprint []byte, isCurrent bool,
 ) (committed bool, err error) {
 	if s.isForming() {
@@ -83,7 +83,7 @@
 	return false, &InvalidRequestError{errVersionNotAbove}
 }
 
-func (s *changes) readState(request *change, fingerprint []byte) (state committedState) {
+func (s *changeCommitter) readState(request *change, fingerprint []byte) (state committedState) {
 	found := s.cells.View(schema.MetaCell, func(replica *paxos.Replica) {
 		state.version, state.raw = schema.ReadConfig(replica)
 		state.receipt, state.isReceiptDeleted = schema.CheckReplay(replica, request.version, request.base, fingerprint)
@@ -97,7 +97,7 @@
 
 // propose applies a change to the configuration in state and proposes the transaction. It
 // returns false without an error if the configuration has changed since state was read.
-func (s *changes) propose(
+func (s *changeCommitter) propose(
 	ctx context.Context, request *change, fingerprint []byte, state committedState,
 ) (committed bool, err error) {
 	next, raw, err := request.apply(state.raw)
@@ -128,7 +128,7 @@
 
 // quarantineChange records a change whose version and base equal those of a committed change
 // but whose content differs. Only its fingerprint is stored; the change is never applied.
-func (s *changes) quarantineChange(request *change, fingerprint []byte) {
+func (s *changeCommitter) quarantineChange(request *change, fingerprint []byte) {
 	s.log.Error(logging.IdempotencyConflict).
 		Uint64("version", request.version).
 		Uint64("base", request.base).
--- a/internal/controlplane/operatorapi/changes_test.go
+++ b/internal/controlplane/operatorapi/changes_test.go
@@ -34,7 +34,7 @@
 
 // testChanges commits changes to a meta cell and records the quarantined changes.
 type testChanges struct {
-	*changes
+	*changeCommitter
 	cells       *testCells
 	isForming   bool
 	quarantined []string // event IDs
@@ -43,7 +43,7 @@
 func newTestChanges(t *testing.T) *testChanges {
 	t.Helper()
 	c := &testChanges{cells: &testCells{Cell: schematest.NewCell(t)}}
-	c.changes = &changes{
+	c.changeCommitter = &changeCommitter{
 		cells:               c.cells,
 		log:                 logging.Nop(),
 		isForming:           func() bool { return c.isForming },
--- a/internal/controlplane/operatorapi/handler.go
+++ b/internal/controlplane/operatorapi/handler.go
@@ -1,9 +1,9 @@
 // Package operatorapi implements the HTTP API for operators. They replace, amend and read the
 // configuration, purge caches, and inspect the outbox and the leases.
 //
-// Handler contains the HTTP handlers. The logic is separate from HTTP: changes commits
-// configurations, purgeQueue commits purges in batches, and the views read the state. They
-// return typed errors, and WriteError maps these to HTTP statuses.
+// Handler contains the HTTP handlers. The logic is separate from HTTP: changeCommitter
+// commits configurations, purgeQueue commits purges in batches, and the views read the state.
+// They return typed errors, and WriteError maps these to HTTP statuses.
 package operatorapi
 
 import (
@@ -46,8 +46,9 @@
 	IsForming func() bool
 	// LatestConfiguration returns the newest configuration that this node holds, or nil.
 	LatestConfiguration func() *routing.Configuration
-	// Quarantine stores a notification and the reason for the operator to inspect. It must not
-	// wait until the record is committed, because the request is blocked until it returns.
+	// Quarantine stores a notification, with the reason for its rejection, for the operator to
+	// inspect. It must not wait until the record is committed, because the request is blocked
+	// until it returns.
 	Quarantine func(notification *outbox.Notification, reason string)
 	// AppliedVersions returns, by aggregate, the version up to which this node has applied
 	// notifications.
@@ -59,7 +60,7 @@
 	cells           Cells
 	log             *logging.Logger
 	appliedVersions func() map[string]uint64
-	changes         *changes
+	changes         *changeCommitter
 	purges          *purgeQueue
 	largeBodySlot   chan struct{} // holds a token while a large body is read
 }
@@ -72,7 +73,7 @@
 		appliedVersions: options.AppliedVersions,
 		purges:          newPurgeQueue(options.Cells, options.Log),
 		largeBodySlot:   make(chan struct{}, 1),
-		changes: &changes{
+		changes: &changeCommitter{
 			cells:               options.Cells,
 			log:                 options.Log,
 			isForming:           options.IsForming,
--- a/internal/controlplane/placement/formation.go
+++ b/internal/controlplane/placement/formation.go
@@ -21,7 +21,8 @@
 }
 
 // IsForming reports whether the meta cell is still adding its first voters. Entries that it
-// commits during that time could be lost with fewer disks than the cell must tolerate.
+// commits during that time could be lost after fewer disk failures than the cell must
+// tolerate.
 func IsForming(host FormationHost, voters int) bool {
 	live := host.LivePeers(replicahost.LearnerTimeout)
 	cell, found := host.Stability()
--- a/internal/controlplane/reconcile/nodes_test.go
+++ b/internal/controlplane/reconcile/nodes_test.go
@@ -49,7 +49,7 @@
 	}
 	counts := reconciler.reports.SuspicionCounts(time.Now())
 	if counts["a"] != 0 || counts["b"] != 1 || len(counts) != 1 {
-		t.Errorf("suspicions after the probes: %v, want only one of b", counts)
+		t.Errorf("SuspicionCounts after the probes returned %v, want a count of 1 for b and no others", counts)
 	}
 }
 
@@ -114,7 +114,7 @@
 			nodes.expire(t.Context())
 			s.readNodes()
 			if len(s.nodes) != listed || s.nodes["out-of-contact"+controlNodeSuffix].Down != isDown {
-				t.Errorf("%s: node list is %v, want %d nodes and out-of-contact Down = %v", when, s.nodes, listed, isDown)
+				t.Errorf("%s: node list is %v, want %d nodes, out-of-contact with Down = %v", when, s.nodes, listed, isDown)
 			}
 			if s.nodes["in-contact"+controlNodeSuffix].Down || s.nodes["data-plane"].Down {
 				t.Errorf("%s: node list is %v, want no other node down", when, s.nodes)
--- a/internal/controlplane/replicahost/peers_test.go
+++ b/internal/controlplane/replicahost/peers_test.go
@@ -8,7 +8,8 @@
 
 // TestPeerAddresses guards against a node that knows no voters and never contacts the leader,
 // which need not be a seed: without the leader the node cannot catch up. Its addresses include
-// the seeds, the registered nodes and the live peers, but neither itself nor silent peers.
+// the seeds, the registered nodes and the live peers, but neither itself nor peers
+// that are not live.
 func TestPeerAddresses(t *testing.T) {
 	h := New(Options{
 		Self:    PeerInfo{ID: "1~a", Addr: "1"},
@@ -39,13 +40,13 @@
 		t.Errorf("record of a message under another ID returned %+v, want a new ID that replaces 1~a", found)
 	}
 	if !peers.isReplaced("1~a") || peers.isReplaced("1~b") {
-		t.Error("after 1~b replaced 1~a: isReplaced is not true for exactly 1~a")
+		t.Error("after 1~b replaced 1~a, isReplaced is false for 1~a or true for 1~b, want the opposite")
 	}
 	if contacted := peers.contactsSince(3); len(contacted) != 1 || contacted["1"].ID != "1~b" {
 		t.Errorf("contactsSince(3) returned %v, want only 1~b at address 1", contacted)
 	}
 	peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 5)
 	if peers.isReplaced("1~a") || !peers.isReplaced("1~b") {
-		t.Error("after 1~a returned: isReplaced is not true for exactly 1~b")
+		t.Error("after 1~a replaced 1~b, isReplaced is true for 1~a or false for 1~b, want the opposite")
 	}
 }
--- a/internal/controlplane/replicahost/propose_test.go
+++ b/internal/controlplane/replicahost/propose_test.go
@@ -90,7 +90,7 @@
 		time.Sleep(time.Minute)
 		cell, found := host.Stability()
 		if !found || len(cell.Voters) != 1 || !cell.MembershipChangeComplete {
-			t.Errorf("Stability returned found %v, %+v, want true and one voter, membership change complete", found, cell)
+			t.Errorf("Stability returned found %v, %+v, want found true, one voter and MembershipChangeComplete", found, cell)
 		}
 		if cell.StableFor < time.Minute || cell.StableFor > cell.Age {
 			t.Errorf("StableFor is %v and Age %v, want StableFor between 1 min and Age", cell.StableFor, cell.Age)
--- a/internal/controlplane/replicahost/sendqueue.go
+++ b/internal/controlplane/replicahost/sendqueue.go
@@ -46,7 +46,7 @@
 	q.signal()
 }
 
-// nextBatch removes and returns the oldest messages until their size reaches maxBatchBytes.
+// nextBatch removes and returns the oldest messages until their total size reaches maxBatchBytes.
 func (q *sendQueue) nextBatch() []paxos.Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/controlplane/replicahost/transport.go
+++ b/internal/controlplane/replicahost/transport.go
@@ -29,14 +29,14 @@
 
 // Limits of sending. The reasons for these values are in docs/design.md.
 const (
-	sendTimeoutBase    = 1500 * time.Millisecond
-	minSendRate        = 16 << 10 // bytes per second; see sendTimeout
-	minBulkSendRate    = 4 << 10  // for bulk messages, whose connections detect a dead peer before sendTimeout
-	maxSendTimeout     = time.Minute
-	bulkDialTimeout    = 2 * time.Second
-	bulkSilenceTimeout = 6 * time.Second
-	bulkSendBuffer     = 32 << 10 // bytes buffered in the kernel for each connection
-	bulkIdleConns      = 1
+	sendTimeoutBase = 1500 * time.Millisecond
+	minSendRate     = 16 << 10 // bytes per second; see sendTimeout
+	minBulkSendRate = 4 << 10  // for bulk messages; bulkAckTimeout detects an unreachable peer earlier
+	maxSendTimeout  = time.Minute
+	bulkDialTimeout = 2 * time.Second
+	bulkAckTimeout  = 6 * time.Second
+	bulkSendBuffer  = 32 << 10 // bytes buffered in the kernel for each connection
+	bulkIdleConns   = 1
 	// maxClockBatchBytes is the maximum size of a batch that carries clocks.
 	maxClockBatchBytes = 4 << 10
 	// sendGrace is how long sends may continue after wait is called.
@@ -87,7 +87,7 @@
 	bulkNetwork := rpc.WithSendBuffer(network, bulkSendBuffer)
 	t := &transport{
 		client:      client,
-		bulkClient:  rpc.NewClientWithLimits(bulkNetwork, bulkDialTimeout, bulkSilenceTimeout, bulkIdleConns),
+		bulkClient:  rpc.NewClientWithLimits(bulkNetwork, bulkDialTimeout, bulkAckTimeout, bulkIdleConns),
 		port:        port,
 		newBatch:    newBatch,
 		quit:        make(chan struct{}),
--- a/internal/controlplane/replicahost/unreachable_leader_test.go
+++ b/internal/controlplane/replicahost/unreachable_leader_test.go
@@ -71,7 +71,7 @@
 		}
 		tickFor(leaderTimeout - indexElectionTimeout + indexHeartbeatInterval)
 		if n := following(); n != 0 {
-			t.Errorf("%d of %d cells follow a leader that was silent for longer than %v, want none", n, cells, leaderTimeout)
+			t.Errorf("%d of %d cells follow a leader that sent nothing for longer than %v, want none", n, cells, leaderTimeout)
 		}
 	})
 }
--- a/internal/controlplane/schema/receipts_test.go
+++ b/internal/controlplane/schema/receipts_test.go
@@ -44,7 +44,7 @@
 		otherBase, _ := schema.CheckReplay(replica, version, base+1, fingerprintOf(version))
 		otherVersion, _ := schema.CheckReplay(replica, version+1, base, fingerprintOf(version+1))
 		if isReceiptDeleted != isOtherReceiptDeleted || isReceiptDeleted && recognized > 0 {
-			t.Fatalf("CheckReplay(%d): isReceiptDeleted is %v, want one value for all contents, and false once it was false",
+			t.Fatalf("CheckReplay(%d): receipt deleted %v, want the same with other content, false after a recognized change",
 				version, isReceiptDeleted)
 		}
 		if isReceiptDeleted {
--- a/internal/distribution/share.go
+++ b/internal/distribution/share.go
@@ -15,7 +15,7 @@
 // ShareLease is the stored lease of one node on a share of all rates or quotas of a ShareTable.
 type ShareLease struct {
 	Permille int `cbor:"1,keyasint"` // thousandths of the rates or quotas
-	// Renewals is incremented by each renewal. A lease expires if it is not incremented in time.
+	// Renewals is incremented by each renewal. If it is not incremented in time, the lease expires.
 	Renewals uint64 `cbor:"2,keyasint"`
 	// Request is the number of the last request that was granted.
 	Request RequestNumber `cbor:"3,keyasint,omitzero"`
--- a/internal/outbox/doc.go
+++ b/internal/outbox/doc.go
@@ -3,7 +3,7 @@
 //
 // A change, the receipt of the request for it and its notification are committed in one
 // transaction of a cell. The notification is stored in the outbox as a Row. A publisher claims
-// the row and tries to send it until it is published. A receiver checks each notification with
+// the row and sends it until the delivery is acknowledged. A receiver checks each notification with
 // its Inbox before it changes any state, so that a repeated, early or damaged notification has no
 // effect. A Receipt records the outcome of a request under its idempotency key.
 //
--- a/internal/outbox/row.go
+++ b/internal/outbox/row.go
@@ -11,9 +11,9 @@
 	Pending State = iota
 	// Claimed rows are being sent by a publisher.
 	Claimed
-	// Published rows were sent.
+	// Published rows were delivered and acknowledged.
 	Published
-	// RetryWait rows could not be sent and wait for the next attempt.
+	// RetryWait rows were sent but not acknowledged, and wait for the next attempt.
 	RetryWait
 )
 
@@ -74,15 +74,16 @@
 	return r, nil
 }
 
-// MarkPublished returns the row in state Published, for use after it was sent. It returns
-// ErrInvalidState if the row is not claimed, and ErrNotOwner if another publisher claimed it.
+// MarkPublished returns the row in state Published, for use after its delivery was acknowledged.
+// It returns ErrInvalidState if the row is not claimed, and ErrNotOwner if another publisher
+// claimed it.
 func (r Row) MarkPublished(owner string) (Row, error) {
 	return r.release(owner, Published)
 }
 
-// ScheduleRetry returns the row in state RetryWait, for use after it could not be sent. It
-// returns ErrInvalidState if the row is not claimed, and ErrNotOwner if another publisher claimed
-// it.
+// ScheduleRetry returns the row in state RetryWait, for use after an attempt that was not
+// acknowledged. It returns ErrInvalidState if the row is not claimed, and ErrNotOwner if another
+// publisher claimed it.
 func (r Row) ScheduleRetry(owner string) (Row, error) {
 	return r.release(owner, RetryWait)
 }
--- a/internal/outbox/row_test.go
+++ b/internal/outbox/row_test.go
@@ -8,7 +8,7 @@
 
 // TestOutboxRowStates: only the publisher that claimed a row can mark it as published or schedule
 // a retry, and the delay before the next claim grows with each attempt. Guards against a
-// publisher that reports a row whose claim another publisher has taken over.
+// publisher that changes a row whose claim another publisher has taken over.
 func TestOutboxRowStates(t *testing.T) {
 	row := Row{Notification: *newTestNotification(t, "c/3", 3, 0, nil)}
 	claimed, err := row.Claim("p/1", 0)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -57,9 +57,9 @@
 	a.refillAllLocked(now) // caps the levels at the new depths
 }
 
-// Renew sets the granted share, which expires at expiry by this node's clock. If no share was
-// held at now, another node or a former incarnation may have granted its tokens, so the slices
-// start empty.
+// Renew sets the granted share, which expires at expiry by this node's clock. If the previous
+// share was 0 or has expired, another node or a former incarnation may have granted tokens of the
+// new share, so the slices start empty.
 func (a *Allocator) Renew(share float64, expiry, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
