--- a/internal/controlplane/outboxpublisher/consumer_test.go
+++ b/internal/controlplane/outboxpublisher/consumer_test.go
@@ -123,7 +123,7 @@
 			var record schema.QuarantineRecord
 			value, _ := replica.Get(key)
 			if rpc.Unmarshal(value.Bytes, &record) != nil || record.Reason != "first" || record.ReportedBy != "n1" {
-				t.Errorf("record %s is %+v, want reason first, reported by n1", key, record)
+				t.Errorf("record %s is %+v, want reason \"first\" and reporter n1", key, record)
 			}
 		}
 	})
