--- a/internal/latencyestimate/compat_test.go
+++ b/internal/latencyestimate/compat_test.go
@@ -34,7 +34,7 @@
 	}
 	var s Sketch
 	if err := rpc.Unmarshal(raw, &s); err != nil {
-		t.Fatal("decoding the recorded sketch, want no error, got:", err)
+		t.Fatal("decoding the recorded sketch failed, want no error:", err)
 	}
 	want := Estimate{Median: 26000000, Low: 12999999, High: 39000001, Samples: 31, Censored: 2}
 	if got := s.Estimate(); got != want {
--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// contact is `contact`: the server receives an update from a control node that is in contact with
-// the majority.
+// contact is `contact`: sends the server an update from a control node that is in contact with the
+// majority.
 func (w *cacheWorld) contact(simulation.Command) error {
 	w.server.Apply(&distribution.Update{})
 	return nil
@@ -150,7 +150,7 @@
 	})
 }
 
-// resetPurges is `purges-reset`: the earlier purges are no longer known.
+// resetPurges is `purges-reset`: sends a purge update after which the server no longer knows the earlier purges.
 func (w *cacheWorld) resetPurges(simulation.Command) error {
 	w.purgeIndex++
 	w.server.Apply(&distribution.Update{
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// wantReplies is `want BODY-OR-STATUS=N ...`: checks the replies since the last such line, after the
+// wantReplies is `want BODY-OR-STATUS=N ...`: checks the replies since the last such command, after the
 // background calls have ended.
 func (w *cacheWorld) wantReplies(c simulation.Command) error {
 	w.calls.Wait()
@@ -225,21 +225,21 @@
 	defer w.mu.Unlock()
 	for bodyOrStatus, want := range c.Options {
 		if fmt.Sprint(w.replies[bodyOrStatus]) != want {
-			return fmt.Errorf("the numbers of replies by body or status were %v", w.replies)
+			return fmt.Errorf("the numbers of replies by body or status were %v, want those of the command", w.replies)
 		}
 	}
 	w.replies = map[string]int{}
 	return nil
 }
 
-// wantReads is `want-reads N [unchanged=]`: checks the reads and granted permits since the last such line,
+// wantReads is `want-reads N [unchanged=]`: checks the reads and granted permits since the last such command,
 // and how many of them were revalidations of an unchanged object.
 func (w *cacheWorld) wantReads(c simulation.Command) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	unchanged, checked := c.Options["unchanged"]
 	if fmt.Sprint(len(w.reads)) != c.Word(0) || checked && fmt.Sprint(w.revalidations) != unchanged {
-		return fmt.Errorf("there were %d reads and granted permits, %d of them revalidations of an unchanged object",
+		return fmt.Errorf("%d reads and granted permits, %d revalidations of an unchanged object, want those of the command",
 			len(w.reads), w.revalidations)
 	}
 	w.reads = nil
@@ -247,7 +247,7 @@
 	return nil
 }
 
-// wantRate is `want-rate N MS`: checks that at most N reads started within any span of MS.
+// wantRate is `want-rate N MS`: checks that at most N reads started within any span of MS milliseconds.
 func (w *cacheWorld) wantRate(c simulation.Command) error {
 	for i := range w.reads {
 		started := 0
@@ -257,16 +257,17 @@
 			}
 		}
 		if started > count(c) {
-			return fmt.Errorf("%d reads started within a span of this length", started)
+			return fmt.Errorf("%d reads started within MS milliseconds, want at most the N of the command", started)
 		}
 	}
 	return nil
 }
 
-// wantWithin is `want-within MS`: checks that no reply since the last such line took longer.
+// wantWithin is `want-within MS`: checks that no reply since the last such command took longer
+// than MS milliseconds.
 func (w *cacheWorld) wantWithin(c simulation.Command) error {
 	if w.slowestReply > c.Milliseconds(0) {
-		return fmt.Errorf("the slowest reply took %v", w.slowestReply)
+		return fmt.Errorf("the slowest reply took %v, want at most the MS of the command", w.slowestReply)
 	}
 	w.slowestReply = 0
 	return nil
--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -65,7 +65,7 @@
 
 // hasActiveLeader reports whether the leader was in contact recently enough that another candidate
 // must be rejected. Otherwise a replica that returns from a partition would depose a working
-// leader. A follower ignores a leader whose leadership has ended according to the Prepare.
+// leader. A follower doesn't count a leader as active if the Prepare reports the end of its leadership.
 func (r *Replica) hasActiveLeader(now time.Duration, prepare Message) bool {
 	if r.contact.leader == "" || r.contact.leader == prepare.ProposalNumber.Proposer {
 		return false
--- a/internal/paxos/linearizability_test.go
+++ b/internal/paxos/linearizability_test.go
@@ -110,7 +110,7 @@
 	return operations
 }
 
-// checkLinearizable checks that the history is linearizable. The check must end within timeout.
+// checkLinearizable checks that the history is linearizable. The check must end within 20 s.
 func (c *chaosRun) checkLinearizable() {
 	const timeout = 20 * time.Second
 	operations := c.history()
--- a/internal/paxos/simulated_network_test.go
+++ b/internal/paxos/simulated_network_test.go
@@ -44,8 +44,8 @@
 	return last
 }
 
-// sendMessages sends messages over the network, some of them twice. It returns the messages to the
-// node itself instead of sending them.
+// sendMessages sends a node's messages to other nodes over the network, some of them twice. It returns
+// those that are addressed to the node itself.
 func (s *cellSimulation) sendMessages(node *simulatedNode, messages []Message) []Message {
 	var toSelf []Message
 	for _, msg := range messages {
--- a/internal/paxos/simulation_checks_test.go
+++ b/internal/paxos/simulation_checks_test.go
@@ -78,7 +78,7 @@
 				continue // this replica lost its disk
 			}
 			if found := node.disk.recoverableIndex(); found < reported {
-				s.t.Fatalf("%s at %v: leader %s has a report that %s stores index %d, but a restart would recover only %d",
+				s.t.Fatalf("%s at %v: leader %s has a report that %s stored index %d, but a restart recovers %d, want no less",
 					s.name, s.now, leader.id, id, reported, found)
 			}
 		}
--- a/internal/paxos/statemachine/state_test.go
+++ b/internal/paxos/statemachine/state_test.go
@@ -109,11 +109,11 @@
 		return state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: voters(ids...)}}}, index, testAlpha)
 	}
 	if !change(5, "a", "b", "c", "d") || change(7, "a", "b", "c") || !change(8, "a", "b", "c") {
-		t.Error("changes at 5, 7 and 8: want 7 rejected and the others applied, since the change at 5 takes effect at 8")
+		t.Error("want the change at 7 rejected and those at 5 and 8 applied, since the change at 5 takes effect at 8")
 	}
 	for index, want := range map[uint64]bool{7: false, 8: true, 10: true, 11: false} {
 		if got := state.MembershipAt(index).Contains("d"); got != want {
-			t.Errorf("voter d in the membership at %d: %v, want the opposite", index, got)
+			t.Errorf("MembershipAt(%d).Contains(d) returned %v, want the opposite", index, got)
 		}
 	}
 	if version, _ := state.Get(MembershipVersionKey); !version.Equal(Int(2)) {
--- a/internal/simulation/adversary_test.go
+++ b/internal/simulation/adversary_test.go
@@ -17,8 +17,8 @@
 	"comethold/internal/distribution"
 )
 
-// adversary is a set of leafs on real sockets. They answer calls in all the ways in which faulty leafs and
-// networks do, drawn at random, and record the requests that they ran.
+// adversary is a set of leafs on real sockets. They end each call with one of callEndings, which include the
+// faults of leafs and networks, and record the requests that they ran.
 type adversary struct {
 	t         *testing.T
 	seed      int
@@ -31,8 +31,8 @@
 	lastStamp int
 }
 
-// mildEndings are the ways in which most calls end: they do not get a leaf ejected. "well", a correct answer, is
-// listed twice to be drawn more often.
+// mildEndings are the endings of most calls. They do not cause the ejection of the leaf. "well", a correct answer,
+// is listed twice to be drawn more often.
 var mildEndings = []string{"well", "well", "twice-late", "bye", "closing", "hints"}
 
 // callEndings are all ways in which a call may end; answer and answerAndClose define them.
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -114,7 +114,8 @@
 				continue
 			}
 			if version < c.versions[m.proxy] {
-				c.fleet.t.Errorf("%s went back from version %d to the older version %d", m.name, c.versions[m.proxy], version)
+				c.fleet.t.Errorf("%s went back from version %d to the older version %d, want no older one",
+					m.name, c.versions[m.proxy], version)
 			}
 			c.versions[m.proxy] = version
 		}
--- a/internal/simulation/command.go
+++ b/internal/simulation/command.go
@@ -51,7 +51,7 @@
 	return n
 }
 
-// Int returns the i-th word, a non-negative integer, as an int, or 0 if it is not one.
+// Int returns the i-th word as an int, or 0 if it is not an unsigned integer.
 func (c Command) Int(i int) int { return int(c.Uint(i)) }
 
 // Float returns the i-th word as a number, or 0 if it is not one.
--- a/internal/simulation/disks_test.go
+++ b/internal/simulation/disks_test.go
@@ -11,10 +11,10 @@
 	"comethold/internal/simulation"
 )
 
-// TestDiskFaults checks that no acknowledged change is lost to faults of disks, links and power while changes go
-// on. It draws faults of one machine at a time and power losses of all machines; at the end every machine must
-// have all acknowledged changes. COMETHOLD_SEEDS is the number of runs.
-func TestDiskFaults(t *testing.T) {
+// TestChaosOfDiskFaultsDuringChanges checks that no acknowledged change is lost if disks, links or power fail
+// while changes are in progress. It draws faults of one machine at a time and power losses of all machines; at
+// the end every machine must have all acknowledged changes. COMETHOLD_SEEDS is the number of runs.
+func TestChaosOfDiskFaultsDuringChanges(t *testing.T) {
 	for seed := range simulation.SeedCount(1) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/strange_leafs_test.go
+++ b/internal/simulation/faulty_leafs_test.go
@@ -31,9 +31,9 @@
 )
 
 // TestFaultyLeafs guards against answers that reach the wrong client and against requests that run twice. Many
-// concurrent clients use one proxy whose leafs end calls in all the ways that adversary has. Each answer must
-// belong to its request; a request that must not be repeated runs at most once, and not at all if the status
-// that its client gets says that it has not run.
+// concurrent clients use one proxy whose leafs end calls with random callEndings. Each answer must belong to its
+// request. A request that must not be repeated must run at most once, and must not run at all if its client gets
+// a status that means that it has not run.
 func TestFaultyLeafs(t *testing.T) {
 	for seed := range simulation.SeedCount(3) {
 		a := newAdversary(t, seed)
@@ -233,10 +233,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, sent := range s.requests {
-		saysNotRun := sent.code == http.StatusTooManyRequests || sent.code == http.StatusServiceUnavailable ||
+		meansNotRun := sent.code == http.StatusTooManyRequests || sent.code == http.StatusServiceUnavailable ||
 			sent.code == http.StatusRequestTimeout || sent.code == http.StatusMisdirectedRequest
-		if runs := a.runs[sent.id]; sent.isUnsafe && (runs > 1 || saysNotRun && runs > 0) {
-			t.Errorf("seed %d: unsafe request %s got status %d and ran %d times, want at most 1, or 0 if the status says so",
+		if runs := a.runs[sent.id]; sent.isUnsafe && (runs > 1 || meansNotRun && runs > 0) {
+			t.Errorf("seed %d: unsafe request %s got status %d and ran %d times, want at most 1, or 0 if rejected",
 				a.seed, sent.id, sent.code, runs)
 		}
 	}
--- a/internal/simulation/fleet_commands_test.go
+++ b/internal/simulation/fleet_commands_test.go
@@ -71,7 +71,7 @@
 
 	// The replicated state and the outbox.
 	"want-all-voters": (*fleet).wantAllVoters,
-	"want-state":      (*fleet).wantState,
+	"want-state":      (*fleet).wantStateSize,
 	"want-applied":    (*fleet).wantApplied,
 	"want-backlog":    (*fleet).wantBacklog,
 	"want-quarantine": (*fleet).wantQuarantine,
@@ -93,7 +93,7 @@
 	// Latency estimates.
 	"estimates":      (*fleet).enableEstimates,
 	"want-estimates": (*fleet).wantEstimates,
-	"want-saved":     (*fleet).wantSaved,
+	"want-saved":     (*fleet).wantSavedEstimates,
 }
 
 // Do runs a command.
--- a/internal/simulation/fleet_config_test.go
+++ b/internal/simulation/fleet_config_test.go
@@ -65,14 +65,14 @@
 	}
 }
 
-// setExtraRoutes is `routes N`: adds N routes to the configurations from now on.
+// setExtraRoutes is `routes N`: adds N routes to all later configurations.
 func (f *fleet) setExtraRoutes(c simulation.Command) error {
 	f.extraRoutes = c.Int(0)
 	return nil
 }
 
-// setExtraIndexes is `indexes N`: adds N routes, each with a separate index, to the configurations from
-// now on.
+// setExtraIndexes is `indexes N`: adds N routes, each with a separate index, to all later
+// configurations.
 func (f *fleet) setExtraIndexes(c simulation.Command) error {
 	f.extraIndexes = c.Int(0)
 	return nil
@@ -108,7 +108,7 @@
 		base := c.Uint(1) + i
 		m := machines[int(i)%len(machines)]
 		if f.replaceAt(m, base+1, base, "", seriesTimeout) != http.StatusOK {
-			return fmt.Errorf("%s did not acknowledge the change to version %d", m.name, base+1)
+			return fmt.Errorf("%s did not acknowledge the change to version %d, want status 200", m.name, base+1)
 		}
 	}
 	return nil
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// wantStatuses is `want STATUS=N ...`: since the last such line, N changes and redrives ended with that HTTP
-// status; 0 stands for no answer.
+// wantStatuses is `want STATUS=N ...`: checks that N changes and redrives since the last such command ended with
+// this HTTP status. Status 0 means no answer.
 func (f *fleet) wantStatuses(c simulation.Command) error {
 	for status, want := range c.Options {
 		if strconv.Itoa(f.replaceStatuses[status]) != want {
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// wantConfig is `want-config VERSION WITHIN`: VERSION is in force on every running proxy.
+// wantConfig is `want-config VERSION WITHIN`: waits up to WITHIN milliseconds until VERSION is in force on every
+// running proxy.
 func (f *fleet) wantConfig(c simulation.Command) error {
 	return f.waitUntil(c.Milliseconds(1), "the version is in force on every proxy", func() bool {
 		for _, m := range f.machines {
@@ -163,7 +164,8 @@
 	})
 }
 
-// wantRead is `want-read WITHIN`: a read returns the newest acknowledged configuration.
+// wantRead is `want-read WITHIN`: waits up to WITHIN milliseconds until a read returns the newest acknowledged
+// configuration.
 func (f *fleet) wantRead(c simulation.Command) error {
 	got := ""
 	return f.waitUntil(c.Milliseconds(0), "a read returns the newest acknowledged configuration", func() bool {
@@ -181,8 +183,8 @@
 	})
 }
 
-// wantReplaceAccepted is `want-order NAMES WITHIN`: each of these machines accepts a change based on the
-// configuration that it returns to a read.
+// wantReplaceAccepted is `want-order NAMES WITHIN`: waits, for each of these machines, up to WITHIN milliseconds
+// until it accepts a change based on the configuration that it returns to a read.
 func (f *fleet) wantReplaceAccepted(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		var attempts []string
@@ -202,8 +204,8 @@
 	return nil
 }
 
-// wantIndeterminate is `want-unclear NAMES`: these machines do not answer reads and changes, or answer them
-// with status 503.
+// wantIndeterminate is `want-unclear NAMES`: checks that these machines do not answer reads and changes, or
+// answer them with status 503.
 func (f *fleet) wantIndeterminate(c simulation.Command) error {
 	const versionOffset = 1000 // distance from the versions of other changes, so that none is used twice
 	for i, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// startCommand is `start NAMES`: starts those of them that are down.
+// startCommand is `start NAMES`: starts those of these machines that are down.
 func (f *fleet) startCommand(c simulation.Command) error {
 	f.startAll(f.machinesNamed(c.Word(0)))
 	return nil
@@ -80,7 +80,7 @@
 	}
 }
 
-// killCommand is `kill NAMES`: kills those of them that run.
+// killCommand is `kill NAMES`: kills those of these machines that run.
 func (f *fleet) killCommand(c simulation.Command) error {
 	f.kill(f.machinesNamed(c.Word(0)))
 	return nil
@@ -98,7 +98,7 @@
 	stopping.Wait()
 }
 
-// restartInTurn is `restart-in-turn NAMES [gap=]`: stops and starts each of them in turn.
+// restartInTurn is `restart-in-turn NAMES [gap=]`: stops and starts each of these machines in turn.
 func (f *fleet) restartInTurn(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		m.stop()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// loseDiskCommand is `lose-disk NAMES`: deletes the disks of these machines, which are down.
+// loseDiskCommand is `lose-disk NAMES`: deletes the disks of these machines. They must be down.
 func (f *fleet) loseDiskCommand(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		if err := f.loseDisk(m); err != nil {
@@ -231,8 +231,8 @@
 	return errors.New("no running control node without an alias has this role")
 }
 
-// makeLeader is `make-leader NAMES WITHIN`: makes one of them the leader. While another control
-// node is the leader, it cuts that one off for 2.5 s at a time.
+// makeLeader is `make-leader NAMES WITHIN`: makes one of these machines the leader within WITHIN
+// milliseconds. While another control node is the leader, it cuts that node off for 2.5 s at a time.
 func (f *fleet) makeLeader(c simulation.Command) error {
 	return f.waitUntil(c.Milliseconds(1), "one of these machines is the leader", func() bool {
 		leader := f.leaderMachine()
--- a/internal/simulation/fleet_network_test.go
+++ b/internal/simulation/fleet_network_test.go
@@ -110,7 +110,7 @@
 }
 
 // slowLinks is `slow NAMES KBPS`: limits the links of these machines to KBPS kilobits per second
-// in each direction; 0: no limit.
+// in each direction. 0 removes the limit.
 func (f *fleet) slowLinks(c simulation.Command) error {
 	const bytesPerKilobit = 1000.0 / 8
 	for _, m := range f.machinesNamed(c.Word(0)) {
--- a/internal/simulation/fleet_operator_test.go
+++ b/internal/simulation/fleet_operator_test.go
@@ -88,7 +88,7 @@
 }
 
 // replaceUntilOutcomeKnown sends a change and repeats it until its outcome is known or the limit is reached.
-// It records the last status and an acknowledgement, and returns the status.
+// It counts the last status, records the change if it was acknowledged, and returns the status.
 func (f *fleet) replaceUntilOutcomeKnown(m *machine, base, version uint64, raw string, limit time.Duration) int {
 	end := time.Now().Add(limit)
 	status := f.post(m, pathReplace, base, raw)
@@ -200,7 +200,7 @@
 }
 
 // sendMalformedMessages is `send-garbage NAMES`: sends malformed messages to every URL of these
-// machines; each must be rejected with a 4xx status.
+// machines, and checks that each is rejected with a 4xx status.
 func (f *fleet) sendMalformedMessages(c simulation.Command) error {
 	for _, m := range f.machinesNamed(c.Word(0)) {
 		for _, url := range f.urlsOf(m) {
--- a/internal/simulation/fleet_platform_test.go
+++ b/internal/simulation/fleet_platform_test.go
@@ -101,7 +101,8 @@
 	f.checkFencing(call)
 	f.fencedCalls = append(f.fencedCalls, call)
 	if old, ok := f.reports[report.WindowNumber]; ok && old != string(raw) {
-		f.t.Errorf("platform received two different reports of window %d: %s and %s", report.WindowNumber, old, raw)
+		f.t.Errorf("platform received two different reports of window %d, want equal ones: %s and %s",
+			report.WindowNumber, old, raw)
 	}
 	f.reports[report.WindowNumber] = string(raw)
 	if f.acceptedAt[report.WindowNumber].IsZero() {
@@ -119,7 +120,8 @@
 	otherReported := false
 	for _, earlier := range slices.Backward(f.fencedCalls) {
 		if earlier.token > call.token || earlier.token == call.token && earlier.holder != call.holder {
-			f.t.Errorf("%s reported with fencing token %d after %s had reported with token %d",
+			f.t.Errorf(
+				"%s reported with fencing token %d after %s had reported with token %d, want a higher token for each new holder",
 				call.holder, call.token, earlier.holder, earlier.token)
 			return
 		}
@@ -128,7 +130,7 @@
 		}
 		otherReported = otherReported || earlier.holder != call.holder
 		if otherReported && earlier.holder == call.holder {
-			f.t.Errorf("%s reported, then another holder, then %s again, all within the lease duration %v",
+			f.t.Errorf("%s, another holder and %s again reported within the lease duration %v, want one change of holder",
 				call.holder, call.holder, lease)
 			return
 		}
@@ -147,8 +149,8 @@
 	return nil, errors.New("no running machine sent the last usage report")
 }
 
-// setPlatformFault is `platform ok|busy|reset|lost`: sets how the platform answers usage reports from now
-// on: it accepts them, answers 429, resets the connection, or accepts them and then resets the connection.
+// setPlatformFault is `platform ok|busy|reset|lost`: sets how the platform answers later usage
+// reports: it accepts them, answers 429, resets the connection, or accepts them and then resets the connection.
 func (f *fleet) setPlatformFault(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,19 +158,19 @@
 	return nil
 }
 
-// listLeafs is `list ID...`: the platform lists these leafs as ready.
+// listLeafs is `list ID...`: makes the platform list these leafs as ready.
 func (f *fleet) listLeafs(c simulation.Command) error {
 	f.setLeafStates(c.Words, leafReady)
 	return nil
 }
 
-// drainLeafs is `drain ID...`: the platform lists these leafs as draining.
+// drainLeafs is `drain ID...`: makes the platform list these leafs as draining.
 func (f *fleet) drainLeafs(c simulation.Command) error {
 	f.setLeafStates(c.Words, leafDraining)
 	return nil
 }
 
-// unlistLeafs is `unlist ID...`: the platform no longer lists these leafs.
+// unlistLeafs is `unlist ID...`: removes these leafs from the platform's list.
 func (f *fleet) unlistLeafs(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// listManyLeafs is `list-many PREFIX N`: the platform lists N leafs, PREFIX0 and so on, as ready.
+// listManyLeafs is `list-many PREFIX N`: makes the platform list N leafs, PREFIX0 and so on, as ready.
 func (f *fleet) listManyLeafs(c simulation.Command) error {
 	f.setLeafStates(numberedLeafs(c.Word(0), c.Int(1)), leafReady)
 	return nil
@@ -201,13 +203,13 @@
 	return ids
 }
 
-// reportUnhealthy is `report-unhealthy NAMES PREFIX N`: these proxies report N leafs as unhealthy.
+// reportUnhealthy is `report-unhealthy NAMES PREFIX N`: makes these proxies report N leafs as unhealthy.
 func (f *fleet) reportUnhealthy(c simulation.Command) error {
 	f.reportHealth(c, false)
 	return nil
 }
 
-// reportHealthy is `report-healthy NAMES PREFIX N`: these proxies report N leafs as healthy again.
+// reportHealthy is `report-healthy NAMES PREFIX N`: makes these proxies report N leafs as healthy again.
 func (f *fleet) reportHealthy(c simulation.Command) error {
 	f.reportHealth(c, true)
 	return nil
@@ -222,7 +224,8 @@
 	}
 }
 
-// wantMarks is `want-marks N WITHIN`: N leafs have an ejection mark on every proxy.
+// wantMarks is `want-marks N WITHIN`: waits up to WITHIN milliseconds until N leafs have an ejection mark on
+// every proxy.
 func (f *fleet) wantMarks(c simulation.Command) error {
 	return f.waitUntil(c.Milliseconds(1), c.Word(0)+" leafs have an ejection mark on every proxy", func() bool {
 		for _, m := range f.machines {
@@ -234,8 +237,8 @@
 	})
 }
 
-// wantList is `want-list WITHIN [at=]`: every running proxy, or each of those named, has
-// the platform's list.
+// wantList is `want-list WITHIN [at=]`: waits up to WITHIN milliseconds until every running proxy, or each of
+// those named in at, has the platform's list.
 func (f *fleet) wantList(c simulation.Command) error {
 	machines := f.sortedMachines()
 	if names := c.Options["at"]; names != "" {
@@ -250,7 +253,7 @@
 				continue
 			}
 			if got := listedStates(m); !maps.Equal(got, want) {
-				return fmt.Errorf("%s has the leafs %v, the platform lists %v", m.name, got, want)
+				return fmt.Errorf("%s has the leafs %v, want those that the platform lists: %v", m.name, got, want)
 			}
 		}
 		return nil
--- a/internal/simulation/fleet_state_test.go
+++ b/internal/simulation/fleet_state_test.go
@@ -27,8 +27,8 @@
 // cellViews holds the state of the replicas on running machines, by address and cell.
 type cellViews map[string]map[string]controlplane.CellView
 
-// wantAllVoters is `want-all-voters WITHIN [lost=]`: every cell has all its voters, and all but
-// lost of them run and have caught up.
+// wantAllVoters is `want-all-voters WITHIN [lost=]`: waits up to WITHIN milliseconds until every cell has all
+// its voters, and all but lost of them run and have caught up.
 func (f *fleet) wantAllVoters(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(0), "every cell has all its voters, caught up", func() error {
 		return f.checkReplicas(int(c.OptionFloat("lost", 0)))
@@ -93,9 +93,9 @@
 	return text.String()
 }
 
-// wantState is `want-state KILOBYTES NAME [rows=]`: on the disk of a stopped machine, the meta cell's
-// state has at most KILOBYTES KiB, its outbox at most the given rows, and its log at most maxLogEntries.
-func (f *fleet) wantState(c simulation.Command) error {
+// wantStateSize is `want-state KILOBYTES NAME [rows=]`: checks the disk of a stopped machine. The meta cell's state
+// must have at most KILOBYTES KiB, its outbox at most the given rows, and its log at most maxLogEntries.
+func (f *fleet) wantStateSize(c simulation.Command) error {
 	stored, err := readStoredState(filepath.Join(f.dir, c.Word(1)))
 	if err != nil {
 		return err
@@ -148,8 +148,8 @@
 	return stored, nil
 }
 
-// wantApplied is `want-applied VERSION NAMES WITHIN`: these control nodes have applied the notification of the
-// configuration VERSION or of a later one.
+// wantApplied is `want-applied VERSION NAMES WITHIN`: waits up to WITHIN milliseconds until these control nodes
+// have applied the notification of the configuration VERSION or of a later one.
 func (f *fleet) wantApplied(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(2), "the configuration version is applied at "+c.Word(1), func() error {
 		for _, m := range f.machinesNamed(c.Word(1)) {
@@ -163,8 +163,8 @@
 	})
 }
 
-// wantBacklog is `want-backlog N WITHIN`: the outbox has N unpublished rows, and every control node has
-// applied the notification of the highest acknowledged version.
+// wantBacklog is `want-backlog N WITHIN`: waits up to WITHIN milliseconds until the outbox has N unpublished
+// rows and every control node has applied the notification of the highest acknowledged version.
 func (f *fleet) wantBacklog(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(1), "outbox backlog and applied version", func() error {
 		for _, m := range f.controlNodes() {
@@ -179,8 +179,8 @@
 	})
 }
 
-// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: every control node has N quarantined notifications
-// and REDRIVES redrives.
+// wantQuarantine is `want-quarantine N REDRIVES WITHIN`: waits up to WITHIN milliseconds until every control
+// node has N quarantined notifications and REDRIVES redrives.
 func (f *fleet) wantQuarantine(c simulation.Command) error {
 	return f.waitUntilNil(c.Milliseconds(2), "number of quarantined notifications and redrives", func() error {
 		for _, m := range f.controlNodes() {
@@ -223,8 +223,8 @@
 	return nil
 }
 
-// wantEstimates is `want-estimates NODES SAMPLES AT`: the estimates come from NODES proxies and at least
-// SAMPLES samples.
+// wantEstimates is `want-estimates NODES SAMPLES AT`: checks that the estimates come from NODES proxies
+// and at least SAMPLES samples.
 func (f *fleet) wantEstimates(c simulation.Command) error {
 	var view latency.View
 	raw, err := f.get(f.machineNamed(c.Word(2)), "/Estimates.Read?class=urgent", &view)
@@ -242,8 +242,9 @@
 	return nil
 }
 
-// wantSaved is `want-saved LINES AT`: at least LINES lines of saved estimates are on the disk of that machine.
-func (f *fleet) wantSaved(c simulation.Command) error {
+// wantSavedEstimates is `want-saved LINES AT`: checks that at least LINES lines of saved estimates are on the
+// disk of the machine AT.
+func (f *fleet) wantSavedEstimates(c simulation.Command) error {
 	var lines []latency.View
 	if _, err := f.get(f.machineNamed(c.Word(1)), "/Estimates.Saved", &lines); err != nil {
 		return err
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -34,7 +34,7 @@
 	leafAddress     = leafHost + ":80"
 )
 
-// maxSeeds is how many control nodes, counted from c1, every machine has as seeds.
+// maxSeeds is the maximum number of seeds of a machine. The seeds are the first control nodes, c1 and so on.
 const maxSeeds = 3
 
 // fleet is a complete system of control nodes and proxies on simulated time. It runs the production
@@ -278,7 +278,7 @@
 	return found
 }
 
-// machineNamed returns the first of machinesNamed.
+// machineNamed returns the first of the machines that machinesNamed returns.
 func (f *fleet) machineNamed(names string) *machine { return f.machinesNamed(names)[0] }
 
 // waitUntil polls a condition every 50 ms and returns an error if it does not hold within the limit.
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -30,8 +30,8 @@
 	latency  time.Duration // the highest latency of a served request since the last want-served
 }
 
-// setTenant is `tenant NAME RATE BURST [key=]`: adds or changes a tenant in the configurations from
-// now on.
+// setTenant is `tenant NAME RATE BURST [key=]`: adds or changes a tenant in all later
+// configurations.
 func (f *fleet) setTenant(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,8 +62,8 @@
 	return f.checkQuota(f.tenantNamed(c.Word(1)), start.Add(-time.Second))
 }
 
-// startLoad is `start-load NAMES TENANT PERSECOND MS`: like load, but in the background, without a check of
-// the limit; end-loads waits for it.
+// startLoad is `start-load NAMES TENANT PERSECOND MS`: like load, but in the background and without a check
+// of the limit. The command end-loads waits for it.
 func (f *fleet) startLoad(c simulation.Command) error {
 	f.loads.Go(func() { f.generateLoad(c) })
 	return nil
@@ -122,7 +122,7 @@
 	}
 	isRejection := answer.Code == http.StatusTooManyRequests || answer.Code == http.StatusServiceUnavailable
 	if isRejection && answer.Header().Get("Retry-After") == "" {
-		f.t.Errorf("a rejection with status %d has no Retry-After header", answer.Code)
+		f.t.Errorf("a rejection with status %d has no Retry-After header, want one", answer.Code)
 	}
 }
 
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// wantServed is `want-served TENANT [least= most= within=]`: since the last such line, the percentage of the
-// tenant's requests that were served is between least and most, and no served request took longer than within
-// milliseconds.
+// wantServed is `want-served TENANT [least= most= within=]`: checks the tenant's requests since the last such
+// command. The percentage that was served must be between least and most, and no served request may have taken
+// longer than within milliseconds.
 func (f *fleet) wantServed(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,8 +191,9 @@
 }
 
 // wantReportedInTime is `want-reported-in-time TENANT off= [missed=]`: checks the windows that became
-// due since the last such line and in which the tenant's requests ran. Each was reported before it was
-// due, with a count that deviates by at most off percent; up to missed windows may fail this.
+// due since the last such command and in which the tenant's requests ran. Each must have been reported
+// before it was due, with a count that deviates by at most off percent. Up to missed windows may fail
+// this check.
 func (f *fleet) wantReportedInTime(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,10 +213,10 @@
 		last = window
 		reported := f.reportedCount(window, tenant.Name)
 		if f.acceptedAt[window].IsZero() || f.acceptedAt[window].After(due) {
-			failures = append(failures, fmt.Sprintf("window %d was reported %v after it was due (negative: not reported)",
+			failures = append(failures, fmt.Sprintf("window %d was reported %v late (negative: not reported), want no delay",
 				window, f.acceptedAt[window].Sub(due)))
 		} else if deviationPercent(reported, ran[window]) > c.OptionFloat("off", 0) {
-			failures = append(failures, fmt.Sprintf("window %d: the report counts %v of %v requests, want at most %v%% off",
+			failures = append(failures, fmt.Sprintf("window %d: %v of %v requests were reported, want a deviation up to %v%%",
 				window, reported, ran[window], c.OptionFloat("off", 0)))
 		}
 	}
@@ -237,8 +238,8 @@
 	return float64(report.InstanceCounts[tenant])
 }
 
-// wantUsage is `want-usage TENANT off=`: the sum of all reports deviates by at most off percent from
-// the number of requests that ran.
+// wantUsage is `want-usage TENANT off=`: checks that the sum of all reports deviates by at most off percent
+// from the number of requests that ran.
 func (f *fleet) wantUsage(c simulation.Command) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,7 +255,8 @@
 	return nil
 }
 
-// wantReports is `want-reports N WITHIN`: the last N windows that are due were reported.
+// wantReports is `want-reports N WITHIN`: waits up to WITHIN milliseconds until the last N windows that are due
+// have been reported.
 func (f *fleet) wantReports(c simulation.Command) error {
 	const (
 		window   = 5 * time.Second
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -183,7 +183,7 @@
 
 // TestHistory guards against a checker that accepts histories that are not linearizable, or rejects linearizable
 // ones.
-// A change is FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS; 0 stands for no answer.
+// A change is FROM-TO:VERSION/BASE/MARK=STATUS, a read FROM-TO:VERSION/MARK=STATUS; status 0 means no answer.
 func TestHistory(t *testing.T) {
 	cases := []struct {
 		name, calls string
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -105,7 +105,7 @@
 	n.bytesPerSecond[host] = bytesPerSecond
 }
 
-// setAnswersLost sets the hosts whose answers to operators are lost from now on.
+// setAnswersLost sets the hosts whose subsequent answers to operators are lost.
 func (n *network) setAnswersLost(hosts []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -32,7 +32,7 @@
 	idleTimeoutMs int64 // idle time-out in the configuration, in milliseconds
 }
 
-// serveClients is `accept-connections`: the proxy accepts connections from now on.
+// serveClients is `accept-connections`: starts a listener on which the proxy accepts connections.
 func (p *dataPlane) serveClients(simulation.Command) error {
 	p.clients.network = newNetwork(func() float64 { return noLossDraw })
 	p.clients.conns = map[string]net.Conn{}
@@ -43,13 +43,13 @@
 	return nil
 }
 
-// setIdleTimeout is `idle-timeout MS`: the idle time-out of connections, from the next update on.
+// setIdleTimeout is `idle-timeout MS`: sets the idle time-out of connections, as of the next update.
 func (p *dataPlane) setIdleTimeout(c simulation.Command) error {
 	p.clients.idleTimeoutMs = int64(c.Int(0))
 	return nil
 }
 
-// openConnection is `open-connection NAME`: a connection without a request.
+// openConnection is `open-connection NAME`: opens a connection without sending a request.
 func (p *dataPlane) openConnection(c simulation.Command) error {
 	dial := p.clients.network.networkFor(clientHost)(time.Second, time.Second)
 	conn, err := dial(context.Background(), "", proxyAddress)
@@ -73,18 +73,18 @@
 }
 
 // sendSlowly is `send-slowly NAME HOST PATH MS`: like send-async, but the last byte of the request
-// is sent MS later.
+// is sent MS milliseconds later.
 func (p *dataPlane) sendSlowly(c simulation.Command) error {
 	p.running.Go(func() { p.sendOnConnection(c, writeSlowly) })
 	return nil
 }
 
-// closeConnection is `leave NAME`: the client closes that connection, even if a request on it has no answer yet.
+// closeConnection is `leave NAME`: the client closes this connection, even if a request on it has no answer yet.
 func (p *dataPlane) closeConnection(c simulation.Command) error {
 	return p.clients.conns[c.Word(0)].Close()
 }
 
-// wantWorking is `want-working N ID,...`: checks that these leafs work on N requests in total now.
+// wantWorking is `want-working N ID,...`: checks that these leafs currently work on N requests in total.
 func (p *dataPlane) wantWorking(c simulation.Command) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// shutDownCommand is `shutdown [after=MS]`: sends SIGTERM and waits until all requests are answered
-// and the process ends, MS later.
+// shutDownCommand is `shutdown [after=MS]`: starts the proxy's shutdown as SIGTERM does, ends the process after
+// MS milliseconds, and waits until all requests have ended.
 func (p *dataPlane) shutDownCommand(c simulation.Command) error {
 	p.proxy.Shutdown()
 	time.Sleep(c.OptionDuration("after", 0))
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -14,8 +14,8 @@
 	"comethold/internal/simulation"
 )
 
-// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`: adds a leaf, from the next
-// update on.
+// addLeaf is `leaf ID SERVICE [zone= work= slots= mode= uses= cold=]`: adds a leaf. The next update
+// contains it.
 func (p *dataPlane) addLeaf(c simulation.Command) error {
 	l := &leaf{
 		Endpoint: distribution.Endpoint{
@@ -48,7 +48,7 @@
 }
 
 // addRoute is `route HOST PREFIX KIND SERVICE,... [scatter= timeout= target= attempts= least= public= class=]`:
-// adds a route, from the next update on.
+// adds a route. The next update contains it.
 func (p *dataPlane) addRoute(c simulation.Command) error {
 	route := routing.Route{
 		Name:            fmt.Sprint("r", len(p.routes)),
@@ -81,13 +81,13 @@
 	return nil
 }
 
-// eject is `eject ID`: the index cell has an ejection mark for the leaf from the next update on.
+// eject is `eject ID`: adds an ejection mark for the leaf to the index cell, as of the next update.
 func (p *dataPlane) eject(c simulation.Command) error {
 	p.ejected[c.Word(0)] = distribution.EjectionMark{Reason: distribution.ReasonUnresponsive}
 	return nil
 }
 
-// reinstate is `reinstate ID`: removes the ejection mark of the leaf, from the next update on.
+// reinstate is `reinstate ID`: removes the ejection mark of the leaf, as of the next update.
 func (p *dataPlane) reinstate(c simulation.Command) error {
 	delete(p.ejected, c.Word(0))
 	return nil
@@ -140,7 +140,7 @@
 }
 
 // wantStatuses is `want STATUS=COUNT ...` or `STATUS>=COUNT`: checks how many requests got each of these statuses
-// since the last want; it clears the counts.
+// since the last want, and clears the counts.
 func (p *dataPlane) wantStatuses(c simulation.Command) error {
 	for key, value := range c.Options {
 		status, isMinimum := strings.CutSuffix(key, ">")
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// wantWithin is `want-within MS`: checks that no request since the last want-within took longer.
+// wantWithin is `want-within MS`: checks that no request since the last want-within took longer than MS
+// milliseconds.
 func (p *dataPlane) wantWithin(c simulation.Command) error {
 	if p.latency > c.Milliseconds(0) {
 		return fmt.Errorf("the slowest request took %v, want at most %v", p.latency, c.Milliseconds(0))
@@ -203,8 +204,8 @@
 	return nil
 }
 
-// wantEstimate is `want-estimate LEAF CLASS MS`: checks that the estimated median latency of the replica while
-// idle is within 20% of MS, or, for 0, that there is no estimate.
+// wantEstimate is `want-estimate LEAF CLASS MS`: checks that the estimated median latency of the leaf without
+// load is within 20% of MS milliseconds. If MS is 0, it checks that there is no estimate.
 func (p *dataPlane) wantEstimate(c simulation.Command) error {
 	snapshot := p.proxy.LatencyEstimates(distribution.EstimatesRequest{Class: c.Word(1)})
 	for _, keyed := range snapshot.Sketches {
@@ -222,9 +223,9 @@
 	return errors.New("the replica has no latency sketch of this class without load")
 }
 
-// wantSlow is `want-slow LEAF OTHER`: checks that a slow lookup at LEAF is recorded with an estimate for OTHER
+// wantSlowLookup is `want-slow LEAF OTHER`: checks that a slow lookup at LEAF is recorded with an estimate for OTHER
 // whose range covers the time that OTHER took.
-func (p *dataPlane) wantSlow(c simulation.Command) error {
+func (p *dataPlane) wantSlowLookup(c simulation.Command) error {
 	slow := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).SlowLookups
 	for _, lookup := range slow {
 		for _, other := range lookup.Replicas {
@@ -234,22 +235,22 @@
 			}
 		}
 	}
-	return fmt.Errorf("no slow lookup at %s has an estimate for %s that covers its actual latency: %+v",
+	return fmt.Errorf("no slow lookup at %s has an estimate for %s that covers its actual latency, want one: %+v",
 		c.Word(0), c.Word(1), slow)
 }
 
-// wantParts is `want-parts LEAF KIND ...`: checks that exactly these kinds of differences were counted, by leaf.
-func (p *dataPlane) wantParts(c simulation.Command) error {
+// wantDifferences is `want-parts LEAF KIND ...`: checks that exactly these kinds of differences were counted, by leaf.
+func (p *dataPlane) wantDifferences(c simulation.Command) error {
 	got := p.proxy.LatencyEstimates(distribution.EstimatesRequest{}).Counters.Differences
 	for pair := range slices.Chunk(c.Words, 2) {
 		key := strings.Join(pair, " ")
 		if got[key] == 0 {
-			return fmt.Errorf("difference %q is missing in %v", key, got)
+			return fmt.Errorf("difference %q was not counted, want it among those that were: %v", key, got)
 		}
 		delete(got, key)
 	}
 	if len(got) > 0 {
-		return fmt.Errorf("unexpected differences %v", got)
+		return fmt.Errorf("other differences were counted: %v, want none", got)
 	}
 	return nil
 }
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -152,7 +152,7 @@
 	p.runsByRequest[id]++
 	p.tenantsSeen[l.ID] = append(p.tenantsSeen[l.ID], strings.Join(header["X-Comethold-Tenant"], "+"))
 	if len(p.tenants) > 0 && strings.Contains(fmt.Sprint(header), "key") {
-		p.t.Errorf("leaf %s received an API key in the headers %v", l.ID, header)
+		p.t.Errorf("leaf %s received an API key in the headers %v, want none", l.ID, header)
 	}
 }
 
--- a/internal/simulation/plane_test.go
+++ b/internal/simulation/plane_test.go
@@ -191,10 +191,10 @@
 func (p *dataPlane) checkAnswer(id, method string, w *httptest.ResponseRecorder) {
 	isRejection := w.Code == http.StatusTooManyRequests || w.Code == http.StatusServiceUnavailable
 	if isRejection && p.runsByRequest[id] > 0 && method == http.MethodPost {
-		p.t.Errorf("POST request %s got status %d, which says that it did not run, but it ran", id, w.Code)
+		p.t.Errorf("POST request %s got status %d, which means that it did not run, but it ran", id, w.Code)
 	}
 	if isRejection && w.Header().Get("Retry-After") == "" {
-		p.t.Errorf("request %s got status %d without Retry-After", id, w.Code)
+		p.t.Errorf("request %s got status %d without Retry-After, want the header", id, w.Code)
 	}
 	if method == http.MethodPost && p.runsByRequest[id] > 1 {
 		p.t.Errorf("POST request %s ran %d times, want at most 1", id, p.runsByRequest[id])
@@ -205,11 +205,11 @@
 	stamps := w.Header().Get("X-Comethold-Server-Stamp") + w.Header().Get("X-Comethold-Part-Stamps")
 	for stamp := range strings.SplitSeq(stamps, ", ") {
 		if !strings.HasSuffix(stamp, "."+id) {
-			p.t.Errorf("request %s got an answer with the stamp %s of another request", id, stamp)
+			p.t.Errorf("request %s got an answer with the stamp %s of another request, want only its own", id, stamp)
 		}
 	}
 	if bytes.Contains(w.Body.Bytes(), []byte("alien")) {
-		p.t.Errorf("request %s got bytes that belong to no request", id)
+		p.t.Errorf("request %s got bytes that belong to no request, want only its own records", id)
 	}
 }
 
@@ -242,8 +242,8 @@
 	"want-runs":     (*dataPlane).wantRuns,
 	"want-tenants":  (*dataPlane).wantTenants,
 	"want-estimate": (*dataPlane).wantEstimate,
-	"want-slow":     (*dataPlane).wantSlow,
-	"want-parts":    (*dataPlane).wantParts,
+	"want-slow":     (*dataPlane).wantSlowLookup,
+	"want-parts":    (*dataPlane).wantDifferences,
 }
 
 // Do runs a command.
