--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// setShare is `share PERMILLE MS`: grants the server a share of the rates for a time.
+// setShare is `share PERMILLE MS`: grants the server a share of the rates for MS milliseconds.
 func (w *cacheWorld) setShare(c simulation.Command) error {
 	w.server.limiter.Renew(count(c), time.Now().Add(c.Milliseconds(1)))
 	return nil
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// runFor is `run MS [disconnected=]`: lets time pass. The server receives an update each second unless
-// disconnected is set.
+// runFor is `run MS [disconnected=]`: lets MS milliseconds pass. The server receives an update each second
+// unless disconnected is set.
 func (w *cacheWorld) runFor(c simulation.Command) error {
 	for left := c.Milliseconds(0); left > 0; left -= time.Second {
 		time.Sleep(min(left, time.Second))
--- a/internal/paxos/entrylog/log.go
+++ b/internal/paxos/entrylog/log.go
@@ -19,7 +19,7 @@
 // New returns an empty log.
 func New() Log { return Log{entries: map[uint64]*Entry{}} }
 
-// CompactedIndex returns the index up to and including which entries were compacted away.
+// CompactedIndex returns the index up to which the log is compacted. The log has no entry at or below it.
 func (l *Log) CompactedIndex() uint64 { return l.compactedIndex }
 
 // Bytes returns the estimated encoded size of all entries in bytes.
--- a/internal/paxos/scenario_test.go
+++ b/internal/paxos/scenario_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// wantLeaderCommand runs "want-leader yes|no": the cell must have a leader or not.
+// wantLeaderCommand runs "want-leader yes|no": the cell must have a leader (yes) or none (no).
 func wantLeaderCommand(c scenarioCommand) {
 	if leader := c.leader(); (leader != nil) != (c.word(0) == "yes") {
 		c.t.Fatalf("%s at %v: leader is %v, want a leader: %s", c.name, c.now, leader, c.word(0))
--- a/internal/paxos/simulated_disk_test.go
+++ b/internal/paxos/simulated_disk_test.go
@@ -83,8 +83,8 @@
 	return s.randomDuration(2 * s.syncDelay)
 }
 
-// completeSyncs applies the syncs of a node that are due, sends the messages that waited for them,
-// and returns the messages to the node itself.
+// completeSyncs applies the syncs of a node that are due and sends the messages that waited for them.
+// It returns those that are addressed to the node itself.
 func (s *cellSimulation) completeSyncs(node *simulatedNode) []Message {
 	var toSelf []Message
 	for len(node.pendingSyncs) > 0 && !node.diskHangs && !node.diskFails && node.pendingSyncs[0].dueAt <= s.now {
--- a/internal/simulation/adversary_test.go
+++ b/internal/simulation/adversary_test.go
@@ -35,7 +35,7 @@
 // is listed twice to be drawn more often.
 var mildEndings = []string{"well", "well", "twice-late", "bye", "closing", "hints"}
 
-// callEndings are all ways in which a call may end; answer and answerAndClose define them.
+// callEndings are all endings of a call. answer and answerAndClose implement them.
 var callEndings = append(append([]string(nil), mildEndings...),
 	"twice", "alien", "reset-early", "reset", "end", "cut", "stall", "silent", "shed", "shed-twice", "shed-early",
 	"421", "error", "unstamped", "encoded", "unmarked", "garbage", "unrun-503", "unrun-429", "unrun-408")
@@ -241,7 +241,7 @@
 	return true
 }
 
-// answerAndClose answers a request in a way after which the connection is closed; serve closes it.
+// answerAndClose answers a request with one of the endings that end the connection. serve then closes it.
 func (c *adversaryConn) answerAndClose(call adversaryCall, correct string) {
 	switch call.ending {
 	case "bye": // the connection closes while the next request may be in transit
--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -192,7 +192,7 @@
 )
 
 // drawBootstrap draws the kind of bootstrap and the control nodes with a fault during it. It cuts them off
-// if the kind demands it.
+// if the kind requires it.
 func (c *chaos) drawBootstrap() (kind int, faultyNodes string) {
 	kind, faultyNodes = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
 	if kind == bootstrapPartitioned {
--- a/internal/simulation/fleet_machines_test.go
+++ b/internal/simulation/fleet_machines_test.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// advanceTime is `run MS`: continues for MS milliseconds of simulated time.
+// advanceTime is `run MS`: lets MS milliseconds of simulated time pass.
 func (f *fleet) advanceTime(c simulation.Command) error {
 	time.Sleep(c.Milliseconds(0))
 	return nil
--- a/internal/simulation/fleet_usage_test.go
+++ b/internal/simulation/fleet_usage_test.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// generateLoad sends requests of a tenant to machines in turn, as the command load states.
+// generateLoad sends the requests of the command load or start-load, and waits until they have ended.
 func (f *fleet) generateLoad(c simulation.Command) {
 	machines := f.machinesNamed(c.Word(0))
 	tenant := f.tenantNamed(c.Word(1))
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// delayIfPacketLost sleeps for resendDelay if it draws, at the loss rate, that a packet is lost.
+// delayIfPacketLost draws at random whether a packet is lost, and sleeps for resendDelay if it is.
 func (n *network) delayIfPacketLost() {
 	n.mu.Lock()
 	isLost := n.random() < n.lossRate
@@ -226,8 +226,8 @@
 }
 
 // killMachine closes the listeners and connections of a machine and refuses further dials of its current
-// processes. These run on for a while in the test, but nothing that they send over connections arrives, even
-// after the machine has restarted.
+// processes. In the test, these processes continue for a while, but nothing that they send over connections
+// arrives, even after the machine has restarted.
 func (n *network) killMachine(host string) {
 	n.mu.Lock()
 	n.incarnations[host]++
--- a/internal/simulation/plane_clients_test.go
+++ b/internal/simulation/plane_clients_test.go
@@ -137,7 +137,7 @@
 	return err
 }
 
-// writeSlowly writes a request whose body, one byte, follows after the delay of the command.
+// writeSlowly writes a request with a body of one byte, which it writes after the delay of the command.
 func writeSlowly(conn net.Conn, c simulation.Command, id string) error {
 	// The error is ignored: if the proxy closes the connection, writing the last byte fails too.
 	_, _ = io.WriteString(conn, requestHead(c, id)+"Content-Length: 1\r\n\r\n")
--- a/internal/simulation/plane_commands_test.go
+++ b/internal/simulation/plane_commands_test.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// runFor is `run MS`: lets simulated time pass.
+// runFor is `run MS`: lets MS milliseconds of simulated time pass.
 func (p *dataPlane) runFor(c simulation.Command) error {
 	time.Sleep(c.Milliseconds(0))
 	return nil
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -218,7 +218,7 @@
 	return true
 }
 
-// endByMode answers in a way after which the connection is closed.
+// endByMode answers a request in one of the modes that end the connection. serveLeaf then closes it.
 func (c *leafConn) endByMode(call leafCall) {
 	const surplusBytes = 9
 	switch call.mode {
--- a/internal/storage/tornpages_test.go
+++ b/internal/storage/tornpages_test.go
@@ -19,7 +19,7 @@
 
 // TestTornPages guards against the loss of acknowledged data when the power fails between two syncs. Each sector that
 // was written since the last sync is then either on the disk or not. bbolt writes a meta page only after all other
-// pages are synced, so either the other pages are torn or the meta pages.
+// pages are synced, so either only meta pages are torn, or only other pages.
 func TestTornPages(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	contents := contentsAfterSyncs(t, rng)
