--- a/internal/simulation/chaos_test.go
+++ b/internal/simulation/chaos_test.go
@@ -114,7 +114,8 @@
 				continue
 			}
 			if version < c.versions[m.proxy] {
-				c.fleet.t.Errorf("%s went back from version %d to the older version %d", m.name, c.versions[m.proxy], version)
+				c.fleet.t.Errorf("%s went back from version %d to the older version %d, want no older one",
+					m.name, c.versions[m.proxy], version)
 			}
 			c.versions[m.proxy] = version
 		}
@@ -191,7 +192,7 @@
 )
 
 // drawBootstrap draws the kind of bootstrap and the control nodes with a fault during it. It cuts them off
-// if the kind demands it.
+// if the kind requires it.
 func (c *chaos) drawBootstrap() (kind int, faultyNodes string) {
 	kind, faultyNodes = c.rng.Intn(bootstrapKinds), "c1,c2,c3"
 	if kind == bootstrapPartitioned {
--- a/internal/simulation/plane_leaf_test.go
+++ b/internal/simulation/plane_leaf_test.go
@@ -152,7 +152,7 @@
 	p.runsByRequest[id]++
 	p.tenantsSeen[l.ID] = append(p.tenantsSeen[l.ID], strings.Join(header["X-Comethold-Tenant"], "+"))
 	if len(p.tenants) > 0 && strings.Contains(fmt.Sprint(header), "key") {
-		p.t.Errorf("leaf %s received an API key in the headers %v", l.ID, header)
+		p.t.Errorf("leaf %s received an API key in the headers %v, want none", l.ID, header)
 	}
 }
 
@@ -218,7 +218,7 @@
 	return true
 }
 
-// endByMode answers in a way after which the connection is closed.
+// endByMode answers a request in one of the modes that end the connection. serveLeaf then closes it.
 func (c *leafConn) endByMode(call leafCall) {
 	const surplusBytes = 9
 	switch call.mode {
