--- a/internal/controlplane/placement/formation_test.go
+++ b/internal/controlplane/placement/formation_test.go
@@ -46,7 +46,7 @@
 			SinceVoterAdded:          c.sinceVoterAdded,
 		}
 		if got := isForming(cell, c.liveWithoutVote, all); got != c.isForming {
-			t.Errorf("%s: isForming returned %v, want the opposite", c.name, got)
+			t.Errorf("%s: isForming returned %v, want %v", c.name, got, c.isForming)
 		}
 	}
 }
--- a/internal/controlplane/replicahost/peers_test.go
+++ b/internal/controlplane/replicahost/peers_test.go
@@ -40,13 +40,13 @@
 		t.Errorf("record of a message under another ID returned %+v, want a new ID that replaces 1~a", found)
 	}
 	if !peers.isReplaced("1~a") || peers.isReplaced("1~b") {
-		t.Error("after 1~b replaced 1~a, isReplaced is false for 1~a or true for 1~b, want the opposite")
+		t.Error("1~b replaced 1~a: isReplaced is false for 1~a or true for 1~b, want true for 1~a and false for 1~b")
 	}
 	if contacted := peers.contactsSince(3); len(contacted) != 1 || contacted["1"].ID != "1~b" {
 		t.Errorf("contactsSince(3) returned %v, want only 1~b at address 1", contacted)
 	}
 	peers.record(PeerInfo{ID: "1~a", Addr: "1"}, 5)
 	if peers.isReplaced("1~a") || !peers.isReplaced("1~b") {
-		t.Error("after 1~a replaced 1~b, isReplaced is true for 1~a or false for 1~b, want the opposite")
+		t.Error("1~a replaced 1~b: isReplaced is true for 1~a or false for 1~b, want false for 1~a and true for 1~b")
 	}
 }
--- a/internal/paxos/changed_keys_test.go
+++ b/internal/paxos/changed_keys_test.go
@@ -64,7 +64,7 @@
 		changed := run()
 		for prefix, want := range test.want {
 			if changed.AnyWithPrefix(prefix) != want {
-				t.Errorf("%s: AnyWithPrefix(%q) returned %v, want the opposite", test.name, prefix, !want)
+				t.Errorf("%s: AnyWithPrefix(%q) returned %v, want %v", test.name, prefix, !want, want)
 			}
 		}
 	}
--- a/internal/paxos/statemachine/state_test.go
+++ b/internal/paxos/statemachine/state_test.go
@@ -45,10 +45,10 @@
 	} {
 		state := newInitialState()
 		if got := state.Apply(test.txn, 1, testAlpha); got != test.want {
-			t.Errorf("%s: Apply returned %v, want the opposite", name, got)
+			t.Errorf("%s: Apply returned %v, want %v", name, got, test.want)
 		}
 		if _, changed := state.Get("y"); changed != test.want {
-			t.Errorf("%s: key y exists: %v, want the opposite", name, changed)
+			t.Errorf("%s: key y exists: %v, want %v", name, changed, test.want)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	} {
 		state := newInitialState()
 		if got := state.Apply(Txn{Ops: []Op{{Kind: OpSetVoters, Voters: test.next}}}, 5, testAlpha); got != test.want {
-			t.Errorf("%s: Apply returned %v, want the opposite", name, got)
+			t.Errorf("%s: Apply returned %v, want %v", name, got, test.want)
 		}
 	}
 	state := newInitialState()
@@ -113,7 +113,7 @@
 	}
 	for index, want := range map[uint64]bool{7: false, 8: true, 10: true, 11: false} {
 		if got := state.MembershipAt(index).Contains("d"); got != want {
-			t.Errorf("MembershipAt(%d).Contains(d) returned %v, want the opposite", index, got)
+			t.Errorf("MembershipAt(%d).Contains(d) returned %v, want %v", index, got, want)
 		}
 	}
 	if version, _ := state.Get(MembershipVersionKey); !version.Equal(Int(2)) {
--- a/internal/upstream/balancer_test.go
+++ b/internal/upstream/balancer_test.go
@@ -90,7 +90,7 @@
 			endpoint.fleetEjected = fleetEjected
 			endpoint.health = endpointHealth{state: stateProbation, probationSince: now.Add(-c.since)}
 			if got := balancer.accepts(endpoint, c.nonIdempotent, now); got != c.want {
-				t.Errorf("%s, fleetEjected %v: accepts returned %v, want the opposite", c.name, fleetEjected, got)
+				t.Errorf("%s, fleetEjected %v: accepts returned %v, want %v", c.name, fleetEjected, got, c.want)
 			}
 		}
 	}
--- a/internal/upstream/roundtrip_test.go
+++ b/internal/upstream/roundtrip_test.go
@@ -61,10 +61,10 @@
 		c.conn.conn = pipe.conn
 		c.conn.reader = pipe.reader
 		if got := c.conn.reusable(false, now); got != c.idempotent {
-			t.Errorf("%s: reusable for an idempotent request is %v, want the opposite", c.name, got)
+			t.Errorf("%s: reusable for an idempotent request is %v, want %v", c.name, got, c.idempotent)
 		}
 		if got := c.conn.reusable(true, now); got != c.nonIdempotent {
-			t.Errorf("%s: reusable for a non-idempotent request is %v, want the opposite", c.name, got)
+			t.Errorf("%s: reusable for a non-idempotent request is %v, want %v", c.name, got, c.nonIdempotent)
 		}
 	}
 }
