--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs_test checks the pages of this folder against the sources: what a page
-// names in backticks must exist.
+// Package docs_test checks the pages of this folder against the sources: names in backticks and
+// link targets must exist, and events.md must list the events and fields of the log.
 package docs_test
 
 import (
@@ -17,14 +17,15 @@
 
 const root = ".."
 
-// measuredPages hold figures and names as they were when they were measured.
+// measuredPages lists the pages whose names are not checked, because they keep the names that were in use when
+// their figures were measured.
 var measuredPages = map[string]bool{"rounds.md": true, "results.md": true}
 
-// foreignNames are names in the pages that others than this repository declare.
+// foreignNames maps names in the pages that this repository does not declare to the place that declares them.
 var foreignNames = map[string]string{
 	"http.Transport":   "the standard library, net/http",
 	"nolint":           "the linter",
-	"downgradeSlackMs": "the operators' settings, a bound that no code reads",
+	"downgradeSlackMs": "a bound in the operators' settings that no code reads",
 }
 
 var (
@@ -42,17 +43,19 @@
 	hyphenated   = regexp.MustCompile(`[a-z0-9]+(?:-[a-z0-9]+)+`)
 )
 
-// sources is what the repository declares and says.
+// sources indexes the declarations, words and file names of the repository.
 type sources struct {
 	packages  map[string]map[string]bool // package name -> its declarations, "Type.Member" for members
 	members   map[string]bool            // "Type.Member" of all packages
 	declared  map[string]bool            // every declared identifier
-	tests     map[string]bool            // test, benchmark and example functions
+	tests     map[string]bool            // test, benchmark, example and fuzz functions
 	words     map[string]bool            // words of string literals and of scenario and data files
-	scenarios map[string]bool            // scenario files without their ending
+	scenarios map[string]bool            // names of scenario files without .txt
 	files     map[string]bool            // base names of all files
 }
 
+// TestNamesInPagesExist guards against pages that still use the old name of a test, declaration, file,
+// scenario or key after it was renamed or removed.
 func TestNamesInPagesExist(t *testing.T) {
 	known := readSources(t)
 	for _, page := range pages(t) {
@@ -60,24 +63,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		// Code blocks are not checked. Their line breaks stay, so that reported line numbers are correct.
 		text := codeBlock.ReplaceAllStringFunc(string(raw), func(block string) string {
 			return strings.Repeat("\n", strings.Count(block, "\n"))
 		})
-		for number, line := range strings.Split(text, "\n") {
+		for lineIndex, line := range strings.Split(text, "\n") {
 			for _, mention := range testMention.FindAllString(line, -1) {
-				if fault := known.checkTest(mention); fault != "" {
-					t.Errorf("%s:%d: %s: %s", filepath.Base(page), number+1, mention, fault)
+				if problem := known.checkTest(mention); problem != "" {
+					t.Errorf("%s:%d: test %s not found: %s", filepath.Base(page), lineIndex+1, mention, problem)
 				}
 			}
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
-				if fault := known.check(span[1]); fault != "" {
-					t.Errorf("%s:%d: `%s`: %s", filepath.Base(page), number+1, span[1], fault)
+				if problem := known.check(span[1]); problem != "" {
+					t.Errorf("%s:%d: `%s` not found: %s", filepath.Base(page), lineIndex+1, span[1], problem)
 				}
 			}
 		}
 	}
 }
 
+// TestLinksInPagesExist guards against relative links in pages and incident reports whose target was
+// moved or removed.
 func TestLinksInPagesExist(t *testing.T) {
 	incidents, err := filepath.Glob(filepath.Join("incidents", "*.md"))
 	if err != nil {
@@ -93,18 +99,19 @@
 				continue
 			}
 			if _, err := os.Stat(filepath.Join(filepath.Dir(page), link[1])); err != nil {
-				t.Errorf("%s: the link to %s leads nowhere", page, link[1])
+				t.Errorf("%s: the target of the link to %s does not exist", page, link[1])
 			}
 		}
 	}
 }
 
-// pages are the pages whose names are checked.
+// pages returns the paths of the pages whose names are checked: README.md, CONTRIBUTING.md if it exists, and
+// the pages of this folder except measuredPages.
 func pages(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.md")
 	if err != nil || len(all) == 0 {
-		t.Fatalf("no pages: %v", err)
+		t.Fatalf("found no *.md files in docs (error: %v), want at least one", err)
 	}
 	found := []string{filepath.Join(root, "README.md")}
 	if contributing := filepath.Join(root, "CONTRIBUTING.md"); exists(contributing) {
@@ -118,7 +125,8 @@
 	return found
 }
 
-// check says what is wrong with a name in backticks, or "".
+// check returns the reason why a name in backticks is not found. Returns "" if it is found, or if its form
+// is not checked.
 func (s *sources) check(span string) string {
 	name := strings.TrimSuffix(span, "()")
 	if foreignNames[name] != "" {
@@ -131,7 +139,7 @@
 		return checkPath(name)
 	case sourceFile.MatchString(name):
 		if !s.files[name] {
-			return "no such file"
+			return "no file has this name"
 		}
 	case strings.Contains(name, " "):
 		return "" // a command or a line of a file
@@ -139,11 +147,11 @@
 		return s.checkDotted(name)
 	case scenarioName.MatchString(name):
 		if !s.scenarios[name] && !s.words[name] {
-			return "no scenario file, command or value of this name"
+			return "no scenario file, command or value has this name"
 		}
 	case plainWord.MatchString(name):
 		if !s.declared[name] && !s.words[name] && s.packages[name] == nil && !s.files[name] {
-			return "not declared in the sources, nor a key or value in them"
+			return "no declaration, file, key or value has this name"
 		}
 	}
 	return ""
@@ -152,10 +160,10 @@
 func (s *sources) checkTest(name string) string {
 	function, scenario, isScenario := strings.Cut(name, "/")
 	if !s.tests[function] {
-		return "no such test"
+		return "no test has this name"
 	}
 	if isScenario && !s.scenarios[scenario] {
-		return "no such scenario"
+		return "no scenario file has this name"
 	}
 	return ""
 }
@@ -168,18 +176,18 @@
 	case s.packages[first][rest]:
 		return ""
 	}
-	// A file that gets a further ending, as vault.db.new.
+	// The name of a file to which the code appends an ending, for example vault.db.new.
 	if ending := path.Ext(name); s.words[strings.TrimSuffix(name, ending)] && s.words[ending] {
 		return ""
 	}
-	return "no such declaration, file or key"
+	return "no declaration, file or key has this name"
 }
 
 func checkPath(name string) string {
 	name = strings.TrimSuffix(strings.TrimSuffix(name, "..."), "/")
 	found, err := filepath.Glob(filepath.Join(root, name))
 	if err != nil || len(found) == 0 {
-		return "no such file or folder"
+		return "no file or folder has this path"
 	}
 	return ""
 }
@@ -221,7 +229,8 @@
 	return s
 }
 
-// addText notes the words of a scenario or settings file.
+// addText adds the words of a scenario, settings or data file. Records a file in testdata, or in a direct
+// subfolder of testdata, as a scenario.
 func (s *sources) addText(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -247,7 +256,8 @@
 	}
 }
 
-// addGo notes the declarations and string literals of a Go file.
+// addGo adds the declarations and the words of the string literals of a Go file. A main package is recorded
+// under the name of its folder.
 func (s *sources) addGo(file string) error {
 	tree, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -298,7 +308,7 @@
 	}
 }
 
-// addMembers notes the fields of a struct and the methods of an interface.
+// addMembers adds the fields of a struct or the methods of an interface.
 func (s *sources) addMembers(pkg string, spec *ast.TypeSpec) {
 	var fields *ast.FieldList
 	switch kind := spec.Type.(type) {
@@ -316,6 +326,7 @@
 	}
 }
 
+// add records a declaration. owner is the type of a method or field, and empty for other declarations.
 func (s *sources) add(pkg, owner, name string) {
 	s.declared[name] = true
 	if owner == "" {
--- a/docs/events_test.go
+++ b/docs/events_test.go
@@ -19,33 +19,35 @@
 	fieldRow = regexp.MustCompile("(?m)^\\| `(\\w+)` \\|")
 )
 
-// TestEventsAreListed checks that events.md has a row for each numbered event, and none for
-// another.
+// TestEventsAreListed guards against an event number that is declared but has no row in events.md, and
+// against a row whose event number is not declared.
 func TestEventsAreListed(t *testing.T) {
 	compareNames(t, "event", declaredEvents(t), firstColumn(t, eventRow))
 }
 
-// TestLogFieldsAreListed checks that events.md has a row for each field of a log line, and
-// none for another.
+// TestLogFieldsAreListed guards against a field of a log line that has no row in events.md, and against a
+// row whose field is in no log line.
 func TestLogFieldsAreListed(t *testing.T) {
 	compareNames(t, "field", usedLogFields(t), firstColumn(t, fieldRow))
 }
 
-func compareNames(t *testing.T, what string, inSources, listed []string) {
+// compareNames reports the names that are only in the sources or only in events.md. The failure texts use
+// kind ("event" or "field") to describe a name.
+func compareNames(t *testing.T, kind string, inSources, listed []string) {
 	t.Helper()
 	for _, name := range inSources {
 		if !slices.Contains(listed, name) {
-			t.Errorf("events.md does not list the %s %s", what, name)
+			t.Errorf("events.md has no row for the %s %s, which is in the sources", kind, name)
 		}
 	}
 	for _, name := range listed {
 		if !slices.Contains(inSources, name) {
-			t.Errorf("events.md lists the %s %s, which is in no log line", what, name)
+			t.Errorf("events.md has a row for the %s %s, which is not in the sources", kind, name)
 		}
 	}
 }
 
-// firstColumn is what the rows of events.md begin with.
+// firstColumn returns the first column of the rows of events.md that match row.
 func firstColumn(t *testing.T, row *regexp.Regexp) []string {
 	t.Helper()
 	raw, err := os.ReadFile("events.md")
@@ -59,7 +61,7 @@
 	return names
 }
 
-// declaredEvents are the numbers that internal/logging declares.
+// declaredEvents returns the event numbers that internal/logging declares.
 func declaredEvents(t *testing.T) []string {
 	t.Helper()
 	var numbers []string
@@ -68,19 +70,19 @@
 		if !ok || len(spec.Values) != 1 {
 			return
 		}
-		kind, isIdent := spec.Type.(*ast.Ident)
+		typeName, isIdent := spec.Type.(*ast.Ident)
 		value, isLiteral := spec.Values[0].(*ast.BasicLit)
-		if isIdent && isLiteral && kind.Name == "EventNumber" {
+		if isIdent && isLiteral && typeName.Name == "EventNumber" {
 			numbers = append(numbers, value.Value)
 		}
 	})
 	if len(numbers) == 0 {
-		t.Fatal("no events found")
+		t.Fatal("found no event numbers in internal/logging, want at least one")
 	}
 	return numbers
 }
 
-// usedLogFields are the names of the fields that precede a Msg in the sources.
+// usedLogFields returns the sorted names of the fields that the sources add to a log line before they call Msg.
 func usedLogFields(t *testing.T) []string {
 	t.Helper()
 	fields := map[string]bool{}
@@ -95,9 +97,9 @@
 				return
 			}
 			if selector.Sel.Name == "Err" {
-				fields["error"] = true // zerolog's own name for it
+				fields["error"] = true // zerolog's field name for Err
 			}
-			if name, ok := literal(call.Args); ok && selector.Sel.Name != "Msg" {
+			if name, ok := firstStringLiteral(call.Args); ok && selector.Sel.Name != "Msg" {
 				fields[name] = true
 			}
 		}
@@ -110,7 +112,7 @@
 	return names
 }
 
-// methodCall takes x.Method(...) apart; nil for any other node.
+// methodCall returns the call and the selector of a node of the form x.Method(...), and nil for any other node.
 func methodCall(node ast.Node) (*ast.CallExpr, *ast.SelectorExpr) {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
@@ -123,8 +125,8 @@
 	return call, selector
 }
 
-// literal is the first argument, if it is a string.
-func literal(args []ast.Expr) (string, bool) {
+// firstStringLiteral returns the value of the first argument. Returns false if it is not a string literal.
+func firstStringLiteral(args []ast.Expr) (string, bool) {
 	if len(args) == 0 {
 		return "", false
 	}
@@ -136,7 +138,7 @@
 	return text, err == nil
 }
 
-// inspectSources visits every node of the Go files below a folder, tests excepted.
+// inspectSources calls visit for every syntax node of the Go files below dir, except test files.
 func inspectSources(t *testing.T, dir string, visit func(ast.Node)) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(file string, entry fs.DirEntry, err error) error {
