--- a/internal/objectcache/scenario_test.go
+++ b/internal/objectcache/scenario_test.go
@@ -225,7 +225,7 @@
 	defer w.mu.Unlock()
 	for bodyOrStatus, want := range c.Options {
 		if fmt.Sprint(w.replies[bodyOrStatus]) != want {
-			return fmt.Errorf("the numbers of replies by body or status were %v, want those of the command", w.replies)
+			return fmt.Errorf("numbers of replies by body or status are %v, want %s of %s", w.replies, want, bodyOrStatus)
 		}
 	}
 	w.replies = map[string]int{}
@@ -239,8 +239,8 @@
 	defer w.mu.Unlock()
 	unchanged, checked := c.Options["unchanged"]
 	if fmt.Sprint(len(w.reads)) != c.Word(0) || checked && fmt.Sprint(w.revalidations) != unchanged {
-		return fmt.Errorf("%d reads and granted permits, %d revalidations of an unchanged object, want those of the command",
-			len(w.reads), w.revalidations)
+		return fmt.Errorf("%d reads and granted permits, %d revalidations of an unchanged object, want %s and %q (\"\": any)",
+			len(w.reads), w.revalidations, c.Word(0), unchanged)
 	}
 	w.reads = nil
 	w.revalidations = 0
@@ -257,7 +257,7 @@
 			}
 		}
 		if started > count(c) {
-			return fmt.Errorf("%d reads started within MS milliseconds, want at most the N of the command", started)
+			return fmt.Errorf("%d reads started within %v, want at most %d", started, c.Milliseconds(1), count(c))
 		}
 	}
 	return nil
@@ -267,7 +267,7 @@
 // than MS milliseconds.
 func (w *cacheWorld) wantWithin(c simulation.Command) error {
 	if w.slowestReply > c.Milliseconds(0) {
-		return fmt.Errorf("the slowest reply took %v, want at most the MS of the command", w.slowestReply)
+		return fmt.Errorf("the slowest reply took %v, want at most %v", w.slowestReply, c.Milliseconds(0))
 	}
 	w.slowestReply = 0
 	return nil
